--- a/src/cinderstair/crier/crowd.py
+++ b/src/cinderstair/crier/crowd.py
@@ -141,8 +141,16 @@
             if others:
                 await self._probe(address=self.ctx.luck.choice(others), waitUs=PROBE_WAIT_US)
         member = self._next()
-        if member is None:
-            return
+        if member is not None:
+            await self._check(member=member)
+
+    async def check(self, *, name: str) -> None:
+        """Probes one member out of turn, with second opinions; afterwards its standing says what was found."""
+        member = self.members.get(name)
+        if member is not None:
+            await self._check(member=member)
+
+    async def _check(self, *, member: Member) -> None:
         if await self._probe(address=member.records, waitUs=PROBE_WAIT_US):
             return
         if await self._secondOpinion(member=member):
--- a/src/cinderstair/fairground/explorer/explorer_faults.py
+++ b/src/cinderstair/fairground/explorer/explorer_faults.py
@@ -122,6 +122,23 @@
     return [patch.object(Register, "changeRoster", change_blindly)]
 
 
+def old_cells_kept() -> Patches:
+    """A vault that is no voter any more keeps what it accepted as one."""
+    return [patch.object(Acceptor, "_clear_cells", lambda self: [])]
+
+
+def enters_untold() -> Patches:
+    """A vault is made a voter again without having adopted a roster that lacks it."""
+
+    told = Register.tell
+
+    async def tell(self: Any, *, address: str, roster: Roster) -> bool:
+        voting = any(voter.address == address for voter in roster.voters)
+        return await told(self, address=address, roster=roster) if voting else True
+
+    return [patch.object(Register, "tell", tell)]
+
+
 def two_at_once() -> Patches:
     """A replacement is one change of two voters."""
 
@@ -146,6 +163,8 @@
         same_number,
         second_leaves_at_once,
         overtaken_goes_on,
+        old_cells_kept,
+        enters_untold,
         two_at_once,
     )
 }
--- a/src/cinderstair/fairground/explorer/models.feature
+++ b/src/cinderstair/fairground/explorer/models.feature
@@ -13,7 +13,8 @@
       | lease                | 1     | 2000   |
       | lease_roster         | 1     | 4000   |
       | roster_change        | 1     | 10000  |
-      | roster_leaving       | 1     | 4000   |
+      | roster_leaving       | 2     | 30000  |
+      | returning            | 2     | 150000 |
 
   Scenario: All short ways of the register, without turns
     When the model "register" is explored to depth 4
@@ -34,3 +35,5 @@
       | second_leaves_at_once | lease_roster   | 2     | nothing            | hold the duty at once            |
       | overtaken_goes_on     | roster_leaving | 2     | its own budget     | a majority of epoch 3 lacks it   |
       | two_at_once           | roster_change  | 1     | its own budget     | a majority of epoch 2 lacks it   |
+      | old_cells_kept        | returning      | 1     | its own budget     | version 2 is                     |
+      | enters_untold         | returning      | 1     | its own budget     | version 2 is                     |
--- /dev/null
+++ b/src/cinderstair/fairground/explorer/returning_model.py
@@ -0,0 +1,42 @@
+"""A voter whose place was taken while it was cut off comes back and is to vote again."""
+
+from collections.abc import Hashable
+
+from ...vault.ballot import Ballot
+from ...vault.cell import Cell
+from ...vault.roster import Roster
+from .client_actor import Operation
+from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, Watch, founded, read, voter_of, write
+from .roster_model import RosterModel, replace
+from .world_state import Budget
+
+# of a write that reached c alone, and that no majority ever accepted; higher than what was chosen since
+LOST_BALLOT = Ballot(5, 9)
+
+
+class ReturningModel(RosterModel):
+    """a, b and d vote under epoch 3, and chose version 2; c knows epoch 1 alone, where it accepted another version 2.
+
+    An operator has c take d's place again, by its old identity, while others read and write.
+    """
+
+    names: tuple[str, ...] = ("a", "b", "c", "d", "changer-0", "reader", "writer")
+    vaults = 4
+    budget = Budget(restarts=1, timers=6)
+    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
+        (("replace d by c", replace(leaves="d", enters=voter_of(name="c"))),),
+        (("read", read), ("read again", read)),
+        (("write 3", write(3)),),
+    )
+
+    def cells(self, *, name: str) -> dict[str, Cell]:
+        old = Cell(promised=FIRST_BALLOT, accepted=FIRST_BALLOT, value=b"1:first")
+        lost = Cell(promised=LOST_BALLOT, accepted=LOST_BALLOT, value=b"2:lost")
+        chosen = Cell(promised=NEW_BALLOT, accepted=NEW_BALLOT, value=b"2:writer")
+        return {KEY: lost if name == "c" else chosen, "other": old}
+
+    def first_watch(self) -> Hashable:
+        return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
+
+    def roster_of(self, *, name: str) -> Roster | None:
+        return founded(names="abc") if name == "c" else founded(names="abd", epoch=3)
--- a/src/cinderstair/fairground/explorer/roster_model.py
+++ b/src/cinderstair/fairground/explorer/roster_model.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable, Sequence
 
 from ...vault.cell import Cell
-from ...vault.roster import Voter
+from ...vault.roster import Roster, Voter
 from ...vault.succession import Succession, without
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
@@ -61,15 +61,18 @@
     def first_watch(self) -> Hashable:
         return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
 
+    def roster_of(self, *, name: str) -> Roster | None:
+        """The roster on a vault's disk; None for an empty one. Of any other process: the one that it knows."""
+        return None if name in "de" else founded(names="abc")
+
     def recipes(self) -> Sequence[Recipe]:
         found = []
         for process, name in enumerate(self.names):
-            ident = voter_of(name=name).ident
             files: tuple[tuple[str, bytes], ...] = ()
-            if name in "abc":
-                files = files_of(ident=ident, roster=founded(names="abc"), cells=self.cells(name=name))
-            elif name in "de":
-                files = files_of(ident=ident)
+            if process < self.vaults:
+                roster = self.roster_of(name=name)
+                cells = None if roster is None else self.cells(name=name)
+                files = files_of(ident=voter_of(name=name).ident, roster=roster, cells=cells)
             found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
         return found
 
@@ -78,7 +81,7 @@
         if recipe.process < self.vaults:
             return VaultActor(recipe=recipe, name=name, seeds=self.seeds)
         todo = self.ops[recipe.process - self.vaults]
-        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
+        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=self.roster_of(name=name), todo=todo)
 
     def watch(self, *, watch: object, process: int, said: Said) -> object:  # type: ignore[override]
         # why: what a changer says of its own work binds nobody; what the vaults hold is judged
--- a/src/cinderstair/fairground/explorer/vault_actor.py
+++ b/src/cinderstair/fairground/explorer/vault_actor.py
@@ -4,6 +4,7 @@
 from collections.abc import Hashable
 from typing import Any, NamedTuple
 
+from ...crier.member import Standing
 from ...pitch.settings import Settings
 from ...vault.ballot import Ballot
 from ...vault.cell import Cell
@@ -31,6 +32,12 @@
     def alive(self, *, role: str) -> list[Any]:
         return []
 
+    def standing(self, *, name: str) -> Standing:
+        return Standing.alive
+
+    async def check(self, *, name: str) -> None:
+        return
+
 
 def files_of(*, ident: int, roster: Roster | None = None, cells: dict[str, Cell] | None = None) -> Files:
     """The disk of a vault that holds this."""
--- a/src/cinderstair/fairground/faults.feature
+++ b/src/cinderstair/fairground/faults.feature
@@ -30,7 +30,7 @@
       | deafToQuiet       | primaryFrozen    | 1    | asked after going quiet |
       | heldDenials       | primaryKilled    | 1    | came only after         |
       | noRetryAfter      | primaryKilled    | 1    | without when to come    |
-      | dropAtStop        | stallsStopped    | 5    | was dropped by          |
+      | dropAtStop        | stallsStopped    | 2    | was dropped by          |
       | otherParams       | stallKilled      | 1    | nobody sent             |
       | losePrepared      | stallsStopped    | 1    | lost what it had        |
       | neverGiveUp       | primaryMuted     | 6    | came only after         |
--- a/src/cinderstair/guildhall/slot_keeper.py
+++ b/src/cinderstair/guildhall/slot_keeper.py
@@ -45,7 +45,7 @@
             held = self.lease.held
             if await self.lease.seek() and not held:
                 self.held_since_us = self.ctx.nowUs()
-        if not self.lease.held or not self.view.current:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current:
             return
         seen_us = {name: seen.at_us for name, seen in (await self.census.gather(every_us=ASK_EVERY_US)).items()}
         now_us = self.ctx.nowUs()
--- a/src/cinderstair/pitch/settings.py
+++ b/src/cinderstair/pitch/settings.py
@@ -45,6 +45,8 @@
     idleSessionUs = fields.Integer(load_default=86_400_000_000, strict=True, validate=validate.Range(min=1_000_000))
     mostVaults = fields.Integer(load_default=0, strict=True, validate=validate.Range(min=0, max=15))
     mayFound = fields.Boolean(load_default=True)
+    catchUpUs = fields.Integer(load_default=8_000_000, strict=True, validate=validate.Range(min=1))
+    leaveWithinUs = fields.Integer(load_default=0, strict=True, validate=validate.Range(min=0))
     probeEveryUs = fields.Integer(load_default=300_000, strict=True, validate=validate.Range(min=50_000))
     # why: below 2.5 s, for which a link bears silence, what a standing machine holds up could arrive out of time
     underWayUs = fields.Integer(
@@ -57,8 +59,10 @@
     """What a process was told when it started, and what it may be told again while it runs.
 
     mostVaults: how many may vote in the end (0: as many as found the system). mayFound: whether a blank disk may
-    take part in founding; a machine that has lost its disk may not. underWayUs: for how long what has left for a
-    backend may still take effect after its link was lost; a closing shard map waits as long for who is not heard.
+    take part in founding; a machine that has lost its disk may not. catchUpUs: how long after a vault's start another
+    loss has to be borne. leaveWithinUs: for how long a vault that stops votes on until its place is taken.
+    underWayUs: for how long what has left for a backend may still take effect after its link was lost; a closing
+    shard map waits as long for who is not heard.
     """
 
     name: str
@@ -77,6 +81,8 @@
     idleSessionUs: int = 86_400_000_000
     mostVaults: int = 0
     mayFound: bool = True
+    catchUpUs: int = 8_000_000
+    leaveWithinUs: int = 0
     probeEveryUs: int = 300_000
     underWayUs: int = 3_000_000
 
--- a/src/cinderstair/steward/leadduty.py
+++ b/src/cinderstair/steward/leadduty.py
@@ -85,7 +85,7 @@
             self.reasons.clear()
             self.windowHolds.clear()
             self.syncHolds.clear()
-        if not self.lease.held or not self.view.current or charter is None:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or charter is None:
             return
         for database in charter.databases:
             if database not in self.tending:
--- a/src/cinderstair/steward/shard_duty.py
+++ b/src/cinderstair/steward/shard_duty.py
@@ -204,7 +204,7 @@
             if await self.lease.seek() and not held:
                 # why: what went by before this holder began is not known to it
                 self.since_us = self.ctx.nowUs()
-        if not self.lease.held or not self.view.current:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current:
             return
         state = self.state
         booths = await self.census()
--- a/src/cinderstair/steward/slotduty.py
+++ b/src/cinderstair/steward/slotduty.py
@@ -44,7 +44,7 @@
     async def _tick(self) -> None:
         if self.lease.due:
             await self.lease.seek()
-        if not self.lease.held or not self.view.current:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current:
             self.goneSinceUs.clear()
             return
         nowUs = self.ctx.nowUs()
--- a/src/cinderstair/steward/windowduty.py
+++ b/src/cinderstair/steward/windowduty.py
@@ -30,7 +30,7 @@
         if self.lease.due:
             await self.lease.seek()
         charter = self.view.charter
-        if not self.lease.held or not self.view.current or charter is None:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or charter is None:
             return
         wallUs = self.ctx.wallUs()
         wanted = self.view.windowStates.turned(windows=charter.windows, wallUs=wallUs)
--- a/src/cinderstair/vault/acceptor.py
+++ b/src/cinderstair/vault/acceptor.py
@@ -14,7 +14,7 @@
 
 OK, BEATEN, STALE, AHEAD, NO_VOTE, SINCE = 0, 1, 2, 3, 4, 5
 ROSTER_KEY = "roster"
-LONGEST_LEASE_US = 4_000_000
+LONGEST_LEASE_US = 2_000_000
 MOST_VALUE_BYTES = 4 * 1024 * 1024
 MOST_SOURCES = 64
 Applied = tuple[bytes, list[bytes]]
@@ -229,4 +229,17 @@
         self.roster = roster
         self.held.roster = data
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
-        return Packer().u8(value=OK).bytes(), [rosterEntry(data=data)]
+        cleared = [] if roster.has(ident=self.held.ident) else self._clear_cells()
+        # why: the roster comes last, so that a torn write leaves either both or a roster that is adopted again
+        return Packer().u8(value=OK).bytes(), [*cleared, rosterEntry(data=data)]
+
+    def _clear_cells(self) -> list[bytes]:
+        """Discards what an acceptor that is no voter holds; the log entries that make it last.
+
+        A value that it accepted and no majority did may carry a higher ballot than the one chosen since without it.
+        Were it kept, the acceptor would bring that old value back as the newest when it becomes a voter again.
+        """
+        keys = [key for key, cell in self.held.cells.items() if cell != Cell()]
+        for key in keys:
+            self._hold(key=key, cell=Cell())
+        return [cellEntry(key=key, cell=Cell()) for key in keys]
--- a/src/cinderstair/vault/known_vectors.py
+++ b/src/cinderstair/vault/known_vectors.py
@@ -12,6 +12,7 @@
     def __init__(self) -> None:
         self.by_source: dict[int, tuple[int, dict[str, Ballot]]] = {}
         self.merged: tuple[frozenset[tuple[int, int]], dict[str, Ballot]] = (frozenset(), {})
+        self.latest: list[dict[str, Ballot]] = []
 
     def write(self, *, packer: Packer) -> Packer:
         """Names what is held: every source with its edition."""
@@ -32,6 +33,7 @@
                 edition, vector = self._take(source=source, edition=edition, changed=vector)
                 marks.add((source, edition))
             vectors.append(vector)
+        self.latest = vectors
         whole = len(marks) == len(vectors)
         # why: in a calm time nothing changes from one round to the next, and thousands of keys need no new look
         if whole and self.merged[0] == marks:
@@ -44,6 +46,11 @@
             self.merged = (frozenset(marks), highest)
         return highest
 
+    def lagging(self) -> list[str]:
+        """The keys at which the answers read last differ: some of those vaults lack the highest ballot."""
+        keys = {key for vector in self.latest for key in vector}
+        return sorted(key for key in keys if len({vector.get(key, BLANK) for vector in self.latest}) > 1)
+
     def _take(self, *, source: int, edition: int, changed: dict[str, Ballot]) -> tuple[int, dict[str, Ballot]]:
         known_edition, known = self.by_source.pop(source, (0, {}))
         # why: an answer that was overtaken by a later one must not take anything back
--- a/src/cinderstair/vault/lease.py
+++ b/src/cinderstair/vault/lease.py
@@ -8,10 +8,10 @@
 from .acceptor import OK
 from .register import Register
 
-LENGTH_US = 3_000_000
+LENGTH_US = 2_000_000
 # why: monotonic clocks may run apart a little; the holder stops well before any vault thinks it ended
-MARGIN_US = 300_000
-RENEW_US = 900_000
+MARGIN_US = 200_000
+RENEW_US = 600_000
 SEEK_LEAST_US, SEEK_MOST_US = 100_000, 900_000
 MOST_TIMES = 10
 
@@ -28,6 +28,8 @@
         self.duty = duty
         self.untilUs = 0
         self.againUs = 0
+        # when the grant that began the present unbroken holding was asked for
+        self.since_us = 0
         # why: the vaults know a holder by its number, and a new one after each return keeps a return that comes late
         # from freeing what was taken again since
         self.holder = register.proposer
@@ -41,6 +43,13 @@
     def held(self) -> bool:
         return self.ctx.nowUs() < self.untilUs
 
+    def may_act(self, *, as_of_us: int) -> bool:
+        """Whether it is held, and what the holder knows was read from a majority since it has been.
+
+        Until a grant the holder before may have changed anything; what was known then may be older than its last act.
+        """
+        return self.held and as_of_us >= self.since_us
+
     async def _ask(self, *, holder: int, lengthUs: int) -> tuple[bool, list[bytes], int]:
         """Whether a majority granted it, what was answered, and how many were asked."""
         roster = self.register.roster
@@ -66,6 +75,8 @@
         granted, answers, asked = await self._ask(holder=holder, lengthUs=LENGTH_US)
         # why: what was given back meanwhile may be another's by now
         if granted and holder == self.holder:
+            if not self.held:
+                self.since_us = startUs
             self.untilUs = startUs + LENGTH_US - MARGIN_US
         elif not self.held and (len(answers) < asked or any(answer[0] == OK for answer in answers)):
             # why: two that each hold a minority would shut each other out until both ran out
--- a/src/cinderstair/vault/register.py
+++ b/src/cinderstair/vault/register.py
@@ -23,6 +23,7 @@
 ROUNDS = 8
 READS = 4
 SETTLE_US = 60_000
+READ_TOGETHER = 64
 Decide = Callable[[bytes], Result[bytes, Fault]]
 
 
@@ -75,23 +76,37 @@
         return self.met
 
     async def findRoster(self) -> bool:
-        """Asks the seeds, and every vault known, for the newest roster."""
+        """Asks the seeds, and every vault known, for the newest roster; what comes late is still taken in."""
         known = () if self.roster is None else tuple(v.address for v in self.roster.voters)
-        body = Packer().u8(value=HELLO).u64(value=0).text(value="").text(value="").bytes()
-        asks = [
-            self.ctx.parley.ask(address=a, body=body, waitUs=ASK_WAIT_US) for a in dict.fromkeys(self.seeds + known)
-        ]
-        for result in await asyncio.gather(*asks):
-            if result.is_ok():
-                unpacker = Unpacker(data=result.ok)
-                unpacker.u8()
-                data = unpacker.blob()
-                for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
-                    self.met[voter.name] = voter
-                if data:
-                    self.learnRoster(roster=readRoster(data=data))
+        pending = {
+            self.ctx.spawn(work=self._ask_roster(address=address), name="roster.ask")
+            for address in dict.fromkeys(self.seeds + known)
+        }
+        found = False
+        while pending:
+            # why: one that is dark must not hold up what the others have told; an older roster is told to be one
+            wait_s = HEDGE_US / 1_000_000 if found else None
+            done, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
+            if not done:
+                break
+            found = found or any(task.result() for task in done)
         return self.roster is not None
 
+    async def _ask_roster(self, *, address: str) -> bool:
+        """Whether the vault at an address answered with a roster."""
+        body = Packer().u8(value=HELLO).u64(value=0).text(value="").text(value="").bytes()
+        result = await self.ctx.parley.ask(address=address, body=body, waitUs=ASK_WAIT_US)
+        if result.is_error():
+            return False
+        unpacker = Unpacker(data=result.ok)
+        unpacker.u8()
+        data = unpacker.blob()
+        for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
+            self.met[voter.name] = voter
+        if data:
+            self.learnRoster(roster=readRoster(data=data))
+        return bool(data)
+
     def learnRoster(self, *, roster: Roster) -> None:
         if self.roster is None or roster.epoch > self.roster.epoch:
             self.roster = roster
@@ -138,19 +153,27 @@
             return True
         if status == AHEAD and roster.epoch > 0:
             # why: a vault that missed the roster's change can vote again as soon as it is told
-            self.ctx.spawn(work=self._tell(address=voter.address, roster=roster))
+            self.ctx.spawn(work=self.tell(address=voter.address, roster=roster))
             return True
         return status not in (OK, BEATEN, SINCE)
 
-    async def _tell(self, *, address: str, roster: Roster) -> bool:
+    async def tell(self, *, address: str, roster: Roster) -> bool:
+        """Whether the vault at an address has made a roster its own, or one as new."""
         body = Packer().u8(value=ADOPT).blob(value=roster.bytes()).bytes()
         result = await self.ctx.parley.ask(address=address, body=body, waitUs=ASK_WAIT_US)
         return result.is_ok()
 
     async def tellAll(self, *, roster: Roster) -> int:
-        """How many of a roster's voters have taken it as theirs."""
-        asks = [self._tell(address=voter.address, roster=roster) for voter in roster.voters]
-        return sum(await asyncio.gather(*asks))
+        """How many of a roster's voters have taken it as theirs: a majority is waited for, all are told."""
+        pending = {
+            self.ctx.spawn(work=self.tell(address=voter.address, roster=roster), name="roster.tell")
+            for voter in roster.voters
+        }
+        told = 0
+        while pending and told < roster.majority:
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            told += sum(task.result() for task in done)
+        return told
 
     def _ballot(self, *, above: Ballot) -> Ballot:
         self.count = max(self.count, above.turn) + 1
@@ -264,6 +287,38 @@
             return Error(Fault(kind=Kind.registerUnreachable, why="no majority of vaults"))
         return Ok(self.known.read(answers=answers))
 
+    async def _keep_all(self) -> Result[None, Fault]:
+        """Makes sure that a majority of the present roster holds every key's newest value.
+
+        What only the roster before last held must be held by this one before another change is made. Where the
+        answers of a majority agree on a key's ballot, it is held already; the others are written again.
+        """
+        highest = await self.vector()
+        if highest.is_error():
+            return Error(highest.error)
+        lagging = self.known.lagging()
+        for first in range(0, len(lagging), READ_TOGETHER):
+            keys = lagging[first : first + READ_TOGETHER]
+            for found in await asyncio.gather(*(self.change(key=key, decide=Ok) for key in keys)):
+                if found.is_error():
+                    return Error(found.error)
+        return Ok(None)
+
+    async def snapshot(self) -> Result[dict[str, Found], Fault]:
+        """Every key's value as a majority holds it."""
+        highest = await self.vector()
+        if highest.is_error():
+            return Error(highest.error)
+        values: dict[str, Found] = {}
+        names = sorted(highest.ok)
+        for first in range(0, len(names), READ_TOGETHER):
+            keys = names[first : first + READ_TOGETHER]
+            for key, found in zip(keys, await asyncio.gather(*(self.read(key=key) for key in keys)), strict=True):
+                if found.is_error():
+                    return Error(found.error)
+                values[key] = found.ok
+        return Ok(values)
+
     async def changeRoster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
         """Moves to the next roster, which differs by one voter, so that every majority of the two meets.
 
@@ -273,14 +328,9 @@
             return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
         current = self.roster
         assert current is not None
-        highest = await self.vector()
-        if highest.is_error():
-            return Error(highest.error)
-        # why: what only the roster before last held must be held by this one before another change is made
-        for key in highest.ok:
-            kept = await self.change(key=key, decide=Ok)
-            if kept.is_error():
-                return Error(kept.error)
+        kept = await self._keep_all()
+        if kept.is_error():
+            return Error(kept.error)
         # why: keys written again under the roster before this one may lie where no majority of the next one looks
         if self.roster != current:
             return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
--- a/src/cinderstair/vault/succession.py
+++ b/src/cinderstair/vault/succession.py
@@ -45,6 +45,10 @@
         # why: a stranger takes a place that is free; it can't make the roster larger than it was founded
         if len(roster.voters) >= most:
             return Error(Fault(kind=Kind.versionTaken, why="the roster is full; name the vault that leaves"))
+        # why: it may have voted under an older roster; it discards what it accepted then as it adopts this one, which
+        # does not have it, and must have done so before it votes again
+        if not await self.register.tell(address=enters.address, roster=roster):
+            return Error(Fault(kind=Kind.registerUnreachable, why=f"{enters.name} does not adopt the roster"))
         entered = await self.register.changeRoster(
             alter=lambda current: Roster(
                 epoch=current.epoch + 1,
--- a/src/cinderstair/vault/vault.py
+++ b/src/cinderstair/vault/vault.py
@@ -19,12 +19,20 @@
 from .roster import Roster, Voter, readRoster, readVoter, writeVoter
 from .store import Store, identEntry
 from .succession import Succession
+from .voter_watch import VoterWatch
 
 HELLO_EVERY_US = 250_000
 HELLO_WAIT_US = 500_000
-GONE_US = 8_000_000
-LEFT_US = 5_000_000
 ENTER_AFTER_US = 600_000
+# a standby counts as there for so long after its last greeting
+STANDBY_US = 2_000_000
+LEAVE_POLL_US = 50_000
+# how long a founder waits for seeds that don't answer, where a majority of them does
+FOUND_WAIT_US = 3_000_000
+LOST_AFTER_LEAST_US = 500_000
+LOST_AFTER_MOST_US = 2_000_000
+# of the time within which another loss must be borne, a newcomer spends so much on judging who is lost
+LOST_AFTER_SHARE = 4
 
 
 class Vault:
@@ -41,8 +49,15 @@
         self.acceptor: Acceptor | None = None
         self.crowd: Crowd | None = None
         self.mayFound = True
-        self.missingUs: dict[str, int] = {}
+        self.greeted_us: dict[str, int] = {}
+        self.started_us = ctx.nowUs()
         self.strange_since_us: int | None = None
+        # since when fewer vote than are to
+        self.short_since_us: int | None = None
+        lost_after_us = settings.catchUpUs // LOST_AFTER_SHARE
+        self.watch = VoterWatch(
+            ctx=ctx, lost_after_us=min(LOST_AFTER_MOST_US, max(LOST_AFTER_LEAST_US, lost_after_us))
+        )
 
     def open(self) -> Result[None, Fault]:
         """Reads the disk, or marks a blank one with a new identity, and opens the desks of its vote."""
@@ -108,6 +123,7 @@
         # why: an asker without an identity is a stall, which only wants the roster
         if voter.ident:
             self.strangers[voter.name] = voter
+            self.greeted_us[voter.name] = self.ctx.nowUs()
         roster = b"" if self.roster is None else self.roster.bytes()
         packer = Packer().u8(value=0).blob(value=roster)
         packer.many(values=self.strangers.values(), each=lambda p, v: writeVoter(packer=p, voter=v))
@@ -122,75 +138,84 @@
                 await self._found()
             elif not self.roster.has(ident=self.me.ident):
                 await self._enter()
+            self._count_votes()
             # why: a stranger that holds no vote leaves the system with one loss less to bear
-            quiet = 8 if self.roster is not None and self.roster.has(ident=self.me.ident) else 1
+            quiet = 8 if self.votes else 1
             await self.ctx.rest(waitUs=HELLO_EVERY_US * quiet + self.ctx.luck.randrange(50_000))
 
+    @property
+    def votes(self) -> bool:
+        """Whether the roster that is known here has this vault."""
+        return self.me is not None and self.roster is not None and self.roster.has(ident=self.me.ident)
+
     async def _greet(self) -> None:
-        assert self.me is not None and self.acceptor is not None
-        packer = Packer().u8(value=HELLO)
-        writeVoter(packer=packer, voter=self.me)
+        """Greets the seeds and the voters; whoever is late is heard all the same, and holds nothing up."""
+        assert self.me is not None
         known = () if self.roster is None else tuple(v.address for v in self.roster.voters)
         addresses = [a for a in dict.fromkeys(self.settings.seeds + known) if a != self.me.address]
-        asks = [self.ctx.parley.ask(address=a, body=packer.bytes(), waitUs=HELLO_WAIT_US) for a in addresses]
-        for result in await asyncio.gather(*asks):
-            if result.is_error():
-                continue
-            unpacker = Unpacker(data=result.ok)
-            unpacker.u8()
-            data = unpacker.blob()
-            for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
-                if voter.name != self.me.name:
-                    self.strangers[voter.name] = voter
-            if data:
-                await self._adopt(data=data)
+        greetings = [self.ctx.spawn(work=self._greet_one(address=address), name="greet") for address in addresses]
+        if greetings:
+            await asyncio.wait(greetings, timeout=HELLO_EVERY_US / 1_000_000)
+
+    async def _greet_one(self, *, address: str) -> None:
+        assert self.me is not None
+        packer = Packer().u8(value=HELLO)
+        writeVoter(packer=packer, voter=self.me)
+        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), waitUs=HELLO_WAIT_US)
+        if result.is_error():
+            return
+        self.watch.answered(address=address)
+        unpacker = Unpacker(data=result.ok)
+        unpacker.u8()
+        data = unpacker.blob()
+        for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
+            if voter.name != self.me.name:
+                self.strangers[voter.name] = voter
+        if data:
+            await self._adopt(data=data)
 
     async def _enter(self) -> None:
-        """A stranger takes a snapshot, then the place of its own name in the roster, or of one long gone."""
+        """A stranger takes a snapshot, then the place of its own name in the roster, a free one, or a lost one's."""
         assert self.me is not None and self.acceptor is not None
         if self.strange_since_us is None:
             self.strange_since_us = self.ctx.nowUs()
+        assert self.crowd is not None and self.roster is not None
+        self.watch.follow(roster=self.roster)
+        self.watch.doubt(roster=self.roster, crowd=self.crowd)
         # why: where all have just begun, everybody completes what was cut short, and a change of roster, which
         # writes every key anew, would beat their ballots and they its own; what serves clients goes first
         if self.ctx.nowUs() - self.strange_since_us < ENTER_AFTER_US:
             return
-        leaves = self._gone()
+        leaves = self._place()
         if leaves is None:
             return
         # why: what the others hold is taken first, so that from its first vote on it stands for something
-        highest = await self.register.vector()
-        if highest.is_error():
+        snapshot = await self.register.snapshot()
+        if snapshot.is_error():
             return
-        for key in highest.ok:
-            found = await self.register.read(key=key)
-            if found.is_error():
-                return
-            await self.acceptor.install(key=key, ballot=found.ok.ballot, value=found.ok.value)
+        installs = [
+            self.acceptor.install(key=key, ballot=found.ballot, value=found.value)
+            for key, found in snapshot.ok.items()
+        ]
+        await asyncio.gather(*installs)
         succession = Succession(ctx=self.ctx, register=self.register)
         entered = await succession.succeed(leaves=leaves, enters=self.me, most=self.most)
         if entered.is_ok():
             await self._adopt(data=entered.ok.bytes())
+            self.strange_since_us = None
         else:
             self.ctx.counters.add(name="vault.entersAgain")
 
-    def _gone(self) -> str | None:
-        """Whose place may be taken: that of its own name, a free one (an empty name), or that of one long gone."""
+    def _place(self) -> str | None:
+        """Whose place may be taken: that of its own name, a free one (an empty name), or that of one lost."""
         assert self.me is not None and self.crowd is not None and self.roster is not None
         names = [voter.name for voter in self.roster.voters]
         if self.me.name in names:
             return self.me.name
         if len(names) < self.most:
             return ""
-        nowUs = self.ctx.nowUs()
-        here = {member.name for member in self.crowd.alive(role="vault")}
-        self.missingUs = {name: self.missingUs.get(name, nowUs) for name in names if name not in here}
-        for name, sinceUs in self.missingUs.items():
-            # why: who says goodbye may only be restarted, and who is silent may only be cut off; the roster's own
-            # rule keeps both harmless, and a place that changes hands for nothing costs a snapshot
-            waitUs = LEFT_US if self.crowd.standing(name=name) == Standing.left else GONE_US
-            if nowUs - sinceUs > waitUs:
-                return name
-        return None
+        voter = self.watch.replaceable(roster=self.roster, crowd=self.crowd)
+        return None if voter is None else voter.name
 
     async def _adopt(self, *, data: bytes) -> None:
         assert self.acceptor is not None
@@ -199,7 +224,11 @@
     async def _found(self) -> None:
         """A blank seed that has met as many vaults as found the system puts their roster to the seeds' vote."""
         assert self.me is not None
-        enough = len(self.strangers) >= self.settings.foundingVaults
+        wanted = self.settings.foundingVaults
+        # why: one seed that is cut off or gone from the first moment on must not keep the others from beginning
+        if self.ctx.nowUs() - self.started_us > FOUND_WAIT_US:
+            wanted = min(wanted, len(self.settings.seeds) // 2 + 1)
+        enough = len(self.strangers) >= wanted
         if self.me.address not in self.settings.seeds or not enough or not self.mayFound:
             return
         voters = tuple(sorted(self.strangers.values(), key=lambda v: v.name)[: self.settings.foundingVaults])
@@ -212,9 +241,45 @@
             await self._adopt(data=self.register.roster.bytes())
 
     async def drain(self) -> None:
-        """A planned stop: every answer given was synced, so there is nothing to finish but the goodbye."""
-        if self.crowd is not None:
-            await self.crowd.leave()
+        """A planned stop: says goodbye, then votes on until a standby, where there is one, has taken its place."""
+        if self.crowd is None:
+            return
+        until_us = self.ctx.nowUs() + self.settings.leaveWithinUs
+        await self.crowd.leave()
+        # why: with the vote gone before its place is taken, the system would bear one loss less than it is to
+        while self.votes and self.standbys() and self.ctx.nowUs() < until_us:
+            await self.ctx.rest(waitUs=LEAVE_POLL_US)
+
+    def standbys(self) -> list[str]:
+        """The vaults without a vote that have greeted this one lately, and so may take a place."""
+        if self.roster is None:
+            return []
+        now_us = self.ctx.nowUs()
+        return [
+            name
+            for name, at_us in sorted(self.greeted_us.items())
+            if now_us - at_us < STANDBY_US and not self.roster.has(ident=self.strangers[name].ident)
+        ]
+
+    def present(self) -> list[Voter]:
+        """The voters that are not known to be gone."""
+        if self.roster is None or self.crowd is None:
+            return []
+        standings = {voter: self.crowd.standing(name=voter.name) for voter in self.roster.voters}
+        return [voter for voter, standing in standings.items() if standing == Standing.alive]
+
+    def losses_borne(self) -> int:
+        """How many more voters may be lost before no majority is left; below 0 there is none."""
+        return -1 if self.roster is None else len(self.present()) - self.roster.majority
+
+    def _count_votes(self) -> None:
+        """Notes since when a vote is missing, and counts each look at which one is."""
+        if self.roster is None or len(self.present()) >= self.most:
+            self.short_since_us = None
+            return
+        self.ctx.counters.add(name="vault.votesMissing")
+        if self.short_since_us is None:
+            self.short_since_us = self.ctx.nowUs()
 
     def resettle(self, *, settings: Settings) -> None:
         self.settings = settings
