--- a/src/cinderstair/booth/relayed_view.py
+++ b/src/cinderstair/booth/relayed_view.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import replace
 
 from expression import Error, Ok, Result
 from reactivex.subject import Subject
@@ -193,6 +194,10 @@
         if answer.age_us >= LEASE_US:
             # why: a guildhall that is cut off from the other vaults knows nothing current; another one may
             self._away[address] = self.ctx.nowUs() + 500_000
+            self.ctx.counters.add(name="view.outOfTouch")
+            self._take_backends(entries=answer.backends)
+            self._wake()
+            return False
         self.asked = address
         try:
             self._take(answer=answer)
@@ -222,17 +227,26 @@
             lost = [name for name, entry in self.backends.items() if name not in named and gone(entry=entry)]
             for name in lost:
                 del self.backends[name]
-        for entry in answer.backends:
-            known = self.backends.get(entry.announcement.name)
-            # why: another guildhall may not have heard yet what this one has
-            if known is None or entry.announcement.order >= known.announcement.order:
-                self.backends[entry.announcement.name] = entry
+        self._take_backends(entries=answer.backends)
         for value in answer.values:
             self._take_value(entry=value)
         self.source, self.edition = answer.source, answer.edition
         if answer.backends or answer.whole:
             self.changes.on_next("backends")
 
+    def _take_backends(self, *, entries: tuple[RelayedBackend, ...]) -> None:
+        for entry in entries:
+            known = self.backends.get(entry.announcement.name)
+            # why: another guildhall may not have heard yet what this one has
+            if known is not None and entry.announcement.order < known.announcement.order:
+                continue
+            # why: a goodbye that reached daemons that knew nothing of the backend says no more than its name
+            if entry.announcement.state == GONE and not entry.announcement.service:
+                if known is None:
+                    continue
+                entry = replace(entry, announcement=replace(known.announcement, state=GONE, leads=False))
+            self.backends[entry.announcement.name] = entry
+
     def _take_value(self, *, entry: RelayedValue) -> None:
         known = self.ballots.get(entry.key)
         if known is not None and known >= entry.ballot:
--- a/src/cinderstair/charter/service_plan.py
+++ b/src/cinderstair/charter/service_plan.py
@@ -1,7 +1,8 @@
 """A configuration by service: which database names lead to which service, and under which promises."""
 
+import hashlib
 import zlib
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from enum import IntEnum
 
 from ..pitch.packer import Packer
@@ -9,6 +10,9 @@
 
 PLAN_KEY = "plan"
 MOST_BYTES = 32 * 1024 * 1024
+DIGEST_BYTES = 8
+# of the versions that were acknowledged, so many are known by their content
+ACCEPTED_MOST = 512
 
 
 class Consistency(IntEnum):
@@ -51,21 +55,63 @@
         packer.text(value=self.name).u32(value=self.link_cap).u32(value=self.confirmations)
 
 
+@dataclass(frozen=True, kw_only=True)
+class AcceptedVersion:
+    """A version that was acknowledged, and the digest of the document that it stands for."""
+
+    version: int
+    digest: bytes
+
+    def write(self, *, packer: Packer) -> None:
+        packer.u64(value=self.version).blob(value=self.digest)
+
+
+def _read_accepted(unpacker: Unpacker) -> AcceptedVersion:
+    return AcceptedVersion(version=unpacker.u64(), digest=unpacker.blob())
+
+
 @dataclass(frozen=True, kw_only=True)
 class ServicePlan:
-    """What is in force. `document` keeps the operator's own bytes, for reading back."""
+    """What is in force. `document` keeps the operator's own bytes, for reading back.
+
+    `accepted` lists the last versions that were acknowledged, this one among them, in that order. A version that was
+    overtaken before it was taken is acknowledged and noted too, so that its number stands for one content.
+    """
 
     version: int
     routes: dict[str, DatabaseRoute] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
     rest_limit_us: int = 0
     document: bytes = b""
+    accepted: tuple[AcceptedVersion, ...] = ()
+
+    @property
+    def digest(self) -> bytes:
+        return hashlib.blake2b(self.document, digest_size=DIGEST_BYTES).digest()
+
+    def following(self, *, standing: "ServicePlan | None") -> "ServicePlan":
+        """This plan as the one that comes into force after `standing`."""
+        before = self if standing is None else replace(self, accepted=standing.accepted)
+        return before.with_accepted(other=self)
+
+    def with_accepted(self, *, other: "ServicePlan") -> "ServicePlan":
+        """This plan, which stays in force, with another one noted as acknowledged under its number."""
+        noted = AcceptedVersion(version=other.version, digest=other.digest)
+        return replace(self, accepted=(*self.accepted, noted)[-ACCEPTED_MOST:])
+
+    def digest_of(self, *, version: int) -> bytes | None:
+        """The digest of the document that was acknowledged under a version; None where that is not known."""
+        if version == self.version:
+            return self.digest
+        return next((each.digest for each in self.accepted if each.version == version), None)
 
     def bytes(self, *, with_document: bool = True) -> bytes:
         packer = Packer().u64(value=self.rest_limit_us)
         packer.many(values=self.routes.values(), each=lambda p, r: r.write(packer=p))
         packer.many(values=self.services.values(), each=lambda p, s: s.write(packer=p))
-        body = packer.blob(value=self.document if with_document else b"").bytes()
+        packer.blob(value=self.document if with_document else b"")
+        packer.many(values=self.accepted if with_document else (), each=lambda p, a: a.write(packer=p))
+        body = packer.bytes()
         # why: a plan goes whole to every vault, and routes are much alike
         return Packer().u64(value=self.version).bytes() + zlib.compress(body)
 
@@ -105,6 +151,8 @@
     routes = unpacker.many(each=_read_route)
     services = unpacker.many(each=_read_service)
     document = unpacker.blob()
+    # why: what was written before digests were kept ends here
+    accepted = unpacker.many(each=_read_accepted) if unpacker.more else []
     unpacker.done()
     return ServicePlan(
         version=version,
@@ -112,6 +160,7 @@
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
         document=document,
+        accepted=tuple(accepted),
     )
 
 
--- a/src/cinderstair/crier/news.py
+++ b/src/cinderstair/crier/news.py
@@ -1,5 +1,6 @@
 """News: what the backends last said, pulled by a vector of versions, one for each source."""
 
+import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
@@ -180,6 +181,10 @@
         for address in peers[: self.pull_from]:
             self.ctx.spawn(work=self._pull(address=address), name="news.pull")
 
+    async def refresh(self, *, peers: tuple[str, ...]) -> None:
+        """Pulls once from all of these, and is done when all have answered or their time is up."""
+        await asyncio.gather(*(self._pull(address=address) for address in peers))
+
     async def _pull(self, *, address: str) -> None:
         askedUs = self.ctx.nowUs()
         packer = Packer().u8(value=NEWS)
--- a/src/cinderstair/fairground/capacity/hollow_control.py
+++ b/src/cinderstair/fairground/capacity/hollow_control.py
@@ -35,5 +35,7 @@
     async def step_down(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
         return self._state(backend=backend, term=term)
 
-    async def promote(self, *, service: str, backend: str, fence_number: int) -> Result[None, Fault]:
+    async def promote(
+        self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
+    ) -> Result[None, Fault]:
         return Ok(None)
--- a/src/cinderstair/fairground/platformsim/platform_trials.py
+++ b/src/cinderstair/fairground/platformsim/platform_trials.py
@@ -4,7 +4,17 @@
 from typing import NamedTuple
 
 from ...booth.router import CONTROL_LINKS
-from . import config_trials, few_links_trials, lead_trials, machine_trials, mixed_trials, shard_trials
+from . import (
+    config_trials,
+    control_mix,
+    control_trials,
+    few_links_trials,
+    lead_trials,
+    machine_trials,
+    mixed_trials,
+    shard_trials,
+    succession_trials,
+)
 from .platform_verdict import PlatformVerdict
 from .platform_world import PAUSES_US, PlatformWorld
 from .referee import DRAIN_US
@@ -87,6 +97,16 @@
         Trial(machine_trials.connections_refused),
         Trial(config_trials.configurations),
         Trial(config_trials.configurations_under_kills),
+        Trial(control_trials.cut_off_for_long, ("DRAIN",)),
+        Trial(control_trials.orders_race),
+        Trial(control_trials.orders_at_once),
+        Trial(succession_trials.replaced_then_wiped),
+        Trial(succession_trials.replaced_thrice),
+        Trial(succession_trials.wiped_thrice),
+        Trial(succession_trials.returned_then_lost),
+        Trial(succession_trials.drawn_at_random),
+        Trial(control_mix.control_mixed),
+        Trial(control_mix.control_mixed_closing, ("RECOVER",)),
         Trial(mixed_trials.mixed),
         *(
             Trial(play, needs, clients=18, booths=6, max_links=9)
@@ -185,6 +205,7 @@
         "dials": world.fabric.dialled,
         "opened": referee.cap.opened,
         "held": referee.cap.most,
+        "entered_ms": max(world.entered_us, default=0) // 1_000,
         "config_ms": max(world.operator.took_us, default=0) // 1_000,
     }
     return PlatformVerdict(
--- a/src/cinderstair/fairground/platformsim/platformsim.feature
+++ b/src/cinderstair/fairground/platformsim/platformsim.feature
@@ -56,6 +56,20 @@
       | all_killed         | 90    | 2    |
       | all_powered_off    | 90    | 1    |
 
+    Examples: machines of control are lost one after the other, as soon as each loss may come
+      | trial               | share | last |
+      | replaced_then_wiped | 99    | 2    |
+      | replaced_thrice     | 99    | 2    |
+      | wiped_thrice        | 99    | 2    |
+      | returned_then_lost  | 99    | 2    |
+      | drawn_at_random     | 98    | 3    |
+
+    Examples: what daemons of control answer, cut off, to two operators, to orders sent again
+      | trial            | share | last |
+      | cut_off_for_long | 97    | 4    |
+      | orders_race      | 99    | 2    |
+      | orders_at_once   | 99    | 2    |
+
     Examples: answers, links and configurations
       | trial                      | share | last |
       | answers_lost               | 95    | 2    |
@@ -88,3 +102,10 @@
   Scenario: The same seed is the same run
     When the platform trial primary_crash is played with seeds 3 to 3
     Then the same seed once more is the same run
+
+  Scenario: A guildhall tells how many more losses are borne, and since when votes are missing
+    When a simulated platform serves, and a guildhall is lost for good
+    Then each guildhall tells of its votes "2 of 3, epoch 1, bears the loss of 0 more, VOTES MISSING for \d+ s"
+    And each guildhall has counted looks at which votes were missing
+    When an empty one takes its place
+    Then each guildhall tells of its votes "3 of 3, epoch 3, bears the loss of 1 more; standing by: nobody"
--- a/src/cinderstair/fairground/platformsim/stand_in_operator.py
+++ b/src/cinderstair/fairground/platformsim/stand_in_operator.py
@@ -1,7 +1,6 @@
 """An operator: it sends configurations until they are taken, and reads them back."""
 
 import asyncio
-import json
 import random
 
 from .http_caller import http_call
@@ -27,6 +26,7 @@
         self.referee = referee
         self.luck = luck
         self.took_us: list[int] = []
+        self.lost_answers = 0.0
 
     async def _call(self, *, address: str, method: str, body: bytes) -> tuple[int, bytes] | None:
         """One daemon's answer, redirections followed twice."""
@@ -37,6 +37,11 @@
             address = answer[1].get("location", "").removeprefix("http://").partition("/")[0]
         return None
 
+    async def once(self, *, address: str, method: str, body: bytes = b"") -> tuple[int, bytes]:
+        """One daemon's clear answer to one call; 0 where it has none."""
+        answer = await self._call(address=address, method=method, body=body)
+        return (0, b"") if answer is None else answer
+
     async def put(self, *, body: bytes, valid: bool = True) -> int:
         """The clear answer to a configuration; 0 where none came in the end."""
         began_us = self.fabric.now_us
@@ -45,11 +50,13 @@
         pause_s, bad = 0.1, 0
         for _ in range(TRIES):
             answer = await self._call(address=self.luck.choice(self.controls), method="PUT", body=body)
+            if valid and self.luck.random() < self.lost_answers:
+                # why: the answer is lost on its way, so that the same order is sent again
+                answer = None
             status = 0 if answer is None else answer[0]
             if 200 <= status < 300:
                 if valid:
-                    version = int(json.loads(body)["revision"])
-                    self.referee.config.acked(version=version, now_us=self.fabric.now_us)
+                    self.referee.config.acked(body=body, now_us=self.fabric.now_us)
                     self.took_us.append(self.fabric.now_us - began_us)
                 else:
                     self.referee.config.invalid(body=body, status=status)
--- /dev/null
+++ b/src/cinderstair/guildhall/announcer.feature
@@ -0,0 +1,71 @@
+Feature: What backends say of their leaving is held by a majority before it is acknowledged
+
+  Background:
+    Given an announcer among the voters v1, v2 and v3
+
+  Scenario Outline: <reached> of three voters are reached
+    Given of the voters <reached> are reached
+    When srv-1 announces that it empties
+    Then the announcement is <word>
+    And <told> voters were told that srv-1 is emptying
+    And srv-1 is known here as emptying
+
+    Examples:
+      | reached      | word             | told |
+      | v1, v2, v3   | acknowledged     | 3    |
+      | v1, v3       | acknowledged     | 2    |
+      | v1           | not acknowledged | 1    |
+      | nobody       | not acknowledged | 0    |
+
+  Scenario: While no roster is known nothing is acknowledged
+    Given no roster is known
+    When srv-1 announces that it empties
+    Then the announcement is not acknowledged
+
+  Scenario: What a majority holds is not spread again by each later beat
+    Given of the voters v1, v2, v3 are reached
+    When srv-1 announces that it empties
+    And srv-1 announces that it empties
+    Then the announcement is acknowledged
+    And 3 voters were told that srv-1 is emptying
+
+  Scenario: What no majority took is spread again by the next beat
+    Given of the voters v1 are reached
+    When srv-1 announces that it empties
+    Given of the voters v1, v2 are reached
+    When srv-1 announces that it empties
+    Then the announcement is acknowledged
+
+  Scenario: A goodbye of a backend that is known here
+    Given of the voters v1, v2, v3 are reached
+    And srv-1 was heard here as ready
+    When srv-1 says goodbye
+    Then the announcement is acknowledged
+    And 3 voters were told that srv-1 is gone
+    And srv-1 is known here as gone of service s1
+
+  Scenario: A goodbye of a backend that another daemon knows
+    Given of the voters v1, v2, v3 are reached
+    And srv-1 was heard at v2 as ready
+    When srv-1 says goodbye
+    Then the announcement is acknowledged
+    And srv-1 is known here as gone of service s1
+
+  Scenario: A goodbye of a backend that nobody knows any more names it alone
+    Given of the voters v1, v2, v3 are reached
+    When srv-1 says goodbye
+    Then the announcement is acknowledged
+    And srv-1 is known here as gone of no service
+
+  Scenario: A goodbye that no majority takes is not acknowledged, and is sent again
+    Given of the voters v1 are reached
+    And srv-1 was heard here as ready
+    When srv-1 says goodbye
+    Then the announcement is not acknowledged
+    Given of the voters v1, v2 are reached
+    When srv-1 says goodbye
+    Then the announcement is acknowledged
+
+  Scenario: What was told by another daemon is known here
+    When another daemon tells that srv-1 is emptying
+    Then srv-1 is known here as emptying
--- /dev/null
+++ b/src/cinderstair/guildhall/announcer.py
@@ -0,0 +1,90 @@
+"""Spreads what a backend says of its leaving to a majority of the voters before it is acknowledged."""
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import replace
+
+from ..crier.announcement import GONE, Announcement, read_announcement
+from ..crier.beat import READY
+from ..crier.news import News
+from ..pitch.context import Context
+from ..pitch.desk import Desk
+from ..pitch.desks import ANNOUNCE
+from ..pitch.packer import Packer
+from ..pitch.unpacker import Unpacker
+
+SPREAD_WAIT_US = 600_000
+MOST_SPREAD = 20_000
+
+
+class Announcer:
+    """Owns which departures a majority is known to hold.
+
+    A majority of the voters, not a majority of those in reach: of any two majorities one voter has heard it, so no
+    part of a cut that goes on serving can be without it, and one lost machine takes no acknowledged word along.
+    """
+
+    def __init__(
+        self, *, ctx: Context, desk: Desk, news: News[Announcement], voters: Callable[[], tuple[str, ...]]
+    ) -> None:
+        self.ctx = ctx
+        self.news = news
+        self.voters = voters
+        self.spread_states: dict[str, str] = {}
+        desk.open(kind=ANNOUNCE, answer=self._announced)
+
+    async def _announced(self, unpacker: Unpacker) -> bytes:
+        announcement = read_announcement(unpacker=unpacker)
+        unpacker.done()
+        self.news.hear(beat=announcement)
+        return b"\0"
+
+    async def spread(self, *, announcement: Announcement) -> bool:
+        """Whether a majority of the voters holds this word, or a later one of the same backend."""
+        name = announcement.name
+        # why: a backend that leaves says so again and again, and its state is what matters
+        if self.spread_states.get(name) == announcement.state:
+            return True
+        body = Packer().u8(value=ANNOUNCE).bytes() + self._encoded(announcement=announcement)
+        voters = self.voters()
+        majority = len(voters) // 2 + 1
+        pending = {self.ctx.spawn(work=self._tell(address=address, body=body), name="announce") for address in voters}
+        told = 0
+        while pending and told < majority:
+            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+            told += sum(task.result() for task in done)
+        if not voters or told < majority:
+            self.ctx.counters.add(name="announcements.unspread")
+            return False
+        if len(self.spread_states) >= MOST_SPREAD:
+            self.spread_states.clear()
+        self.spread_states[name] = announcement.state
+        return True
+
+    @staticmethod
+    def _encoded(*, announcement: Announcement) -> bytes:
+        packer = Packer()
+        announcement.write(packer=packer)
+        return packer.bytes()
+
+    async def _tell(self, *, address: str, body: bytes) -> bool:
+        result = await self.ctx.parley.ask(address=address, body=body, waitUs=SPREAD_WAIT_US)
+        return result.is_ok()
+
+    async def depart(self, *, name: str) -> bool:
+        """Takes a backend's goodbye; whether a majority of the voters holds it."""
+        heard = self.news.latest(name=name)
+        if heard is None:
+            # why: this daemon may just have begun, while the others know whose goodbye it is
+            await self.news.refresh(peers=self.voters())
+            heard = self.news.latest(name=name)
+        if heard is None:
+            # why: those that pass statements on may remember one that no daemon of control does any more
+            known = Announcement(name=name, number=0, service="", address="", site="", state=READY, leads=False)
+        else:
+            known = heard.beat
+        if known.state == GONE:
+            return await self.spread(announcement=known)
+        gone = replace(known, state=GONE, leads=False, number=known.number + 1)
+        self.news.hear(beat=gone)
+        return await self.spread(announcement=gone)
--- a/src/cinderstair/guildhall/guildhall.py
+++ b/src/cinderstair/guildhall/guildhall.py
@@ -10,6 +10,7 @@
 from ..charter.shard_check import shard_map_troubles
 from ..charter.shard_map import ShardMap, check_shard_map
 from ..crier.announcement import Announcement, read_announcement
+from ..crier.beat import READY
 from ..crier.news import News
 from ..pitch.context import Context
 from ..pitch.desks import GUILDHALL, OPINION, SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS, SUSPECT
@@ -25,6 +26,7 @@
 from ..vault.register import Found
 from ..vault.register_view import RegisterView
 from ..vault.vault import Vault
+from .announcer import Announcer
 from .booth_census import BoothCensus
 from .relay import Relay
 from .slot_keeper import SlotKeeper
@@ -121,6 +123,7 @@
             lease_us=self.booth_lease_us,
             under_way_us=self.settings.underWayUs,
         )
+        self.announcer = Announcer(ctx=ctx, desk=vault.desk, news=self.news, voters=self._voters)
         self.view.post(command=self.view.pull, once="view")
         self.news.begin()
         vault.desk.open(kind=SHARDS, answer=self._shards_asked)
@@ -138,6 +141,11 @@
         others = [] if crowd is None else [member.records for member in crowd.alive(role="vault")]
         return tuple(sorted({self.settings.records, *others}))
 
+    def _voters(self) -> tuple[str, ...]:
+        """The record addresses of those that vote; none while no roster is known."""
+        roster = self.vault.register.roster or self.vault.roster
+        return () if roster is None else tuple(voter.address for voter in roster.voters)
+
     def _neighbours(self) -> list[str]:
         """The others: those met, those that vote, and while nobody votes yet the seeds."""
         roster = self.vault.roster or self.vault.register.roster
@@ -161,9 +169,19 @@
 
     # -- backends --
 
-    def hear(self, *, announcement: Announcement) -> None:
-        """A backend's word about itself."""
+    async def hear(self, *, announcement: Announcement) -> bool:
+        """A backend's word about itself; whether it may be acknowledged.
+
+        What is acknowledged here alone would be lost with this daemon, or known to nobody while it is cut off.
+        """
         self.news.hear(beat=announcement)
+        if announcement.state != READY:
+            return await self.announcer.spread(announcement=announcement)
+        return self.view.current
+
+    async def depart(self, *, name: str) -> bool:
+        """A backend's goodbye, whether or not it was ever heard of here; whether it may be acknowledged."""
+        return await self.announcer.depart(name=name)
 
     def _troubled(self, name: str, booth: str) -> None:
         """A booth finds a backend silent; the holder of the duty is told, wherever it is."""
@@ -215,21 +233,32 @@
     async def submit(self, *, plan: ServicePlan) -> Result[bool, Fault]:
         """Puts a checked configuration into the register; True where it changed anything.
 
-        The highest version holds: one that is not above it is taken note of and changes nothing.
+        The highest version holds: one that is not above it is taken note of and changes nothing. versionTaken: its
+        number was acknowledged for another document. registerUnreachable: no majority is in reach.
         """
-        raw = plan.bytes()
 
         def decide(current: bytes) -> Result[bytes, Fault]:
-            if plan.version <= plan_version(data=current) and current:
-                return Error(Fault(kind=Kind.versionOld, why="a version as high stands"))
-            return Ok(raw)
-
+            if not current:
+                return Ok(plan.following(standing=None).bytes())
+            standing = read_service_plan(data=current)
+            if plan.version > standing.version:
+                return Ok(plan.following(standing=standing).bytes())
+            known = standing.digest_of(version=plan.version)
+            if known is None:
+                return Ok(standing.with_accepted(other=plan).bytes())
+            if known != plan.digest:
+                why = f"version {plan.version} has other content; version {standing.version} is in force"
+                return Error(Fault(kind=Kind.versionTaken, why=why))
+            return Error(Fault(kind=Kind.versionOld, why="it was acknowledged before"))
+
+        if not self.view.current:
+            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
         result: Result[Found, Fault] = Error(Fault(kind=Kind.registerUnreachable, why="not tried"))
         for _ in range(SUBMIT_TRIES):
             result = await self.vault.register.change(key=PLAN_KEY, decide=decide)
             if result.is_ok():
                 self.view.takeOwn(key=PLAN_KEY, result=result)
-                return Ok(True)
+                return Ok(plan_version(data=result.ok.value) == plan.version)
             # why: the same version may be put again to the same effect; one that won meanwhile answers for it
             if result.error.kind == Kind.versionOld:
                 return Ok(False)
@@ -238,7 +267,9 @@
         return Error(result.error)
 
     async def fetch(self) -> Result[bytes, Fault]:
-        """The newest accepted configuration in its operator's own bytes."""
+        """The newest accepted configuration in its operator's own bytes, as a majority holds it."""
+        if not self.view.current:
+            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
         found = await self.vault.register.read(key=PLAN_KEY)
         if found.is_error():
             return Error(found.error)
--- a/src/cinderstair/guildhall/status_text.py
+++ b/src/cinderstair/guildhall/status_text.py
@@ -44,9 +44,22 @@
 
 
 def _vaults(*, guildhall: "Guildhall") -> list[str]:
-    roster, crowd = guildhall.vault.roster, guildhall.vault.crowd
+    """Each voter, how many more may be lost, and who would take the place of one."""
+    vault = guildhall.vault
+    if vault.roster is None:
+        return ["votes: no roster is known"]
     lines = []
-    for voter in () if roster is None else roster.voters:
-        standing = None if crowd is None else crowd.standing(name=voter.name)
+    for voter in vault.roster.voters:
+        standing = None if vault.crowd is None else vault.crowd.standing(name=voter.name)
         lines.append(f"vault {voter.name} at {voter.address}: {'unknown' if standing is None else standing.name}")
+    present, losses = len(vault.present()), vault.losses_borne()
+    short = ""
+    if vault.short_since_us is not None:
+        seconds = (guildhall.ctx.nowUs() - vault.short_since_us) // 1_000_000
+        short = f", VOTES MISSING for {seconds} s"
+    borne = f"bears the loss of {losses} more" if losses >= 0 else "NO MAJORITY"
+    standbys = ", ".join(vault.standbys()) or "nobody"
+    lines.append(
+        f"votes: {present} of {vault.most}, epoch {vault.roster.epoch}, {borne}{short}; standing by: {standbys}"
+    )
     return lines
--- a/src/cinderstair/pitch/unpacker.py
+++ b/src/cinderstair/pitch/unpacker.py
@@ -46,6 +46,11 @@
             raise ValueError("count beyond record")
         return [each(self) for _ in range(count)]
 
+    @property
+    def more(self) -> bool:
+        """Whether anything is left to read."""
+        return self.at < len(self.data)
+
     def done(self) -> None:
         # why: bytes left over mean that the two sides disagree on the shape
         if self.at != len(self.data):
--- a/src/cinderstair/steward/backend_control.py
+++ b/src/cinderstair/steward/backend_control.py
@@ -1,5 +1,6 @@
 """What the holder of a duty may ask of backends and of whoever promotes them."""
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -37,6 +38,11 @@
 
 
 class Promoter(Protocol):
-    async def promote(self, *, service: str, backend: str, fence_number: int) -> Result[None, Fault]:
-        """Has the backend lead. noBackend: it is not running; any other error may be tried again."""
+    async def promote(
+        self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
+    ) -> Result[None, Fault]:
+        """Has the backend lead. noBackend: it is not running; any other error may be tried again.
+
+        `holds` is asked right before the call leaves: a holder that stood still meanwhile must not send it.
+        """
         ...
--- a/src/cinderstair/steward/promotion_duty.feature
+++ b/src/cinderstair/steward/promotion_duty.feature
@@ -332,3 +332,61 @@
     And 8000 ms pass at the guildhalls
     Then the platform was asked to promote "nobody"
     And the lead went "settled a 3"
+
+  Scenario: A copy that left with its log keeps one that lacks commits from being promoted
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And "c" is 40 behind
+    And the duty is held and the lead settled
+    When "b" says goodbye, and ends
+    And what was acknowledged is noted
+    And "a" crashes
+    And "a" is suspected
+    And 3000 ms pass at the guildhalls
+    Then the platform was asked to promote "nobody"
+    When "a" comes back
+    Then "a" leads and the lead is settled within 2000 ms
+    And no acknowledged commit is lost
+    And no guildhall has crashed
+
+  Scenario: A copy that left holds nobody back once another one holds all that it may have confirmed
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And the duty is held and the lead settled
+    When "b" says goodbye, and ends
+    And 1000 ms pass at the guildhalls
+    And what was acknowledged is noted
+    And "a" crashes
+    And "a" is suspected
+    Then "c" leads and the lead is settled within 4000 ms
+    And the lead went "settled a 3, moving c 4, settled c 4"
+    And no acknowledged commit is lost
+
+  Scenario: A copy that said goodbye and confirms yet is fenced with the others
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And "c" is 40 behind
+    And the duty is held and the lead settled
+    When "b" says goodbye, and serves on
+    And 1000 ms pass at the guildhalls
+    And what was acknowledged is noted
+    And "a" is dark to the guildhalls
+    And "a" is suspected
+    And 4000 ms pass at the guildhalls
+    Then "b" was told "pause 4"
+    And no acknowledged commit is lost
+
+  Scenario: A primary that says goodbye first and serves on steps down before another one leads
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And the duty is held and the lead settled
+    When "a" says goodbye, and serves on
+    Then "b" leads and the lead is settled within 4000 ms
+    And the lead went "settled a 3, closing a 3, moving b 4, settled b 4"
+    And "a" stepped down at least 250 ms after the word that it closes
+    And no acknowledged commit is lost
+
+  Scenario: A new holder acts only on what was read since it holds the duty
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And another guildhall waits for the duty
+    And the duty is held and the lead settled
+    When the other one takes the duty, and reads nothing any more
+    Then it holds the duty, takes what it knows for current, and writes nothing
+    When the other one reads again
+    Then it takes a number for its fence, and confirms the lead
--- a/src/cinderstair/steward/promotion_duty.py
+++ b/src/cinderstair/steward/promotion_duty.py
@@ -20,6 +20,7 @@
 from ..vault.register import Found, Register
 from ..vault.register_view import RegisterView
 from .backend_control import BackendControl, BackendState, Promoter
+from .departures import Departures
 from .service_lead import PREFIX, LeadState, ServiceLead, read_service_lead, service_lead_key
 
 TICK_US = 100_000
@@ -94,6 +95,7 @@
         self.reasons: dict[str, str] = {}
         self.fenced: set[str] = set()
         self.paused: dict[str, set[str]] = {}
+        self.departures = Departures(ctx=ctx, news=news, control=control)
         # why: a new holder confirms every lead, and all at once they would hold up every view
         self.confirming = 0
         self.resuming: set[str] = set()
@@ -132,7 +134,7 @@
                 # why: whoever held it before may have died in the middle of a move, with copies paused
                 self.fenced = set(self.leads)
                 self.fence_number = 0
-        if not self.lease.held or not self.view.current or self.plan is None:
+        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or self.plan is None:
             return
         if not self.fence_number and not await self._take_fence():
             return
@@ -207,6 +209,12 @@
             if self.ctx.nowUs() < self.not_before_us.get(service.name, 0):
                 return
             lead = self.leads.get(service.name)
+            if lead is not None and lead.state == LeadState.settled:
+                self.departures.settle(
+                    service=service.name,
+                    primary=self._member(name=lead.primary),
+                    copies=self._members(service=service.name),
+                )
             if lead is None:
                 await self._first(service=service)
             elif lead.state == LeadState.moving:
@@ -286,7 +294,9 @@
                 return ""
             return "is not known"
         if member.state == GONE:
-            return "is gone"
+            # why: some say goodbye first and serve on; one that leads yet is to step down, and loses nobody's commits
+            state = await self.control.state(backend=member, wait_us=PROBE_WAIT_US)
+            return "is emptying" if state.is_ok() and state.ok.leads else "is gone"
         quiet = self.news.quiet(name=name) and self.news.hearing
         if member.state != READY:
             # why: one that leaves may die before it has stepped down, and then nobody can ask it to
@@ -324,7 +334,7 @@
         old = self._member(name=lead.primary)
         began_us = self.ctx.nowUs()
         fenced = None
-        if old is not None and old.state != GONE and reason in ALIVE:
+        if old is not None and reason in ALIVE:
             stopped = await self._stop_primary(service=service, lead=lead, old=old, others=others)
             if stopped is None:
                 return
@@ -417,9 +427,11 @@
         """Pauses copies until the old primary can have nothing confirmed; None where too few can be paused."""
         term = max(lead.term, self.terms.get(service.name, 0)) + 1
         self.fenced.add(service.name)
+        left = [each for each in self.departures.unsettled(service=service.name) if each.name != lead.primary]
+        confirming = [*others, *left]
         # why: each acknowledged commit stands at as many copies as confirm; all sets of these meet the paused ones
-        needed = max(1, len(others) - service.confirmations + 1) if service.confirmations else 1
-        asks = {each.name: self.control.pause(backend=each, term=term, wait_us=PAUSE_WAIT_US) for each in others}
+        needed = max(1, len(confirming) - service.confirmations + 1) if service.confirmations else 1
+        asks = {each.name: self.control.pause(backend=each, term=term, wait_us=PAUSE_WAIT_US) for each in confirming}
         states = await self._gather(
             asks=asks, enough=lambda got: sum(state.term_held == term for state in got.values()) >= needed
         )
@@ -434,6 +446,7 @@
         self._say(
             service=service.name,
             reason=f"{lead.primary} can't be fenced: {len(held)} of {needed} copies paused"
+            + (f" ({', '.join(each.name for each in left)} left)" if left else "")
             + (f", a higher term {max(higher)} is held" if higher else ""),
         )
         return None
@@ -452,7 +465,10 @@
             if not taken and now_us - asked_us >= PROMOTE_AGAIN_US:
                 asked_us = now_us
                 result = await self.promoter.promote(
-                    service=service.name, backend=lead.primary, fence_number=self.fence_number
+                    service=service.name,
+                    backend=lead.primary,
+                    fence_number=self.fence_number,
+                    holds=lambda: self.lease.held,
                 )
                 taken = result.is_ok()
                 if result.is_error():
--- a/steps/citizensteps.py
+++ b/steps/citizensteps.py
@@ -11,6 +11,7 @@
 import tempfile
 import tomllib
 from collections import deque
+from importlib.metadata import distribution
 from pathlib import Path
 from typing import Any
 
@@ -301,6 +302,7 @@
         "[bounds]",
         "grace_s = 4.5",
         "drain_ms = 3500",
+        "catch_up_s = 2.5",
         "[provider_api]",
         'address = "10.9.0.5:5009"',
     ]
@@ -324,7 +326,7 @@
 
 @when("line {number:d} of it is `{line}`")
 def when_line(context: Any, number: int, line: str) -> None:
-    context.lines[number - 1] = "" if line == "-" else line
+    context.lines[number - 1] = "" if line == "-" else raw(text=line).decode()
 
 
 @when("every table and its top gain a field that nobody knows")
@@ -391,14 +393,16 @@
         self.submitted: list[ServicePlan] = []
         self.submits: Result[bool, Fault] = Ok(True)
         self.document: Result[bytes, Fault] = Error(Fault(kind=Kind.noConfiguration, why="none yet"))
-        self.news = self
+        self.departed: list[str] = []
+        self.in_touch = True
 
-    def hear(self, *, announcement: Announcement) -> None:
+    async def hear(self, *, announcement: Announcement) -> bool:
         self.heard.append(announcement)
+        return self.in_touch
 
-    def latest(self, *, name: str) -> Any:
-        found = [each for each in self.heard if each.name == name]
-        return type("Heard", (), {"beat": found[-1]}) if found else None
+    async def depart(self, *, name: str) -> bool:
+        self.departed.append(name)
+        return self.in_touch
 
     async def submit(self, *, plan: ServicePlan) -> Result[bool, Fault]:
         self.submitted.append(plan)
@@ -467,6 +471,16 @@
     handle(context=context, method="PUT", target="/cinderstair/settings", body=context.raw)
 
 
+@given("a guildhall out of touch with a majority")
+def given_out_of_touch(context: Any) -> None:
+    context.guildhall.in_touch = False
+
+
+@then("the goodbye of {name} was taken")
+def then_departed(context: Any, name: str) -> None:
+    assert context.guildhall.departed == [name], context.guildhall.departed
+
+
 @given("a guildhall that answers {kind}")
 def given_kind(context: Any, kind: str) -> None:
     fault = Error(Fault(kind=Kind[kind], why="so"))
@@ -686,12 +700,34 @@
     context.result = context.stage.run(work=work)
 
 
-@when("a promotion is answered by `{script}`")
-def when_promotion(context: Any, script: str) -> None:
+def promote(*, context: Any, script: str, holds: bool) -> None:
     context.stage = Stage(context=context, name="core-1")
     context.streams = MemoryStreams(script=[script])
     call = PromotionCall(ctx=context.stage.ctx, streams=context.streams, address="10.0.0.1:80")
-    context.result = context.stage.run(work=call.promote(service="s1", backend="srv-1", fence_number=12))
+    work = call.promote(service="s1", backend="srv-1", fence_number=12, holds=lambda: holds)
+    context.result = context.stage.run(work=work)
+
+
+@when("a promotion is answered by `{script}`")
+def when_promotion(context: Any, script: str) -> None:
+    promote(context=context, script=script, holds=True)
+
+
+@when("a promotion's lease runs out while its connection is being made")
+def when_lease_runs_out(context: Any) -> None:
+    promote(context=context, script="silence", holds=False)
+
+
+@then("the connection was reset")
+def then_reset(context: Any) -> None:
+    (transport,) = context.streams.transports
+    assert transport.aborted
+
+
+@then("nothing of it was sent, and the connection closed")
+def then_nothing_sent(context: Any) -> None:
+    (transport,) = context.streams.transports
+    assert transport.sent == b"" and transport.closing, (transport.sent, transport.closing)
 
 
 @then("the result is {word}")
@@ -1124,3 +1160,36 @@
 @then("a majority of them outlives the loss of {losses:d}")
 def then_outlive(context: Any, losses: int) -> None:
     assert (context.placed - 1) // 2 >= losses, context.placed
+
+
+# which package of the system brings a program, or a module that is run as one
+PACKAGES = {"python3": "python3", "pip": "python3-pip"}
+SHELL_WORDS = {"[", "{", "}", "touch", "&&", "||"}
+
+
+@then("the deploy file's packages bring each program that its commands begin with")
+def then_packages(context: Any) -> None:
+    deploy = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())
+    commands = re.split(r"&&|\|\||;", deploy["build"])
+    commands += [role["run"] for role in deploy["roles"].values()]
+    needed = set()
+    for command in commands:
+        words = [word for word in command.split() if word not in SHELL_WORDS]
+        if not words:
+            continue
+        # why: what a shell and its base system bring needs no package
+        if words[0] in PACKAGES:
+            needed.add(PACKAGES[words[0]])
+        if "-m" in words:
+            needed.add(PACKAGES[words[words.index("-m") + 1]])
+    assert needed == set(deploy["packages"]), (needed, deploy["packages"])
+
+
+@then("every library that the build installs is pure Python, for which no compiler is needed")
+def then_pure(context: Any) -> None:
+    for line in (REPOSITORY / "platform" / "requirements.txt").read_text().split():
+        name, _, version = line.partition("==")
+        found = distribution(name)
+        assert found.version == version, (name, found.version)
+        wheel = found.read_text("WHEEL") or ""
+        assert "Root-Is-Purelib: true" in wheel and "Tag: py3-none-any" in wheel, (name, wheel)
--- a/steps/guildhallsteps.py
+++ b/steps/guildhallsteps.py
@@ -200,7 +200,8 @@
         backend = self.backends[name]
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
-            return Fault(kind=Kind.wireUnsent, why="not reached")
+            details = {"refused": int(not backend.up and backend.reach == "yes")}
+            return Fault(kind=Kind.wireUnsent, why="not reached", details=details)
         if backend.reach == "silent":
             await asyncio.sleep(wait_us / 1_000_000)
             return Fault(kind=Kind.wireUnsure, why="silent")
@@ -241,7 +242,9 @@
             self.say(backend=found)
         return self._state(found)
 
-    async def promote(self, *, service: str, backend: str, fence_number: int) -> Result[None, Fault]:
+    async def promote(
+        self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
+    ) -> Result[None, Fault]:
         await asyncio.sleep(0.01)
         self.calls.append((self.stage.now_us, backend, fence_number))
         found = self.backends[backend]
@@ -393,6 +396,60 @@
     context.began_us = context.stage.now_us
 
 
+@when("the other one takes the duty, and reads nothing any more")
+def when_reads_nothing(context: Any) -> None:
+    first, second = context.halls
+
+    async def missed() -> Any:
+        return Error(Fault(kind=Kind.registerUnreachable, why="its questions are lost"))
+
+    context.read = second.register.vector
+    second.register.vector = missed
+    context.written = len(context.store.writes)
+    first.register.cut = True
+    context.store.leases.clear()
+    wait_for(context=context, test=lambda: second.duty.lease.held, within_us=900_000)
+    context.stage.advance(for_us=50_000)
+
+
+@then("it holds the duty, takes what it knows for current, and writes nothing")
+def then_writes_nothing(context: Any) -> None:
+    second = context.halls[1]
+    assert second.duty.lease.held and second.view.current
+    assert len(context.store.writes) == context.written, context.store.writes[context.written :]
+
+
+@when("the other one reads again")
+def when_reads_again(context: Any) -> None:
+    context.halls[1].register.vector = context.read
+    context.stage.advance(for_us=1_500_000)
+
+
+@then("it takes a number for its fence, and confirms the lead")
+def then_confirms(context: Any) -> None:
+    keys = [key for _, key, _ in context.store.writes[context.written :]]
+    assert keys[:2] == ["promotion.fence", "service/s"], keys
+
+
+@when('"{name}" says goodbye, and {ends}')
+def when_says_goodbye(context: Any, name: str, ends: str) -> None:
+    backend = context.cluster.backends[name]
+    backend.standing = GONE
+    context.stage.call(call=lambda: context.cluster.say(backend=backend))
+    backend.beats = False
+    backend.up = ends != "ends"
+
+
+@when('"{name}" ends')
+def when_ends(context: Any, name: str) -> None:
+    context.cluster.backends[name].up = False
+
+
+@when('"{name}" receives again')
+def when_receives(context: Any, name: str) -> None:
+    context.cluster.backends[name].paused = False
+
+
 @when('"{name}" is suspected')
 def when_suspected(context: Any, name: str) -> None:
     for hall in context.halls:
--- a/steps/platformsteps.py
+++ b/steps/platformsteps.py
@@ -96,6 +96,7 @@
         assert f"map {version}: ledger0-primary at ledger1" in text and "NOT CURRENT" not in text, text
         for name in [*world.guildhalls, *world.backends, *world.services]:
             assert f" {name}" in f"\n{text}".replace("\n", "\n "), (name, text)
+        assert "votes: 3 of 3, epoch 1, bears the loss of 1 more; standing by: nobody" in text, text
     together = "\n".join(texts)
     assert all(f"booth {name}: asked" in together for name in world.booths), together
     assert "holds the duty of promotions" in together and "holds the duty of slots" in together, together
@@ -186,3 +187,36 @@
     body = Packer().u64(value=5).bytes()
     kind, words = asked(context=context, at=0, handler="_shards_abandoned", body=body)
     assert kind == "versionOld" and "map 4 stands" in words, (kind, words)
+
+
+@when("a simulated platform serves, and a guildhall is lost for good")
+def when_guildhall_lost(context: Any) -> None:
+    see_adapter()
+    context.world = world = PlatformWorld(seed=1)
+    context.worlds.append(world)
+    world.begin()
+    world.remove_guildhall(name="guildhall-0")
+    world.advance(for_ms=12_000)
+
+
+@when("an empty one takes its place")
+def when_takes_place(context: Any) -> None:
+    world = context.world
+    world.add_guildhall(name="guildhall-9", zone=world.zones["guildhall-1"])
+    world.advance(for_ms=8_000)
+
+
+@then('each guildhall tells of its votes "{words}"')
+def then_tells_votes(context: Any, words: str) -> None:
+    world = context.world
+    for name in world.guildhalls:
+        text = status_text(guildhall=world.roles[name].guildhall)
+        (line,) = [line for line in text.splitlines() if line.startswith("votes:")]
+        assert re.search(words, line), (name, line)
+
+
+@then("each guildhall has counted looks at which votes were missing")
+def then_counted_missing(context: Any) -> None:
+    world = context.world
+    for name in world.guildhalls:
+        assert world.contexts[name].counters.counts["vault.votesMissing"], name
--- a/steps/wiresteps.py
+++ b/steps/wiresteps.py
@@ -1,6 +1,7 @@
 """Steps for records over TCP, on real sockets."""
 
 import asyncio
+import collections
 import random
 from typing import Any
 from unittest.mock import patch
@@ -161,3 +162,104 @@
     assert context.answered is not None
     late_ms = (context.answered - context.healed) * 1_000
     assert 0 <= late_ms <= most_ms, late_ms
+
+
+# -- answers and their questions --
+
+WAIT_US = 40_000
+LATE_S = 0.06
+RECEIVE = RecordWire._read
+
+
+@given("a listener that answers out of order, late, in part or not at all")
+def given_unruly(context: Any) -> None:
+    context.port = freePorts(count=1)[0]
+    context.arrived = collections.Counter()
+    luck = random.Random(17)
+
+    async def answer(writer: asyncio.StreamWriter, number: int, body: bytes) -> None:
+        data = b"to " + body
+        frame = HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(data), number) + data
+        way = luck.random()
+        if way < 0.1:
+            return
+        await asyncio.sleep(LATE_S if way < 0.25 else luck.random() * 0.02)
+        if way > 0.95:
+            writer.write(frame[: luck.randrange(len(frame))])
+            writer.close()
+        elif not writer.is_closing():
+            writer.write(frame)
+
+    async def client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        tasks = set()
+        try:
+            while True:
+                number, body = await readFrame(reader=reader)
+                context.arrived[body] += 1
+                tasks.add(asyncio.create_task(answer(writer, number, body)))
+        except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
+            writer.close()
+
+    async def listen() -> None:
+        context.server = await asyncio.start_server(client, "127.0.0.1", context.port)
+
+    run(context=context, work=listen())
+
+
+def ask_many(*, context: Any, count: int, together: int) -> None:
+    wire, numbers = RecordWire(counters=Counters()), iter(range(count))
+    context.answers = []
+
+    async def asker() -> None:
+        for number in numbers:
+            body = b"question %d" % number
+            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=body, waitUs=WAIT_US)
+            context.answers.append((body, result.ok if result.is_ok() else None))
+
+    async def go() -> None:
+        await asyncio.gather(*(asker() for _ in range(together)))
+        await wire.close()
+        context.server.close()
+
+    run(context=context, work=go())
+
+
+@when("{count:d} questions are asked of it, {together:d} at a time")
+def when_many(context: Any, count: int, together: int) -> None:
+    ask_many(context=context, count=count, together=together)
+
+
+@when("{count:d} questions are asked of it, {together:d} at a time, over a wire that takes answers in their order")
+def when_many_in_order(context: Any, count: int, together: int) -> None:
+    class InOrder(dict[int, Any]):
+        def pop(self, number: int, default: Any = None) -> Any:  # type: ignore[override]
+            # why: an asker's own clearing away comes when its future is done; an answer comes before
+            mine = self.get(number)
+            first = next(iter(self), number) if mine is not None and not mine.done() else number
+            return super().pop(first, default)
+
+    async def reading(self: Any, *, address: str, reader: Any, writer: Any) -> None:
+        self.waiting[address] = InOrder()
+        await RECEIVE(self, address=address, reader=reader, writer=writer)
+
+    with patch.object(RecordWire, "_read", reading):
+        ask_many(context=context, count=count, together=together)
+
+
+@then("each answer that was given is the one to its question, and no question reached the listener twice")
+def then_own_answers(context: Any) -> None:
+    wrong = [(body, found) for body, found in context.answers if found is not None and found != b"to " + body]
+    assert not wrong, wrong[:5]
+    twice = [body for body, count in context.arrived.items() if count > 1]
+    assert not twice, twice[:5]
+
+
+@then("some questions were answered, and some were not")
+def then_some(context: Any) -> None:
+    answered = sum(found is not None for _, found in context.answers)
+    assert 0 < answered < len(context.answers), answered
+
+
+@then("some answer was given to another question")
+def then_mixed_up(context: Any) -> None:
+    assert any(found is not None and found != b"to " + body for body, found in context.answers)
