--- a/src/cinderstair/almanac/leaving.py
+++ b/src/cinderstair/almanac/leaving.py
@@ -29,7 +29,7 @@
     }
     stalls = {
         name: tuple(w.name for w in opened if w.empties.picks(labels=labels))
-        for name, labels in charter.stallLabels.items()
+        for name, labels in charter.stall_labels.items()
     }
     return Leaving(
         backends={name: windows for name, windows in backends.items() if windows},
--- a/src/cinderstair/almanac/scenario.py
+++ b/src/cinderstair/almanac/scenario.py
@@ -46,7 +46,7 @@
     return Error(Fault(kind=Kind.malformed, why=why))
 
 
-def readScenario(*, raw: bytes, charter: Charter) -> Result[Scenario, Fault]:
+def read_scenario(*, raw: bytes, charter: Charter) -> Result[Scenario, Fault]:
     """A scenario that fits a configuration, or the place where it doesn't."""
     try:
         value = json.loads(raw)
--- a/src/cinderstair/almanac/whatif.py
+++ b/src/cinderstair/almanac/whatif.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ..charter.charter import Charter
-from ..stall.share import allotment, withReplacements
+from ..stall.share import allotment, with_replacements
 from .leaving import Leaving, leaving
 from .scenario import Scenario
 from .windowstates import Stage, WindowStates
@@ -18,9 +18,9 @@
     shares: dict[tuple[str, str], tuple[str, ...]]
 
 
-def openStates(*, charter: Charter, names: tuple[str, ...]) -> WindowStates:
+def open_states(*, charter: Charter, names: tuple[str, ...]) -> WindowStates:
     return WindowStates(
-        stages=tuple((w.name, w.startsUs, w.endsUs, Stage.open) for w in charter.windows if w.name in names)
+        stages=tuple((w.name, w.starts_us, w.ends_us, Stage.open) for w in charter.windows if w.name in names)
     )
 
 
@@ -34,30 +34,32 @@
     for database, names in charter.databases.items():
         size = charter.amount(name="subsetSize", database=database)
         subsets = {
-            number: withReplacements(names=names, stallId=number, subsetSize=size, unfit=unfit) for number in ids
+            number: with_replacements(names=names, stall_id=number, subset_size=size, unfit=unfit) for number in ids
         }
         for number, stall in ids.items():
             shares[stall, database] = subsets[number]
         for name in names:
-            userIds = [n for n, found in subsets.items() if name in found or name in held[database]]
+            user_ids = [n for n, found in subsets.items() if name in found or name in held[database]]
             for number, stall in ids.items():
-                part = allotment(cap=charter.backends[name].cap, userIds=userIds, stallId=number) if userIds else 0
+                part = (
+                    allotment(cap=charter.backends[name].cap, user_ids=user_ids, stall_id=number) if user_ids else 0
+                )
                 channels[stall, name] = part
     return Layout(channels=channels, shares=shares)
 
 
-def whatIf(*, charter: Charter, scenario: Scenario) -> dict[str, Any]:
+def what_if(*, charter: Charter, scenario: Scenario) -> dict[str, Any]:
     """Before and after, what moves between them, and what each window can do."""
-    away = leaving(charter=charter, states=openStates(charter=charter, names=scenario.windows))
-    heldBefore = {d: (scenario.primaries[d], *scenario.inSync[d]) for d in charter.databases}
-    before = layout(charter=charter, stalls=scenario.stalls, unfit=frozenset(), held=heldBefore)
+    away = leaving(charter=charter, states=open_states(charter=charter, names=scenario.windows))
+    held_before = {d: (scenario.primaries[d], *scenario.inSync[d]) for d in charter.databases}
+    before = layout(charter=charter, stalls=scenario.stalls, unfit=frozenset(), held=held_before)
     # why: a lost stall keeps its slot through a time of grace, so the others' ids stay; its place is left empty
     left = tuple("" if name in scenario.lost else name for name in scenario.stalls)
     after = tuple(left) + scenario.joins
-    lostBackends = frozenset(name for name in scenario.lost if name in charter.backends)
-    steps, heldAfter = windowSteps(charter=charter, scenario=scenario, away=away, lost=lostBackends, stalls=after)
-    unfit = lostBackends | frozenset(away.backends)
-    then = layout(charter=charter, stalls=after, unfit=unfit, held=heldAfter)
+    lost_backends = frozenset(name for name in scenario.lost if name in charter.backends)
+    steps, held_after = window_steps(charter=charter, scenario=scenario, away=away, lost=lost_backends, stalls=after)
+    unfit = lost_backends | frozenset(away.backends)
+    then = layout(charter=charter, stalls=after, unfit=unfit, held=held_after)
     return {
         "configuration": charter.version,
         "before": described(layout=before, charter=charter),
@@ -106,7 +108,7 @@
     }
 
 
-def windowSteps(
+def window_steps(
     *, charter: Charter, scenario: Scenario, away: Leaving, lost: frozenset[str], stalls: tuple[str, ...]
 ) -> tuple[dict[str, Any], dict[str, tuple[str, ...]]]:
     """Database by database, what the open windows do and where they hold back; and who is held to after."""
--- a/src/cinderstair/almanac/window.py
+++ b/src/cinderstair/almanac/window.py
@@ -13,15 +13,15 @@
     """Between the two moments everything the selector picks is to stand empty."""
 
     name: str
-    startsUs: int
-    endsUs: int
+    starts_us: int
+    ends_us: int
     empties: Selector
 
-    def openAt(self, *, wallUs: int) -> bool:
-        return self.startsUs <= wallUs < self.endsUs
+    def open_at(self, *, wall_us: int) -> bool:
+        return self.starts_us <= wall_us < self.ends_us
 
 
-def momentUs(*, text: str) -> Result[int, str]:
+def moment_us(*, text: str) -> Result[int, str]:
     """A calendar time with its offset, as microseconds since 1970."""
     try:
         moment = datetime.fromisoformat(text)
--- a/src/cinderstair/almanac/windowstates.py
+++ b/src/cinderstair/almanac/windowstates.py
@@ -25,21 +25,21 @@
     stages: tuple[tuple[str, int, int, Stage], ...] = ()
 
     def stage(self, *, window: Window) -> Stage:
-        key = (window.name, window.startsUs, window.endsUs)
+        key = (window.name, window.starts_us, window.ends_us)
         return next((stage for *known, stage in self.stages if tuple(known) == key), Stage.booked)
 
-    def turned(self, *, windows: tuple[Window, ...], wallUs: int) -> "WindowStates":
+    def turned(self, *, windows: tuple[Window, ...], wall_us: int) -> "WindowStates":
         """The stages at a calendar time. None goes back, so two clocks that differ can't make one flap."""
         stages = []
         for window in windows:
             stage = self.stage(window=window)
             # why: a clock behind the one that opened or ended a window must not undo it
-            if stage < Stage.open and window.startsUs <= wallUs:
+            if stage < Stage.open and window.starts_us <= wall_us:
                 stage = Stage.open
-            if stage < Stage.ended and window.endsUs <= wallUs:
+            if stage < Stage.ended and window.ends_us <= wall_us:
                 stage = Stage.ended
             if stage != Stage.booked:
-                stages.append((window.name, window.startsUs, window.endsUs, stage))
+                stages.append((window.name, window.starts_us, window.ends_us, stage))
         return WindowStates(stages=tuple(sorted(stages)))
 
     def bytes(self) -> bytes:
@@ -49,7 +49,7 @@
         return Packer().many(values=self.stages, each=each).bytes()
 
 
-def readWindowStates(*, data: bytes) -> WindowStates:
+def read_window_states(*, data: bytes) -> WindowStates:
     if not data:
         return WindowStates()
     unpacker = Unpacker(data=data)
--- a/src/cinderstair/booth/booth.py
+++ b/src/cinderstair/booth/booth.py
@@ -61,7 +61,7 @@
         if self.records:
             await self.ctx.net.listen(address=self.records, answer=self.desk.answer)
         self.ctx.spawn(work=self._keep(), name="view.keep")
-        self.ctx.ticks(everyUs=TEND_US).subscribe(lambda _: self._tend())
+        self.ctx.ticks(every_us=TEND_US).subscribe(lambda _: self._tend())
         return Ok(None)
 
     async def _keep(self) -> None:
@@ -76,7 +76,7 @@
     @property
     def ready(self) -> bool:
         """Whether new clients should come here."""
-        known = self.view.plan is not None and self.ctx.nowUs() - self.view.as_of_us < READY_AGE_US
+        known = self.view.plan is not None and self.ctx.now_us() - self.view.as_of_us < READY_AGE_US
         # why: before any ids are dealt nobody knows its part of any cap, and so a booth may hold no link
         known = known and (not self.records or bool(self.view.slots.names))
         # why: where guildhalls answer and know nothing, no other booth would serve any better
@@ -110,7 +110,7 @@
 
     async def knows(self, *, database: str, until_us: int) -> bool:
         """Whether the configuration in force names this database; waits for the first configuration."""
-        while self.view.plan is None and self.ctx.nowUs() < until_us:
+        while self.view.plan is None and self.ctx.now_us() < until_us:
             await self.view.change(until_us=until_us)
         return self.view.plan is not None and database in self.view.plan.routes
 
--- a/src/cinderstair/booth/dealing.py
+++ b/src/cinderstair/booth/dealing.py
@@ -70,7 +70,7 @@
             holders = _chosen(members=members, backend=backend, count=-(-part // per_holder))
         ids = sorted(holders)
         for booth_id in ids:
-            links = allotment(cap=part, userIds=ids, stallId=booth_id)
+            links = allotment(cap=part, user_ids=ids, stall_id=booth_id)
             if links:
                 dealt[booth_id] = links
     return dealt
--- a/src/cinderstair/booth/detours.py
+++ b/src/cinderstair/booth/detours.py
@@ -33,7 +33,7 @@
     def way(self, *, pool: LinkPool) -> LinkPool | None:
         """The pool of a proven way round to the backend of this one."""
         found = self.ways.get(pool.backend.name)
-        if found is None or self.ctx.nowUs() >= found[1] + PROVEN_FOR_US:
+        if found is None or self.ctx.now_us() >= found[1] + PROVEN_FOR_US:
             return None
         return found[0]
 
@@ -43,7 +43,7 @@
         if not pool.unreachable:
             self.forget(name=name)
             return
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         if self.forwarder is None or pool.closed or now_us - self.tried_us.get(name, -TRY_EVERY_US) < TRY_EVERY_US:
             return
         self.tried_us[name] = now_us
@@ -78,14 +78,14 @@
         name, forwarder = pool.backend.name, self.forwarder
         assert forwarder is not None
         self.ctx.counters.add(name="detours.tried")
-        until_us = self.ctx.nowUs() + PROBE_WAIT_US
+        until_us = self.ctx.now_us() + PROBE_WAIT_US
         taken = await forwarder.link(
             holders=(holder,), backend=name, service=service, database="", rank=0, until_us=until_us
         )
         proven = False
         if taken.is_ok():
             # why: counted from the asking, since the way may be closed by the time that the answer is here
-            asked_us = self.ctx.nowUs()
+            asked_us = self.ctx.now_us()
             try:
                 reply = await taken.ok.ask_position()
                 proven = reply.fault is None and reply.position is not None
--- a/src/cinderstair/booth/forward_desk.py
+++ b/src/cinderstair/booth/forward_desk.py
@@ -79,7 +79,7 @@
 
     def tend(self) -> None:
         """A transaction whose asker says nothing more of it is rolled back."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for key, channel in list(self.channels.items()):
             if not channel.busy and now_us - channel.touched_us > UNKEPT_US:
                 self.ctx.counters.add(name="forward.unkept")
@@ -105,7 +105,7 @@
             outcome, reply = await self._next(question=question)
         self.ctx.counters.add(name=f"forward.{outcome.name}")
         return ForwardAnswer(
-            life=self.life, now_us=self.ctx.nowUs(), outcome=outcome, reply=reply, unknown=unknown
+            life=self.life, now_us=self.ctx.now_us(), outcome=outcome, reply=reply, unknown=unknown
         ).bytes()
 
     def _refused(self, *, fault: Fault) -> tuple[Outcome, Reply]:
@@ -121,7 +121,7 @@
             if channel is None:
                 unknown.append(number)
             else:
-                channel.touched_us = self.ctx.nowUs()
+                channel.touched_us = self.ctx.now_us()
         return tuple(unknown)
 
     def _writes(self, *, question: ForwardQuestion) -> bool:
@@ -130,7 +130,7 @@
     def may_send(self, *, question: ForwardQuestion) -> Result[LinkPool, Fault]:
         """The pool over which this may be sent now. Asked when it comes, and again when it leaves."""
         # why: one that stood still, or lay in a wire, must not run when its asker has long said what became of it
-        if self.ctx.nowUs() >= question.until_us:
+        if self.ctx.now_us() >= question.until_us:
             return Error(Fault(kind=Kind.timeLeftSpent, why="its time is up"))
         if self.stopping:
             return Error(Fault(kind=Kind.draining, why="this booth stops"))
@@ -172,7 +172,7 @@
 
     async def _wait(self, *, future: asyncio.Future[Reply], until_us: int) -> Reply | None:
         """ConnectionError: the link is lost."""
-        wait_us = max(0, until_us - self.ctx.nowUs())
+        wait_us = max(0, until_us - self.ctx.now_us())
         done, _ = await asyncio.wait([future], timeout=wait_us / 1_000_000)
         return future.result() if done else None
 
@@ -210,7 +210,7 @@
             return self._refused(fault=taken.error)
         pool, link = taken.ok
         led = self.router.may_lead(service=question.service)
-        leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.nowUs()
+        leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
         future = self._send(question=question, link=link)
         try:
             reply = await self._wait(future=future, until_us=question.until_us)
@@ -238,7 +238,7 @@
         key = (question.asker, question.channel)
         if key in self.channels:
             return Outcome.lost, GONE
-        channel = self.channels[key] = Channel(question=question, now_us=self.ctx.nowUs())
+        channel = self.channels[key] = Channel(question=question, now_us=self.ctx.now_us())
         begun = False
         try:
             taken = await self._take(question=question)
@@ -249,7 +249,7 @@
                 return Outcome.lost, GONE
             pool, link = taken.ok
             led = self.router.may_lead(service=question.service)
-            leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.nowUs()
+            leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
             level(link=link, values=question.values)
             future = link.begin(read_only=question.read_only, at_least=question.at_least)
             reply = await self._wait(future=future, until_us=question.until_us)
@@ -261,7 +261,7 @@
         except ConnectionError:
             return Outcome.lost, GONE
         finally:
-            channel.busy, channel.touched_us = False, self.ctx.nowUs()
+            channel.busy, channel.touched_us = False, self.ctx.now_us()
             if not begun:
                 self._close(key=key, channel=channel)
 
@@ -281,7 +281,7 @@
         channel.busy = True
         ended = keep = False
         led = self.router.may_lead(service=channel.service)
-        leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.nowUs()
+        leads, asked_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
         try:
             if question.step == ForwardStep.rollback:
                 future = link.rollback()
@@ -298,13 +298,13 @@
             ended = True
             return Outcome.lost, GONE
         finally:
-            channel.busy, channel.touched_us = False, self.ctx.nowUs()
+            channel.busy, channel.touched_us = False, self.ctx.now_us()
             if ended:
                 self._close(key=key, channel=channel, keep=keep)
 
     def _may_go_on(self, *, question: ForwardQuestion, channel: Channel) -> bool:
         """Whether a transaction's statement may still be sent: in its time, and while its place takes it."""
-        if self.ctx.nowUs() >= question.until_us or channel.link is None or not channel.link.open:
+        if self.ctx.now_us() >= question.until_us or channel.link is None or not channel.link.open:
             return False
         if channel.read_only or question.step == ForwardStep.rollback:
             return True
--- a/src/cinderstair/booth/forwarded_link.py
+++ b/src/cinderstair/booth/forwarded_link.py
@@ -40,7 +40,7 @@
 
     @property
     def owed_us(self) -> int:
-        return self.forwarder.ctx.nowUs() - min(self.owed.values()) if self.owed else 0
+        return self.forwarder.ctx.now_us() - min(self.owed.values()) if self.owed else 0
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
         self.values[name] = value
@@ -86,7 +86,7 @@
             future.set_exception(ConnectionResetError("the link is lost"))
             return future
         ctx = self.forwarder.ctx
-        self.owed[future] = ctx.nowUs()
+        self.owed[future] = ctx.now_us()
         ctx.spawn(work=self._answer(question=question, future=future), name="forward")
         return future
 
--- a/src/cinderstair/booth/forwarder.py
+++ b/src/cinderstair/booth/forwarder.py
@@ -65,7 +65,7 @@
 
     def _order(self, *, holders: tuple[Holder, ...]) -> list[Holder]:
         """Nearest first; those that lately did not answer or are leaving last."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
 
         def cost(holder: Holder) -> tuple[bool, int, int, float]:
             peer = self.peer(address=holder.address)
@@ -79,9 +79,9 @@
         """A link that stands in for one of a holder's; nothing is asked of the holder for it yet."""
         for holder in self._order(holders=holders)[:3]:
             peer = self.peer(address=holder.address)
-            if not peer.life or self.ctx.nowUs() - peer.heard_us > CLOCK_FOR_US:
+            if not peer.life or self.ctx.now_us() - peer.heard_us > CLOCK_FOR_US:
                 await self._greet(holder=holder, until_us=until_us)
-            if peer.life and not peer.away(now_us=self.ctx.nowUs()):
+            if peer.life and not peer.away(now_us=self.ctx.now_us()):
                 self.number += 1
                 base = ForwardQuestion(
                     asker=self.ctx.name,
@@ -92,12 +92,12 @@
                     database=database,
                     rank=rank,
                 )
-                limit_us = max(1, until_us - self.ctx.nowUs())
+                limit_us = max(1, until_us - self.ctx.now_us())
                 return Ok(ForwardedLink(forwarder=self, address=holder.address, base=base, limit_us=limit_us))
         return Error(Fault(kind=Kind.noBackend, why=f"no booth that holds links to {backend} answers"))
 
     async def _greet(self, *, holder: Holder, until_us: int) -> None:
-        wait_us = min(HELLO_WAIT_US, until_us - self.ctx.nowUs())
+        wait_us = min(HELLO_WAIT_US, until_us - self.ctx.now_us())
         question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
         await self._ask(address=holder.address, question=question, wait_us=max(1, wait_us))
 
@@ -107,18 +107,18 @@
         if not peer.life:
             return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: not in touch"))
         # why: its clock was ahead by this at the least, so by its clock the time is up no later than by ours
-        until_us = self.ctx.nowUs() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
+        until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(question, life=peer.life, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
         return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_US)
 
     async def _ask(self, *, address: str, question: ForwardQuestion, wait_us: int) -> Result[ForwardAnswer, Fault]:
-        peer, asked_us = self.peer(address=address), self.ctx.nowUs()
+        peer, asked_us = self.peer(address=address), self.ctx.now_us()
         body = Packer().u8(value=FORWARD).bytes() + question.bytes()
         peer.silent_since_us = peer.silent_since_us or asked_us
         peer.under_way += 1
         try:
-            result = await self.ctx.net.ask(address=address, body=body, waitUs=wait_us)
+            result = await self.ctx.net.ask(address=address, body=body, wait_us=wait_us)
         finally:
             peer.under_way -= 1
             if not peer.under_way:
@@ -136,7 +136,7 @@
         return Ok(answer)
 
     def _heard(self, *, peer: Peer, answer: ForwardAnswer) -> None:
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.under_way else 0
         # why: its clock stood there before the answer reached us, so it is ahead by no less than this
         ahead_us = answer.now_us - now_us
@@ -151,12 +151,12 @@
         # why: it may have begun anew, with another clock, so it is greeted before it is asked anything
         peer.life = 0
         # why: one that is gone for long must not cost each asker a wait again and again
-        peer.away_until_us = self.ctx.nowUs() + min(AWAY_MOST_US, AWAY_US << min(peer.failures, 3))
+        peer.away_until_us = self.ctx.now_us() + min(AWAY_MOST_US, AWAY_US << min(peer.failures, 3))
         peer.failures += 1
 
     def tend(self) -> None:
         """Now and then: holders that are silent are gone round; transactions that rest are kept."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for peer in self.peers.values():
             if peer.under_way and peer.silent_since_us and now_us - peer.silent_since_us > SILENT_US:
                 peer.away_until_us = max(peer.away_until_us, now_us + AWAY_US)
--- a/src/cinderstair/booth/link_pool.py
+++ b/src/cinderstair/booth/link_pool.py
@@ -70,7 +70,7 @@
 
     def heard(self) -> None:
         """An answer came, so the backend is there."""
-        self.heard_us = self.ctx.nowUs()
+        self.heard_us = self.ctx.now_us()
         self.trouble = self.silent = False
         self.failures = 0
 
@@ -83,7 +83,7 @@
 
     def check_silence(self) -> None:
         """Blames a backend that owes answers for long and has given none to anybody meanwhile."""
-        unheard_us = self.ctx.nowUs() - self.heard_us
+        unheard_us = self.ctx.now_us() - self.heard_us
         # why: a link may rest for long in a client's transaction; only what is owed counts
         own = (link for link, _ in self.taken.values() if id(link) not in self.forwarded)
         # why: a holder that is silent says nothing of the backend; its own links do
@@ -98,7 +98,7 @@
             self.silent = False
         # why: where each link is dealt, one beyond our part would be somebody else's
         room = self.forwarder is None or self.open < self.limit
-        if self.silent and room and not self.dialing and self.ctx.nowUs() >= self.dial_from_us and not self.closed:
+        if self.silent and room and not self.dialing and self.ctx.now_us() >= self.dial_from_us and not self.closed:
             self.dialing += 1
             self.ctx.spawn(work=self._dial(), name="link.probe")
 
@@ -148,7 +148,7 @@
         self.turn += 1
         if link is not None:
             return Ok(self._take(link=link))
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         ahead = sum(1 for entry in self.waiting if entry[0] <= rank and not entry[2].done())
         # why: who can't be served in time is told so now, and not when the time is up
         wait_us = self.hold_us * ahead // max(1, self.limit)
@@ -180,7 +180,7 @@
         """Opens links for those that wait, as far as the share goes."""
         wanted = sum(1 for entry in self.waiting if not entry[2].done()) - self.dialing
         room = min(wanted, self.limit - self.open, DIALS_AT_ONCE - self.dialing)
-        if self.ctx.nowUs() < self.dial_from_us or self.closed:
+        if self.ctx.now_us() < self.dial_from_us or self.closed:
             return
         for _ in range(room):
             self.dialing += 1
@@ -188,7 +188,7 @@
 
     def warm(self, *, count: int) -> None:
         """Sees to it that so many links are open before anybody needs them."""
-        if self.open < min(count, self.limit) and not self.closed and self.ctx.nowUs() >= self.dial_from_us:
+        if self.open < min(count, self.limit) and not self.closed and self.ctx.now_us() >= self.dial_from_us:
             self.dialing += 1
             self.ctx.spawn(work=self._dial(), name="link.warm")
 
@@ -200,16 +200,16 @@
         if result.is_error() and result.error.kind == Kind.crowded:
             # why: a backend that is full is there; others give their links back, so it is asked again soon
             self.ctx.counters.add(name="links.full")
-            self.heard_us = self.full_us = self.ctx.nowUs()
+            self.heard_us = self.full_us = self.ctx.now_us()
             wait_us = self.ctx.luck.randrange(FULL_US, 2 * FULL_US)
-            self.dial_from_us = self.ctx.nowUs() + wait_us
-            await self.ctx.rest(waitUs=wait_us)
+            self.dial_from_us = self.ctx.now_us() + wait_us
+            await self.ctx.rest(wait_us=wait_us)
             self.grow()
             return
         if result.is_error():
             self.failures += 1
             wait_us = min(BACK_OFF_MOST_US, BACK_OFF_US << min(self.failures, 5))
-            self.dial_from_us = self.ctx.nowUs() + self.ctx.luck.randrange(wait_us // 2, wait_us)
+            self.dial_from_us = self.ctx.now_us() + self.ctx.luck.randrange(wait_us // 2, wait_us)
             self.blame()
             if not self.taken and not self.idle and not self.dialing:
                 self._fail_waiting()
@@ -231,7 +231,7 @@
                 future.set_exception(ConnectionError(self.backend.name))
 
     def _take(self, *, link: Link) -> Link:
-        self.taken[id(link)] = (link, self.ctx.nowUs())
+        self.taken[id(link)] = (link, self.ctx.now_us())
         return link
 
     def _offer(self, *, link: Link) -> None:
@@ -253,7 +253,7 @@
 
     def _linger(self, *, link: Link) -> None:
         if self.lent:
-            scarce = self.ctx.nowUs() - self.full_us < SCARCE_US
+            scarce = self.ctx.now_us() - self.full_us < SCARCE_US
             linger_us = SHORT_US if scarce else LONG_US
             asyncio.get_running_loop().call_later(linger_us / 1_000_000, self._give_back, link, self.turn)
 
@@ -273,7 +273,7 @@
             self.forwarded.discard(id(link))
             link.close()
             return
-        held_us = self.ctx.nowUs() - entry[1]
+        held_us = self.ctx.now_us() - entry[1]
         self.hold_us += (held_us - self.hold_us) // 8
         if not link.open:
             self.grow()
--- a/src/cinderstair/booth/place_teller.py
+++ b/src/cinderstair/booth/place_teller.py
@@ -19,10 +19,10 @@
         self.view = view
         self.place = place
         # why: booths that begin together must not all tell in the same moment
-        self.tell_from_us = ctx.nowUs() + int.from_bytes(rank(seed=0, name=ctx.name)[:4]) % (TELL_EVERY_US // 4)
+        self.tell_from_us = ctx.now_us() + int.from_bytes(rank(seed=0, name=ctx.name)[:4]) % (TELL_EVERY_US // 4)
 
     def tend(self) -> None:
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         if now_us < self.tell_from_us or not self.view.asked or self.view.places.get(self.ctx.name) == self.place:
             return
         self.tell_from_us = now_us + TELL_EVERY_US
@@ -32,4 +32,4 @@
         packer = Packer().u8(value=PLACE).text(value=self.ctx.name)
         body = packer.text(value=self.place.site).text(value=self.place.records).bytes()
         self.ctx.counters.add(name="places.told")
-        await self.ctx.net.ask(address=self.view.asked, body=body, waitUs=TELL_WAIT_US)
+        await self.ctx.net.ask(address=self.view.asked, body=body, wait_us=TELL_WAIT_US)
--- a/src/cinderstair/booth/relayed_view.py
+++ b/src/cinderstair/booth/relayed_view.py
@@ -24,7 +24,7 @@
 from ..steward.booth_places import PLACES_KEY, BoothPlace, read_booth_places
 from ..steward.service_lead import PREFIX, LeadState, ServiceLead, read_service_lead
 from ..steward.shard_state import SHARDS_KEY, ShardPhase, ShardState, Vote, read_shard_state
-from ..steward.slots import SLOTS_KEY, Slots, readSlots
+from ..steward.slots import SLOTS_KEY, Slots, read_slots
 from ..vault.ballot import Ballot
 from .sample_pool import SamplePool
 
@@ -65,7 +65,7 @@
         self.source = 0
         self.edition = 0
         self.as_of_us = -LEASE_US
-        self.answered_us = ctx.nowUs()
+        self.answered_us = ctx.now_us()
         self.ballots: dict[str, Ballot] = {}
         self.plan: ServicePlan | None = None
         self.slots = Slots()
@@ -83,17 +83,17 @@
         self._hurry = asyncio.Event()
         self._away: dict[str, int] = {}
         self._nearest = ""
-        self._choose_us = ctx.nowUs() + CHOOSE_AGAIN_US
+        self._choose_us = ctx.now_us() + CHOOSE_AGAIN_US
         self._choose_pause_us = CHOOSE_AGAIN_US
 
     @property
     def current(self) -> bool:
-        return self.ctx.nowUs() < self.as_of_us + LEASE_US
+        return self.ctx.now_us() < self.as_of_us + LEASE_US
 
     @property
     def alone_us(self) -> int:
         """For how long no guildhall at all has answered, past the time in which that may be chance."""
-        return max(0, self.ctx.nowUs() - self.answered_us - ALONE_US)
+        return max(0, self.ctx.now_us() - self.answered_us - ALONE_US)
 
     def hurry(self) -> None:
         """Asks at once rather than at the next turn."""
@@ -102,7 +102,7 @@
     async def keep(self) -> None:
         """Pulls for as long as the process runs."""
         while True:
-            if self.ctx.nowUs() >= self._choose_us:
+            if self.ctx.now_us() >= self._choose_us:
                 # why: a guildhall that is silent holds the choice up, and must not hold up the asking
                 self.ctx.spawn(work=self.choose(), name="view.choose")
             if self._nearest:
@@ -121,14 +121,14 @@
     def _order(self) -> list[str]:
         """The one asked last, while it answers; then those that have not failed of late."""
         addresses = list(dict.fromkeys((*self.guildhalls, *self.seeds())))
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         self.ctx.luck.shuffle(addresses)
         return sorted(addresses, key=lambda a: (self._away.get(a, 0) > now_us, a != self.asked))
 
     async def choose(self) -> None:
         """Asks all that are known once, and goes to the nearest that is current; of those as near to the quickest."""
         # why: the nearest may be just beginning, so it is looked for again, ever more seldom
-        self._choose_us = self.ctx.nowUs() + self._choose_pause_us
+        self._choose_us = self.ctx.now_us() + self._choose_pause_us
         self._choose_pause_us = min(2 * self._choose_pause_us, CHOOSE_SELDOM_US)
         question = RelayQuestion(booth=self.ctx.name, site=self.site, brief=True)
         tasks = {
@@ -165,9 +165,9 @@
         )
 
     async def _ask(self, *, address: str, question: RelayQuestion) -> Result[tuple[int, RelayAnswer], Fault]:
-        asked_us = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         body = question.write(packer=Packer().u8(value=RELAY)).bytes()
-        result = await self.ctx.net.ask(address=address, body=body, waitUs=PULL_WAIT_US)
+        result = await self.ctx.net.ask(address=address, body=body, wait_us=PULL_WAIT_US)
         if result.is_error():
             return Error(result.error)
         try:
@@ -182,18 +182,18 @@
         if address != self.asked:
             # why: whoever is taken in haste may be far away
             self._choose_pause_us = CHOOSE_AGAIN_US
-            self._choose_us = self.ctx.nowUs() + CHOOSE_AGAIN_US
+            self._choose_us = self.ctx.now_us() + CHOOSE_AGAIN_US
         # why: editions are counted by each guildhall for itself, so another one is asked for everything
         result = await self._ask(address=address, question=self._question(whole=address != self.asked))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
-            self._away[address] = self.ctx.nowUs() + 2_000_000
+            self._away[address] = self.ctx.now_us() + 2_000_000
             return False
         asked_us, answer = result.ok
-        self.answered_us = self.ctx.nowUs()
+        self.answered_us = self.ctx.now_us()
         if answer.age_us >= LEASE_US:
             # why: a guildhall that is cut off from the other vaults knows nothing current; another one may
-            self._away[address] = self.ctx.nowUs() + 500_000
+            self._away[address] = self.ctx.now_us() + 500_000
             self.ctx.counters.add(name="view.outOfTouch")
             self._take_backends(entries=answer.backends)
             self._wake()
@@ -205,7 +205,7 @@
             # why: what can't be read here can't be in force here, and must not end the asking for what can
             self.ctx.counters.add(name="view.unreadable")
             self.ctx.log.error("an answer of %s can't be read here: %s", address, error)
-            self._away[address] = self.ctx.nowUs() + 500_000
+            self._away[address] = self.ctx.now_us() + 500_000
             return False
         # why: counted from our asking less the age that it had there, so it is never taken for younger than it is
         self.as_of_us = max(self.as_of_us, asked_us - answer.age_us)
@@ -264,7 +264,7 @@
                 self.plan = plan
                 self.ctx.log.info("configuration %d in force", plan.version)
         elif key == SLOTS_KEY:
-            self.slots = readSlots(data=value)
+            self.slots = read_slots(data=value)
         elif key == PLACES_KEY:
             self.places = read_booth_places(data=value).places
         elif key == SHARDS_KEY:
@@ -273,7 +273,7 @@
             lead = read_service_lead(data=value)
             service = key.removeprefix(PREFIX)
             self.leads[service] = lead
-            self.lead_since_us[service] = self.ctx.nowUs()
+            self.lead_since_us[service] = self.ctx.now_us()
             self.ctx.log.info("%s: term %d %s %s", service, lead.term, lead.primary, lead.state.name)
 
     def _wake(self) -> None:
@@ -287,7 +287,7 @@
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         try:
-            async with asyncio.timeout(max(0, until_us - self.ctx.nowUs()) / 1_000_000):
+            async with asyncio.timeout(max(0, until_us - self.ctx.now_us()) / 1_000_000):
                 await future
         except TimeoutError:
             pass
--- a/src/cinderstair/booth/router.py
+++ b/src/cinderstair/booth/router.py
@@ -77,7 +77,7 @@
         self.table_us = -RISE_US
         self.rising = False
         self.unplaced = False
-        self.began_us = ctx.nowUs()
+        self.began_us = ctx.now_us()
         self.drain_us = drain_us
         self.pools: dict[str, LinkPool] = {}
         self.fresh: dict[str, Freshness] = {}
@@ -111,7 +111,7 @@
         elif key in RECKONED:
             if key in TABLES:
                 # why: what is known when this booth begins was dealt before, and nobody else holds it
-                self.table_us = self.ctx.nowUs() if self.links else self.table_us
+                self.table_us = self.ctx.now_us() if self.links else self.table_us
                 self.links = {}
             self.reckon()
 
@@ -157,9 +157,9 @@
         """This booth's part of a cap; the same for all services that have the same one."""
         part = self.parts.get(cap)
         if part is None:
-            ids, booth_id = self.view.slots.ids, self.view.slots.idOf(name=self.ctx.name)
+            ids, booth_id = self.view.slots.ids, self.view.slots.id_of(name=self.ctx.name)
             # why: a booth that has no number yet must not take what the others were dealt
-            part = cap // (len(ids) + 1) if booth_id is None else allotment(cap=cap, userIds=ids, stallId=booth_id)
+            part = cap // (len(ids) + 1) if booth_id is None else allotment(cap=cap, user_ids=ids, stall_id=booth_id)
             self.parts[cap] = part
         return part
 
@@ -169,8 +169,8 @@
             return
         listed, lead = self.members[service], self.view.leads.get(service)
         copies = sorted(name for name in listed if lead is None or name != lead.primary)
-        booth_id = self.view.slots.idOf(name=self.ctx.name)
-        self.shares[service] = subset(names=copies, stallId=booth_id or 0, subsetSize=SUBSET_SIZE)
+        booth_id = self.view.slots.id_of(name=self.ctx.name)
+        self.shares[service] = subset(names=copies, stall_id=booth_id or 0, subset_size=SUBSET_SIZE)
         cap = max(1, plan.services[service].link_cap - CONTROL_LINKS)
         part = self._part(cap=cap)
         scarce = cap < len(self.view.slots.names)
@@ -204,7 +204,7 @@
         limit = 0 if booth_id is None else dealt.get(booth_id, 0)
         if pool.forwarder is None and pool.limit:
             # why: till now each had its even part, and the others may not have given theirs back
-            self.table_us = self.ctx.nowUs()
+            self.table_us = self.ctx.now_us()
         pool.forwarder = self.forwarder
         pool.holders = tuple(
             Holder(self.distance(places[name].site), name, places[name].records)
@@ -215,7 +215,7 @@
 
     def _allow(self, *, pool: LinkPool, limit: int) -> None:
         """A part that shrinks does so at once, one that grows after a while."""
-        if limit > pool.limit and self.ctx.nowUs() - self.table_us < RISE_US:
+        if limit > pool.limit and self.ctx.now_us() - self.table_us < RISE_US:
             # why: those that held what is ours now may not know it yet, and the cap is not to be passed meanwhile
             self.rising, limit = True, pool.limit
         pool.allow(limit=limit)
@@ -263,8 +263,8 @@
             if pool.closed:
                 pool.reopen(backend=pool.backend)
             return
-        since_us = self.leaving_us.setdefault(name, self.ctx.nowUs())
-        if not pool.closed and (not leads or self.ctx.nowUs() - since_us > self.leave_us):
+        since_us = self.leaving_us.setdefault(name, self.ctx.now_us())
+        if not pool.closed and (not leads or self.ctx.now_us() - since_us > self.leave_us):
             pool.shut()
 
     def route(self, *, database: str) -> DatabaseRoute | None:
@@ -279,11 +279,11 @@
     def tend(self) -> None:
         """Now and then: links that should stand ready, silent backends, samples that will be wanted."""
         self.shards.look()
-        if not self.unplaced and not self.view.places and self.ctx.nowUs() - self.began_us > UNPLACED_US:
+        if not self.unplaced and not self.view.places and self.ctx.now_us() - self.began_us > UNPLACED_US:
             # why: guildhalls of an earlier version keep no table of places, and links are lent as they were then
             self.unplaced = True
             self.reckon()
-        if self.rising and self.ctx.nowUs() - self.table_us >= RISE_US:
+        if self.rising and self.ctx.now_us() - self.table_us >= RISE_US:
             self.rising = False
             self.reckon()
         plan = self.view.plan
@@ -316,7 +316,7 @@
 
     def _look_at_others(self) -> None:
         """Where one backend has fallen silent others may have, and what looks is lost to no client."""
-        now_us, looked = self.ctx.nowUs(), 0
+        now_us, looked = self.ctx.now_us(), 0
         for service, lead in self.view.leads.items():
             pool = self.pools.get(lead.primary)
             quiet = pool is not None and not pool.silent and not pool.taken and now_us - pool.heard_us > UNHEARD_US
@@ -346,7 +346,7 @@
     def _sample(self, *, service: str, lead: ServiceLead) -> None:
         """Asks the primary for its position where reads will want one and no statement has shown it lately."""
         fresh = self.freshness(service=service)
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         if lead.state == LeadState.moving and lead.fence.term:
             fresh.fence(as_of_us=self.view.as_of_us, position=lead.fence)
         ahead_us = max(SAMPLE_AHEAD_US, fresh.wanted_age_us - AGE_MARGIN_US - ASK_SPAN_US)
@@ -357,7 +357,7 @@
 
     def _wanted(self) -> list[str]:
         """The services that guarded reads came for lately."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         return [name for name, fresh in self.fresh.items() if now_us - fresh.wanted_us <= WANTED_FOR_US]
 
     def _pooled(self, service: str, asked_us: int, position: Position) -> None:
@@ -365,7 +365,7 @@
 
     def _asked_for(self, service: str) -> None:
         """The guildhall has this booth ask for all of its booths, unless it has seen what will do already."""
-        lately = self.ctx.nowUs() - self.freshness(service=service).newest_us < ASK_AFTER_US
+        lately = self.ctx.now_us() - self.freshness(service=service).newest_us < ASK_AFTER_US
         if not lately and self.may_lead(service=service).is_ok():
             self.ctx.spawn(work=self._sample_for_all(service=service), name="sample")
 
@@ -377,10 +377,10 @@
         led = self.may_lead(service=service)
         if led.is_error():
             return
-        taken = await led.ok.acquire(values={}, rank=0, until_us=self.ctx.nowUs() + 400_000)
+        taken = await led.ok.acquire(values={}, rank=0, until_us=self.ctx.now_us() + 400_000)
         if taken.is_error():
             return
-        link, asked_us = taken.ok, self.ctx.nowUs()
+        link, asked_us = taken.ok, self.ctx.now_us()
         # why: a link may have been waited for, and the lead may have moved meanwhile
         if self.may_lead(service=service).is_error():
             led.ok.release(link=link)
@@ -414,16 +414,16 @@
             details = {"left_us": LAPSE_US}
             return Error(Fault(kind=Kind.noLead, why=f"{service}: nobody leads yet", details=details))
         if not self.view.current:
-            lapsed_us = self.ctx.nowUs() - self.view.as_of_us - LEASE_US
+            lapsed_us = self.ctx.now_us() - self.view.as_of_us - LEASE_US
             # why: a question or two may be lost; who is out of touch for longer can't say when that will end
             # why: a booth that has just begun is about to hear
-            begins = self.ctx.nowUs() - self.began_us < BEGIN_US
+            begins = self.ctx.now_us() - self.began_us < BEGIN_US
             hopes = begins or lapsed_us < LAPSE_US
-            left_us = LAPSE_US if hopes else ANSWERS[Kind.notCurrent].retryAfterUs * 2
+            left_us = LAPSE_US if hopes else ANSWERS[Kind.notCurrent].retry_after_us * 2
             details = {"left_us": left_us}
             return Error(Fault(kind=Kind.notCurrent, why="out of touch with the register", details=details))
         if lead.state != LeadState.settled:
-            left_us = self.view.lead_since_us[service] + lead.ready_in_us - self.ctx.nowUs()
+            left_us = self.view.lead_since_us[service] + lead.ready_in_us - self.ctx.now_us()
             # why: a move that is overdue may take as long again; who hopes on until its time is up is only held
             details = {"left_us": max(50_000, abs(left_us))}
             return Error(Fault(kind=Kind.moving, why=f"{service}: its lead moves", details=details))
@@ -445,7 +445,7 @@
             led = self.may_lead(service=service)
             if led.is_ok():
                 return led
-            now_us = self.ctx.nowUs()
+            now_us = self.ctx.now_us()
             left_us = int(led.error.details.get("left_us", 100_000))
             if now_us + left_us >= until_us:
                 return led
@@ -478,7 +478,7 @@
     def guard(self, *, route: DatabaseRoute, arrived_us: int, own: Position | None) -> Result[Position, Fault]:
         """The position that a copy must have for this read."""
         fresh = self.freshness(service=route.service)
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         lately = now_us - fresh.wanted_us <= WANTED_FOR_US
         fresh.wanted_age_us = min(fresh.wanted_age_us, route.max_age_us) if lately else route.max_age_us
         fresh.wanted_us = now_us
--- a/src/cinderstair/booth/sample_pool.py
+++ b/src/cinderstair/booth/sample_pool.py
@@ -60,7 +60,7 @@
             return ()
         found = []
         for service, own in list(self.own.items()):
-            if self.ctx.nowUs() - own.asked_us > KEEP_US:
+            if self.ctx.now_us() - own.asked_us > KEEP_US:
                 del self.own[service]
                 continue
             if own.asked_us <= self.known_us.get(service, UNTOLD_US):
@@ -84,7 +84,7 @@
         if self.reference is None or source != self.reference.source:
             # why: another guildhall, or another life of this one, knows nothing of what was told
             self.editions, self.known_us, self.sending_us = {}, {}, {}
-        self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.nowUs())
+        self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
         self.known_us.update(self.sending_us)
         self.sending_us = {}
         for sample in samples:
--- a/src/cinderstair/booth/session.py
+++ b/src/cinderstair/booth/session.py
@@ -73,7 +73,7 @@
             self.busy = False
         self.state = reply.state
         if self.transaction is not None:
-            self.transaction.touched_us = self.ctx.nowUs()
+            self.transaction.touched_us = self.ctx.now_us()
         if reply.fault is not None:
             self.ctx.counters.add(name=f"refused.{reply.native.decode(errors='replace') or reply.fault.value}")
         return reply
@@ -135,7 +135,7 @@
 
     async def _answer(self, *, future: asyncio.Future[Reply], until_us: int) -> Reply | None:
         """The answer, or None where the time is up first. ConnectionError: the link is lost."""
-        wait_us = max(0, until_us - self.ctx.nowUs())
+        wait_us = max(0, until_us - self.ctx.now_us())
         done, _ = await asyncio.wait([future], timeout=wait_us / 1_000_000)
         return future.result() if done else None
 
@@ -145,7 +145,7 @@
         route = self.route()
         if route is None:
             return refusal(kind=Kind.unknownDatabase)
-        arrived_us = self.ctx.nowUs()
+        arrived_us = self.ctx.now_us()
         until_us = arrived_us + route.time_limit_us - ANSWER_US
         if self._writes(statement=statement):
             return await self._write(statement=statement, route=route, until_us=until_us)
@@ -153,7 +153,7 @@
 
     def _refused(self, *, fault: Fault) -> Reply:
         """What nothing was done about, with the time to come back where one is known."""
-        come_back_us = int(fault.details.get("left_us", ANSWERS[fault.kind].retryAfterUs))
+        come_back_us = int(fault.details.get("left_us", ANSWERS[fault.kind].retry_after_us))
         return self._failed(kind=fault.kind, come_back_us=come_back_us)
 
     async def _write(self, *, statement: Statement, route: DatabaseRoute, until_us: int) -> Reply:
@@ -179,7 +179,7 @@
             if self.router.may_lead(service=route.service) != led or not self._still(route=route):
                 pool.release(link=link)
                 continue
-            asked_us = self.ctx.nowUs()
+            asked_us = self.ctx.now_us()
             future = self._send(link=link, statement=statement, at_least=None)
             try:
                 reply = await self._answer(future=future, until_us=until_us)
@@ -199,7 +199,7 @@
                     self.own = (route.service, reply.position)
                 return self._idle(reply=reply)
             fault = Fault(kind=Kind.crowded, why="the backend did not run it")
-            if number + 1 < TRIES and self.ctx.nowUs() + PAUSE_US < until_us:
+            if number + 1 < TRIES and self.ctx.now_us() + PAUSE_US < until_us:
                 self.router.view.hurry()
                 await self._pause(number=number, until_us=until_us)
                 continue
@@ -211,7 +211,7 @@
         while True:
             moving = self.router.shards.fault(database=route.database)
             left_us = 0 if moving is None else int(moving.details["left_us"])
-            if moving is None or self.ctx.nowUs() + left_us >= until_us:
+            if moving is None or self.ctx.now_us() + left_us >= until_us:
                 return self.route() or route
             await self.router.view.change(until_us=until_us)
 
@@ -229,7 +229,7 @@
 
     async def _pause(self, *, number: int, until_us: int) -> None:
         wait_us = self.ctx.luck.randrange(PAUSE_US, PAUSE_US << (number + 1))
-        await self.ctx.rest(waitUs=max(0, min(wait_us, until_us - self.ctx.nowUs())))
+        await self.ctx.rest(wait_us=max(0, min(wait_us, until_us - self.ctx.now_us())))
 
     def _places(
         self, *, route: DatabaseRoute, arrived_us: int
@@ -258,7 +258,7 @@
         failures = 0
         try:
             while True:
-                now_us = self.ctx.nowUs()
+                now_us = self.ctx.now_us()
                 route = self.route() or route
                 places, none = self._places(route=route, arrived_us=arrived_us)
                 if places and len(under_way) < 2 and failures < 2 * TRIES:
@@ -286,7 +286,7 @@
                     else:
                         fault = result
                     failures += 1
-                if self.ctx.nowUs() >= until_us:
+                if self.ctx.now_us() >= until_us:
                     return refusal(kind=Kind.timeLeftSpent)
                 if done and not under_way:
                     await self._pause(number=min(failures, TRIES) - 1, until_us=until_us)
@@ -324,7 +324,7 @@
         if at_least is None and not (leads and self._still(route=route)):
             pool.release(link=link)
             return Fault(kind=Kind.noLead, why="the lead moved meanwhile")
-        asked_us = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         future = self._send(link=link, statement=statement, at_least=at_least)
         try:
             reply = await asyncio.shield(future)
@@ -350,7 +350,7 @@
         route = self.route()
         if route is None:
             return refusal(kind=Kind.unknownDatabase)
-        transaction = Transaction(route=route, read_only=read_only, arrived_us=self.ctx.nowUs())
+        transaction = Transaction(route=route, read_only=read_only, arrived_us=self.ctx.now_us())
         self.transaction = transaction
         transaction.begun = self.ctx.spawn(work=self._open(transaction=transaction), name="begin")
         return Reply(rows=[], state=State.open)
@@ -358,11 +358,11 @@
     async def _open(self, *, transaction: Transaction) -> Result[Link, Fault]:
         """Begins it at a backend, at another one where the first does not take it."""
         route = transaction.route
-        until_us = self.ctx.nowUs() + route.time_limit_us
+        until_us = self.ctx.now_us() + route.time_limit_us
         fault = Fault(kind=Kind.noBackend, why="no backend for a transaction")
         tried: set[str] = set()
         for number in range(2 * TRIES):
-            if self.ctx.nowUs() >= until_us:
+            if self.ctx.now_us() >= until_us:
                 break
             places: list[tuple[LinkPool, Position | None]]
             route = transaction.route = self.route() or route
@@ -377,7 +377,7 @@
             if not places:
                 fault = none or fault
                 left_us = int(fault.details.get("left_us", 50_000))
-                if self.ctx.nowUs() + left_us >= until_us:
+                if self.ctx.now_us() + left_us >= until_us:
                     break
                 await self.router.view.change(until_us=until_us)
                 continue
@@ -405,7 +405,7 @@
         if at_least is None and not (leads and self._still(route=route)):
             pool.release(link=link)
             return Error(Fault(kind=Kind.noLead, why="the lead moved meanwhile"))
-        asked_us = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         kept = False
         try:
             self._level(link=link)
@@ -439,7 +439,7 @@
                 return Error(Fault(kind=Kind.transactionLost, why="given up"))
             # why: one that could not be begun while the client paused has the whole of this statement's time left
             tried_before = transaction.begun.done()
-            wait_us = max(0, until_us - self.ctx.nowUs())
+            wait_us = max(0, until_us - self.ctx.now_us())
             done, _ = await asyncio.wait([transaction.begun], timeout=wait_us / 1_000_000)
             if not done:
                 return Error(Fault(kind=Kind.timeLeftSpent, why="no backend began it in time"))
@@ -456,12 +456,12 @@
     async def _inside(self, *, statement: Statement) -> Reply:
         transaction = self.transaction
         assert transaction is not None
-        until_us = self.ctx.nowUs() + transaction.route.time_limit_us - ANSWER_US
+        until_us = self.ctx.now_us() + transaction.route.time_limit_us - ANSWER_US
         ready = await self._ready(transaction=transaction, until_us=until_us)
         if ready.is_error():
             self._forsake(transaction=transaction)
             kind = Kind.transactionLost if ready.error.kind == Kind.timeLeftSpent else ready.error.kind
-            come_back_us = int(ready.error.details.get("left_us", ANSWERS[kind].retryAfterUs))
+            come_back_us = int(ready.error.details.get("left_us", ANSWERS[kind].retry_after_us))
             return refusal(kind=kind, state=State.failed, come_back_us=come_back_us)
         link, pool = ready.ok, transaction.pool
         assert pool is not None
@@ -474,7 +474,7 @@
             self._forsake(transaction=transaction)
             return refusal(kind=Kind.transactionLost, state=state)
         transaction.used = True
-        asked_us = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         leads = self.router.may_lead(service=transaction.route.service)
         future = self._send(link=link, statement=statement, at_least=None)
         try:
@@ -515,7 +515,7 @@
             if not (reply.not_run and reply.state == State.open and self.transaction is transaction):
                 break
             if number + 1 < TRIES:
-                await self._pause(number=number, until_us=self.ctx.nowUs() + 2 * PAUSE_US)
+                await self._pause(number=number, until_us=self.ctx.now_us() + 2 * PAUSE_US)
             if self.transaction is not transaction:
                 break
         self.transaction = None
@@ -554,7 +554,7 @@
             return
         keep = False
         try:
-            reply = await self._answer(future=link.rollback(), until_us=self.ctx.nowUs() + 1_000_000)
+            reply = await self._answer(future=link.rollback(), until_us=self.ctx.now_us() + 1_000_000)
             keep = reply is not None and reply.state == State.idle
         except ConnectionError:
             pass
@@ -564,7 +564,7 @@
     def rest_too_long(self, *, limit_us: int) -> None:
         """Ends a transaction whose client rests; the client is told when it next asks."""
         transaction = self.transaction
-        if transaction is None or self.busy or self.ctx.nowUs() - transaction.touched_us <= limit_us:
+        if transaction is None or self.busy or self.ctx.now_us() - transaction.touched_us <= limit_us:
             return
         self.abort()
 
--- a/src/cinderstair/booth/shards.py
+++ b/src/cinderstair/booth/shards.py
@@ -37,14 +37,14 @@
 
     def _changed(self, key: str) -> None:
         if key == SHARDS_KEY:
-            self.heard_us = self.ctx.nowUs()
+            self.heard_us = self.ctx.now_us()
             self.look()
             if self.view.shards.phase == ShardPhase.closing:
                 self.ctx.spawn(work=self._give_up(turn=self.view.shards.turn), name="shards.give_up")
 
     async def _give_up(self, *, turn: int) -> None:
         """What is not answered by then is not waited for, since it may lie in a cut."""
-        await self.ctx.rest(waitUs=GIVE_UP_US)
+        await self.ctx.rest(wait_us=GIVE_UP_US)
         word = self.view.shards
         if word.turn == turn and word.phase == ShardPhase.closing:
             self.under_way.give_up(databases=self._moving(), owed_us=GIVE_UP_US)
@@ -52,7 +52,7 @@
     def look(self) -> None:
         """Takes the register's word over, if it is agreed with here; once the view lapses, gives up what is owed."""
         # why: a map may be closing and nobody here is told, and what was sent in time must not arrive out of time
-        if self.ctx.nowUs() >= self.view.as_of_us + LEASE_US:
+        if self.ctx.now_us() >= self.view.as_of_us + LEASE_US:
             self.under_way.give_up(databases=None, owed_us=OWED_US)
         word = self.view.shards
         if word.current.version == self.held.current.version:
@@ -62,7 +62,7 @@
             return
         if not self._fits(state=word):
             return
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for database in set(word.current.places) | set(self.held.current.places):
             if word.current.places.get(database) != self.held.current.places.get(database):
                 self.moved_us[database] = now_us
@@ -96,7 +96,7 @@
         moving, within_us = self._moving(), self.view.shards.under_way_us
         if any(self.under_way.may_land(database=database, within_us=within_us) for database in moving):
             return True
-        return self.ctx.nowUs() - self.heard_us < DRAIN_US and self.open_(moving)
+        return self.ctx.now_us() - self.heard_us < DRAIN_US and self.open_(moving)
 
     def _moving(self) -> frozenset[str]:
         word = self.view.shards
@@ -119,7 +119,7 @@
             )
         word = self.view.shards
         if word.phase == ShardPhase.closing and word.moving(database=database):
-            left_us = max(50_000, self.heard_us + word.ready_in_us - self.ctx.nowUs())
+            left_us = max(50_000, self.heard_us + word.ready_in_us - self.ctx.now_us())
             return Fault(kind=Kind.moving, why="its place moves", details={"left_us": left_us})
         return None
 
@@ -130,10 +130,10 @@
             return False
         if word.phase == ShardPhase.steady:
             # why: whoever is out of touch may have missed a proposal, which stands for as long before anything closes
-            return self.ctx.nowUs() < self.view.as_of_us + LEASE_US + UNTOLD_US
+            return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNTOLD_US
         # why: with a change on its way, whoever is out of touch may have missed that it has come
         closing = word.phase == ShardPhase.closing and word.moving(database=database)
-        return self.view.current and not (closing and self.ctx.nowUs() - self.heard_us >= DRAIN_US)
+        return self.view.current and not (closing and self.ctx.now_us() - self.heard_us >= DRAIN_US)
 
     def read_since_us(self, *, database: str, since_us: int) -> int | None:
         """The moment from which a sample must be, for a read of what is older than `since_us`; None: not here.
--- a/src/cinderstair/charter/chancery.py
+++ b/src/cinderstair/charter/chancery.py
@@ -7,7 +7,7 @@
 from ..pitch.kind import Kind
 from ..vault.register import Found, Register
 from .charter import Charter
-from .check import checkCharter
+from .check import check_charter
 
 CHARTER_KEY = "charter"
 ROUNDS = 4
@@ -21,7 +21,7 @@
         self.register = register
 
     async def submit(self, *, raw: bytes) -> Result[tuple[Charter, Found], Fault]:
-        checked = checkCharter(raw=raw)
+        checked = check_charter(raw=raw)
         if checked.is_error():
             return Error(checked.error)
         wanted = checked.ok
@@ -30,7 +30,7 @@
             if not current or current == raw:
                 return Ok(raw)
             # why: what stands was checked before it was written, but perhaps by a newer version than this one
-            standing = checkCharter(raw=current)
+            standing = check_charter(raw=current)
             if standing.is_error():
                 return Error(Fault(kind=Kind.internal, why="what stands can't be read by this version"))
             version = standing.ok.version
--- a/src/cinderstair/charter/charter.py
+++ b/src/cinderstair/charter/charter.py
@@ -32,7 +32,7 @@
     raw: bytes
     backends: dict[str, Backend]
     databases: dict[str, tuple[str, ...]]
-    stallLabels: dict[str, dict[str, str]] = field(default_factory=dict)
+    stall_labels: dict[str, dict[str, str]] = field(default_factory=dict)
     program: Program = field(default_factory=Program)
     windows: tuple[Window, ...] = ()
     warnings: tuple[str, ...] = ()
--- a/src/cinderstair/charter/check.py
+++ b/src/cinderstair/charter/check.py
@@ -6,14 +6,14 @@
 from expression import Error, Ok, Result
 from marshmallow import ValidationError
 
-from ..almanac.window import Window, momentUs
+from ..almanac.window import Window, moment_us
 from ..pitch.fault import Fault
 from ..pitch.kind import Kind
 from .backend import Backend
 from .charter import Charter
-from .compiler import Program, compileProgram, compileSelector
+from .compiler import Program, compile_program, compile_selector
 from .route import Policy, Route
-from .schema import CharterSchema, checkLanguage
+from .schema import CharterSchema, check_language
 
 MOST_BYTES = 1024 * 1024
 
@@ -33,7 +33,7 @@
     return [f"{path or '/'}: {message}" for message in messages]
 
 
-def noDuplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def no_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     # why: a key written twice would silently lose one of the two
     names = [name for name, _ in pairs]
     for name in names:
@@ -42,12 +42,12 @@
     return dict(pairs)
 
 
-def readDocument(*, raw: bytes) -> Result[Any, Fault]:
+def read_document(*, raw: bytes) -> Result[Any, Fault]:
     if len(raw) > MOST_BYTES:
         return broken(errors=[f"the document is larger than {MOST_BYTES} bytes"])
     try:
         text = raw.decode()
-        document = json.loads(text, object_pairs_hook=noDuplicates)
+        document = json.loads(text, object_pairs_hook=no_duplicates)
     except UnicodeDecodeError as error:
         return broken(errors=[f"not UTF-8 at byte {error.start}"])
     except json.JSONDecodeError as error:
@@ -59,9 +59,9 @@
     return Ok(document)
 
 
-def checkCharter(*, raw: bytes) -> Result[Charter, Fault]:
+def check_charter(*, raw: bytes) -> Result[Charter, Fault]:
     """Everything is checked and compiled here, before a version can be written to the register."""
-    document = readDocument(raw=raw)
+    document = read_document(raw=raw)
     if document.is_error():
         return Error(document.error)
     try:
@@ -69,9 +69,9 @@
     except ValidationError as error:
         return broken(errors=flatten(messages=error.normalized_messages(), path=""))
     errors: list[str] = []
-    backends = collectBackends(loaded=loaded, errors=errors)
-    program = collectProgram(loaded=loaded, errors=errors)
-    windows = collectWindows(loaded=loaded, errors=errors)
+    backends = collect_backends(loaded=loaded, errors=errors)
+    program = collect_program(loaded=loaded, errors=errors)
+    windows = collect_windows(loaded=loaded, errors=errors)
     databases = set(loaded["databases"])
     statements: list[Route | Policy] = [*program.routes, *program.policies]
     for statement in statements:
@@ -88,14 +88,14 @@
             name: tuple(sorted(b["name"] for b in database["backends"]))
             for name, database in loaded["databases"].items()
         },
-        stallLabels=loaded["stalls"],
+        stall_labels=loaded["stalls"],
         program=program,
         windows=windows,
     )
-    return Ok(withWarnings(charter=charter))
+    return Ok(with_warnings(charter=charter))
 
 
-def collectBackends(*, loaded: dict[str, Any], errors: list[str]) -> dict[str, Backend]:
+def collect_backends(*, loaded: dict[str, Any], errors: list[str]) -> dict[str, Backend]:
     backends: dict[str, Backend] = {}
     addresses: set[str] = set()
     for database, entry in loaded["databases"].items():
@@ -111,25 +111,25 @@
     return backends
 
 
-def collectProgram(*, loaded: dict[str, Any], errors: list[str]) -> Program:
+def collect_program(*, loaded: dict[str, Any], errors: list[str]) -> Program:
     try:
-        text = checkLanguage(loaded["language"])
+        text = check_language(loaded["language"])
     except ValidationError as error:
         errors.append(f"/language: {error.messages[0]}")
         return Program()
-    program = compileProgram(text=text)
+    program = compile_program(text=text)
     if program.is_error():
         errors.append(f"/language: {program.error.why}")
         return Program()
     return program.ok
 
 
-def collectWindows(*, loaded: dict[str, Any], errors: list[str]) -> tuple[Window, ...]:
+def collect_windows(*, loaded: dict[str, Any], errors: list[str]) -> tuple[Window, ...]:
     windows: dict[str, Window] = {}
     for index, entry in enumerate(loaded["windows"]):
         path = f"/windows/{index}"
-        starts, ends = momentUs(text=entry["starts"]), momentUs(text=entry["ends"])
-        selector = compileSelector(text=entry["empties"])
+        starts, ends = moment_us(text=entry["starts"]), moment_us(text=entry["ends"])
+        selector = compile_selector(text=entry["empties"])
         if starts.is_error():
             errors.append(f"{path}/starts: {starts.error}")
         if ends.is_error():
@@ -142,15 +142,15 @@
             continue
         if ends.ok <= starts.ok:
             errors.append(f"{path}/ends: not after its start")
-        windows[entry["name"]] = Window(name=entry["name"], startsUs=starts.ok, endsUs=ends.ok, empties=selector.ok)
+        windows[entry["name"]] = Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, empties=selector.ok)
     return tuple(windows.values())
 
 
-def withWarnings(*, charter: Charter) -> Charter:
+def with_warnings(*, charter: Charter) -> Charter:
     """Unknown labels and selectors that match nothing are no errors, and still worth a word."""
     things = [
         *(backend.labels for backend in charter.backends.values()),
-        *charter.stallLabels.values(),
+        *charter.stall_labels.values(),
     ]
     known = {key for labels in things for key in labels}
     warnings: list[str] = []
--- a/src/cinderstair/charter/compiler.py
+++ b/src/cinderstair/charter/compiler.py
@@ -222,9 +222,9 @@
     return Error(Fault(kind=Kind.brokenConfiguration, why=f"line {line}, column {column}: {why}", details=details))
 
 
-def compileProgram(*, text: str) -> Result[Program, Fault]:
+def compile_program(*, text: str) -> Result[Program, Fault]:
     return parse(text=text + "\n", start="start")
 
 
-def compileSelector(*, text: str) -> Result[Selector, Fault]:
+def compile_selector(*, text: str) -> Result[Selector, Fault]:
     return parse(text=text, start="selection")
--- a/src/cinderstair/charter/formatter.py
+++ b/src/cinderstair/charter/formatter.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok, Result
 
 from ..pitch.fault import Fault
-from .compiler import POLICIES, UNITS, compileProgram, compileSelector
+from .compiler import POLICIES, UNITS, compile_program, compile_selector
 from .route import Policy, Route
 
 
@@ -11,7 +11,7 @@
     return "*" if databases is None else ", ".join(databases)
 
 
-def amountText(*, policy: Policy) -> str:
+def amount_text(*, policy: Policy) -> str:
     if POLICIES[policy.name][0] != "duration":
         return str(policy.amount)
     amount = int(policy.amount)
@@ -19,50 +19,50 @@
     return f"{amount // UNITS[unit]}{unit}"
 
 
-def routeText(*, route: Route) -> str:
+def route_text(*, route: Route) -> str:
     where = f" where {route.where.text}" if route.where.text else ""
     return f"route {', '.join(route.kinds)} on {names(databases=route.databases)} to {route.target}{where}"
 
 
-def policyText(*, policy: Policy) -> str:
-    return f"policy {policy.name} on {names(databases=policy.databases)} is {amountText(policy=policy)}"
+def policy_text(*, policy: Policy) -> str:
+    return f"policy {policy.name} on {names(databases=policy.databases)} is {amount_text(policy=policy)}"
 
 
-def splitComment(*, line: str) -> tuple[str, str]:
+def split_comment(*, line: str) -> tuple[str, str]:
     """The code and the comment of a line; a '#' inside a text is no comment."""
-    inText = False
+    in_text = False
     for place, letter in enumerate(line):
         if letter == '"':
-            inText = not inText
-        elif letter == "#" and not inText:
+            in_text = not in_text
+        elif letter == "#" and not in_text:
             return line[:place], line[place:].strip()
     return line, ""
 
 
-def formatLine(*, line: str) -> Result[str, Fault]:
-    code, comment = splitComment(line=line)
-    compiled = compileProgram(text=code)
+def format_line(*, line: str) -> Result[str, Fault]:
+    code, comment = split_comment(line=line)
+    compiled = compile_program(text=code)
     if compiled.is_error():
         return Error(compiled.error)
     program = compiled.ok
-    texts = [routeText(route=route) for route in program.routes]
-    texts += [policyText(policy=policy) for policy in program.policies]
+    texts = [route_text(route=route) for route in program.routes]
+    texts += [policy_text(policy=policy) for policy in program.policies]
     return Ok("  ".join(part for part in ("; ".join(texts), comment) if part))
 
 
-def formatProgram(*, text: str) -> Result[str, Fault]:
+def format_program(*, text: str) -> Result[str, Fault]:
     """The whole text line by line; it must have compiled as a whole before."""
-    whole = compileProgram(text=text)
+    whole = compile_program(text=text)
     if whole.is_error():
         return Error(whole.error)
     lines = []
     for line in text.splitlines():
-        formatted = formatLine(line=line)
+        formatted = format_line(line=line)
         if formatted.is_error():
             return Error(formatted.error)
         lines.append(formatted.ok)
     return Ok("\n".join(lines))
 
 
-def formatSelector(*, text: str) -> Result[str, Fault]:
-    return compileSelector(text=text).map(lambda selector: selector.text)
+def format_selector(*, text: str) -> Result[str, Fault]:
+    return compile_selector(text=text).map(lambda selector: selector.text)
--- a/src/cinderstair/charter/schema.py
+++ b/src/cinderstair/charter/schema.py
@@ -2,7 +2,7 @@
 
 from marshmallow import Schema, ValidationError, fields, validate
 
-from ..pitch.settings import NAME, checkAddress
+from ..pitch.settings import NAME, check_address
 
 LABELS = fields.Dict(
     keys=fields.String(validate=validate.Regexp(r"^[A-Za-z_][A-Za-z0-9_.-]*$", error="not a label's name")),
@@ -13,7 +13,7 @@
 
 class BackendSchema(Schema):
     name = fields.String(required=True, validate=NAME)
-    address = fields.String(required=True, validate=checkAddress)
+    address = fields.String(required=True, validate=check_address)
     site = fields.String(required=True, validate=NAME)
     cap = fields.Integer(required=True, strict=True, validate=validate.Range(min=1, max=100_000))
     labels = LABELS
@@ -47,7 +47,7 @@
     windows = fields.List(fields.Nested(WindowSchema), load_default=list)
 
 
-def checkLanguage(value: object) -> str:
+def check_language(value: object) -> str:
     """The language's text is one string, or a list with a string a line, which reads better in JSON."""
     if isinstance(value, str):
         return value
--- a/src/cinderstair/counter/checkverb.py
+++ b/src/cinderstair/counter/checkverb.py
@@ -6,7 +6,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument
 
-from ..charter.formatter import formatProgram, formatSelector
+from ..charter.formatter import format_program, format_selector
 from .documentmixin import DONE, DocumentMixin
 
 
@@ -17,7 +17,7 @@
 
     def handle(self) -> int:
         path = self.argument("file")
-        charter = self.readCharter(path=path)
+        charter = self.read_charter(path=path)
         if isinstance(charter, int):
             return charter
         for warning in charter.warnings:
@@ -39,15 +39,15 @@
 
     def handle(self) -> int:
         # why: what does not compile has no true form, and a guess at one would change its meaning
-        charter = self.readCharter(path=self.argument("file"))
+        charter = self.read_charter(path=self.argument("file"))
         if isinstance(charter, int):
             return charter
         document = json.loads(charter.raw)
         language = document.get("language", "")
         text = language if isinstance(language, str) else "\n".join(language)
         if text:
-            document["language"] = formatProgram(text=text).ok.splitlines()
+            document["language"] = format_program(text=text).ok.splitlines()
         for window in document.get("windows", []):
-            window["empties"] = formatSelector(text=window["empties"]).ok
+            window["empties"] = format_selector(text=window["empties"]).ok
         print(json.dumps(document, indent=2))
         return DONE
--- a/src/cinderstair/counter/controlverb.py
+++ b/src/cinderstair/counter/controlverb.py
@@ -25,7 +25,7 @@
     """One question to one guildhall. wireUnsure: nobody knows whether it was heard."""
     wire = RecordWire(counters=Counters())
     try:
-        return await wire.ask(address=address, body=body, waitUs=WAIT_US)
+        return await wire.ask(address=address, body=body, wait_us=WAIT_US)
     finally:
         await wire.close()
 
--- a/src/cinderstair/counter/daemon.py
+++ b/src/cinderstair/counter/daemon.py
@@ -13,7 +13,7 @@
 
 from ..pitch.context import Context
 from ..pitch.fault import Fault
-from ..pitch.settings import LIVE, Settings, mayChangeLive, readSettings
+from ..pitch.settings import LIVE, Settings, may_change_live, read_settings
 from ..pitch.traces import Sink, Traces
 from .market import Market
 
@@ -34,7 +34,7 @@
 Make = Callable[[Context, Settings, Callable[[str], None]], Trader]
 
 
-def fileSink(*, path: str) -> Sink:
+def file_sink(*, path: str) -> Sink:
     def sink(data: bytes) -> None:
         with open(path, "ab") as file:
             file.write(data)
@@ -78,7 +78,7 @@
         )
         ctx = market.context()
         if self.settings.traces:
-            ctx.traces = Traces(service=self.settings.name, luck=ctx.luck, sink=fileSink(path=self.settings.traces))
+            ctx.traces = Traces(service=self.settings.name, luck=ctx.luck, sink=file_sink(path=self.settings.traces))
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGINT, self.stop.set)
@@ -92,7 +92,7 @@
         if started.is_error():
             print(f"{self.path or 'flags'}: {started.error.why}", file=sys.stderr)
             return FAILED
-        ctx.ticks(everyUs=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
+        ctx.ticks(every_us=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
         await self.stop.wait()
         self.log.info("stops")
         await trader.drain()
@@ -109,11 +109,11 @@
             self._reread(trader=trader, why="file changed")
 
     def _reread(self, *, trader: Trader, why: str) -> None:
-        read = readSettings(path=self.path, flags=self.flags)
+        read = read_settings(path=self.path, flags=self.flags)
         if read.is_error():
             self.log.error("settings not changed (%s): %s", why, read.error.why)
             return
-        fixed = mayChangeLive(old=self.settings, new=read.ok)
+        fixed = may_change_live(old=self.settings, new=read.ok)
         # why: half a change would leave the process in a place that no file describes
         if fixed:
             self.log.error("settings not changed (%s): %s need a restart", why, ", ".join(fixed))
--- a/src/cinderstair/counter/documentmixin.py
+++ b/src/cinderstair/counter/documentmixin.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from ..charter.charter import Charter
-from ..charter.check import checkCharter
+from ..charter.check import check_charter
 
 DONE, DENIED, USAGE = 0, 1, 2
 
@@ -12,19 +12,19 @@
 class DocumentMixin:
     """Gives a verb a file's bytes or a checked configuration; otherwise the words are printed already."""
 
-    def readFile(self, *, path: str) -> bytes | None:
+    def read_file(self, *, path: str) -> bytes | None:
         try:
             return Path(path).read_bytes()
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return None
 
-    def readCharter(self, *, path: str) -> Charter | int:
+    def read_charter(self, *, path: str) -> Charter | int:
         """The configuration, or the exit code."""
-        raw = self.readFile(path=path)
+        raw = self.read_file(path=path)
         if raw is None:
             return USAGE
-        checked = checkCharter(raw=raw)
+        checked = check_charter(raw=raw)
         if checked.is_error():
             for line in checked.error.details.get("errors", [checked.error.why]):
                 print(f"{path}: {line}", file=sys.stderr)
--- a/src/cinderstair/counter/edge.py
+++ b/src/cinderstair/counter/edge.py
@@ -18,17 +18,17 @@
 
 async def ask(*, address: str, method: str, path: str, body: bytes = b"") -> Result[HttpResponse, Fault]:
     net = RealNet(counters=Counters())
-    dialled = await net.dial(address=address, waitUs=DIAL_WAIT_US)
+    dialled = await net.dial(address=address, wait_us=DIAL_WAIT_US)
     if dialled.is_error():
         return Result.Error(dialled.error)
     job = HttpJob(method=method, path=path, body=body)
-    result = await dialled.ok.passJob(job=job, waitUs=ANSWER_WAIT_US)
+    result = await dialled.ok.pass_job(job=job, wait_us=ANSWER_WAIT_US)
     dialled.ok.close()
     await asyncio.sleep(0)
     return result
 
 
-def askNow(
+def ask_now(
     *, address: str, method: str, path: str, value: Any = None, body: bytes = b""
 ) -> Result[HttpResponse, Fault]:
     data = body if value is None else json.dumps(value).encode()
--- a/src/cinderstair/counter/market.py
+++ b/src/cinderstair/counter/market.py
@@ -13,11 +13,11 @@
 from ..pitch.realnet import RealNet
 
 
-def monotonicUs() -> int:
+def monotonic_us() -> int:
     return time.monotonic_ns() // 1_000
 
 
-def calendarUs() -> int:
+def calendar_us() -> int:
     return time.time_ns() // 1_000
 
 
@@ -39,8 +39,8 @@
         name=config.name,
         site=config.site,
         luck=luck,
-        clock=providers.Object(monotonicUs),
-        wall=providers.Object(calendarUs),
+        clock=providers.Object(monotonic_us),
+        wall=providers.Object(calendar_us),
         net=net,
         disk=disk,
         log=log,
--- a/src/cinderstair/counter/operatorverb.py
+++ b/src/cinderstair/counter/operatorverb.py
@@ -9,7 +9,7 @@
 from cleo.helpers import argument, option
 
 from ..pitch.httpresponse import HttpResponse
-from .edge import askNow
+from .edge import ask_now
 
 DONE, DENIED, USAGE, UNKNOWN = 0, 1, 2, 3
 AT = option("at", "a", "HTTP address of any stall", flag=False, default="127.0.0.1:7200")
@@ -25,7 +25,7 @@
         return code
 
     def speak(self, *, method: str, path: str, value: Any = None, body: bytes = b"") -> HttpResponse | int:
-        result = askNow(address=self.option("at"), method=method, path=path, value=value, body=body)
+        result = ask_now(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_error():
             unsure = result.error.kind.value == "wireUnsure" and method != "GET"
             return self.fail(why=f"{result.error.kind.value}: {result.error.why}", code=UNKNOWN if unsure else DENIED)
@@ -81,33 +81,33 @@
         response = self.speak(method="GET", path="/status")
         if isinstance(response, int):
             return response
-        value = withOthers(value=response.json())
+        value = with_others(value=response.json())
         if self.option("json"):
             print(json.dumps(value, indent=1))
         else:
-            print(statusText(value=value))
+            print(status_text(value=value))
         return DONE
 
 
-def withOthers(*, value: dict[str, Any]) -> dict[str, Any]:
+def with_others(*, value: dict[str, Any]) -> dict[str, Any]:
     """Adds what every other stall says of itself, and what holds any duty's holder back."""
-    byDaemon = {value["stall"]: daemonPart(value=value)}
+    by_daemon = {value["stall"]: daemon_part(value=value)}
     for member in value["members"]:
-        if member["role"] != "stall" or member["name"] in byDaemon or member["standing"] != "alive":
+        if member["role"] != "stall" or member["name"] in by_daemon or member["standing"] != "alive":
             continue
-        result = askNow(address=member["http"], method="GET", path="/status")
+        result = ask_now(address=member["http"], method="GET", path="/status")
         # why: a stall that does not answer is itself a piece of the status
         if result.is_error():
-            byDaemon[member["name"]] = {"configuration": None, "answers": False}
+            by_daemon[member["name"]] = {"configuration": None, "answers": False}
             continue
         other = result.ok.json()
-        byDaemon[member["name"]] = daemonPart(value=other)
+        by_daemon[member["name"]] = daemon_part(value=other)
         value["held"] |= other["held"]
         value["duties"] += [f"{duty} (at {member['name']})" for duty in other["duties"]]
-    return {**value, "byDaemon": byDaemon}
+    return {**value, "byDaemon": by_daemon}
 
 
-def daemonPart(*, value: dict[str, Any]) -> dict[str, Any]:
+def daemon_part(*, value: dict[str, Any]) -> dict[str, Any]:
     channels = [backend["channels"] for backend in value["backends"].values()]
     return {
         "configuration": value["configuration"],
@@ -121,7 +121,7 @@
     }
 
 
-def daemonText(*, name: str, part: dict[str, Any]) -> str:
+def daemon_text(*, name: str, part: dict[str, Any]) -> str:
     if not part["answers"]:
         return f"{name}: does not answer"
     return (
@@ -131,7 +131,7 @@
     )
 
 
-def statusText(*, value: dict[str, Any]) -> str:
+def status_text(*, value: dict[str, Any]) -> str:
     lines = [
         f"stall {value['stall']} at {value['site']}, slot {value['slot']}, "
         f"view {'current' if value['viewCurrent'] else 'NOT CURRENT'}, "
@@ -145,7 +145,7 @@
             f"{database}: term {lead['term']} {lead['state']}, primary {lead['primary']}, "
             f"in sync {' '.join(lead['inSync']) or '-'}, joining {' '.join(lead['joining']) or '-'}"
         )
-    lines += [daemonText(name=name, part=part) for name, part in value["byDaemon"].items()]
+    lines += [daemon_text(name=name, part=part) for name, part in value["byDaemon"].items()]
     lines += [f"HELD {database}: {why}" for database, why in value["held"].items()]
     for name, backend in value["backends"].items():
         channels = backend["channels"]
--- a/src/cinderstair/counter/roleverb.py
+++ b/src/cinderstair/counter/roleverb.py
@@ -11,7 +11,7 @@
 from cleo.helpers import option
 
 from ..pitch.context import Context
-from ..pitch.settings import Settings, readSettings
+from ..pitch.settings import Settings, read_settings
 from ..stall.stall import Stall
 from ..vault.vault import Vault
 from .daemon import USAGE, Daemon, Trader
@@ -37,8 +37,8 @@
         option("seeds", None, "three seed addresses with commas between", flag=False),
         option("foundingVaults", None, "how many vaults found the system", flag=False),
     ]
-    needsHttp = False
-    needsFolder = False
+    needs_http = False
+    needs_folder = False
 
     def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
         raise NotImplementedError
@@ -66,14 +66,14 @@
         flags = self._flags()
         if isinstance(flags, str):
             return self._refuse(why=f"flags: {flags}")
-        read = readSettings(path=path, flags=flags)
+        read = read_settings(path=path, flags=flags)
         if read.is_error():
             return self._refuse(why=read.error.why)
         settings, where = read.ok, path or "flags"
-        if self.needsHttp and not settings.http:
+        if self.needs_http and not settings.http:
             return self._refuse(why=f"{where}: http: an address is needed for this role")
-        if self.needsFolder:
-            trouble = folderTrouble(folder=settings.folder)
+        if self.needs_folder:
+            trouble = folder_trouble(folder=settings.folder)
             if trouble:
                 return self._refuse(why=f"{where}: folder: {trouble}")
         logging.basicConfig(
@@ -89,7 +89,7 @@
         return asyncio.run(main())
 
 
-def folderTrouble(*, folder: str) -> str:
+def folder_trouble(*, folder: str) -> str:
     """Why a data folder can't be used; empty where it can."""
     if not folder:
         return "a data folder is needed for this role"
@@ -107,7 +107,7 @@
 class StallVerb(RoleVerb):
     name = "stall"
     description = "Run a front daemon: sessions, channels, share"
-    needsHttp = True
+    needs_http = True
 
     def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
         return Stall(ctx=ctx, settings=settings)
@@ -116,7 +116,7 @@
 class VaultVerb(RoleVerb):
     name = "vault"
     description = "Run a daemon on a disk machine: one vote of the register"
-    needsFolder = True
+    needs_folder = True
 
     def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
         return Vault(ctx=ctx, settings=settings, halt=halt)
--- a/src/cinderstair/counter/simulateverb.py
+++ b/src/cinderstair/counter/simulateverb.py
@@ -6,8 +6,8 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from ..almanac.scenario import readScenario
-from ..almanac.whatif import whatIf
+from ..almanac.scenario import read_scenario
+from ..almanac.whatif import what_if
 from ..fairground.rehearsal import rehearse
 from .documentmixin import DENIED, DONE, USAGE, DocumentMixin
 
@@ -24,16 +24,16 @@
     options = [option("rehearse", "r", "also run the real daemons through it in the simulator")]
 
     def handle(self) -> int:
-        charter = self.readCharter(path=self.argument("configuration"))
-        raw = self.readFile(path=self.argument("scenario"))
+        charter = self.read_charter(path=self.argument("configuration"))
+        raw = self.read_file(path=self.argument("scenario"))
         # why: exit code 1 says that something holds back, so a document that can't be used has another
         if isinstance(charter, int) or raw is None:
             return USAGE
-        scenario = readScenario(raw=raw, charter=charter)
+        scenario = read_scenario(raw=raw, charter=charter)
         if scenario.is_error():
             print(f"{self.argument('scenario')}: {scenario.error.why}", file=sys.stderr)
             return USAGE
-        answer = whatIf(charter=charter, scenario=scenario.ok)
+        answer = what_if(charter=charter, scenario=scenario.ok)
         if self.option("rehearse"):
             answer["rehearsal"] = rehearse(charter=charter, scenario=scenario.ok)
         print(json.dumps(answer, indent=1))
--- a/src/cinderstair/crier/beat.py
+++ b/src/cinderstair/crier/beat.py
@@ -32,7 +32,7 @@
         packer.u64(value=self.term).u64(value=self.position)
 
 
-def readBeat(*, unpacker: Unpacker) -> Beat:
+def read_beat(*, unpacker: Unpacker) -> Beat:
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
     site, state, leads = unpacker.text(), unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or leads > 1:
@@ -49,7 +49,7 @@
     )
 
 
-def beatFromJson(*, value: object) -> Beat:
+def beat_from_json(*, value: object) -> Beat:
     """A beat from a backend's JSON; ValueError names the field that is wrong."""
     if not isinstance(value, dict):
         raise ValueError("a beat is an object")
--- a/src/cinderstair/crier/crowd.py
+++ b/src/cinderstair/crier/crowd.py
@@ -8,7 +8,7 @@
 from ..pitch.ownermixin import OwnerMixin
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
-from .member import Member, Standing, readMember
+from .member import Member, Standing, read_member
 
 PROBE_EVERY_US = 300_000
 PROBE_WAIT_US = 250_000
@@ -30,22 +30,22 @@
         desk: Desk,
         me: Member,
         seeds: tuple[str, ...],
-        everyUs: int = PROBE_EVERY_US,
+        every_us: int = PROBE_EVERY_US,
     ) -> None:
         self.ctx = ctx
         # why: who asks seldom is not deaf because the last answer is some askings old
-        self.deafUs = max(DEAF_US, 4 * everyUs)
+        self.deaf_us = max(DEAF_US, 4 * every_us)
         self.me = me
         self.seeds = seeds
         self.members: dict[str, Member] = {}
-        self.sinceUs: dict[str, int] = {}
+        self.since_us: dict[str, int] = {}
         self.turn: list[str] = []
-        self.heardUs = ctx.nowUs()
-        self.openQueue()
+        self.heard_us = ctx.now_us()
+        self.open_queue()
         desk.open(kind=PROBE, answer=self._probed)
-        desk.open(kind=PROBE_FOR, answer=self._probedFor)
+        desk.open(kind=PROBE_FOR, answer=self._probed_for)
         self.post(command=self._tick, once="probe")
-        self.every(everyUs=everyUs, command=self._tick, name="probe")
+        self.every(every_us=every_us, command=self._tick, name="probe")
 
     def alive(self, *, role: str = "") -> list[Member]:
         """The others that are not known to be gone; suspects count as here until they are removed."""
@@ -67,7 +67,7 @@
         return packer.many(values=members, each=lambda p, m: m.write(packer=p)).bytes()
 
     def _hear(self, *, unpacker: Unpacker) -> None:
-        members = unpacker.many(each=lambda u: readMember(unpacker=u))
+        members = unpacker.many(each=lambda u: read_member(unpacker=u))
         unpacker.done()
         for member in members:
             # why: one that was cut off takes all the others for dead and says so when it is back; nobody is
@@ -87,7 +87,7 @@
             return
         if known is None or member.outranks(other=known):
             self.members[member.name] = member
-            self.sinceUs[member.name] = self.ctx.nowUs()
+            self.since_us[member.name] = self.ctx.now_us()
             if known is None or known.standing != member.standing:
                 self.ctx.log.info("member %s is %s", member.name, member.standing.name)
 
@@ -95,20 +95,20 @@
         self._hear(unpacker=unpacker)
         return self._news()
 
-    async def _probedFor(self, unpacker: Unpacker) -> bytes:
+    async def _probed_for(self, unpacker: Unpacker) -> bytes:
         address = unpacker.text()
         unpacker.done()
         # why: no answer means no; the asker is told nothing rather than a guess
-        if not await self._probe(address=address, waitUs=PROBE_WAIT_US):
+        if not await self._probe(address=address, wait_us=PROBE_WAIT_US):
             raise ValueError("not reached")
         return self._news()
 
-    async def _probe(self, *, address: str, waitUs: int) -> bool:
+    async def _probe(self, *, address: str, wait_us: int) -> bool:
         body = Packer().u8(value=PROBE).bytes() + self._news()
-        result = await self.ctx.parley.ask(address=address, body=body, waitUs=waitUs)
+        result = await self.ctx.parley.ask(address=address, body=body, wait_us=wait_us)
         if result.is_error():
             return False
-        self.heardUs = self.ctx.nowUs()
+        self.heard_us = self.ctx.now_us()
         try:
             self._hear(unpacker=Unpacker(data=result.ok))
         except ValueError:
@@ -121,25 +121,25 @@
         self.ctx.spawn(work=self._round(), name="probe.round")
 
     def _sweep(self) -> None:
-        nowUs = self.ctx.nowUs()
-        deaf = nowUs - self.heardUs > self.deafUs
+        now_us = self.ctx.now_us()
+        deaf = now_us - self.heard_us > self.deaf_us
         for name, member in list(self.members.items()):
-            ageUs = nowUs - self.sinceUs[name]
+            age_us = now_us - self.since_us[name]
             if member.standing == Standing.suspect and deaf:
                 # why: who has no answer from anyone is the one that is cut off; its suspicions start anew
-                self.sinceUs[name] = nowUs
-            elif member.standing == Standing.suspect and ageUs > SUSPECT_US:
+                self.since_us[name] = now_us
+            elif member.standing == Standing.suspect and age_us > SUSPECT_US:
                 self._take(member=replace(member, standing=Standing.dead))
                 self.ctx.counters.add(name="members.removed")
-            elif member.standing >= Standing.left and ageUs > FORGET_US:
-                del self.members[name], self.sinceUs[name]
+            elif member.standing >= Standing.left and age_us > FORGET_US:
+                del self.members[name], self.since_us[name]
 
     async def _round(self) -> None:
         # why: seeds are asked whenever nobody is known, and now and then, so that two halves find each other
         if not self.alive() or self.ctx.luck.random() < 0.05:
             others = [seed for seed in self.seeds if seed != self.me.records]
             if others:
-                await self._probe(address=self.ctx.luck.choice(others), waitUs=PROBE_WAIT_US)
+                await self._probe(address=self.ctx.luck.choice(others), wait_us=PROBE_WAIT_US)
         member = self._next()
         if member is not None:
             await self._check(member=member)
@@ -151,9 +151,9 @@
             await self._check(member=member)
 
     async def _check(self, *, member: Member) -> None:
-        if await self._probe(address=member.records, waitUs=PROBE_WAIT_US):
+        if await self._probe(address=member.records, wait_us=PROBE_WAIT_US):
             return
-        if await self._secondOpinion(member=member):
+        if await self._second_opinion(member=member):
             return
         current = self.members.get(member.name)
         # why: a member that has spoken since with a newer incarnation is not the one that was silent
@@ -169,13 +169,13 @@
             self.ctx.luck.shuffle(self.turn)
         return here[self.turn.pop()] if self.turn else None
 
-    async def _secondOpinion(self, *, member: Member) -> bool:
+    async def _second_opinion(self, *, member: Member) -> bool:
         others = [other for other in self.alive() if other.name != member.name]
         self.ctx.luck.shuffle(others)
         body = Packer().u8(value=PROBE_FOR).text(value=member.records).bytes()
         asks = [
             self.ctx.spawn(
-                work=self.ctx.parley.ask(address=other.records, body=body, waitUs=SECOND_WAIT_US),
+                work=self.ctx.parley.ask(address=other.records, body=body, wait_us=SECOND_WAIT_US),
                 name="second.opinion",
             )
             for other in others[:SECOND_OPINIONS]
@@ -189,4 +189,4 @@
         """Says goodbye to a few, so that a planned stop is never taken for a crash."""
         self.me = replace(self.me, standing=Standing.left, incarnation=self.me.incarnation + 1)
         for member in self.alive()[:4]:
-            await self._probe(address=member.records, waitUs=PROBE_WAIT_US)
+            await self._probe(address=member.records, wait_us=PROBE_WAIT_US)
--- a/src/cinderstair/crier/member.py
+++ b/src/cinderstair/crier/member.py
@@ -35,7 +35,7 @@
         packer.u64(value=self.incarnation).u8(value=self.standing)
 
 
-def readMember(*, unpacker: Unpacker) -> Member:
+def read_member(*, unpacker: Unpacker) -> Member:
     return Member(
         name=unpacker.text(),
         role=unpacker.text(),
--- a/src/cinderstair/crier/news.py
+++ b/src/cinderstair/crier/news.py
@@ -11,7 +11,7 @@
 from ..pitch.ownermixin import OwnerMixin
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
-from .beat import READY, readBeat
+from .beat import READY, read_beat
 from .crowd import Crowd
 
 PULL_EVERY_US = 250_000
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Heard(Generic[B]):
-    """A beat as one source heard it; `bornUs` is by the local clock, and never later than the truth."""
+    """A beat as one source heard it; `born_us` is by the local clock, and never later than the truth."""
 
     source: int
     version: int
     beat: B
-    bornUs: int
+    born_us: int
 
 
 class News(OwnerMixin, Generic[B]):
@@ -64,31 +64,31 @@
         ctx: Context,
         desk: Desk,
         crowd: Crowd,
-        read: Callable[[Unpacker], Any] = lambda unpacker: readBeat(unpacker=unpacker),
+        read: Callable[[Unpacker], Any] = lambda unpacker: read_beat(unpacker=unpacker),
         peers: Callable[[], list[str]] | None = None,
-        everyUs: int = PULL_EVERY_US,
-        quietUs: int = QUIET_US,
+        every_us: int = PULL_EVERY_US,
+        quiet_us: int = QUIET_US,
         pull_from: int = PULL_FROM,
     ) -> None:
         self.ctx = ctx
         self.crowd = crowd
         self.read = read
         self.peers = peers or self._stalls
-        self.quietUs = quietUs
+        self.quiet_us = quiet_us
         self.pull_from = pull_from
         self.source = ctx.luck.getrandbits(62) | 1
         self.version = 0
         self.heard: dict[tuple[int, str], Heard[B]] = {}
         self.best: dict[str, Heard[B]] = {}
-        self.startedUs = ctx.nowUs()
-        self.pulledUs = 0
-        self.tickedUs = ctx.nowUs()
-        self.stalledFromUs = 0
-        self.stalledUntilUs = 0
+        self.started_us = ctx.now_us()
+        self.pulled_us = 0
+        self.ticked_us = ctx.now_us()
+        self.stalled_from_us = 0
+        self.stalled_until_us = 0
         self.alone = True
-        self.openQueue()
+        self.open_queue()
         desk.open(kind=NEWS, answer=self._asked)
-        self.every(everyUs=everyUs, command=self._tick, name="pull")
+        self.every(every_us=every_us, command=self._tick, name="pull")
 
     def _stalls(self) -> list[str]:
         return [member.records for member in self.crowd.alive(role="stall")]
@@ -104,16 +104,16 @@
         if known is not None and beat.order <= known.beat.order:
             return
         self.version += 1
-        self._take(heard=Heard(source=self.source, version=self.version, beat=beat, bornUs=self._arrivedUs()))
+        self._take(heard=Heard(source=self.source, version=self.version, beat=beat, born_us=self._arrived_us()))
         self.ctx.counters.add(name="beats.heard")
 
-    def _arrivedUs(self) -> int:
+    def _arrived_us(self) -> int:
         """When, at the earliest, what is read now can have come in."""
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         # why: a process that stood still finds beats that have lain there since; they are as old as its standstill
-        if nowUs - self.tickedUs > STALLED_US:
-            return self.tickedUs
-        return self.stalledFromUs if nowUs < self.stalledUntilUs else nowUs
+        if now_us - self.ticked_us > STALLED_US:
+            return self.ticked_us
+        return self.stalled_from_us if now_us < self.stalled_until_us else now_us
 
     def _take(self, *, heard: Heard[B]) -> None:
         key = (heard.source, heard.beat.name)
@@ -121,7 +121,7 @@
         if known is None or heard.version > known.version:
             self.heard[key] = heard
         best = self.best.get(heard.beat.name)
-        if best is None or (heard.beat.order, heard.bornUs) > (best.beat.order, best.bornUs):
+        if best is None or (heard.beat.order, heard.born_us) > (best.beat.order, best.born_us):
             self.best[heard.beat.name] = heard
             if best is None or best.beat.state != heard.beat.state or best.beat.leads != heard.beat.leads:
                 self.ctx.log.info(
@@ -131,18 +131,18 @@
     def latest(self, *, name: str) -> Heard[B] | None:
         return self.best.get(name)
 
-    def ageUs(self, *, name: str) -> int:
+    def age_us(self, *, name: str) -> int:
         """How long ago, at the most, the backend's last known beat was; never heard counts as ever silent."""
         heard = self.best.get(name)
-        return 1 << 62 if heard is None else self.ctx.nowUs() - heard.bornUs
+        return 1 << 62 if heard is None else self.ctx.now_us() - heard.born_us
 
     @property
     def hearing(self) -> bool:
         """Whether other stalls' news come through here, or there are no other stalls."""
-        return self.alone or self.ctx.nowUs() - self.pulledUs < HEARING_US
+        return self.alone or self.ctx.now_us() - self.pulled_us < HEARING_US
 
     def quiet(self, *, name: str) -> bool:
-        return self.ageUs(name=name) > self.quietUs
+        return self.age_us(name=name) > self.quiet_us
 
     def fit(self, *, name: str) -> bool:
         """Ready by its own word, and heard from lately."""
@@ -158,22 +158,22 @@
     async def _asked(self, unpacker: Unpacker) -> bytes:
         vector = dict(unpacker.many(each=lambda u: (u.u64(), u.u64())))
         unpacker.done()
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         lacking = [heard for heard in self.heard.values() if heard.version > vector.get(heard.source, 0)]
 
         def each(packer: Packer, heard: Heard[B]) -> None:
-            packer.u64(value=heard.source).u64(value=heard.version).u64(value=nowUs - heard.bornUs)
+            packer.u64(value=heard.source).u64(value=heard.version).u64(value=now_us - heard.born_us)
             heard.beat.write(packer=packer)
 
         return Packer().many(values=lacking[:MOST_ENTRIES], each=each).bytes()
 
     def _tick(self) -> None:
-        nowUs = self.ctx.nowUs()
-        if nowUs - self.tickedUs > STALLED_US:
-            self.stalledFromUs, self.stalledUntilUs = self.tickedUs, nowUs + STALLED_US
-        self.tickedUs = nowUs
+        now_us = self.ctx.now_us()
+        if now_us - self.ticked_us > STALLED_US:
+            self.stalled_from_us, self.stalled_until_us = self.ticked_us, now_us + STALLED_US
+        self.ticked_us = now_us
         for key, heard in list(self.heard.items()):
-            if nowUs - heard.bornUs > FORGET_US:
+            if now_us - heard.born_us > FORGET_US:
                 del self.heard[key]
         peers = self.peers()
         self.alone = not peers
@@ -186,10 +186,10 @@
         await asyncio.gather(*(self._pull(address=address) for address in peers))
 
     async def _pull(self, *, address: str) -> None:
-        askedUs = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         packer = Packer().u8(value=NEWS)
         packer.many(values=self._vector().items(), each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
-        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), waitUs=PULL_WAIT_US)
+        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), wait_us=PULL_WAIT_US)
         if result.is_error():
             return
         try:
@@ -199,7 +199,7 @@
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
-        self.pulledUs = self.ctx.nowUs()
-        for source, version, ageUs, beat in entries:
+        self.pulled_us = self.ctx.now_us()
+        for source, version, age_us, beat in entries:
             # why: the answer may have lain anywhere since we asked, so its age counts from the asking
-            self._take(heard=Heard(source=source, version=version, beat=beat, bornUs=askedUs - ageUs))
+            self._take(heard=Heard(source=source, version=version, beat=beat, born_us=asked_us - age_us))
--- a/src/cinderstair/crier/relay_record.py
+++ b/src/cinderstair/crier/relay_record.py
@@ -5,7 +5,7 @@
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
 from ..steward.shard_state import Vote
-from ..vault.ballot import Ballot, readBallot
+from ..vault.ballot import Ballot, read_ballot
 from .announcement import Announcement, read_announcement
 from .pooled_sample import (
     PooledSample,
@@ -118,7 +118,7 @@
     """Raises ValueError where the bytes are none."""
     unpacker = Unpacker(data=data)
     source, edition, age_us, whole = unpacker.u64(), unpacker.u64(), unpacker.u64(), bool(unpacker.u8())
-    values = unpacker.many(each=lambda u: RelayedValue(key=u.text(), ballot=readBallot(unpacker=u), value=u.blob()))
+    values = unpacker.many(each=lambda u: RelayedValue(key=u.text(), ballot=read_ballot(unpacker=u), value=u.blob()))
     backends = unpacker.many(
         each=lambda u: RelayedBackend(announcement=read_announcement(unpacker=u), quiet=bool(u.u8()))
     )
--- a/src/cinderstair/fairground/__main__.py
+++ b/src/cinderstair/fairground/__main__.py
@@ -21,7 +21,7 @@
     return market.context()
 
 
-async def untilTold() -> None:
+async def until_told() -> None:
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     await stop.wait()
@@ -29,22 +29,22 @@
 
 async def backend(*, options: argparse.Namespace) -> None:
     ctx = context(name=options.name, site=options.site, folder=options.folder)
-    standIn = StandIn(
+    stand_in = StandIn(
         ctx=ctx,
         address=options.http,
         database=options.database,
         cap=options.cap,
         stalls=tuple(options.stalls.split(",")),
     )
-    await standIn.start()
-    await untilTold()
+    await stand_in.start()
+    await until_told()
 
 
 async def platform(*, options: argparse.Namespace) -> None:
     ctx = context(name="platform", site="", folder="")
-    standIn = StandInPlatform(ctx=ctx, address=options.http, backends=json.loads(options.backends))
-    await standIn.start()
-    await untilTold()
+    stand_in = StandInPlatform(ctx=ctx, address=options.http, backends=json.loads(options.backends))
+    await stand_in.start()
+    await until_told()
 
 
 async def fleet(*, options: argparse.Namespace) -> int:
@@ -52,10 +52,10 @@
     try:
         await world.begin()
         print(f"ready; operators may use --at {world.http(name='stall-0')}", flush=True)
-        forUs = options.seconds * 1_000_000
+        for_us = options.seconds * 1_000_000
         day = FleetDay(fleet=world, seed=options.seed)
-        meanwhile = (lambda: day.run(forUs=forUs)) if options.failures else None
-        report = await world.work(callers=options.callers, forUs=forUs, meanwhile=meanwhile)
+        meanwhile = (lambda: day.run(for_us=for_us)) if options.failures else None
+        report = await world.work(callers=options.callers, for_us=for_us, meanwhile=meanwhile)
         report["failures"] = dict(day.fallen)
         print(json.dumps(report, indent=1))
         return 1 if report["wrong"] else 0
--- a/src/cinderstair/fairground/backendtrials.py
+++ b/src/cinderstair/fairground/backendtrials.py
@@ -4,94 +4,94 @@
 from .world import World
 
 
-def answersLost(*, trial: Trial) -> None:
+def answers_lost(*, trial: Trial) -> None:
     """The primary runs jobs whose answers never arrive."""
-    trial.world.wires.loseAnswers[trial.primary] = 0.1
-    trial.go(forUs=8_000_000)
-    trial.world.wires.loseAnswers.clear()
-    trial.go(forUs=3_000_000)
+    trial.world.wires.lose_answers[trial.primary] = 0.1
+    trial.go(for_us=8_000_000)
+    trial.world.wires.lose_answers.clear()
+    trial.go(for_us=3_000_000)
 
 
-def answersGarbled(*, trial: Trial) -> None:
+def answers_garbled(*, trial: Trial) -> None:
     """Backends run jobs, and some of their answers, and of their words on their positions, can't be read."""
     world = trial.world
-    for name in world.backendNames():
-        world.wires.garbleAnswers[name] = 0.04
-    trial.go(forUs=8_000_000)
-    world.wires.garbleAnswers.clear()
+    for name in world.backend_names():
+        world.wires.garble_answers[name] = 0.04
+    trial.go(for_us=8_000_000)
+    world.wires.garble_answers.clear()
     trial.fault()
-    trial.go(forUs=14_000_000)
+    trial.go(for_us=14_000_000)
 
 
-def backendEmpties(*, trial: Trial) -> None:
+def backend_empties(*, trial: Trial) -> None:
     """A primary says that it is emptying, and later is there again; then a replica does."""
     world = trial.world
     for name in (trial.primary, trial.inSync[-1]):
         trial.fault()
         world.run(work=said(world=world, name=name, path="/empty"))
-        trial.go(forUs=11_000_000)
+        trial.go(for_us=11_000_000)
         world.run(work=said(world=world, name=name, path="/refill"))
-        trial.go(forUs=8_000_000)
+        trial.go(for_us=8_000_000)
 
 
 async def said(*, world: World, name: str, path: str) -> None:
     await world._ask(name=name, method="POST", path=path, body=b"{}")
 
 
-def beatsLost(*, trial: Trial) -> None:
+def beats_lost(*, trial: Trial) -> None:
     """The stall that heard a backend's word of emptying dies before it has told anyone."""
     world, name = trial.world, trial.inSync[0]
     trial.fault()
     world.run(work=said(world=world, name=name, path="/empty"))
-    trial.go(forUs=world.luck.randrange(100_000, 1_500_000))
-    heard = [n for n in world.stallNames if not world.stall(name=n).news.fit(name=name)]
+    trial.go(for_us=world.luck.randrange(100_000, 1_500_000))
+    heard = [n for n in world.stall_names if not world.stall(name=n).news.fit(name=name)]
     if heard:
         world.kill(name=heard[0])
-    trial.go(forUs=10_000_000)
+    trial.go(for_us=10_000_000)
     if heard:
         world.start(name=heard[0])
-    trial.go(forUs=6_000_000)
+    trial.go(for_us=6_000_000)
 
 
-def lateBeats(*, trial: Trial) -> None:
+def late_beats(*, trial: Trial) -> None:
     """A stall freezes with a backend's last beats on their way to it; the backend goes quiet; the stall thaws."""
     world, name = trial.world, trial.inSync[0]
-    frozen = [n for n in world.stallNames if n != trial.holder]
+    frozen = [n for n in world.stall_names if n != trial.holder]
     for each in frozen:
         world.freeze(name=each)
-    trial.go(forUs=2_500_000)
+    trial.go(for_us=2_500_000)
     world.backend(name=name).beating = False
-    trial.go(forUs=5_500_000)
+    trial.go(for_us=5_500_000)
     for each in frozen:
         world.thaw(name=each)
     trial.fault()
-    trial.go(forUs=6_000_000)
+    trial.go(for_us=6_000_000)
 
 
-def laggingReplica(*, trial: Trial) -> None:
+def lagging_replica(*, trial: Trial) -> None:
     """One replica receives at once and applies late; then the other does too."""
     world = trial.world
     replicas = list(trial.inSync)
     for name in replicas:
-        world.backend(name=name).applyUs = 3_500_000
-        trial.go(forUs=6_000_000)
+        world.backend(name=name).apply_us = 3_500_000
+        trial.go(for_us=6_000_000)
     for name in replicas:
-        world.backend(name=name).applyUs = 5_000
-    trial.go(forUs=5_000_000)
+        world.backend(name=name).apply_us = 5_000
+    trial.go(for_us=5_000_000)
 
 
-def slowBackend(*, trial: Trial) -> None:
+def slow_backend(*, trial: Trial) -> None:
     """A replica, then the primary, turns a hundred times slower."""
     world = trial.world
     for name in (trial.inSync[0], trial.primary):
-        world.backend(name=name).serviceUs = 200_000
-        trial.go(forUs=6_000_000)
-        world.backend(name=name).serviceUs = 2_000
+        world.backend(name=name).service_us = 200_000
+        trial.go(for_us=6_000_000)
+        world.backend(name=name).service_us = 2_000
     trial.fault()
-    trial.go(forUs=5_000_000)
+    trial.go(for_us=5_000_000)
 
 
-def backendsReplaced(*, trial: Trial) -> None:
+def backends_replaced(*, trial: Trial) -> None:
     """All backends of a database are replaced one by one by blank ones, the primary included."""
     world = trial.world
     trial.fault()
@@ -99,12 +99,12 @@
         gone, comes = f"db0-{old}", f"db0-{new}"
         world.listed["db0"] = [comes if name == gone else name for name in world.listed["db0"]]
         trial.submit(version=version)
-        trial.go(forUs=world.luck.randrange(100_000, 2_000_000))
+        trial.go(for_us=world.luck.randrange(100_000, 2_000_000))
         world.kill(name=gone)
 
-        def inPlace(comes: str = comes) -> bool:
+        def in_place(comes: str = comes) -> bool:
             leads = [world.stall(name=name).view.leads["db0"] for name in world.ups()]
             return all(comes in (lead.primary, *lead.inSync) and lead.state == "settled" for lead in leads)
 
-        world.awaitThat(test=inPlace, withinUs=25_000_000, what=f"{comes} is in sync")
-        trial.go(forUs=2_000_000)
+        world.await_that(test=in_place, within_us=25_000_000, what=f"{comes} is in sync")
+        trial.go(for_us=2_000_000)
--- a/src/cinderstair/fairground/blow.py
+++ b/src/cinderstair/fairground/blow.py
@@ -9,8 +9,8 @@
 
     number: int
     kind: str
-    atUs: int
-    lengthUs: int
+    at_us: int
+    length_us: int
 
     def __str__(self) -> str:
-        return f"{self.number}:{self.kind}@{self.atUs / 1_000_000:.1f}+{self.lengthUs / 1_000_000:.1f}"
+        return f"{self.number}:{self.kind}@{self.at_us / 1_000_000:.1f}+{self.length_us / 1_000_000:.1f}"
--- a/src/cinderstair/fairground/blows.py
+++ b/src/cinderstair/fairground/blows.py
@@ -21,24 +21,24 @@
 # ---- backends
 
 
-def backendKilled(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US)
+def backend_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def backendFrozen(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US)
+def backend_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def backendCut(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US)
+def backend_cut(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
     if not name:
         return None
     others = [other for other in day.world.addresses if other != name]
@@ -46,32 +46,32 @@
     return lambda: day.world.mend(name=name)
 
 
-def backendSlow(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US)
+def backend_slow(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
     if not name:
         return None
-    day.world.backend(name=name).serviceUs = 100_000
-    return lambda: setattr(day.world.backend(name=name), "serviceUs", 2_000)
+    day.world.backend(name=name).service_us = 100_000
+    return lambda: setattr(day.world.backend(name=name), "service_us", 2_000)
 
 
-def replicaDeaf(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US, primary=False)
+def replica_deaf(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US, primary=False)
     if not name:
         return None
     day.world.backend(name=name).deaf = True
     return lambda: setattr(day.world.backend(name=name), "deaf", False)
 
 
-def replicaLags(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs, primary=False)
+def replica_lags(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us, primary=False)
     if not name:
         return None
-    day.world.backend(name=name).applyUs = 3_000_000
-    return lambda: setattr(day.world.backend(name=name), "applyUs", 5_000)
+    day.world.backend(name=name).apply_us = 3_000_000
+    return lambda: setattr(day.world.backend(name=name), "apply_us", 5_000)
 
 
-def backendEmpties(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.backend(luck=luck, forUs=lengthUs + RESYNC_US)
+def backend_empties(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
     if not name:
         return None
 
@@ -82,12 +82,12 @@
     return lambda: say("/refill")
 
 
-def backendReplaced(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def backend_replaced(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """In order, or because it is gone for good; either way a blank one takes its place."""
-    name = day.backend(luck=luck, forUs=lengthUs + 3 * RESYNC_US)
+    name = day.backend(luck=luck, for_us=length_us + 3 * RESYNC_US)
     if not name:
         return None
-    database = day.world.databaseOf(name=name)
+    database = day.world.database_of(name=name)
     spare = next((n for n in day.world.databases[database] if n not in day.used), "")
     if not spare:
         return None
@@ -99,49 +99,49 @@
     return lambda: day.world.kill(name=name)
 
 
-def answersLost(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.trial.primaryOf(database=luck.choice(list(day.world.databases)))
-    day.world.wires.loseAnswers[name] = 0.1
-    return lambda: day.world.wires.loseAnswers.__setitem__(name, 0.0)
+def answers_lost(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.trial.primary_of(database=luck.choice(list(day.world.databases)))
+    day.world.wires.lose_answers[name] = 0.1
+    return lambda: day.world.wires.lose_answers.__setitem__(name, 0.0)
 
 
-def promotionsLost(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    day.world.wires.loseAnswers["platform"] = 0.7
-    return lambda: day.world.wires.loseAnswers.__setitem__("platform", 0.0)
+def promotions_lost(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    day.world.wires.lose_answers["platform"] = 0.7
+    return lambda: day.world.wires.lose_answers.__setitem__("platform", 0.0)
 
 
 # ---- stalls and clients
 
 
-def stallKilled(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.stall(luck=luck, forUs=lengthUs + 3_000_000)
+def stall_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def stallFrozen(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.stall(luck=luck, forUs=lengthUs + 3_000_000)
+def stall_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def stallCut(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def stall_cut(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """Cut off from all vaults, from all backends, or from everyone; its clients still reach it."""
-    name = day.stall(luck=luck, forUs=lengthUs + 3_000_000)
+    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
     if not name:
         return None
     everyone = [other for other in day.world.addresses if other != name]
-    day.world.cut(ones=[name], others=luck.choice([everyone, day.world.vaultNames, day.world.backendNames()]))
+    day.world.cut(ones=[name], others=luck.choice([everyone, day.world.vault_names, day.world.backend_names()]))
     return lambda: day.world.mend(name=name)
 
 
-def stallStopped(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def stall_stopped(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """A planned stop, by signal or by the platform's word; the machine comes back later."""
-    name = day.stall(luck=luck, forUs=lengthUs + 12_000_000)
+    name = day.stall(luck=luck, for_us=length_us + 12_000_000)
     if not name:
         return None
     if luck.random() < 0.5:
@@ -150,43 +150,43 @@
 
     def again() -> None:
         # why: it may still be waiting for its last clients, and only its own end frees its place
-        day.world.awaitThat(test=lambda: day.world.boots[name].dead, withinUs=12_000_000, what=f"{name} has ended")
+        day.world.await_that(test=lambda: day.world.boots[name].dead, within_us=12_000_000, what=f"{name} has ended")
         day.world.start(name=name)
 
     return again
 
 
-def settingsChanged(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def settings_changed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     for name in day.world.ups():
         stall = day.world.stall(name=name)
         stall.resettle(settings=replace(stall.settings, queueMost=luck.randrange(100, 300)))
     return nothing
 
 
-def clientsMove(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def clients_move(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     for caller in luck.sample(day.world.callers, len(day.world.callers) // 5):
         if not caller.once:
-            caller.moveOn()
+            caller.move_on()
     return nothing
 
 
-def channelsReset(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    backends = set(day.world.backendNames())
+def channels_reset(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    backends = set(day.world.backend_names())
     channels = [channel for channel in day.world.wires.channels if channel.server.name in backends]
     for channel in luck.sample(channels, len(channels) // 4):
         channel.reset()
     return nothing
 
 
-def crowd(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def crowd(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     database = luck.choice(list(day.world.databases))
     mine = [caller for caller in day.world.callers if caller.database == database and not caller.once]
     for caller in mine:
-        caller.thinkUs //= 6
+        caller.think_us //= 6
 
     def calm() -> None:
         for caller in mine:
-            caller.thinkUs *= 6
+            caller.think_us *= 6
 
     return calm
 
@@ -194,31 +194,31 @@
 # ---- vaults and operators
 
 
-def vaultKilled(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.vault(luck=luck, forUs=lengthUs + 5_000_000)
+def vault_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def vaultFrozen(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.vault(luck=luck, forUs=lengthUs + 5_000_000)
+def vault_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def vaultTorn(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
-    name = day.vault(luck=luck, forUs=lengthUs + 5_000_000)
+def vault_torn(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
     if not name:
         return None
-    day.world.disks[name].tearNext = True
+    day.world.disks[name].tear_next = True
     day.submit(luck=luck)
 
     def again() -> None:
-        day.world.disks[name].tearNext = False
+        day.world.disks[name].tear_next = False
         if name in day.world.halted:
             del day.world.halted[name]
             day.world.start(name=name)
@@ -226,9 +226,9 @@
     return again
 
 
-def vaultBlank(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def vault_blank(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """The disk of a machine is lost; it comes back blank."""
-    name = day.vault(luck=luck, forUs=lengthUs + 15_000_000)
+    name = day.vault(luck=luck, for_us=length_us + 15_000_000)
     if not name:
         return None
     day.world.kill(name=name)
@@ -236,7 +236,7 @@
     return lambda: day.world.start(name=name)
 
 
-def operators(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def operators(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """Two at once with the same version, an old one again, and a broken one."""
     world, version = day.world, day.next()
     bodies = [world.configuration(version=version, stalls={"stall-0": {"hall": each}}) for each in ("old", "new")]
@@ -263,15 +263,15 @@
     return nothing
 
 
-def hallMoved(*, day: Day, luck: random.Random, lengthUs: int) -> Undo | None:
+def hall_moved(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
     """A booked window over one backend of each database, leads among them, and two stalls."""
     world = day.world
     # why: one window a day, since its hall keeps its labels
     if day.windows:
         return None
     hall = [luck.choice(world.listed[database]) for database in world.databases]
-    day.old = (*hall, *luck.sample(world.stallNames, 2))
-    booked = [window(world=world, inUs=1_500_000, forUs=HALL_US + lengthUs)]
+    day.old = (*hall, *luck.sample(world.stall_names, 2))
+    booked = [window(world=world, in_us=1_500_000, for_us=HALL_US + length_us)]
     day.windows = booked
     day.submit(luck=luck)
 
@@ -282,42 +282,42 @@
 BLOWS: dict[str, Strike] = {
     each.__name__: each
     for each in (
-        backendKilled,
-        backendFrozen,
-        backendCut,
-        backendSlow,
-        replicaDeaf,
-        replicaLags,
-        backendEmpties,
-        backendReplaced,
-        answersLost,
-        promotionsLost,
-        stallKilled,
-        stallFrozen,
-        stallCut,
-        stallStopped,
-        settingsChanged,
-        clientsMove,
-        channelsReset,
+        backend_killed,
+        backend_frozen,
+        backend_cut,
+        backend_slow,
+        replica_deaf,
+        replica_lags,
+        backend_empties,
+        backend_replaced,
+        answers_lost,
+        promotions_lost,
+        stall_killed,
+        stall_frozen,
+        stall_cut,
+        stall_stopped,
+        settings_changed,
+        clients_move,
+        channels_reset,
         crowd,
-        vaultKilled,
-        vaultFrozen,
-        vaultTorn,
-        vaultBlank,
+        vault_killed,
+        vault_frozen,
+        vault_torn,
+        vault_blank,
         operators,
-        hallMoved,
+        hall_moved,
     )
 }
 
 
-def lastBlow(*, day: Day, luck: random.Random) -> None:
+def last_blow(*, day: Day, luck: random.Random) -> None:
     """The day's last fault: a primary and the holder of its duty, two vaults, or every machine at once."""
     world, kind = day.world, luck.choice(["leads", "vaults", "power"])
     if kind == "leads":
-        world.kill(name=day.trial.primaryOf(database=luck.choice(list(world.databases))))
+        world.kill(name=day.trial.primary_of(database=luck.choice(list(world.databases))))
         world.kill(name=day.trial.holder)
     elif kind == "vaults":
-        for name in luck.sample(world.vaultNames, 2):
+        for name in luck.sample(world.vault_names, 2):
             world.kill(name=name)
     else:
         names = [name for name in world.addresses if name != "platform" and not world.boots[name].dead]
--- a/src/cinderstair/fairground/caller.py
+++ b/src/cinderstair/fairground/caller.py
@@ -9,7 +9,7 @@
 from ..pitch.httpresponse import HttpResponse
 from ..pitch.net import Channel
 from .event import Event
-from .sent import Sent, sentAs
+from .sent import Sent, sent_as
 
 DIAL_WAIT_US = 500_000
 TIME_LEFT_US = 2_500_000
@@ -34,22 +34,22 @@
         stalls: list[str],
         database: str,
         history: list[Event],
-        thinkUs: int = 300_000,
+        think_us: int = 300_000,
         keys: int = 3,
-        untilUs: int = 1 << 62,
+        until_us: int = 1 << 62,
         once: bool = False,
-        timeLeftUs: int = TIME_LEFT_US,
+        time_left_us: int = TIME_LEFT_US,
         mix: dict[str, float] | None = None,
     ) -> None:
         self.ctx = ctx
         self.stalls = stalls
         self.database = database
         self.history = history
-        self.thinkUs = thinkUs
+        self.think_us = think_us
         self.keys = keys
-        self.untilUs = untilUs
+        self.until_us = until_us
         self.once = once
-        self.timeLeftUs = timeLeftUs
+        self.time_left_us = time_left_us
         self.mix = mix or MIX
         self.channel: Channel | None = None
         self.session = ""
@@ -57,26 +57,26 @@
         self.lives = 0
         self.stall = ""
         self.values: dict[str, str] = {}
-        self.looksAt = ""
+        self.looks_at = ""
         self.step = 0
-        self.sessionsLost = 0
+        self.sessions_lost = 0
         # why: each with its time, its handle, and whether it had been told that it stands on one stall
         self.losses: list[tuple[str, int, str, bool]] = []
         self.stands = 0
         self.closes = False
         self.stopped = False
         self.abandons = False
-        self.lookedFor = 0
+        self.looked_for = 0
         self.unreached = False
         self.sending = False
         self.sent: Counter[Sent] = Counter()
 
-    def moveOn(self) -> None:
+    def move_on(self) -> None:
         """Goes to the next stall, as a client does that has changed its site, and asks there for its session."""
         following = (self.stalls.index(self.stall) + 1) % len(self.stalls) if self.stall in self.stalls else 0
-        self._goTo(stall=self.stalls[following])
+        self._go_to(stall=self.stalls[following])
 
-    def _goTo(self, *, stall: str) -> None:
+    def _go_to(self, *, stall: str) -> None:
         # why: the channel goes to the stall that it was opened to, wherever the client goes
         if stall != self.stall and self.channel is not None and not self.sending:
             self.channel.close()
@@ -85,14 +85,14 @@
         self.stall = stall
 
     async def run(self) -> None:
-        while not self.stopped and self.ctx.nowUs() < self.untilUs:
+        while not self.stopped and self.ctx.now_us() < self.until_us:
             if not self.session and not await self._open():
-                await self.ctx.rest(waitUs=150_000 + self.ctx.luck.randrange(150_000))
+                await self.ctx.rest(wait_us=150_000 + self.ctx.luck.randrange(150_000))
                 continue
             await self._one()
             if self.once and self.session:
                 await self._close()
-            await self.ctx.rest(waitUs=self.ctx.luck.randrange(self.thinkUs // 2, self.thinkUs * 3 // 2))
+            await self.ctx.rest(wait_us=self.ctx.luck.randrange(self.think_us // 2, self.think_us * 3 // 2))
         if self.closes and self.session:
             await self._close()
 
@@ -100,21 +100,21 @@
 
     async def _send(self, *, event: Event, method: str, path: str, body: dict[str, Any]) -> HttpResponse | None:
         """One try and no more: a client that sends again by itself would break the rules it checks."""
-        event.lastUs = self.ctx.nowUs()
+        event.last_us = self.ctx.now_us()
         if self.channel is None or not self.channel.open:
             self.channel = None
-            dialled = await self.ctx.net.dial(address=self.stall, waitUs=DIAL_WAIT_US)
+            dialled = await self.ctx.net.dial(address=self.stall, wait_us=DIAL_WAIT_US)
             # why: a stall that isn't there has dropped nothing
             self.unreached = dialled.is_error()
             if dialled.is_error():
                 return None
             self.channel = dialled.ok
-            event.lastUs = self.ctx.nowUs()
+            event.last_us = self.ctx.now_us()
         self.unreached = False
-        data = json.dumps({**body, "timeLeftUs": self.timeLeftUs}).encode()
+        data = json.dumps({**body, "timeLeftUs": self.time_left_us}).encode()
         self.sending, event.stall = True, self.stall
-        result = await self.channel.passJob(
-            job=HttpJob(method=method, path=path, body=data), waitUs=self.timeLeftUs + 1_000_000
+        result = await self.channel.pass_job(
+            job=HttpJob(method=method, path=path, body=data), wait_us=self.time_left_us + 1_000_000
         )
         self.sending = False
         if result.is_error():
@@ -130,35 +130,35 @@
             verb=verb,
             key=key,
             tokens=tokens,
-            startUs=self.ctx.nowUs(),
-            timeLeftUs=self.timeLeftUs,
+            start_us=self.ctx.now_us(),
+            time_left_us=self.time_left_us,
             stall=self.stall,
         )
         self.history.append(event)
         return event
 
     def _note(self, *, event: Event, response: HttpResponse | None) -> str:
-        event.endUs = self.ctx.nowUs()
+        event.end_us = self.ctx.now_us()
         if response is None and self.unreached:
             event.outcome = "unreached"
         if response is not None:
             value = response.json()
             event.outcome, event.kind = value["outcome"], value.get("kind", "")
             event.rows = value.get("rows", [])
-            event.retryAfterUs = value.get("retryAfterUs")
-            event.retryAfterS = response.headers.get("Retry-After", "")
+            event.retry_after_us = value.get("retryAfterUs")
+            event.retry_after_s = response.headers.get("Retry-After", "")
             # why: the handle of a session may change; the newest one that was told counts
             self.session = value.get("session", self.session)
             self.stands = value.get("stands", self.stands)
         if event.kind == "sessionElsewhere" and response is not None:
-            self._goTo(stall=response.json()["elsewhere"][0])
+            self._go_to(stall=response.json()["elsewhere"][0])
             return event.outcome
         # why: its stall may be gone, or have handed the session on; any other stall knows where to
-        if response is None and self.lookedFor < len(self.stalls):
-            self.lookedFor += 1
-            self.moveOn()
+        if response is None and self.looked_for < len(self.stalls):
+            self.looked_for += 1
+            self.move_on()
             return event.outcome
-        self.lookedFor = 0
+        self.looked_for = 0
         # why: a session is gone only when its stall says so, or can't be asked any more
         if self.session and response is None and self.once:
             # why: it knows one stall only, so that it can't reach it says nothing of its session
@@ -168,24 +168,24 @@
         return event.outcome
 
     def _lose(self) -> None:
-        self.losses.append((self.life, self.ctx.nowUs(), self.session, self.stands < 2))
+        self.losses.append((self.life, self.ctx.now_us(), self.session, self.stands < 2))
         self.session = ""
-        self.sessionsLost += 1
+        self.sessions_lost += 1
 
     # ---- what a session keeps
 
     async def _open(self) -> bool:
         self.lives += 1
         self.life = f"{self.ctx.name}/{self.lives}"
-        self._goTo(stall=self.ctx.luck.choice(self.stalls))
+        self._go_to(stall=self.ctx.luck.choice(self.stalls))
         event = self._event(verb="open")
         response = await self._send(event=event, method="POST", path="/v1/sessions", body={"database": self.database})
         self._note(event=event, response=response)
         if response is None or response.status != 201:
             self.session = ""
             return False
-        self.values, self.looksAt = {}, ""
-        return await self._setValue()
+        self.values, self.looks_at = {}, ""
+        return await self._set_value()
 
     async def _keep(self, *, verb: str, path: str, body: dict[str, Any]) -> bool:
         """A change of what the session keeps, again until it is sure; a client may repeat what changes nothing."""
@@ -202,12 +202,12 @@
             unsure = unsure or outcome in ("unknown", "unanswered")
             if not unsure and event.kind not in AGAIN:
                 return False
-            await self.ctx.rest(waitUs=150_000)
+            await self.ctx.rest(wait_us=150_000)
         # why: a client that does not know what its session keeps can't go on with it
         self.session = ""
         return False
 
-    async def _setValue(self) -> bool:
+    async def _set_value(self) -> bool:
         value = f"{self.life}/{self.ctx.luck.getrandbits(32):08x}"
         kept = await self._keep(verb="values", path="values", body={"values": {"mine": value}})
         if kept:
@@ -220,20 +220,20 @@
     async def _prepare(self) -> None:
         key = self._key()
         if await self._keep(verb="prepare", path=f"prepared/{LOOK}", body={"text": f"list {key}"}):
-            self.looksAt = key
+            self.looks_at = key
 
     async def _close(self) -> None:
-        lost = self.sessionsLost
+        lost = self.sessions_lost
         for _ in range(6):
             event = self._event(verb="close")
             response = await self._send(event=event, method="DELETE", path=f"/v1/sessions/{self.session}", body={})
             self._note(event=event, response=response)
             if not self.session or event.kind not in AGAIN:
                 break
-            await self.ctx.rest(waitUs=event.retryAfterUs or 0)
+            await self.ctx.rest(wait_us=event.retry_after_us or 0)
         # why: who closes does not miss a session that is gone already
-        if self.sessionsLost > lost:
-            self.sessionsLost = lost
+        if self.sessions_lost > lost:
+            self.sessions_lost = lost
             self.losses.pop()
         self.session = ""
 
@@ -246,14 +246,14 @@
     async def _statement(
         self, *, event: Event, kind: str, text: str, params: tuple[str, ...] = (), prepared: str = ""
     ) -> HttpResponse | None:
-        self.sent[sentAs(kind=kind, text=text, params=list(params), values=self.values)] += 1
+        self.sent[sent_as(kind=kind, text=text, params=list(params), values=self.values)] += 1
         path = f"/v1/sessions/{self.session}/statements"
         body: dict[str, Any] = {"kind": kind, "params": list(params)}
         body |= {"prepared": prepared} if prepared else {"text": text}
         return await self._send(event=event, method="POST", path=path, body=body)
 
     def _key(self) -> str:
-        return f"k{self.ctx.nowUs() // KEY_EVERY_US}.{self.ctx.luck.randrange(self.keys)}"
+        return f"k{self.ctx.now_us() // KEY_EVERY_US}.{self.ctx.luck.randrange(self.keys)}"
 
     async def _one(self) -> None:
         key, drawn, verb = self._key(), self.ctx.luck.random(), ""
@@ -272,7 +272,7 @@
             event = self._event(verb="show", key=self.values["mine"])
             self._note(event=event, response=await self._statement(event=event, kind="primary", text="show mine"))
         elif drawn % 0.03 < 0.022:
-            await self._setValue()
+            await self._set_value()
         else:
             await self._prepare()
 
@@ -287,8 +287,8 @@
         self._note(event=event, response=response)
 
     async def _read(self, *, kind: str, key: str) -> None:
-        prepared = bool(self.looksAt) and self.ctx.luck.random() < 0.3
-        key = self.looksAt if prepared else key
+        prepared = bool(self.looks_at) and self.ctx.luck.random() < 0.3
+        key = self.looks_at if prepared else key
         event = self._event(verb=kind, key=key)
         response = await self._statement(
             event=event, kind=kind, text=f"list {key}", prepared=LOOK if prepared else ""
@@ -306,7 +306,7 @@
             self._note(event=event, response=response)
             if event.kind not in ("sessionElsewhere", "sessionSought"):
                 break
-            await self.ctx.rest(waitUs=event.retryAfterUs or 0)
+            await self.ctx.rest(wait_us=event.retry_after_us or 0)
         if event.outcome != "done" and event.kind not in ENDED:
             # why: a client that can't tell whether its transaction is over must not use the session again
             self.session = ""
@@ -328,7 +328,7 @@
                 return
         if self.abandons:
             # why: a client that died says nothing more, and its stall has to notice by itself
-            event.outcome, event.endUs, self.session, self.channel = "denied", self.ctx.nowUs(), "", None
+            event.outcome, event.end_us, self.session, self.channel = "denied", self.ctx.now_us(), "", None
             return
         path = f"/v1/sessions/{self.session}/commit"
         response = await self._send(event=event, method="POST", path=path, body={})
--- a/src/cinderstair/fairground/capacity/alone_child.py
+++ b/src/cinderstair/fairground/capacity/alone_child.py
@@ -123,9 +123,11 @@
         ctx = self._context(name="guildhall-0")
         desk = Desk(ctx=ctx)
         me = Member(name=ctx.name, role="vault", site="e1", records="127.0.0.1:1", http="", incarnation=1)
-        crowd = Crowd(ctx=ctx, desk=desk, me=me, seeds=("127.0.0.1:1",), everyUs=3_600_000_000)
-        news: News[Announcement] = News(ctx=ctx, desk=desk, crowd=crowd, everyUs=3_600_000_000, quietUs=3_600_000_000)
-        view = RegisterView(ctx=ctx, register=Register(ctx=ctx, seeds=()), everyUs=3_600_000_000)
+        crowd = Crowd(ctx=ctx, desk=desk, me=me, seeds=("127.0.0.1:1",), every_us=3_600_000_000)
+        news: News[Announcement] = News(
+            ctx=ctx, desk=desk, crowd=crowd, every_us=3_600_000_000, quiet_us=3_600_000_000
+        )
+        view = RegisterView(ctx=ctx, register=Register(ctx=ctx, seeds=()), every_us=3_600_000_000)
         relay = Relay(
             ctx=ctx,
             desk=desk,
@@ -135,10 +137,10 @@
             on_trouble=lambda name, booth: None,
             shorten=lambda key, value: value,
         )
-        now_us = ctx.nowUs()
+        now_us = ctx.now_us()
         announcements = announcements_of(databases=databases)
         for number, each in enumerate(announcements):
-            heard = Heard(source=number % sources + 1, version=number + 1, beat=each, bornUs=now_us)
+            heard = Heard(source=number % sources + 1, version=number + 1, beat=each, born_us=now_us)
             news._take(heard=heard)
         for entry in whole_answer(booths=booths, databases=databases, guildhalls=1).values:
             view.known[entry.key] = Found(ballot=entry.ballot, value=entry.value)
@@ -216,7 +218,7 @@
                 bad = 0
                 for _ in range(rounds):
                     # why: nobody pulls here, and the view must stay as current as it would be
-                    view.as_of_us = ctx.nowUs()
+                    view.as_of_us = ctx.now_us()
                     for statement in each:
                         bad += (await session.run(statement=statement)).fault is not None
                 return bad
@@ -269,7 +271,7 @@
         for name, text in (("read", b"FETCH price ticker=ACME"), ("write", b"PUT price ticker=ACME value=10.49")):
             began = time.process_time()
             for number in range(rounds):
-                booth.view.as_of_us = booth.ctx.nowUs()
+                booth.view.as_of_us = booth.ctx.now_us()
                 await asyncio.gather(
                     *(each.ask(b"ASK %d-%d %s\r\n" % (number, at, text)) for at, each in enumerate(crowd))
                 )
--- a/src/cinderstair/fairground/capacity/hollow_booth.py
+++ b/src/cinderstair/fairground/capacity/hollow_booth.py
@@ -44,7 +44,7 @@
         elif key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
             self._mark(key=f"lead {service} {view.leads[service].term}")
-        elif key == SLOTS_KEY and self.watched() and view.slots.idOf(name=self.watched()) is not None:
+        elif key == SLOTS_KEY and self.watched() and view.slots.id_of(name=self.watched()) is not None:
             self._mark(key=f"slot {self.watched()}")
 
     def _mark(self, *, key: str) -> None:
@@ -57,7 +57,7 @@
             view.plan is not None
             and len(view.leads) >= databases
             and len(view.backends) >= 3 * databases
-            and view.slots.idOf(name=self.name) is not None
+            and view.slots.id_of(name=self.name) is not None
         )
 
     def look(self) -> None:
--- a/src/cinderstair/fairground/capacity/measurement.py
+++ b/src/cinderstair/fairground/capacity/measurement.py
@@ -205,7 +205,7 @@
         written = await register.change(key=key, decide=always(value=lead.bytes()))
         if written.is_error():
             raise Unsettled(f"{key}: {written.error.why}")
-        return lead.term, self.system.ctx.nowUs()
+        return lead.term, self.system.ctx.now_us()
 
     async def _restarts(self, *, count: int) -> None:
         """Booths end without a word and begin anew under their names."""
@@ -234,7 +234,7 @@
         name = "booth-new"
         for host in self.system.hosts:
             await host.ask(do="watch", name=name)
-        began_us = self.system.ctx.nowUs()
+        began_us = self.system.ctx.now_us()
         await self.system.hosts[0].ask(do="open", booths=[[name, zone_of(number=3)]])
         self.system.places[name] = self.system.hosts[0]
         await self._known(keys=[f"slot {name}"], began_us=[began_us], what="new booth known")
--- a/src/cinderstair/fairground/capacity/metered_net.py
+++ b/src/cinderstair/fairground/capacity/metered_net.py
@@ -24,9 +24,9 @@
         self.records_in += 1
         self.bytes_in += len(body) + HEAD.size
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         self._sent(body=body)
-        result = await super().ask(address=address, body=body, waitUs=waitUs)
+        result = await super().ask(address=address, body=body, wait_us=wait_us)
         if result.is_ok():
             self._came(body=result.ok)
         return result
--- a/src/cinderstair/fairground/capacity/system.py
+++ b/src/cinderstair/fairground/capacity/system.py
@@ -10,7 +10,7 @@
 
 from ...pitch.nodisk import NoDisk
 from ...vault.register import Register
-from ..fleet import freePorts
+from ..fleet import free_ports
 from .beat_line import BeatLine
 from .child import metered_context
 from .naming import booth_name, operator_document, zone_of
@@ -40,7 +40,7 @@
         self.step = step
         self.seed = seed
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-capacity-"))
-        ports = freePorts(count=2 * step.guildhalls)
+        ports = free_ports(count=2 * step.guildhalls)
         self.records = [f"127.0.0.1:{port}" for port in ports[: step.guildhalls]]
         self.controls = [f"127.0.0.1:{port}" for port in ports[step.guildhalls :]]
         self.guildhalls = [self._guildhall(number=n, first_run=True) for n in range(step.guildhalls)]
@@ -113,7 +113,7 @@
         address = self.controls[0]
         host, _, port = address.rpartition(":")
         _, line = await asyncio.get_running_loop().create_connection(BeatLine, host, int(port))
-        began_us = self.ctx.nowUs()
+        began_us = self.ctx.now_us()
         try:
             async with asyncio.timeout(20):
                 status = await line.put(host=address, path="/cinderstair/settings", body=body)
@@ -122,7 +122,7 @@
                 line.transport.close()
         if status != 200:
             raise Unsettled(f"revision {self.revision} was answered {status}")
-        return began_us, self.ctx.nowUs()
+        return began_us, self.ctx.now_us()
 
     async def lead_all(self, *, within_s: float) -> float:
         """Backends begin to beat, and the holder of the duty finds out who leads."""
--- a/src/cinderstair/fairground/checks.py
+++ b/src/cinderstair/fairground/checks.py
@@ -39,12 +39,12 @@
     return [event for event in history if event.verb in WRITES]
 
 
-def kept(*, history: list[Event], final: dict[str, Any], movesUs: Iterable[int] = ()) -> Found:
+def kept(*, history: list[Event], final: dict[str, Any], moves_us: Iterable[int] = ()) -> Found:
     """Once at the most from one try; done is kept; denied is not; a transaction is whole or nothing."""
     wrong: list[str] = []
     chances: Counter[str] = Counter()
     counts: dict[str, int] = {}
-    lastMoveUs = max(movesUs, default=0)
+    last_move_us = max(moves_us, default=0)
     for values in final.values():
         for token in values if isinstance(values, list) else ():
             counts[token] = counts.get(token, 0) + 1
@@ -54,11 +54,11 @@
         chances["writes looked for"] += 1
         chances["unsure writes"] += event.outcome in ("unknown", "unanswered")
         chances["denied writes"] += event.outcome in ("denied", "cutOff")
-        chances["commits before a promotion"] += done and event.endUs < lastMoveUs
+        chances["commits before a promotion"] += done and event.end_us < last_move_us
         if max(found) > 1:
             wrong.append(f"twice from one try: {event.tokens}")
         if done and min(found) < 1:
-            wrong.append(f"acknowledged and lost: {event.tokens} at {event.endUs}")
+            wrong.append(f"acknowledged and lost: {event.tokens} at {event.end_us}")
         if event.outcome in ("denied", "unreached", "cutOff") and max(found) > 0:
             wrong.append(f"denied ({event.kind}) and kept: {event.tokens}")
         if min(found) != max(found):
@@ -72,15 +72,15 @@
     chances: Counter[str] = Counter()
     worst = {"primary": 0, "live": 0, "fresh": 0}
     bounds = {"primary": 0, "live": LIVE_US, "fresh": FRESH_US}
-    byKey: dict[str, list[Event]] = {}
+    by_key: dict[str, list[Event]] = {}
     for event in writes(history=history):
         if event.outcome == "done":
-            byKey.setdefault(event.key, []).append(event)
+            by_key.setdefault(event.key, []).append(event)
     for read in history:
         if read.verb not in bounds or read.outcome != "done":
             continue
         seen = set(read.rows)
-        before = [write for write in byKey.get(read.key, ()) if write.endUs < read.startUs]
+        before = [write for write in by_key.get(read.key, ()) if write.end_us < read.start_us]
         chances[f"{read.verb} reads after a commit"] += bool(before)
         chances["fresh reads after an own commit"] += read.verb == "fresh" and any(
             write.session == read.session for write in before
@@ -88,12 +88,12 @@
         for write in before:
             if seen.issuperset(write.tokens):
                 continue
-            ageUs = read.startUs - write.endUs
+            age_us = read.start_us - write.end_us
             own = read.verb == "fresh" and write.session == read.session
-            worst[read.verb] = max(worst[read.verb], ageUs)
-            if own or ageUs > bounds[read.verb]:
-                why = "its own session's" if own else f"{ageUs} us old"
-                wrong.append(f"{read.verb} read of {read.caller} at {read.startUs} missed {write.tokens}: {why}")
+            worst[read.verb] = max(worst[read.verb], age_us)
+            if own or age_us > bounds[read.verb]:
+                why = "its own session's" if own else f"{age_us} us old"
+                wrong.append(f"{read.verb} read of {read.caller} at {read.start_us} missed {write.tokens}: {why}")
     return wrong, worst, chances
 
 
@@ -118,42 +118,42 @@
     return wrong, Counter({"statements compared": sum(ran.values())})
 
 
-def late(*, history: list[Event], slackUs: int = 500_000) -> Found:
+def late(*, history: list[Event], slack_us: int = 500_000) -> Found:
     """Every answer came within the job's time left."""
     told = [event for event in history if event.outcome not in ("unanswered", "unreached", "cutOff")]
     wrong = [
-        f"{event.verb} of {event.caller} took {event.waitedUs} us"
+        f"{event.verb} of {event.caller} took {event.waited_us} us"
         for event in told
-        if event.waitedUs > event.timeLeftUs + slackUs
+        if event.waited_us > event.time_left_us + slack_us
     ]
     return wrong, Counter({"answers timed": len(told)})
 
 
-def denials(*, history: list[Event], slackUs: int = 0) -> Found:
+def denials(*, history: list[Event], slack_us: int = 0) -> Found:
     """A denial comes as soon as it is known, and says when to come back wherever the table promises it."""
     wrong: list[str] = []
     chances: Counter[str] = Counter()
     for event in history:
         if not event.kind:
             continue
-        promised = ANSWERS[Kind(event.kind)].retryAfterUs
+        promised = ANSWERS[Kind(event.kind)].retry_after_us
         chances["denials timed"] += event.kind in KNOWN_AT_ONCE or event.kind in KNOWN_IN_TIME
         if promised:
             chances["denials with when to come back"] += 1
             # why: the body says it exactly and the header in whole seconds, never less than the body
-            said = event.retryAfterUs is not None and event.retryAfterS.isdecimal()
-            if not said or int(event.retryAfterS) * 1_000_000 < (event.retryAfterUs or 0):
+            said = event.retry_after_us is not None and event.retry_after_s.isdecimal()
+            if not said or int(event.retry_after_s) * 1_000_000 < (event.retry_after_us or 0):
                 wrong.append(f"{event.kind} to {event.caller} without when to come back")
         bounds = [AT_ONCE_US] * (event.kind in KNOWN_AT_ONCE) + [GIVEN_UP_US] * (event.kind in KNOWN_IN_TIME)
-        if bounds and event.waitedUs > bounds[0] + slackUs:
-            wrong.append(f"{event.kind} to {event.caller} came only after {event.waitedUs} us")
+        if bounds and event.waited_us > bounds[0] + slack_us:
+            wrong.append(f"{event.kind} to {event.caller} came only after {event.waited_us} us")
     return wrong, chances
 
 
-def gapUs(*, history: Iterable[Event], fromUs: int, untilUs: int, verbs: tuple[str, ...]) -> int:
+def gap_us(*, history: Iterable[Event], from_us: int, until_us: int, verbs: tuple[str, ...]) -> int:
     """The longest time without a job of these verbs done."""
-    ends = sorted(e.endUs for e in history if e.outcome == "done" and e.verb in verbs)
-    marks = [fromUs, *(end for end in ends if fromUs <= end <= untilUs), untilUs]
+    ends = sorted(e.end_us for e in history if e.outcome == "done" and e.verb in verbs)
+    marks = [from_us, *(end for end in ends if from_us <= end <= until_us), until_us]
     return max(later - earlier for earlier, later in zip(marks, marks[1:], strict=False))
 
 
@@ -161,7 +161,7 @@
 
 
 def service(
-    *, history: list[Event], databases: Iterable[str], fromUs: int, untilUs: int
+    *, history: list[Event], databases: Iterable[str], from_us: int, until_us: int
 ) -> tuple[dict[str, int], Counter[str]]:
     """By database and kind of job, the longest time without one that was done."""
     gaps: dict[str, int] = {}
@@ -169,6 +169,6 @@
     for database in databases:
         mine = [event for event in history if event.database == database]
         for verb in SERVICES:
-            gaps[f"{database} {verb}"] = gapUs(history=mine, fromUs=fromUs, untilUs=untilUs, verbs=(verb,))
+            gaps[f"{database} {verb}"] = gap_us(history=mine, from_us=from_us, until_us=until_us, verbs=(verb,))
             chances["services that had to come back"] += 1
     return gaps, chances
--- a/src/cinderstair/fairground/copytrials.py
+++ b/src/cinderstair/fairground/copytrials.py
@@ -1,6 +1,6 @@
 """Sessions that outlive their stall: kills, freezes and cuts of the stall, of the second, or of both."""
 
-from .stalltrials import awaitEnd, awaitReady
+from .stalltrials import await_end, await_ready
 from .trial import SETTLE_US, Trial
 from .windowtrials import window
 
@@ -12,55 +12,55 @@
     for _ in range(times):
         for caller in trial.world.callers:
             if not caller.once:
-                caller.moveOn()
-        trial.go(forUs=1_000_000)
+                caller.move_on()
+        trial.go(for_us=1_000_000)
 
 
-def ownersKilled(*, trial: Trial) -> None:
+def owners_killed(*, trial: Trial) -> None:
     """Each stall in turn is killed among changes of what its sessions keep, and started again."""
     world = trial.world
-    for name in world.stallNames:
+    for name in world.stall_names:
         trial.fault()
         world.kill(name=name)
-        trial.go(forUs=world.luck.randrange(3_000_000, 7_000_000))
+        trial.go(for_us=world.luck.randrange(3_000_000, 7_000_000))
         world.start(name=name)
-        awaitReady(world=world, name=name)
-        trial.go(forUs=4_000_000)
-    trial.go(forUs=SETTLE_US)
+        await_ready(world=world, name=name)
+        trial.go(for_us=4_000_000)
+    trial.go(for_us=SETTLE_US)
 
 
-def ownersFrozen(*, trial: Trial) -> None:
+def owners_frozen(*, trial: Trial) -> None:
     """Each stall in turn stands still while its clients go on elsewhere, thaws, and is asked again by them."""
     world = trial.world
-    for name in world.stallNames:
+    for name in world.stall_names:
         world.freeze(name=name)
-        trial.go(forUs=AWAY_US)
+        trial.go(for_us=AWAY_US)
         world.thaw(name=name)
         moved(trial=trial, times=4)
     trial.fault()
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-def ownersCut(*, trial: Trial) -> None:
+def owners_cut(*, trial: Trial) -> None:
     """Each stall in turn is cut off from the other stalls alone; its clients go to them, and come back."""
     world = trial.world
-    for name in world.stallNames:
-        world.cut(ones=[name], others=[other for other in world.stallNames if other != name])
-        trial.go(forUs=2_000_000)
+    for name in world.stall_names:
+        world.cut(ones=[name], others=[other for other in world.stall_names if other != name])
+        trial.go(for_us=2_000_000)
         moved(trial=trial, times=3)
         world.heal()
         moved(trial=trial, times=3)
     trial.fault()
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-def ownerAndSecond(*, trial: Trial) -> None:
+def owner_and_second(*, trial: Trial) -> None:
     """A stall is killed, and the one that holds its copies is struck at some moment close to that."""
     world, luck = trial.world, trial.world.luck
-    owner, second = luck.sample(world.stallNames, 2)
+    owner, second = luck.sample(world.stall_names, 2)
     trial.fault()
     world.kill(name=owner)
-    trial.go(forUs=luck.randrange(0, 1_500_000))
+    trial.go(for_us=luck.randrange(0, 1_500_000))
     how = luck.choice(["kill", "freeze", "cut"])
     if how == "kill":
         world.kill(name=second)
@@ -68,56 +68,56 @@
         world.freeze(name=second)
     else:
         world.isolate(name=second)
-    trial.go(forUs=5_000_000)
+    trial.go(for_us=5_000_000)
     if how == "kill":
         world.start(name=second)
     elif how == "freeze":
         world.thaw(name=second)
     world.heal()
     world.start(name=owner)
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-def ownersStoppedAndKilled(*, trial: Trial) -> None:
+def owners_stopped_and_killed(*, trial: Trial) -> None:
     """While one stall hands its sessions on in order, or for a booked window, another is killed."""
     world, luck = trial.world, trial.world.luck
-    stops, dies = luck.sample(world.stallNames, 2)
+    stops, dies = luck.sample(world.stall_names, 2)
     trial.fault()
     if luck.random() < 0.5:
         world.stop(name=stops)
-        trial.go(forUs=luck.randrange(0, 400_000))
+        trial.go(for_us=luck.randrange(0, 400_000))
         world.kill(name=dies)
-        awaitEnd(world=world, name=stops)
+        await_end(world=world, name=stops)
         world.start(name=stops)
     else:
-        trial.submit(version=2, old=(stops,), windows=[window(world=world, inUs=300_000, forUs=12_000_000)])
-        trial.go(forUs=luck.randrange(300_000, 2_500_000))
+        trial.submit(version=2, old=(stops,), windows=[window(world=world, in_us=300_000, for_us=12_000_000)])
+        trial.go(for_us=luck.randrange(300_000, 2_500_000))
         world.kill(name=dies)
-    trial.go(forUs=4_000_000)
+    trial.go(for_us=4_000_000)
     world.start(name=dies)
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-def copiesForgotten(*, trial: Trial) -> None:
+def copies_forgotten(*, trial: Trial) -> None:
     """After a kill, a freeze and a hand-over all clients close their sessions; nothing of them is left anywhere."""
     world, luck = trial.world, trial.world.luck
-    killed, frozen, stopped = luck.sample(world.stallNames, 3)
+    killed, frozen, stopped = luck.sample(world.stall_names, 3)
     world.kill(name=killed)
-    trial.go(forUs=5_000_000)
+    trial.go(for_us=5_000_000)
     world.start(name=killed)
-    awaitReady(world=world, name=killed)
+    await_ready(world=world, name=killed)
     world.freeze(name=frozen)
-    trial.go(forUs=2_000_000)
+    trial.go(for_us=2_000_000)
     world.thaw(name=frozen)
     world.stop(name=stopped)
-    awaitEnd(world=world, name=stopped)
+    await_end(world=world, name=stopped)
     world.start(name=stopped)
-    trial.go(forUs=5_000_000)
+    trial.go(for_us=5_000_000)
     held = sum(len(world.stall(name=name).copies.held) for name in world.ups())
     trial.verdict.chances["copies held before the end"] += held
     for caller in world.callers:
         caller.closes = caller.stopped = True
-    trial.go(forUs=9_000_000)
+    trial.go(for_us=9_000_000)
     for name in world.ups():
         stall = world.stall(name=name)
         if stall.sessions.open or stall.copies.held:
--- a/src/cinderstair/fairground/day.py
+++ b/src/cinderstair/fairground/day.py
@@ -15,21 +15,21 @@
 class Place:
     """What one of the users calls usual."""
 
-    promotionUs: int
+    promotion_us: int
     # why: shares of writes, transactions and reads of each kind; trades and lineup locks, or claims and sign-offs
     mix: dict[str, float]
     callers: int = 123
-    thinkUs: int = 640_000
-    onceUs: int = 2_000_000
+    think_us: int = 640_000
+    once_us: int = 2_000_000
 
 
 PLACES = {
     "jamaica": Place(
-        promotionUs=1_000_000,
+        promotion_us=1_000_000,
         mix={"append": 0.25, "transaction": 0.12, "primary": 0.12, "live": 0.3, "fresh": 0.13},
     ),
     "thailand": Place(
-        promotionUs=550_000,
+        promotion_us=550_000,
         mix={"append": 0.3, "transaction": 0.06, "primary": 0.1, "live": 0.26, "fresh": 0.2},
     ),
 }
@@ -63,21 +63,21 @@
             status = self.trial.submit(version=version, at=at, old=self.old, windows=self.windows)
             if status in (200, 409):
                 return
-            self.world.advance(forUs=500_000)
+            self.world.advance(for_us=500_000)
 
     def _hurt(self, *, names: list[str]) -> list[str]:
-        return [name for name in names if self.harmed.get(name, 0) > self.world.nowUs]
+        return [name for name in names if self.harmed.get(name, 0) > self.world.now_us]
 
-    def backend(self, *, luck: random.Random, forUs: int, primary: bool | None = None) -> str:
+    def backend(self, *, luck: random.Random, for_us: int, primary: bool | None = None) -> str:
         """One to strike, a primary by preference; empty while each database has one that is not itself again."""
         whole = [database for database in self.world.databases if self._whole(database=database)]
         if not whole:
             return ""
         database = luck.choice(whole)
-        leader = self.trial.primaryOf(database=database)
+        leader = self.trial.primary_of(database=database)
         others = [name for name in self.world.listed[database] if name != leader]
         name = leader if primary is not False and luck.random() < 0.6 else luck.choice(others)
-        self.harmed[name] = self.world.nowUs + forUs
+        self.harmed[name] = self.world.now_us + for_us
         return name
 
     def _whole(self, *, database: str) -> bool:
@@ -88,21 +88,21 @@
         lead = max(leads, key=lambda each: each.term, default=None)
         return lead is not None and lead.state == "settled" and len(lead.inSync) >= 2
 
-    def stall(self, *, luck: random.Random, forUs: int) -> str:
+    def stall(self, *, luck: random.Random, for_us: int) -> str:
         """One to strike, the holder of the duty of leads by preference."""
         fit = [name for name in self.world.ups() if not self._hurt(names=[name])]
-        if len(self._hurt(names=self.world.stallNames)) >= MOST_STALLS or not fit:
+        if len(self._hurt(names=self.world.stall_names)) >= MOST_STALLS or not fit:
             return ""
         name = self.trial.holder if luck.random() < 0.4 and self.trial.holder in fit else luck.choice(fit)
-        self.harmed[name] = self.world.nowUs + forUs
+        self.harmed[name] = self.world.now_us + for_us
         return name
 
-    def vault(self, *, luck: random.Random, forUs: int) -> str:
-        hurt = self._hurt(names=self.world.vaultNames)
+    def vault(self, *, luck: random.Random, for_us: int) -> str:
+        hurt = self._hurt(names=self.world.vault_names)
         if len(hurt) >= MOST_VAULTS:
             return ""
-        name = luck.choice([name for name in self.world.vaultNames if name not in hurt])
-        self.harmed[name] = self.world.nowUs + forUs
+        name = luck.choice([name for name in self.world.vault_names if name not in hurt])
+        self.harmed[name] = self.world.now_us + for_us
         return name
 
 
@@ -112,8 +112,8 @@
     trial = begun(
         seed=seed,
         callers=usual.callers,
-        thinkUs=usual.thinkUs,
-        onceUs=usual.onceUs,
+        think_us=usual.think_us,
+        once_us=usual.once_us,
         stalls=9,
         databases=3,
         cap=64,
@@ -122,25 +122,25 @@
     )
     day = Day(trial=trial)
     world = day.world
-    world.things["platform"].promotionUs = usual.promotionUs
+    world.things["platform"].promotion_us = usual.promotion_us
     for database in world.databases:
         day.used |= set(world.listed[database])
     # why: one machine is slow from morning to night
-    world.wires.lagsUs[random.Random(f"slow/{seed}").choice(world.stallNames)] = 15_000
+    world.wires.lags_us[random.Random(f"slow/{seed}").choice(world.stall_names)] = 15_000
     return day
 
 
-def planned(*, place: str, seed: int, kinds: list[str], forUs: int, everyUs: int) -> list[Blow]:
+def planned(*, place: str, seed: int, kinds: list[str], for_us: int, every_us: int) -> list[Blow]:
     """The day's failures: each kind once before any twice, in an order drawn by the seed, overlapping."""
     luck = random.Random(f"day/{place}/{seed}")
     blows: list[Blow] = []
     turn: list[str] = []
-    atUs = 0
-    while atUs < forUs:
+    at_us = 0
+    while at_us < for_us:
         if not turn:
             turn = luck.sample(kinds, len(kinds))
         blows.append(
-            Blow(number=len(blows), kind=turn.pop(), atUs=atUs, lengthUs=luck.randrange(500_000, 12_000_000))
+            Blow(number=len(blows), kind=turn.pop(), at_us=at_us, length_us=luck.randrange(500_000, 12_000_000))
         )
-        atUs += luck.randrange(everyUs // 3, everyUs * 5 // 3)
+        at_us += luck.randrange(every_us // 3, every_us * 5 // 3)
     return blows
--- a/src/cinderstair/fairground/days.py
+++ b/src/cinderstair/fairground/days.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from .blow import Blow
-from .blows import BLOWS, Undo, lastBlow
+from .blows import BLOWS, Undo, last_blow
 from .day import PLACES, Day, opened, planned
 from .trial import SETTLE_US, Verdict
 from .trials import ALWAYS
@@ -26,20 +26,20 @@
 
 
 def plan(*, place: str, seed: int, whole: bool) -> list[Blow]:
-    forUs, everyUs = (WHOLE_US, WHOLE_EVERY_US) if whole else (SHORT_US, SHORT_EVERY_US)
-    return planned(place=place, seed=seed, kinds=list(BLOWS), forUs=forUs, everyUs=everyUs)
+    for_us, every_us = (WHOLE_US, WHOLE_EVERY_US) if whole else (SHORT_US, SHORT_EVERY_US)
+    return planned(place=place, seed=seed, kinds=list(BLOWS), for_us=for_us, every_us=every_us)
 
 
-def runDay(*, place: str, seed: int, blows: list[Blow]) -> Verdict:
+def run_day(*, place: str, seed: int, blows: list[Blow]) -> Verdict:
     day = opened(place=place, seed=seed)
     try:
         undone = _fall(day=day, blows=blows, seed=seed)
         for undo in undone:
             undo()
-        day.trial.go(forUs=6_000_000)
-        lastBlow(day=day, luck=random.Random(f"last/{seed}"))
+        day.trial.go(for_us=6_000_000)
+        last_blow(day=day, luck=random.Random(f"last/{seed}"))
         day.trial.fault()
-        day.trial.go(forUs=SETTLE_US)
+        day.trial.go(for_us=SETTLE_US)
         verdict = day.trial.judge()
         verdict.chances += day.fallen
         if blows:
@@ -54,26 +54,26 @@
 
 def _fall(*, day: Day, blows: list[Blow], seed: int) -> list[Undo]:
     """Lets each failure fall and end in its time; what is left to undo at the end of the day."""
-    startUs = day.world.nowUs
+    start_us = day.world.now_us
     ends: list[tuple[int, int, Undo]] = []
     for blow in blows:
-        _until(day=day, ends=ends, untilUs=startUs + blow.atUs)
+        _until(day=day, ends=ends, until_us=start_us + blow.at_us)
         luck = random.Random(f"blow/{seed}/{blow.number}")
-        undo = BLOWS[blow.kind](day=day, luck=luck, lengthUs=blow.lengthUs)
+        undo = BLOWS[blow.kind](day=day, luck=luck, length_us=blow.length_us)
         # why: with as many struck as must be survived the next one is spared, and is not counted as fallen
         if undo is not None:
             day.fallen[f"blow {blow.kind}"] += 1
-            heapq.heappush(ends, (day.world.nowUs + blow.lengthUs, blow.number, undo))
-    _until(day=day, ends=ends, untilUs=startUs + max((blow.atUs for blow in blows), default=0) + 2_000_000)
+            heapq.heappush(ends, (day.world.now_us + blow.length_us, blow.number, undo))
+    _until(day=day, ends=ends, until_us=start_us + max((blow.at_us for blow in blows), default=0) + 2_000_000)
     return [undo for _, _, undo in sorted(ends, key=lambda end: end[:2])]
 
 
-def _until(*, day: Day, ends: list[tuple[int, int, Undo]], untilUs: int) -> None:
-    while ends and ends[0][0] <= untilUs:
-        endUs, _, undo = heapq.heappop(ends)
-        day.trial.go(forUs=max(0, endUs - day.world.nowUs))
+def _until(*, day: Day, ends: list[tuple[int, int, Undo]], until_us: int) -> None:
+    while ends and ends[0][0] <= until_us:
+        end_us, _, undo = heapq.heappop(ends)
+        day.trial.go(for_us=max(0, end_us - day.world.now_us))
         undo()
-    day.trial.go(forUs=max(0, untilUs - day.world.nowUs))
+    day.trial.go(for_us=max(0, until_us - day.world.now_us))
 
 
 def shortest(*, blows: list[Blow], fails: Callable[[list[Blow]], bool]) -> list[Blow]:
@@ -95,7 +95,7 @@
 def one(task: tuple[str, int, bool]) -> tuple[str, int, Verdict]:
     place, seed, whole = task
     try:
-        return place, seed, runDay(place=place, seed=seed, blows=plan(place=place, seed=seed, whole=whole))
+        return place, seed, run_day(place=place, seed=seed, blows=plan(place=place, seed=seed, whole=whole))
     except Exception as error:  # noqa: BLE001
         # why: a day that breaks off is a failure to report with its seed, not the end of the sweep
         return place, seed, Verdict(wrong=[f"broke off: {error!r}"])
@@ -103,7 +103,7 @@
 
 def shrink(*, place: str, seed: int, whole: bool) -> int:
     blows = plan(place=place, seed=seed, whole=whole)
-    first = runDay(place=place, seed=seed, blows=blows).wrong
+    first = run_day(place=place, seed=seed, blows=blows).wrong
     if not first:
         print(f"{place} seed {seed} does not fail")
         return 0
@@ -111,7 +111,7 @@
     sign = first[0].split(" ")[0:2]
 
     def fails(rest: list[Blow]) -> bool:
-        wrong = runDay(place=place, seed=seed, blows=rest).wrong
+        wrong = run_day(place=place, seed=seed, blows=rest).wrong
         print(f"{len(rest)} failures: {wrong[:1]}", flush=True)
         return any(line.split(" ")[0:2] == sign for line in wrong)
 
@@ -141,7 +141,7 @@
     with multiprocessing.Pool(options.processes, maxtasksperchild=1) as pool:
         for place, seed, verdict in pool.imap_unordered(one, tasks):
             failed += bool(verdict.wrong)
-            worst = {key: round(us / 1_000_000, 2) for key, us in sorted(verdict.worstUs.items())}
+            worst = {key: round(us / 1_000_000, 2) for key, us in sorted(verdict.worst_us.items())}
             fallen = sum(count for name, count in verdict.chances.items() if name.startswith("blow "))
             print(
                 f"{place} seed {seed}: {verdict.jobs} jobs, {verdict.done} done, {verdict.unknown} unknown, "
--- a/src/cinderstair/fairground/event.py
+++ b/src/cinderstair/fairground/event.py
@@ -14,21 +14,21 @@
     database: str
     verb: str
     key: str
-    startUs: int
+    start_us: int
     tokens: tuple[str, ...] = ()
-    endUs: int = 0
+    end_us: int = 0
     outcome: str = "unanswered"
     kind: str = ""
     rows: list[Any] = field(default_factory=list)
     stall: str = ""
-    timeLeftUs: int = 0
+    time_left_us: int = 0
     # why: when to come back, as the body and the header say it; None where it was not said
-    retryAfterUs: int | None = None
-    retryAfterS: str = ""
+    retry_after_us: int | None = None
+    retry_after_s: str = ""
     # why: a transaction is several jobs; what it was told, it was told by its last one
-    lastUs: int = 0
+    last_us: int = 0
 
     @property
-    def waitedUs(self) -> int:
+    def waited_us(self) -> int:
         """How long the last answer took."""
-        return self.endUs - (self.lastUs or self.startUs)
+        return self.end_us - (self.last_us or self.start_us)
--- a/src/cinderstair/fairground/explorer/choice_net.py
+++ b/src/cinderstair/fairground/explorer/choice_net.py
@@ -21,7 +21,7 @@
         self.answer: RecordAnswer | None = None
         self.serving: set[asyncio.Task[Any]] = set()
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         self.number += 1
         number = self.number
         self.waiting[number] = asyncio.get_running_loop().create_future()
@@ -52,7 +52,7 @@
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         self.answer = answer
 
-    async def dial(self, *, address: str, waitUs: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
         raise NotImplementedError
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
--- a/src/cinderstair/fairground/explorer/client_actor.py
+++ b/src/cinderstair/fairground/explorer/client_actor.py
@@ -28,7 +28,7 @@
         super().__init__(recipe=recipe, name=name, rate=rate)
         self.register = Register(ctx=self.ctx, seeds=seeds)
         if roster is not None:
-            self.register.learnRoster(roster=roster)
+            self.register.learn_roster(roster=roster)
         self.todo = tuple(todo)
         self.done = 0
         self.busy = False
--- a/src/cinderstair/fairground/explorer/explorer_faults.py
+++ b/src/cinderstair/fairground/explorer/explorer_faults.py
@@ -15,8 +15,8 @@
 from ...vault.cell import Cell
 from ...vault.lease import Lease
 from ...vault.register import Register
-from ...vault.roster import Roster, Voter, readRoster
-from ...vault.store import cellEntry
+from ...vault.roster import Roster, Voter, read_roster
+from ...vault.store import cell_entry
 from ...vault.succession import Succession
 
 Patches = list[Any]
@@ -44,7 +44,7 @@
         if barred is not None:
             return barred, []
         self.held.cells[key] = cell = Cell(promised=ballot, accepted=ballot, value=value)
-        return self._cellAnswer(status=0, cell=cell), [cellEntry(key=key, cell=cell)]
+        return self._cell_answer(status=0, cell=cell), [cell_entry(key=key, cell=cell)]
 
     return [patch.object(Acceptor, "_accept", accept)]
 
@@ -80,7 +80,7 @@
     """A daemon seeks under the number that it gave back."""
 
     async def give_back(self: Any) -> None:
-        await self._ask(holder=self.holder, lengthUs=0)
+        await self._ask(holder=self.holder, length_us=0)
 
     return [patch.object(Lease, "_give_back", give_back)]
 
@@ -95,7 +95,7 @@
 
 
 async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
-    """As Register.changeRoster, without a look at how much changes and whether another change came first."""
+    """As Register.change_roster, without a look at how much changes and whether another change came first."""
     highest = await self.vector()
     for key in highest.ok if highest.is_ok() else ():
         kept = await self.change(key=key, decide=Ok)
@@ -105,21 +105,21 @@
     wanted = alter(current)
 
     def decide(data: bytes) -> Result[bytes, Fault]:
-        if data and readRoster(data=data).epoch != current.epoch:
+        if data and read_roster(data=data).epoch != current.epoch:
             return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
         return Ok(wanted.bytes())
 
     chosen = await self.change(key=ROSTER_KEY, decide=decide)
     if chosen.is_error():
         return Error(chosen.error)
-    self.learnRoster(roster=wanted)
-    await self.tellAll(roster=wanted)
+    self.learn_roster(roster=wanted)
+    await self.tell_all(roster=wanted)
     return Ok(wanted)
 
 
 def overtaken_goes_on() -> Patches:
     """A change of the roster goes on from one that came while it wrote the keys again."""
-    return [patch.object(Register, "changeRoster", change_blindly)]
+    return [patch.object(Register, "change_roster", change_blindly)]
 
 
 def old_cells_kept() -> Patches:
--- a/src/cinderstair/fairground/explorer/guard.py
+++ b/src/cinderstair/fairground/explorer/guard.py
@@ -6,7 +6,7 @@
 
 from ...vault.ballot import BLANK
 from ...vault.roster import Roster
-from ...vault.roster import readRoster as read_roster
+from ...vault.roster import read_roster as read_roster
 from .vault_actor import VaultFacts
 
 
--- a/src/cinderstair/fairground/explorer/roster_model.py
+++ b/src/cinderstair/fairground/explorer/roster_model.py
@@ -28,7 +28,7 @@
 
     async def operation(actor: ClientActor) -> Outcome:
         ident = voter_of(name=name).ident
-        result = await actor.register.changeRoster(alter=lambda current: without(roster=current, ident=ident))
+        result = await actor.register.change_roster(alter=lambda current: without(roster=current, ident=ident))
         return ("left" if result.is_ok() else str(result.error.kind), 0, "")
 
     return operation
--- a/src/cinderstair/fairground/explorer/seeker_actor.py
+++ b/src/cinderstair/fairground/explorer/seeker_actor.py
@@ -25,7 +25,7 @@
         self.lease = Lease(ctx=self.ctx, register=self.register, duty="duty")
 
     def more(self) -> Hashable:
-        return max(0, self.lease.untilUs - self.ctx.nowUs()), tuple(
+        return max(0, self.lease.until_us - self.ctx.now_us()), tuple(
             value for name, value in sorted(vars(self.lease).items()) if isinstance(value, int) and name[-2:] != "Us"
         )
 
--- a/src/cinderstair/fairground/explorer/stepped_loop.py
+++ b/src/cinderstair/fairground/explorer/stepped_loop.py
@@ -58,7 +58,7 @@
         self._scheduled.clear()
         self.close()
 
-    def _makeTask(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
+    def _make_task(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
         task = asyncio.Task(work, loop=loop, context=contextvars.copy_context() if context is None else context)
         # why: a process that is not needed any more is left where it stands, and that is no news
         task._log_destroy_pending = False  # type: ignore[attr-defined]
--- a/src/cinderstair/fairground/explorer/vault_actor.py
+++ b/src/cinderstair/fairground/explorer/vault_actor.py
@@ -9,7 +9,7 @@
 from ...vault.ballot import Ballot
 from ...vault.cell import Cell
 from ...vault.roster import Roster
-from ...vault.store import Store, cellEntry, identEntry, rosterEntry
+from ...vault.store import Store, cell_entry, ident_entry, roster_entry
 from ...vault.vault import Vault
 from ..simdisk import SimDisk
 from .actor import Actor
@@ -43,10 +43,10 @@
     """The disk of a vault that holds this."""
     disk = SimDisk(luck=random.Random(0))
     store = Store(disk=disk).open().ok
-    entries = [identEntry(ident=ident)]
+    entries = [ident_entry(ident=ident)]
     if roster is not None:
-        entries.append(rosterEntry(data=roster.bytes()))
-    entries += [cellEntry(key=key, cell=cell) for key, cell in sorted((cells or {}).items())]
+        entries.append(roster_entry(data=roster.bytes()))
+    entries += [cell_entry(key=key, cell=cell) for key, cell in sorted((cells or {}).items())]
     store.save(entries=entries)
     return tuple(sorted(disk.files.items()))
 
@@ -71,7 +71,7 @@
         assert opened.is_ok(), opened
         assert self.vault.acceptor is not None
         if self.up_for_long:
-            self.vault.acceptor.grantsFromUs = 0
+            self.vault.acceptor.grants_from_us = 0
         self.vault.crowd = EmptyCrowd()  # type: ignore[assignment]
         self.net.answer = self.vault.desk.answer
         if self.enters:
@@ -83,7 +83,7 @@
         # why: while it asks or syncs, how far its tasks have come is known by its history alone
         if self.enters or self.disk.syncing is not None or self.net.serving or self.net.waiting:
             return None
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         leases = [
             (duty, holder, until_us - now_us)
             for duty, (holder, until_us) in sorted(acceptor.leases.items())
@@ -95,7 +95,7 @@
             held.roster,
             tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in held.cells.items())),
             tuple(leases),
-            max(0, acceptor.grantsFromUs - now_us),
+            max(0, acceptor.grants_from_us - now_us),
             acceptor.halted,
             tuple(sorted((voter.name, voter.ident) for voter in self.vault.strangers.values())),
         )
--- a/src/cinderstair/fairground/faults.feature
+++ b/src/cinderstair/fairground/faults.feature
@@ -7,35 +7,35 @@
 
     Examples:
       | fault             | trial            | seed | words                   |
-      | ackAtOnce         | primaryCut       | 2    | acknowledged and lost   |
-      | viewForever       | primaryCut       | 1    | primary read            |
-      | promoteAtOnce     | overrideUnderCut | 8    | primary read            |
-      | sendAgain         | answersLost      | 1    | twice from one try      |
-      | sayNothingKept    | answersLost      | 1    | and kept                |
-      | anyAge            | laggingReplica   | 1    | live read               |
-      | deafToEmptying    | backendEmpties   | 1    | asked after emptying    |
-      | noVersions        | configurations   | 1    | an old version          |
-      | forgetfulVault    | vaultsTurned     | 1    | read back               |
-      | leaveTransactions | clientsVanish    | 1    | another's transaction   |
-      | otherText         | stallKilled      | 1    | nobody sent             |
-      | mixedValues       | stallKilled      | 1    | was shown               |
-      | deafToWindows     | hallMoved        | 1    | still in the old hall   |
-      | loseSessions      | hallMoved        | 1    | sessions were lost      |
-      | newestAlways      | upgradedInTurn   | 1    | is ready                |
-      | neverMove         | primaryKilled    | 1    | service not back        |
-      | forgetFloor       | laggingReplica   | 1    | its own session's       |
-      | takeAnything      | configurations   | 1    | a broken configuration  |
-      | olderAgain        | configurations   | 1    | fell back from          |
-      | alteredReadBack   | vaultsTurned     | 1    | read back               |
-      | deafToQuiet       | primaryFrozen    | 1    | asked after going quiet |
-      | heldDenials       | primaryKilled    | 1    | came only after         |
-      | noRetryAfter      | primaryKilled    | 1    | without when to come    |
-      | dropAtStop        | stallsStopped    | 2    | was dropped by          |
-      | otherParams       | stallKilled      | 1    | nobody sent             |
-      | losePrepared      | stallsStopped    | 1    | lost what it had        |
-      | neverGiveUp       | primaryMuted     | 6    | came only after         |
-      | wholeCap          | capHeld          | 1    | was given               |
-      | noCopies          | stallKilled      | 1    | sessions were lost      |
-      | anyHandle         | ownersFrozen     | 1    | was shown               |
-      | keepCopies        | copiesForgotten  | 1    | still holds             |
-      | openAll           | hallMoved        | 1    | a storm after           |
+      | ack_at_once         | primary_cut       | 2    | acknowledged and lost   |
+      | view_forever       | primary_cut       | 1    | primary read            |
+      | promote_at_once     | override_under_cut | 8    | primary read            |
+      | send_again         | answers_lost      | 1    | twice from one try      |
+      | say_nothing_kept    | answers_lost      | 1    | and kept                |
+      | any_age            | lagging_replica   | 1    | live read               |
+      | deaf_to_emptying    | backend_empties   | 1    | asked after emptying    |
+      | no_versions        | configurations   | 1    | an old version          |
+      | forgetful_vault    | vaults_turned     | 1    | read back               |
+      | leave_transactions | clients_vanish    | 1    | another's transaction   |
+      | other_text         | stall_killed      | 1    | nobody sent             |
+      | mixed_values       | stall_killed      | 1    | was shown               |
+      | deaf_to_windows     | hall_moved        | 1    | still in the old hall   |
+      | lose_sessions      | hall_moved        | 1    | sessions were lost      |
+      | newest_always      | upgraded_in_turn   | 1    | is ready                |
+      | never_move         | primary_killed    | 1    | service not back        |
+      | forget_floor       | lagging_replica   | 1    | its own session's       |
+      | take_anything      | configurations   | 1    | a broken configuration  |
+      | older_again        | configurations   | 1    | fell back from          |
+      | altered_read_back   | vaults_turned     | 1    | read back               |
+      | deaf_to_quiet       | primary_frozen    | 1    | asked after going quiet |
+      | held_denials       | primary_killed    | 1    | came only after         |
+      | no_retry_after      | primary_killed    | 1    | without when to come    |
+      | drop_at_stop        | stalls_stopped    | 2    | was dropped by          |
+      | other_params       | stall_killed      | 1    | nobody sent             |
+      | lose_prepared      | stalls_stopped    | 1    | lost what it had        |
+      | never_give_up       | primary_muted     | 6    | came only after         |
+      | whole_cap          | cap_held          | 1    | was given               |
+      | no_copies          | stall_killed      | 1    | sessions were lost      |
+      | any_handle         | owners_frozen     | 1    | was shown               |
+      | keep_copies        | copies_forgotten  | 1    | still holds             |
+      | open_all           | hall_moved        | 1    | a storm after           |
