--- a/src/cinderstair/fairground/faults.py
+++ b/src/cinderstair/fairground/faults.py
@@ -21,7 +21,7 @@
 from ..stall.filters import sessionfilter
 from ..stall.filters.keepfilter import KeepFilter
 from ..stall.filters.passfilter import PassFilter
-from ..stall.handle import Handle, Tag, readHandle
+from ..stall.handle import Handle, Tag, read_handle
 from ..stall.handover import Handover
 from ..stall.keeper import Keeper
 from ..stall.ledgerbook import LedgerBook
@@ -38,7 +38,7 @@
 Patches = list[Any]
 
 
-def ackAtOnce() -> Patches:
+def ack_at_once() -> Patches:
     """A commit is acknowledged as soon as the primary has it."""
 
     async def durable(self: Any, **_: Any) -> bool:
@@ -47,17 +47,17 @@
     return [patch.object(LedgerBook, "durable", durable)]
 
 
-def viewForever() -> Patches:
+def view_forever() -> Patches:
     """A view counts as current for ever."""
     return [patch.object(View, "current", property(lambda self: True))]
 
 
-def promoteAtOnce() -> Patches:
+def promote_at_once() -> Patches:
     """A new lead is settled without outwaiting older views."""
     return [patch.object(leadduty, "VIEW_MARGIN_US", -60_000_000)]
 
 
-def sendAgain() -> Patches:
+def send_again() -> Patches:
     """A write whose answer was lost is sent again."""
 
     def unknown(self: Any, *, why: str) -> Any:
@@ -66,7 +66,7 @@
     return [patch.object(PassFilter, "_unknown", unknown)]
 
 
-def sayNothingKept() -> Patches:
+def say_nothing_kept() -> Patches:
     """An unknown outcome is told as if nothing had been kept."""
 
     def unknown(self: Any, *, why: str) -> Any:
@@ -75,34 +75,34 @@
     return [patch.object(PassFilter, "_unknown", unknown)]
 
 
-def anyAge() -> Patches:
+def any_age() -> Patches:
     """A replica's answer is taken however old it is."""
     return [patch.object(Samples, "floor", lambda self, **_: 0)]
 
 
-def deafToEmptying() -> Patches:
+def deaf_to_emptying() -> Patches:
     """A backend's word that it is emptying is not heeded."""
     return [patch.object(News, "fit", lambda self, *, name: not self.quiet(name=name))]
 
 
-def noVersions() -> Patches:
+def no_versions() -> Patches:
     """A configuration is written whatever stands."""
 
     class Anything(chancery.Chancery):
         async def submit(self, *, raw: bytes) -> Any:
-            checked = chancery.checkCharter(raw=raw)
+            checked = chancery.check_charter(raw=raw)
             found = await self.register.change(key=chancery.CHARTER_KEY, decide=lambda _: Ok(raw))
             return Ok((checked.ok, found.ok)) if checked.is_ok() and found.is_ok() else checked
 
     return [patch.object(chancery.Chancery, "submit", Anything.submit)]
 
 
-def forgetfulVault() -> Patches:
+def forgetful_vault() -> Patches:
     """A vault answers without having saved anything."""
     return [patch.object(Store, "save", lambda self, *, entries: None)]
 
 
-def leaveTransactions() -> Patches:
+def leave_transactions() -> Patches:
     """An abandoned transaction's channel goes back to the pool as it is."""
 
     def abandon(self: Any, *, session: Any) -> None:
@@ -113,19 +113,19 @@
     return [patch.object(Sessions, "abandon", abandon)]
 
 
-def otherText() -> Patches:
+def other_text() -> Patches:
     """The text of a statement is changed on its way."""
-    original = PassMixin.passTo
+    original = PassMixin.pass_to
 
-    async def passTo(self: Any, *, job: Any, **rest: Any) -> Any:
+    async def pass_to(self: Any, *, job: Any, **rest: Any) -> Any:
         if job.body.get("text", "").startswith("list"):
             job.body["text"] = job.body["text"] + " "
         return await original(self, job=job, **rest)
 
-    return [patch.object(PassMixin, "passTo", passTo)]
+    return [patch.object(PassMixin, "pass_to", pass_to)]
 
 
-def mixedValues() -> Patches:
+def mixed_values() -> Patches:
     """Sessions share one set of values."""
     shared: dict[str, Any] = {}
     original = KeepFilter._change
@@ -137,42 +137,42 @@
     return [patch.object(KeepFilter, "_change", change)]
 
 
-def deafToWindows() -> Patches:
+def deaf_to_windows() -> Patches:
     """Open windows select nothing."""
     return [patch.object(view, "leaving", lambda **_: Leaving())]
 
 
-def loseSessions() -> Patches:
+def lose_sessions() -> Patches:
     """A stall that must stand empty forgets its sessions instead of handing them on."""
 
-    async def handAll(self: Any) -> int:
+    async def hand_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
     # why: their copies would bring them back
-    return [*noCopies(), patch.object(Handover, "handAll", handAll)]
+    return [*no_copies(), patch.object(Handover, "hand_all", hand_all)]
 
 
-def newestAlways() -> Patches:
+def newest_always() -> Patches:
     """The newest version of the records is spoken with everyone, whatever they understand."""
     return [patch.object(Parley, "version", lambda self, *, address: self.ctx.speech.highest)]
 
 
-def neverMove() -> Patches:
+def never_move() -> Patches:
     """No reason is good enough to move a lead."""
 
-    async def mustMove(self: Any, **_: Any) -> str:
+    async def must_move(self: Any, **_: Any) -> str:
         return ""
 
-    return [patch.object(leadduty.LeadDuty, "_mustMove", mustMove)]
+    return [patch.object(leadduty.LeadDuty, "_must_move", must_move)]
 
 
-def forgetFloor() -> Patches:
+def forget_floor() -> Patches:
     """A session's own commits are not remembered for its reads."""
     return [patch.object(Session, "floor", property(lambda self: 0, lambda self, value: None))]
 
 
-def takeAnything() -> Patches:
+def take_anything() -> Patches:
     """A configuration is accepted whatever it says."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
@@ -182,18 +182,18 @@
     return [patch.object(chancery.Chancery, "submit", submit)]
 
 
-def olderAgain() -> Patches:
+def older_again() -> Patches:
     """An older configuration is written over a newer one, and comes into force."""
-    original = View._applyCharter
+    original = View._apply_charter
 
     def apply(self: Any, *, raw: bytes) -> bool:
         self.charter = None
         return original(self, raw=raw)
 
-    return [*noVersions(), patch.object(View, "_applyCharter", apply)]
+    return [*no_versions(), patch.object(View, "_apply_charter", apply)]
 
 
-def alteredReadBack() -> Patches:
+def altered_read_back() -> Patches:
     """A configuration is given back as this code would write it, and not as it came."""
     original = chancery.Chancery.fetch
 
@@ -204,7 +204,7 @@
     return [patch.object(chancery.Chancery, "fetch", fetch)]
 
 
-def deafToQuiet() -> Patches:
+def deaf_to_quiet() -> Patches:
     """Nobody is ever held to have fallen silent."""
     return [
         patch.object(News, "quiet", lambda self, *, name: False),
@@ -212,20 +212,20 @@
     ]
 
 
-def heldDenials() -> Patches:
+def held_denials() -> Patches:
     """A denial is held back until the job's time is nearly up."""
     original = Stall.answer
 
     async def answer(self: Any, http: Any) -> Any:
         response = await original(self, http)
         if response.status >= 400 and http.body:
-            await self.ctx.rest(waitUs=json.loads(http.body).get("timeLeftUs", 0) * 9 // 10)
+            await self.ctx.rest(wait_us=json.loads(http.body).get("timeLeftUs", 0) * 9 // 10)
         return response
 
     return [patch.object(Stall, "answer", answer)]
 
 
-def noRetryAfter() -> Patches:
+def no_retry_after() -> Patches:
     """A denial does not say when to come back."""
     original = DenyMixin.deny
 
@@ -236,7 +236,7 @@
     return [patch.object(DenyMixin, "deny", deny)]
 
 
-def dropAtStop() -> Patches:
+def drop_at_stop() -> Patches:
     """A stall that is told to stop just ends."""
 
     async def drain(self: Any) -> None:
@@ -245,19 +245,19 @@
     return [patch.object(Stall, "drain", drain)]
 
 
-def otherParams() -> Patches:
+def other_params() -> Patches:
     """The parameters of a statement are changed on their way."""
-    original = PassMixin.passTo
+    original = PassMixin.pass_to
 
-    async def passTo(self: Any, *, job: Any, **rest: Any) -> Any:
+    async def pass_to(self: Any, *, job: Any, **rest: Any) -> Any:
         if job.body.get("params"):
             job.body["params"] = [str(each).upper() for each in job.body["params"]]
         return await original(self, job=job, **rest)
 
-    return [patch.object(PassMixin, "passTo", passTo)]
+    return [patch.object(PassMixin, "pass_to", pass_to)]
 
 
-def losePrepared() -> Patches:
+def lose_prepared() -> Patches:
     """A session is handed on without what it has prepared."""
     original = Handover._hand
 
@@ -268,20 +268,20 @@
     return [patch.object(Handover, "_hand", hand)]
 
 
-def neverGiveUp() -> Patches:
+def never_give_up() -> Patches:
     """What waits for a backend waits until its time is up, whatever has become of that backend."""
-    return [patch.object(Pool, "giveUp", lambda self: None)]
+    return [patch.object(Pool, "give_up", lambda self: None)]
 
 
-def wholeCap() -> Patches:
+def whole_cap() -> Patches:
     """Every stall takes the whole of a backend's cap for itself."""
-    return [patch.object(yard, "allotment", lambda *, cap, userIds, stallId: cap)]
+    return [patch.object(yard, "allotment", lambda *, cap, user_ids, stall_id: cap)]
 
 
-def noCopies() -> Patches:
+def no_copies() -> Patches:
     """A change is answered as if it stood at a second stall, and stands at none."""
 
-    async def keep(self: Any, *, session: Any, untilUs: int) -> bool:
+    async def keep(self: Any, *, session: Any, until_us: int) -> bool:
         session.second = "nobody"
         return True
 
@@ -300,16 +300,16 @@
     __hash__ = Tag.__hash__
 
 
-def anyHandle() -> Patches:
+def any_handle() -> Patches:
     """A session or a copy is served to whoever knows its name, however old it is."""
 
     def read(*, text: str) -> Handle:
-        return Handle(readHandle(text=text).ident, AnyTag(0, ""))
+        return Handle(read_handle(text=text).ident, AnyTag(0, ""))
 
-    return [patch.object(sessionfilter, "readHandle", read)]
+    return [patch.object(sessionfilter, "read_handle", read)]
 
 
-def keepCopies() -> Patches:
+def keep_copies() -> Patches:
     """Nobody is told that a copy can be forgotten."""
 
     async def ask(self: Any, **_: Any) -> None:
@@ -318,12 +318,12 @@
     return [patch.object(Keeper, "forget", lambda self, **_: None), patch.object(Keeper, "_ask", ask)]
 
 
-def openAll() -> Patches:
+def open_all() -> Patches:
     """A pool that may grow opens all its channels at once."""
     original = Pool.resize
 
     async def fill(*, pool: Pool) -> None:
-        for taken in [await pool.take(waitUs=1_000_000, gauge=True) for _ in range(pool.limit - pool.open)]:
+        for taken in [await pool.take(wait_us=1_000_000, gauge=True) for _ in range(pool.limit - pool.open)]:
             if taken.is_ok():
                 pool.give(channel=taken.ok)
 
@@ -338,44 +338,44 @@
 FAULTS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
-        ackAtOnce,
-        viewForever,
-        promoteAtOnce,
-        sendAgain,
-        sayNothingKept,
-        anyAge,
-        deafToEmptying,
-        noVersions,
-        forgetfulVault,
-        leaveTransactions,
-        otherText,
-        mixedValues,
-        deafToWindows,
-        loseSessions,
-        newestAlways,
-        neverMove,
-        forgetFloor,
-        takeAnything,
-        olderAgain,
-        alteredReadBack,
-        deafToQuiet,
-        heldDenials,
-        noRetryAfter,
-        dropAtStop,
-        otherParams,
-        losePrepared,
-        neverGiveUp,
-        wholeCap,
-        noCopies,
-        anyHandle,
-        keepCopies,
-        openAll,
+        ack_at_once,
+        view_forever,
+        promote_at_once,
+        send_again,
+        say_nothing_kept,
+        any_age,
+        deaf_to_emptying,
+        no_versions,
+        forgetful_vault,
+        leave_transactions,
+        other_text,
+        mixed_values,
+        deaf_to_windows,
+        lose_sessions,
+        newest_always,
+        never_move,
+        forget_floor,
+        take_anything,
+        older_again,
+        altered_read_back,
+        deaf_to_quiet,
+        held_denials,
+        no_retry_after,
+        drop_at_stop,
+        other_params,
+        lose_prepared,
+        never_give_up,
+        whole_cap,
+        no_copies,
+        any_handle,
+        keep_copies,
+        open_all,
     )
 }
 
 
 @contextmanager
-def switchedIn(*, name: str) -> Iterator[None]:
+def switched_in(*, name: str) -> Iterator[None]:
     """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
     with ExitStack() as stack:
         for each in FAULTS[name]() if name else []:
--- a/src/cinderstair/fairground/fleet.py
+++ b/src/cinderstair/fairground/fleet.py
@@ -30,7 +30,7 @@
 DROPPED = ("unanswered", "cutOff")
 
 
-def freePorts(*, count: int) -> list[int]:
+def free_ports(*, count: int) -> list[int]:
     """Ports that nobody listens on now; all are held open until all are found, so none comes twice."""
     held = [socket.socket() for _ in range(count)]
     try:
@@ -45,11 +45,11 @@
 class Fleet:
     def __init__(self, *, stalls: int = 9, vaults: int = 5, databases: int = 3) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-fleet-"))
-        self.stallNames = [f"stall-{n}" for n in range(stalls)]
-        self.vaultNames = [f"vault-{n}" for n in range(vaults)]
+        self.stall_names = [f"stall-{n}" for n in range(stalls)]
+        self.vault_names = [f"vault-{n}" for n in range(vaults)]
         self.databases = {f"db{d}": [f"db{d}-{c}" for c in "abc"] for d in range(databases)}
-        names = [*self.stallNames, *self.vaultNames, *self.backendNames(), "platform"]
-        ports = freePorts(count=2 * len(names))
+        names = [*self.stall_names, *self.vault_names, *self.backend_names(), "platform"]
+        ports = free_ports(count=2 * len(names))
         self.ports = {name: (ports[2 * n], ports[2 * n + 1]) for n, name in enumerate(names)}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.history: list[Event] = []
@@ -57,7 +57,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.struck = False
 
-    def backendNames(self) -> list[str]:
+    def backend_names(self) -> list[str]:
         return [name for names in self.databases.values() for name in names]
 
     def http(self, *, name: str) -> str:
@@ -69,31 +69,31 @@
     def site(self, *, name: str) -> str:
         return SITES[ord(name[-1]) % len(SITES)]
 
-    def settingsPath(self, *, name: str) -> Path:
+    def settings_path(self, *, name: str) -> Path:
         return self.folder / f"{name}.toml"
 
-    def writeSettings(self, *, name: str, **changes: Any) -> None:
+    def write_settings(self, *, name: str, **changes: Any) -> None:
         values: dict[str, Any] = {
             "name": name,
             "site": self.site(name=name),
             "records": self.records(name=name),
             "http": self.http(name=name),
-            "seeds": [self.records(name=vault) for vault in self.vaultNames[:3]],
-            "foundingVaults": len(self.vaultNames),
+            "seeds": [self.records(name=vault) for vault in self.vault_names[:3]],
+            "foundingVaults": len(self.vault_names),
             "platform": self.http(name="platform"),
             **changes,
         }
         if name.startswith("vault"):
             values["folder"] = str(self.folder / name)
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
-        self.settingsPath(name=name).write_text(text)
+        self.settings_path(name=name).write_text(text)
 
     def command(self, *, name: str) -> list[str]:
         fair = [sys.executable, "-m", "cinderstair.fairground"]
         if name == "platform":
             backends = {d: {n: self.http(name=n) for n in names} for d, names in self.databases.items()}
             return [*fair, "platform", "--http", self.http(name=name), "--backends", json.dumps(backends)]
-        if name in self.backendNames():
+        if name in self.backend_names():
             return [
                 *fair,
                 "backend",
@@ -110,20 +110,20 @@
                 "--cap",
                 str(CAP),
                 "--stalls",
-                ",".join(self.http(name=stall) for stall in self.stallNames),
+                ",".join(self.http(name=stall) for stall in self.stall_names),
             ]
         role = name.partition("-")[0]
-        return [sys.executable, "-m", "cinderstair", role, "-s", str(self.settingsPath(name=name))]
+        return [sys.executable, "-m", "cinderstair", role, "-s", str(self.settings_path(name=name))]
 
     def start(self, *, name: str) -> None:
-        if name in (*self.stallNames, *self.vaultNames) and not self.settingsPath(name=name).exists():
-            self.writeSettings(name=name)
+        if name in (*self.stall_names, *self.vault_names) and not self.settings_path(name=name).exists():
+            self.write_settings(name=name)
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 self.command(name=name), stdout=log, stderr=log, stdin=subprocess.DEVNULL
             )
 
-    def logText(self, *, name: str) -> str:
+    def log_text(self, *, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
     def kill(self, *, name: str) -> None:
@@ -135,25 +135,25 @@
         self.struck = self.struck or number in (signal.SIGSTOP, signal.SIGKILL)
         os.kill(self.processes[name].pid, number)
 
-    async def awaitThat(self, *, test: Callable[[], Any], withinUs: int, what: str) -> int:
+    async def await_that(self, *, test: Callable[[], Any], within_us: int, what: str) -> int:
         """Asks again until the test holds; how long that took. The limit is generous, never a measure."""
-        startUs = time.monotonic_ns() // 1000
+        start_us = time.monotonic_ns() // 1000
         while True:
             result = test()
             if asyncio.iscoroutine(result):
                 result = await result
-            tookUs = time.monotonic_ns() // 1000 - startUs
+            took_us = time.monotonic_ns() // 1000 - start_us
             if result:
-                return tookUs
-            if tookUs > withinUs:
-                raise AssertionError(f"not within {withinUs} us: {what}")
+                return took_us
+            if took_us > within_us:
+                raise AssertionError(f"not within {within_us} us: {what}")
             await asyncio.sleep(0.1)
 
     async def status(self, *, name: str) -> dict[str, Any]:
         result = await ask(address=self.http(name=name), method="GET", path="/status")
         return result.ok.json() if result.is_ok() else {}
 
-    async def isReady(self, *, name: str) -> bool:
+    async def is_ready(self, *, name: str) -> bool:
         result = await ask(address=self.http(name=name), method="GET", path="/ready")
         return result.is_ok() and result.ok.status == 200
 
@@ -161,13 +161,13 @@
         process = self.processes.get(name)
         return process is not None and process.poll() is None
 
-    async def allServe(self) -> bool:
-        for name in self.stallNames:
+    async def all_serve(self) -> bool:
+        for name in self.stall_names:
             if not self.running(name=name):
                 continue
             status = await self.status(name=name)
             leads = status.get("leads", {})
-            if not await self.isReady(name=name) or len(leads) < len(self.databases):
+            if not await self.is_ready(name=name) or len(leads) < len(self.databases):
                 return False
             for lead in leads.values():
                 backend = status["backends"].get(lead["primary"], {})
@@ -198,7 +198,7 @@
                 }
                 for database, names in self.databases.items()
             },
-            "stalls": {name: hall(name) for name in self.stallNames},
+            "stalls": {name: hall(name) for name in self.stall_names},
             **extra,
         }
         return json.dumps(document).encode()
@@ -218,14 +218,14 @@
             self.start(name=name)
 
         async def current() -> bool:
-            results = [await self.status(name=name) for name in self.stallNames]
+            results = [await self.status(name=name) for name in self.stall_names]
             return all(result.get("viewCurrent") for result in results)
 
-        await self.awaitThat(test=current, withinUs=90_000_000, what="views current")
+        await self.await_that(test=current, within_us=90_000_000, what="views current")
         submitted = await self.submit(version=1)
         if submitted.returncode != 0:
             raise AssertionError(f"submit: {submitted.stderr}")
-        await self.awaitThat(test=self.allServe, withinUs=90_000_000, what="every stall serves")
+        await self.await_that(test=self.all_serve, within_us=90_000_000, what="every stall serves")
 
     def _context(self, *, name: str) -> Context:
         market = Market()
@@ -234,23 +234,23 @@
         ctx.luck = random.Random(f"{name}")
         return ctx
 
-    def callersBegin(self, *, count: int, thinkUs: int = 670_000) -> None:
+    def callers_begin(self, *, count: int, think_us: int = 670_000) -> None:
         for number in range(count):
             ctx = self._context(name=f"caller-{number}")
             database = list(self.databases)[number % len(self.databases)]
             site = SITES[number % len(SITES)]
-            near = [n for n in self.stallNames if self.site(name=n) == site] or self.stallNames
+            near = [n for n in self.stall_names if self.site(name=n) == site] or self.stall_names
             caller = Caller(
                 ctx=ctx,
                 stalls=[self.http(name=name) for name in near],
                 database=database,
                 history=self.history,
-                thinkUs=thinkUs,
+                think_us=think_us,
             )
             self.callers.append(caller)
             self.tasks.append(asyncio.create_task(caller.run()))
 
-    async def callersEnd(self) -> None:
+    async def callers_end(self) -> None:
         for caller in self.callers:
             caller.stopped = True
         await asyncio.gather(*self.tasks)
@@ -258,7 +258,7 @@
     async def dumps(self) -> dict[str, dict[str, Any]]:
         """What each running backend holds and has run."""
         dumps: dict[str, dict[str, Any]] = {}
-        for name in self.backendNames():
+        for name in self.backend_names():
             if self.running(name=name):
                 result = await ask(address=self.http(name=name), method="POST", path="/dump")
                 dumps[name] = result.ok.json()
@@ -267,7 +267,7 @@
     async def verdict(self) -> Verdict:
         """Every checker that real time allows, over the whole history."""
         verdict = Verdict(jobs=len(self.history))
-        status = await self.status(name=next(n for n in self.stallNames if self.running(name=n)))
+        status = await self.status(name=next(n for n in self.stall_names if self.running(name=n)))
         dumps = await self.dumps()
         for database in self.databases:
             final = dumps[status["leads"][database]["primary"]]["state"]
@@ -276,18 +276,18 @@
             stale, ages, chances = checks.fresh(history=events)
             verdict.take(found=(stale, chances))
             verdict.take(found=checks.values(history=events))
-            for kind, ageUs in ages.items():
-                verdict.note(name=f"missed by {kind}", valueUs=ageUs)
+            for kind, age_us in ages.items():
+                verdict.note(name=f"missed by {kind}", value_us=age_us)
         ran = Counter({Sent(*each): count for dump in dumps.values() for *each, count in dump["ran"]})
         sent: Counter[Sent] = Counter()
         for caller in self.callers:
             sent += caller.sent
         verdict.take(found=checks.statements(ran=ran, sent=sent))
         # why: how long a denial took on a shared machine is no measure; that it says when to come back is
-        verdict.take(found=checks.denials(history=self.history, slackUs=1 << 62))
+        verdict.take(found=checks.denials(history=self.history, slack_us=1 << 62))
         # why: a process that is told to stop, or moves, drops nothing; only a kill or a freeze excuses it
         if not self.struck:
-            wrong = [f"{e.verb} of {e.caller} was dropped" for e in self.history if e.outcome in DROPPED and e.endUs]
+            wrong = [f"{e.verb} of {e.caller} was dropped" for e in self.history if e.outcome in DROPPED and e.end_us]
             verdict.take(found=(wrong, Counter({"answers that had to come": len(self.history)})))
         return verdict
 
@@ -296,23 +296,23 @@
         await ask(address=self.http(name=name), method="POST", path=path, body=b"{}")
 
     async def work(
-        self, *, callers: int, forUs: int, meanwhile: Callable[[], Awaitable[None]] | None = None
+        self, *, callers: int, for_us: int, meanwhile: Callable[[], Awaitable[None]] | None = None
     ) -> dict[str, Any]:
-        startUs = time.monotonic_ns() // 1000
-        self.callersBegin(count=callers)
-        await (asyncio.sleep(forUs / 1_000_000) if meanwhile is None else meanwhile())
-        await self.callersEnd()
-        tookUs = time.monotonic_ns() // 1000 - startUs
+        start_us = time.monotonic_ns() // 1000
+        self.callers_begin(count=callers)
+        await (asyncio.sleep(for_us / 1_000_000) if meanwhile is None else meanwhile())
+        await self.callers_end()
+        took_us = time.monotonic_ns() // 1000 - start_us
         verdict = await self.verdict()
         outcomes = Counter(f"{e.verb}.{e.outcome}{'.' + e.kind if e.kind else ''}" for e in self.history)
-        spans = sorted(e.endUs - e.startUs for e in self.history if e.outcome == "done")
+        spans = sorted(e.end_us - e.start_us for e in self.history if e.outcome == "done")
         return {
             "jobs": len(self.history),
-            "jobsPerSecond": round(len(self.history) * 1_000_000 / tookUs, 1),
+            "jobsPerSecond": round(len(self.history) * 1_000_000 / took_us, 1),
             "outcomes": dict(sorted(outcomes.items())),
             "medianUs": spans[len(spans) // 2] if spans else 0,
             "p99Us": spans[len(spans) * 99 // 100] if spans else 0,
-            "worstUs": verdict.worstUs,
+            "worst_us": verdict.worst_us,
             "chances": dict(verdict.chances),
             "wrong": verdict.wrong[:20],
         }
--- a/src/cinderstair/fairground/fleetday.py
+++ b/src/cinderstair/fairground/fleetday.py
@@ -20,27 +20,27 @@
         self.version = 1
         self.fallen: Counter[str] = Counter()
 
-    async def run(self, *, forUs: int) -> None:
+    async def run(self, *, for_us: int) -> None:
         """Lets failures fall until the time is up, then a last one, and waits until everything serves."""
         loop = asyncio.get_running_loop()
-        untilS = loop.time() + forUs / 1_000_000
+        until_s = loop.time() + for_us / 1_000_000
         kinds = [self._killed, self._frozen, self._stopped, self._configured, self._resettled, self._emptied]
-        while loop.time() < untilS:
+        while loop.time() < until_s:
             kind = self.luck.choice(kinds)
             await kind()
             self.fallen[kind.__name__.strip("_")] += 1
             # why: the next falls on a system that is itself again, since one at a time is what a day here gives
-            await self.fleet.awaitThat(
-                test=self.fleet.allServe, withinUs=LONG_US, what=f"served after {kind.__name__}"
+            await self.fleet.await_that(
+                test=self.fleet.all_serve, within_us=LONG_US, what=f"served after {kind.__name__}"
             )
             await asyncio.sleep(self.luck.uniform(0.2, EVERY_S))
         await self._killed()
-        await self.fleet.awaitThat(test=self.fleet.allServe, withinUs=LONG_US, what="served after the last fault")
+        await self.fleet.await_that(test=self.fleet.all_serve, within_us=LONG_US, what="served after the last fault")
 
     def _any(self) -> str:
         fleet = self.fleet
         return self.luck.choice(
-            [self.luck.choice(names) for names in (fleet.stallNames, fleet.vaultNames, fleet.backendNames())]
+            [self.luck.choice(names) for names in (fleet.stall_names, fleet.vault_names, fleet.backend_names())]
         )
 
     async def _killed(self) -> None:
@@ -56,11 +56,11 @@
         self.fleet.signal(name=name, number=signal.SIGCONT)
 
     async def _stopped(self) -> None:
-        name = self.luck.choice(self.fleet.stallNames)
+        name = self.luck.choice(self.fleet.stall_names)
         self.fleet.signal(name=name, number=signal.SIGTERM)
         process = self.fleet.processes[name]
-        await self.fleet.awaitThat(
-            test=lambda: process.poll() is not None, withinUs=LONG_US, what=f"{name} has stopped in order"
+        await self.fleet.await_that(
+            test=lambda: process.poll() is not None, within_us=LONG_US, what=f"{name} has stopped in order"
         )
         self.fleet.start(name=name)
 
@@ -71,13 +71,13 @@
             raise AssertionError(f"submit: {result.stderr}")
 
     async def _resettled(self) -> None:
-        name = self.luck.choice(self.fleet.stallNames)
-        self.fleet.writeSettings(name=name, queueMost=self.luck.randrange(100, 300))
+        name = self.luck.choice(self.fleet.stall_names)
+        self.fleet.write_settings(name=name, queueMost=self.luck.randrange(100, 300))
         if self.luck.random() < 0.5:
             self.fleet.signal(name=name, number=signal.SIGHUP)
 
     async def _emptied(self) -> None:
-        name = self.luck.choice(self.fleet.backendNames())
+        name = self.luck.choice(self.fleet.backend_names())
         await self.fleet.say(name=name, path="/empty")
         await asyncio.sleep(self.luck.uniform(1.0, EVERY_S))
         await self.fleet.say(name=name, path="/refill")
--- a/src/cinderstair/fairground/loads.py
+++ b/src/cinderstair/fairground/loads.py
@@ -18,7 +18,7 @@
     for name, count in world.wires.work.items():
         kind = name.removeprefix("record ")
         counts[f"record {NAMES[int(kind)].upper()}" if kind.isdecimal() else name] += count
-    counts["syncs"] = sum(world.disks[name].syncs for name in world.vaultNames)
+    counts["syncs"] = sum(world.disks[name].syncs for name in world.vault_names)
     counts["jobs done"] = sum(event.outcome == "done" for event in world.history)
     return counts
 
@@ -26,7 +26,7 @@
 def span(*, world: World) -> Counter[str]:
     """What is done within one span."""
     before = work(world=world)
-    world.advance(forUs=SPAN_US)
+    world.advance(for_us=SPAN_US)
     after = work(world=world)
     after.subtract(before)
     return after
@@ -36,10 +36,10 @@
     world = World(seed=seed, stalls=stalls, databases=3, cap=max(64, 4 * stalls))
     try:
         world.begin()
-        world.advance(forUs=3_000_000)
+        world.advance(for_us=3_000_000)
         idle = span(world=world)
-        world.callersBegin(count=callers, thinkUs=640_000)
-        world.advance(forUs=3_000_000)
+        world.callers_begin(count=callers, think_us=640_000)
+        world.advance(for_us=3_000_000)
         busy = span(world=world)
         seconds = SPAN_US / 1_000_000
         done = busy.pop("jobs done")
--- a/src/cinderstair/fairground/mixedtrials.py
+++ b/src/cinderstair/fairground/mixedtrials.py
@@ -3,7 +3,7 @@
 from .trial import SETTLE_US, Trial
 
 
-def restartsInTurn(*, trial: Trial) -> None:
+def restarts_in_turn(*, trial: Trial) -> None:
     """Every machine is stopped and started, one after another."""
     world = trial.world
     names = [n for n in world.addresses if n != "platform"]
@@ -11,13 +11,13 @@
     trial.fault()
     for name in names:
         world.kill(name=name)
-        trial.go(forUs=1_000_000)
+        trial.go(for_us=1_000_000)
         world.start(name=name)
-        trial.go(forUs=3_500_000)
-    trial.go(forUs=8_000_000)
+        trial.go(for_us=3_500_000)
+    trial.go(for_us=8_000_000)
 
 
-def everythingKilled(*, trial: Trial) -> None:
+def everything_killed(*, trial: Trial) -> None:
     """Every machine is killed at once, and all are started again."""
     world = trial.world
     for version in (2, 3):
@@ -25,32 +25,32 @@
     names = [name for name in world.addresses if name != "platform"]
     for name in names:
         world.kill(name=name)
-    world.advance(forUs=2_000_000)
+    world.advance(for_us=2_000_000)
     trial.fault()
     for name in names:
         world.start(name=name)
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
 def stuttering(*, trial: Trial) -> None:
     """A stall, the primary and a vault each run only half of the time, in fits of 300 ms."""
     world = trial.world
-    names = (world.luck.choice(world.stallNames), trial.primary, world.luck.choice(world.vaultNames))
+    names = (world.luck.choice(world.stall_names), trial.primary, world.luck.choice(world.vault_names))
     for step in range(24):
         name = names[step % 3]
         world.freeze(name=name)
-        trial.go(forUs=300_000)
+        trial.go(for_us=300_000)
         world.thaw(name=name)
-        trial.go(forUs=100_000)
+        trial.go(for_us=100_000)
     trial.fault()
-    trial.go(forUs=6_000_000)
+    trial.go(for_us=6_000_000)
 
 
 def chaos(*, trial: Trial) -> None:
     """One thing after another, drawn by the seed; never more than the system must survive at once."""
     world, luck = trial.world, trial.world.luck
     for _ in range(4):
-        name = luck.choice([*world.backendNames(), *world.stallNames, *world.vaultNames])
+        name = luck.choice([*world.backend_names(), *world.stall_names, *world.vault_names])
         how = luck.choice(["kill", "freeze", "isolate", "mute"])
         if how == "kill":
             world.kill(name=name)
@@ -61,12 +61,12 @@
         else:
             others = [other for other in world.addresses if other != name]
             world.cut(ones=[name], others=others, both=luck.random() < 0.5)
-        trial.go(forUs=luck.randrange(500_000, 9_000_000))
+        trial.go(for_us=luck.randrange(500_000, 9_000_000))
         if how == "kill":
             world.start(name=name)
         elif how == "freeze":
             world.thaw(name=name)
         world.heal()
-        trial.go(forUs=luck.randrange(1_000_000, 9_000_000))
+        trial.go(for_us=luck.randrange(1_000_000, 9_000_000))
     trial.fault()
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
--- a/src/cinderstair/fairground/platformsim/platform_faults.py
+++ b/src/cinderstair/fairground/platformsim/platform_faults.py
@@ -145,7 +145,7 @@
 
     return [
         patch.object(SampleBoard, "given", again),
-        patch.object(SamplePool, "_at_us", lambda self, *, asked_us, age_us: self.ctx.nowUs()),
+        patch.object(SamplePool, "_at_us", lambda self, *, asked_us, age_us: self.ctx.now_us()),
     ]
 
 
--- a/src/cinderstair/fairground/platformsim/platform_wires.py
+++ b/src/cinderstair/fairground/platformsim/platform_wires.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *, loop: VirtualLoop, luck: random.Random) -> None:
         super().__init__(loop=loop, luck=luck)
-        self.fastUs, self.slowUs = FAST_US, SLOW_US
+        self.fast_us, self.slow_us = FAST_US, SLOW_US
         self.dark: set[str] = set()
 
     def passes(self, *, source: str, target: str) -> bool:
--- a/src/cinderstair/fairground/platformsim/platform_world.py
+++ b/src/cinderstair/fairground/platformsim/platform_world.py
@@ -63,7 +63,7 @@
         self.loop.set_exception_handler(self._wrong)
         self.wires = PlatformWires(loop=self.loop, luck=self.luck_for(name="wires"))
         self.fabric = StreamFabric(loop=self.loop, wires=self.wires, luck=self.luck_for(name="fabric"))
-        self.fabric.region_us = self.wires.slowUs = region_us
+        self.fabric.region_us = self.wires.slow_us = region_us
         self.luck = self.luck_for(name="world")
         self.log_level = log_level
         self.booths = [f"booth-{n}" for n in range(booths)]
@@ -258,7 +258,7 @@
             if result.is_error():
                 self._halt(name=name, why=result.error.why)
 
-        self.wires.runAt(boot=boot, work=run())
+        self.wires.run_at(boot=boot, work=run())
 
     def _halt(self, *, name: str, why: str) -> None:
         self.halted[name] = why
@@ -267,7 +267,7 @@
     def _end(self, *, name: str, dark: bool) -> None:
         boot = self.boots[name]
         self.loop.kill(boot=boot)
-        self.wires.closeAll(boot=boot)
+        self.wires.close_all(boot=boot)
         self.fabric.end_of(host=name, silently=dark)
         self.roles.pop(name, None)
 
@@ -340,7 +340,7 @@
     async def _drained(self, *, name: str, dark: bool) -> bool:
         """SIGTERM, then an orderly end or SIGKILL; False where the process ended otherwise meanwhile."""
         boot, role = self.boots[name], self.roles[name]
-        task = self.wires.runAt(boot=boot, work=role.drain())
+        task = self.wires.run_at(boot=boot, work=role.drain())
         await asyncio.wait([task], timeout=GRACE_US / 1_000_000)
         if self.boots[name] is not boot or boot.dead:
             return False
--- a/src/cinderstair/fairground/platformsim/shard_trials.py
+++ b/src/cinderstair/fairground/platformsim/shard_trials.py
@@ -229,7 +229,7 @@
     """All that a booth sends and hears is late by as much as a question may be."""
     world.advance(for_ms=500)
     world.note(name=world.booths[0], for_us=None)
-    world.wires.lagsUs[world.booths[0]] = world.luck.randrange(100_000, 180_000)
+    world.wires.lags_us[world.booths[0]] = world.luck.randrange(100_000, 180_000)
     assert not propose(world=world)
     moved(world=world, within_ms=14_000)
     world.advance(for_ms=1_000)
@@ -421,7 +421,9 @@
         view = world.roles[booth].booth.view
         lapses_us = LEASE_US - world.luck.randrange(150_000, 250_000)
         world.await_that(
-            test=lambda: view.ctx.nowUs() >= view.as_of_us + lapses_us, within_ms=2_000, what="its view nearly lapses"
+            test=lambda: view.ctx.now_us() >= view.as_of_us + lapses_us,
+            within_ms=2_000,
+            what="its view nearly lapses",
         )
         world.cut(ones=[booth], others=[old])
         await_held_up(world=world, booth=booth, backend=old)
--- a/src/cinderstair/fairground/platformsim/stream_fabric.py
+++ b/src/cinderstair/fairground/platformsim/stream_fabric.py
@@ -56,7 +56,7 @@
             base_us = self.region_us
         elif self.zones.get(source) != self.zones.get(target):
             base_us = ZONE_US
-        lag_us = self.wires.lagsUs.get(source, 0) + self.wires.lagsUs.get(target, 0)
+        lag_us = self.wires.lags_us.get(source, 0) + self.wires.lags_us.get(target, 0)
         return (base_us + self.luck.randrange(base_us // 2) + lag_us) / 1_000_000
 
     def later(self, *, call: Callable[[], None], source: str, target: str) -> None:
--- a/src/cinderstair/fairground/rehearsal.py
+++ b/src/cinderstair/fairground/rehearsal.py
@@ -18,37 +18,37 @@
     """Opens the scenario's windows, loses what it loses, and says what a client would have seen."""
     world = World(
         seed=scenario.seed,
-        stallNames=[*scenario.stalls, *scenario.joins],
-        databaseNames={name: list(names) for name, names in charter.databases.items()},
+        stall_names=[*scenario.stalls, *scenario.joins],
+        database_names={name: list(names) for name, names in charter.databases.items()},
         sites={name: backend.site for name, backend in charter.backends.items()},
     )
     try:
         for name in scenario.joins:
             world.late.add(name)
         world.begin(raw=document(world=world, charter=charter, scenario=scenario, version=1, opened=False))
-        world.callersBegin(count=3 * len(charter.databases), thinkUs=150_000)
-        world.advance(forUs=WARM_US)
-        startUs = world.nowUs
+        world.callers_begin(count=3 * len(charter.databases), think_us=150_000)
+        world.advance(for_us=WARM_US)
+        start_us = world.now_us
         body = document(world=world, charter=charter, scenario=scenario, version=2, opened=True)
         world.ask(name=scenario.stalls[0], method="PUT", path="/v1/configuration", body=body)
         for name in scenario.joins:
             world.start(name=name)
         for name in scenario.lost:
             world.kill(name=name)
-        emptyUs = 0
-        while world.nowUs - startUs < RUN_US:
-            world.advance(forUs=100_000)
-            if not emptyUs and world.nowUs - startUs > 1_000_000 and emptied(world=world):
-                emptyUs = world.nowUs - startUs
-        endUs = world.nowUs
+        empty_us = 0
+        while world.now_us - start_us < RUN_US:
+            world.advance(for_us=100_000)
+            if not empty_us and world.now_us - start_us > 1_000_000 and emptied(world=world):
+                empty_us = world.now_us - start_us
+        end_us = world.now_us
         held = sorted({text for n in world.ups() for text in world.stall(name=n).status.held().values()})
-        lost = sum(caller.sessionsLost for caller in world.callers)
-        world.callersEnd()
+        lost = sum(caller.sessions_lost for caller in world.callers)
+        world.callers_end()
         return {
             "seed": scenario.seed,
             "windowsOpen": bool(scenario.windows),
-            "emptyAfterUs": emptyUs if scenario.windows else None,
-            "withoutACommitUs": checks.gapUs(history=world.history, fromUs=startUs, untilUs=endUs, verbs=WORK),
+            "emptyAfterUs": empty_us if scenario.windows else None,
+            "withoutACommitUs": checks.gap_us(history=world.history, from_us=start_us, until_us=end_us, verbs=WORK),
             "jobs": len(world.history),
             "done": sum(event.outcome == "done" for event in world.history),
             "sessionsLost": lost,
@@ -67,7 +67,7 @@
             backend["address"] = world.http(name=backend["name"])
     windows = [w for w in value.get("windows", []) if opened and w["name"] in scenario.windows]
     for each in windows:
-        each["starts"], each["ends"] = world.calendar(inUs=500_000), world.calendar(inUs=3_600_000_000)
+        each["starts"], each["ends"] = world.calendar(in_us=500_000), world.calendar(in_us=3_600_000_000)
     value["windows"] = windows
     return json.dumps(value).encode()
 
@@ -76,7 +76,7 @@
     """Whether nothing that an open window selects is led from, waited for, or holds a session."""
     for name in world.ups():
         stall = world.stall(name=name)
-        stages = [stage for *_, stage in stall.view.windowStates.stages]
+        stages = [stage for *_, stage in stall.view.window_states.stages]
         if Stage.open not in stages:
             return False
         if name in stall.view.leaving.stalls and stall.sessions.open:
--- a/src/cinderstair/fairground/sent.py
+++ b/src/cinderstair/fairground/sent.py
@@ -13,5 +13,5 @@
     values: str
 
 
-def sentAs(*, kind: str, text: str, params: Any, values: Any) -> Sent:
+def sent_as(*, kind: str, text: str, params: Any, values: Any) -> Sent:
     return Sent(kind, text, json.dumps(params), json.dumps(values, sort_keys=True))
--- a/src/cinderstair/fairground/simdisk.py
+++ b/src/cinderstair/fairground/simdisk.py
@@ -11,8 +11,8 @@
     def __init__(self, *, luck: random.Random) -> None:
         self.luck = luck
         self.files: dict[str, bytes] = {}
-        self.failNext = False
-        self.tearNext = False
+        self.fail_next = False
+        self.tear_next = False
         self.syncs = 0
         self.hangs = 0.0
 
@@ -27,13 +27,13 @@
 
     def _strike(self, *, name: str, old: bytes, new: bytes) -> None:
         self.syncs += 1
-        if self.tearNext:
-            self.tearNext = False
+        if self.tear_next:
+            self.tear_next = False
             # why: power may go at any byte of what was being written
             self.files[name] = old + new[: self.luck.randrange(len(new))]
             raise OSError("torn")
-        if self.failNext:
-            self.failNext = False
+        if self.fail_next:
+            self.fail_next = False
             raise OSError("sync failed")
 
     def read(self, *, name: str) -> bytes | None:
--- a/src/cinderstair/fairground/simnet.py
+++ b/src/cinderstair/fairground/simnet.py
@@ -25,7 +25,7 @@
 class Arrival(NamedTuple):
     """Something that reached a backend."""
 
-    atUs: int
+    at_us: int
     path: str
     source: str
 
@@ -33,7 +33,7 @@
 class Word(NamedTuple):
     """A backend's beat that reached somebody."""
 
-    atUs: int
+    at_us: int
     state: str
 
 
@@ -74,10 +74,10 @@
         self.hosts: dict[str, str] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.channels: list[SimChannel] = []
-        self.loseAnswers: dict[str, float] = {}
-        self.garbleAnswers: dict[str, float] = {}
-        self.fastUs, self.slowUs = 200, 1_500
-        self.lagsUs: dict[str, int] = {}
+        self.lose_answers: dict[str, float] = {}
+        self.garble_answers: dict[str, float] = {}
+        self.fast_us, self.slow_us = 200, 1_500
+        self.lags_us: dict[str, int] = {}
         self.sent = 0
         # why: what is asked of whom, by kind, is the measure of what a larger fleet costs
         self.work: Counter[str] = Counter()
@@ -87,44 +87,44 @@
         self.words: dict[str, list[Word]] = defaultdict(list)
 
     @property
-    def nowUs(self) -> int:
+    def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
     def arrived(self, *, source: str, target: str, job: HttpJob) -> None:
         """Notes what reaches a backend, and what backends have said that reached anyone."""
         if job.path in ("/run", "/position"):
-            self.arrivals[target].append(Arrival(self.nowUs, job.path, source))
+            self.arrivals[target].append(Arrival(self.now_us, job.path, source))
         elif job.path == "/v1/beats":
             try:
-                self.words[source].append(Word(self.nowUs, str(json.loads(job.body)["state"])))
+                self.words[source].append(Word(self.now_us, str(json.loads(job.body)["state"])))
             except (ValueError, KeyError, TypeError):
                 # why: what can't be read is no word of a backend's; what becomes of it is the stall's affair
                 return
 
-    def delayS(self, *names: str) -> float:
+    def delay_s(self, *names: str) -> float:
         """How long something takes on its way between these; a slow machine makes it longer."""
-        lagUs = sum(self.lagsUs.get(name, 0) for name in names)
-        return (self.luck.randrange(self.fastUs, self.slowUs) + lagUs) / 1_000_000
+        lag_us = sum(self.lags_us.get(name, 0) for name in names)
+        return (self.luck.randrange(self.fast_us, self.slow_us) + lag_us) / 1_000_000
 
     def passes(self, *, source: str, target: str) -> bool:
         return (source, target) not in self.cuts
 
-    def later(self, *, call: Callable[[], None], delayS: float | None = None) -> None:
+    def later(self, *, call: Callable[[], None], delay_s: float | None = None) -> None:
         """Something that the network does, whatever becomes of the machines."""
-        self.loop.call_later(self.delayS() if delayS is None else delayS, call, context=contextvars.Context())
+        self.loop.call_later(self.delay_s() if delay_s is None else delay_s, call, context=contextvars.Context())
 
-    def runAt(self, *, boot: Boot, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def run_at(self, *, boot: Boot, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         context = contextvars.Context()
         context.run(BOOT.set, boot)
         return self.loop.create_task(work, context=context)
 
-    def closeAll(self, *, boot: Boot) -> None:
+    def close_all(self, *, boot: Boot) -> None:
         """A machine's end: its listeners are gone and its channels are reset."""
         self.records = {a: entry for a, entry in self.records.items() if entry[0] is not boot}
         self.https = {a: entry for a, entry in self.https.items() if entry[0] is not boot}
         for channel in list(self.channels):
             if channel.client is boot:
-                channel.hangUp()
+                channel.hang_up()
             elif channel.server is boot:
                 channel.later(call=channel.reset)
         self.channels = [c for c in self.channels if c.client is not boot and not c.broken]
@@ -149,7 +149,7 @@
         return not self.broken
 
     def later(self, *, call: Callable[[], None]) -> None:
-        self.wires.later(call=call, delayS=self.wires.delayS(self.client.name, self.server.name))
+        self.wires.later(call=call, delay_s=self.wires.delay_s(self.client.name, self.server.name))
 
     def reset(self) -> None:
         self.broken = True
@@ -157,16 +157,16 @@
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_exception(ConnectionResetError())
 
-    def hangUp(self) -> None:
+    def hang_up(self) -> None:
         # why: word of the end must cross the network too; through a cut it comes when the system gives up
         self.broken = True
         cut = not self.wires.passes(source=self.client.name, target=self.server.name)
-        self.wires.later(call=self._end, delayS=10.0 if cut else None)
+        self.wires.later(call=self._end, delay_s=10.0 if cut else None)
 
     def _end(self) -> None:
         self.line.ended = True
 
-    async def passJob(self, *, job: HttpJob, waitUs: int) -> Result[HttpResponse, Fault]:
+    async def pass_job(self, *, job: HttpJob, wait_us: int) -> Result[HttpResponse, Fault]:
         if self.broken:
             return Error(Fault(kind=Kind.wireUnsent, why=f"{self.server.name}: channel closed"))
         self.waiting = asyncio.get_running_loop().create_future()
@@ -174,7 +174,7 @@
         self.wires.work[f"http {job.path if job.path in PATHS else 'other'}"] += 1
         self.later(call=lambda: self._arrive(job=job))
         try:
-            async with asyncio.timeout(waitUs / 1_000_000) as self.limit:
+            async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
                 return Ok(await self.waiting)
         except (TimeoutError, ConnectionResetError) as error:
             self.close()
@@ -185,21 +185,21 @@
         finally:
             self.limit = None
 
-    def giveUp(self) -> None:
+    def give_up(self) -> None:
         if self.limit is not None and not self.limit.expired():
             self.limit.reschedule(asyncio.get_running_loop().time())
 
-    def _again(self, *, call: Callable[[int], None], waitUs: int) -> None:
+    def _again(self, *, call: Callable[[int], None], wait_us: int) -> None:
         """What a cut holds up is sent again, later each time, as TCP does; what comes late still comes."""
-        if waitUs < RESEND_MOST_US:
-            self.wires.later(call=lambda: call(waitUs * 2), delayS=waitUs / 1_000_000)
+        if wait_us < RESEND_MOST_US:
+            self.wires.later(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
 
-    def _arrive(self, *, job: HttpJob, waitUs: int = RESEND_US) -> None:
+    def _arrive(self, *, job: HttpJob, wait_us: int = RESEND_US) -> None:
         # why: who gives up a channel takes back what the system still holds to be sent again
-        if waitUs > RESEND_US and self.broken:
+        if wait_us > RESEND_US and self.broken:
             return
         if not self.wires.passes(source=self.client.name, target=self.server.name):
-            self._again(call=lambda nextUs: self._arrive(job=job, waitUs=nextUs), waitUs=waitUs)
+            self._again(call=lambda next_us: self._arrive(job=job, wait_us=next_us), wait_us=wait_us)
             return
         if self.server.dead or self.line.ended:
             self.reset()
@@ -207,7 +207,7 @@
         self.path = job.path
         self.wires.arrived(source=self.client.name, target=self.server.name, job=job)
         served = HttpJob(method=job.method, path=job.path, body=job.body, query=job.query, line=self.line)
-        task = self.wires.runAt(boot=self.server, work=self.answer(served))  # type: ignore[arg-type]
+        task = self.wires.run_at(boot=self.server, work=self.answer(served))  # type: ignore[arg-type]
         task.add_done_callback(self._answered, context=contextvars.Context())
 
     def _answered(self, task: asyncio.Task[HttpResponse]) -> None:
@@ -215,18 +215,18 @@
             return
         response = task.result()
         # why: the brief's own failure, in which a backend runs a job and its answer never arrives
-        if self.wires.luck.random() < self.wires.loseAnswers.get(self.server.name, 0):
+        if self.wires.luck.random() < self.wires.lose_answers.get(self.server.name, 0):
             self.later(call=self.reset)
             return
         # why: what backends say to one another is their own affair
-        share = self.wires.garbleAnswers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
+        share = self.wires.garble_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
         if share and self.wires.luck.random() < share:
             response = garbled(response=response, luck=self.wires.luck)
         self.later(call=lambda: self._deliver(response=response))
 
-    def _deliver(self, *, response: HttpResponse, waitUs: int = RESEND_US) -> None:
+    def _deliver(self, *, response: HttpResponse, wait_us: int = RESEND_US) -> None:
         if not self.wires.passes(source=self.server.name, target=self.client.name):
-            self._again(call=lambda nextUs: self._deliver(response=response, waitUs=nextUs), waitUs=waitUs)
+            self._again(call=lambda next_us: self._deliver(response=response, wait_us=next_us), wait_us=wait_us)
             return
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_result(response)
@@ -235,7 +235,7 @@
 
     def close(self) -> None:
         if not self.broken:
-            self.hangUp()
+            self.hang_up()
         if self in self.wires.channels:
             self.wires.channels.remove(self)
 
@@ -247,7 +247,7 @@
         self.wires = wires
         self.boot = boot
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         waiting: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         wires, me = self.wires, self.boot
         wires.sent += 1
@@ -266,7 +266,7 @@
                 wires.later(call=fail)
                 return
             boot, answer = entry
-            task = wires.runAt(boot=boot, work=answer(body))  # type: ignore[arg-type]
+            task = wires.run_at(boot=boot, work=answer(body))  # type: ignore[arg-type]
             task.add_done_callback(lambda done: answered(done, boot), context=contextvars.Context())
 
         def answered(task: asyncio.Task[bytes], boot: Boot) -> None:
@@ -274,15 +274,15 @@
             if task.cancelled() or boot.dead or isinstance(task.exception(), ValueError):
                 return
             response = task.result()
-            wires.later(call=lambda: deliver(response, boot), delayS=wires.delayS(boot.name))
+            wires.later(call=lambda: deliver(response, boot), delay_s=wires.delay_s(boot.name))
 
         def deliver(response: bytes, boot: Boot) -> None:
             if wires.passes(source=boot.name, target=me.name) and not waiting.done():
                 waiting.set_result(response)
 
-        wires.later(call=arrive, delayS=wires.delayS(me.name))
+        wires.later(call=arrive, delay_s=wires.delay_s(me.name))
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await waiting)
         except (TimeoutError, ConnectionRefusedError) as error:
             return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: {type(error).__name__}"))
@@ -291,9 +291,9 @@
         self.wires.records[address] = (self.boot, answer)
         self.wires.hosts[address] = self.boot.name
 
-    async def dial(self, *, address: str, waitUs: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
         wires, me = self.wires, self.boot
-        wires.dials.append((wires.nowUs, me.name, wires.hosts.get(address, "")))
+        wires.dials.append((wires.now_us, me.name, wires.hosts.get(address, "")))
         waiting: asyncio.Future[SimChannel | None] = asyncio.get_running_loop().create_future()
 
         def settle(channel: SimChannel | None) -> None:
@@ -314,7 +314,7 @@
 
         wires.later(call=arrive)
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 channel = await waiting
         except TimeoutError:
             channel = None
@@ -330,4 +330,4 @@
         self.wires.https = {a: entry for a, entry in self.wires.https.items() if entry[0] is not self.boot}
 
     async def close(self) -> None:
-        self.wires.closeAll(boot=self.boot)
+        self.wires.close_all(boot=self.boot)
--- a/src/cinderstair/fairground/standin.py
+++ b/src/cinderstair/fairground/standin.py
@@ -8,9 +8,9 @@
 
 from ..pitch.context import Context
 from ..pitch.httpjob import HttpJob, Line
-from ..pitch.httpresponse import HttpResponse, jsonResponse
+from ..pitch.httpresponse import HttpResponse, json_response
 from ..pitch.net import Channel
-from .sent import Sent, sentAs
+from .sent import Sent, sent_as
 
 WAL = "wal"
 PULL_HOLD_US = 300_000
@@ -35,7 +35,7 @@
     """The statement can't be run; nothing of it is kept."""
 
 
-def applyWrite(*, state: dict[str, Any], write: tuple[str, str, Any]) -> None:
+def apply_write(*, state: dict[str, Any], write: tuple[str, str, Any]) -> None:
     verb, key, value = write
     if verb == "put":
         state[key] = value
@@ -56,24 +56,24 @@
         database: str,
         cap: int,
         stalls: tuple[str, ...],
-        serviceUs: int = 2_000,
-        applyUs: int = 5_000,
+        service_us: int = 2_000,
+        apply_us: int = 5_000,
     ) -> None:
         self.ctx = ctx
         self.address = address
         self.database = database
         self.cap = cap
         self.stalls = stalls
-        self.serviceUs = serviceUs
-        self.applyUs = applyUs
+        self.service_us = service_us
+        self.apply_us = apply_us
         self.term = 0
         # why: told of a term, a replica may still hold what another term overwrote; it vouches for its
         # positions in the new term only once its log has been matched with the leader's
-        self.matchedTerm = 0
+        self.matched_term = 0
         self.leads = False
         self.incarnation = 0
         self.state = "ready"
-        self.emptiedUs: int | None = None
+        self.emptied_us: int | None = None
         self.leader = ""
         self.entries: list[Entry] = []
         self.applied = 0
@@ -85,9 +85,9 @@
         self.beating = True
         self.grown = asyncio.Event()
         self.ran: Counter[Sent] = Counter()
-        self.mostLines = 0
+        self.most_lines = 0
         self.mixed = 0
-        self.beatChannel: Channel | None = None
+        self.beat_channel: Channel | None = None
 
     @property
     def received(self) -> int:
@@ -111,24 +111,24 @@
                 writes = tuple((w[0], w[1], w[2]) for w in value["w"])
                 self.entries.append(Entry(position=value["p"], term=value["t"], writes=writes))
 
-    def _saveMeta(self) -> None:
+    def _save_meta(self) -> None:
         self._append(lines=[{"term": self.term, "incarnation": self.incarnation}])
 
     async def start(self) -> None:
         self._recover()
         self.incarnation += 1
-        self._saveMeta()
-        self._applyAll()
+        self._save_meta()
+        self._apply_all()
         await self.ctx.net.serve(address=self.address, answer=self.answer)
         self.ctx.spawn(work=self._follow(), name="follow")
         self.ctx.spawn(work=self._beats(), name="beats")
-        self.ctx.ticks(everyUs=50_000).subscribe(lambda _: self._sweep())
+        self.ctx.ticks(every_us=50_000).subscribe(lambda _: self._sweep())
 
-    def _applyAll(self, *, upTo: int | None = None) -> None:
-        target = self.received if upTo is None else min(upTo, self.received)
+    def _apply_all(self, *, up_to: int | None = None) -> None:
+        target = self.received if up_to is None else min(up_to, self.received)
         for entry in self.entries[self.applied : target]:
             for write in entry.writes:
-                applyWrite(state=self.current, write=write)
+                apply_write(state=self.current, write=write)
         self.applied = max(self.applied, target)
 
     def _cut(self, *, length: int) -> None:
@@ -137,7 +137,7 @@
         self._append(lines=[{"cut": length}])
         if self.applied > length:
             self.current, self.applied = {}, 0
-            self._applyAll()
+            self._apply_all()
 
     def _add(self, *, entries: list[Entry]) -> None:
         self._append(lines=[{"p": e.position, "t": e.term, "w": e.writes} for e in entries])
@@ -161,7 +161,7 @@
                 if len(self.lines) >= self.cap:
                     return self._no(reason="full", why="no connection left")
                 self.lines.add(job.line)
-                self.mostLines = max(self.mostLines, len(self.lines))
+                self.most_lines = max(self.most_lines, len(self.lines))
         if job.path == "/run":
             return await self._run(body=body, line=job.line)
         if job.path == "/position":
@@ -173,41 +173,41 @@
         if job.path == "/follow":
             return self._told(term=body["term"], leader=body["leader"])
         if job.path == "/empty":
-            self.state, self.emptiedUs = "emptying", self.ctx.nowUs()
-            return jsonResponse(status=200, value={"ok": True})
+            self.state, self.emptied_us = "emptying", self.ctx.now_us()
+            return json_response(status=200, value={"ok": True})
         if job.path == "/refill":
-            self.state, self.emptiedUs = "ready", None
-            return jsonResponse(status=200, value={"ok": True})
+            self.state, self.emptied_us = "ready", None
+            return json_response(status=200, value={"ok": True})
         if job.path == "/dump":
             value = {"state": self.current, "term": self.term, "leads": self.leads, "received": self.received}
             value["ran"] = [[*each, count] for each, count in self.ran.items()]
-            return jsonResponse(status=200, value=value)
-        return jsonResponse(status=404, value={"ok": False})
+            return json_response(status=200, value=value)
+        return json_response(status=404, value={"ok": False})
 
     def _no(self, *, reason: str, why: str) -> HttpResponse:
         value = {"ok": False, "reason": reason, "why": why, "term": self.term, "position": self.applied}
-        return jsonResponse(status=409, value=value)
+        return json_response(status=409, value=value)
 
     def _yes(self, *, rows: list[Any], position: int, wrote: bool) -> HttpResponse:
-        value = {"ok": True, "rows": rows, "term": self.matchedTerm, "position": position, "wrote": wrote}
-        return jsonResponse(status=200, value=value)
+        value = {"ok": True, "rows": rows, "term": self.matched_term, "position": position, "wrote": wrote}
+        return json_response(status=200, value=value)
 
     async def _position(self, *, body: dict[str, Any]) -> HttpResponse:
-        untilUs = self.ctx.nowUs() + int(body.get("holdUs", 0))
-        while self.received < body.get("atLeast", 0) and self.ctx.nowUs() < untilUs:
+        until_us = self.ctx.now_us() + int(body.get("holdUs", 0))
+        while self.received < body.get("atLeast", 0) and self.ctx.now_us() < until_us:
             try:
-                async with asyncio.timeout((untilUs - self.ctx.nowUs()) / 1_000_000):
+                async with asyncio.timeout((until_us - self.ctx.now_us()) / 1_000_000):
                     await self.grown.wait()
             except TimeoutError:
                 break
         value = {
-            "term": self.matchedTerm,
+            "term": self.matched_term,
             "received": self.received,
             "applied": self.applied,
             "leads": self.leads,
             "incarnation": self.incarnation,
         }
-        return jsonResponse(status=200, value=value)
+        return json_response(status=200, value=value)
 
     async def _run(self, *, body: dict[str, Any], line: Line) -> HttpResponse:
         step, kind = body["step"], body["kind"]
@@ -215,10 +215,10 @@
         if primary and (not self.leads or body["term"] != self.term):
             self.open.pop(line, None)
             return self._no(reason="notLeading", why="does not lead in this term")
-        if not primary and body["term"] != self.matchedTerm:
+        if not primary and body["term"] != self.matched_term:
             return self._no(reason="term", why="follows another term")
-        await self.ctx.rest(waitUs=self.ctx.luck.randrange(self.serviceUs // 2, self.serviceUs * 2))
-        if not primary and body["term"] != self.matchedTerm:
+        await self.ctx.rest(wait_us=self.ctx.luck.randrange(self.service_us // 2, self.service_us * 2))
+        if not primary and body["term"] != self.matched_term:
             return self._no(reason="term", why="follows another term")
         # why: much may have changed while the statement waited for its turn on the processor
         if primary and (not self.leads or body["term"] != self.term):
@@ -244,7 +244,7 @@
         if step == "alone" and transaction is not None:
             self.mixed += 1
             return self._no(reason="statement", why="a transaction of another is open on this line")
-        self.ran[sentAs(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])] += 1
+        self.ran[sent_as(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])] += 1
         try:
             rows, writes = self._evaluate(body=body, own=transaction)
         except StatementError as error:
@@ -261,7 +261,7 @@
         words += [str(param) for param in body.get("params", [])]
         seen = dict(self.current)
         for write in own.writes if own is not None else []:
-            applyWrite(state=seen, write=write)
+            apply_write(state=seen, write=write)
         verb = words[0] if words else ""
         if verb == "get" and len(words) == 2:
             return [seen.get(words[1])], []
@@ -285,7 +285,7 @@
             return self._yes(rows=rows, position=self.applied, wrote=False)
         position = self.received + 1
         self._add(entries=[Entry(position=position, term=self.term, writes=tuple(writes))])
-        self._applyAll()
+        self._apply_all()
         return self._yes(rows=rows, position=position, wrote=True)
 
     # ---- leading and following
@@ -294,30 +294,30 @@
         if term < self.term:
             return self._no(reason="term", why="has seen a later term")
         if not (self.leads and term == self.term):
-            self.term, self.matchedTerm, self.leads, self.leader = term, term, True, ""
-            self._saveMeta()
+            self.term, self.matched_term, self.leads, self.leader = term, term, True, ""
+            self._save_meta()
             self.open.clear()
             self._add(entries=[Entry(position=self.received + 1, term=term, writes=())])
-            self._applyAll()
-        return jsonResponse(status=200, value={"ok": True, "term": self.term})
+            self._apply_all()
+        return json_response(status=200, value={"ok": True, "term": self.term})
 
     def _told(self, *, term: int, leader: str) -> HttpResponse:
         if term < self.term:
             return self._no(reason="term", why="has seen a later term")
         if term > self.term:
             self.term, self.leads = term, False
-            self._saveMeta()
+            self._save_meta()
             self.open.clear()
         if not self.leads:
             self.leader = leader
-        return jsonResponse(status=200, value={"ok": True, "term": self.term})
+        return json_response(status=200, value={"ok": True, "term": self.term})
 
     async def _pull(self, *, body: dict[str, Any]) -> HttpResponse:
         if not self.leads or body["term"] != self.term:
             return self._no(reason="notLeading", why="does not lead in this term")
         after = body["after"]
         if after > self.received or (after and self.entries[after - 1].term != body["afterTerm"]):
-            return jsonResponse(status=200, value={"ok": True, "mismatch": True, "term": self.term})
+            return json_response(status=200, value={"ok": True, "mismatch": True, "term": self.term})
         if after == self.received:
             try:
                 async with asyncio.timeout(PULL_HOLD_US / 1_000_000):
@@ -327,7 +327,7 @@
         entries = [[e.position, e.term, e.writes] for e in self.entries[after : after + 500]]
         if not self.leads:
             entries = []
-        return jsonResponse(status=200, value={"ok": True, "term": self.term, "entries": entries})
+        return json_response(status=200, value={"ok": True, "term": self.term, "entries": entries})
 
     async def _follow(self) -> None:
         channel: Channel | None = None
@@ -335,12 +335,12 @@
         while True:
             leader, term = self.leader, self.term
             if self.leads or not leader or self.deaf:
-                await self.ctx.rest(waitUs=50_000)
+                await self.ctx.rest(wait_us=50_000)
                 continue
             if channel is None or not channel.open or at != leader:
-                dialled = await self.ctx.net.dial(address=leader, waitUs=300_000)
+                dialled = await self.ctx.net.dial(address=leader, wait_us=300_000)
                 if dialled.is_error():
-                    await self.ctx.rest(waitUs=100_000)
+                    await self.ctx.rest(wait_us=100_000)
                     continue
                 channel, at = dialled.ok, leader
             body = {
@@ -348,13 +348,13 @@
                 "afterTerm": self.entries[-1].term if self.entries else 0,
                 "term": term,
             }
-            result = await channel.passJob(
-                job=HttpJob(method="POST", path="/pull", body=json.dumps(body).encode()), waitUs=1_000_000
+            result = await channel.pass_job(
+                job=HttpJob(method="POST", path="/pull", body=json.dumps(body).encode()), wait_us=1_000_000
             )
             if result.is_error() or result.ok.status != 200:
                 channel.close()
                 channel = None
-                await self.ctx.rest(waitUs=50_000)
+                await self.ctx.rest(wait_us=50_000)
                 continue
             self._take(value=result.ok.json(), term=term, after=body["after"])
 
@@ -369,19 +369,19 @@
                 keep -= 1
             self._cut(length=keep)
             return
-        self.matchedTerm = term
+        self.matched_term = term
         entries = [
             Entry(position=p, term=t, writes=tuple((w[0], w[1], w[2]) for w in writes))
             for p, t, writes in value["entries"]
         ]
         if entries:
             self._add(entries=entries)
-            self.ctx.spawn(work=self._applyLater(position=self.received, term=term), name="apply")
+            self.ctx.spawn(work=self._apply_later(position=self.received, term=term), name="apply")
 
-    async def _applyLater(self, *, position: int, term: int) -> None:
-        await self.ctx.rest(waitUs=self.applyUs)
+    async def _apply_later(self, *, position: int, term: int) -> None:
+        await self.ctx.rest(wait_us=self.apply_us)
         if self.term == term:
-            self._applyAll(upTo=position)
+            self._apply_all(up_to=position)
 
     # ---- beats
 
@@ -401,21 +401,21 @@
     async def _beats(self) -> None:
         while True:
             if self.beating:
-                await self._beatOnce()
-            await self.ctx.rest(waitUs=BEAT_US - self.ctx.luck.randrange(100_000))
+                await self._beat_once()
+            await self.ctx.rest(wait_us=BEAT_US - self.ctx.luck.randrange(100_000))
 
-    async def _beatOnce(self) -> None:
+    async def _beat_once(self) -> None:
         """One beat to any one daemon; if that one can't be reached, to another."""
         body = json.dumps(self.beat()).encode()
         for _ in range(3):
-            if self.beatChannel is None or not self.beatChannel.open:
-                dialled = await self.ctx.net.dial(address=self.ctx.luck.choice(self.stalls), waitUs=250_000)
+            if self.beat_channel is None or not self.beat_channel.open:
+                dialled = await self.ctx.net.dial(address=self.ctx.luck.choice(self.stalls), wait_us=250_000)
                 if dialled.is_error():
                     continue
-                self.beatChannel = dialled.ok
-            result = await self.beatChannel.passJob(
-                job=HttpJob(method="POST", path="/v1/beats", body=body), waitUs=400_000
+                self.beat_channel = dialled.ok
+            result = await self.beat_channel.pass_job(
+                job=HttpJob(method="POST", path="/v1/beats", body=body), wait_us=400_000
             )
             if result.is_ok():
                 return
-            self.beatChannel.close()
+            self.beat_channel.close()
--- a/src/cinderstair/fairground/standinplatform.py
+++ b/src/cinderstair/fairground/standinplatform.py
@@ -5,7 +5,7 @@
 
 from ..pitch.context import Context
 from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse, jsonResponse
+from ..pitch.httpresponse import HttpResponse, json_response
 
 RECONCILE_US = 200_000
 
@@ -14,12 +14,12 @@
     """Of two requests the later term counts; the same term again is done again."""
 
     def __init__(
-        self, *, ctx: Context, address: str, backends: dict[str, dict[str, str]], promotionUs: int = 1_000_000
+        self, *, ctx: Context, address: str, backends: dict[str, dict[str, str]], promotion_us: int = 1_000_000
     ) -> None:
         self.ctx = ctx
         self.address = address
         self.backends = backends
-        self.promotionUs = promotionUs
+        self.promotion_us = promotion_us
         self.wanted: dict[str, tuple[int, str]] = {}
         self.promotions: list[tuple[int, str, str, int]] = []
 
@@ -28,32 +28,32 @@
         self.ctx.spawn(work=self._reconcile(), name="reconcile")
 
     async def _say(self, *, address: str, path: str, body: dict[str, Any]) -> bool:
-        dialled = await self.ctx.net.dial(address=address, waitUs=300_000)
+        dialled = await self.ctx.net.dial(address=address, wait_us=300_000)
         if dialled.is_error():
             return False
         job = HttpJob(method="POST", path=path, body=json.dumps(body).encode())
-        result = await dialled.ok.passJob(job=job, waitUs=500_000)
+        result = await dialled.ok.pass_job(job=job, wait_us=500_000)
         dialled.ok.close()
         return result.is_ok() and result.ok.status == 200
 
     async def answer(self, job: HttpJob) -> HttpResponse:
         if job.path != "/promote":
-            return jsonResponse(status=404, value={"ok": False})
+            return json_response(status=404, value={"ok": False})
         body = json.loads(job.body)
         database, backend, term = body["database"], body["backend"], body["term"]
         known = self.wanted.get(database, (0, ""))
         if term < known[0] or (term == known[0] and backend != known[1]):
-            return jsonResponse(status=409, value={"ok": False, "why": "a later request stands"})
+            return json_response(status=409, value={"ok": False, "why": "a later request stands"})
         if term > known[0]:
             self.wanted[database] = (term, backend)
-            await self.ctx.rest(waitUs=self.promotionUs)
+            await self.ctx.rest(wait_us=self.promotion_us)
         if self.wanted[database] != (term, backend):
-            return jsonResponse(status=409, value={"ok": False, "why": "a later request stands"})
+            return json_response(status=409, value={"ok": False, "why": "a later request stands"})
         address = self.backends[database][backend]
         if not await self._say(address=address, path="/promote", body={"term": term}):
-            return jsonResponse(status=503, value={"ok": False, "why": "the backend does not answer"})
-        self.promotions.append((self.ctx.nowUs(), database, backend, term))
-        return jsonResponse(status=200, value={"ok": True})
+            return json_response(status=503, value={"ok": False, "why": "the backend does not answer"})
+        self.promotions.append((self.ctx.now_us(), database, backend, term))
+        return json_response(status=200, value={"ok": True})
 
     async def _reconcile(self) -> None:
         while True:
@@ -63,4 +63,4 @@
                     if name != leader:
                         work = self._say(address=each, path="/follow", body={"term": term, "leader": address})
                         self.ctx.spawn(work=work, name="follow")
-            await self.ctx.rest(waitUs=RECONCILE_US)
+            await self.ctx.rest(wait_us=RECONCILE_US)
--- a/src/cinderstair/fairground/sweep.py
+++ b/src/cinderstair/fairground/sweep.py
@@ -7,13 +7,13 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from .trials import TRIALS, Verdict, runTrial
+from .trials import TRIALS, Verdict, run_trial
 
 
 def one(task: tuple[str, int]) -> tuple[str, int, Verdict]:
     name, seed = task
     try:
-        return name, seed, runTrial(name=name, seed=seed)
+        return name, seed, run_trial(name=name, seed=seed)
     except Exception as error:  # noqa: BLE001
         # why: a trial that breaks off is a failure to report with its seed, not the end of the sweep
         return name, seed, Verdict(wrong=[f"broke off: {error!r}"])
@@ -38,8 +38,8 @@
     totals: dict[str, Any] = defaultdict(lambda: [0, 0, 0, 0])
     with multiprocessing.Pool(options.processes, maxtasksperchild=4) as pool:
         for name, seed, verdict in pool.imap_unordered(one, tasks):
-            for key, valueUs in verdict.worstUs.items():
-                worst[name][key] = max(worst[name].get(key, 0), valueUs)
+            for key, value_us in verdict.worst_us.items():
+                worst[name][key] = max(worst[name].get(key, 0), value_us)
             for key, count in verdict.most.items():
                 most[name][key] = max(most[name].get(key, 0), count)
             chances[name] += verdict.chances
--- a/src/cinderstair/fairground/trial.py
+++ b/src/cinderstair/fairground/trial.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..stall.handle import readHandle
+from ..stall.handle import read_handle
 from . import checks
 from .event import Event
 from .sent import Sent
@@ -28,17 +28,17 @@
     """What the checkers found, the worst figures against their bounds, and how often each had something to see."""
 
     wrong: list[str] = field(default_factory=list)
-    worstUs: dict[str, int] = field(default_factory=dict)
+    worst_us: dict[str, int] = field(default_factory=dict)
     most: dict[str, int] = field(default_factory=dict)
     chances: Counter[str] = field(default_factory=Counter)
     jobs: int = 0
     done: int = 0
     unknown: int = 0
 
-    def note(self, *, name: str, valueUs: int, boundUs: int = 0) -> None:
-        self.worstUs[name] = max(self.worstUs.get(name, 0), valueUs)
-        if boundUs and valueUs > boundUs:
-            self.wrong.append(f"{name}: {valueUs} us, bound {boundUs} us")
+    def note(self, *, name: str, value_us: int, bound_us: int = 0) -> None:
+        self.worst_us[name] = max(self.worst_us.get(name, 0), value_us)
+        if bound_us and value_us > bound_us:
+            self.wrong.append(f"{name}: {value_us} us, bound {bound_us} us")
 
     def count(self, *, name: str, value: int) -> None:
         self.most[name] = max(self.most.get(name, 0), value)
@@ -62,9 +62,9 @@
     bodies: dict[int, bytes] = field(default_factory=dict)
     unsure: dict[int, bytes] = field(default_factory=dict)
     served: dict[str, int] = field(default_factory=dict)
-    readySinceUs: dict[str, int] = field(default_factory=dict)
-    readySpans: list[tuple[str, int, int]] = field(default_factory=list)
-    faultUs: int = 0
+    ready_since_us: dict[str, int] = field(default_factory=dict)
+    ready_spans: list[tuple[str, int, int]] = field(default_factory=list)
+    fault_us: int = 0
 
     def __post_init__(self) -> None:
         self.world.watchers.append(self.watch)
@@ -72,9 +72,9 @@
     @property
     def primary(self) -> str:
         """Who leads the first database, as the stall that knows the highest term has it."""
-        return self.primaryOf(database="db0")
+        return self.primary_of(database="db0")
 
-    def primaryOf(self, *, database: str) -> str:
+    def primary_of(self, *, database: str) -> str:
         leads = [
             lead
             for name in self.world.ups()
@@ -93,28 +93,28 @@
     def holder(self) -> str:
         """The stall that holds the duty of leads."""
         for name in self.world.ups():
-            if self.world.stall(name=name).leadDuty.lease.held:
+            if self.world.stall(name=name).lead_duty.lease.held:
                 return name
-        return self.world.stallNames[0]
+        return self.world.stall_names[0]
 
     def fault(self) -> None:
         """Marks the moment from which the service has to come back."""
-        self.faultUs = self.world.nowUs
+        self.fault_us = self.world.now_us
 
-    def go(self, *, forUs: int) -> None:
-        self.world.advance(forUs=forUs)
+    def go(self, *, for_us: int) -> None:
+        self.world.advance(for_us=for_us)
 
     # ---- what must hold at every moment
 
     def watch(self) -> None:
         world, verdict = self.world, self.verdict
-        newest = max((v for v, atUs in self.accepted.items() if world.nowUs - atUs > FORCE_BOUND_US), default=0)
-        for name in world.stallNames:
+        newest = max((v for v, at_us in self.accepted.items() if world.now_us - at_us > FORCE_BOUND_US), default=0)
+        for name in world.stall_names:
             stall = world.stall(name=name) if world.up(name=name) else None
             if stall is None or stall.ready.unready() is not None:
                 self._unready(name=name)
                 continue
-            self.readySinceUs.setdefault(name, world.nowUs)
+            self.ready_since_us.setdefault(name, world.now_us)
             charter = stall.view.charter
             version = 0 if charter is None else charter.version
             verdict.chances["configuration in force"] += bool(newest)
@@ -125,15 +125,15 @@
             if version < self.served.get(name, 0):
                 verdict.wrong.append(f"{name} fell back from configuration {self.served[name]} to {version}")
             self.served[name] = version
-        for name in world.backendNames():
+        for name in world.backend_names():
             backend = world.things.get(name)
-            if backend is not None and backend.mostLines > world.cap:
-                verdict.wrong.append(f"{name} was given {backend.mostLines} channels")
+            if backend is not None and backend.most_lines > world.cap:
+                verdict.wrong.append(f"{name} was given {backend.most_lines} channels")
 
     def _unready(self, *, name: str) -> None:
-        sinceUs = self.readySinceUs.pop(name, None)
-        if sinceUs is not None:
-            self.readySpans.append((name, sinceUs, self.world.nowUs))
+        since_us = self.ready_since_us.pop(name, None)
+        if since_us is not None:
+            self.ready_spans.append((name, since_us, self.world.now_us))
 
     def submit(self, *, version: int, at: str = "stall-0", **extra: Any) -> int:
         body = self.world.configuration(version=version, **extra)
@@ -144,7 +144,7 @@
     def told(self, *, version: int, body: bytes, status: int, answer: bytes = b"") -> None:
         """Keeps what an operator was told of a configuration."""
         if status == 200:
-            self.accepted.setdefault(version, self.world.nowUs)
+            self.accepted.setdefault(version, self.world.now_us)
             self.bodies[version] = body
         # why: with no answer, or one that says it is not known, it may stand or not
         elif status == 0 or json.loads(answer or b"{}").get("outcome") == "unknown":
@@ -155,27 +155,27 @@
     def judge(self) -> Verdict:
         """Ends the work and puts every checker to the history."""
         world, verdict = self.world, self.verdict
-        untilUs = world.nowUs
-        world.callersEnd()
-        for name in world.stallNames:
+        until_us = world.now_us
+        world.callers_end()
+        for name in world.stall_names:
             self._unready(name=name)
-        if self.faultUs:
-            self._service(untilUs=untilUs)
-        movesUs = self._moves()
+        if self.fault_us:
+            self._service(until_us=until_us)
+        moves_us = self._moves()
         for database in world.databases:
             events = [event for event in world.history if event.database == database]
             final = self._final(database=database)
-            moves = [atUs for atUs, moved in movesUs if moved == database]
-            verdict.take(found=checks.kept(history=events, final=final, movesUs=moves))
+            moves = [at_us for at_us, moved in moves_us if moved == database]
+            verdict.take(found=checks.kept(history=events, final=final, moves_us=moves))
             stale, ages, chances = checks.fresh(history=events)
             verdict.take(found=(stale, chances))
             verdict.take(found=checks.values(history=events))
-            for kind, ageUs in ages.items():
-                verdict.note(name=f"missed by {kind}", valueUs=ageUs)
+            for kind, age_us in ages.items():
+                verdict.note(name=f"missed by {kind}", value_us=age_us)
             verdict.chances["writes while a lead moved"] += sum(
-                event.startUs < atUs + 1_000_000 and event.endUs > atUs - 4_000_000
+                event.start_us < at_us + 1_000_000 and event.end_us > at_us - 4_000_000
                 for event in checks.writes(history=events)
-                for atUs in moves
+                for at_us in moves
             )
         self._statements()
         awake = [event for event in world.history if not self._struck(event=event, killed=False)]
@@ -188,8 +188,8 @@
         for name, ctx in world.contexts.items():
             if ctx.counters.counts.get("internal.crashes"):
                 verdict.wrong.append(f"{name} had an error of its own")
-        self._readBack(after="the work")
-        self._lastCrash()
+        self._read_back(after="the work")
+        self._last_crash()
         verdict.jobs = len(world.history)
         verdict.done = sum(event.outcome == "done" for event in world.history)
         verdict.unknown = sum(event.outcome in ("unknown", "unanswered") for event in world.history)
@@ -198,43 +198,43 @@
     def _moves(self) -> list[tuple[int, str]]:
         """When which database was given another primary, on the world's clock; the first leads do not count."""
         platform = self.world.things["platform"]
-        skewUs = self.world.contexts["platform"].nowUs() - self.world.nowUs
+        skew_us = self.world.contexts["platform"].now_us() - self.world.now_us
         firsts: dict[str, str] = {}
         moves = []
-        for atUs, database, backend, _ in platform.promotions:
+        for at_us, database, backend, _ in platform.promotions:
             if database in firsts:
-                moves.append((atUs - skewUs, database))
+                moves.append((at_us - skew_us, database))
                 old = self.world.wires.arrivals[firsts[database]] if firsts[database] != backend else []
                 self.verdict.chances["old primaries asked after a promotion"] += sum(
-                    0 < arrival.atUs - atUs + skewUs < 5_000_000 and arrival.path == "/run" for arrival in old
+                    0 < arrival.at_us - at_us + skew_us < 5_000_000 and arrival.path == "/run" for arrival in old
                 )
             firsts[database] = backend
         return moves
 
-    def _service(self, *, untilUs: int) -> None:
+    def _service(self, *, until_us: int) -> None:
         world, verdict = self.world, self.verdict
         gaps, chances = checks.service(
-            history=world.history, databases=world.databases, fromUs=self.faultUs, untilUs=untilUs
+            history=world.history, databases=world.databases, from_us=self.fault_us, until_us=until_us
         )
         verdict.chances += chances
-        for name, gapUs in gaps.items():
-            verdict.note(name=f"without {name.split()[1]}", valueUs=gapUs)
-            if gapUs > SERVICE_BOUND_US:
-                verdict.wrong.append(f"service not back: {name} after {gapUs} us")
-        for name, sinceUs, endUs in self.readySpans:
-            fromUs, toUs = max(sinceUs, self.faultUs), min(endUs, untilUs)
-            if toUs - fromUs < SERVICE_BOUND_US:
+        for name, gap_us in gaps.items():
+            verdict.note(name=f"without {name.split()[1]}", value_us=gap_us)
+            if gap_us > SERVICE_BOUND_US:
+                verdict.wrong.append(f"service not back: {name} after {gap_us} us")
+        for name, since_us, end_us in self.ready_spans:
+            from_us, to_us = max(since_us, self.fault_us), min(end_us, until_us)
+            if to_us - from_us < SERVICE_BOUND_US:
                 continue
             verdict.chances["stalls called ready that had to serve"] += 1
             mine = [event for event in world.history if event.stall == world.http(name=name)]
-            gapUs = checks.gapUs(history=mine, fromUs=fromUs, untilUs=toUs, verbs=checks.SERVICES)
-            verdict.note(name="ready stall without a job", valueUs=gapUs)
-            if gapUs > SERVICE_BOUND_US:
-                verdict.wrong.append(f"service not back: {name} is called ready and did nothing for {gapUs} us")
+            gap_us = checks.gap_us(history=mine, from_us=from_us, until_us=to_us, verbs=checks.SERVICES)
+            verdict.note(name="ready stall without a job", value_us=gap_us)
+            if gap_us > SERVICE_BOUND_US:
+                verdict.wrong.append(f"service not back: {name} is called ready and did nothing for {gap_us} us")
 
     def _statements(self) -> None:
         world, verdict = self.world, self.verdict
-        everyone: list[StandIn] = [world.things[n] for n in world.backendNames() if n in world.things]
+        everyone: list[StandIn] = [world.things[n] for n in world.backend_names() if n in world.things]
         everyone += world.retired
         ran: Counter[Sent] = Counter()
         # why: one that was killed stands among the retired, and until it is started again among the things too
@@ -249,13 +249,13 @@
 
     def _struck(self, *, event: Event, killed: bool = True) -> bool:
         """Whether the stall that was asked was frozen meanwhile, or killed."""
-        endUs = event.endUs or self.world.nowUs
+        end_us = event.end_us or self.world.now_us
         return any(
             self.world.http(name=name) == event.stall
-            and (event.lastUs or event.startUs) <= untilUs + REACH_US
-            and endUs >= fromUs
-            and (killed or fromUs < untilUs)
-            for name, fromUs, untilUs in self.world.strikes
+            and (event.last_us or event.start_us) <= until_us + REACH_US
+            and end_us >= from_us
+            and (killed or from_us < until_us)
+            for name, from_us, until_us in self.world.strikes
         )
 
     def _dropped(self) -> None:
@@ -263,63 +263,65 @@
         world, verdict = self.world, self.verdict
         for event in world.history:
             verdict.chances["answers that had to come"] += 1
-            if event.endUs and event.outcome in ("unanswered", "cutOff") and not self._struck(event=event):
+            if event.end_us and event.outcome in ("unanswered", "cutOff") and not self._struck(event=event):
                 verdict.wrong.append(
-                    f"{event.verb} of {event.caller} at {event.startUs} was dropped by {event.stall}"
+                    f"{event.verb} of {event.caller} at {event.start_us} was dropped by {event.stall}"
                 )
-        kills = [(name, fromUs) for name, fromUs, _ in world.strikes if name in world.stallNames]
+        kills = [(name, from_us) for name, from_us, _ in world.strikes if name in world.stall_names]
         for caller in world.callers:
-            for life, atUs, handle, told in caller.losses:
+            for life, at_us, handle, told in caller.losses:
                 # why: a session stands at two stalls, so one alone can't take it along, unless it was told otherwise
-                struck = {name for name, fromUs in kills if atUs - BOTH_US < fromUs < atUs}
-                alone = told or readHandle(text=handle).ident in world.alone
+                struck = {name for name, from_us in kills if at_us - BOTH_US < from_us < at_us}
+                alone = told or read_handle(text=handle).ident in world.alone
                 if len(struck) < 2 - alone:
-                    verdict.wrong.append(f"sessions were lost: {life} at {atUs}, struck {sorted(struck)}")
+                    verdict.wrong.append(f"sessions were lost: {life} at {at_us}, struck {sorted(struck)}")
         counts = [ctx.counters.counts for ctx in world.contexts.values()]
         verdict.chances["sessions taken over"] += sum(count["sessions.takenOver"] for count in counts)
         verdict.chances["sessions that had to last"] += sum(caller.lives for caller in world.callers)
 
     def _quiet(self) -> None:
         """For every backend, how long after its own last word, or its word of emptying, it was still asked."""
-        for name in self.world.backendNames():
+        for name in self.world.backend_names():
             words = self.world.wires.words[name]
             at = -1
-            emptyingUs = 0
+            emptying_us = 0
             for arrival in self.world.wires.arrivals[name]:
-                while at + 1 < len(words) and words[at + 1].atUs <= arrival.atUs:
+                while at + 1 < len(words) and words[at + 1].at_us <= arrival.at_us:
                     at += 1
                     emptying = words[at].state == "emptying"
-                    emptyingUs = (emptyingUs or words[at].atUs) if emptying else 0
+                    emptying_us = (emptying_us or words[at].at_us) if emptying else 0
                 if at < 0:
                     continue
-                afterUs = arrival.atUs - (emptyingUs or words[at].atUs)
-                self.verdict.chances["asked after its last word"] += afterUs > 1_500_000
-                what = "asked after emptying" if emptyingUs else "asked after going quiet"
-                self.verdict.note(name=what, valueUs=afterUs)
-                if afterUs > QUIET_BOUND_US:
-                    self.verdict.wrong.append(f"{name} was {what} by {arrival.source}: {afterUs} us, {arrival.path}")
+                after_us = arrival.at_us - (emptying_us or words[at].at_us)
+                self.verdict.chances["asked after its last word"] += after_us > 1_500_000
+                what = "asked after emptying" if emptying_us else "asked after going quiet"
+                self.verdict.note(name=what, value_us=after_us)
+                if after_us > QUIET_BOUND_US:
+                    self.verdict.wrong.append(f"{name} was {what} by {arrival.source}: {after_us} us, {arrival.path}")
 
     def _silences(self) -> None:
         """Counts the backends that could be asked and should not be: silent or emptying, and not dead."""
-        for name in self.world.backendNames():
+        for name in self.world.backend_names():
             words = self.world.wires.words[name]
-            killsUs = [fromUs for who, fromUs, untilUs in self.world.strikes if who == name and fromUs == untilUs]
-            ends = [*words[1:], Word(self.world.nowUs, "")]
-            emptyingUs = 0
+            kills_us = [
+                from_us for who, from_us, until_us in self.world.strikes if who == name and from_us == until_us
+            ]
+            ends = [*words[1:], Word(self.world.now_us, "")]
+            emptying_us = 0
             for word, following in zip(words, ends, strict=False):
-                emptyingUs = emptyingUs + following.atUs - word.atUs if word.state == "emptying" else 0
-                dead = any(word.atUs <= killUs <= following.atUs for killUs in killsUs)
-                longUs = max(emptyingUs, 0 if dead else following.atUs - word.atUs)
-                self.verdict.chances["backends silent or emptying for long"] += longUs > QUIET_BOUND_US
+                emptying_us = emptying_us + following.at_us - word.at_us if word.state == "emptying" else 0
+                dead = any(word.at_us <= kill_us <= following.at_us for kill_us in kills_us)
+                long_us = max(emptying_us, 0 if dead else following.at_us - word.at_us)
+                self.verdict.chances["backends silent or emptying for long"] += long_us > QUIET_BOUND_US
 
     def _final(self, *, database: str) -> dict[str, Any]:
-        primary = self.primaryOf(database=database)
+        primary = self.primary_of(database=database)
         backend = self.world.backend(name=primary)
         if not backend.leads:
             self.verdict.wrong.append(f"{primary} does not lead {database} in the end")
         return backend.current
 
-    def _readBack(self, *, after: str) -> None:
+    def _read_back(self, *, after: str) -> None:
         """The newest acknowledged configuration, byte for byte; one of unknown outcome may have come after it."""
         newest = max(self.accepted)
         allowed = [self.bodies[newest], *(body for version, body in self.unsure.items() if version > newest)]
@@ -329,32 +331,32 @@
             if status != 200 or body not in allowed:
                 self.verdict.wrong.append(f"read back after {after} at {name}: {status} {body[:60]!r}, not {newest}")
 
-    def _lastCrash(self) -> None:
+    def _last_crash(self) -> None:
         """Everything loses its power at once; what was acknowledged is asked for again."""
         world = self.world
         world.heal()
-        daemons = [name for name in (*world.vaultNames, *world.stallNames) if name not in world.late]
+        daemons = [name for name in (*world.vault_names, *world.stall_names) if name not in world.late]
         for name in daemons:
             world.kill(name=name)
-        world.advance(forUs=500_000)
+        world.advance(for_us=500_000)
         for name in daemons:
             world.start(name=name)
 
         def back() -> bool:
-            return len(world.ups()) == len(world.stallNames) and all(
+            return len(world.ups()) == len(world.stall_names) and all(
                 world.stall(name=name).view.current for name in world.ups()
             )
 
-        world.awaitThat(test=back, withinUs=SERVICE_BOUND_US, what="views are current after the last crash")
-        self._readBack(after="the last crash")
+        world.await_that(test=back, within_us=SERVICE_BOUND_US, what="views are current after the last crash")
+        self._read_back(after="the last crash")
 
 
 def begun(
     *,
     seed: int,
     callers: int = 8,
-    thinkUs: int = 200_000,
-    onceUs: int = 600_000,
+    think_us: int = 200_000,
+    once_us: int = 600_000,
     stalls: int = 3,
     databases: int = 1,
     mix: dict[str, float] | None = None,
@@ -366,7 +368,7 @@
     world.begin()
     trial = Trial(world=world)
     trial.told(version=1, body=world.configuration(version=1), status=200)
-    world.callersBegin(count=callers, thinkUs=thinkUs, mix=mix)
-    world.onceBegin(thinkUs=onceUs, mix=mix)
-    trial.go(forUs=3_000_000)
+    world.callers_begin(count=callers, think_us=think_us, mix=mix)
+    world.once_begin(think_us=once_us, mix=mix)
+    trial.go(for_us=3_000_000)
     return trial
--- a/src/cinderstair/fairground/vaulttrials.py
+++ b/src/cinderstair/fairground/vaulttrials.py
@@ -6,59 +6,59 @@
 from .world import World
 
 
-def vaultsTurned(*, trial: Trial) -> None:
+def vaults_turned(*, trial: Trial) -> None:
     """Two vaults are killed, come back, and then two others."""
     world = trial.world
     trial.fault()
-    for pair in (world.vaultNames[:2], world.vaultNames[2:4]):
+    for pair in (world.vault_names[:2], world.vault_names[2:4]):
         for name in pair:
             world.kill(name=name)
-        trial.go(forUs=5_000_000)
+        trial.go(for_us=5_000_000)
         for name in pair:
             world.start(name=name)
-        trial.go(forUs=2_000_000)
+        trial.go(for_us=2_000_000)
     trial.submit(version=2)
-    trial.go(forUs=5_000_000)
+    trial.go(for_us=5_000_000)
 
 
-def vaultsGone(*, trial: Trial) -> None:
+def vaults_gone(*, trial: Trial) -> None:
     """A majority of vaults is gone for a while: nothing is served by an old view, and all comes back."""
     world = trial.world
-    for name in world.vaultNames[:3]:
+    for name in world.vault_names[:3]:
         world.kill(name=name)
-    trial.go(forUs=6_000_000)
-    if any(world.stall(name=n).ready.unready() is None for n in world.stallNames):
+    trial.go(for_us=6_000_000)
+    if any(world.stall(name=n).ready.unready() is None for n in world.stall_names):
         trial.verdict.wrong.append("a stall is ready without a view that can be current")
     trial.fault()
-    for name in world.vaultNames[:3]:
+    for name in world.vault_names[:3]:
         world.start(name=name)
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-def vaultDisks(*, trial: Trial) -> None:
+def vault_disks(*, trial: Trial) -> None:
     """One vault's sync fails, another's write is torn; both restart."""
     world = trial.world
     trial.fault()
-    for number, name in enumerate(world.vaultNames[:2]):
-        setattr(world.disks[name], "failNext" if number else "tearNext", True)
-        trial.submit(version=2 + number, at=world.stallNames[number % len(world.stallNames)])
-        trial.go(forUs=1_000_000)
+    for number, name in enumerate(world.vault_names[:2]):
+        setattr(world.disks[name], "fail_next" if number else "tear_next", True)
+        trial.submit(version=2 + number, at=world.stall_names[number % len(world.stall_names)])
+        trial.go(for_us=1_000_000)
         if name in world.halted:
             world.start(name=name)
-        trial.go(forUs=2_000_000)
-    trial.go(forUs=3_000_000)
+        trial.go(for_us=2_000_000)
+    trial.go(for_us=3_000_000)
 
 
-def vaultWiped(*, trial: Trial) -> None:
+def vault_wiped(*, trial: Trial) -> None:
     """A vault loses its disk and comes back blank; then others go, so that its vote is needed."""
     world = trial.world
-    name = world.luck.choice(world.vaultNames)
+    name = world.luck.choice(world.vault_names)
     old = world.vault(name=name).me
     trial.fault()
     world.kill(name=name)
     trial.submit(version=2)
     world.disks[name].wipe()
-    trial.go(forUs=world.luck.randrange(100_000, 2_000_000))
+    trial.go(for_us=world.luck.randrange(100_000, 2_000_000))
     world.start(name=name)
 
     def entered() -> bool:
@@ -69,15 +69,15 @@
 
     trial.verdict.note(
         name="blank vault in the roster",
-        valueUs=world.awaitThat(test=entered, withinUs=20_000_000, what="the blank vault votes"),
+        value_us=world.await_that(test=entered, within_us=20_000_000, what="the blank vault votes"),
     )
     if old == world.vault(name=name).me:
         trial.verdict.wrong.append("a blank vault came back under its old identity")
-    trial.go(forUs=5_000_000)
-    for other in [each for each in world.vaultNames if each != name][:2]:
+    trial.go(for_us=5_000_000)
+    for other in [each for each in world.vault_names if each != name][:2]:
         world.kill(name=other)
     trial.submit(version=3)
-    trial.go(forUs=8_000_000)
+    trial.go(for_us=8_000_000)
 
 
 def configurations(*, trial: Trial) -> None:
@@ -87,30 +87,30 @@
         world.configuration(version=2),
         world.configuration(version=2, stalls={"stall-0": {"hall": "old"}}),
     )
-    statuses = world.run(work=atOnce(world=world, bodies=bodies))
+    statuses = world.run(work=at_once(world=world, bodies=bodies))
     if sorted(statuses) != [200, 409]:
         trial.verdict.wrong.append(f"two operators at once were told {statuses}")
     for body, status in zip(bodies, statuses, strict=True):
         trial.told(version=2, body=body, status=status)
-    trial.go(forUs=1_000_000)
+    trial.go(for_us=1_000_000)
     if trial.submit(version=1) != 409:
         trial.verdict.wrong.append("an old version was accepted")
-    trial.go(forUs=1_000_000)
+    trial.go(for_us=1_000_000)
     status, _ = world.ask(name="stall-1", method="PUT", path="/v1/configuration", body=b'{"version": 9, "dat')
     if status != 422:
         trial.verdict.wrong.append("a broken configuration was accepted")
-    trial.go(forUs=2_000_000)
+    trial.go(for_us=2_000_000)
     for version in range(3, 8):
-        trial.submit(version=version, at=world.luck.choice(world.stallNames))
-        trial.go(forUs=world.luck.randrange(100_000, 900_000))
+        trial.submit(version=version, at=world.luck.choice(world.stall_names))
+        trial.go(for_us=world.luck.randrange(100_000, 900_000))
     trial.fault()
-    for name in (world.vaultNames[0], world.vaultNames[3], trial.holder):
+    for name in (world.vault_names[0], world.vault_names[3], trial.holder):
         world.kill(name=name)
-    trial.go(forUs=SETTLE_US)
+    trial.go(for_us=SETTLE_US)
 
 
-async def atOnce(*, world: World, bodies: tuple[bytes, bytes]) -> list[int]:
-    names = world.stallNames
+async def at_once(*, world: World, bodies: tuple[bytes, bytes]) -> list[int]:
+    names = world.stall_names
     results = await asyncio.gather(
         *(
             world._ask(name=names[n % len(names)], method="PUT", path="/v1/configuration", body=body)
--- a/src/cinderstair/fairground/virtualloop.py
+++ b/src/cinderstair/fairground/virtualloop.py
@@ -47,12 +47,12 @@
         self.ended = False
         self.graveyard: list[asyncio.Task[Any]] = []
         super().__init__(selector)
-        self.set_task_factory(self._makeTask)
+        self.set_task_factory(self._make_task)
 
     def time(self) -> float:
         return self.virtual
 
-    def _makeTask(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
+    def _make_task(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
         # why: an empty context is false in itself, and still not to be replaced by the current one;
         # a dead machine's coroutines must not be collected, since that would run their clean-up code
         task = asyncio.Task(work, loop=loop, context=context)
--- a/src/cinderstair/fairground/world.py
+++ b/src/cinderstair/fairground/world.py
@@ -42,8 +42,8 @@
         changes: dict[str, Any] | None = None,
         cap: int = 60,
         logLevel: int = logging.CRITICAL,
-        stallNames: list[str] | None = None,
-        databaseNames: dict[str, list[str]] | None = None,
+        stall_names: list[str] | None = None,
+        database_names: dict[str, list[str]] | None = None,
         sites: dict[str, str] | None = None,
         spares: int = 0,
         speeches: dict[str, Speech] | None = None,
@@ -54,21 +54,21 @@
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._wrong)
         self.wires = Wires(loop=self.loop, luck=random.Random(f"wires/{seed}"))
-        self.stallNames = stallNames if stallNames is not None else [f"stall-{n}" for n in range(stalls)]
+        self.stall_names = stall_names if stall_names is not None else [f"stall-{n}" for n in range(stalls)]
         self.sites = sites or {}
         # why: some scenarios bring machines in later
         self.late: set[str] = set()
-        self.frozenSinceUs: dict[str, int] = {}
-        self.frozenSpans: list[tuple[str, int, int]] = []
+        self.frozen_since_us: dict[str, int] = {}
+        self.frozen_spans: list[tuple[str, int, int]] = []
         # why: every kill and freeze with its time; only these excuse an answer that never came
         self.strikes: list[tuple[str, int, int]] = []
         # why: sessions that stood on one stall, as its status said, when that stall was lost
         self.alone: set[str] = set()
         self.watchers: list[Callable[[], None]] = []
         self.stopping: set[str] = set()
-        self.vaultNames = [f"vault-{n}" for n in range(vaults)]
+        self.vault_names = [f"vault-{n}" for n in range(vaults)]
         made = {f"db{d}": [f"db{d}-{c}" for c in "abc"] for d in range(databases)}
-        self.databases = databaseNames if databaseNames is not None else made
+        self.databases = database_names if database_names is not None else made
         # why: replacements stand ready from the start, and are declared only when a trial puts them in
         self.listed = {database: list(names) for database, names in self.databases.items()}
         for database, names in self.databases.items():
@@ -79,8 +79,8 @@
         self.boots: dict[str, Boot] = {}
         self.things: dict[str, Any] = {}
         self.contexts: dict[str, Context] = {}
-        self.skewsUs: dict[str, int] = {}
-        self.wallSkewsUs: dict[str, int] = {}
+        self.skews_us: dict[str, int] = {}
+        self.wall_skews_us: dict[str, int] = {}
         self.history: list[Event] = []
         self.callers: list[Caller] = []
         self.errors: list[str] = []
@@ -95,13 +95,13 @@
             self.errors.append(f"{context.get('message')}: {error!r}")
 
     def _addresses(self) -> dict[str, str]:
-        names = [*self.vaultNames, *self.stallNames, "platform", *self.backendNames()]
+        names = [*self.vault_names, *self.stall_names, "platform", *self.backend_names()]
         return {name: f"10.0.{n // 250}.{n % 250 + 1}" for n, name in enumerate(names)}
 
-    def backendNames(self) -> list[str]:
+    def backend_names(self) -> list[str]:
         return [name for names in self.databases.values() for name in names]
 
-    def databaseOf(self, *, name: str) -> str:
+    def database_of(self, *, name: str) -> str:
         return next(database for database, names in self.databases.items() if name in names)
 
     def http(self, *, name: str) -> str:
@@ -110,21 +110,21 @@
     def records(self, *, name: str) -> str:
         return f"{self.addresses[name]}:7100"
 
-    def siteOf(self, *, name: str) -> str:
+    def site_of(self, *, name: str) -> str:
         return self.sites.get(name) or SITES[ord(name[-1]) % len(SITES)]
 
     @property
-    def nowUs(self) -> int:
+    def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
     def settings(self, *, name: str) -> Settings:
         return Settings(
             name=name,
-            site=self.siteOf(name=name),
+            site=self.site_of(name=name),
             records=self.records(name=name),
             http=self.http(name=name),
-            seeds=tuple(self.records(name=vault) for vault in self.vaultNames[:3]),
-            foundingVaults=len(self.vaultNames),
+            seeds=tuple(self.records(name=vault) for vault in self.vault_names[:3]),
+            foundingVaults=len(self.vault_names),
             platform=self.http(name="platform"),
             **self.changes,
         )
@@ -132,23 +132,23 @@
     # ---- machines
 
     def _context(self, *, name: str, boot: Boot) -> Context:
-        count = sum(1 for key in self.skewsUs if key.startswith(f"{name}#"))
+        count = sum(1 for key in self.skews_us if key.startswith(f"{name}#"))
         run = f"{name}#{count}"
         # why: no two machines' monotonic clocks agree, nor do one machine's before and after a restart
-        self.skewsUs[run] = random.Random(f"skew/{self.seed}/{run}").randrange(0, 10**12)
-        skewUs = self.skewsUs[run]
-        wallSkewUs = self.wallSkewsUs.get(name, 0)
+        self.skews_us[run] = random.Random(f"skew/{self.seed}/{run}").randrange(0, 10**12)
+        skew_us = self.skews_us[run]
+        wall_skew_us = self.wall_skews_us.get(name, 0)
         disk = self.disks.setdefault(name, SimDisk(luck=random.Random(f"disk/{self.seed}/{name}")))
         log = logging.getLogger(f"sim.{name}")
         log.setLevel(self.logLevel)
         return Context(
             name=name,
-            site=self.siteOf(name=name),
+            site=self.site_of(name=name),
             luck=random.Random(f"luck/{self.seed}/{run}"),
-            clock=lambda: self.nowUs + skewUs,
-            wall=lambda: WALL_START_US + self.nowUs + wallSkewUs,
+            clock=lambda: self.now_us + skew_us,
+            wall=lambda: WALL_START_US + self.now_us + wall_skew_us,
             net=SimNet(wires=self.wires, boot=boot),
-            disk=disk if name not in self.stallNames else NoDisk(),
+            disk=disk if name not in self.stall_names else NoDisk(),
             log=log,
             counters=Counters(),
             speech=self.speeches.get(name, SPEECH),
@@ -159,12 +159,12 @@
         ctx = self._context(name=name, boot=boot)
         self.things.pop(name, None)
         self.boots[name], self.contexts[name] = boot, ctx
-        self.wires.runAt(boot=boot, work=self._run(name=name, ctx=ctx))
+        self.wires.run_at(boot=boot, work=self._run(name=name, ctx=ctx))
 
     async def _run(self, *, name: str, ctx: Context) -> None:
-        if name in self.vaultNames:
+        if name in self.vault_names:
             thing: Any = Vault(ctx=ctx, settings=self.settings(name=name), halt=self._halter(name=name))
-        elif name in self.stallNames:
+        elif name in self.stall_names:
             thing = Stall(ctx=ctx, settings=self.settings(name=name))
         elif name == "platform":
             backends = {
@@ -175,9 +175,9 @@
             thing = StandIn(
                 ctx=ctx,
                 address=self.http(name=name),
-                database=self.databaseOf(name=name),
+                database=self.database_of(name=name),
                 cap=self.cap,
-                stalls=tuple(self.http(name=stall) for stall in self.stallNames),
+                stalls=tuple(self.http(name=stall) for stall in self.stall_names),
             )
         self.things[name] = thing
         result = await thing.start()
@@ -192,7 +192,7 @@
 
         return halt
 
-    def startAll(self) -> None:
+    def start_all(self) -> None:
         for name in self.addresses:
             if name not in self.late:
                 self.start(name=name)
@@ -204,12 +204,12 @@
         if isinstance(thing, Stall):
             self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.second}
         if not boot.dead and name not in self.stopping:
-            self.strikes.append((name, self.nowUs, self.nowUs))
+            self.strikes.append((name, self.now_us, self.now_us))
         self.stopping.discard(name)
         if isinstance(thing, StandIn):
             self.retired.append(thing)
         self.loop.kill(boot=boot)
-        self.wires.closeAll(boot=boot)
+        self.wires.close_all(boot=boot)
 
     def stop(self, *, name: str) -> None:
         """A planned stop, as on SIGTERM: the daemon drains, and then its process ends."""
@@ -219,17 +219,17 @@
             self.stopping.add(name)
             self.wires.later(call=lambda: self.kill(name=name))
 
-        self.wires.runAt(boot=self.boots[name], work=drained())
+        self.wires.run_at(boot=self.boots[name], work=drained())
 
     def freeze(self, *, name: str) -> None:
         self.loop.freeze(boot=self.boots[name])
-        self.frozenSinceUs[name] = self.nowUs
+        self.frozen_since_us[name] = self.now_us
 
     def thaw(self, *, name: str) -> None:
         self.loop.thaw(boot=self.boots[name])
-        sinceUs = self.frozenSinceUs.pop(name, self.nowUs)
-        self.frozenSpans.append((self.http(name=name), sinceUs, self.nowUs))
-        self.strikes.append((name, sinceUs, self.nowUs))
+        since_us = self.frozen_since_us.pop(name, self.now_us)
+        self.frozen_spans.append((self.http(name=name), since_us, self.now_us))
+        self.strikes.append((name, since_us, self.now_us))
 
     def cut(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
         for one in ones:
@@ -272,32 +272,32 @@
     def run(self, *, work: Coroutine[Any, Any, Any]) -> Any:
         return self.loop.run_until_complete(work)
 
-    async def _rest(self, *, forUs: int) -> None:
-        await asyncio.sleep(forUs / 1_000_000)
+    async def _rest(self, *, for_us: int) -> None:
+        await asyncio.sleep(for_us / 1_000_000)
 
-    def advance(self, *, forUs: int) -> None:
+    def advance(self, *, for_us: int) -> None:
         """Lets the world run on; the watchers look at least ten times a second at what must always hold."""
-        untilUs = self.nowUs + forUs
-        while (leftUs := untilUs - self.nowUs) > 0:
-            self.run(work=self._rest(forUs=min(leftUs, WATCH_US) if self.watchers else leftUs))
+        until_us = self.now_us + for_us
+        while (left_us := until_us - self.now_us) > 0:
+            self.run(work=self._rest(for_us=min(left_us, WATCH_US) if self.watchers else left_us))
             for watch in self.watchers:
                 watch()
 
-    def awaitThat(self, *, test: Callable[[], bool], withinUs: int, what: str) -> int:
+    def await_that(self, *, test: Callable[[], bool], within_us: int, what: str) -> int:
         """Advances until the test holds; how long that took."""
-        startUs = self.nowUs
+        start_us = self.now_us
         while not test():
-            if self.nowUs - startUs > withinUs:
-                raise AssertionError(f"seed {self.seed}: not within {withinUs} us: {what}")
-            self.advance(forUs=50_000)
-        return self.nowUs - startUs
+            if self.now_us - start_us > within_us:
+                raise AssertionError(f"seed {self.seed}: not within {within_us} us: {what}")
+            self.advance(for_us=50_000)
+        return self.now_us - start_us
 
     async def _ask(self, *, name: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         net = SimNet(wires=self.wires, boot=Boot(name="operator"))
-        dialled = await net.dial(address=self.http(name=name), waitUs=500_000)
+        dialled = await net.dial(address=self.http(name=name), wait_us=500_000)
         if dialled.is_error():
             return 0, b""
-        result = await dialled.ok.passJob(job=HttpJob(method=method, path=path, body=body), waitUs=8_000_000)
+        result = await dialled.ok.pass_job(job=HttpJob(method=method, path=path, body=body), wait_us=8_000_000)
         dialled.ok.close()
         return (0, b"") if result.is_error() else (result.ok.status, result.ok.body)
 
@@ -305,9 +305,9 @@
         """An operator's or the platform's question to one daemon."""
         return self.run(work=self._ask(name=name, method=method, path=path, body=body))
 
-    def calendar(self, *, inUs: int) -> str:
+    def calendar(self, *, in_us: int) -> str:
         """A moment from now on the calendar, as an operator writes it."""
-        seconds = (WALL_START_US + self.nowUs + inUs) / 1_000_000
+        seconds = (WALL_START_US + self.now_us + in_us) / 1_000_000
         return datetime.fromtimestamp(seconds, tz=timezone(timedelta(hours=7))).isoformat()
 
     def configuration(self, *, version: int, old: tuple[str, ...] = (), **extra: Any) -> bytes:
@@ -320,7 +320,7 @@
                             "labels": {"hall": "old" if name in old else "new"},
                             "name": name,
                             "address": self.http(name=name),
-                            "site": self.siteOf(name=name),
+                            "site": self.site_of(name=name),
                             "cap": self.cap,
                         }
                         for name in names
@@ -328,14 +328,14 @@
                 }
                 for database, names in self.listed.items()
             },
-            "stalls": {name: {"hall": "old" if name in old else "new"} for name in self.stallNames},
+            "stalls": {name: {"hall": "old" if name in old else "new"} for name in self.stall_names},
             **extra,
         }
         return json.dumps(document).encode()
 
     def ups(self) -> list[str]:
         """The stalls that are up."""
-        return [name for name in self.stallNames if self.up(name=name)]
+        return [name for name in self.stall_names if self.up(name=name)]
 
     def ready(self) -> bool:
         """Every stall that is up is ready, and every database is led with somebody in sync."""
@@ -355,54 +355,54 @@
 
     def begin(self, *, raw: bytes = b"") -> None:
         """From nothing to a system that serves."""
-        self.startAll()
-        first = [name for name in self.stallNames if name not in self.late]
-        self.awaitThat(
+        self.start_all()
+        first = [name for name in self.stall_names if name not in self.late]
+        self.await_that(
             test=lambda: all(self.up(name=n) and self.stall(name=n).view.current for n in first),
-            withinUs=20_000_000,
+            within_us=20_000_000,
             what="views current",
         )
         status, body = self.ask(
             name=first[0], method="PUT", path="/v1/configuration", body=raw or self.configuration(version=1)
         )
         assert status == 200, body
-        self.awaitThat(test=self.ready, withinUs=30_000_000, what="ready")
+        self.await_that(test=self.ready, within_us=30_000_000, what="ready")
 
-    def callersBegin(self, *, count: int, thinkUs: int = 300_000, **options: Any) -> None:
+    def callers_begin(self, *, count: int, think_us: int = 300_000, **options: Any) -> None:
         """Long sessions, at any stall."""
         names = list(self.databases)
         for number in range(count):
             database = names[number % len(names)]
             name = f"caller-{number}"
-            self._caller(name=name, stalls=self.stallNames, database=database, thinkUs=thinkUs, **options)
+            self._caller(name=name, stalls=self.stall_names, database=database, think_us=think_us, **options)
 
-    def onceBegin(self, *, thinkUs: int, **options: Any) -> None:
+    def once_begin(self, *, think_us: int, **options: Any) -> None:
         """For each stall and database one client with much patience, whose sessions do a single job and close."""
-        for stall in self.stallNames:
+        for stall in self.stall_names:
             for database in self.databases:
                 name = f"once-{stall}-{database}"
                 patient = {"once": True, "timeLeftUs": PATIENT_US, **options}
-                self._caller(name=name, stalls=[stall], database=database, thinkUs=thinkUs, **patient)
+                self._caller(name=name, stalls=[stall], database=database, think_us=think_us, **patient)
 
-    def _caller(self, *, name: str, stalls: list[str], database: str, thinkUs: int, **options: Any) -> None:
+    def _caller(self, *, name: str, stalls: list[str], database: str, think_us: int, **options: Any) -> None:
         boot = Boot(name=name)
         ctx = self._context(name=name, boot=boot)
-        ctx.clock = lambda: self.nowUs
+        ctx.clock = lambda: self.now_us
         caller = Caller(
             ctx=ctx,
             stalls=[self.http(name=stall) for stall in stalls],
             database=database,
             history=self.history,
-            thinkUs=thinkUs,
+            think_us=think_us,
             **options,
         )
         self.callers.append(caller)
-        self.wires.runAt(boot=boot, work=caller.run())
+        self.wires.run_at(boot=boot, work=caller.run())
 
-    def callersEnd(self) -> None:
+    def callers_end(self) -> None:
         for caller in self.callers:
             caller.stopped = True
-        self.advance(forUs=5_000_000)
+        self.advance(for_us=5_000_000)
 
     def close(self) -> None:
         for boot in self.boots.values():
--- a/src/cinderstair/guildhall/announcer.py
+++ b/src/cinderstair/guildhall/announcer.py
@@ -68,7 +68,7 @@
         return packer.bytes()
 
     async def _tell(self, *, address: str, body: bytes) -> bool:
-        result = await self.ctx.parley.ask(address=address, body=body, waitUs=SPREAD_WAIT_US)
+        result = await self.ctx.parley.ask(address=address, body=body, wait_us=SPREAD_WAIT_US)
         return result.is_ok()
 
     async def depart(self, *, name: str) -> bool:
--- a/src/cinderstair/guildhall/booth_census.py
+++ b/src/cinderstair/guildhall/booth_census.py
@@ -56,7 +56,7 @@
         """A booth says where it is; it does so until the table says it as well."""
         name, place = unpacker.text(), BoothPlace(site=unpacker.text(), records=unpacker.text())
         unpacker.done()
-        self.places[name] = (self.ctx.nowUs(), place)
+        self.places[name] = (self.ctx.now_us(), place)
         return b"\0"
 
     async def _asked(self, unpacker: Unpacker) -> bytes:
@@ -79,7 +79,7 @@
 
     async def _places_asked(self, unpacker: Unpacker) -> bytes:
         unpacker.done()
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         self._forget(now_us=now_us)
 
         def write(packer: Packer, entry: tuple[str, tuple[int, BoothPlace]]) -> None:
@@ -98,7 +98,7 @@
 
     async def gather(self, *, every_us: int) -> dict[str, Seen]:
         """What is known of all booths; the other guildhalls are asked no more often than given."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for name, age_us, turn, vote in self.relay.seen(within_us=WITHIN_US):
             self._take(name=name, seen=Seen(at_us=now_us - age_us, turn=turn, vote=vote))
         if now_us - self.asked_us >= every_us:
@@ -110,7 +110,7 @@
     async def _ask(self, *, now_us: int) -> None:
         body = Packer().u8(value=BOOTHS).bytes()
         addresses = self.neighbours()
-        asks = [self.ctx.parley.ask(address=address, body=body, waitUs=ASK_WAIT_US) for address in addresses]
+        asks = [self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US) for address in addresses]
         for address, result in zip(addresses, await asyncio.gather(*asks), strict=True):
             if result.is_error():
                 continue
@@ -128,11 +128,11 @@
 
     async def gather_places(self, *, every_us: int) -> dict[str, BoothPlace]:
         """Where booths said lately that they are; the other guildhalls are asked no more often than given."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         if now_us - self.asked_places_us >= every_us:
             self.asked_places_us = now_us
             body = Packer().u8(value=PLACES).bytes()
-            asks = [self.ctx.parley.ask(address=a, body=body, waitUs=ASK_WAIT_US) for a in self.neighbours()]
+            asks = [self.ctx.parley.ask(address=a, body=body, wait_us=ASK_WAIT_US) for a in self.neighbours()]
             for result in await asyncio.gather(*asks):
                 if result.is_ok():
                     self._take_places(data=result.ok, now_us=now_us)
--- a/src/cinderstair/guildhall/guildhall.py
+++ b/src/cinderstair/guildhall/guildhall.py
@@ -80,11 +80,13 @@
             crowd=vault.crowd,
             read=lambda unpacker: read_announcement(unpacker=unpacker),
             peers=self._neighbours,
-            everyUs=NEWS_EVERY_US,
-            quietUs=self.quiet_us,
+            every_us=NEWS_EVERY_US,
+            quiet_us=self.quiet_us,
             pull_from=NEWS_FROM,
         )
-        self.view = RegisterView(ctx=ctx, register=vault.register, everyUs=VIEW_EVERY_US, leaseUs=self.booth_lease_us)
+        self.view = RegisterView(
+            ctx=ctx, register=vault.register, every_us=VIEW_EVERY_US, lease_us=self.booth_lease_us
+        )
         self.relay = Relay(
             ctx=ctx,
             desk=vault.desk,
@@ -185,7 +187,7 @@
 
     def _troubled(self, name: str, booth: str) -> None:
         """A booth finds a backend silent; the holder of the duty is told, wherever it is."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         # why: a copy that is gone is read round by each booth; only a primary's loss is anybody's duty
         if not any(lead.primary == name for lead in self.duty.leads.values()):
             return
@@ -199,7 +201,7 @@
         body = Packer().u8(value=SUSPECT).text(value=name).bytes()
         for address in self._neighbours():
             self.ctx.spawn(
-                work=self.ctx.parley.ask(address=address, body=body, waitUs=TELL_WAIT_US), name="suspect.tell"
+                work=self.ctx.parley.ask(address=address, body=body, wait_us=TELL_WAIT_US), name="suspect.tell"
             )
 
     async def _suspected(self, unpacker: Unpacker) -> bytes:
@@ -223,7 +225,7 @@
         """How many other control daemons reach a backend, and how many have said whether they do."""
         body = Packer().u8(value=OPINION).text(value=name).bytes()
         asks = [
-            self.ctx.parley.ask(address=address, body=body, waitUs=OPINION_WAIT_US) for address in self._neighbours()
+            self.ctx.parley.ask(address=address, body=body, wait_us=OPINION_WAIT_US) for address in self._neighbours()
         ]
         answers = [result.ok for result in await asyncio.gather(*asks) if result.is_ok() and result.ok]
         return sum(answer[0] for answer in answers), len(answers)
@@ -257,7 +259,7 @@
         for _ in range(SUBMIT_TRIES):
             result = await self.vault.register.change(key=PLAN_KEY, decide=decide)
             if result.is_ok():
-                self.view.takeOwn(key=PLAN_KEY, result=result)
+                self.view.take_own(key=PLAN_KEY, result=result)
                 return Ok(plan_version(data=result.ok.value) == plan.version)
             # why: the same version may be put again to the same effect; one that won meanwhile answers for it
             if result.error.kind == Kind.versionOld:
--- a/src/cinderstair/guildhall/relay.py
+++ b/src/cinderstair/guildhall/relay.py
@@ -55,7 +55,7 @@
         self.told_edition = 0
         desk.open(kind=RELAY, answer=self.answer)
         view.changes.subscribe(self._value_changed)
-        ctx.ticks(everyUs=TICK_US).subscribe(lambda _: self.look())
+        ctx.ticks(every_us=TICK_US).subscribe(lambda _: self.look())
 
     def _value_changed(self, key: str) -> None:
         self.edition += 1
@@ -63,11 +63,11 @@
 
     def look(self) -> None:
         """Takes from the news what booths have to know; a beat that says nothing new is none of it."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         self.board.look()
         for name, heard in list(self.news.best.items()):
             beat = heard.beat
-            if beat.state == GONE and now_us - heard.bornUs > FORGET_US:
+            if beat.state == GONE and now_us - heard.born_us > FORGET_US:
                 continue
             quiet = self.news.quiet(name=name)
             known = self.backends.get(name)
@@ -76,7 +76,7 @@
             self.edition += 1
             self.backends[name] = (self.edition, RelayedBackend(announcement=beat, quiet=quiet))
         for name, (_, entry) in list(self.backends.items()):
-            if entry.announcement.state == GONE and self.news.ageUs(name=name) > FORGET_US:
+            if entry.announcement.state == GONE and self.news.age_us(name=name) > FORGET_US:
                 del self.backends[name]
         if self.guildhalls() != self.told:
             self.edition += 1
@@ -89,7 +89,7 @@
             return RelayAnswer(
                 source=self.source, edition=self.edition, age_us=self._age_us(), whole=False, site=self.ctx.site
             ).bytes()
-        self.booths[question.booth] = (self.ctx.nowUs(), question.turn, question.vote)
+        self.booths[question.booth] = (self.ctx.now_us(), question.turn, question.vote)
         for name in question.troubled:
             self.on_trouble(name, question.booth)
         same_life = question.source == self.source
@@ -113,20 +113,20 @@
             values=values,
             backends=backends,
             guildhalls=self.told if whole or self.told_edition > since else (),
-            answered_us=self.ctx.nowUs(),
+            answered_us=self.ctx.now_us(),
             samples=self.board.given(wanted=question.wanted, known=same_life),
             ask=self.board.missing(wanted=question.wanted),
         ).bytes()
 
     def _age_us(self) -> int:
-        return max(0, self.ctx.nowUs() - self.view.asOfUs)
+        return max(0, self.ctx.now_us() - self.view.as_of_us)
 
     def _value(self, *, key: str, found: Found) -> RelayedValue:
         return RelayedValue(key=key, ballot=found.ballot, value=self.shorten(key, found.value))
 
     def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
         """The booths that asked lately: how long ago, and how they vote on which proposal of a shard map."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         self.booths = {name: entry for name, entry in self.booths.items() if now_us - entry[0] < KEEP_US}
         return [
             (name, now_us - at_us, turn, vote)
--- a/src/cinderstair/guildhall/sample_board.py
+++ b/src/cinderstair/guildhall/sample_board.py
@@ -29,7 +29,7 @@
 
     def tell(self, *, samples: tuple[ToldSample, ...]) -> None:
         """Takes what a booth has seen, if its moments are by this process's clock."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for sample in samples:
             # why: a moment to come is no moment of this clock, or this clock has stood still
             if not now_us - KEEP_US < sample.moment_us <= now_us:
@@ -46,7 +46,7 @@
 
     def look(self) -> None:
         """Forgets what no read can use any more."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for name in [name for name, entry in self.entries.items() if now_us - entry.moment_us >= KEEP_US]:
             del self.entries[name]
         for name in [name for name, at_us in self.sent_us.items() if now_us - at_us >= KEEP_US]:
@@ -54,7 +54,7 @@
 
     def given(self, *, wanted: tuple[WantedSample, ...], known: bool) -> tuple[PooledSample, ...]:
         """What is newer than the asker's; `known` says whether its editions are of this board."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         found = []
         for want in wanted:
             entry = self.entries.get(want.service)
@@ -72,7 +72,7 @@
 
     def missing(self, *, wanted: tuple[WantedSample, ...]) -> tuple[str, ...]:
         """The services whose primary this asker, and no other, is to ask now, since nobody has told of it lately."""
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         found = []
         for want in wanted:
             entry, sent_us = self.entries.get(want.service), self.sent_us.get(want.service)
--- a/src/cinderstair/guildhall/slot_keeper.py
+++ b/src/cinderstair/guildhall/slot_keeper.py
@@ -7,7 +7,7 @@
 from ..pitch.kind import Kind
 from ..pitch.ownermixin import OwnerMixin
 from ..steward.booth_places import PLACES_KEY, BoothPlace, BoothPlaces, read_booth_places
-from ..steward.slots import SLOTS_KEY, Slots, readSlots
+from ..steward.slots import SLOTS_KEY, Slots, read_slots
 from ..vault.lease import Lease
 from ..vault.register import Register
 from ..vault.register_view import RegisterView
@@ -37,20 +37,20 @@
         self.census = census
         self.lease = Lease(ctx=ctx, register=register, duty=SLOT_DUTY, seekers=lambda: 3)
         self.held_since_us = 0
-        self.openQueue()
-        self.every(everyUs=TICK_US, command=self._tick, name="slots")
+        self.open_queue()
+        self.every(every_us=TICK_US, command=self._tick, name="slots")
 
     async def _tick(self) -> None:
         if self.lease.due:
             held = self.lease.held
             if await self.lease.seek() and not held:
-                self.held_since_us = self.ctx.nowUs()
-        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current:
+                self.held_since_us = self.ctx.now_us()
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
         seen_us = {name: seen.at_us for name, seen in (await self.census.gather(every_us=ASK_EVERY_US)).items()}
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         found = self.view.known.get(SLOTS_KEY)
-        slots = readSlots(data=b"" if found is None else found.value)
+        slots = read_slots(data=b"" if found is None else found.value)
         named = {name for _, name in slots.names}
         fresh = [name for name, us in sorted(seen_us.items()) if name not in named and now_us - us < ASK_EVERY_US]
         # why: who has just taken the duty has not heard yet whom the others see
@@ -62,7 +62,7 @@
     async def _keep_places(self) -> None:
         """One write for all whose place is another than the table says; a booth without an id has none."""
         slots = self.view.known.get(SLOTS_KEY)
-        named = frozenset() if slots is None else frozenset(name for _, name in readSlots(data=slots.value).names)
+        named = frozenset() if slots is None else frozenset(name for _, name in read_slots(data=slots.value).names)
         known = self.view.known.get(PLACES_KEY)
         data = b"" if known is None else known.value
         # why: once all are in the table nobody tells anything, and only who comes anew has to be asked about
@@ -78,21 +78,21 @@
         result = await self.register.change(
             key=PLACES_KEY, decide=lambda data: Ok(BoothPlaces(places=wanted(data)).bytes())
         )
-        self.view.takeOwn(key=PLACES_KEY, result=result)
+        self.view.take_own(key=PLACES_KEY, result=result)
 
     async def _change(self, *, fresh: list[str], gone: list[str]) -> None:
         def decide(data: bytes) -> Result[bytes, Fault]:
-            slots: Slots = readSlots(data=data)
+            slots: Slots = read_slots(data=data)
             for name in gone:
                 slots = slots.without(name=name)
             for name in fresh:
-                slots = slots.withName(name=name)
+                slots = slots.with_name(name=name)
             if slots.bytes() == data:
                 return Error(Fault(kind=Kind.versionTaken, why="dealt already"))
             return Ok(slots.bytes())
 
         result = await self.register.change(key=SLOTS_KEY, decide=decide)
-        self.view.takeOwn(key=SLOTS_KEY, result=result)
+        self.view.take_own(key=SLOTS_KEY, result=result)
         if result.is_ok():
             self.ctx.log.info("slots dealt to %s, freed of %s", fresh, gone)
 
--- a/src/cinderstair/guildhall/status_text.py
+++ b/src/cinderstair/guildhall/status_text.py
@@ -19,9 +19,9 @@
 
 def status_text(*, guildhall: "Guildhall") -> str:
     """A line each thing; HELD and QUIET say what can't go on, and why."""
-    ctx, duty, now_us = guildhall.ctx, guildhall.duty, guildhall.ctx.nowUs()
+    ctx, duty, now_us = guildhall.ctx, guildhall.duty, guildhall.ctx.now_us()
     view, plan = guildhall.view, guildhall.duty.plan
-    age = f"knows the register as of {(now_us - view.asOfUs) // 1_000} ms ago"
+    age = f"knows the register as of {(now_us - view.as_of_us) // 1_000} ms ago"
     withdrawn = f" (withdrawn: {guildhall.shards.reason})" if guildhall.shards.reason else ""
     lines = [
         f"{ctx.name}: {age}{'' if view.current else ', NOT CURRENT: no majority of vaults answers'}",
@@ -55,7 +55,7 @@
     present, losses = len(vault.present()), vault.losses_borne()
     short = ""
     if vault.short_since_us is not None:
-        seconds = (guildhall.ctx.nowUs() - vault.short_since_us) // 1_000_000
+        seconds = (guildhall.ctx.now_us() - vault.short_since_us) // 1_000_000
         short = f", VOTES MISSING for {seconds} s"
     borne = f"bears the loss of {losses} more" if losses >= 0 else "NO MAJORITY"
     standbys = ", ".join(vault.standbys()) or "nobody"
--- a/src/cinderstair/pitch/answers.py
+++ b/src/cinderstair/pitch/answers.py
@@ -11,7 +11,7 @@
 
     status: int
     outcome: str
-    retryAfterUs: int
+    retry_after_us: int
 
 
 DENIED = "denied"
--- a/src/cinderstair/pitch/context.py
+++ b/src/cinderstair/pitch/context.py
@@ -42,16 +42,16 @@
     def __post_init__(self) -> None:
         self.parley = Parley(ctx=self)
 
-    def nowUs(self) -> int:
+    def now_us(self) -> int:
         """Monotonic microseconds; says nothing about any other machine's clock."""
         return self.clock()
 
-    def wallUs(self) -> int:
+    def wall_us(self) -> int:
         """Microseconds since 1970 by this machine's calendar clock; for move windows and traces alone."""
         return self.wall()
 
-    async def rest(self, *, waitUs: int) -> None:
-        await asyncio.sleep(waitUs / 1_000_000)
+    async def rest(self, *, wait_us: int) -> None:
+        await asyncio.sleep(wait_us / 1_000_000)
 
     def spawn(self, *, work: Coroutine[Any, Any, Any], name: str = "") -> asyncio.Task[Any]:
         """Starts a task and keeps hold of it until it ends."""
@@ -70,10 +70,10 @@
         self.counters.add(name="internal.crashes")
         self.log.error("crash in %s: %r", where, error, exc_info=error)
 
-    def ticks(self, *, everyUs: int) -> reactivex.Observable[int]:
+    def ticks(self, *, every_us: int) -> reactivex.Observable[int]:
         """A stream of ticks on the process's one loop."""
         scheduler = AsyncIOScheduler(asyncio.get_running_loop())
-        return reactivex.interval(timedelta(microseconds=everyUs), scheduler=scheduler)
+        return reactivex.interval(timedelta(microseconds=every_us), scheduler=scheduler)
 
     def close(self) -> None:
         for task in list(self.tasks):
--- a/src/cinderstair/pitch/httpresponse.py
+++ b/src/cinderstair/pitch/httpresponse.py
@@ -15,6 +15,6 @@
         return json.loads(self.body)
 
 
-def jsonResponse(*, status: int, value: Any, headers: dict[str, str] | None = None) -> HttpResponse:
+def json_response(*, status: int, value: Any, headers: dict[str, str] | None = None) -> HttpResponse:
     body = json.dumps(value, separators=(",", ":")).encode()
     return HttpResponse(status=status, body=body, headers=headers or {})
--- a/src/cinderstair/pitch/lean_net.py
+++ b/src/cinderstair/pitch/lean_net.py
@@ -14,13 +14,13 @@
     def __init__(self, *, counters: Counters) -> None:
         self.wire = RecordWire(counters=counters)
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
-        return await self.wire.ask(address=address, body=body, waitUs=waitUs)
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+        return await self.wire.ask(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         await self.wire.listen(address=address, answer=answer)
 
-    async def dial(self, *, address: str, waitUs: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
         raise NotImplementedError("a lean daemon has no HTTP channels")
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
--- a/src/cinderstair/pitch/ownermixin.py
+++ b/src/cinderstair/pitch/ownermixin.py
@@ -12,10 +12,10 @@
 
     ctx: Context
 
-    def openQueue(self) -> None:
+    def open_queue(self) -> None:
         self._commands: asyncio.Queue[tuple[Callable[[], Any], asyncio.Future[Any] | None, str]] = asyncio.Queue()
         self._waiting: set[str] = set()
-        self.ctx.spawn(work=self._workQueue(), name=f"{type(self).__name__}.queue")
+        self.ctx.spawn(work=self._work_queue(), name=f"{type(self).__name__}.queue")
 
     async def order(self, *, command: Callable[[], Any]) -> Any:
         """Runs a command in its turn and gives its result to the caller."""
@@ -32,11 +32,11 @@
             self._waiting.add(once)
         self._commands.put_nowait((command, None, once))
 
-    def every(self, *, everyUs: int, command: Callable[[], Any], name: str) -> None:
+    def every(self, *, every_us: int, command: Callable[[], Any], name: str) -> None:
         """Queues a command at each tick."""
-        self.ctx.ticks(everyUs=everyUs).subscribe(lambda _: self.post(command=command, once=name))
+        self.ctx.ticks(every_us=every_us).subscribe(lambda _: self.post(command=command, once=name))
 
-    async def _workQueue(self) -> None:
+    async def _work_queue(self) -> None:
         while True:
             command, done, once = await self._commands.get()
             self._waiting.discard(once)
--- a/src/cinderstair/pitch/parley.py
+++ b/src/cinderstair/pitch/parley.py
@@ -29,7 +29,7 @@
     def __init__(self, *, ctx: Any) -> None:
         self.ctx = ctx
         self.speeches: dict[str, Speech] = {}
-        self.askedUs: dict[str, int] = {}
+        self.asked_us: dict[str, int] = {}
         self.misses: dict[str, int] = {}
         self.met: set[str] = set()
         self.logged: set[tuple[str, Speech]] = set()
@@ -39,7 +39,7 @@
         other = self.speeches.get(address)
         return self.ctx.speech.lowest if other is None else self.ctx.speech.agreed(other=other)
 
-    async def ask(self, *, address: str, body: Body, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: Body, wait_us: int) -> Result[bytes, Fault]:
         """Sends a record in the version agreed on; one whose shape has changed is given as a function of it."""
         version, known = self.version(address=address), self.speeches.get(address)
         if address not in self.speeches:
@@ -47,7 +47,7 @@
         if version == 0:
             return Error(self._strange(address=address, other=self.speeches[address]))
         data = body if isinstance(body, bytes) else body(version)
-        result = await self.ctx.net.ask(address=address, body=wrapped(version=version, body=data), waitUs=waitUs)
+        result = await self.ctx.net.ask(address=address, body=wrapped(version=version, body=data), wait_us=wait_us)
         if result.is_error():
             self._missed(address=address, known=known)
             return result
@@ -92,20 +92,20 @@
         return Fault(kind=Kind.otherVersion, why=why)
 
     def _greet(self, *, address: str) -> None:
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         # why: a daemon of the first version alone has no words for a parley
-        if not self.ctx.speech.knows(kind=PARLEY) or nowUs - self.askedUs.get(address, -AGAIN_US) < AGAIN_US:
+        if not self.ctx.speech.knows(kind=PARLEY) or now_us - self.asked_us.get(address, -AGAIN_US) < AGAIN_US:
             return
-        if len(self.askedUs) >= MOST_NEIGHBOURS:
-            self.askedUs.clear()
-        self.askedUs[address] = nowUs
+        if len(self.asked_us) >= MOST_NEIGHBOURS:
+            self.asked_us.clear()
+        self.asked_us[address] = now_us
         self.ctx.spawn(work=self._agree(address=address), name="parley")
 
     async def _agree(self, *, address: str) -> None:
         speech = self.ctx.speech
         packer = Packer().u8(value=PARLEY).u8(value=speech.lowest).u8(value=speech.highest)
         body = packer.text(value=self.ctx.name).bytes()
-        result = await self.ctx.net.ask(address=address, body=body, waitUs=WAIT_US)
+        result = await self.ctx.net.ask(address=address, body=body, wait_us=WAIT_US)
         if result.is_error():
             return
         unpacker = Unpacker(data=result.ok)
@@ -127,10 +127,10 @@
         name = unpacker.text()
         unpacker.done()
         if not self.ctx.speech.agreed(other=other):
-            self._strangeName(name=name, other=other)
+            self._strange_name(name=name, other=other)
         return Packer().u8(value=self.ctx.speech.lowest).u8(value=self.ctx.speech.highest).bytes()
 
-    def _strangeName(self, *, name: str, other: Speech) -> None:
+    def _strange_name(self, *, name: str, other: Speech) -> None:
         self.ctx.counters.add(name="records.otherVersion")
         if (name, other) not in self.logged and len(self.logged) < MOST_NEIGHBOURS:
             self.logged.add((name, other))
--- a/src/cinderstair/pitch/realchannel.py
+++ b/src/cinderstair/pitch/realchannel.py
@@ -30,7 +30,7 @@
     def open(self) -> bool:
         return not self.broken and not self.connection.is_closed() and not self.connection.has_expired()
 
-    async def passJob(self, *, job: HttpJob, waitUs: int) -> Result[HttpResponse, Fault]:
+    async def pass_job(self, *, job: HttpJob, wait_us: int) -> Result[HttpResponse, Fault]:
         # why: a channel known dead before anything was written proves that the backend saw nothing
         if not self.open:
             self.close()
@@ -46,7 +46,7 @@
             content=job.body,
         )
         try:
-            async with asyncio.timeout(waitUs / 1_000_000) as self.limit:
+            async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
                 response = await self.connection.handle_async_request(request)
                 body = await response.aread()
                 await response.aclose()
@@ -75,7 +75,7 @@
         # why: once bytes may have left, only an answer tells what happened to the job
         return Error(Fault(kind=Kind.wireUnsure, why=f"{self.address}: {type(error).__name__}"))
 
-    def giveUp(self) -> None:
+    def give_up(self) -> None:
         # why: between jobs there is no wait to end
         if self.limit is not None and not self.limit.expired():
             self.limit.reschedule(asyncio.get_running_loop().time())
--- a/src/cinderstair/pitch/realdisk.py
+++ b/src/cinderstair/pitch/realdisk.py
@@ -20,7 +20,7 @@
     def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
         return asyncio.get_running_loop().run_in_executor(self.thread, work)
 
-    def _syncFolder(self) -> None:
+    def _sync_folder(self) -> None:
         handle = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(handle)
@@ -37,14 +37,14 @@
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        self._syncFolder()
+        self._sync_folder()
 
     def append(self, *, name: str, data: bytes) -> None:
         handle = self.handles.get(name)
         if handle is None:
             handle = os.open(self.folder / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
             self.handles[name] = handle
-            self._syncFolder()
+            self._sync_folder()
         left = memoryview(data)
         # why: a write may be short; what was not taken must be offered again before the sync
         while left:
--- a/src/cinderstair/pitch/realnet.py
+++ b/src/cinderstair/pitch/realnet.py
@@ -12,7 +12,7 @@
 from .kind import Kind
 from .net import Channel, HttpAnswer, RecordAnswer
 from .realchannel import RealChannel
-from .recordwire import RecordWire, splitAddress
+from .recordwire import RecordWire, split_address
 
 MOST_BODY_BYTES = 4 * 1024 * 1024
 
@@ -40,16 +40,16 @@
         self.wire = RecordWire(counters=counters)
         self.runners: list[web.AppRunner] = []
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
-        return await self.wire.ask(address=address, body=body, waitUs=waitUs)
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+        return await self.wire.ask(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         await self.wire.listen(address=address, answer=answer)
 
-    async def dial(self, *, address: str, waitUs: int) -> Result[Channel, Fault]:
-        host, port = splitAddress(address=address)
+    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
+        host, port = split_address(address=address)
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 stream = await httpcore.AnyIOBackend().connect_tcp(host, port)
         except (TimeoutError, OSError, httpcore.NetworkError, httpcore.TimeoutException) as error:
             return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: {type(error).__name__}"))
@@ -58,7 +58,7 @@
         return Ok(RealChannel(address=address, connection=connection, stream=stream))
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
-        host, port = splitAddress(address=address)
+        host, port = split_address(address=address)
 
         async def handle(request: web.Request) -> web.Response:
             try:
--- a/src/cinderstair/pitch/recordwire.py
+++ b/src/cinderstair/pitch/recordwire.py
@@ -19,12 +19,12 @@
 DIAL_S = 0.7
 
 
-def splitAddress(*, address: str) -> tuple[str, int]:
+def split_address(*, address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-async def readFrame(*, reader: asyncio.StreamReader) -> tuple[int, bytes]:
+async def read_frame(*, reader: asyncio.StreamReader) -> tuple[int, bytes]:
     """The next frame's number and body; ValueError where what came is no frame of ours."""
     head = await reader.readexactly(HEAD.size)
     magic, version, _flags, size, number = HEAD.unpack(head)
@@ -47,10 +47,10 @@
         self.serving: set[asyncio.Task[Any]] = set()
         self.accepted: set[asyncio.StreamWriter] = set()
         self.number = 0
-        self.silentSince: dict[str, float] = {}
+        self.silent_since: dict[str, float] = {}
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
-        host, port = splitAddress(address=address)
+        host, port = split_address(address=address)
 
         async def one(number: int, body: bytes, writer: asyncio.StreamWriter) -> None:
             try:
@@ -66,7 +66,7 @@
             self.accepted.add(writer)
             try:
                 while True:
-                    number, body = await readFrame(reader=reader)
+                    number, body = await read_frame(reader=reader)
                     task = asyncio.create_task(one(number, body, writer))
                     self.serving.add(task)
                     task.add_done_callback(self.serving.discard)
@@ -82,7 +82,7 @@
         self.servers.append(await asyncio.start_server(client, host, port, reuse_address=True))
 
     async def _dial(self, *, address: str) -> None:
-        host, port = splitAddress(address=address)
+        host, port = split_address(address=address)
         # why: a system that dials into a cut asks again at ever longer intervals, and is late when the cut is over
         async with asyncio.timeout(DIAL_S):
             reader, writer = await asyncio.open_connection(host, port)
@@ -94,8 +94,8 @@
         waiting = self.waiting[address]
         try:
             while True:
-                number, body = await readFrame(reader=reader)
-                self.silentSince.pop(address, None)
+                number, body = await read_frame(reader=reader)
+                self.silent_since.pop(address, None)
                 future = waiting.pop(number, None)
                 if future is not None and not future.done():
                     future.set_result(body)
@@ -109,9 +109,9 @@
                 if not future.done():
                     future.set_exception(ConnectionResetError())
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 if address not in self.writers:
                     # why: askers that come together share one dialling, or a crowd would open many
                     dialing = self.dialing.get(address)
@@ -138,12 +138,12 @@
     def _doubt(self, *, address: str) -> None:
         """Gives up a connection over which nothing has come for a while though something was asked."""
         now = asyncio.get_running_loop().time()
-        since = self.silentSince.setdefault(address, now)
+        since = self.silent_since.setdefault(address, now)
         writer = self.writers.get(address)
         # why: after a cut the system sends again only at long intervals; a new connection is there at once
         if writer is not None and now - since > SILENT_S:
             self.counters.add(name="records.redialled")
-            self.silentSince.pop(address, None)
+            self.silent_since.pop(address, None)
             writer.transport.abort()
             self.writers.pop(address, None)
 
--- a/src/cinderstair/pitch/settings.py
+++ b/src/cinderstair/pitch/settings.py
@@ -16,7 +16,7 @@
 LIVE = ("logLevel", "drainWaitUs", "queueMost", "idleTransactionUs", "idleSessionUs")
 
 
-def checkAddress(value: str) -> None:
+def check_address(value: str) -> None:
     trouble = address_trouble(value=value)
     if trouble:
         raise ValidationError(trouble)
@@ -27,16 +27,16 @@
 
     name = fields.String(required=True, validate=NAME)
     site = fields.String(required=True, validate=NAME)
-    records = fields.String(required=True, validate=checkAddress)
-    http = fields.String(load_default="", validate=lambda v: checkAddress(v) if v else None)
+    records = fields.String(required=True, validate=check_address)
+    http = fields.String(load_default="", validate=lambda v: check_address(v) if v else None)
     folder = fields.String(load_default="")
     seeds = fields.List(
-        fields.String(validate=checkAddress),
+        fields.String(validate=check_address),
         required=True,
         validate=validate.Length(equal=3, error="three seed addresses are needed"),
     )
     foundingVaults = fields.Integer(load_default=5, strict=True, validate=validate.Range(min=1, max=15))
-    platform = fields.String(load_default="", validate=lambda v: checkAddress(v) if v else None)
+    platform = fields.String(load_default="", validate=lambda v: check_address(v) if v else None)
     traces = fields.String(load_default="")
     logLevel = fields.String(load_default="info", validate=validate.OneOf(["debug", "info", "warning", "error"]))
     drainWaitUs = fields.Integer(load_default=8_000_000, strict=True, validate=validate.Range(min=0))
@@ -91,7 +91,7 @@
     return Error(Fault(kind=Kind.badSettings, why=f"{where}: {why}"))
 
 
-def checkSettings(*, values: dict[str, Any], text: str, where: str) -> Result[Settings, Fault]:
+def check_settings(*, values: dict[str, Any], text: str, where: str) -> Result[Settings, Fault]:
     try:
         loaded = SettingsSchema().load(values)
     except ValidationError as error:
@@ -104,7 +104,7 @@
     return Ok(Settings(**{**loaded, "seeds": tuple(loaded["seeds"])}))
 
 
-def readSettings(*, path: str, flags: dict[str, Any]) -> Result[Settings, Fault]:
+def read_settings(*, path: str, flags: dict[str, Any]) -> Result[Settings, Fault]:
     """The file's values, overridden by flags; everything is checked before anything is used."""
     text, values = "", {}
     if path:
@@ -115,10 +115,10 @@
             return badSettings(where=path, why=f"can't be read: {error.strerror}")
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
             return badSettings(where=path, why=f"not TOML: {error}")
-    return checkSettings(values={**values, **flags}, text=text, where=path or "flags")
+    return check_settings(values={**values, **flags}, text=text, where=path or "flags")
 
 
-def mayChangeLive(*, old: Settings, new: Settings) -> list[str]:
+def may_change_live(*, old: Settings, new: Settings) -> list[str]:
     """The keys that differ and can't be changed without a restart."""
     return [
         key for key in Settings.__dataclass_fields__ if key not in LIVE and getattr(old, key) != getattr(new, key)
--- a/src/cinderstair/pitch/traces.py
+++ b/src/cinderstair/pitch/traces.py
@@ -21,14 +21,14 @@
     return KeyValue(key=key, value=held)
 
 
-def hexIds(*, value: Any) -> Any:
+def hex_ids(*, value: Any) -> Any:
     """The JSON form writes ids in hex, where the library's general rule for bytes is base64."""
     if isinstance(value, dict):
         return {
-            key: base64.b64decode(inner).hex() if key in IDS else hexIds(value=inner) for key, inner in value.items()
+            key: base64.b64decode(inner).hex() if key in IDS else hex_ids(value=inner) for key, inner in value.items()
         }
     if isinstance(value, list):
-        return [hexIds(value=inner) for inner in value]
+        return [hex_ids(value=inner) for inner in value]
     return value
 
 
@@ -42,7 +42,7 @@
         self.spans: list[Span] = []
         self.dropped = 0
 
-    def span(self, *, name: str, wallUs: int, tookUs: int, attributes: dict[str, str | int], failed: bool) -> None:
+    def span(self, *, name: str, wall_us: int, took_us: int, attributes: dict[str, str | int], failed: bool) -> None:
         if self.sink is None:
             return
         # why: traces are a convenience, and must not cost a daemon its memory
@@ -55,8 +55,8 @@
                 span_id=self.luck.getrandbits(64).to_bytes(8, "big"),
                 name=name,
                 kind=Span.SPAN_KIND_SERVER,
-                start_time_unix_nano=wallUs * 1_000,
-                end_time_unix_nano=(wallUs + tookUs) * 1_000,
+                start_time_unix_nano=wall_us * 1_000,
+                end_time_unix_nano=(wall_us + took_us) * 1_000,
                 attributes=[attribute(key=key, value=value) for key, value in attributes.items()],
                 status=Status(code=Status.STATUS_CODE_ERROR if failed else Status.STATUS_CODE_OK),
             )
@@ -70,5 +70,5 @@
         scope = ScopeSpans(scope=InstrumentationScope(name="cinderstair"), spans=spans)
         data = TracesData(resource_spans=[ResourceSpans(resource=resource, scope_spans=[scope])])
         # why: the JSON form writes enumerations as their numbers
-        value = hexIds(value=MessageToDict(data, use_integers_for_enums=True))
+        value = hex_ids(value=MessageToDict(data, use_integers_for_enums=True))
         self.sink(json.dumps(value, separators=(",", ":")).encode() + b"\n")
--- a/src/cinderstair/stall/copies.py
+++ b/src/cinderstair/stall/copies.py
@@ -9,7 +9,7 @@
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
 from .filters.readyfilter import ReadyFilter
-from .session import Session, readSession
+from .session import Session, read_session
 from .sessions import Sessions
 
 NO, YES = 0, 1
@@ -36,16 +36,16 @@
         self.sessions = sessions
         self.ready = ready
         self.held: dict[str, Copy] = {}
-        self.seenUs: dict[int, int] = {}
+        self.seen_us: dict[int, int] = {}
         desk.open(kind=COPY, answer=self._copied)
         desk.open(kind=TOUCH, answer=self._touched)
         desk.open(kind=FORGET, answer=self._forgot)
-        self.openQueue()
-        self.every(everyUs=SWEEP_US, command=self._sweep, name="copies")
+        self.open_queue()
+        self.every(every_us=SWEEP_US, command=self._sweep, name="copies")
 
     async def _copied(self, unpacker: Unpacker) -> bytes:
         owner, number = unpacker.u64(), unpacker.u64()
-        session = readSession(unpacker=unpacker, nowUs=self.ctx.nowUs())
+        session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MOST_COPIES
@@ -55,19 +55,19 @@
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
         self.held[session.ident] = Copy(owner=owner, number=number, session=session)
-        self.seenUs[owner] = self.ctx.nowUs()
+        self.seen_us[owner] = self.ctx.now_us()
         return Packer().u8(value=YES).bytes()
 
     async def _touched(self, unpacker: Unpacker) -> bytes:
         """An owner says what it takes to stand here: what it does not name is dropped, what is lacking is told."""
-        owner, upTo = unpacker.u64(), unpacker.u64()
+        owner, up_to = unpacker.u64(), unpacker.u64()
         named = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
         unpacker.done()
-        nowUs = self.ctx.nowUs()
-        self.seenUs[owner] = nowUs
+        now_us = self.ctx.now_us()
+        self.seen_us[owner] = now_us
         for ident, copy in list(self.held.items()):
             # why: a copy that was sent after the list was written is not on it
-            if copy.owner == owner and ident not in named and copy.number <= upTo:
+            if copy.owner == owner and ident not in named and copy.number <= up_to:
                 del self.held[ident]
         lacking = []
         for ident, edition in named.items():
@@ -76,7 +76,7 @@
                 lacking.append(ident)
             else:
                 # why: its owner vouches for it; only when nobody does any more its age counts
-                held.session.usedUs = nowUs
+                held.session.used_us = now_us
         packer = Packer().u8(value=int(self.ready.leaving))
         return packer.many(values=lacking, each=lambda p, ident: p.text(value=ident)).bytes()
 
@@ -104,20 +104,20 @@
         Should such an owner only be cut off, both have the same state under the same tag, and the first change of
         either is one that the other can't be taken for.
         """
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for ident, copy in list(self.held.items()):
-            if nowUs - self.seenUs.get(copy.owner, 0) > ORPHAN_US:
+            if now_us - self.seen_us.get(copy.owner, 0) > ORPHAN_US:
                 del self.held[ident]
                 copy.session.second = ""
                 self.sessions.open.setdefault(ident, copy.session)
                 self.ctx.counters.add(name="sessions.adopted")
 
     def _sweep(self) -> None:
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for ident, copy in list(self.held.items()):
             # why: its owner may be long gone, and its client as well
-            if nowUs - copy.session.usedUs > self.sessions.idleSessionUs:
+            if now_us - copy.session.used_us > self.sessions.idleSessionUs:
                 del self.held[ident]
         owners = {copy.owner for copy in self.held.values()}
-        self.seenUs = {owner: atUs for owner, atUs in self.seenUs.items() if owner in owners}
+        self.seen_us = {owner: at_us for owner, at_us in self.seen_us.items() if owner in owners}
         self.ctx.counters.gauge(name="copies.held", value=len(self.held))
--- a/src/cinderstair/stall/denymixin.py
+++ b/src/cinderstair/stall/denymixin.py
@@ -5,7 +5,7 @@
 from ..pitch.answers import ANSWERS
 from ..pitch.context import Context
 from ..pitch.fault import Fault
-from ..pitch.httpresponse import HttpResponse, jsonResponse
+from ..pitch.httpresponse import HttpResponse, json_response
 from ..pitch.kind import Kind
 
 
@@ -20,15 +20,15 @@
         value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": why}
         headers = {}
         # why: whoever may come back is told when, at once, instead of being held until then
-        if answer.retryAfterUs:
-            retryUs = int((details or {}).get("retryAfterUs", answer.retryAfterUs))
-            value["retryAfterUs"] = retryUs
-            headers["Retry-After"] = str(max(1, -(-retryUs // 1_000_000)))
-        return jsonResponse(status=answer.status, value={**value, **(details or {})}, headers=headers)
+        if answer.retry_after_us:
+            retry_us = int((details or {}).get("retryAfterUs", answer.retry_after_us))
+            value["retryAfterUs"] = retry_us
+            headers["Retry-After"] = str(max(1, -(-retry_us // 1_000_000)))
+        return json_response(status=answer.status, value={**value, **(details or {})}, headers=headers)
 
-    def denyFault(self, *, fault: Fault) -> HttpResponse:
+    def deny_fault(self, *, fault: Fault) -> HttpResponse:
         return self.deny(kind=fault.kind, why=fault.why, details=fault.details)
 
     def done(self, *, value: dict[str, Any] | None = None, status: int = 200) -> HttpResponse:
         self.ctx.counters.add(name="answers.done")
-        return jsonResponse(status=status, value={"outcome": "done", **(value or {})})
+        return json_response(status=status, value={"outcome": "done", **(value or {})})
--- a/src/cinderstair/stall/doubts.py
+++ b/src/cinderstair/stall/doubts.py
@@ -5,7 +5,7 @@
 from ..pitch.context import Context
 from ..pitch.kind import Kind
 from ..pitch.ownermixin import OwnerMixin
-from .gauge import readGauge
+from .gauge import read_gauge
 from .yard import Yard
 
 LOOK_EVERY_US = 500_000
@@ -21,12 +21,12 @@
         self.yard = yard
         self.misses: Counter[str] = Counter()
         self.asking: set[str] = set()
-        self.openQueue()
-        self.every(everyUs=LOOK_EVERY_US, command=self._look, name="doubts")
+        self.open_queue()
+        self.every(every_us=LOOK_EVERY_US, command=self._look, name="doubts")
 
     def _look(self) -> None:
         for name, pool in self.yard.pools.items():
-            if pool.oldestUs < DOUBT_US:
+            if pool.oldest_us < DOUBT_US:
                 self.misses.pop(name, None)
             elif name not in self.asking:
                 self.asking.add(name)
@@ -34,7 +34,7 @@
 
     async def _ask(self, *, name: str) -> None:
         try:
-            reading = await readGauge(yard=self.yard, name=name)
+            reading = await read_gauge(yard=self.yard, name=name)
         finally:
             self.asking.discard(name)
         # why: a slow statement is no sign of anything while its backend still answers other questions
@@ -45,4 +45,4 @@
         pool = self.yard.pool(name=name)
         if self.misses[name] >= MISSES and pool is not None:
             self.ctx.counters.add(name="jobs.givenUp")
-            pool.giveUp()
+            pool.give_up()
--- a/src/cinderstair/stall/filters/deskfilter.py
+++ b/src/cinderstair/stall/filters/deskfilter.py
@@ -1,10 +1,10 @@
 """Answers the platform, the backends' beats and the operators."""
 
 from ...charter.chancery import CHARTER_KEY, Chancery
-from ...crier.beat import beatFromJson
+from ...crier.beat import beat_from_json
 from ...crier.news import News
 from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse, jsonResponse
+from ...pitch.httpresponse import HttpResponse, json_response
 from ...pitch.kind import Kind
 from ...steward.leadduty import LeadDuty
 from ...vault.succession import Succession
@@ -44,9 +44,9 @@
             self.ready.draining = True
             return self.done(value={"sessions": self.status.value()["sessions"]})
         if job.verb == "counters":
-            return jsonResponse(status=200, value=self.ctx.counters.snapshot())
+            return json_response(status=200, value=self.ctx.counters.snapshot())
         if job.verb == "status":
-            return jsonResponse(status=200, value=self.status.value())
+            return json_response(status=200, value=self.status.value())
         if job.verb == "beat":
             return self._beat(job=job)
         if job.verb == "submit":
@@ -54,7 +54,7 @@
         if job.verb == "fetch":
             return await self._fetch()
         if job.verb == "replaceVault":
-            return await self._replaceVault(job=job)
+            return await self._replace_vault(job=job)
         if job.verb == "override":
             return await self._override(job=job)
         return None
@@ -67,7 +67,7 @@
 
     def _beat(self, *, job: Job) -> HttpResponse:
         try:
-            beat = beatFromJson(value=job.body)
+            beat = beat_from_json(value=job.body)
         except ValueError as error:
             return self.deny(kind=Kind.malformed, why=str(error))
         self.news.hear(beat=beat)
@@ -76,19 +76,19 @@
     async def _submit(self, *, job: Job) -> HttpResponse:
         result = await self.chancery.submit(raw=job.http.body)
         if result.is_error():
-            return self.denyFault(fault=result.error)
+            return self.deny_fault(fault=result.error)
         charter, found = result.ok
-        self.view.takeOwn(key=CHARTER_KEY, result=type(result).Ok(found))
+        self.view.take_own(key=CHARTER_KEY, result=type(result).Ok(found))
         return self.done(value={"version": charter.version, "warnings": list(charter.warnings)})
 
     async def _fetch(self) -> HttpResponse:
         result = await self.chancery.fetch()
         if result.is_error():
-            return self.denyFault(fault=result.error)
+            return self.deny_fault(fault=result.error)
         # why: read back to the byte, so it leaves as it came and not as we would write it
         return HttpResponse(status=200, body=result.ok)
 
-    async def _replaceVault(self, *, job: Job) -> HttpResponse:
+    async def _replace_vault(self, *, job: Job) -> HttpResponse:
         leaves, enters = str(job.body.get("leaves")), str(job.body.get("enters"))
         strangers = await self.chancery.register.strangers()
         voter = strangers.get(enters)
@@ -99,7 +99,7 @@
         succession = Succession(ctx=self.ctx, register=self.chancery.register)
         result = await succession.succeed(leaves=leaves, enters=voter, most=most)
         if result.is_error():
-            return self.denyFault(fault=result.error)
+            return self.deny_fault(fault=result.error)
         names = [each.name for each in result.ok.voters]
         return self.done(value={"epoch": result.ok.epoch, "vaults": names})
 
@@ -109,5 +109,5 @@
             return self.deny(kind=Kind.malformed, why="iAcceptLoss: must be true; commits may be lost by this")
         result = await self.leads.override(database=database, backend=backend)
         if result.is_error():
-            return self.denyFault(fault=result.error)
+            return self.deny_fault(fault=result.error)
         return self.done(value={"term": result.ok.term})
--- a/src/cinderstair/stall/filters/keepfilter.py
+++ b/src/cinderstair/stall/filters/keepfilter.py
@@ -48,7 +48,7 @@
             return self.deny(kind=Kind.crowded, why="as many sessions as this stall takes")
         session.busy = True
         try:
-            stands = await self.keeper.keep(session=session, untilUs=job.untilUs)
+            stands = await self.keeper.keep(session=session, until_us=job.until_us)
         finally:
             session.busy = False
         value = {"session": session.handle, "stall": self.ctx.name, "stands": 1 + stands}
@@ -65,7 +65,7 @@
             was=session.tag,
             transaction=None,
         )
-        stands = await self.keeper.keep(session=changed, untilUs=job.untilUs or self.ctx.nowUs() + KEEP_WAIT_US)
+        stands = await self.keeper.keep(session=changed, until_us=job.until_us or self.ctx.now_us() + KEEP_WAIT_US)
         session.values, session.prepared = values, prepared
         session.tag, session.was, session.second = changed.tag, changed.was, changed.second
         return self.done(value={"session": session.handle, "stands": 1 + stands})
--- a/src/cinderstair/stall/filters/passfilter.py
+++ b/src/cinderstair/stall/filters/passfilter.py
@@ -58,7 +58,7 @@
     async def answer(self, *, job: Job) -> HttpResponse | None:
         session = job.bound
         if job.verb in ("commit", "rollback") and session.transaction is None:
-            return self._withoutTransaction(session=session)
+            return self._without_transaction(session=session)
         if job.verb == "begin":
             return await self._begin(job=job)
         if job.verb == "commit":
@@ -66,7 +66,7 @@
         if job.verb == "rollback":
             return await self._rollback(job=job)
         if session.transaction is not None:
-            return await self._inTransaction(job=job)
+            return await self._in_transaction(job=job)
         # why: a statement meant for a transaction that is gone must not run outside one
         if session.lost:
             session.lost = False
@@ -75,17 +75,17 @@
             return await self._rounds(job=job, one=self._write)
         # why: an operator may send reads that a replica could answer to the primary as well
         if job.kind == "primary" or self.charter.route(kind=job.kind, database=session.database).target == "primary":
-            return await self._rounds(job=job, one=self._primaryRead)
-        return await self._rounds(job=job, one=self._replicaRead)
+            return await self._rounds(job=job, one=self._primary_read)
+        return await self._rounds(job=job, one=self._replica_read)
 
-    def _withoutTransaction(self, *, session: Session) -> HttpResponse:
+    def _without_transaction(self, *, session: Session) -> HttpResponse:
         if session.lost:
             session.lost = False
             return self.deny(kind=Kind.transactionLost, why="the transaction was ended; nothing of it was kept")
         return self.deny(kind=Kind.noTransaction, why="no transaction is open")
 
-    def _leftUs(self, *, job: Job) -> int:
-        return job.timeLeftUs(nowUs=self.ctx.nowUs())
+    def _left_us(self, *, job: Job) -> int:
+        return job.time_left_us(now_us=self.ctx.now_us())
 
     async def _rounds(self, *, job: Job, one: Callable[..., Awaitable[HttpResponse | Fault]]) -> HttpResponse:
         """Rounds of a job that provably ran nowhere, or that only reads, within its time left."""
@@ -103,10 +103,10 @@
             # why: with a full queue another round would only make the crowd larger
             if fault.kind in (Kind.crowded, Kind.noLead, Kind.moving, Kind.notInSync):
                 break
-            if self._leftUs(job=job) <= AGAIN_US * 2:
+            if self._left_us(job=job) <= AGAIN_US * 2:
                 break
-            await self.ctx.rest(waitUs=AGAIN_US * round_)
-        return self.denyFault(fault=fault)
+            await self.ctx.rest(wait_us=AGAIN_US * round_)
+        return self.deny_fault(fault=fault)
 
     async def _outwait(self, *, job: Job) -> bool:
         """Waits for a planned move to end; False at once where the job's time left won't reach so far."""
@@ -114,18 +114,18 @@
         lead = self.view.lead(database=database)
         if lead is None or not lead.planned:
             return False
-        endsUs = self.view.plannedSinceUs.get(database, self.ctx.nowUs()) + PLANNED_US
+        ends_us = self.view.planned_since_us.get(database, self.ctx.now_us()) + PLANNED_US
         # why: a job that can't outlast the move is told now when to come back, not after it has waited in vain
-        if job.untilUs < endsUs or self.ctx.nowUs() > endsUs:
+        if job.until_us < ends_us or self.ctx.now_us() > ends_us:
             return False
-        while self.ctx.nowUs() < endsUs:
+        while self.ctx.now_us() < ends_us:
             lead = self.view.lead(database=database)
             if lead is not None and lead.state == SETTLED:
                 return True
-            await self.ctx.rest(waitUs=AGAIN_US)
+            await self.ctx.rest(wait_us=AGAIN_US)
         return False
 
-    def _leadFor(self, *, database: str, writes: bool) -> Result[Lead, Fault]:
+    def _lead_for(self, *, database: str, writes: bool) -> Result[Lead, Fault]:
         lead = self.view.lead(database=database)
         if lead is None:
             return Result.Error(Fault(kind=Kind.noLead, why=f"{database}: nobody leads yet"))
@@ -148,7 +148,7 @@
         tried.add(name)
         if pool is None:
             return Result.Error(Fault(kind=Kind.noBackend, why=f"{name} is not in this stall's share"))
-        taken = await pool.take(waitUs=self._leftUs(job=job))
+        taken = await pool.take(wait_us=self._left_us(job=job))
         if taken.is_error():
             return Result.Error(taken.error)
         channel = taken.ok
@@ -156,10 +156,10 @@
         if not self.view.current or not self.yard.usable(name=name):
             pool.give(channel=channel)
             return Result.Error(Fault(kind=Kind.notCurrent, why="the view ran out while the job waited"))
-        leftUs = self._leftUs(job=job)
+        left_us = self._left_us(job=job)
         # why: a read may be asked again elsewhere, so a silent backend must not use up all of its time
-        waitUs = leftUs if job.kind == "write" else max(leftUs // 2, min(leftUs, READ_WAIT_US))
-        result = await self.passTo(channel=channel, job=job, step="alone", term=term, waitUs=waitUs)
+        wait_us = left_us if job.kind == "write" else max(left_us // 2, min(left_us, READ_WAIT_US))
+        result = await self.pass_to(channel=channel, job=job, step="alone", term=term, wait_us=wait_us)
         pool.give(channel=channel, keep=result.is_ok())
         if result.is_error():
             pool.blame()
@@ -170,7 +170,7 @@
 
     async def _write(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
         database = job.bound.database
-        found = self._leadFor(database=database, writes=True)
+        found = self._lead_for(database=database, writes=True)
         if found.is_error():
             return found.error
         lead = found.ok
@@ -207,17 +207,17 @@
             if not self.book.holds(database=database, term=term):
                 return self.deny(kind=Kind.notCurrent, why="the lead moved meanwhile; nothing was written")
             return self.done(value={"rows": reply.rows})
-        waitUs = self.charter.amount(name="commitWait", database=database)
-        untilUs = min(job.untilUs, self.ctx.nowUs() + waitUs)
-        if not await self.book.durable(database=database, term=term, position=reply.position, untilUs=untilUs):
+        wait_us = self.charter.amount(name="commitWait", database=database)
+        until_us = min(job.until_us, self.ctx.now_us() + wait_us)
+        if not await self.book.durable(database=database, term=term, position=reply.position, until_us=until_us):
             return self._unknown(why="run, and not known to be held by every replica in sync")
         job.bound.floor = max(job.bound.floor, reply.position)
         self.ctx.counters.add(name="commits.acknowledged")
         return self.done(value={"rows": reply.rows, "position": reply.position})
 
-    async def _primaryRead(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
+    async def _primary_read(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
         database = job.bound.database
-        found = self._leadFor(database=database, writes=False)
+        found = self._lead_for(database=database, writes=False)
         if found.is_error():
             return found.error
         lead = found.ok
@@ -253,21 +253,21 @@
 
         return min(names, key=weight, default=None)
 
-    async def _replicaRead(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
+    async def _replica_read(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
         database = job.bound.database
         lead = self.view.lead(database=database)
         if lead is None:
             return Fault(kind=Kind.noLead, why=f"{database}: nobody leads yet")
         policy = "liveAge" if job.kind == "live" else "freshAge"
-        ageUs = self.charter.amount(name=policy, database=database)
+        age_us = self.charter.amount(name=policy, database=database)
         # why: a session taken over has left its floor with the stall that was lost; all that it had committed is
         # at or below any position of the primary's from after that
-        sinceUs = max(job.startUs - ageUs, job.bound.takenUs if job.kind == "fresh" else 0)
-        floor = self.samples.floor(database=database, term=lead.term, sinceUs=sinceUs)
+        since_us = max(job.start_us - age_us, job.bound.taken_us if job.kind == "fresh" else 0)
+        floor = self.samples.floor(database=database, term=lead.term, since_us=since_us)
         name = None if floor is None else self._place(job=job, lead=lead, tried=tried)
         if name is None or floor is None:
             # why: with no sample or no replica left the primary can still tell, and nobody else can
-            return await self._primaryRead(job=job, tried=tried)
+            return await self._primary_read(job=job, tried=tried)
         if job.kind == "fresh":
             floor = max(floor, job.bound.floor)
         result = await self._once(name=name, job=job, term=lead.term, tried=tried)
@@ -288,22 +288,22 @@
         if session.transaction is not None:
             return self.deny(kind=Kind.inTransaction, why="a transaction is open already")
         session.lost = False
-        return await self._rounds(job=job, one=self._beginOnce)
+        return await self._rounds(job=job, one=self._begin_once)
 
-    async def _beginOnce(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
+    async def _begin_once(self, *, job: Job, tried: set[str]) -> HttpResponse | Fault:
         session = job.bound
-        found = self._leadFor(database=session.database, writes=True)
+        found = self._lead_for(database=session.database, writes=True)
         if found.is_error():
             return found.error
         lead = found.ok
         pool = self.yard.pool(name=lead.primary)
         assert pool is not None
-        taken = await pool.take(waitUs=self._leftUs(job=job))
+        taken = await pool.take(wait_us=self._left_us(job=job))
         if taken.is_error():
             return taken.error
         channel = taken.ok
-        result = await self.passTo(
-            channel=channel, job=job, step="begin", term=lead.term, waitUs=self._leftUs(job=job)
+        result = await self.pass_to(
+            channel=channel, job=job, step="begin", term=lead.term, wait_us=self._left_us(job=job)
         )
         if result.is_error() or not result.ok.ran:
             # why: a begin whose answer was lost leaves nothing behind once its channel is closed
@@ -313,7 +313,7 @@
                 return Fault(kind=Kind.noBackend, why=result.error.why)
             return self._denied(reply=result.ok)
         session.transaction = Transaction(
-            pool=pool, channel=channel, term=lead.term, database=session.database, usedUs=self.ctx.nowUs()
+            pool=pool, channel=channel, term=lead.term, database=session.database, used_us=self.ctx.now_us()
         )
         return self.done()
 
@@ -327,24 +327,24 @@
             database=transaction.database, term=transaction.term
         )
 
-    async def _passOpen(self, *, job: Job, transaction: Transaction, step: str) -> Result[Reply, Fault]:
+    async def _pass_open(self, *, job: Job, transaction: Transaction, step: str) -> Result[Reply, Fault]:
         """A step of an open transaction, over the channel that is its own."""
         if not self._holds(transaction=transaction):
             return Result.Error(Fault(kind=Kind.wireUnsent, why="the lead moved"))
-        leftUs = self._leftUs(job=job)
-        result = await self.passTo(
-            channel=transaction.channel, job=job, step=step, term=transaction.term, waitUs=leftUs
+        left_us = self._left_us(job=job)
+        result = await self.pass_to(
+            channel=transaction.channel, job=job, step=step, term=transaction.term, wait_us=left_us
         )
-        transaction.usedUs = self.ctx.nowUs()
+        transaction.used_us = self.ctx.now_us()
         if result.is_error():
             transaction.pool.blame()
         return result
 
-    async def _inTransaction(self, *, job: Job) -> HttpResponse:
+    async def _in_transaction(self, *, job: Job) -> HttpResponse:
         session = job.bound
         transaction = session.transaction
         assert transaction is not None
-        result = await self._passOpen(job=job, transaction=transaction, step="in")
+        result = await self._pass_open(job=job, transaction=transaction, step="in")
         if result.is_error():
             return self._lose(session=session, why=f"{result.error.why}; nothing of the transaction was kept")
         if not result.ok.ran and (result.ok.reason in NOT_RUN or result.ok.reason == "noTransaction"):
@@ -366,7 +366,7 @@
         session = job.bound
         transaction = session.transaction
         assert transaction is not None
-        result = await self._passOpen(job=job, transaction=transaction, step="commit")
+        result = await self._pass_open(job=job, transaction=transaction, step="commit")
         self._end(session=session, transaction=transaction, result=result)
         if result.is_error() and result.error.kind == Kind.wireUnsent:
             return self.deny(kind=Kind.transactionLost, why=f"{result.error.why}; the commit was never sent")
@@ -380,7 +380,7 @@
         session = job.bound
         transaction = session.transaction
         assert transaction is not None
-        result = await self._passOpen(job=job, transaction=transaction, step="rollback")
+        result = await self._pass_open(job=job, transaction=transaction, step="rollback")
         # why: closing the channel rolls back as surely as the word does, so a rollback is always done
         self._end(session=session, transaction=transaction, result=result)
         return self.done()
--- a/src/cinderstair/stall/filters/pathfilter.py
+++ b/src/cinderstair/stall/filters/pathfilter.py
@@ -46,6 +46,6 @@
                 return self.deny(kind=Kind.wrongMethod, why=f"{job.http.path} takes {', '.join(methods)}")
             job.verb = verb
             found = match.groupdict()
-            job.sessionId, job.name = found.get("session", ""), found.get("name", "")
+            job.session_id, job.name = found.get("session", ""), found.get("name", "")
             return None
         return self.deny(kind=Kind.unknownPath, why=f"nothing at {job.http.path}")
--- a/src/cinderstair/stall/filters/readyfilter.py
+++ b/src/cinderstair/stall/filters/readyfilter.py
@@ -18,27 +18,27 @@
         self.view = view
         self.crowd = crowd
         self.draining = False
-        self.emptiedBy = ""
+        self.emptied_by = ""
         self.blind = False
 
     @property
     def leaving(self) -> bool:
         """Whether sessions are to go elsewhere, for a stop or for a window."""
-        return self.draining or bool(self.emptiedBy) or self.blind
+        return self.draining or bool(self.emptied_by) or self.blind
 
     def unready(self) -> tuple[Kind, str] | None:
         """Why no job may pass now; None where jobs may."""
         if self.draining:
             return Kind.draining, "this stall is emptying"
-        if self.emptiedBy:
-            return Kind.draining, f"this stall is emptied by {self.emptiedBy}"
+        if self.emptied_by:
+            return Kind.draining, f"this stall is emptied by {self.emptied_by}"
         if self.blind:
             return Kind.noBackend, "this stall reaches no backend"
         if not self.view.current:
             return Kind.notCurrent, "this stall's view of the register is not current"
         if self.view.charter is None:
             return Kind.noConfiguration, "no configuration has been accepted yet"
-        if self.view.slots.idOf(name=self.ctx.name) is None:
+        if self.view.slots.id_of(name=self.ctx.name) is None:
             return Kind.notCurrent, "this stall holds no slot yet"
         return None
 
--- a/src/cinderstair/stall/filters/sessionfilter.py
+++ b/src/cinderstair/stall/filters/sessionfilter.py
@@ -4,7 +4,7 @@
 from ...pitch.httpresponse import HttpResponse
 from ...pitch.kind import Kind
 from ..denymixin import DenyMixin
-from ..handle import Handle, readHandle
+from ..handle import Handle, read_handle
 from ..handover import Handover
 from ..job import Job
 from ..session import Session
@@ -20,9 +20,9 @@
         self.handover = handover
 
     async def answer(self, *, job: Job) -> HttpResponse | None:
-        if not job.sessionId:
+        if not job.session_id:
             return None
-        handle = readHandle(text=job.sessionId)
+        handle = read_handle(text=job.session_id)
         session = self.sessions.find(ident=handle.ident)
         # why: the client was promised a later state than the one here, so this stall was away for too long
         if session is not None and handle.tag.edition >= session.tag.edition and not session.known(tag=handle.tag):
@@ -39,7 +39,7 @@
             return self.deny(kind=reason[0], why=reason[1], details=self.ready.elsewhere())
         job.session = session
         session.busy = True
-        session.usedUs = self.ctx.nowUs()
+        session.used_us = self.ctx.now_us()
         return None
 
     async def _elsewhere(self, *, job: Job, handle: Handle) -> HttpResponse:
--- a/src/cinderstair/stall/filters/timeleftfilter.py
+++ b/src/cinderstair/stall/filters/timeleftfilter.py
@@ -23,5 +23,5 @@
             return self.deny(kind=Kind.malformed, why="timeLeftUs: whole microseconds, ten minutes at the most")
         if left <= 0:
             return self.deny(kind=Kind.timeLeftSpent, why="no time was left when the job came in")
-        job.untilUs = job.startUs + left
+        job.until_us = job.start_us + left
         return None
--- a/src/cinderstair/stall/gauge.py
+++ b/src/cinderstair/stall/gauge.py
@@ -25,8 +25,8 @@
     incarnation: int
 
 
-async def readGauge(
-    *, yard: Yard, name: str, atLeast: int = 0, holdUs: int = 0, direct: bool = False
+async def read_gauge(
+    *, yard: Yard, name: str, at_least: int = 0, hold_us: int = 0, direct: bool = False
 ) -> Result[Reading, Fault]:
     """One question to one backend, over its pool's spare channel; the backend may hold it for a while.
 
@@ -36,35 +36,35 @@
     if pool is None or not (direct or yard.reachable(name=name)):
         return Error(Fault(kind=Kind.noBackend, why=f"{name}: not to be asked"))
     if direct and pool.limit == 0:
-        return await readDirect(yard=yard, address=pool.address, name=name)
-    taken = await pool.take(waitUs=GAUGE_WAIT_US, gauge=True)
+        return await read_direct(yard=yard, address=pool.address, name=name)
+    taken = await pool.take(wait_us=GAUGE_WAIT_US, gauge=True)
     if taken.is_error():
         return Error(taken.error)
-    body = json.dumps({"atLeast": atLeast, "holdUs": holdUs}).encode()
-    result = await taken.ok.passJob(
-        job=HttpJob(method="POST", path="/position", body=body), waitUs=GAUGE_WAIT_US + holdUs
+    body = json.dumps({"atLeast": at_least, "holdUs": hold_us}).encode()
+    result = await taken.ok.pass_job(
+        job=HttpJob(method="POST", path="/position", body=body), wait_us=GAUGE_WAIT_US + hold_us
     )
     pool.give(channel=taken.ok, keep=result.is_ok())
     if result.is_error():
         pool.blame()
         return Error(result.error)
-    return readAnswer(name=name, response=result.ok)
+    return read_answer(name=name, response=result.ok)
 
 
-async def readDirect(*, yard: Yard, address: str, name: str) -> Result[Reading, Fault]:
+async def read_direct(*, yard: Yard, address: str, name: str) -> Result[Reading, Fault]:
     """The same question over a channel opened for it alone."""
-    dialled = await yard.ctx.net.dial(address=address, waitUs=GAUGE_WAIT_US)
+    dialled = await yard.ctx.net.dial(address=address, wait_us=GAUGE_WAIT_US)
     if dialled.is_error():
         return Error(dialled.error)
     body = json.dumps({"atLeast": 0, "holdUs": 0}).encode()
-    result = await dialled.ok.passJob(job=HttpJob(method="POST", path="/position", body=body), waitUs=GAUGE_WAIT_US)
+    result = await dialled.ok.pass_job(job=HttpJob(method="POST", path="/position", body=body), wait_us=GAUGE_WAIT_US)
     dialled.ok.close()
     if result.is_error():
         return Error(result.error)
-    return readAnswer(name=name, response=result.ok)
+    return read_answer(name=name, response=result.ok)
 
 
-def readAnswer(*, name: str, response: HttpResponse) -> Result[Reading, Fault]:
+def read_answer(*, name: str, response: HttpResponse) -> Result[Reading, Fault]:
     try:
         value = response.json()
         reading = Reading(
--- a/src/cinderstair/stall/handle.py
+++ b/src/cinderstair/stall/handle.py
@@ -32,7 +32,7 @@
         return self.ident if self.tag == UNMARKED else f"{self.ident}.{self.tag}"
 
 
-def readHandle(*, text: str) -> Handle:
+def read_handle(*, text: str) -> Handle:
     match = SHAPE.match(text)
     if match is None:
         return Handle(text, UNMARKED)
