--- a/src/cinderstair/stall/handover.py
+++ b/src/cinderstair/stall/handover.py
@@ -13,9 +13,9 @@
 from ..pitch.unpacker import Unpacker
 from .copies import Copies
 from .filters.readyfilter import ReadyFilter
-from .handle import UNMARKED, Handle, Tag, readHandle
+from .handle import UNMARKED, Handle, Tag, read_handle
 from .keeper import Keeper
-from .session import Session, readSession
+from .session import Session, read_session
 from .sessions import Sessions
 
 HAND_WAIT_US = 600_000
@@ -58,12 +58,12 @@
         self.ready = ready
         # why: a client that comes back to its old stall is told where its session is now
         self.gone: dict[str, str] = {}
-        self.toldUs: dict[str, int] = {}
+        self.told_us: dict[str, int] = {}
         desk.open(kind=HANDOVER, answer=self._offered)
         desk.open(kind=SEEK, answer=self._sought)
 
     async def _offered(self, unpacker: Unpacker) -> bytes:
-        session = readSession(unpacker=unpacker, nowUs=self.ctx.nowUs())
+        session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
         # why: an offer that is repeated because its answer was lost finds the session here already
         known = self.sessions.find(ident=session.ident)
@@ -79,12 +79,12 @@
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
         # why: whoever hands it on may end as soon as it hears that it stands here
-        await self.keeper.keep(session=session, untilUs=self.ctx.nowUs() + HAND_WAIT_US)
+        await self.keeper.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
     async def _sought(self, unpacker: Unpacker) -> bytes:
         if unpacker.version == 1:
-            handle = readHandle(text=unpacker.text())
+            handle = read_handle(text=unpacker.text())
         else:
             handle = Handle(unpacker.text(), Tag(unpacker.u64(), unpacker.text()))
         unpacker.done()
@@ -104,7 +104,7 @@
         self.ctx.luck.shuffle(others)
         return sorted(others, key=lambda member: member.site != self.ctx.site)
 
-    async def handAll(self) -> int:
+    async def hand_all(self) -> int:
         """Hands on every session that is idle; how many are still here."""
         idle = [s for s in self.sessions.open.values() if not s.busy and s.transaction is None]
         for start in range(0, len(idle), AT_ONCE):
@@ -120,7 +120,7 @@
 
         def body(version: int) -> bytes:
             packer = Packer().u8(value=HANDOVER)
-            return session.write(packer=packer, version=version, nowUs=self.ctx.nowUs()).bytes()
+            return session.write(packer=packer, version=version, now_us=self.ctx.now_us()).bytes()
 
         for target in self._targets()[:TRIES]:
             if await self._offer(target=target, body=body):
@@ -134,7 +134,7 @@
 
     async def _offer(self, *, target: Member, body: Body) -> bool:
         for _ in range(TRIES):
-            result = await self.ctx.parley.ask(address=target.records, body=body, waitUs=HAND_WAIT_US)
+            result = await self.ctx.parley.ask(address=target.records, body=body, wait_us=HAND_WAIT_US)
             if result.is_ok():
                 return result.ok == bytes([YES])
         return False
@@ -145,16 +145,16 @@
         if len(self.gone) > MOST_GONE:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
-            self.toldUs.pop(oldest, None)
+            self.told_us.pop(oldest, None)
 
     async def find(self, *, handle: Handle) -> Sought:
         """A session that isn't alive here: where it is, or taken over from its copy, or not found."""
         members = self.crowd.alive(role="stall")
         known = self.gone.get(handle.ident)
-        toldUs = self.toldUs.pop(handle.ident, -TOLD_US)
+        told_us = self.told_us.pop(handle.ident, -TOLD_US)
         # why: whoever is back so soon has not found it there, so everyone is asked and not remembered
-        if known in [member.http for member in members] and self.ctx.nowUs() - toldUs > TOLD_US:
-            self.toldUs[handle.ident] = self.ctx.nowUs()
+        if known in [member.http for member in members] and self.ctx.now_us() - told_us > TOLD_US:
+            self.told_us[handle.ident] = self.ctx.now_us()
             return Sought(where=str(known))
 
         def body(version: int) -> bytes:
@@ -163,7 +163,7 @@
                 return packer.text(value=str(handle)).bytes()
             return packer.text(value=handle.ident).u64(value=handle.tag.edition).text(value=handle.tag.mark).bytes()
 
-        asks = [self.ctx.parley.ask(address=member.records, body=body, waitUs=SEEK_WAIT_US) for member in members]
+        asks = [self.ctx.parley.ask(address=member.records, body=body, wait_us=SEEK_WAIT_US) for member in members]
         answers = dict(zip(members, await asyncio.gather(*asks), strict=True))
         # why: another job of the same session may have taken it over while this one was asking
         live = self.sessions.find(ident=handle.ident)
@@ -172,7 +172,7 @@
         for wanted in (YES, COPIED):
             # why: what is alive elsewhere stays there; of copies our own is the nearest
             if wanted == COPIED and self._fits(handle=handle) == COPIED:
-                return Sought(session=await self._takeOver(handle=handle))
+                return Sought(session=await self._take_over(handle=handle))
             for member, result in answers.items():
                 if result.is_ok() and result.ok == bytes([wanted]):
                     return Sought(where=member.http)
@@ -184,16 +184,16 @@
             )
         )
 
-    async def _takeOver(self, *, handle: Handle) -> Session:
+    async def _take_over(self, *, handle: Handle) -> Session:
         session = self.copies.take(ident=handle.ident)
         assert session is not None
         older = session.tag
         # why: a stall that was only frozen or cut off has the state that the client came with; under a new tag
         # nothing that either does can be taken for the other's
         session.was, session.tag = handle.tag, session.next(luck=self.ctx.luck)
-        session.second, session.takenUs, session.usedUs = "", self.ctx.nowUs(), self.ctx.nowUs()
+        session.second, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.takenOver")
         self.keeper.forget(session=replace(session, tag=older), members=self.crowd.alive(role="stall"))
-        await self.keeper.keep(session=session, untilUs=self.ctx.nowUs() + HAND_WAIT_US)
+        await self.keeper.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
         return session
--- a/src/cinderstair/stall/job.py
+++ b/src/cinderstair/stall/job.py
@@ -14,17 +14,17 @@
     """Filters fill it in as it passes; each may answer instead."""
 
     http: HttpJob
-    startUs: int
+    start_us: int
     verb: str = ""
-    sessionId: str = ""
+    session_id: str = ""
     name: str = ""
     body: dict[str, Any] = field(default_factory=dict)
-    untilUs: int = 0
+    until_us: int = 0
     session: Session | None = None
     kind: str = ""
 
-    def timeLeftUs(self, *, nowUs: int) -> int:
-        return self.untilUs - nowUs
+    def time_left_us(self, *, now_us: int) -> int:
+        return self.until_us - now_us
 
     @property
     def bound(self) -> Session:
--- a/src/cinderstair/stall/keeper.py
+++ b/src/cinderstair/stall/keeper.py
@@ -35,12 +35,12 @@
         # why: a stall that was started again has none of its sessions, and must not be taken for its former self
         self.run = ctx.luck.getrandbits(62) | 1
         self.touched: set[str] = set()
-        self.refusedUs: dict[str, int] = {}
+        self.refused_us: dict[str, int] = {}
         self.number = 0
-        self.underWay: set[int] = set()
+        self.under_way: set[int] = set()
         sessions.closed.subscribe(lambda session: self._gone(session=session))
-        self.openQueue()
-        self.every(everyUs=TOUCH_EVERY_US, command=self._touch, name="touch")
+        self.open_queue()
+        self.every(every_us=TOUCH_EVERY_US, command=self._touch, name="touch")
 
     def _seconds(self) -> list[Member]:
         """Those that may hold copies, other sites first, each stall's own order of them."""
@@ -50,10 +50,10 @@
             if self.ctx.parley.version(address=member.records) >= VERSION
         ]
 
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
 
         def order(member: Member) -> tuple[bool, bool, bool, int]:
-            refused = nowUs - self.refusedUs.get(member.name, -REFUSED_US) < REFUSED_US
+            refused = now_us - self.refused_us.get(member.name, -REFUSED_US) < REFUSED_US
             doubtful, near = member.standing != Standing.alive, member.site == self.ctx.site
             return refused, doubtful, near, zlib.crc32(f"{self.ctx.name}/{member.name}".encode())
 
@@ -68,32 +68,32 @@
             members = [*first[turn:], *first[:turn], *members[SECONDS:]]
         return sorted(members, key=lambda member: member.name != session.second)
 
-    async def keep(self, *, session: Session, untilUs: int) -> bool:
+    async def keep(self, *, session: Session, until_us: int) -> bool:
         """Copies the session; whether it now stands at a second stall."""
         for member in self._places(session=session)[:2]:
-            waitUs = min(COPY_WAIT_US, (untilUs - self.ctx.nowUs()) // 3)
-            if waitUs <= 0:
+            wait_us = min(COPY_WAIT_US, (until_us - self.ctx.now_us()) // 3)
+            if wait_us <= 0:
                 break
-            if await self._copy(session=session, member=member, waitUs=waitUs):
+            if await self._copy(session=session, member=member, wait_us=wait_us):
                 session.second = member.name
                 return True
         session.second = ""
         return False
 
-    async def _copy(self, *, session: Session, member: Member, waitUs: int) -> bool:
+    async def _copy(self, *, session: Session, member: Member, wait_us: int) -> bool:
         self.number += 1
         number = self.number
-        self.underWay.add(number)
+        self.under_way.add(number)
         packer = Packer().u8(value=COPY).u64(value=self.run).u64(value=number)
-        body = session.write(packer=packer, version=VERSION, nowUs=self.ctx.nowUs()).bytes()
+        body = session.write(packer=packer, version=VERSION, now_us=self.ctx.now_us()).bytes()
         try:
-            result = await self.ctx.parley.ask(address=member.records, body=body, waitUs=waitUs)
+            result = await self.ctx.parley.ask(address=member.records, body=body, wait_us=wait_us)
         finally:
-            self.underWay.discard(number)
+            self.under_way.discard(number)
         stands = result.is_ok() and result.ok == bytes([YES])
         # why: one that leaves, or stands empty for a window, would be tried in vain again and again
         if not stands:
-            self.refusedUs[member.name] = self.ctx.nowUs()
+            self.refused_us[member.name] = self.ctx.now_us()
         self.ctx.counters.add(name="copies.sent" if stands else "copies.failed")
         self.ctx.counters.add(name="copies.bytes", count=len(body))
         return stands
@@ -110,7 +110,7 @@
         )
         for member in members:
             if self.ctx.parley.version(address=member.records) >= VERSION:
-                work = self.ctx.parley.ask(address=member.records, body=body, waitUs=TOUCH_WAIT_US)
+                work = self.ctx.parley.ask(address=member.records, body=body, wait_us=TOUCH_WAIT_US)
                 self.ctx.spawn(work=work, name="forget")
 
     def _gone(self, *, session: Session) -> None:
@@ -135,17 +135,17 @@
         asked = [name for name, sessions in by.items() if sessions or name in self.touched]
         await asyncio.gather(*(self._ask(member=members[name], sessions=by[name]) for name in asked))
         alone = [session for session in self.sessions.open.values() if not session.second and not session.busy]
-        untilUs = self.ctx.nowUs() + TOUCH_EVERY_US
+        until_us = self.ctx.now_us() + TOUCH_EVERY_US
         # why: at a bounded pace, since all sessions of a lost stall's neighbours want a new place at once
         if members:
-            await asyncio.gather(*(self.keep(session=each, untilUs=untilUs) for each in alone[:MEND_MOST]))
+            await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MEND_MOST]))
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.alone)
 
     async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
-        upTo = min(self.underWay, default=self.number + 1) - 1
-        packer = Packer().u8(value=TOUCH).u64(value=self.run).u64(value=upTo)
+        up_to = min(self.under_way, default=self.number + 1) - 1
+        packer = Packer().u8(value=TOUCH).u64(value=self.run).u64(value=up_to)
         packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.edition))
-        result = await self.ctx.parley.ask(address=member.records, body=packer.bytes(), waitUs=TOUCH_WAIT_US)
+        result = await self.ctx.parley.ask(address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US)
         # why: silence proves nothing; when it lasts the member is removed, and its sessions get another place
         if result.is_error():
             return
--- a/src/cinderstair/stall/ledgerbook.py
+++ b/src/cinderstair/stall/ledgerbook.py
@@ -29,7 +29,7 @@
         lead = self.view.lead(database=database)
         return self.view.current and lead is not None and lead.term == term and lead.serves
 
-    async def durable(self, *, database: str, term: int, position: int, untilUs: int) -> bool:
+    async def durable(self, *, database: str, term: int, position: int, until_us: int) -> bool:
         """Waits until every in-sync and joining replica holds the position and the term is still in force."""
         asked: set[str] = set()
         while True:
@@ -43,25 +43,25 @@
             # why: with nobody in sync a commit would stand on one disk alone
             if lead.inSync and not missing and self.view.current:
                 return True
-            leftUs = untilUs - self.ctx.nowUs()
-            if leftUs <= 0:
+            left_us = until_us - self.ctx.now_us()
+            if left_us <= 0:
                 return False
             for name in missing:
                 if name not in asked or not self.line(name=name).asking:
                     asked.add(name)
                     self.line(name=name).want(term=term, position=position)
-            await self._change(names=missing, waitUs=min(leftUs, LOOK_AGAIN_US))
+            await self._change(names=missing, wait_us=min(left_us, LOOK_AGAIN_US))
 
-    async def _change(self, *, names: list[str], waitUs: int) -> None:
-        waits = [self.ctx.spawn(work=self._one(name=name, waitUs=waitUs), name="line") for name in names]
+    async def _change(self, *, names: list[str], wait_us: int) -> None:
+        waits = [self.ctx.spawn(work=self._one(name=name, wait_us=wait_us), name="line") for name in names]
         if not waits:
-            await self.ctx.rest(waitUs=waitUs)
+            await self.ctx.rest(wait_us=wait_us)
             return
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
 
-    async def _one(self, *, name: str, waitUs: int) -> None:
+    async def _one(self, *, name: str, wait_us: int) -> None:
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 await self.line(name=name).changed.wait()
         except TimeoutError:
             pass
--- a/src/cinderstair/stall/passmixin.py
+++ b/src/cinderstair/stall/passmixin.py
@@ -29,7 +29,7 @@
     wrote: bool
 
 
-def readReply(*, value: Any) -> Reply:
+def read_reply(*, value: Any) -> Reply:
     return Reply(
         ran=bool(value["ok"]),
         reason=str(value.get("reason", "")),
@@ -44,7 +44,9 @@
 class PassMixin:
     """Gives the text of a job to a backend unchanged, with the session's values beside it."""
 
-    async def passTo(self, *, channel: Channel, job: Job, step: str, term: int, waitUs: int) -> Result[Reply, Fault]:
+    async def pass_to(
+        self, *, channel: Channel, job: Job, step: str, term: int, wait_us: int
+    ) -> Result[Reply, Fault]:
         prepared = job.body.get("prepared")
         body: dict[str, Any] = {
             "step": step,
@@ -57,10 +59,10 @@
             body["text"] = job.bound.prepared[prepared] if prepared is not None else job.body["text"]
             body["params"] = job.body.get("params", [])
         http = HttpJob(method="POST", path="/run", body=json.dumps(body, separators=(",", ":")).encode())
-        result = await channel.passJob(job=http, waitUs=max(1, waitUs))
+        result = await channel.pass_job(job=http, wait_us=max(1, wait_us))
         if result.is_error():
             return Error(result.error)
         try:
-            return Ok(readReply(value=result.ok.json()))
+            return Ok(read_reply(value=result.ok.json()))
         except (ValueError, KeyError, TypeError, AttributeError):
             return Error(Fault(kind=Kind.wireUnsure, why="the backend's answer can't be read"))
--- a/src/cinderstair/stall/pool.py
+++ b/src/cinderstair/stall/pool.py
@@ -32,9 +32,9 @@
         self.errors: deque[int] = deque()
         self.opened = 0
         self.closed = 0
-        self.shunUntilUs = 0
+        self.shun_until_us = 0
         self.out: dict[int, tuple[Channel, int]] = {}
-        self.heldUs = 0
+        self.held_us = 0
 
     @property
     def open(self) -> int:
@@ -43,34 +43,34 @@
     @property
     def weight(self) -> int:
         """Least is best: jobs under way and waiting, and each recent error counts as several."""
-        nowUs = self.ctx.nowUs()
-        while self.errors and self.errors[0] < nowUs - ERRORS_US:
+        now_us = self.ctx.now_us()
+        while self.errors and self.errors[0] < now_us - ERRORS_US:
             self.errors.popleft()
         return self.taken + len(self.waiting) + ERROR_WEIGHT * len(self.errors)
 
     @property
     def shunned(self) -> bool:
-        return self.ctx.nowUs() < self.shunUntilUs
+        return self.ctx.now_us() < self.shun_until_us
 
     def blame(self) -> None:
-        self.errors.append(self.ctx.nowUs())
+        self.errors.append(self.ctx.now_us())
 
     def _room(self, *, gauge: bool) -> bool:
         # why: a gauge that waits behind jobs would make every freshness promise wait with it
         spare = 0 if gauge or self.limit < 2 else 1
         return self.taken < self.limit - spare
 
-    async def take(self, *, waitUs: int, gauge: bool = False) -> Result[Channel, Fault]:
+    async def take(self, *, wait_us: int, gauge: bool = False) -> Result[Channel, Fault]:
         """A channel for one job or one transaction; the taker gives it back."""
         if self.limit == 0:
             return Error(Fault(kind=Kind.noBackend, why=f"{self.name}: not in this stall's share"))
-        enteredUs = self.ctx.nowUs()
+        entered_us = self.ctx.now_us()
         if not self._room(gauge=gauge):
-            expectedUs = self._expectedUs(gauge=gauge)
+            expected_us = self._expected_us(gauge=gauge)
             # why: who is not likely to be served in time is told so now, and when to come back, not when it is too
             # late; twice the expected wait, since jobs differ widely
-            if len(self.waiting) >= self.queueMost or waitUs <= 2 * (expectedUs + self._holdUs()):
-                details = {"retryAfterUs": max(100_000, expectedUs)}
+            if len(self.waiting) >= self.queueMost or wait_us <= 2 * (expected_us + self._hold_us()):
+                details = {"retryAfterUs": max(100_000, expected_us)}
                 return Error(Fault(kind=Kind.crowded, why=f"{self.name}: too many wait already", details=details))
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             if gauge:
@@ -78,7 +78,7 @@
             else:
                 self.waiting.append(turn)
             try:
-                async with asyncio.timeout(waitUs / 1_000_000):
+                async with asyncio.timeout(wait_us / 1_000_000):
                     await turn
             except TimeoutError:
                 if turn.done() and not turn.cancelled():
@@ -90,41 +90,41 @@
             if self.limit == 0:
                 return Error(Fault(kind=Kind.noBackend, why=f"{self.name}: left this stall's share"))
             # why: what would most likely run out of time at the backend is better not sent, while nothing is kept
-            if not gauge and enteredUs + waitUs - self.ctx.nowUs() < self._holdUs():
+            if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
                 self._wake()
                 return Error(Fault(kind=Kind.crowded, why=f"{self.name}: too little time is left after the wait"))
         self.taken += 1
         while self.idle:
-            channel, sinceUs = self.idle.pop()
-            if channel.open and self.ctx.nowUs() - sinceUs < IDLE_US:
+            channel, since_us = self.idle.pop()
+            if channel.open and self.ctx.now_us() - since_us < IDLE_US:
                 return self._out(channel=channel)
             self._shut(channel=channel)
-        return await self._dial(waitUs=waitUs)
+        return await self._dial(wait_us=wait_us)
 
-    def _expectedUs(self, *, gauge: bool) -> int:
+    def _expected_us(self, *, gauge: bool) -> int:
         """How long a newcomer would wait, by how long channels were held of late."""
         ahead = 0 if gauge else len(self.waiting)
-        return (ahead + 1) * self._holdUs() // max(1, self.limit - (0 if gauge else 1))
+        return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if gauge else 1))
 
-    def _holdUs(self) -> int:
+    def _hold_us(self) -> int:
         """How long a job holds a channel; those under way count too, so a backend that turns slow shows early."""
-        nowUs = self.ctx.nowUs()
-        ages = [nowUs - sinceUs for _, sinceUs in self.out.values()]
-        return max(self.heldUs, sum(ages) // len(ages) if ages else 0)
+        now_us = self.ctx.now_us()
+        ages = [now_us - since_us for _, since_us in self.out.values()]
+        return max(self.held_us, sum(ages) // len(ages) if ages else 0)
 
     def _out(self, *, channel: Channel) -> Result[Channel, Fault]:
-        self.out[id(channel)] = channel, self.ctx.nowUs()
+        self.out[id(channel)] = channel, self.ctx.now_us()
         return Ok(channel)
 
-    async def _dial(self, *, waitUs: int) -> Result[Channel, Fault]:
+    async def _dial(self, *, wait_us: int) -> Result[Channel, Fault]:
         try:
-            dialled = await self.ctx.net.dial(address=self.address, waitUs=min(waitUs, DIAL_WAIT_US))
+            dialled = await self.ctx.net.dial(address=self.address, wait_us=min(wait_us, DIAL_WAIT_US))
         except BaseException:
             self._leave()
             raise
         if dialled.is_error():
             self.blame()
-            self.shunUntilUs = self.ctx.nowUs() + SHUN_US
+            self.shun_until_us = self.ctx.now_us() + SHUN_US
             self._leave()
             return dialled
         self.opened += 1
@@ -133,12 +133,12 @@
 
     def give(self, *, channel: Channel, keep: bool = True) -> None:
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
-        _, sinceUs = self.out.pop(id(channel), (None, 0))
-        if sinceUs:
+        _, since_us = self.out.pop(id(channel), (None, 0))
+        if since_us:
             # why: a sliding mean, in which one long transaction does not count for a crowd
-            self.heldUs += (self.ctx.nowUs() - sinceUs - self.heldUs) // 4
+            self.held_us += (self.ctx.now_us() - since_us - self.held_us) // 4
         if keep and channel.open and self.open <= self.limit:
-            self.idle.append((channel, self.ctx.nowUs()))
+            self.idle.append((channel, self.ctx.now_us()))
         else:
             self._shut(channel=channel)
         self._leave()
@@ -166,16 +166,16 @@
             self._shut(channel=self.idle.popleft()[0])
         self._wake()
 
-    def shutIdle(self) -> None:
+    def shut_idle(self) -> None:
         while self.idle:
             self._shut(channel=self.idle.popleft()[0])
 
     @property
-    def oldestUs(self) -> int:
+    def oldest_us(self) -> int:
         """For how long the channel that has been out longest has been out."""
-        return max((self.ctx.nowUs() - sinceUs for _, sinceUs in self.out.values()), default=0)
+        return max((self.ctx.now_us() - since_us for _, since_us in self.out.values()), default=0)
 
-    def giveUp(self) -> None:
+    def give_up(self) -> None:
         """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
         for channel, _ in list(self.out.values()):
-            channel.giveUp()
+            channel.give_up()
--- a/src/cinderstair/stall/samples.py
+++ b/src/cinderstair/stall/samples.py
@@ -6,7 +6,7 @@
 from ..pitch.context import Context
 from ..pitch.ownermixin import OwnerMixin
 from ..steward.lead import Lead
-from .gauge import readGauge
+from .gauge import read_gauge
 from .sight import Sight
 from .view import View
 from .yard import Yard
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """At some moment after `beganUs` the primary of `term` was at `position`."""
+    """At some moment after `began_us` the primary of `term` was at `position`."""
 
-    beganUs: int
+    began_us: int
     term: int
     position: int
 
@@ -33,8 +33,8 @@
         self.view = view
         self.yard = yard
         self.taken: dict[str, deque[Sample]] = {}
-        self.openQueue()
-        self.every(everyUs=SAMPLE_EVERY_US, command=self._tick, name="sample")
+        self.open_queue()
+        self.every(every_us=SAMPLE_EVERY_US, command=self._tick, name="sample")
 
     def _tick(self) -> None:
         for database in self.view.leads:
@@ -44,8 +44,8 @@
         lead = self.view.lead(database=database)
         if lead is None or not lead.serves:
             return
-        beganUs = self.ctx.nowUs()
-        reading = await readGauge(yard=self.yard, name=lead.primary)
+        began_us = self.ctx.now_us()
+        reading = await read_gauge(yard=self.yard, name=lead.primary)
         if reading.is_error() or not reading.ok.leads or reading.ok.term != lead.term:
             return
         # why: only while nobody else can have been made to lead is the primary's position the newest
@@ -53,15 +53,15 @@
             return
         self.sight.seen()
         taken = self.taken.setdefault(database, deque())
-        taken.append(Sample(beganUs=beganUs, term=lead.term, position=reading.ok.received))
-        while taken and taken[0].beganUs < self.ctx.nowUs() - KEEP_US:
+        taken.append(Sample(began_us=began_us, term=lead.term, position=reading.ok.received))
+        while taken and taken[0].began_us < self.ctx.now_us() - KEEP_US:
             taken.popleft()
 
     def _same(self, *, database: str, lead: Lead) -> bool:
         now = self.view.lead(database=database)
         return now is not None and now.term == lead.term and now.serves
 
-    def floor(self, *, database: str, term: int, sinceUs: int) -> int | None:
-        """The position that covers all that was acknowledged before `sinceUs`; None where nobody can tell."""
-        fitting = [s for s in self.taken.get(database, ()) if s.term == term and s.beganUs >= sinceUs]
+    def floor(self, *, database: str, term: int, since_us: int) -> int | None:
+        """The position that covers all that was acknowledged before `since_us`; None where nobody can tell."""
+        fitting = [s for s in self.taken.get(database, ()) if s.term == term and s.began_us >= since_us]
         return min((sample.position for sample in fitting), default=None)
--- a/src/cinderstair/stall/session.py
+++ b/src/cinderstair/stall/session.py
@@ -8,7 +8,7 @@
 from ..pitch.net import Channel
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
-from .handle import UNMARKED, Handle, Tag, readHandle
+from .handle import UNMARKED, Handle, Tag, read_handle
 from .pool import Pool
 
 
@@ -20,7 +20,7 @@
     channel: Channel
     term: int
     database: str
-    usedUs: int
+    used_us: int
 
 
 @dataclass(kw_only=True)
@@ -33,14 +33,14 @@
     prepared: dict[str, str] = field(default_factory=dict)
     floor: int = 0
     busy: bool = False
-    usedUs: int = 0
+    used_us: int = 0
     transaction: Transaction | None = None
     lost: bool = False
     tag: Tag = UNMARKED
     # why: the state before the last change is the one that a client knows whose answer was lost
     was: Tag = UNMARKED
     second: str = ""
-    takenUs: int = 0
+    taken_us: int = 0
 
     @property
     def handle(self) -> str:
@@ -54,28 +54,28 @@
         """Whether a client that was promised this state may go on with what is here."""
         return tag in (self.tag, self.was)
 
-    def write(self, *, packer: Packer, version: int, nowUs: int) -> Packer:
+    def write(self, *, packer: Packer, version: int, now_us: int) -> Packer:
         # why: a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
         packer.text(value=self.handle if version == 1 else self.ident).text(value=self.database)
         packer.text(value=json.dumps(self.values)).text(value=json.dumps(self.prepared)).u64(value=self.floor)
         if version > 1:
-            packer.u64(value=max(0, nowUs - self.usedUs))
+            packer.u64(value=max(0, now_us - self.used_us))
             for tag in (self.tag, self.was):
                 packer.u64(value=tag.edition).text(value=tag.mark)
         return packer
 
 
-def readSession(*, unpacker: Unpacker, nowUs: int) -> Session:
+def read_session(*, unpacker: Unpacker, now_us: int) -> Session:
     """Raises ValueError where the record is none of ours."""
     ident, database = unpacker.text(), unpacker.text()
     values, prepared = json.loads(unpacker.text()), json.loads(unpacker.text())
     if not isinstance(values, dict) or not isinstance(prepared, dict):
         raise ValueError("a session keeps objects")
     session = Session(ident=ident, database=database, values=values, prepared=prepared, floor=unpacker.u64())
-    session.usedUs = nowUs
+    session.used_us = now_us
     if unpacker.version == 1:
-        session.ident, session.tag = readHandle(text=ident)
+        session.ident, session.tag = read_handle(text=ident)
         return session
-    session.usedUs -= unpacker.u64()
+    session.used_us -= unpacker.u64()
     session.tag, session.was = (Tag(unpacker.u64(), unpacker.text()) for _ in range(2))
     return session
--- a/src/cinderstair/stall/sessions.py
+++ b/src/cinderstair/stall/sessions.py
@@ -19,15 +19,15 @@
         self.closed: Subject[Session] = Subject()
         self.idleTransactionUs = idleTransactionUs
         self.open: dict[str, Session] = {}
-        self.openQueue()
-        self.every(everyUs=SWEEP_US, command=self._sweep, name="sweep")
+        self.open_queue()
+        self.every(every_us=SWEEP_US, command=self._sweep, name="sweep")
 
     def add(self, *, database: str) -> Session | None:
         if len(self.open) >= MOST_SESSIONS:
             return None
         # why: a session's name is its key; nobody may guess another's
         ident = f"{self.ctx.name}.{self.ctx.luck.getrandbits(96):024x}"
-        session = Session(ident=ident, database=database, usedUs=self.ctx.nowUs())
+        session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
         session.tag = session.next(luck=self.ctx.luck)
         self.open[ident] = session
         return session
@@ -50,13 +50,13 @@
             self.ctx.counters.add(name="transactions.abandoned")
 
     def _sweep(self) -> None:
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for session in list(self.open.values()):
             if session.busy:
                 continue
             transaction = session.transaction
-            if transaction is not None and nowUs - transaction.usedUs > self.idleTransactionUs:
+            if transaction is not None and now_us - transaction.used_us > self.idleTransactionUs:
                 self.abandon(session=session)
-            if nowUs - session.usedUs > self.idleSessionUs:
+            if now_us - session.used_us > self.idleSessionUs:
                 self.close(session=session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.open))
--- a/src/cinderstair/stall/share.py
+++ b/src/cinderstair/stall/share.py
@@ -22,9 +22,9 @@
     return dealt(tuple(names), seed)
 
 
-def subsetCount(*, listed: int, subsetSize: int) -> int:
+def subset_count(*, listed: int, subset_size: int) -> int:
     # why: a list shorter than a subset is still one subset, or its backends would serve nobody
-    return max(1, listed // subsetSize) if subsetSize > 0 else 0
+    return max(1, listed // subset_size) if subset_size > 0 else 0
 
 
 def bounds(*, listed: int, count: int, index: int) -> tuple[int, int]:
@@ -34,44 +34,46 @@
     return start, start + base + (1 if index < over else 0)
 
 
-def subset(*, names: Sequence[str], stallId: int, subsetSize: int) -> tuple[str, ...]:
+def subset(*, names: Sequence[str], stall_id: int, subset_size: int) -> tuple[str, ...]:
     """The design's deterministic subset of one stall."""
-    if not names or subsetSize <= 0:
+    if not names or subset_size <= 0:
         return ()
-    count = subsetCount(listed=len(names), subsetSize=subsetSize)
-    order = shuffled(names=names, seed=stallId // count)
-    start, end = bounds(listed=len(names), count=count, index=stallId % count)
+    count = subset_count(listed=len(names), subset_size=subset_size)
+    order = shuffled(names=names, seed=stall_id // count)
+    start, end = bounds(listed=len(names), count=count, index=stall_id % count)
     return tuple(order[start:end])
 
 
-def withReplacements(
-    *, names: Sequence[str], stallId: int, subsetSize: int, unfit: frozenset[str]
+def with_replacements(
+    *, names: Sequence[str], stall_id: int, subset_size: int, unfit: frozenset[str]
 ) -> tuple[str, ...]:
     """The subset with each unfit member's place taken by the next fit one in the round's own order.
 
     The list itself stays as it was, so a loss moves one channel set and a return moves it back.
     """
-    own = subset(names=names, stallId=stallId, subsetSize=subsetSize)
+    own = subset(names=names, stall_id=stall_id, subset_size=subset_size)
     if not any(name in unfit for name in own):
         return own
-    count = subsetCount(listed=len(names), subsetSize=subsetSize)
-    order = shuffled(names=names, seed=stallId // count)
-    _, end = bounds(listed=len(names), count=count, index=stallId % count)
+    count = subset_count(listed=len(names), subset_size=subset_size)
+    order = shuffled(names=names, seed=stall_id // count)
+    _, end = bounds(listed=len(names), count=count, index=stall_id % count)
     # why: going on from the subset's own end gives each subset of a round another replacement first
     spare = [name for name in (*order[end:], *order[:end]) if name not in own and name not in unfit]
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
 
 
-def users(*, names: Sequence[str], stallIds: Sequence[int], subsetSize: int, name: str) -> list[int]:
+def users(*, names: Sequence[str], stall_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
     """The stalls, by id, in whose subset a backend is."""
     return [
-        stallId for stallId in sorted(stallIds) if name in subset(names=names, stallId=stallId, subsetSize=subsetSize)
+        stall_id
+        for stall_id in sorted(stall_ids)
+        if name in subset(names=names, stall_id=stall_id, subset_size=subset_size)
     ]
 
 
-def allotment(*, cap: int, userIds: Sequence[int], stallId: int) -> int:
+def allotment(*, cap: int, user_ids: Sequence[int], stall_id: int) -> int:
     """One stall's part of a backend's cap: even, with the remainder dealt by id. The sum is the cap."""
-    if stallId not in userIds:
+    if stall_id not in user_ids:
         return 0
-    base, over = divmod(cap, len(userIds))
-    return base + (1 if sorted(userIds).index(stallId) < over else 0)
+    base, over = divmod(cap, len(user_ids))
+    return base + (1 if sorted(user_ids).index(stall_id) < over else 0)
--- a/src/cinderstair/stall/sight.py
+++ b/src/cinderstair/stall/sight.py
@@ -3,7 +3,7 @@
 from ..crier.news import News
 from ..pitch.context import Context
 from ..pitch.ownermixin import OwnerMixin
-from .gauge import readGauge
+from .gauge import read_gauge
 from .yard import Yard
 
 LOOK_EVERY_US = 500_000
@@ -17,32 +17,32 @@
         self.ctx = ctx
         self.yard = yard
         self.news = news
-        self.seenUs = ctx.nowUs()
-        self.lookedUs = ctx.nowUs()
-        self.openQueue()
-        self.every(everyUs=LOOK_EVERY_US, command=self._look, name="sight")
+        self.seen_us = ctx.now_us()
+        self.looked_us = ctx.now_us()
+        self.open_queue()
+        self.every(every_us=LOOK_EVERY_US, command=self._look, name="sight")
 
     @property
     def blind(self) -> bool:
         # why: a process that stood still has seen nothing meanwhile, which is no sign of anything
-        return self.lookedUs - self.seenUs > BLIND_US
+        return self.looked_us - self.seen_us > BLIND_US
 
     def seen(self) -> None:
-        self.seenUs = max(self.seenUs, self.ctx.nowUs())
+        self.seen_us = max(self.seen_us, self.ctx.now_us())
 
     async def _look(self) -> None:
-        nowUs = self.ctx.nowUs()
-        if nowUs - self.lookedUs > 2 * LOOK_EVERY_US:
-            self.seenUs += nowUs - self.lookedUs
-        self.lookedUs = nowUs
+        now_us = self.ctx.now_us()
+        if now_us - self.looked_us > 2 * LOOK_EVERY_US:
+            self.seen_us += now_us - self.looked_us
+        self.looked_us = now_us
         fit = [name for name in self.yard.pools if self.news.fit(name=name) and self.yard.open(name=name)]
         # why: where the news call nobody fit there is nobody to be seen
         if not fit:
             self.seen()
-        elif nowUs - self.seenUs > LOOK_EVERY_US:
+        elif now_us - self.seen_us > LOOK_EVERY_US:
             self.ctx.spawn(work=self._ask(name=self.ctx.luck.choice(fit)), name="sight.ask")
 
     async def _ask(self, *, name: str) -> None:
-        reading = await readGauge(yard=self.yard, name=name)
+        reading = await read_gauge(yard=self.yard, name=name)
         if reading.is_ok():
             self.seen()
--- a/src/cinderstair/stall/stall.py
+++ b/src/cinderstair/stall/stall.py
@@ -82,8 +82,8 @@
         self.sessions = Sessions(
             ctx=ctx, idleTransactionUs=settings.idleTransactionUs, idleSessionUs=settings.idleSessionUs
         )
-        self.slotDuty = SlotDuty(ctx=ctx, register=self.register, view=self.view, crowd=self.crowd)
-        self.leadDuty = LeadDuty(
+        self.slot_duty = SlotDuty(ctx=ctx, register=self.register, view=self.view, crowd=self.crowd)
+        self.lead_duty = LeadDuty(
             ctx=ctx,
             register=self.register,
             view=self.view,
@@ -92,7 +92,7 @@
             sight=self.sight,
             platform=Platform(ctx=ctx, address=settings.platform),
         )
-        self.windowDuty = WindowDuty(ctx=ctx, register=self.register, view=self.view)
+        self.window_duty = WindowDuty(ctx=ctx, register=self.register, view=self.view)
         self.ready = ReadyFilter(ctx=ctx, view=self.view, crowd=self.crowd)
         self.copies = Copies(ctx=ctx, desk=self.desk, sessions=self.sessions, ready=self.ready)
         self.keeper = Keeper(ctx=ctx, crowd=self.crowd, sessions=self.sessions)
@@ -112,13 +112,13 @@
             news=self.news,
             yard=self.yard,
             sessions=self.sessions,
-            leads=self.leadDuty,
+            leads=self.lead_duty,
             keeper=self.keeper,
             copies=self.copies,
         )
-        self.askedUs = 0
+        self.asked_us = 0
         self.handing = False
-        self.windowHeld = ""
+        self.window_held = ""
         self.chain = self._chain()
 
     def _chain(self) -> tuple[Filter, ...]:
@@ -133,7 +133,7 @@
                 chancery=Chancery(ctx=ctx, register=self.register),
                 ready=self.ready,
                 status=self.status,
-                leads=self.leadDuty,
+                leads=self.lead_duty,
                 foundingVaults=self.settings.foundingVaults,
             ),
             TimeLeftFilter(ctx=ctx),
@@ -155,13 +155,13 @@
     async def start(self) -> Result[None, Fault]:
         await self.ctx.net.listen(address=self.settings.records, answer=self.desk.answer)
         await self.ctx.net.serve(address=self.settings.http, answer=self.answer)
-        self.ctx.ticks(everyUs=TEND_US).subscribe(lambda _: self._tend())
+        self.ctx.ticks(every_us=TEND_US).subscribe(lambda _: self._tend())
         self.ctx.log.info("stall %s at %s", self.settings.name, self.settings.http)
         return Ok(None)
 
     async def answer(self, http: HttpJob) -> HttpResponse:
         """The way of a job: each filter may answer, and the first answer counts."""
-        job = Job(http=http, startUs=self.ctx.nowUs())
+        job = Job(http=http, start_us=self.ctx.now_us())
         try:
             for each in self.chain:
                 response = await each.answer(job=job)
@@ -176,15 +176,15 @@
         finally:
             if job.session is not None:
                 job.session.busy = False
-            if job.sessionId or job.verb == "open":
-                self.askedUs = self.ctx.nowUs()
+            if job.session_id or job.verb == "open":
+                self.asked_us = self.ctx.now_us()
 
     def _trace(self, *, job: Job, response: HttpResponse) -> None:
         traces = self.ctx.traces
         # why: beats and the platform's questions would bury the jobs
-        if traces is None or not job.sessionId:
+        if traces is None or not job.session_id:
             return
-        tookUs = self.ctx.nowUs() - job.startUs
+        took_us = self.ctx.now_us() - job.start_us
         attributes: dict[str, str | int] = {
             "cinderstair.kind": job.kind,
             "cinderstair.site": self.ctx.site,
@@ -193,8 +193,8 @@
         }
         traces.span(
             name=job.verb,
-            wallUs=self.ctx.wallUs() - tookUs,
-            tookUs=tookUs,
+            wall_us=self.ctx.wall_us() - took_us,
+            took_us=took_us,
             attributes=attributes,
             failed=response.status >= 500,
         )
@@ -205,7 +205,7 @@
             return response
         return replace(response, headers={**response.headers, "Connection": "close"})
 
-    def _obeyWindow(self) -> None:
+    def _obey_window(self) -> None:
         """Stands empty while an open window wants it, as long as another stall that stays can serve."""
         why = self.view.leaving.why(name=self.ctx.name)
         staying = [
@@ -216,18 +216,18 @@
         ]
         # why: a window never leaves nobody to serve; without another stall this one stays, or comes back
         wanted = why if staying else ""
-        self.windowHeld = f"{why} holds back: no other stall stays" if why and not staying else ""
-        if wanted != self.ready.emptiedBy:
+        self.window_held = f"{why} holds back: no other stall stays" if why and not staying else ""
+        if wanted != self.ready.emptied_by:
             self.ctx.log.info("emptied by %s" if wanted else "no longer emptied%s", wanted)
-            self.ready.emptiedBy = wanted
+            self.ready.emptied_by = wanted
         # why: also where the platform has said so, since it may end this process as soon as it stands empty
         if self.ready.leaving and self.sessions.open and not self.handing:
             self.handing = True
-            self.ctx.spawn(work=self._handOn(), name="hand.on")
+            self.ctx.spawn(work=self._hand_on(), name="hand.on")
 
-    async def _handOn(self) -> None:
+    async def _hand_on(self) -> None:
         try:
-            await self.handover.handAll()
+            await self.handover.hand_all()
         finally:
             self.handing = False
 
@@ -235,11 +235,11 @@
         if self.ready.blind != self.sight.blind:
             self.ctx.log.warning("reaches no backend" if self.sight.blind else "reaches backends again")
             self.ready.blind = self.sight.blind
-        self._obeyWindow()
+        self._obey_window()
         if self.ctx.traces is not None:
             self.ctx.traces.flush()
-        if self.view.current and self.view.slots.idOf(name=self.ctx.name) is None and not self.ready.draining:
-            self.slotDuty.post(command=lambda: self.slotDuty.claim(name=self.ctx.name), once="claim")
+        if self.view.current and self.view.slots.id_of(name=self.ctx.name) is None and not self.ready.draining:
+            self.slot_duty.post(command=lambda: self.slot_duty.claim(name=self.ctx.name), once="claim")
         for session in list(self.sessions.open.values()):
             transaction = session.transaction
             # why: a transaction on a backend that has to be left is ended before anything more reaches it
@@ -249,18 +249,18 @@
     async def drain(self) -> None:
         """A planned stop: takes nothing new, lets what is under way finish, then says goodbye."""
         self.ready.draining = True
-        untilUs = self.ctx.nowUs() + self.settings.drainWaitUs
+        until_us = self.ctx.now_us() + self.settings.drainWaitUs
         # why: copies are held for others, who need a moment to place them elsewhere, or are gone themselves
-        while (await self.handover.handAll() or self.copies.held) and self.ctx.nowUs() < untilUs:
+        while (await self.handover.hand_all() or self.copies.held) and self.ctx.now_us() < until_us:
             self.copies.adopt()
-            await self.ctx.rest(waitUs=50_000)
+            await self.ctx.rest(wait_us=50_000)
         # why: who comes from now on finds nobody and goes elsewhere at once; who is in already is still answered
         await self.ctx.net.refuse()
-        self.askedUs = max(self.askedUs, self.ctx.nowUs() - LINGER_US + LAST_US)
+        self.asked_us = max(self.asked_us, self.ctx.now_us() - LINGER_US + LAST_US)
         # why: clients that still come are told where their sessions are; the end waits until none has for a while
-        while self.ctx.nowUs() < min(untilUs, self.askedUs + LINGER_US):
-            await self.ctx.rest(waitUs=50_000)
-        await asyncio.gather(self.leadDuty.lease.drop(), self.slotDuty.lease.drop(), self.windowDuty.lease.drop())
+        while self.ctx.now_us() < min(until_us, self.asked_us + LINGER_US):
+            await self.ctx.rest(wait_us=50_000)
+        await asyncio.gather(self.lead_duty.lease.drop(), self.slot_duty.lease.drop(), self.window_duty.lease.drop())
         await self.crowd.leave()
         self.yard.stop()
         if self.ctx.traces is not None:
--- a/src/cinderstair/stall/statuspage.py
+++ b/src/cinderstair/stall/statuspage.py
@@ -42,7 +42,7 @@
         return {
             "stall": self.ctx.name,
             "site": self.ctx.site,
-            "slot": self.view.slots.idOf(name=self.ctx.name),
+            "slot": self.view.slots.id_of(name=self.ctx.name),
             "viewCurrent": self.view.current,
             "configuration": None if charter is None else charter.version,
             "warnings": [] if charter is None else list(charter.warnings),
@@ -78,7 +78,7 @@
     def held(self) -> dict[str, str]:
         """Why anything can't go on, as far as this stall's duties know."""
         held = {database: why for database, why in self.leads.reasons.items() if why}
-        return {**held, **self.leads.syncHolds, **self.leads.windowHolds}
+        return {**held, **self.leads.sync_holds, **self.leads.window_holds}
 
     def _windows(self) -> dict[str, Any]:
         """Each booked window: its stage, what it still has to empty, and what holds it back."""
@@ -94,7 +94,7 @@
                 if name in (lead.primary, *lead.confirmers)
             ]
             windows[window.name] = {
-                "stage": self.view.windowStates.stage(window=window).name,
+                "stage": self.view.window_states.stage(window=window).name,
                 "empties": window.empties.text,
                 "backends": mine,
                 "stalls": [name for name, ws in leaving.stalls.items() if window.name in ws],
@@ -107,7 +107,7 @@
         return {
             "state": "unheard" if heard is None else heard.beat.state,
             "fit": self.news.fit(name=name),
-            "ageUs": None if heard is None else self.news.ageUs(name=name),
+            "ageUs": None if heard is None else self.news.age_us(name=name),
             "position": None if heard is None else heard.beat.position,
             "channels": {
                 "limit": pool.limit,
--- a/src/cinderstair/stall/view.py
+++ b/src/cinderstair/stall/view.py
@@ -1,13 +1,13 @@
 """A stall's view of the register: the configuration, the slots, the windows and the leads."""
 
 from ..almanac.leaving import Leaving, leaving
-from ..almanac.windowstates import WINDOWS_KEY, WindowStates, readWindowStates
+from ..almanac.windowstates import WINDOWS_KEY, WindowStates, read_window_states
 from ..charter.chancery import CHARTER_KEY
 from ..charter.charter import Charter
-from ..charter.check import checkCharter
+from ..charter.check import check_charter
 from ..pitch.context import Context
-from ..steward.lead import Lead, readLead
-from ..steward.slots import SLOTS_KEY, Slots, readSlots
+from ..steward.lead import Lead, read_lead
+from ..steward.slots import SLOTS_KEY, Slots, read_slots
 from ..vault.register import Register
 from ..vault.register_view import LEASE_US, RegisterView
 
@@ -20,35 +20,35 @@
     def __init__(self, *, ctx: Context, register: Register) -> None:
         self.charter: Charter | None = None
         self.slots = Slots()
-        self.windowStates = WindowStates()
+        self.window_states = WindowStates()
         self.leaving = Leaving()
         self.leads: dict[str, Lead] = {}
-        self.leadSinceUs: dict[str, int] = {}
-        self.plannedSinceUs: dict[str, int] = {}
+        self.lead_since_us: dict[str, int] = {}
+        self.planned_since_us: dict[str, int] = {}
         super().__init__(ctx=ctx, register=register)
 
     def _apply(self, *, key: str, value: bytes) -> bool:
         if key == CHARTER_KEY:
-            return self._applyCharter(raw=value)
+            return self._apply_charter(raw=value)
         if key == SLOTS_KEY:
-            self.slots = readSlots(data=value)
+            self.slots = read_slots(data=value)
         elif key == WINDOWS_KEY:
-            self.windowStates = readWindowStates(data=value)
-            self.ctx.log.info("windows: %s", ", ".join(f"{n} {s.name}" for n, _, _, s in self.windowStates.stages))
+            self.window_states = read_window_states(data=value)
+            self.ctx.log.info("windows: %s", ", ".join(f"{n} {s.name}" for n, _, _, s in self.window_states.stages))
             self._reckon()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
-            before, lead = self.leads.get(database), readLead(data=value)
+            before, lead = self.leads.get(database), read_lead(data=value)
             if lead.planned and (before is None or not before.planned):
-                self.plannedSinceUs[database] = self.ctx.nowUs()
+                self.planned_since_us[database] = self.ctx.now_us()
             self.leads[database] = lead
-            self.leadSinceUs[database] = self.ctx.nowUs()
+            self.lead_since_us[database] = self.ctx.now_us()
         else:
             return super()._apply(key=key, value=value)
         return True
 
-    def _applyCharter(self, *, raw: bytes) -> bool:
-        checked = checkCharter(raw=raw)
+    def _apply_charter(self, *, raw: bytes) -> bool:
+        checked = check_charter(raw=raw)
         # why: a configuration that this version can't read is not in force here, so the view can't be current
         if checked.is_error():
             self.ctx.counters.add(name="view.unreadable")
@@ -63,7 +63,7 @@
         return True
 
     def _reckon(self) -> None:
-        self.leaving = leaving(charter=self.charter, states=self.windowStates)
+        self.leaving = leaving(charter=self.charter, states=self.window_states)
 
     def lead(self, *, database: str) -> Lead | None:
         return self.leads.get(database)
--- a/src/cinderstair/stall/waterline.py
+++ b/src/cinderstair/stall/waterline.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ..pitch.context import Context
-from .gauge import readGauge
+from .gauge import read_gauge
 from .yard import Yard
 
 HOLD_US = 200_000
@@ -32,7 +32,7 @@
             self.asking = True
             self.ctx.spawn(work=self._ask(), name=f"waterline.{self.name}")
 
-    def _stillWanted(self) -> int:
+    def _still_wanted(self) -> int:
         self.wanted = [(t, p) for t, p in self.wanted if not self.covers(term=t, position=p) and t >= self.term]
         return min((p for _, p in self.wanted), default=0)
 
@@ -40,8 +40,8 @@
         misses = 0
         try:
             # why: a replica that does not answer is the steward's to drop; the commits have their own limits
-            while (position := self._stillWanted()) and misses < 20:
-                reading = await readGauge(yard=self.yard, name=self.name, atLeast=position, holdUs=HOLD_US)
+            while (position := self._still_wanted()) and misses < 20:
+                reading = await read_gauge(yard=self.yard, name=self.name, at_least=position, hold_us=HOLD_US)
                 if reading.is_ok():
                     # why: a position counts only within its own term, so both are replaced together
                     self.term, self.received = reading.ok.term, reading.ok.received
@@ -49,8 +49,8 @@
                     self.changed = asyncio.Event()
                 else:
                     misses += 1
-                    await self.ctx.rest(waitUs=AGAIN_US * 2)
-                await self.ctx.rest(waitUs=0 if reading.is_ok() and reading.ok.received >= position else AGAIN_US)
+                    await self.ctx.rest(wait_us=AGAIN_US * 2)
+                await self.ctx.rest(wait_us=0 if reading.is_ok() and reading.ok.received >= position else AGAIN_US)
         finally:
             self.wanted = []
             self.asking = False
--- a/src/cinderstair/stall/yard.py
+++ b/src/cinderstair/stall/yard.py
@@ -8,7 +8,7 @@
 from ..pitch.ownermixin import OwnerMixin
 from ..steward.lead import Lead
 from .pool import Pool
-from .share import allotment, withReplacements
+from .share import allotment, with_replacements
 from .view import View
 
 TICK_US = 250_000
@@ -27,15 +27,15 @@
         self.queueMost = queueMost
         self.pools: dict[str, Pool] = {}
         self.shares: dict[str, tuple[str, ...]] = {}
-        self.unfitSinceUs: dict[str, int] = {}
-        self.growAtUs: dict[str, int] = {}
+        self.unfit_since_us: dict[str, int] = {}
+        self.grow_at_us: dict[str, int] = {}
         self.wanted: dict[str, int] = {}
         self.led: dict[str, Lead] = {}
         self.computed = 0
         self.inputs: object = None
-        self.openQueue()
+        self.open_queue()
         view.changes.subscribe(lambda _: self.post(command=self.refresh, once="refresh"))
-        self.every(everyUs=TICK_US, command=self.refresh, name="refresh")
+        self.every(every_us=TICK_US, command=self.refresh, name="refresh")
 
     def pool(self, *, name: str) -> Pool | None:
         return self.pools.get(name)
@@ -62,71 +62,76 @@
     def reachable(self, *, name: str) -> bool:
         """May anything at all still be sent there?"""
         # why: by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
-        if self.news.ageUs(name=name) > QUIET_US + UNFIT_GRACE_US:
+        if self.news.age_us(name=name) > QUIET_US + UNFIT_GRACE_US:
             return False
-        sinceUs = self.unfitSinceUs.get(name)
-        return sinceUs is None or self.ctx.nowUs() - sinceUs < UNFIT_GRACE_US
+        since_us = self.unfit_since_us.get(name)
+        return since_us is None or self.ctx.now_us() - since_us < UNFIT_GRACE_US
 
     def refresh(self) -> None:
         charter = self.view.charter
         if charter is None:
             return
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for name in charter.backends:
             if self.news.fit(name=name):
-                self.unfitSinceUs.pop(name, None)
+                self.unfit_since_us.pop(name, None)
             else:
-                self.unfitSinceUs.setdefault(name, nowUs)
+                self.unfit_since_us.setdefault(name, now_us)
                 # why: a backend that empties or fell silent is left alone as soon as no job is under way
                 if name in self.pools:
-                    self.pools[name].shutIdle()
-        self._giveUp(names=charter.backends)
+                    self.pools[name].shut_idle()
+        self._give_up(names=charter.backends)
         held = frozenset((lead.primary, lead.confirmers) for lead in self.view.leads.values())
-        away = frozenset(self.unfitSinceUs), frozenset(self.view.leaving.backends)
+        away = frozenset(self.unfit_since_us), frozenset(self.view.leaving.backends)
         inputs = (charter.version, self.view.slots, away, held)
         if inputs != self.inputs:
             self.inputs = inputs
             self._compute()
         self._grow()
 
-    def _giveUp(self, *, names: Iterable[str]) -> None:
+    def _give_up(self, *, names: Iterable[str]) -> None:
         """Jobs that wait for what won't come, or would not count, are answered now and not when their time is up."""
         for name in names:
             if name in self.pools and not self.reachable(name=name):
-                self.pools[name].giveUp()
+                self.pools[name].give_up()
         for database, lead in self.view.leads.items():
             before = self.led.get(database, lead)
             self.led[database] = lead
             # why: whatever the old primary answers now belongs to a term that is over
             if before.term < lead.term and before.primary != lead.primary and before.primary in self.pools:
-                self.pools[before.primary].giveUp()
+                self.pools[before.primary].give_up()
 
     def _compute(self) -> None:
         charter = self.view.charter
         assert charter is not None
         self.computed += 1
-        myId = self.view.slots.idOf(name=self.ctx.name)
+        my_id = self.view.slots.id_of(name=self.ctx.name)
         ids = self.view.slots.ids
-        unfit = frozenset(self.unfitSinceUs) | frozenset(self.view.leaving.backends)
+        unfit = frozenset(self.unfit_since_us) | frozenset(self.view.leaving.backends)
         wanted: dict[str, int] = {}
         for database, names in charter.databases.items():
             size = charter.amount(name="subsetSize", database=database)
             subsets = {
-                number: withReplacements(names=names, stallId=number, subsetSize=size, unfit=unfit) for number in ids
+                number: with_replacements(names=names, stall_id=number, subset_size=size, unfit=unfit)
+                for number in ids
             }
-            self.shares[database] = () if myId is None else subsets[myId]
+            self.shares[database] = () if my_id is None else subsets[my_id]
             lead = self.view.leads.get(database)
             for name in names:
                 # why: every stall writes, whatever its subset, and asks those that must hold what it wrote
                 leads = lead is not None and name in (lead.primary, *lead.confirmers)
-                userIds = [n for n, held in subsets.items() if leads or name in held]
-                part = 0 if myId is None else allotment(cap=charter.backends[name].cap, userIds=userIds, stallId=myId)
+                user_ids = [n for n, held in subsets.items() if leads or name in held]
+                part = (
+                    0
+                    if my_id is None
+                    else allotment(cap=charter.backends[name].cap, user_ids=user_ids, stall_id=my_id)
+                )
                 # why: the source's flow control, a bound on one backend's active jobs from one stall
                 wanted[name] = min(part, charter.amount(name="active", database=database))
         self._resize(wanted=wanted, backends=charter.backends)
 
     def _resize(self, *, wanted: dict[str, int], backends: dict[str, Backend]) -> None:
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for name, backend in backends.items():
             pool = self.pools.get(name)
             # why: a backend declared at another address is another server; its old channels lead astray
@@ -138,16 +143,16 @@
             if wanted[name] < pool.limit:
                 pool.resize(limit=wanted[name])
             if wanted[name] > pool.limit and self.wanted.get(name) != wanted[name]:
-                self.growAtUs[name] = nowUs + self.view.leaseUs + GROW_MARGIN_US
+                self.grow_at_us[name] = now_us + self.view.lease_us + GROW_MARGIN_US
         for name in set(self.pools) - set(backends):
             self.pools.pop(name).resize(limit=0)
         self.wanted = wanted
 
     def _grow(self) -> None:
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         for name, wanted in self.wanted.items():
             pool = self.pools[name]
-            if wanted > pool.limit and nowUs >= self.growAtUs.get(name, 0):
+            if wanted > pool.limit and now_us >= self.grow_at_us.get(name, 0):
                 pool.resize(limit=wanted)
 
     def stop(self) -> None:
--- a/src/cinderstair/steward/departures.py
+++ b/src/cinderstair/steward/departures.py
@@ -34,7 +34,7 @@
         found = []
         for name, heard in sorted(self.news.best.items()):
             beat = heard.beat
-            if beat.service != service or beat.state != GONE or self.news.ageUs(name=name) >= FORGET_US:
+            if beat.service != service or beat.state != GONE or self.news.age_us(name=name) >= FORGET_US:
                 continue
             if name not in self.settled:
                 found.append(beat)
@@ -59,7 +59,7 @@
             if ended and await self._is_followed(primary=primary, copies=copies):
                 self.settled.update(ended)
             else:
-                await self.ctx.rest(waitUs=AGAIN_US)
+                await self.ctx.rest(wait_us=AGAIN_US)
         finally:
             self.settling.discard(service)
 
--- a/src/cinderstair/steward/lead.py
+++ b/src/cinderstair/steward/lead.py
@@ -9,7 +9,7 @@
 STATES = (SETTLED, CLOSING, MOVING)
 
 
-def leadKey(*, database: str) -> str:
+def lead_key(*, database: str) -> str:
     return f"lead/{database}"
 
 
@@ -51,7 +51,7 @@
         return packer.bytes()
 
 
-def readLead(*, data: bytes) -> Lead:
+def read_lead(*, data: bytes) -> Lead:
     unpacker = Unpacker(data=data)
     term, primary, incarnation = unpacker.u64(), unpacker.text(), unpacker.u64()
     state, planned = STATES[min(unpacker.u8(), len(STATES) - 1)], bool(unpacker.u8())
--- a/src/cinderstair/steward/leadduty.py
+++ b/src/cinderstair/steward/leadduty.py
@@ -13,13 +13,13 @@
 from ..pitch.fault import Fault
 from ..pitch.kind import Kind
 from ..pitch.ownermixin import OwnerMixin
-from ..stall.gauge import Reading, readGauge
+from ..stall.gauge import Reading, read_gauge
 from ..stall.sight import Sight
 from ..stall.view import View
 from ..stall.yard import Yard
 from ..vault.lease import Lease
 from ..vault.register import Register
-from .lead import CLOSING, MOVING, SETTLED, Lead, leadKey
+from .lead import CLOSING, MOVING, SETTLED, Lead, lead_key
 from .platform import Platform
 
 TICK_US = 200_000
@@ -54,17 +54,17 @@
         self.yard = yard
         self.platform = platform
         self.lease = Lease(ctx=ctx, register=register, duty=LEAD_DUTY, seekers=lambda: len(view.slots.names))
-        self.startedUs = ctx.nowUs()
+        self.started_us = ctx.now_us()
         self.tending: set[str] = set()
         self.passed: dict[str, deque[tuple[int, int, int]]] = {}
-        self.badSinceUs: dict[str, int] = {}
-        self.firstSeenUs: dict[str, int] = {}
-        self.fitSinceUs: dict[str, int] = {}
+        self.bad_since_us: dict[str, int] = {}
+        self.first_seen_us: dict[str, int] = {}
+        self.fit_since_us: dict[str, int] = {}
         self.reasons: dict[str, str] = {}
-        self.windowHolds: dict[str, str] = {}
-        self.syncHolds: dict[str, str] = {}
-        self.openQueue()
-        self.every(everyUs=TICK_US, command=self._tick, name="lead")
+        self.window_holds: dict[str, str] = {}
+        self.sync_holds: dict[str, str] = {}
+        self.open_queue()
+        self.every(every_us=TICK_US, command=self._tick, name="lead")
 
     async def _tick(self) -> None:
         # why: who reaches no backend can move no lead, and must not keep the others from it
@@ -77,15 +77,15 @@
             held = self.lease.held
             if await self.lease.seek() and not held:
                 self.ctx.log.info("holds the duty of leads")
-                self.badSinceUs.clear()
+                self.bad_since_us.clear()
                 self.passed.clear()
         charter = self.view.charter
         # why: what held back a former holder is no longer its to say
         if not self.lease.held:
             self.reasons.clear()
-            self.windowHolds.clear()
-            self.syncHolds.clear()
-        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or charter is None:
+            self.window_holds.clear()
+            self.sync_holds.clear()
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or charter is None:
             return
         for database in charter.databases:
             if database not in self.tending:
@@ -99,12 +99,12 @@
                 await self._first(database=database, charter=charter)
             elif lead.state == MOVING:
                 await self._finish(database=database, charter=charter, lead=lead)
-            elif reason := await self._mustMove(lead=lead, charter=charter):
-                await self._startMove(database=database, charter=charter, lead=lead, reason=reason)
+            elif reason := await self._must_move(lead=lead, charter=charter):
+                await self._start_move(database=database, charter=charter, lead=lead, reason=reason)
             elif lead.state == CLOSING:
                 await self._close(database=database, charter=charter, lead=lead)
-            elif not await self._obeyWindow(database=database, lead=lead):
-                await self._tendSets(database=database, charter=charter, lead=lead)
+            elif not await self._obey_window(database=database, lead=lead):
+                await self._tend_sets(database=database, charter=charter, lead=lead)
         finally:
             self.tending.discard(database)
 
@@ -119,8 +119,8 @@
                 return Error(Fault(kind=Kind.versionTaken, why="the lead changed meanwhile"))
             return Ok(new.bytes())
 
-        result = await self.register.change(key=leadKey(database=database), decide=decide)
-        self.view.takeOwn(key=leadKey(database=database), result=result)
+        result = await self.register.change(key=lead_key(database=database), decide=decide)
+        self.view.take_own(key=lead_key(database=database), result=result)
         if result.is_ok():
             self.ctx.log.info(
                 "%s: term %d %s primary %s in sync %s joining %s",
@@ -141,15 +141,15 @@
                 self.ctx.log.warning("%s: %s", database, reason)
 
     async def _gauges(self, *, names: tuple[str, ...]) -> dict[str, Reading]:
-        results = await asyncio.gather(*(readGauge(yard=self.yard, name=n, direct=True) for n in names))
+        results = await asyncio.gather(*(read_gauge(yard=self.yard, name=n, direct=True) for n in names))
         return {name: result.ok for name, result in zip(names, results, strict=True) if result.is_ok()}
 
     async def _first(self, *, database: str, charter: Charter) -> None:
         """Nobody was ever written down as lead: the backend with the furthest log begins."""
         names = charter.databases[database]
-        sinceUs = self.firstSeenUs.setdefault(database, self.ctx.nowUs())
+        since_us = self.first_seen_us.setdefault(database, self.ctx.now_us())
         readings = await self._gauges(names=names)
-        waited = self.ctx.nowUs() - sinceUs > FIRST_WAIT_US
+        waited = self.ctx.now_us() - since_us > FIRST_WAIT_US
         # why: a backend that isn't there yet may hold more than those that are, so the first start waits for it
         if len(readings) < len(names) and not (waited and len(readings) > len(names) // 2):
             self._say(database=database, reason=f"waits for backends: {len(readings)} of {len(names)} answer")
@@ -159,7 +159,7 @@
         lead = Lead(term=term, primary=best, incarnation=readings[best].incarnation, state=MOVING)
         await self._put(database=database, old=None, new=lead)
 
-    async def _mustMove(self, *, lead: Lead, charter: Charter) -> str:
+    async def _must_move(self, *, lead: Lead, charter: Charter) -> str:
         """Why the lead can't stay where it is; empty where it can."""
         name = lead.primary
         if name not in charter.backends:
@@ -172,12 +172,12 @@
             if heard.beat.incarnation > lead.incarnation:
                 return "was restarted"
             return ""
-        nowUs = self.ctx.nowUs()
-        heldUs = nowUs - self.startedUs
+        now_us = self.ctx.now_us()
+        held_us = now_us - self.started_us
         # why: a holder that hears nobody may be the one that is cut off; it must not judge by its own deafness
-        if heldUs < QUIET_US + TICK_US or not self.news.hearing:
+        if held_us < QUIET_US + TICK_US or not self.news.hearing:
             return ""
-        reading = await readGauge(yard=self.yard, name=name, direct=True)
+        reading = await read_gauge(yard=self.yard, name=name, direct=True)
         if reading.is_ok() and reading.ok.leads:
             return ""
         return "is quiet"
@@ -186,17 +186,17 @@
         """Those that no open window wants empty, and that are fit."""
         return tuple(n for n in names if n not in self.view.leaving.backends and self.news.fit(name=n))
 
-    async def _obeyWindow(self, *, database: str, lead: Lead) -> bool:
+    async def _obey_window(self, *, database: str, lead: Lead) -> bool:
         """Begins a planned move where a window wants the primary empty; True where it has begun."""
         why = self.view.leaving.why(name=lead.primary)
         if not why:
-            self.windowHolds.pop(database, None)
+            self.window_holds.pop(database, None)
             return False
         # why: a window never takes the last that could lead; it waits, and says so, until another is in sync
         if not self._staying(names=lead.inSync):
-            self.windowHolds[database] = f"{why} holds back: nobody outside it is in sync to follow {lead.primary}"
+            self.window_holds[database] = f"{why} holds back: nobody outside it is in sync to follow {lead.primary}"
             return False
-        self.windowHolds.pop(database, None)
+        self.window_holds.pop(database, None)
         self.ctx.log.info("%s: %s empties %s", database, why, lead.primary)
         return await self._put(database=database, old=lead, new=replace(lead, state=CLOSING, planned=True))
 
@@ -206,9 +206,9 @@
         if not why or not self._staying(names=lead.inSync):
             await self._put(database=database, old=lead, new=replace(lead, state=SETTLED, planned=False))
             return
-        closeUs = charter.amount(name="closeWait", database=database)
-        if self.ctx.nowUs() - self.view.leadSinceUs[database] >= closeUs:
-            await self._startMove(database=database, charter=charter, lead=lead, reason=f"must leave ({why})")
+        close_us = charter.amount(name="closeWait", database=database)
+        if self.ctx.now_us() - self.view.lead_since_us[database] >= close_us:
+            await self._start_move(database=database, charter=charter, lead=lead, reason=f"must leave ({why})")
 
     async def _candidate(
         self, *, lead: Lead, charter: Charter, holders: tuple[str, ...]
@@ -228,7 +228,7 @@
         best = max(sorted(readings), key=rank)
         return best, readings[best]
 
-    async def _startMove(self, *, database: str, charter: Charter, lead: Lead, reason: str) -> None:
+    async def _start_move(self, *, database: str, charter: Charter, lead: Lead, reason: str) -> None:
         # why: the old primary has every commit it ever acknowledged, so where it lives it may lead again
         holders = (*(lead.inSync or lead.heirs), lead.primary)
         found = await self._candidate(lead=lead, charter=charter, holders=holders)
@@ -255,18 +255,18 @@
 
     async def _finish(self, *, database: str, charter: Charter, lead: Lead) -> None:
         """From moving to settled: promote, see it lead, see replicas follow, and outwait every older view."""
-        sinceUs = self.view.leadSinceUs[database]
+        since_us = self.view.lead_since_us[database]
         promoted = await self.platform.promote(database=database, backend=lead.primary, term=lead.term)
-        reading = await readGauge(yard=self.yard, name=lead.primary, direct=True)
+        reading = await read_gauge(yard=self.yard, name=lead.primary, direct=True)
         if reading.is_error() or not reading.ok.leads or reading.ok.term != lead.term:
             await self._supersede(database=database, charter=charter, lead=lead, promoted=promoted)
             return
         base = reading.ok.received
-        waitUs = sinceUs + self.view.leaseUs + VIEW_MARGIN_US - self.ctx.nowUs()
-        if waitUs > 0:
-            await self.ctx.rest(waitUs=waitUs)
+        wait_us = since_us + self.view.lease_us + VIEW_MARGIN_US - self.ctx.now_us()
+        if wait_us > 0:
+            await self.ctx.rest(wait_us=wait_us)
         names = tuple(name for name in charter.databases.get(database, ()) if name != lead.primary)
-        followUntilUs = self.ctx.nowUs() + FOLLOW_WAIT_US
+        follow_until_us = self.ctx.now_us() + FOLLOW_WAIT_US
         while True:
             readings = await self._gauges(names=tuple(n for n in names if self.news.fit(name=n)))
             # why: nothing is acknowledged before the lead is settled, so whoever has the new term's
@@ -274,9 +274,9 @@
             most = charter.amount(name="inSync", database=database)
             following = tuple(n for n, r in readings.items() if r.term == lead.term and r.received >= base)
             following = tuple(sorted(following, key=lambda n: n in self.view.leaving.backends))[:most]
-            if following or self.ctx.nowUs() > followUntilUs:
+            if following or self.ctx.now_us() > follow_until_us:
                 break
-            await self.ctx.rest(waitUs=100_000)
+            await self.ctx.rest(wait_us=100_000)
         settled = replace(
             lead,
             state=SETTLED,
@@ -292,9 +292,9 @@
 
     async def _supersede(self, *, database: str, charter: Charter, lead: Lead, promoted: bool) -> None:
         """The one placed does not lead. Another that holds everything takes its place, in a later term."""
-        sinceUs = self.view.leadSinceUs[database]
+        since_us = self.view.lead_since_us[database]
         # why: a slow promotion is asked for again before anybody else is placed
-        if self.ctx.nowUs() - sinceUs < 2 * self.view.leaseUs and (promoted or self.news.fit(name=lead.primary)):
+        if self.ctx.now_us() - since_us < 2 * self.view.lease_us and (promoted or self.news.fit(name=lead.primary)):
             return
         found = await self._candidate(lead=lead, charter=charter, holders=(*lead.inSync, lead.primary))
         if found is None:
@@ -311,10 +311,10 @@
         )
         await self._put(database=database, old=lead, new=new)
 
-    async def _tendSets(self, *, database: str, charter: Charter, lead: Lead) -> None:
+    async def _tend_sets(self, *, database: str, charter: Charter, lead: Lead) -> None:
         """Who is in sync: drops those that lag, and takes in those that follow, in two steps."""
         names = charter.databases.get(database, ())
-        nowUs = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         # why: what stands empty is not even asked how far it is, unless somebody still rests on it
         asked = (lead.primary, *lead.confirmers, *self._staying(names=names))
         readings = await self._gauges(names=tuple(n for n in dict.fromkeys(asked) if self.news.fit(name=n)))
@@ -322,16 +322,16 @@
         if primary is None or not primary.leads or primary.term != lead.term:
             return
         passed = self.passed.setdefault(database, deque())
-        passed.append((nowUs, lead.term, primary.received))
-        while len(passed) > 1 and passed[1][0] <= nowUs - LAG_US:
+        passed.append((now_us, lead.term, primary.received))
+        while len(passed) > 1 and passed[1][0] <= now_us - LAG_US:
             passed.popleft()
         # why: a replica keeps up if it has by now what the primary had a little while ago
         mark = min((p for _, term, p in passed if term == lead.term), default=primary.received)
         good = {n for n, r in readings.items() if r.term == lead.term and r.received >= mark}
-        self.fitSinceUs = {name: self.fitSinceUs.get(name, nowUs) for name in self._staying(names=names)} | {
-            name: sinceUs for name, sinceUs in self.fitSinceUs.items() if name not in names
+        self.fit_since_us = {name: self.fit_since_us.get(name, now_us) for name in self._staying(names=names)} | {
+            name: since_us for name, since_us in self.fit_since_us.items() if name not in names
         }
-        changed = self._dropped(database=database, lead=lead, good=good, nowUs=nowUs)
+        changed = self._dropped(database=database, lead=lead, good=good, now_us=now_us)
         if changed is None:
             most = charter.amount(name="inSync", database=database)
             changed = await self._joined(database=database, lead=lead, names=names, good=good, most=most)
@@ -342,18 +342,19 @@
         else:
             self._say(database=database, reason="no replica is in sync; writes are denied")
 
-    def _dropped(self, *, database: str, lead: Lead, good: set[str], nowUs: int) -> Lead | None:
-        self.syncHolds.pop(database, None)
+    def _dropped(self, *, database: str, lead: Lead, good: set[str], now_us: int) -> Lead | None:
+        self.sync_holds.pop(database, None)
         for name in lead.confirmers:
             if name in good:
-                self.badSinceUs.pop(name, None)
+                self.bad_since_us.pop(name, None)
             else:
-                self.badSinceUs.setdefault(name, nowUs)
+                self.bad_since_us.setdefault(name, now_us)
         # why: one that has fallen silent by its own word or by the news goes at once, one that lags a bit later
         bad = [
             name
             for name in lead.confirmers
-            if name in self.badSinceUs and (not self.news.fit(name=name) or nowUs - self.badSinceUs[name] > LAG_US)
+            if name in self.bad_since_us
+            and (not self.news.fit(name=name) or now_us - self.bad_since_us[name] > LAG_US)
         ]
         inSync = tuple(name for name in lead.inSync if name not in bad)
         # why: what a window wants empty leaves the set as soon as somebody outside the window is in it
@@ -362,7 +363,7 @@
         elif any(name in self.view.leaving.backends for name in inSync):
             # why: one that a window wants empty has to stay in sync, and one is enough
             inSync = tuple(sorted(inSync, key=lambda name: name not in good))[:1]
-            self.syncHolds[database] = f"window holds back: nobody outside it is in sync, so {inSync[0]} stays"
+            self.sync_holds[database] = f"window holds back: nobody outside it is in sync, so {inSync[0]} stays"
         # why: the last one in sync stays, for it alone could replace a primary that dies now
         if lead.inSync and not inSync:
             inSync = lead.inSync[:1]
@@ -374,11 +375,11 @@
     async def _joined(
         self, *, database: str, lead: Lead, names: tuple[str, ...], good: set[str], most: int
     ) -> Lead | None:
-        sinceUs = self.view.leadSinceUs[database]
-        expired = self.ctx.nowUs() - sinceUs > self.view.leaseUs + VIEW_MARGIN_US
+        since_us = self.view.lead_since_us[database]
+        expired = self.ctx.now_us() - since_us > self.view.lease_us + VIEW_MARGIN_US
         if lead.joining and expired:
             # why: from here on every commit waits for the joining ones; what came before is at or below this
-            mark = await readGauge(yard=self.yard, name=lead.primary, direct=True)
+            mark = await read_gauge(yard=self.yard, name=lead.primary, direct=True)
             if mark.is_error() or mark.ok.term != lead.term:
                 return None
             readings = await self._gauges(names=lead.joining)
@@ -394,8 +395,8 @@
         fresh = tuple(n for n in names if n in good and n != lead.primary and n not in lead.confirmers)
         # why: every commit waits for one that joins, so it joins when every stall has had the time to grow
         # its channels to it; before that, writes would have to be denied for want of them
-        ripeUs = self.ctx.nowUs() - self.view.leaseUs - GROWN_US
-        fresh = tuple(n for n in self._staying(names=fresh) if self.fitSinceUs.get(n, 1 << 62) <= ripeUs)
+        ripe_us = self.ctx.now_us() - self.view.lease_us - GROWN_US
+        fresh = tuple(n for n in self._staying(names=fresh) if self.fit_since_us.get(n, 1 << 62) <= ripe_us)
         room = most - sum(name not in self.view.leaving.backends for name in lead.inSync)
         if fresh and room > 0 and not lead.joining:
             return replace(lead, joining=fresh[:room])
@@ -422,6 +423,6 @@
                 return Error(Fault(kind=Kind.versionTaken, why="the lead changed meanwhile; look again"))
             return Ok(new.bytes())
 
-        result = await self.register.change(key=leadKey(database=database), decide=decide)
-        self.view.takeOwn(key=leadKey(database=database), result=result)
+        result = await self.register.change(key=lead_key(database=database), decide=decide)
+        self.view.take_own(key=lead_key(database=database), result=result)
         return Ok(new) if result.is_ok() else Error(result.error)
--- a/src/cinderstair/steward/platform.py
+++ b/src/cinderstair/steward/platform.py
@@ -17,12 +17,12 @@
         self.address = address
 
     async def promote(self, *, database: str, backend: str, term: int) -> bool:
-        dialled = await self.ctx.net.dial(address=self.address, waitUs=DIAL_WAIT_US)
+        dialled = await self.ctx.net.dial(address=self.address, wait_us=DIAL_WAIT_US)
         if dialled.is_error():
             return False
         body = json.dumps({"database": database, "backend": backend, "term": term}).encode()
-        result = await dialled.ok.passJob(
-            job=HttpJob(method="POST", path="/promote", body=body), waitUs=PROMOTE_WAIT_US
+        result = await dialled.ok.pass_job(
+            job=HttpJob(method="POST", path="/promote", body=body), wait_us=PROMOTE_WAIT_US
         )
         dialled.ok.close()
         self.ctx.counters.add(name="promotions.asked")
--- a/src/cinderstair/steward/promotion_duty.py
+++ b/src/cinderstair/steward/promotion_duty.py
@@ -102,8 +102,8 @@
         self.move_us = EXPECTED_US
         self.fence_number = 0
         view.changes.subscribe(self._changed)
-        self.openQueue()
-        self.every(everyUs=TICK_US, command=self._tick, name="promotion")
+        self.open_queue()
+        self.every(every_us=TICK_US, command=self._tick, name="promotion")
 
     def _changed(self, key: str) -> None:
         found = self.view.known.get(key)
@@ -117,13 +117,13 @@
             # why: from the first word on that is not settled, views that let anybody at the primary run out
             # why: and a settled word that was missed between two others lets them run anew
             if before is None or before.state == LeadState.settled or lead.turn > before.turn + 1:
-                self.stopped_us[service] = self.ctx.nowUs()
+                self.stopped_us[service] = self.ctx.now_us()
             self.leads[service] = lead
-            self.lead_since_us[service] = self.ctx.nowUs()
+            self.lead_since_us[service] = self.ctx.now_us()
 
     def suspect(self, *, name: str) -> None:
         """Somebody found a backend silent or gone; whoever holds the duty looks for itself."""
-        self.suspects_us.setdefault(name, self.ctx.nowUs())
+        self.suspects_us.setdefault(name, self.ctx.now_us())
         self.post(command=self._tick, once="promotion")
 
     async def _tick(self) -> None:
@@ -134,7 +134,7 @@
                 # why: whoever held it before may have died in the middle of a move, with copies paused
                 self.fenced = set(self.leads)
                 self.fence_number = 0
-        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or self.plan is None:
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or self.plan is None:
             return
         if not self.fence_number and not await self._take_fence():
             return
@@ -178,7 +178,7 @@
                 if resumed.is_ok():
                     self.paused[service].discard(each.name)
             if self.paused[service]:
-                await self.ctx.rest(waitUs=RESUME_US)
+                await self.ctx.rest(wait_us=RESUME_US)
         finally:
             self.resuming.discard(service)
 
@@ -186,11 +186,11 @@
         """Every backend of a service that may hold acknowledged commits, in the order of names."""
         at: dict[str, Heard[Announcement]] = {}
         for name, heard in sorted(self.news.best.items()):
-            if heard.beat.service != service or heard.beat.state == GONE or self.news.ageUs(name=name) >= FORGET_US:
+            if heard.beat.service != service or heard.beat.state == GONE or self.news.age_us(name=name) >= FORGET_US:
                 continue
             # why: the log of a backend that was replaced has passed to the one that came to its address
             other = at.get(heard.beat.address)
-            if other is None or heard.bornUs > other.bornUs:
+            if other is None or heard.born_us > other.born_us:
                 at[heard.beat.address] = heard
         return sorted((heard.beat for heard in at.values()), key=lambda beat: beat.name)
 
@@ -206,7 +206,7 @@
 
     async def _tend(self, *, service: Service) -> None:
         try:
-            if self.ctx.nowUs() < self.not_before_us.get(service.name, 0):
+            if self.ctx.now_us() < self.not_before_us.get(service.name, 0):
                 return
             lead = self.leads.get(service.name)
             if lead is not None and lead.state == LeadState.settled:
@@ -248,7 +248,7 @@
         result: Result[Found, Fault] = await self.register.change(key=key, decide=decide)
         if result.is_ok():
             self.ctx.log.info("%s: term %d %s %s", service, new.term, new.state.name, new.primary)
-            self.view.takeOwn(key=key, result=result)
+            self.view.take_own(key=key, result=result)
         return result.is_ok()
 
     async def _gather(
@@ -278,7 +278,7 @@
         leading = {name: state for name, state in states.items() if state.leads}
         if not leading:
             self._say(service=service.name, reason="no backend says that it leads")
-            self.not_before_us[service.name] = self.ctx.nowUs() + RETRY_US
+            self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
             return
         name = max(leading, key=lambda each: leading[each].term)
         lead = ServiceLead(term=leading[name].term, primary=name, state=LeadState.settled)
@@ -290,7 +290,7 @@
         member = self._member(name=name)
         if member is None:
             # why: one that was never heard of since this daemon began may still be about to beat
-            if self.ctx.nowUs() - self.lead_since_us[service.name] < self.news.quietUs * 2:
+            if self.ctx.now_us() - self.lead_since_us[service.name] < self.news.quiet_us * 2:
                 return ""
             return "is not known"
         if member.state == GONE:
@@ -328,11 +328,11 @@
 
     async def _move(self, *, service: Service, lead: ServiceLead, reason: str) -> None:
         self._say(service=service.name, reason=f"{lead.primary} {reason}")
-        self.not_before_us[service.name] = self.ctx.nowUs() + RETRY_US
+        self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
         members = self._members(service=service.name)
         others = [each for each in members if each.name != lead.primary]
         old = self._member(name=lead.primary)
-        began_us = self.ctx.nowUs()
+        began_us = self.ctx.now_us()
         fenced = None
         if old is not None and reason in ALIVE:
             stopped = await self._stop_primary(service=service, lead=lead, old=old, others=others)
@@ -354,7 +354,7 @@
             state=LeadState.moving,
             fence=fence,
             # why: a stop that took longer than whole moves do leaves no guess but soon
-            ready_in_us=max(0, max(self.move_us, self.outwait_us) - (self.ctx.nowUs() - began_us)),
+            ready_in_us=max(0, max(self.move_us, self.outwait_us) - (self.ctx.now_us() - began_us)),
             planned=lead.planned,
         )
         if await self._put(service=service.name, old=lead, new=moving):
@@ -376,8 +376,8 @@
         if now is None or not any(state.received.term >= now.received.term for state in states.values()):
             self._say(service=service.name, reason=f"{lead.primary} is to leave, and no copy is there to follow it")
             if now is None:
-                self.suspects_us.setdefault(lead.primary, self.ctx.nowUs())
-            self.not_before_us[service.name] = self.ctx.nowUs() + RETRY_US
+                self.suspects_us.setdefault(lead.primary, self.ctx.now_us())
+            self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
             if lead.state == LeadState.closing:
                 await self._put(service=service.name, old=lead, new=replace(lead, state=LeadState.settled))
             return None
@@ -387,26 +387,26 @@
                 return None
             lead = self.leads[service.name]
             # why: what the primary was given already may end, and nothing more comes once the word is out
-            await self.ctx.rest(waitUs=CLOSING_US)
+            await self.ctx.rest(wait_us=CLOSING_US)
         term = max([lead.term, now.term_held, *(state.term_held for state in states.values())]) + 1
         stepped = await self.control.step_down(backend=old, term=term, wait_us=PAUSE_WAIT_US)
         if stepped.is_error() or stepped.ok.leads:
             self._say(service=service.name, reason=f"{lead.primary} does not step down")
-            self.not_before_us[service.name] = self.ctx.nowUs() + STEP_AGAIN_US
+            self.not_before_us[service.name] = self.ctx.now_us() + STEP_AGAIN_US
             if lead.state == LeadState.closing:
                 await self._put(service=service.name, old=lead, new=replace(lead, state=LeadState.settled))
             return None
         fence = stepped.ok.received
-        until_us = self.ctx.nowUs() + FOLLOW_US
+        until_us = self.ctx.now_us() + FOLLOW_US
         while True:
             states = await self._states(
                 members=ready, enough=lambda got: any(state.received >= fence for state in got.values())
             )
             # why: a primary that waits for its end is no place for a lead, but its log is the one that counts
             full = {name: state for name, state in states.items() if state.received >= fence}
-            if full or self.ctx.nowUs() > until_us:
+            if full or self.ctx.now_us() > until_us:
                 break
-            await self.ctx.rest(waitUs=POLL_US // 2)
+            await self.ctx.rest(wait_us=POLL_US // 2)
         best = max(sorted(full), key=lambda name: full[name].received) if full else lead.primary
         return lead, Fenced(term=term, best=best, position=max(fence, full[best].received) if full else fence)
 
@@ -455,13 +455,13 @@
         """From moving to settled: promote, see it lead, and outwait every older view."""
         since_us = self.lead_since_us[service.name]
         asked_us = -PROMOTE_AGAIN_US
-        reached_us = self.ctx.nowUs()
+        reached_us = self.ctx.now_us()
         taken = False
         while True:
             if not self.lease.held:
                 return
             member = self._member(name=lead.primary)
-            now_us = self.ctx.nowUs()
+            now_us = self.ctx.now_us()
             if not taken and now_us - asked_us >= PROMOTE_AGAIN_US:
                 asked_us = now_us
                 result = await self.promoter.promote(
@@ -480,27 +480,27 @@
             if state is not None and state.is_ok() and state.ok.leads:
                 break
             if state is not None and (state.is_ok() or state.error.kind != Kind.wireUnsent):
-                reached_us = self.ctx.nowUs()
-            lost = self.ctx.nowUs() - reached_us > LOST_US or (member is not None and member.state == GONE)
-            if lost or self.ctx.nowUs() - since_us > GIVE_UP_US:
+                reached_us = self.ctx.now_us()
+            lost = self.ctx.now_us() - reached_us > LOST_US or (member is not None and member.state == GONE)
+            if lost or self.ctx.now_us() - since_us > GIVE_UP_US:
                 await self._supersede(service=service, lead=lead)
                 return
-            await self.ctx.rest(waitUs=POLL_US)
-        wait_us = self.stopped_us[service.name] + self.outwait_us - self.ctx.nowUs()
+            await self.ctx.rest(wait_us=POLL_US)
+        wait_us = self.stopped_us[service.name] + self.outwait_us - self.ctx.now_us()
         if wait_us > 0:
-            await self.ctx.rest(waitUs=wait_us)
+            await self.ctx.rest(wait_us=wait_us)
         settled = ServiceLead(term=state.ok.term, primary=lead.primary, state=LeadState.settled)
         if await self._put(service=service.name, old=lead, new=settled):
             self.fenced.discard(service.name)
             self.paused[service.name] = {each.name for each in self._members(service=service.name)} - {lead.primary}
             self._say(service=service.name, reason="")
-            took_us = self.ctx.nowUs() - since_us
+            took_us = self.ctx.now_us() - since_us
             self.move_us += (took_us - self.move_us) // 2
             self.ctx.counters.gauge(name="promotion.last_move_us", value=took_us)
 
     async def _supersede(self, *, service: Service, lead: ServiceLead) -> None:
         """The one placed does not come to lead. Another that holds everything takes its place, in a later term."""
-        self.not_before_us[service.name] = self.ctx.nowUs() + RETRY_US
+        self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
         members = [each for each in self._members(service=service.name) if each.name != lead.primary]
         states = await self._states(members=members)
         fit = {name: state for name, state in states.items() if state.received >= lead.fence}
--- a/src/cinderstair/steward/shard_duty.py
+++ b/src/cinderstair/steward/shard_duty.py
@@ -26,7 +26,7 @@
     Vote,
     read_shard_state,
 )
-from .slots import SLOTS_KEY, readSlots
+from .slots import SLOTS_KEY, read_slots
 
 TICK_US = 150_000
 SHARD_DUTY = "shards"
@@ -94,14 +94,14 @@
         self.closing_us: int | None = None
         self.handover_us = 0
         view.changes.subscribe(self._changed)
-        self.openQueue()
-        self.every(everyUs=TICK_US, command=self._tick, name="shards")
+        self.open_queue()
+        self.every(every_us=TICK_US, command=self._tick, name="shards")
 
     def _changed(self, key: str) -> None:
         found = self.view.known.get(key)
         if key == SHARDS_KEY and found is not None:
             self.state = read_shard_state(data=found.value)
-            self.since_us = self.ctx.nowUs()
+            self.since_us = self.ctx.now_us()
 
     async def propose(self, *, wanted: ShardMap) -> Result[None, Fault]:
         """Puts a checked map to the booths. versionOld, versionTaken: another stands, or is on its way."""
@@ -128,7 +128,7 @@
             return Ok(new.bytes())
 
         result = await self.register.change(key=SHARDS_KEY, decide=decide)
-        self.view.takeOwn(key=SHARDS_KEY, result=result)
+        self.view.take_own(key=SHARDS_KEY, result=result)
         return Error(result.error) if result.is_error() else Ok(None)
 
     async def abandon(self, *, version: int) -> Result[None, Fault]:
@@ -149,7 +149,7 @@
             return Ok(new.bytes())
 
         result = await self.register.change(key=SHARDS_KEY, decide=decide)
-        self.view.takeOwn(key=SHARDS_KEY, result=result)
+        self.view.take_own(key=SHARDS_KEY, result=result)
         if result.is_error():
             return Error(result.error)
         self.ctx.counters.add(name="shards.abandoned")
@@ -160,7 +160,7 @@
         state = self.state
         booths, named = await self.census(), self._named()
         votes = {vote: len(self._votes(booths=booths, vote=vote) & named) for vote in Vote}
-        heard = {name for name, seen in booths.items() if self.ctx.nowUs() - seen.at_us < SEEN_US}
+        heard = {name for name, seen in booths.items() if self.ctx.now_us() - seen.at_us < SEEN_US}
         return ShardProgress(state=state, named=len(named), unheard=len(named - heard), votes=votes)
 
     async def forecast(self) -> ShardForecast:
@@ -186,7 +186,7 @@
         if not self.lease.held:
             return False
         result: Result[Found, Fault] = await self.register.change(key=SHARDS_KEY, decide=decide)
-        self.view.takeOwn(key=SHARDS_KEY, result=result)
+        self.view.take_own(key=SHARDS_KEY, result=result)
         if result.is_ok():
             self.ctx.log.info(
                 "shards: %s, map %d, next %d", new.phase.name, new.current.version, new.following.version
@@ -203,8 +203,8 @@
             held = self.lease.held
             if await self.lease.seek() and not held:
                 # why: what went by before this holder began is not known to it
-                self.since_us = self.ctx.nowUs()
-        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current:
+                self.since_us = self.ctx.now_us()
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
         state = self.state
         booths = await self.census()
@@ -223,7 +223,7 @@
 
     def _votes(self, *, booths: dict[str, Ballots], vote: Vote) -> set[str]:
         """The booths that were seen lately and say this of the next map."""
-        now_us, turn = self.ctx.nowUs(), self.state.turn
+        now_us, turn = self.ctx.now_us(), self.state.turn
         return {
             name
             for name, seen in booths.items()
@@ -232,7 +232,7 @@
 
     def _named(self) -> set[str]:
         found = self.view.known.get(SLOTS_KEY)
-        return {name for _, name in readSlots(data=b"" if found is None else found.value).names}
+        return {name for _, name in read_slots(data=b"" if found is None else found.value).names}
 
     async def _back(self, *, state: ShardState, why: str) -> None:
         self.reason = why
@@ -247,30 +247,30 @@
         agree = self._votes(booths=booths, vote=Vote.agrees) & named
         if named and 100 * len(agree) >= state.following.agree_percent * len(named):
             # why: a booth that has not heard of it by then has lost its right to end what it had begun
-            if self.ctx.nowUs() - self.since_us >= UNTOLD_US:
+            if self.ctx.now_us() - self.since_us >= UNTOLD_US:
                 await self._put(old=state, new=replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_US))
-        elif self.ctx.nowUs() - self.since_us > PROPOSED_MOST_US:
+        elif self.ctx.now_us() - self.since_us > PROPOSED_MOST_US:
             await self._back(state=state, why=f"{len(agree)} of {len(named)} booths agree")
 
     async def _move(self, *, state: ShardState, booths: dict[str, Ballots]) -> None:
         """From closing to steady under the new map, once nobody writes at the old places any more."""
         began_us = self.since_us
-        waited_us = self.ctx.nowUs() - began_us
+        waited_us = self.ctx.now_us() - began_us
         closed = self._votes(booths=booths, vote=Vote.closed)
         # why: a booth that says that it has closed writes there no more; one that says nothing, named or not, has
         # lost its right to by then, since its view of the register has run out
-        unheard = {name for name, seen in booths.items() if self.ctx.nowUs() - seen.at_us < SEEN_US} - closed
+        unheard = {name for name, seen in booths.items() if self.ctx.now_us() - seen.at_us < SEEN_US} - closed
         # why: a guildhall that does not know of the closing yet may let a booth begin that nobody else has seen
         all_closed = self.told(state) and not unheard and self._named() <= closed
         if not all_closed and waited_us < self.outwait_us:
             return
-        asked_us = self.ctx.nowUs()
+        asked_us = self.ctx.now_us()
         complete = await self._complete(state=state)
-        self.handover_us = self.ctx.nowUs() - asked_us
+        self.handover_us = self.ctx.now_us() - asked_us
         if complete:
             new = ShardState(current=state.following, turn=state.turn, under_way_us=state.under_way_us)
             if await self._put(old=state, new=new):
-                self.closing_us = self.ctx.nowUs() - began_us
+                self.closing_us = self.ctx.now_us() - began_us
                 self.ctx.counters.add(name="shards.moved")
                 self.ctx.counters.gauge(name="shards.closing_us", value=self.closing_us)
         elif waited_us > self.outwait_us + CLOSING_MOST_US:
--- a/src/cinderstair/steward/slots.py
+++ b/src/cinderstair/steward/slots.py
@@ -14,16 +14,16 @@
 
     names: tuple[tuple[int, str], ...] = ()
 
-    def idOf(self, *, name: str) -> int | None:
+    def id_of(self, *, name: str) -> int | None:
         return next((number for number, owner in self.names if owner == name), None)
 
     @property
     def ids(self) -> tuple[int, ...]:
         return tuple(number for number, _ in self.names)
 
-    def withName(self, *, name: str) -> "Slots":
+    def with_name(self, *, name: str) -> "Slots":
         # why: a daemon that comes back under its name finds its old id, and nobody's share changes
-        if self.idOf(name=name) is not None:
+        if self.id_of(name=name) is not None:
             return self
         taken = set(self.ids)
         free = next(number for number in range(len(taken) + 1) if number not in taken)
@@ -36,7 +36,7 @@
         return Packer().many(values=self.names, each=lambda p, e: p.u32(value=e[0]).text(value=e[1])).bytes()
 
 
-def readSlots(*, data: bytes) -> Slots:
+def read_slots(*, data: bytes) -> Slots:
     if not data:
         return Slots()
     unpacker = Unpacker(data=data)
--- a/src/cinderstair/steward/windowduty.py
+++ b/src/cinderstair/steward/windowduty.py
@@ -2,7 +2,7 @@
 
 from expression import Error, Ok, Result
 
-from ..almanac.windowstates import WINDOWS_KEY, readWindowStates
+from ..almanac.windowstates import WINDOWS_KEY, read_window_states
 from ..pitch.context import Context
 from ..pitch.fault import Fault
 from ..pitch.kind import Kind
@@ -23,26 +23,26 @@
         self.register = register
         self.view = view
         self.lease = Lease(ctx=ctx, register=register, duty=WINDOW_DUTY, seekers=lambda: len(view.slots.names))
-        self.openQueue()
-        self.every(everyUs=TICK_US, command=self._tick, name="windows")
+        self.open_queue()
+        self.every(every_us=TICK_US, command=self._tick, name="windows")
 
     async def _tick(self) -> None:
         if self.lease.due:
             await self.lease.seek()
         charter = self.view.charter
-        if not self.lease.may_act(as_of_us=self.view.asOfUs) or not self.view.current or charter is None:
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or charter is None:
             return
-        wallUs = self.ctx.wallUs()
-        wanted = self.view.windowStates.turned(windows=charter.windows, wallUs=wallUs)
-        if wanted == self.view.windowStates:
+        wall_us = self.ctx.wall_us()
+        wanted = self.view.window_states.turned(windows=charter.windows, wall_us=wall_us)
+        if wanted == self.view.window_states:
             return
 
         def decide(data: bytes) -> Result[bytes, Fault]:
             # why: another holder's clock may have turned a window meanwhile, and its word stands
-            turned = readWindowStates(data=data).turned(windows=charter.windows, wallUs=wallUs)
+            turned = read_window_states(data=data).turned(windows=charter.windows, wall_us=wall_us)
             if turned.bytes() == data:
                 return Error(Fault(kind=Kind.versionTaken, why="turned already"))
             return Ok(turned.bytes())
 
         result = await self.register.change(key=WINDOWS_KEY, decide=decide)
-        self.view.takeOwn(key=WINDOWS_KEY, result=result)
+        self.view.take_own(key=WINDOWS_KEY, result=result)
--- a/src/cinderstair/vault/acceptor.py
+++ b/src/cinderstair/vault/acceptor.py
@@ -7,10 +7,10 @@
 from ..pitch.context import Context
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
-from .ballot import Ballot, readBallot
+from .ballot import Ballot, read_ballot
 from .cell import Cell
-from .roster import Roster, readRoster
-from .store import Store, cellEntry, rosterEntry
+from .roster import Roster, read_roster
+from .store import Store, cell_entry, roster_entry
 
 OK, BEATEN, STALE, AHEAD, NO_VOTE, SINCE = 0, 1, 2, 3, 4, 5
 ROSTER_KEY = "roster"
@@ -28,14 +28,14 @@
         self.store = store
         self.held = store.held
         self.halt = halt
-        self.roster: Roster | None = readRoster(data=self.held.roster) if self.held.roster else None
+        self.roster: Roster | None = read_roster(data=self.held.roster) if self.held.roster else None
         self.leases: dict[str, tuple[int, int]] = {}
         # why: a life of its own counts its editions from nothing, and must not be taken for the one before
         self.source = ctx.luck.getrandbits(62) | 1
         self.edition = 1
         self.editions: dict[str, int] = {}
         # why: what was granted before a restart is forgotten, so nothing is granted until it has run out
-        self.grantsFromUs = ctx.nowUs() + (0 if fresh else LONGEST_LEASE_US)
+        self.grants_from_us = ctx.now_us() + (0 if fresh else LONGEST_LEASE_US)
         self.commands: asyncio.Queue[tuple[Callable[[], Applied], asyncio.Future[bytes]]] = asyncio.Queue()
         self.halted = False
         ctx.spawn(work=self._work(), name="acceptor")
@@ -79,7 +79,7 @@
             return Packer().u8(value=NO_VOTE).bytes()
         return None
 
-    def _cellAnswer(self, *, status: int, cell: Cell) -> bytes:
+    def _cell_answer(self, *, status: int, cell: Cell) -> bytes:
         packer = Packer().u8(value=status)
         cell.promised.write(packer=packer)
         cell.accepted.write(packer=packer)
@@ -87,7 +87,7 @@
 
     async def prepare(self, unpacker: Unpacker) -> bytes:
         epoch, key = unpacker.u32(), unpacker.text()
-        ballot = readBallot(unpacker=unpacker)
+        ballot = read_ballot(unpacker=unpacker)
         unpacker.done()
         return await self._order(command=lambda: self._prepare(epoch=epoch, key=key, ballot=ballot))
 
@@ -98,14 +98,14 @@
         cell = self.held.cells.get(key, Cell())
         # why: a promise once given to a ballot shuts out every one below it, and equal ones but its own
         if ballot <= cell.promised:
-            return self._cellAnswer(status=BEATEN, cell=cell), []
+            return self._cell_answer(status=BEATEN, cell=cell), []
         cell = Cell(promised=ballot, accepted=cell.accepted, value=cell.value)
         self._hold(key=key, cell=cell)
-        return self._cellAnswer(status=OK, cell=cell), [cellEntry(key=key, cell=cell)]
+        return self._cell_answer(status=OK, cell=cell), [cell_entry(key=key, cell=cell)]
 
     async def accept(self, unpacker: Unpacker) -> bytes:
         epoch, key = unpacker.u32(), unpacker.text()
-        ballot, value = readBallot(unpacker=unpacker), unpacker.blob()
+        ballot, value = read_ballot(unpacker=unpacker), unpacker.blob()
         unpacker.done()
         if len(value) > MOST_VALUE_BYTES:
             raise ValueError("value too large")
@@ -117,11 +117,11 @@
             return barred, []
         cell = self.held.cells.get(key, Cell())
         if ballot < cell.promised:
-            return self._cellAnswer(status=BEATEN, cell=cell), []
+            return self._cell_answer(status=BEATEN, cell=cell), []
         cell = Cell(promised=ballot, accepted=ballot, value=value)
         self._hold(key=key, cell=cell)
-        return self._cellAnswer(status=OK, cell=Cell(promised=ballot, accepted=ballot)), [
-            cellEntry(key=key, cell=cell)
+        return self._cell_answer(status=OK, cell=Cell(promised=ballot, accepted=ballot)), [
+            cell_entry(key=key, cell=cell)
         ]
 
     async def install(self, *, key: str, ballot: Ballot, value: bytes) -> None:
@@ -135,7 +135,7 @@
             return b"", []
         cell = Cell(promised=max(ballot, cell.promised), accepted=ballot, value=value)
         self._hold(key=key, cell=cell)
-        return b"", [cellEntry(key=key, cell=cell)]
+        return b"", [cell_entry(key=key, cell=cell)]
 
     async def read(self, unpacker: Unpacker) -> bytes:
         epoch, key = unpacker.u32(), unpacker.text()
@@ -146,7 +146,7 @@
         barred = self._barred(epoch=epoch, key=key)
         if barred is not None:
             return barred, []
-        return self._cellAnswer(status=OK, cell=self.held.cells.get(key, Cell())), []
+        return self._cell_answer(status=OK, cell=self.held.cells.get(key, Cell())), []
 
     async def vector(self, unpacker: Unpacker) -> bytes:
         """Which ballot each key was accepted at; where the asker names an edition of ours, what came since."""
@@ -185,34 +185,34 @@
         self.held.cells[key] = cell
 
     async def lease(self, unpacker: Unpacker) -> bytes:
-        epoch, duty, holder, lengthUs = unpacker.u32(), unpacker.text(), unpacker.u64(), unpacker.u64()
+        epoch, duty, holder, length_us = unpacker.u32(), unpacker.text(), unpacker.u64(), unpacker.u64()
         unpacker.done()
         return await self._order(
-            command=lambda: self._lease(epoch=epoch, duty=duty, holder=holder, lengthUs=lengthUs)
+            command=lambda: self._lease(epoch=epoch, duty=duty, holder=holder, length_us=length_us)
         )
 
-    def _lease(self, *, epoch: int, duty: str, holder: int, lengthUs: int) -> Applied:
+    def _lease(self, *, epoch: int, duty: str, holder: int, length_us: int) -> Applied:
         barred = self._barred(epoch=epoch, key=f"lease/{duty}")
         if barred is not None:
             return barred, []
-        nowUs = self.ctx.nowUs()
-        current, untilUs = self.leases.get(duty, (0, 0))
-        free = untilUs <= nowUs or current == holder
+        now_us = self.ctx.now_us()
+        current, until_us = self.leases.get(duty, (0, 0))
+        free = until_us <= now_us or current == holder
         # why: a length of nothing gives the lease back, and only its holder may do so
-        if lengthUs == 0:
+        if length_us == 0:
             if current == holder:
                 self.leases.pop(duty, None)
             return Packer().u8(value=OK).bytes(), []
-        if nowUs < self.grantsFromUs or lengthUs > LONGEST_LEASE_US or not free:
+        if now_us < self.grants_from_us or length_us > LONGEST_LEASE_US or not free:
             return Packer().u8(value=BEATEN).bytes(), []
-        self.leases[duty] = (holder, nowUs + lengthUs)
+        self.leases[duty] = (holder, now_us + length_us)
         return Packer().u8(value=OK).bytes(), []
 
     async def adopt(self, unpacker: Unpacker) -> bytes:
         data = unpacker.blob()
         unpacker.done()
         # why: read before it is queued, so that a roster that can't be read fails its sender and not the queue
-        roster = readRoster(data=data)
+        roster = read_roster(data=data)
         return await self._order(command=lambda: self._adopt(data=data, roster=roster))
 
     def _adopt(self, *, data: bytes, roster: Roster) -> Applied:
@@ -225,13 +225,13 @@
         )
         # why: the vault whose place this one takes may have granted a lease that still runs
         if joined and roster.epoch > 1:
-            self.grantsFromUs = self.ctx.nowUs() + LONGEST_LEASE_US
+            self.grants_from_us = self.ctx.now_us() + LONGEST_LEASE_US
         self.roster = roster
         self.held.roster = data
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
         cleared = [] if roster.has(ident=self.held.ident) else self._clear_cells()
         # why: the roster comes last, so that a torn write leaves either both or a roster that is adopted again
-        return Packer().u8(value=OK).bytes(), [*cleared, rosterEntry(data=data)]
+        return Packer().u8(value=OK).bytes(), [*cleared, roster_entry(data=data)]
 
     def _clear_cells(self) -> list[bytes]:
         """Discards what an acceptor that is no voter holds; the log entries that make it last.
@@ -242,4 +242,4 @@
         keys = [key for key, cell in self.held.cells.items() if cell != Cell()]
         for key in keys:
             self._hold(key=key, cell=Cell())
-        return [cellEntry(key=key, cell=Cell()) for key in keys]
+        return [cell_entry(key=key, cell=Cell()) for key in keys]
--- a/src/cinderstair/vault/ballot.py
+++ b/src/cinderstair/vault/ballot.py
@@ -19,5 +19,5 @@
 BLANK = Ballot(0, 0)
 
 
-def readBallot(*, unpacker: Unpacker) -> Ballot:
+def read_ballot(*, unpacker: Unpacker) -> Ballot:
     return Ballot(unpacker.u64(), unpacker.u64())
--- a/src/cinderstair/vault/known_vectors.py
+++ b/src/cinderstair/vault/known_vectors.py
@@ -3,7 +3,7 @@
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
 from .acceptor import MOST_SOURCES, SINCE
-from .ballot import BLANK, Ballot, readBallot
+from .ballot import BLANK, Ballot, read_ballot
 
 
 class KnownVectors:
@@ -27,7 +27,7 @@
             unpacker = Unpacker(data=answer)
             status = unpacker.u8()
             source, edition = (unpacker.u64(), unpacker.u64()) if status == SINCE else (0, 0)
-            vector = dict(unpacker.many(each=lambda u: (u.text(), readBallot(unpacker=u))))
+            vector = dict(unpacker.many(each=lambda u: (u.text(), read_ballot(unpacker=u))))
             unpacker.done()
             if status == SINCE:
                 edition, vector = self._take(source=source, edition=edition, changed=vector)
--- a/src/cinderstair/vault/lease.py
+++ b/src/cinderstair/vault/lease.py
@@ -26,8 +26,8 @@
         self.seekers = seekers
         self.register = register
         self.duty = duty
-        self.untilUs = 0
-        self.againUs = 0
+        self.until_us = 0
+        self.again_us = 0
         # when the grant that began the present unbroken holding was asked for
         self.since_us = 0
         # why: the vaults know a holder by its number, and a new one after each return keeps a return that comes late
@@ -37,11 +37,11 @@
     @property
     def due(self) -> bool:
         """Whether it is time to renew it, or to seek it again."""
-        return self.ctx.nowUs() >= self.againUs
+        return self.ctx.now_us() >= self.again_us
 
     @property
     def held(self) -> bool:
-        return self.ctx.nowUs() < self.untilUs
+        return self.ctx.now_us() < self.until_us
 
     def may_act(self, *, as_of_us: int) -> bool:
         """Whether it is held, and what the holder knows was read from a majority since it has been.
@@ -50,13 +50,13 @@
         """
         return self.held and as_of_us >= self.since_us
 
-    async def _ask(self, *, holder: int, lengthUs: int) -> tuple[bool, list[bytes], int]:
+    async def _ask(self, *, holder: int, length_us: int) -> tuple[bool, list[bytes], int]:
         """Whether a majority granted it, what was answered, and how many were asked."""
         roster = self.register.roster
         if roster is None:
             return False, [], 0
         packer = Packer().u8(value=LEASE).u32(value=roster.epoch).text(value=self.duty)
-        body = packer.u64(value=holder).u64(value=lengthUs).bytes()
+        body = packer.u64(value=holder).u64(value=length_us).bytes()
 
         # why: a roster that is heard of meanwhile may be smaller, and these are not its voters' grants
         def enough(answers: list[bytes]) -> bool:
@@ -67,27 +67,27 @@
 
     async def _give_back(self) -> None:
         holder, self.holder = self.holder, self.holder + 1
-        await self._ask(holder=holder, lengthUs=0)
+        await self._ask(holder=holder, length_us=0)
 
     async def seek(self) -> bool:
         """Takes or renews the lease; a minority's grants are given back at once."""
-        startUs, holder = self.ctx.nowUs(), self.holder
-        granted, answers, asked = await self._ask(holder=holder, lengthUs=LENGTH_US)
+        start_us, holder = self.ctx.now_us(), self.holder
+        granted, answers, asked = await self._ask(holder=holder, length_us=LENGTH_US)
         # why: what was given back meanwhile may be another's by now
         if granted and holder == self.holder:
             if not self.held:
-                self.since_us = startUs
-            self.untilUs = startUs + LENGTH_US - MARGIN_US
+                self.since_us = start_us
+            self.until_us = start_us + LENGTH_US - MARGIN_US
         elif not self.held and (len(answers) < asked or any(answer[0] == OK for answer in answers)):
             # why: two that each hold a minority would shut each other out until both ran out
             await self._give_back()
         # why: seekers in step would split the vaults' grants among them again and again, so each waits its own time;
         # the more they are, the longer, since it is the first of them that counts
-        mostUs = SEEK_MOST_US * min(MOST_TIMES, max(1, self.seekers() // 3))
-        waitUs = RENEW_US if self.held else self.ctx.luck.randrange(SEEK_LEAST_US, mostUs)
-        self.againUs = self.ctx.nowUs() + waitUs
+        most_us = SEEK_MOST_US * min(MOST_TIMES, max(1, self.seekers() // 3))
+        wait_us = RENEW_US if self.held else self.ctx.luck.randrange(SEEK_LEAST_US, most_us)
+        self.again_us = self.ctx.now_us() + wait_us
         return self.held
 
     async def drop(self) -> None:
-        self.untilUs = 0
+        self.until_us = 0
         await self._give_back()
--- a/src/cinderstair/vault/register.py
+++ b/src/cinderstair/vault/register.py
@@ -14,9 +14,9 @@
 from ..pitch.parley import Body
 from ..pitch.unpacker import Unpacker
 from .acceptor import AHEAD, BEATEN, OK, ROSTER_KEY, SINCE, STALE
-from .ballot import BLANK, Ballot, readBallot
+from .ballot import BLANK, Ballot, read_ballot
 from .known_vectors import KnownVectors
-from .roster import Roster, Voter, readRoster, readVoter, seedRoster
+from .roster import Roster, Voter, read_roster, read_voter, seed_roster
 
 ASK_WAIT_US = 700_000
 HEDGE_US = 150_000
@@ -45,12 +45,12 @@
     value: bytes = b""
 
 
-def readVote(*, data: bytes) -> Vote:
+def read_vote(*, data: bytes) -> Vote:
     unpacker = Unpacker(data=data)
     status = unpacker.u8()
     if status not in (OK, BEATEN):
         return Vote(status=status)
-    promised, accepted = readBallot(unpacker=unpacker), readBallot(unpacker=unpacker)
+    promised, accepted = read_ballot(unpacker=unpacker), read_ballot(unpacker=unpacker)
     value = unpacker.blob()
     unpacker.done()
     return Vote(status=status, promised=promised, accepted=accepted, value=value)
@@ -72,10 +72,10 @@
 
     async def strangers(self) -> dict[str, Voter]:
         """Every vault that the seeds have met, by name."""
-        await self.findRoster()
+        await self.find_roster()
         return self.met
 
-    async def findRoster(self) -> bool:
+    async def find_roster(self) -> bool:
         """Asks the seeds, and every vault known, for the newest roster; what comes late is still taken in."""
         known = () if self.roster is None else tuple(v.address for v in self.roster.voters)
         pending = {
@@ -95,19 +95,19 @@
     async def _ask_roster(self, *, address: str) -> bool:
         """Whether the vault at an address answered with a roster."""
         body = Packer().u8(value=HELLO).u64(value=0).text(value="").text(value="").bytes()
-        result = await self.ctx.parley.ask(address=address, body=body, waitUs=ASK_WAIT_US)
+        result = await self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US)
         if result.is_error():
             return False
         unpacker = Unpacker(data=result.ok)
         unpacker.u8()
         data = unpacker.blob()
-        for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
+        for voter in unpacker.many(each=lambda u: read_voter(unpacker=u)):
             self.met[voter.name] = voter
         if data:
-            self.learnRoster(roster=readRoster(data=data))
+            self.learn_roster(roster=read_roster(data=data))
         return bool(data)
 
-    def learnRoster(self, *, roster: Roster) -> None:
+    def learn_roster(self, *, roster: Roster) -> None:
         if self.roster is None or roster.epoch > self.roster.epoch:
             self.roster = roster
 
@@ -121,7 +121,7 @@
         answers: list[bytes] = []
 
         async def one(voter: Voter) -> bool:
-            result = await self.ctx.parley.ask(address=voter.address, body=body, waitUs=ASK_WAIT_US)
+            result = await self.ctx.parley.ask(address=voter.address, body=body, wait_us=ASK_WAIT_US)
             heard = result.is_ok() and not self._heed(data=result.ok, voter=voter, roster=roster)
             # why: whoever failed last time is asked last, so that a lost vault costs one late answer and no more
             (self.failed.discard if heard else self.failed.add)(voter.ident)
@@ -137,8 +137,8 @@
         later = voters[first:] if first else []
         pending = {self.ctx.spawn(work=one(voter)) for voter in voters[: len(voters) - len(later)]}
         while pending and not enough(answers):
-            waitS = HEDGE_US / 1_000_000 if later else None
-            done, pending = await asyncio.wait(pending, timeout=waitS, return_when=asyncio.FIRST_COMPLETED)
+            wait_s = HEDGE_US / 1_000_000 if later else None
+            done, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
             if later and not enough(answers) and (not done or not all(task.result() for task in done)):
                 pending |= {self.ctx.spawn(work=one(voter)) for voter in later}
                 later = []
@@ -149,7 +149,7 @@
         status = data[0] if data else AHEAD
         if status == STALE:
             unpacker = Unpacker(data=data[1:])
-            self.learnRoster(roster=readRoster(data=unpacker.blob()))
+            self.learn_roster(roster=read_roster(data=unpacker.blob()))
             return True
         if status == AHEAD and roster.epoch > 0:
             # why: a vault that missed the roster's change can vote again as soon as it is told
@@ -160,10 +160,10 @@
     async def tell(self, *, address: str, roster: Roster) -> bool:
         """Whether the vault at an address has made a roster its own, or one as new."""
         body = Packer().u8(value=ADOPT).blob(value=roster.bytes()).bytes()
-        result = await self.ctx.parley.ask(address=address, body=body, waitUs=ASK_WAIT_US)
+        result = await self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US)
         return result.is_ok()
 
-    async def tellAll(self, *, roster: Roster) -> int:
+    async def tell_all(self, *, roster: Roster) -> int:
         """How many of a roster's voters have taken it as theirs: a majority is waited for, all are told."""
         pending = {
             self.ctx.spawn(work=self.tell(address=voter.address, roster=roster), name="roster.tell")
@@ -189,9 +189,9 @@
         for round_ in range(ROUNDS):
             if round_:
                 # why: two proposers that beat each other must fall out of step
-                await self.ctx.rest(waitUs=self.ctx.luck.randrange(5_000, 40_000 * round_))
-            roster = seedRoster(addresses=self.seeds) if founding else self.roster
-            if roster is None and not await self.findRoster():
+                await self.ctx.rest(wait_us=self.ctx.luck.randrange(5_000, 40_000 * round_))
+            roster = seed_roster(addresses=self.seeds) if founding else self.roster
+            if roster is None and not await self.find_roster():
                 continue
             roster = roster or self.roster
             assert roster is not None
@@ -242,12 +242,12 @@
             return good >= roster.majority or bad > len(roster.voters) - roster.majority
 
         answers = await self.poll(roster=roster, body=body, enough=enough, first=first)
-        return [readVote(data=answer) for answer in answers]
+        return [read_vote(data=answer) for answer in answers]
 
     async def read(self, *, key: str) -> Result[Found, Fault]:
         """The key's value as a majority holds it; one found on fewer is completed first."""
         for turn in range(READS):
-            if self.roster is None and not await self.findRoster():
+            if self.roster is None and not await self.find_roster():
                 continue
             roster = self.roster
             assert roster is not None
@@ -262,7 +262,7 @@
                 # why: most often its writer is just finishing; many readers that completed it for it would only
                 # beat one another's ballots, each with the whole value
                 if turn + 2 < READS:
-                    await self.ctx.rest(waitUs=self.ctx.luck.randrange(SETTLE_US // 2, SETTLE_US))
+                    await self.ctx.rest(wait_us=self.ctx.luck.randrange(SETTLE_US // 2, SETTLE_US))
                     continue
             completed = await self.change(key=key, decide=Ok)
             if completed.is_ok():
@@ -271,7 +271,7 @@
 
     async def vector(self) -> Result[dict[str, Ballot], Fault]:
         """For every key, the highest ballot that a majority of vaults have accepted anything at."""
-        if self.roster is None and not await self.findRoster():
+        if self.roster is None and not await self.find_roster():
             return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
         roster = self.roster
         assert roster is not None
@@ -319,12 +319,12 @@
                 values[key] = found.ok
         return Ok(values)
 
-    async def changeRoster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
+    async def change_roster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
         """Moves to the next roster, which differs by one voter, so that every majority of the two meets.
 
         `alter` is given the roster that is known when this begins. versionTaken: another change came first.
         """
-        if self.roster is None and not await self.findRoster():
+        if self.roster is None and not await self.find_roster():
             return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
         current = self.roster
         assert current is not None
@@ -341,15 +341,15 @@
 
         def decide(data: bytes) -> Result[bytes, Fault]:
             # why: another change may have come first, and ours was made against the roster before it
-            if data and readRoster(data=data).epoch != current.epoch:
+            if data and read_roster(data=data).epoch != current.epoch:
                 return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
             return Ok(wanted.bytes())
 
         chosen = await self.change(key=ROSTER_KEY, decide=decide)
         if chosen.is_error():
             return Error(chosen.error)
-        self.learnRoster(roster=wanted)
-        told = await self.tellAll(roster=wanted)
+        self.learn_roster(roster=wanted)
+        told = await self.tell_all(roster=wanted)
         if told < wanted.majority:
             return Error(Fault(kind=Kind.registerUnsure, why="the new roster is not known to a majority yet"))
         return Ok(wanted)
--- a/src/cinderstair/vault/register_view.py
+++ b/src/cinderstair/vault/register_view.py
@@ -12,7 +12,7 @@
 from .acceptor import ROSTER_KEY
 from .ballot import BLANK, Ballot
 from .register import Found, Register
-from .roster import readRoster
+from .roster import read_roster
 
 PULL_EVERY_US = 200_000
 # why: no setting, since whoever moves a lead waits for all views by its own figure, so all must have the same
@@ -24,25 +24,25 @@
     """Owns what a daemon knows of the register. What it says counts only while it is current."""
 
     def __init__(
-        self, *, ctx: Context, register: Register, everyUs: int = PULL_EVERY_US, leaseUs: int = LEASE_US
+        self, *, ctx: Context, register: Register, every_us: int = PULL_EVERY_US, lease_us: int = LEASE_US
     ) -> None:
         self.ctx = ctx
         self.register = register
-        self.leaseUs = leaseUs
-        self.asOfUs = -leaseUs
+        self.lease_us = lease_us
+        self.as_of_us = -lease_us
         self.known: dict[str, Found] = {}
         self.taken: dict[str, Ballot] | None = None
         self.changes: Subject[str] = Subject()
-        self.openQueue()
-        self.every(everyUs=everyUs, command=self.pull, name="view")
+        self.open_queue()
+        self.every(every_us=every_us, command=self.pull, name="view")
 
     @property
     def current(self) -> bool:
-        return self.ctx.nowUs() < self.asOfUs + self.leaseUs
+        return self.ctx.now_us() < self.as_of_us + self.lease_us
 
     async def pull(self) -> bool:
         """One round: the vector from a majority, then every value that it says we lack."""
-        startUs = self.ctx.nowUs()
+        start_us = self.ctx.now_us()
         highest = await self.register.vector()
         if highest.is_error():
             self.ctx.counters.add(name="view.missed")
@@ -59,11 +59,11 @@
                     return False
         self.taken = highest.ok
         # why: counted from the round's start, since anything may have been written the moment after it
-        self.asOfUs = max(self.asOfUs, startUs)
+        self.as_of_us = max(self.as_of_us, start_us)
         self.ctx.counters.add(name="view.pulls")
         return True
 
-    def takeOwn(self, *, key: str, result: Result[Found, Fault]) -> None:
+    def take_own(self, *, key: str, result: Result[Found, Fault]) -> None:
         """What we have ourselves written is known without another read."""
         if result.is_ok():
             self._take(key=key, found=result.ok)
@@ -84,13 +84,13 @@
     def _apply(self, *, key: str, value: bytes) -> bool:
         """Takes a value in; False where it can't be read here, so that the view can't be current."""
         if key == ROSTER_KEY:
-            roster = readRoster(data=value)
+            roster = read_roster(data=value)
             # why: whoever changed the roster may have died before telling the vaults
             if self.register.roster is None or roster.epoch > self.register.roster.epoch:
-                self.register.learnRoster(roster=roster)
-                self.ctx.spawn(work=self.register.tellAll(roster=roster), name="tell.roster")
+                self.register.learn_roster(roster=roster)
+                self.ctx.spawn(work=self.register.tell_all(roster=roster), name="tell.roster")
         return True
 
-    def ballotOf(self, *, key: str) -> Any:
+    def ballot_of(self, *, key: str) -> Any:
         known = self.known.get(key)
         return BLANK if known is None else known.ballot
--- a/src/cinderstair/vault/roster.py
+++ b/src/cinderstair/vault/roster.py
@@ -31,25 +31,25 @@
 
     def bytes(self) -> bytes:
         packer = Packer().u32(value=self.epoch)
-        packer.many(values=self.voters, each=lambda p, v: writeVoter(packer=p, voter=v))
+        packer.many(values=self.voters, each=lambda p, v: write_voter(packer=p, voter=v))
         return packer.bytes()
 
 
-def writeVoter(*, packer: Packer, voter: Voter) -> None:
+def write_voter(*, packer: Packer, voter: Voter) -> None:
     packer.u64(value=voter.ident).text(value=voter.name).text(value=voter.address)
 
 
-def readVoter(*, unpacker: Unpacker) -> Voter:
+def read_voter(*, unpacker: Unpacker) -> Voter:
     return Voter(ident=unpacker.u64(), name=unpacker.text(), address=unpacker.text())
 
 
-def readRoster(*, data: bytes) -> Roster:
+def read_roster(*, data: bytes) -> Roster:
     unpacker = Unpacker(data=data)
     epoch = unpacker.u32()
-    voters = unpacker.many(each=lambda u: readVoter(unpacker=u))
+    voters = unpacker.many(each=lambda u: read_voter(unpacker=u))
     unpacker.done()
     return Roster(epoch=epoch, voters=tuple(voters))
 
 
-def seedRoster(*, addresses: tuple[str, ...]) -> Roster:
+def seed_roster(*, addresses: tuple[str, ...]) -> Roster:
     return Roster(epoch=0, voters=tuple(Voter(ident=0, name="seed", address=a) for a in addresses))
--- a/src/cinderstair/vault/store.py
+++ b/src/cinderstair/vault/store.py
@@ -11,7 +11,7 @@
 from ..pitch.kind import Kind
 from ..pitch.packer import Packer
 from ..pitch.unpacker import Unpacker
-from .ballot import readBallot
+from .ballot import read_ballot
 from .cell import Cell
 
 SLOT_HEAD = struct.Struct("!8sQII")
@@ -35,28 +35,28 @@
     cells: dict[str, Cell] = field(default_factory=dict)
 
 
-def cellEntry(*, key: str, cell: Cell) -> bytes:
+def cell_entry(*, key: str, cell: Cell) -> bytes:
     packer = Packer().u8(value=CELL).text(value=key)
     cell.promised.write(packer=packer)
     cell.accepted.write(packer=packer)
     return packer.blob(value=cell.value).bytes()
 
 
-def rosterEntry(*, data: bytes) -> bytes:
+def roster_entry(*, data: bytes) -> bytes:
     return Packer().u8(value=ROSTER).blob(value=data).bytes()
 
 
-def identEntry(*, ident: int) -> bytes:
+def ident_entry(*, ident: int) -> bytes:
     return Packer().u8(value=IDENT).u64(value=ident).bytes()
 
 
-def applyEntry(*, held: Held, entry: bytes) -> bool:
+def apply_entry(*, held: Held, entry: bytes) -> bool:
     """Takes one log entry into the state; True where it says that the log was sealed."""
     unpacker = Unpacker(data=entry)
     kind = unpacker.u8()
     if kind == CELL:
         key = unpacker.text()
-        promised, accepted = readBallot(unpacker=unpacker), readBallot(unpacker=unpacker)
+        promised, accepted = read_ballot(unpacker=unpacker), read_ballot(unpacker=unpacker)
         held.cells[key] = Cell(promised=promised, accepted=accepted, value=unpacker.blob())
     elif kind == ROSTER:
         held.roster = unpacker.blob()
@@ -77,8 +77,8 @@
         self.held = Held()
         self.turn = 0
         self.serial = 0
-        self.logBytes = 0
-        self.tornBytes = 0
+        self.log_bytes = 0
+        self.torn_bytes = 0
 
     def open(self) -> Result["Store", Fault]:
         """Reads the state back, cutting a torn tail; damage that may hide a synced entry is an error."""
@@ -87,20 +87,20 @@
         if newer:
             why = f"data folder: format {newer}, and {FORMAT} is the newest that is read here; nothing is changed"
             return Error(Fault(kind=Kind.diskDamaged, why=why))
-        slots = [self._readSlot(turn=turn) for turn in (0, 1)]
+        slots = [self._read_slot(turn=turn) for turn in (0, 1)]
         if all(slot is None for slot in slots):
-            return self._openWithout()
+            return self._open_without()
         good = [(slot[0], turn) for turn, slot in enumerate(slots) if slot is not None]
         serial, turn = max(good)
         body = slots[turn][1]  # type: ignore[index]
         self.turn, self.serial = turn, serial
         for entry in Unpacker(data=body).many(each=lambda u: u.blob()):
-            applyEntry(held=self.held, entry=entry)
+            apply_entry(held=self.held, entry=entry)
         sealed = self._replay(turn=turn, serial=serial)
         # why: a sealed log says that the other slot was whole and in use; to go on here would forget votes
         if sealed:
             return damaged(why=f"{SLOTS[turn]} was followed by {SLOTS[1 - turn]}, which is damaged")
-        self._turnOver()
+        self._turn_over()
         return Ok(self)
 
     def _newer(self) -> int:
@@ -114,17 +114,17 @@
                 formats.append(int(number))
         return max(formats)
 
-    def _openWithout(self) -> Result["Store", Fault]:
+    def _open_without(self) -> Result["Store", Fault]:
         raw = [self.disk.read(name=name) for name in (*SLOTS, *LOGS)]
-        slotA, slotB, logA, logB = raw
+        slot_a, slot_b, log_a, log_b = raw
         # why: the first slot is synced before any log is begun, so a log without a slot means damage;
         # a lone torn first slot is a first start that was cut short, before anything was answered
-        if logA or logB or (slotA and slotB):
+        if log_a or log_b or (slot_a and slot_b):
             return damaged(why="both slots are damaged")
-        self._turnOver()
+        self._turn_over()
         return Ok(self)
 
-    def _readSlot(self, *, turn: int) -> tuple[int, bytes] | None:
+    def _read_slot(self, *, turn: int) -> tuple[int, bytes] | None:
         data = self.disk.read(name=SLOTS[turn])
         if data is None or len(data) < SLOT_HEAD.size:
             return None
@@ -138,9 +138,9 @@
         data = self.disk.read(name=LOGS[turn]) or b""
         if len(data) < LOG_HEAD.size:
             return False
-        magic, logSerial, check = LOG_HEAD.unpack_from(data)
+        magic, log_serial, check = LOG_HEAD.unpack_from(data)
         # why: a log of an earlier turn is left over from before this slot was written, and holds nothing new
-        if magic != LOG_MAGIC or logSerial != serial or check != zlib.crc32(data[: LOG_HEAD.size - 4]):
+        if magic != LOG_MAGIC or log_serial != serial or check != zlib.crc32(data[: LOG_HEAD.size - 4]):
             return False
         at = LOG_HEAD.size
         while at + ENTRY_HEAD.size <= len(data):
@@ -149,20 +149,20 @@
             # why: the first entry that does not check out was never synced, so nobody was answered on it
             if len(entry) != size or zlib.crc32(entry, serial & 0xFFFFFFFF) != check:
                 break
-            if applyEntry(held=self.held, entry=entry):
+            if apply_entry(held=self.held, entry=entry):
                 return True
             at += ENTRY_HEAD.size + size
-        self.tornBytes = len(data) - at
+        self.torn_bytes = len(data) - at
         return False
 
-    def _stateEntries(self) -> list[bytes]:
-        entries = [identEntry(ident=self.held.ident), rosterEntry(data=self.held.roster)]
-        entries += [cellEntry(key=key, cell=cell) for key, cell in sorted(self.held.cells.items())]
+    def _state_entries(self) -> list[bytes]:
+        entries = [ident_entry(ident=self.held.ident), roster_entry(data=self.held.roster)]
+        entries += [cell_entry(key=key, cell=cell) for key, cell in sorted(self.held.cells.items())]
         return entries
 
-    def _turnOver(self) -> None:
+    def _turn_over(self) -> None:
         turn, serial = 1 - self.turn, self.serial + 1
-        body = Packer().many(values=self._stateEntries(), each=lambda p, e: p.blob(value=e)).bytes()
+        body = Packer().many(values=self._state_entries(), each=lambda p, e: p.blob(value=e)).bytes()
         check = zlib.crc32(body, serial & 0xFFFFFFFF)
         self.disk.write(name=SLOTS[turn], data=SLOT_HEAD.pack(SLOT_MAGIC, serial, len(body), check) + body)
         # why: sealing the old log after the new slot is whole lets a later start tell a torn slot from a lost one
@@ -171,21 +171,21 @@
         self.turn, self.serial = turn, serial
         head = LOG_MAGIC + struct.pack("!Q", serial)
         self.disk.write(name=LOGS[turn], data=head + struct.pack("!I", zlib.crc32(head)))
-        self.logBytes = 0
+        self.log_bytes = 0
 
     def _append(self, *, turn: int, serial: int, entries: list[bytes]) -> None:
         data = b"".join(
             ENTRY_HEAD.pack(len(entry), zlib.crc32(entry, serial & 0xFFFFFFFF)) + entry for entry in entries
         )
         self.disk.append(name=LOGS[turn], data=data)
-        self.logBytes += len(data)
+        self.log_bytes += len(data)
 
     def save(self, *, entries: list[bytes]) -> None:
         """Appends and syncs; raises OSError where the disk fails, after which the store must not be used."""
         self._append(turn=self.turn, serial=self.serial, entries=entries)
         # why: the log stays short, so a start reads little
-        if self.logBytes > LOG_MOST_BYTES:
-            self._turnOver()
+        if self.log_bytes > LOG_MOST_BYTES:
+            self._turn_over()
 
 
 def damaged(*, why: str) -> Result[Store, Fault]:
--- a/src/cinderstair/vault/succession.py
+++ b/src/cinderstair/vault/succession.py
@@ -21,7 +21,7 @@
 
     async def succeed(self, *, leaves: str, enters: Voter, most: int) -> Result[Roster, Fault]:
         """`enters` takes the place of the voter named `leaves`, which may have gone already."""
-        if not await self.register.findRoster():
+        if not await self.register.find_roster():
             return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
         roster = self.register.roster
         assert roster is not None
@@ -34,7 +34,7 @@
                 if outwaited.is_error():
                     return Error(outwaited.error)
             gone = old.ident
-            left = await self.register.changeRoster(alter=lambda current: without(roster=current, ident=gone))
+            left = await self.register.change_roster(alter=lambda current: without(roster=current, ident=gone))
             if left.is_error():
                 return left
             self.ctx.log.info("vault %s ident %x has left the roster", old.name, old.ident)
@@ -49,7 +49,7 @@
         # does not have it, and must have done so before it votes again
         if not await self.register.tell(address=enters.address, roster=roster):
             return Error(Fault(kind=Kind.registerUnreachable, why=f"{enters.name} does not adopt the roster"))
-        entered = await self.register.changeRoster(
+        entered = await self.register.change_roster(
             alter=lambda current: Roster(
                 epoch=current.epoch + 1,
                 voters=tuple(sorted((*current.voters, enters), key=lambda voter: voter.name)),
@@ -65,7 +65,7 @@
         known = await self.register.vector()
         if known.is_error():
             return Error(known.error)
-        await self.ctx.rest(waitUs=LONGEST_LEASE_US)
+        await self.ctx.rest(wait_us=LONGEST_LEASE_US)
         if self.register.roster != roster:
             return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
         return Ok(None)
--- a/src/cinderstair/vault/vault.py
+++ b/src/cinderstair/vault/vault.py
@@ -16,8 +16,8 @@
 from ..pitch.unpacker import Unpacker
 from .acceptor import ROSTER_KEY, Acceptor
 from .register import Register
-from .roster import Roster, Voter, readRoster, readVoter, writeVoter
-from .store import Store, identEntry
+from .roster import Roster, Voter, read_roster, read_voter, write_voter
+from .store import Store, ident_entry
 from .succession import Succession
 from .voter_watch import VoterWatch
 
@@ -50,7 +50,7 @@
         self.crowd: Crowd | None = None
         self.mayFound = True
         self.greeted_us: dict[str, int] = {}
-        self.started_us = ctx.nowUs()
+        self.started_us = ctx.now_us()
         self.strange_since_us: int | None = None
         # since when fewer vote than are to
         self.short_since_us: int | None = None
@@ -70,7 +70,7 @@
         self.mayFound = self.settings.mayFound or not fresh
         if fresh:
             store.held.ident = self.ctx.luck.getrandbits(62) | 1
-            store.save(entries=[identEntry(ident=store.held.ident)])
+            store.save(entries=[ident_entry(ident=store.held.ident)])
         self.me = Voter(ident=store.held.ident, name=self.settings.name, address=self.settings.records)
         self.strangers[self.me.name] = self.me
         acceptor = Acceptor(ctx=self.ctx, store=store, fresh=fresh, halt=self.halt)
@@ -102,7 +102,7 @@
             incarnation=1,
         )
         self.crowd = Crowd(
-            ctx=self.ctx, desk=self.desk, me=me, seeds=self.settings.seeds, everyUs=self.settings.probeEveryUs
+            ctx=self.ctx, desk=self.desk, me=me, seeds=self.settings.seeds, every_us=self.settings.probeEveryUs
         )
         await self.ctx.net.listen(address=self.settings.records, answer=self.desk.answer)
         self.ctx.spawn(work=self._meet(), name="vault.meet")
@@ -118,15 +118,15 @@
         return self.settings.mostVaults or self.settings.foundingVaults
 
     async def _hello(self, unpacker: Unpacker) -> bytes:
-        voter = readVoter(unpacker=unpacker)
+        voter = read_voter(unpacker=unpacker)
         unpacker.done()
         # why: an asker without an identity is a stall, which only wants the roster
         if voter.ident:
             self.strangers[voter.name] = voter
-            self.greeted_us[voter.name] = self.ctx.nowUs()
+            self.greeted_us[voter.name] = self.ctx.now_us()
         roster = b"" if self.roster is None else self.roster.bytes()
         packer = Packer().u8(value=0).blob(value=roster)
-        packer.many(values=self.strangers.values(), each=lambda p, v: writeVoter(packer=p, voter=v))
+        packer.many(values=self.strangers.values(), each=lambda p, v: write_voter(packer=p, voter=v))
         return packer.bytes()
 
     async def _meet(self) -> None:
@@ -141,7 +141,7 @@
             self._count_votes()
             # why: a stranger that holds no vote leaves the system with one loss less to bear
             quiet = 8 if self.votes else 1
-            await self.ctx.rest(waitUs=HELLO_EVERY_US * quiet + self.ctx.luck.randrange(50_000))
+            await self.ctx.rest(wait_us=HELLO_EVERY_US * quiet + self.ctx.luck.randrange(50_000))
 
     @property
     def votes(self) -> bool:
@@ -160,15 +160,15 @@
     async def _greet_one(self, *, address: str) -> None:
         assert self.me is not None
         packer = Packer().u8(value=HELLO)
-        writeVoter(packer=packer, voter=self.me)
-        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), waitUs=HELLO_WAIT_US)
+        write_voter(packer=packer, voter=self.me)
+        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), wait_us=HELLO_WAIT_US)
         if result.is_error():
             return
         self.watch.answered(address=address)
         unpacker = Unpacker(data=result.ok)
         unpacker.u8()
         data = unpacker.blob()
-        for voter in unpacker.many(each=lambda u: readVoter(unpacker=u)):
+        for voter in unpacker.many(each=lambda u: read_voter(unpacker=u)):
             if voter.name != self.me.name:
                 self.strangers[voter.name] = voter
         if data:
@@ -178,13 +178,13 @@
         """A stranger takes a snapshot, then the place of its own name in the roster, a free one, or a lost one's."""
         assert self.me is not None and self.acceptor is not None
         if self.strange_since_us is None:
-            self.strange_since_us = self.ctx.nowUs()
+            self.strange_since_us = self.ctx.now_us()
         assert self.crowd is not None and self.roster is not None
         self.watch.follow(roster=self.roster)
         self.watch.doubt(roster=self.roster, crowd=self.crowd)
         # why: where all have just begun, everybody completes what was cut short, and a change of roster, which
         # writes every key anew, would beat their ballots and they its own; what serves clients goes first
-        if self.ctx.nowUs() - self.strange_since_us < ENTER_AFTER_US:
+        if self.ctx.now_us() - self.strange_since_us < ENTER_AFTER_US:
             return
         leaves = self._place()
         if leaves is None:
@@ -226,7 +226,7 @@
         assert self.me is not None
         wanted = self.settings.foundingVaults
         # why: one seed that is cut off or gone from the first moment on must not keep the others from beginning
-        if self.ctx.nowUs() - self.started_us > FOUND_WAIT_US:
+        if self.ctx.now_us() - self.started_us > FOUND_WAIT_US:
             wanted = min(wanted, len(self.settings.seeds) // 2 + 1)
         enough = len(self.strangers) >= wanted
         if self.me.address not in self.settings.seeds or not enough or not self.mayFound:
@@ -235,7 +235,7 @@
         mine = Roster(epoch=1, voters=voters).bytes()
         chosen = await self.register.change(key=ROSTER_KEY, decide=lambda data: Ok(data or mine), founding=True)
         # why: a roster counts only once a majority of the seeds hold it, and the first one chosen stays
-        if chosen.is_ok() and readRoster(data=chosen.ok.value).epoch == 1:
+        if chosen.is_ok() and read_roster(data=chosen.ok.value).epoch == 1:
             await self._adopt(data=chosen.ok.value)
         elif self.register.roster is not None:
             await self._adopt(data=self.register.roster.bytes())
@@ -244,17 +244,17 @@
         """A planned stop: says goodbye, then votes on until a standby, where there is one, has taken its place."""
         if self.crowd is None:
             return
-        until_us = self.ctx.nowUs() + self.settings.leaveWithinUs
+        until_us = self.ctx.now_us() + self.settings.leaveWithinUs
         await self.crowd.leave()
         # why: with the vote gone before its place is taken, the system would bear one loss less than it is to
-        while self.votes and self.standbys() and self.ctx.nowUs() < until_us:
-            await self.ctx.rest(waitUs=LEAVE_POLL_US)
+        while self.votes and self.standbys() and self.ctx.now_us() < until_us:
+            await self.ctx.rest(wait_us=LEAVE_POLL_US)
 
     def standbys(self) -> list[str]:
         """The vaults without a vote that have greeted this one lately, and so may take a place."""
         if self.roster is None:
             return []
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         return [
             name
             for name, at_us in sorted(self.greeted_us.items())
@@ -279,7 +279,7 @@
             return
         self.ctx.counters.add(name="vault.votesMissing")
         if self.short_since_us is None:
-            self.short_since_us = self.ctx.nowUs()
+            self.short_since_us = self.ctx.now_us()
 
     def resettle(self, *, settings: Settings) -> None:
         self.settings = settings
--- a/src/cinderstair/vault/voter_watch.py
+++ b/src/cinderstair/vault/voter_watch.py
@@ -22,17 +22,17 @@
 
     def answered(self, *, address: str) -> None:
         """The vault at an address has just answered a greeting."""
-        self.answered_us[address] = self.ctx.nowUs()
+        self.answered_us[address] = self.ctx.now_us()
 
     def _silent_us(self, *, voter: Voter) -> int:
-        return self.ctx.nowUs() - self.answered_us[voter.address]
+        return self.ctx.now_us() - self.answered_us[voter.address]
 
     def follow(self, *, roster: Roster) -> None:
         """Takes a roster's voters for those to watch. Nobody is judged by a silence that began before."""
         if roster.epoch == self.epoch:
             return
         self.epoch = roster.epoch
-        known, now_us = self.answered_us, self.ctx.nowUs()
+        known, now_us = self.answered_us, self.ctx.now_us()
         self.answered_us = {voter.address: known.get(voter.address, now_us) for voter in roster.voters}
 
     def doubt(self, *, roster: Roster, crowd: Crowd) -> None:
--- a/steps/almanacsteps.py
+++ b/steps/almanacsteps.py
@@ -10,33 +10,33 @@
 from behave import given, then, when
 
 from cinderstair.almanac.leaving import leaving
-from cinderstair.almanac.whatif import openStates
+from cinderstair.almanac.whatif import open_states
 from cinderstair.almanac.window import Window
-from cinderstair.almanac.windowstates import WindowStates, readWindowStates
-from cinderstair.charter.check import checkCharter
-from cinderstair.charter.compiler import compileSelector
+from cinderstair.almanac.windowstates import WindowStates, read_window_states
+from cinderstair.charter.check import check_charter
+from cinderstair.charter.compiler import compile_selector
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
 
 @given("a window from {starts:d} to {ends:d}")
 def given_window(context: Any, starts: int, ends: int) -> None:
-    context.window = Window(name="w", startsUs=starts, endsUs=ends, empties=compileSelector(text="has x").ok)
+    context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=compile_selector(text="has x").ok)
     context.states = WindowStates()
 
 
 @when("its times become {starts:d} to {ends:d}")
 def when_times(context: Any, starts: int, ends: int) -> None:
-    context.window = Window(name="w", startsUs=starts, endsUs=ends, empties=context.window.empties)
+    context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=context.window.empties)
 
 
 @when("it is turned at the times {times}")
 def when_turned(context: Any, times: str) -> None:
     context.stages = []
     for time in times.split():
-        turned = context.states.turned(windows=(context.window,), wallUs=int(time))
+        turned = context.states.turned(windows=(context.window,), wall_us=int(time))
         # why: what is turned is what the next holder reads back from the register
-        context.states = readWindowStates(data=turned.bytes())
+        context.states = read_window_states(data=turned.bytes())
         context.stages.append(context.states.stage(window=context.window).name)
 
 
@@ -64,12 +64,12 @@
             {"name": "two", "empties": "hall in (old, mid)", **times},
         ],
     }
-    context.charter = checkCharter(raw=json.dumps(document).encode()).ok
+    context.charter = check_charter(raw=json.dumps(document).encode()).ok
 
 
 @when("the windows {names} are open")
 def when_open(context: Any, names: str) -> None:
-    states = openStates(charter=context.charter, names=tuple(names.split()))
+    states = open_states(charter=context.charter, names=tuple(names.split()))
     context.leaving = leaving(charter=context.charter, states=states)
 
 
--- a/steps/announcersteps.py
+++ b/steps/announcersteps.py
@@ -32,7 +32,7 @@
         self.known: dict[str, Announcement] = {}
         self.told: list[tuple[str, Announcement]] = []
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         if address not in self.reached:
             return Error(Fault(kind=Kind.wireUnsure, why="cut off"))
         if body[0] == ANNOUNCE:
--- a/steps/badinputsteps.py
+++ b/steps/badinputsteps.py
@@ -79,16 +79,16 @@
         method, path, body = spoilt(
             luck=luck, **dict(zip(("method", "path", "body"), luck.choice(whole), strict=True))
         )
-        beganUs = context.world.nowUs
+        began_us = context.world.now_us
         status, data = context.world.ask(name="stall-0", method=method, path=path, body=body)
-        tookUs = context.world.nowUs - beganUs
+        took_us = context.world.now_us - began_us
         value = json.loads(data) if data else {}
         kind = value.get("kind", "")
         # why: an error of ours would be a kind of the table as well, so it is named apart
         fits = kind and kind != "internal" and ANSWERS[Kind(kind)].status == status
         context.kinds.add(kind)
-        if not fits or tookUs > 1_000_000:
-            context.wrong.append((method, path, body[:120], status, value, tookUs))
+        if not fits or took_us > 1_000_000:
+            context.wrong.append((method, path, body[:120], status, value, took_us))
 
 
 @then("each was answered by the table of kinds, at once, and none with an error of ours")
--- a/steps/boothsteps.py
+++ b/steps/boothsteps.py
@@ -282,7 +282,7 @@
 
 @given("a backend that was full just now")
 def given_full(context: Any) -> None:
-    context.pool.full_us = context.pool.ctx.nowUs()
+    context.pool.full_us = context.pool.ctx.now_us()
 
 
 @given('its dials go "{words}"')
--- a/steps/capacitysteps.py
+++ b/steps/capacitysteps.py
@@ -399,7 +399,7 @@
     booth = context.booth
 
     async def work() -> list[Any]:
-        booth.view.as_of_us = booth.ctx.nowUs()
+        booth.view.as_of_us = booth.ctx.now_us()
         session = booth.open(database="ledger-0000.pool.example")
         verbs = (Verb.read, Verb.write, Verb.begin, Verb.read, Verb.write, Verb.commit)
         return [await session.run(statement=Statement(ident=b"1", verb=verb, text=b"x")) for verb in verbs]
--- a/steps/chartersteps.py
+++ b/steps/chartersteps.py
@@ -9,9 +9,9 @@
 
 from behave import then, use_step_matcher, when
 
-from cinderstair.charter.check import checkCharter
-from cinderstair.charter.compiler import compileProgram, compileSelector
-from cinderstair.charter.formatter import formatProgram
+from cinderstair.charter.check import check_charter
+from cinderstair.charter.compiler import compile_program, compile_selector
+from cinderstair.charter.formatter import format_program
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "configuration.json"
 
@@ -68,7 +68,7 @@
 
 @when(r"the selector (?P<text>.*) is compiled")
 def when_selector(context: Any, text: str) -> None:
-    context.result = compileSelector(text=text)
+    context.result = compile_selector(text=text)
 
 
 @then(r'it picks (?P<picked>[0-9 ]*)\s*of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"')
@@ -81,14 +81,14 @@
 @then(r"its one true form compiles to itself")
 def then_form(context: Any) -> None:
     first = context.result.ok
-    second = compileSelector(text=first.text).ok
+    second = compile_selector(text=first.text).ok
     assert first.text == second.text, (first.text, second.text)
     assert [first.picks(labels=m) for m in MACHINES] == [second.picks(labels=m) for m in MACHINES]
 
 
 @when(r"the program (?P<text>.*) is compiled")
 def when_program(context: Any, text: str) -> None:
-    context.result = compileProgram(text=text)
+    context.result = compile_program(text=text)
 
 
 @then(r'it fails at line (?P<line>\d+), column (?P<column>\d+) with the words "(?P<words>.*)"')
@@ -101,18 +101,18 @@
 
 @when(r"the good document is checked")
 def when_good(context: Any) -> None:
-    context.result = checkCharter(raw=json.dumps(good()).encode())
+    context.result = check_charter(raw=json.dumps(good()).encode())
 
 
 @when(r"the good document is checked with (?P<change>.+)")
 def when_changed(context: Any, change: str) -> None:
     document = changed(document=good(), change=change)
-    context.result = checkCharter(raw=json.dumps(document).encode())
+    context.result = check_charter(raw=json.dumps(document).encode())
 
 
 @when(r"the bytes (?P<text>.+) are checked")
 def when_bytes(context: Any, text: str) -> None:
-    context.result = checkCharter(raw=text.encode("latin-1").decode("unicode_escape").encode("latin-1"))
+    context.result = check_charter(raw=text.encode("latin-1").decode("unicode_escape").encode("latin-1"))
 
 
 @then(r"it is accepted with 2 databases, 6 backends and 1 window")
@@ -139,25 +139,25 @@
 
 @then(r'formatting "(?P<text>.*)" gives "(?P<form>.*)"')
 def then_formatted(context: Any, text: str, form: str) -> None:
-    result = formatProgram(text=text)
+    result = format_program(text=text)
     assert result.is_ok() and result.ok == form, result
 
 
-def formatVerb(*, path: Path) -> subprocess.CompletedProcess[str]:
+def format_verb(*, path: Path) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "cinderstair", "format", str(path)]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
 @then(r"the format verb prints the example with the same meaning, and printing that again changes nothing")
 def then_verb(context: Any) -> None:
-    first = formatVerb(path=EXAMPLE)
-    before, after = checkCharter(raw=EXAMPLE.read_bytes()).ok, checkCharter(raw=first.stdout.encode()).ok
+    first = format_verb(path=EXAMPLE)
+    before, after = check_charter(raw=EXAMPLE.read_bytes()).ok, check_charter(raw=first.stdout.encode()).ok
     assert [r.where.text for r in before.program.routes] == [r.where.text for r in after.program.routes]
     assert before.program.policies == after.program.policies and before.backends == after.backends
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(first.stdout)
         file.flush()
-        assert formatVerb(path=Path(file.name)).stdout == first.stdout
+        assert format_verb(path=Path(file.name)).stdout == first.stdout
 
 
 @then(r"a document whose language is broken is refused with its place")
@@ -165,7 +165,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(json.dumps({**good(), "language": "route live on * to"}))
         file.flush()
-        result = formatVerb(path=Path(file.name))
+        result = format_verb(path=Path(file.name))
     assert result.returncode == 1 and "/language: line 1, column 19" in result.stderr, result
 
 
--- a/steps/citizensteps.py
+++ b/steps/citizensteps.py
@@ -773,7 +773,7 @@
         assert not self.busy, "two statements at once"
         self.busy = True
         self.booth.ran.append(f"{statement.ident.decode()} {statement.verb.name}")
-        await self.booth.ctx.rest(waitUs=self.booth.work_us)
+        await self.booth.ctx.rest(wait_us=self.booth.work_us)
         self.busy = False
         if statement.verb in (Verb.begin, Verb.begin_read):
             self.state = State.open
@@ -794,8 +794,8 @@
         self.work_us = 2_000
 
     async def knows(self, *, database: str, until_us: int) -> bool:
-        while self.view.plan is None and self.ctx.nowUs() < until_us:
-            await self.ctx.rest(waitUs=50_000)
+        while self.view.plan is None and self.ctx.now_us() < until_us:
+            await self.ctx.rest(wait_us=50_000)
         return self.view.plan is not None and database in self.databases
 
     def open(self, *, database: str) -> FakeSession:
--- a/steps/common.py
+++ b/steps/common.py
@@ -8,7 +8,7 @@
 from cinderstair.fairground.world import World
 
 
-def newWorld(*, context: Any, **options: Any) -> World:
+def new_world(*, context: Any, **options: Any) -> World:
     """A simulated world that is cleared away after the scenario."""
     world = World(**options)
     context.worlds.append(world)
@@ -16,7 +16,7 @@
     return world
 
 
-def newFleet(*, context: Any, **options: Any) -> Fleet:
+def new_fleet(*, context: Any, **options: Any) -> Fleet:
     """A fleet of real processes that is ended after the scenario."""
     fleet = Fleet(**options)
     context.fleets.append(fleet)
--- a/steps/controlverbsteps.py
+++ b/steps/controlverbsteps.py
@@ -13,7 +13,7 @@
 
 from cinderstair.counter.controlverb import GuildhallVerb, ShardsVerb
 from cinderstair.counter.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
-from cinderstair.fairground.fleet import freePorts
+from cinderstair.fairground.fleet import free_ports
 from cinderstair.pitch.counters import Counters
 from cinderstair.pitch.packer import Packer
 from cinderstair.pitch.recordwire import RecordWire
@@ -36,7 +36,7 @@
 
 @given("a guildhall's address that answers {words}")
 def given_guildhall(context: Any, words: str) -> None:
-    port = freePorts(count=1)[0]
+    port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
     wire = RecordWire(counters=Counters())
 
--- a/steps/crowdsteps.py
+++ b/steps/crowdsteps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import given, then, when
-from common import newWorld
+from common import new_world
 
 from cinderstair.crier.member import Standing
 from cinderstair.fairground.simnet import SimNet
@@ -16,32 +16,33 @@
     world = context.world
     return [
         f"{name} took {member.name} for dead"
-        for name in (*world.stallNames, *world.vaultNames)
+        for name in (*world.stall_names, *world.vault_names)
         if world.up(name=name)
         for member in world.things[name].crowd.members.values()
         if member.standing == Standing.dead and member.name != but
     ]
 
 
-def goneEverywhere(*, context: Any, name: str) -> bool:
+def gone_everywhere(*, context: Any, name: str) -> bool:
     world = context.world
     return all(
         world.things[each].crowd.standing(name=name) in (Standing.dead, None)
-        for each in (*world.stallNames, *world.vaultNames)
+        for each in (*world.stall_names, *world.vault_names)
         if each != name
     )
 
 
 @given("a system of {stalls:d} stalls and {vaults:d} vaults, with seed {seed:d}")
 def given_system(context: Any, stalls: int, vaults: int, seed: int) -> None:
-    world = newWorld(context=context, seed=seed, stalls=stalls, vaults=vaults)
+    world = new_world(context=context, seed=seed, stalls=stalls, vaults=vaults)
     world.begin()
     # why: everyone has to know everyone before anything is tried
-    world.awaitThat(
+    world.await_that(
         test=lambda: all(
-            len(world.things[n].crowd.alive()) == stalls + vaults - 1 for n in (*world.stallNames, *world.vaultNames)
+            len(world.things[n].crowd.alive()) == stalls + vaults - 1
+            for n in (*world.stall_names, *world.vault_names)
         ),
-        withinUs=20_000_000,
+        within_us=20_000_000,
         what="everyone knows everyone",
     )
     context.removed = []
@@ -57,9 +58,9 @@
 def then_gone(context: Any, seconds: int, name: str) -> None:
     world = context.world
     for _ in range(seconds * 10):
-        world.advance(forUs=100_000)
+        world.advance(for_us=100_000)
         context.removed += removed(context=context, but=name)
-    assert goneEverywhere(context=context, name=name)
+    assert gone_everywhere(context=context, name=name)
 
 
 @then("at no moment was anyone else removed by anyone")
@@ -71,15 +72,15 @@
 def when_cut(context: Any, name: str, seconds: int) -> None:
     world = context.world
     world.isolate(name=name)
-    world.advance(forUs=seconds * 1_000_000)
-    assert goneEverywhere(context=context, name=name)
+    world.advance(for_us=seconds * 1_000_000)
+    assert gone_everywhere(context=context, name=name)
     world.heal()
 
 
 @then("for {seconds:d} seconds nobody but {name} is held to be gone by anyone")
 def then_only(context: Any, seconds: int, name: str) -> None:
     for _ in range(seconds * 10):
-        context.world.advance(forUs=100_000)
+        context.world.advance(for_us=100_000)
         wrong = removed(context=context, but=name)
         assert not wrong, wrong[:5]
 
@@ -87,10 +88,10 @@
 @then("within {seconds:d} seconds everyone counts {name} in again")
 def then_in(context: Any, seconds: int, name: str) -> None:
     world = context.world
-    others = [each for each in (*world.stallNames, *world.vaultNames) if each != name]
-    world.awaitThat(
+    others = [each for each in (*world.stall_names, *world.vault_names) if each != name]
+    world.await_that(
         test=lambda: all(world.things[each].crowd.standing(name=name) == Standing.alive for each in others),
-        withinUs=seconds * 1_000_000,
+        within_us=seconds * 1_000_000,
         what=f"{name} is counted in",
     )
 
@@ -100,7 +101,7 @@
     world = context.world
     world.cut(ones=[one], others=[other])
     for _ in range(seconds * 10):
-        world.advance(forUs=100_000)
+        world.advance(for_us=100_000)
         context.removed += removed(context=context, but="")
 
 
@@ -115,7 +116,7 @@
         # why: half of them begin like a record of that kind whose text or list then makes no sense
         body = bytes([kind]) + (len(junk).to_bytes(4, "big") if number % 2 else b"") + junk
         address = world.records(name=("stall-0", "vault-0")[number % 2])
-        context.answers.append(world.run(work=net.ask(address=address, body=body, waitUs=100_000)))
+        context.answers.append(world.run(work=net.ask(address=address, body=body, wait_us=100_000)))
 
 
 @then("they are answered by nobody, and both go on")
@@ -134,6 +135,6 @@
     world = context.world
     context.before = world.things[name].crowd.me.incarnation
     world.freeze(name=name)
-    world.advance(forUs=seconds * 1_000_000)
-    assert goneEverywhere(context=context, name=name)
+    world.advance(for_us=seconds * 1_000_000)
+    assert gone_everywhere(context=context, name=name)
     world.thaw(name=name)
--- a/steps/daysteps.py
+++ b/steps/daysteps.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 
 from cinderstair.fairground.blow import Blow
-from cinderstair.fairground.days import plan, runDay, shortest
+from cinderstair.fairground.days import plan, run_day, shortest
 
 
 @when("a short day in {place} is run with seed {seed:d}")
 def when_day(context: Any, place: str, seed: int) -> None:
-    context.verdict = runDay(place=place, seed=seed, blows=plan(place=place, seed=seed, whole=False))
+    context.verdict = run_day(place=place, seed=seed, blows=plan(place=place, seed=seed, whole=False))
     context.wrong = context.verdict.wrong
 
 
@@ -22,7 +22,7 @@
 
 @given("a day of {count:d} failures that fails whenever the 7th, the 8th and the 31st fall")
 def given_failing(context: Any, count: int) -> None:
-    context.blows = [Blow(number=n, kind="crowd", atUs=n * 1_000_000, lengthUs=500_000) for n in range(count)]
+    context.blows = [Blow(number=n, kind="crowd", at_us=n * 1_000_000, length_us=500_000) for n in range(count)]
     context.runs = 0
 
     def fails(blows: list[Blow]) -> bool:
--- a/steps/fleetsteps.py
+++ b/steps/fleetsteps.py
@@ -8,39 +8,39 @@
 from typing import Any
 
 from behave import given, then, when
-from common import newFleet, run
+from common import new_fleet, run
 
 from cinderstair.fairground.trial import Verdict
 
 LONG_US = 60_000_000
 
 
-def nowUs() -> int:
+def now_us() -> int:
     return time.monotonic_ns() // 1000
 
 
-def commits(*, context: Any, sinceUs: int) -> int:
+def commits(*, context: Any, since_us: int) -> int:
     return sum(
-        e.outcome == "done" and e.verb in ("append", "transaction") and e.startUs >= sinceUs
+        e.outcome == "done" and e.verb in ("append", "transaction") and e.start_us >= since_us
         for e in context.fleet.history
     )
 
 
-async def awaitCommits(*, context: Any, count: int) -> None:
-    sinceUs = nowUs()
-    await context.fleet.awaitThat(
-        test=lambda: commits(context=context, sinceUs=sinceUs) >= count, withinUs=LONG_US, what="commits"
+async def await_commits(*, context: Any, count: int) -> None:
+    since_us = now_us()
+    await context.fleet.await_that(
+        test=lambda: commits(context=context, since_us=since_us) >= count, within_us=LONG_US, what="commits"
     )
 
 
 @given("a fleet of {stalls:d} stalls, {vaults:d} vaults and 1 database, at work with {clients:d} clients")
 def given_fleet(context: Any, stalls: int, vaults: int, clients: int) -> None:
-    fleet = newFleet(context=context, stalls=stalls, vaults=vaults, databases=1)
+    fleet = new_fleet(context=context, stalls=stalls, vaults=vaults, databases=1)
 
     async def go() -> None:
         await fleet.begin()
-        fleet.callersBegin(count=clients, thinkUs=200_000)
-        await awaitCommits(context=context, count=20)
+        fleet.callers_begin(count=clients, think_us=200_000)
+        await await_commits(context=context, count=20)
 
     run(context=context, work=go())
 
@@ -62,10 +62,10 @@
         return lead["term"] > context.term and lead["state"] == "settled" and lead["primary"] != context.primary
 
     async def go() -> None:
-        await context.fleet.awaitThat(test=moved, withinUs=LONG_US, what="another leads")
-        await awaitCommits(context=context, count=20)
+        await context.fleet.await_that(test=moved, within_us=LONG_US, what="another leads")
+        await await_commits(context=context, count=20)
         context.fleet.start(name=context.primary)
-        await context.fleet.awaitThat(test=context.fleet.allServe, withinUs=LONG_US, what="all serve")
+        await context.fleet.await_that(test=context.fleet.all_serve, within_us=LONG_US, what="all serve")
 
     run(context=context, work=go())
 
@@ -78,7 +78,7 @@
 
     async def go() -> None:
         context.fleet.signal(name="stall-1", number=signal.SIGSTOP)
-        await context.fleet.awaitThat(test=gone, withinUs=LONG_US, what="stall-1 is held to be gone")
+        await context.fleet.await_that(test=gone, within_us=LONG_US, what="stall-1 is held to be gone")
         context.fleet.signal(name="stall-1", number=signal.SIGCONT)
 
     run(context=context, work=go())
@@ -88,7 +88,7 @@
 def then_serves(context: Any) -> None:
     run(
         context=context,
-        work=context.fleet.awaitThat(test=context.fleet.allServe, withinUs=LONG_US, what="all serve"),
+        work=context.fleet.await_that(test=context.fleet.all_serve, within_us=LONG_US, what="all serve"),
     )
 
 
@@ -106,11 +106,11 @@
 
 @then("version 2 is in force at every stall, and is read back to the byte")
 def then_in_force(context: Any) -> None:
-    async def inForce() -> bool:
-        statuses = [await context.fleet.status(name=name) for name in context.fleet.stallNames]
+    async def in_force() -> bool:
+        statuses = [await context.fleet.status(name=name) for name in context.fleet.stall_names]
         return all(status.get("configuration") == 2 for status in statuses)
 
-    run(context=context, work=context.fleet.awaitThat(test=inForce, withinUs=LONG_US, what="in force"))
+    run(context=context, work=context.fleet.await_that(test=in_force, within_us=LONG_US, what="in force"))
     wanted = (context.fleet.folder / "configuration-2.json").read_text()
     result = context.fleet.verb("fetch", at="stall-2")
     assert result.returncode == 0 and result.stdout == wanted, (result.stdout[:80], result.stderr)
@@ -138,17 +138,17 @@
     fleet = context.fleet
 
     async def logged(words: str) -> None:
-        await fleet.awaitThat(test=lambda: words in fleet.logText(name="stall-0"), withinUs=LONG_US, what=words)
+        await fleet.await_that(test=lambda: words in fleet.log_text(name="stall-0"), within_us=LONG_US, what=words)
 
     async def go() -> None:
-        fleet.writeSettings(name="stall-0", queueMost=150)
+        fleet.write_settings(name="stall-0", queueMost=150)
         fleet.signal(name="stall-0", number=signal.SIGHUP)
         await logged("settings changed (signal)")
-        fleet.writeSettings(name="stall-0", queueMost=160, drainWaitUs=2_000_000)
+        fleet.write_settings(name="stall-0", queueMost=160, drainWaitUs=2_000_000)
         await logged("settings changed (file changed)")
-        fleet.writeSettings(name="stall-0", queueMost="many")
+        fleet.write_settings(name="stall-0", queueMost="many")
         await logged("queueMost: Not a valid integer")
-        fleet.writeSettings(name="stall-0", site="elsewhere")
+        fleet.write_settings(name="stall-0", site="elsewhere")
         await logged("site need a restart")
 
     run(context=context, work=go())
@@ -163,7 +163,7 @@
 
 @when("a stall is told to stop")
 def when_stop(context: Any) -> None:
-    context.stopUs = nowUs()
+    context.stop_us = now_us()
     context.fleet.signal(name="stall-1", number=signal.SIGTERM)
 
 
@@ -171,11 +171,11 @@
 def then_ends(context: Any) -> None:
     async def go() -> None:
         process = context.fleet.processes["stall-1"]
-        await context.fleet.awaitThat(
-            test=lambda: process.poll() is not None, withinUs=LONG_US, what="stall-1 has ended"
+        await context.fleet.await_that(
+            test=lambda: process.poll() is not None, within_us=LONG_US, what="stall-1 has ended"
         )
-        assert process.returncode == 0, context.fleet.logText(name="stall-1")[-2000:]
-        await awaitCommits(context=context, count=20)
+        assert process.returncode == 0, context.fleet.log_text(name="stall-1")[-2000:]
+        await await_commits(context=context, count=20)
 
     run(context=context, work=go())
 
@@ -183,13 +183,13 @@
 @then("every checker finds nothing in the whole history")
 def then_history(context: Any) -> None:
     async def go() -> Verdict:
-        await context.fleet.callersEnd()
+        await context.fleet.callers_end()
         return await context.fleet.verdict()
 
     verdict = run(context=context, work=go())
     verdict.need(names=("writes looked for", "primary reads after a commit", "values shown", "statements compared"))
     assert not verdict.wrong, verdict.wrong[:5]
-    assert commits(context=context, sinceUs=0) > 100
+    assert commits(context=context, since_us=0) > 100
 
 
 @when("an operator books a window over the primary and stall-2")
@@ -198,7 +198,7 @@
 
     async def go() -> None:
         context.primary = (await fleet.status(name="stall-0"))["leads"]["db0"]["primary"]
-        context.lost = sum(caller.sessionsLost for caller in fleet.callers)
+        context.lost = sum(caller.sessions_lost for caller in fleet.callers)
         now = datetime.now(tz=timezone.utc)
         times = {
             "starts": (now + timedelta(seconds=2)).isoformat(),
@@ -222,8 +222,8 @@
         return lead["state"] == "settled" and context.primary not in held and emptied["sessions"] == 0
 
     async def go() -> None:
-        await fleet.awaitThat(test=moved, withinUs=LONG_US, what="the old hall stands empty")
-        assert not await fleet.isReady(name="stall-2")
+        await fleet.await_that(test=moved, within_us=LONG_US, what="the old hall stands empty")
+        assert not await fleet.is_ready(name="stall-2")
 
     run(context=context, work=go())
     text = fleet.verb("status").stdout
@@ -235,7 +235,7 @@
     async def ended() -> bool:
         return (await context.fleet.status(name="stall-0"))["windows"]["move"]["stage"] == "ended"
 
-    run(context=context, work=context.fleet.awaitThat(test=ended, withinUs=LONG_US, what="the window has ended"))
+    run(context=context, work=context.fleet.await_that(test=ended, within_us=LONG_US, what="the window has ended"))
 
 
 @then("stall-2 is ready, the old hall's backend is used again, and no session was lost")
@@ -244,10 +244,10 @@
 
     async def used() -> bool:
         status = await fleet.status(name="stall-0")
-        return status["backends"][context.primary]["channels"]["open"] > 0 and await fleet.isReady(name="stall-2")
+        return status["backends"][context.primary]["channels"]["open"] > 0 and await fleet.is_ready(name="stall-2")
 
-    run(context=context, work=fleet.awaitThat(test=used, withinUs=LONG_US, what="the old hall is used again"))
-    assert sum(caller.sessionsLost for caller in fleet.callers) == context.lost
+    run(context=context, work=fleet.await_that(test=used, within_us=LONG_US, what="the old hall is used again"))
+    assert sum(caller.sessions_lost for caller in fleet.callers) == context.lost
 
 
 @when("the program is run with {words}")
--- a/steps/forwardsteps.py
+++ b/steps/forwardsteps.py
@@ -30,10 +30,10 @@
         self.goes = asyncio.Event()
         self.goes.set()
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         work = asyncio.create_task(self._arrive(body=body))
         try:
-            async with asyncio.timeout(waitUs / 1_000_000):
+            async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await asyncio.shield(work))
         except (TimeoutError, ConnectionError) as error:
             return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: {type(error).__name__}"))
@@ -60,7 +60,7 @@
 
     @property
     def now_us(self) -> int:
-        return self.ctx.nowUs()
+        return self.ctx.now_us()
 
 
 def new_router(*, context: Any, ctx: Context, told: ToldView) -> Router:
--- a/steps/guildhallsteps.py
+++ b/steps/guildhallsteps.py
@@ -31,7 +31,7 @@
 from cinderstair.steward.promotion_duty import PromotionDuty
 from cinderstair.steward.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
 from cinderstair.steward.shard_state import Vote
-from cinderstair.steward.slots import SLOTS_KEY, readSlots
+from cinderstair.steward.slots import SLOTS_KEY, read_slots
 from cinderstair.vault.acceptor import BEATEN, OK
 from cinderstair.vault.ballot import Ballot
 from cinderstair.vault.register import Found
@@ -73,14 +73,14 @@
     async def poll(
         self, *, roster: Roster, body: bytes, enough: Callable[[list[bytes]], bool], first: int = 0
     ) -> list[bytes]:
-        await self.ctx.rest(waitUs=2_000)
+        await self.ctx.rest(wait_us=2_000)
         if self.cut:
             return []
         unpacker = Unpacker(data=body)
         unpacker.u8()
         unpacker.u32()
         duty, proposer, length_us = unpacker.text(), unpacker.u64(), unpacker.u64()
-        now_us = self.ctx.nowUs()
+        now_us = self.ctx.now_us()
         holder, until_us = self.store.leases.get(duty, (0, 0))
         if holder != proposer and until_us > now_us:
             return [bytes([BEATEN])]
@@ -88,7 +88,7 @@
         return [bytes([OK])]
 
     async def change(self, *, key: str, decide: Callable[[bytes], Result[bytes, Fault]]) -> Result[Found, Fault]:
-        await self.ctx.rest(waitUs=2_000)
+        await self.ctx.rest(wait_us=2_000)
         if self.cut:
             return self._missing()
         found = self.store.values.get(key)
@@ -100,16 +100,16 @@
         self.store.turn += 1
         made = Found(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
         self.store.values[key] = made
-        self.store.writes.append((self.ctx.nowUs(), key, decided.ok))
-        await self.ctx.rest(waitUs=2_000)
+        self.store.writes.append((self.ctx.now_us(), key, decided.ok))
+        await self.ctx.rest(wait_us=2_000)
         return Ok(made)
 
     async def read(self, *, key: str) -> Result[Found, Fault]:
-        await self.ctx.rest(waitUs=2_000)
+        await self.ctx.rest(wait_us=2_000)
         return self._missing() if self.cut else Ok(self.store.values[key])
 
     async def vector(self) -> Result[dict[str, Ballot], Fault]:
-        await self.ctx.rest(waitUs=2_000)
+        await self.ctx.rest(wait_us=2_000)
         return self._missing() if self.cut else Ok({key: found.ballot for key, found in self.store.values.items()})
 
 
@@ -282,9 +282,9 @@
         def work() -> None:
             self.register = FakeRegister(ctx=self.ctx, store=context.store, proposer=number)
             self.desk = Desk(ctx=self.ctx)
-            self.view = RegisterView(ctx=self.ctx, register=self.register, leaseUs=LEASE_US)
+            self.view = RegisterView(ctx=self.ctx, register=self.register, lease_us=LEASE_US)
             self.news: News[Announcement] = News(
-                ctx=self.ctx, desk=self.desk, crowd=FakeCrowd(), peers=list, quietUs=QUIET_US
+                ctx=self.ctx, desk=self.desk, crowd=FakeCrowd(), peers=list, quiet_us=QUIET_US
             )
 
         stage.call(call=work)
@@ -821,7 +821,7 @@
 @when("a booth tells of a sample as from {what} life")
 def when_tells_sample(context: Any, what: str) -> None:
     ask_relay(context=context)
-    sample = ToldSample(service="s", term=3, moment_us=context.hall.ctx.nowUs() - 1_000, position=Position(3, 7))
+    sample = ToldSample(service="s", term=3, moment_us=context.hall.ctx.now_us() - 1_000, position=Position(3, 7))
     source = context.source + (what == "another")
     question = RelayQuestion(booth="booth-1", site="kingston", source=source, edition=1, samples=(sample,))
     body = question.write(packer=Packer().u8(value=RELAY)).bytes()
@@ -882,7 +882,7 @@
     def __init__(self, *, desks: dict[str, Desk]) -> None:
         self.desks = desks
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         await asyncio.sleep(0.002)
         if address not in self.desks:
             return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: nobody"))
@@ -940,7 +940,7 @@
 @then('the slots are "{words}"')
 def then_slots(context: Any, words: str) -> None:
     found = context.store.values.get(SLOTS_KEY)
-    names = readSlots(data=b"" if found is None else found.value).names
+    names = read_slots(data=b"" if found is None else found.value).names
     text = ", ".join(f"{number} {name}" for number, name in names) or "none"
     assert text == words, text
 
--- a/steps/parleysteps.py
+++ b/steps/parleysteps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import then, when
-from common import newWorld
+from common import new_world
 
 from cinderstair.fairground.virtualloop import Boot
 from cinderstair.pitch.desk import Desk
@@ -22,15 +22,15 @@
     return Speech(lowest=int(lowest), highest=int(highest))
 
 
-def newContext(*, context: Any, name: str, versions: str) -> Any:
+def new_context(*, context: Any, name: str, versions: str) -> Any:
     context.world.speeches[name] = speech(text=versions)
     context.world.addresses.setdefault(name, name)
     return context.world._context(name=name, boot=Boot(name=name))
 
 
-def openDesk(*, context: Any, name: str, versions: str) -> Desk:
+def open_desk(*, context: Any, name: str, versions: str) -> Desk:
     """A desk that answers with the version and the word that it was asked with."""
-    ctx = newContext(context=context, name=name, versions=versions)
+    ctx = new_context(context=context, name=name, versions=versions)
     desk = Desk(ctx=ctx)
 
     async def seek(unpacker: Unpacker) -> bytes:
@@ -43,27 +43,27 @@
     return desk
 
 
-def askAgain(*, context: Any, times: int) -> None:
+def ask_again(*, context: Any, times: int) -> None:
     body = Packer().u8(value=SEEK).text(value="word").bytes()
     for _ in range(times):
-        result = context.world.run(work=context.asker.parley.ask(address=ADDRESS, body=body, waitUs=100_000))
-        context.world.advance(forUs=1_500_000)
+        result = context.world.run(work=context.asker.parley.ask(address=ADDRESS, body=body, wait_us=100_000))
+        context.world.advance(for_us=1_500_000)
         context.results.append(result)
 
 
 @when("a daemon of versions {one} asks a daemon of versions {other} three times")
 def when_asks(context: Any, one: str, other: str) -> None:
-    newWorld(context=context, seed=1, stalls=0, vaults=0, databases=0)
+    new_world(context=context, seed=1, stalls=0, vaults=0, databases=0)
     context.results = []
-    openDesk(context=context, name="other-1", versions=other)
-    context.asker = newContext(context=context, name="one-1", versions=one)
-    askAgain(context=context, times=3)
+    open_desk(context=context, name="other-1", versions=other)
+    context.asker = new_context(context=context, name="one-1", versions=one)
+    ask_again(context=context, times=3)
 
 
 @when("the other is replaced by one of versions {other}, and asked six times")
 def when_replaced(context: Any, other: str) -> None:
-    openDesk(context=context, name="other-2", versions=other)
-    askAgain(context=context, times=6)
+    open_desk(context=context, name="other-2", versions=other)
+    ask_again(context=context, times=6)
 
 
 @then("it is answered in version {version:d}")
@@ -82,8 +82,8 @@
 
 @when("a desk of versions {versions} is given {count:d} records made by seed {seed:d}")
 def when_given(context: Any, versions: str, count: int, seed: int) -> None:
-    newWorld(context=context, seed=1, stalls=0, vaults=0, databases=0)
-    desk = openDesk(context=context, name="other-1", versions=versions)
+    new_world(context=context, seed=1, stalls=0, vaults=0, databases=0)
+    desk = open_desk(context=context, name="other-1", versions=versions)
     luck = random.Random(seed)
     whole = Packer().u8(value=SEEK).text(value="word").bytes()
     context.fates = {"malformed": 0, "denied": 0, "answered": 0}
--- a/steps/poolsteps.py
+++ b/steps/poolsteps.py
@@ -52,7 +52,7 @@
             self.board.tell(samples=samples)
         given_samples = self.board.given(wanted=wanted, known=source == self.source)
         self.answered, self.asked = list(given_samples), list(self.board.missing(wanted=wanted))
-        return self.source, self.machine.ctx.nowUs(), given_samples
+        return self.source, self.machine.ctx.now_us(), given_samples
 
 
 class PoolingBooth:
@@ -70,7 +70,7 @@
         self.asking: tuple[int, int] | None = None
 
     def ask(self, *, hall: Hall, time: TrueTime, there_us: int, back_us: int, lost: bool = False) -> None:
-        asked_us = self.machine.ctx.nowUs()
+        asked_us = self.machine.ctx.now_us()
         self.told, source = self.pool.told(source=self.source), self.source
         wanted = self.pool.wants()
         time.us += there_us
@@ -131,7 +131,7 @@
 @when('"{name}" begins to ask the primary of term {term:d}')
 def when_begins(context: Any, name: str, term: int) -> None:
     booth = context.booths[name]
-    booth.asking = term, booth.machine.ctx.nowUs()
+    booth.asking = term, booth.machine.ctx.now_us()
     context.asked_true_us = context.time.us
 
 
@@ -224,7 +224,7 @@
         if draw < 0.3:
             number += 1
             at = Position(3, number)
-            under_way.append((booth, time.us, booth.machine.ctx.nowUs(), at))
+            under_way.append((booth, time.us, booth.machine.ctx.now_us(), at))
         elif draw < 0.55 and under_way:
             shown_by, true_us, asked_us, at = under_way.pop(luck.randrange(len(under_way)))
             context.true_us[at] = true_us
@@ -256,7 +256,7 @@
 
 
 def from_answer(self: SamplePool, *, asked_us: int, age_us: int) -> int:
-    return self.ctx.nowUs() - age_us
+    return self.ctx.now_us() - age_us
 
 
 def from_question(self: SamplePool, *, reference: Any, asked_us: int) -> int:
--- a/steps/recordsteps.py
+++ b/steps/recordsteps.py
@@ -29,7 +29,7 @@
 from cinderstair.pitch.unpacker import Unpacker
 from cinderstair.steward.booth_places import BoothPlace, BoothPlaces, read_booth_places
 from cinderstair.steward.service_lead import LeadState, ServiceLead, read_service_lead
-from cinderstair.steward.slots import Slots, readSlots
+from cinderstair.steward.slots import Slots, read_slots
 from cinderstair.vault.ballot import Ballot
 
 EDGES_32 = (0, 1, 2**31, 2**32 - 1)
@@ -178,7 +178,7 @@
     "service leads": (lead, lambda r: r.bytes(), lambda data: read_service_lead(data=data)),
     "relay questions": (question, packed, lambda data: read_relay_question(unpacker=Unpacker(data=data))),
     "relay answers": (answer, lambda r: r.bytes(), lambda data: read_relay_answer(data=data)),
-    "slots": (slots, lambda r: r.bytes(), lambda data: readSlots(data=data)),
+    "slots": (slots, lambda r: r.bytes(), lambda data: read_slots(data=data)),
     "places": (places, lambda r: r.bytes(), lambda data: read_booth_places(data=data)),
 }
 
