--- a/steps/registersteps.py
+++ b/steps/registersteps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from behave import given, then, when
-from common import newWorld
+from common import new_world
 from expression import Error, Ok
 
 from cinderstair.fairground.virtualloop import Boot
@@ -22,13 +22,13 @@
 
 @given("5 vaults and {count:d} proposers, with seed {seed:d}")
 def given_vaults(context: Any, count: int, seed: int) -> None:
-    world = newWorld(context=context, seed=seed, stalls=0)
-    for name in world.vaultNames:
+    world = new_world(context=context, seed=seed, stalls=0)
+    for name in world.vault_names:
         world.start(name=name)
-    world.awaitThat(
-        test=lambda: all(world.vault(name=n).roster is not None for n in world.vaultNames if n in world.things)
+    world.await_that(
+        test=lambda: all(world.vault(name=n).roster is not None for n in world.vault_names if n in world.things)
         and len(world.things) == 5,
-        withinUs=20_000_000,
+        within_us=20_000_000,
         what="a roster",
     )
     seeds = world.settings(name="vault-0").seeds
@@ -38,7 +38,7 @@
     ]
 
 
-async def addAll(*, register: Register, times: int, log: list[tuple[str, int]]) -> None:
+async def add_all(*, register: Register, times: int, log: list[tuple[str, int]]) -> None:
     for _ in range(times):
         result = await register.change(key="counter", decide=lambda data: Ok(b"%d" % (int(data or b"0") + 1)))
         if result.is_ok():
@@ -48,29 +48,29 @@
         read = await register.read(key="counter")
         if read.is_ok():
             log.append(("read", int(read.ok.value or b"0")))
-        await register.ctx.rest(waitUs=register.ctx.luck.randrange(20_000, 120_000))
+        await register.ctx.rest(wait_us=register.ctx.luck.randrange(20_000, 120_000))
 
 
 def trouble(*, world: Any, what: str) -> None:
-    name = world.luck.choice(world.vaultNames)
+    name = world.luck.choice(world.vault_names)
     if what == "vaults killed":
         world.kill(name=name)
-        world.advance(forUs=600_000)
+        world.advance(for_us=600_000)
         world.start(name=name)
     elif what == "vaults frozen":
         world.freeze(name=name)
-        world.advance(forUs=1_500_000)
+        world.advance(for_us=1_500_000)
         world.thaw(name=name)
     elif what == "vaults cut off":
         world.cut(ones=[name], others=[f"proposer-{n}" for n in range(4)], both=world.luck.random() < 0.5)
-        world.advance(forUs=900_000)
+        world.advance(for_us=900_000)
         world.heal()
     elif what == "lost answers":
-        for other in world.vaultNames[:2]:
+        for other in world.vault_names[:2]:
             world.cut(ones=[other], others=["proposer-0", "proposer-1"], both=False)
-        world.advance(forUs=300_000)
+        world.advance(for_us=300_000)
         world.heal()
-    world.advance(forUs=300_000)
+    world.advance(for_us=300_000)
 
 
 @when("each proposer adds to a counter 25 times among {what}")
@@ -78,7 +78,7 @@
     world = context.world
     context.logs = [[] for _ in context.registers]
     tasks = [
-        world.wires.runAt(boot=boot, work=addAll(register=register, times=25, log=log))
+        world.wires.run_at(boot=boot, work=add_all(register=register, times=25, log=log))
         for boot, register, log in zip(context.boots, context.registers, context.logs, strict=True)
     ]
     while not all(task.done() for task in tasks):
@@ -114,7 +114,7 @@
     ballot = Ballot(5, 99)
     acceptor.held.cells["lonely"] = Cell(promised=ballot, accepted=ballot, value=b"x")
     register = context.registers[0]
-    world.run(work=register.findRoster())
+    world.run(work=register.find_roster())
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     context.first = world.run(work=register.read(key="lonely"))
     world.heal()
@@ -128,10 +128,10 @@
         assert context.world.run(work=context.registers[0].read(key="lonely")).ok.value == b"x"
 
 
-async def seekOn(*, lease: Lease) -> None:
+async def seek_on(*, lease: Lease) -> None:
     while True:
         await lease.seek()
-        await lease.ctx.rest(waitUs=400_000)
+        await lease.ctx.rest(wait_us=400_000)
 
 
 @when("all seek one duty for 60 seconds, while vaults restart and holders freeze")
@@ -139,15 +139,15 @@
     world = context.world
     leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in context.registers]
     for boot, register, lease in zip(context.boots, context.registers, leases, strict=True):
-        world.run(work=register.findRoster())
-        world.wires.runAt(boot=boot, work=seekOn(lease=lease))
+        world.run(work=register.find_roster())
+        world.wires.run_at(boot=boot, work=seek_on(lease=lease))
     context.held = []
     frozen: Boot | None = None
     for step in range(600):
-        world.advance(forUs=100_000)
+        world.advance(for_us=100_000)
         context.held.append(sum(lease.held for lease in leases))
         if step % 50 == 25:
-            name = world.luck.choice(world.vaultNames)
+            name = world.luck.choice(world.vault_names)
             world.kill(name=name)
             world.start(name=name)
         if step % 100 == 60:
@@ -174,7 +174,7 @@
     world.kill(name="vault-0")
     world.disks["vault-0"].wipe()
     world.start(name="vault-0")
-    world.advance(forUs=15_000_000)
+    world.advance(for_us=15_000_000)
 
 
 @then("vault-0 learns the roster of the others and founds none")
@@ -185,10 +185,10 @@
     assert {v.ident for v in mine.roster.voters} == {v.ident for v in others.roster.voters}
 
 
-async def strikeOff(*, register: Register, name: str) -> Any:
-    await register.findRoster()
+async def strike_off(*, register: Register, name: str) -> Any:
+    await register.find_roster()
     ident = next(voter.ident for voter in register.roster.voters if voter.name == name)
-    return await register.changeRoster(alter=lambda current: without(roster=current, ident=ident))
+    return await register.change_roster(alter=lambda current: without(roster=current, ident=ident))
 
 
 @when("vault-0 is struck off while the change that strikes off vault-1 writes the keys again")
@@ -200,39 +200,39 @@
         result = await change(**asked)
         second.change = change
         # why: nobody need have told it on purpose: any vault's answer brings the newer roster
-        assert (await strikeOff(register=first, name="vault-0")).is_ok()
-        second.learnRoster(roster=first.roster)
+        assert (await strike_off(register=first, name="vault-0")).is_ok()
+        second.learn_roster(roster=first.roster)
         return result
 
     second.change = overtaken
-    context.result = world.run(work=strikeOff(register=second, name="vault-1"))
+    context.result = world.run(work=strike_off(register=second, name="vault-1"))
 
 
 @then("the second change is refused as overtaken, and the roster lacks vault-0 alone")
 def then_overtaken(context: Any) -> None:
     assert context.result.is_error() and context.result.error.kind == Kind.versionTaken, context.result
     world, register = context.world, context.registers[0]
-    assert world.run(work=register.findRoster())
+    assert world.run(work=register.find_roster())
     names = [voter.name for voter in register.roster.voters]
     assert names == ["vault-1", "vault-2", "vault-3", "vault-4"], names
 
 
-def heldBack(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
+def held_back(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
     """Takes the records that pass the test out of a proposer's network, and keeps them."""
     kept: list[tuple[str, bytes]] = []
     ask = register.ctx.net.ask
 
-    async def asked(*, address: str, body: bytes, waitUs: int) -> Any:
+    async def asked(*, address: str, body: bytes, wait_us: int) -> Any:
         if test(body):
             kept.append((address, body))
             return Error(Fault(kind=Kind.wireUnsure, why="held back"))
-        return await ask(address=address, body=body, waitUs=waitUs)
+        return await ask(address=address, body=body, wait_us=wait_us)
 
     register.ctx.net.ask = asked
     return kept
 
 
-def isReturn(body: bytes) -> bool:
+def is_return(body: bytes) -> bool:
     kind, length = unwrapped(data=body)[1][0], int.from_bytes(body[-8:], "big")
     return kind == LEASE and length == 0
 
@@ -241,18 +241,18 @@
 def when_late_return(context: Any) -> None:
     world, (first, second) = context.world, context.registers
     for register in (first, second):
-        world.run(work=register.findRoster())
+        world.run(work=register.find_roster())
     context.leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in (first, second)]
     # why: vaults that have just started grant nothing yet
-    world.advance(forUs=5_000_000)
+    world.advance(for_us=5_000_000)
     ask = first.ctx.net.ask
-    late = heldBack(register=first, test=isReturn)
+    late = held_back(register=first, test=is_return)
     assert world.run(work=context.leases[0].seek())
     world.run(work=context.leases[0].drop())
     world.run(work=context.leases[0].seek())
     assert len(late) >= 5
     for address, body in list(late):
-        world.run(work=ask(address=address, body=body, waitUs=500_000))
+        world.run(work=ask(address=address, body=body, wait_us=500_000))
 
 
 @then("one holds it, and not both, when the other has sought it too")
@@ -264,8 +264,8 @@
 @when("a duty is given back while the answers to its seeking are on their way")
 def when_back_at_once(context: Any) -> None:
     world, register = context.world, context.registers[0]
-    world.run(work=register.findRoster())
-    world.advance(forUs=5_000_000)
+    world.run(work=register.find_roster())
+    world.advance(for_us=5_000_000)
     context.lease = Lease(ctx=register.ctx, register=register, duty="duty")
 
     async def both() -> None:
@@ -277,8 +277,8 @@
 @when("two of five vaults grant a duty, and a roster of three is heard of meanwhile")
 def when_fewer(context: Any) -> None:
     world, register = context.world, context.registers[0]
-    world.run(work=register.findRoster())
-    world.advance(forUs=5_000_000)
+    world.run(work=register.find_roster())
+    world.advance(for_us=5_000_000)
     world.cut(ones=["vault-2", "vault-3", "vault-4"], others=["proposer-0"])
     context.lease = Lease(ctx=register.ctx, register=register, duty="duty")
     poll = register.poll
@@ -286,7 +286,7 @@
     async def polled(**asked: Any) -> Any:
         answers = await poll(**asked)
         roster = register.roster
-        register.learnRoster(roster=Roster(epoch=roster.epoch + 2, voters=roster.voters[2:]))
+        register.learn_roster(roster=Roster(epoch=roster.epoch + 2, voters=roster.voters[2:]))
         return answers
 
     register.poll = polled
@@ -302,25 +302,25 @@
 def when_two_leave(context: Any) -> None:
     world, (holder, seeker, changer) = context.world, context.registers
     for register in (holder, seeker):
-        world.run(work=register.findRoster())
+        world.run(work=register.find_roster())
     context.leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in (holder, seeker)]
-    world.advance(forUs=5_000_000)
+    world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     assert world.run(work=context.leases[0].seek())
     # why: a vault that is up would take its place again at once
     for name in ("vault-0", "vault-1"):
         world.kill(name=name)
-    assert world.run(work=strikeOff(register=changer, name="vault-0")).is_ok()
-    change = changer.changeRoster
+    assert world.run(work=strike_off(register=changer, name="vault-0")).is_ok()
+    change = changer.change_roster
 
     async def once(**asked: Any) -> Any:
         # why: whoever replaces a voter may end between the two changes
-        changer.changeRoster = None
+        changer.change_roster = None
         return await change(**asked)
 
-    changer.changeRoster = once
+    changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
     succession = Succession(ctx=changer.ctx, register=changer)
-    world.wires.runAt(boot=context.boots[2], work=succession.succeed(leaves="vault-1", enters=enters, most=5))
-    world.advance(forUs=1_000_000)
-    world.run(work=seeker.findRoster())
+    world.wires.run_at(boot=context.boots[2], work=succession.succeed(leaves="vault-1", enters=enters, most=5))
+    world.advance(for_us=1_000_000)
+    world.run(work=seeker.find_roster())
--- a/steps/settingssteps.py
+++ b/steps/settingssteps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.pitch.settings import readSettings
+from cinderstair.pitch.settings import read_settings
 
 GOOD = (
     'name = "stall-1"',
@@ -19,11 +19,11 @@
 )
 
 
-def readLines(*, lines: list[str], flags: dict[str, Any]) -> Any:
+def read_lines(*, lines: list[str], flags: dict[str, Any]) -> Any:
     handle, path = tempfile.mkstemp(suffix=".toml")
     try:
         os.write(handle, "\n".join(lines).encode())
-        return readSettings(path=path, flags=flags)
+        return read_settings(path=path, flags=flags)
     finally:
         os.close(handle)
         os.unlink(path)
@@ -32,7 +32,7 @@
 @given("a good settings file")
 def given_good(context: Any) -> None:
     context.lines = list(GOOD)
-    assert readLines(lines=context.lines, flags={}).is_ok()
+    assert read_lines(lines=context.lines, flags={}).is_ok()
 
 
 @when("it is read with {change}")
@@ -43,7 +43,7 @@
         context.lines[places[0]] = change
     else:
         context.lines.append(change)
-    context.result = readLines(lines=context.lines, flags={})
+    context.result = read_lines(lines=context.lines, flags={})
 
 
 @then('it is refused with "{words}"')
@@ -54,16 +54,16 @@
 
 @then('the flag {key} as "{value}" gives the site "{site}"')
 def then_flag(context: Any, key: str, value: str, site: str) -> None:
-    assert readLines(lines=context.lines, flags={key: value}).ok.site == site
+    assert read_lines(lines=context.lines, flags={key: value}).ok.site == site
 
 
 @then('the flag {key} as "{value}" is refused with "{words}"')
 def then_flag_refused(context: Any, key: str, value: str, words: str) -> None:
-    result = readLines(lines=context.lines, flags={key: value})
+    result = read_lines(lines=context.lines, flags={key: value})
     assert result.is_error() and words in result.error.why, result
 
 
 @then('reading "{path}" is refused with "{words}"')
 def then_missing(context: Any, path: str, words: str) -> None:
-    result = readSettings(path=path, flags={})
+    result = read_settings(path=path, flags={})
     assert result.is_error() and words in result.error.why, result
--- a/steps/sharesteps.py
+++ b/steps/sharesteps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.stall.share import allotment, shuffled, subset, users, withReplacements
+from cinderstair.stall.share import allotment, shuffled, subset, users, with_replacements
 
 RECORDED = {
     0: "b04 b08 b05 b11 b10 b03 b00 b02 b01 b07 b09 b06",
@@ -20,7 +20,7 @@
 
 def subsets(*, context: Any) -> list[tuple[str, ...]]:
     return [
-        subset(names=context.names, stallId=stallId, subsetSize=context.size) for stallId in range(context.stalls)
+        subset(names=context.names, stall_id=stall_id, subset_size=context.size) for stall_id in range(context.stalls)
     ]
 
 
@@ -75,10 +75,10 @@
     context.before = subsets(context=context)
     context.lost = context.names[number]
     context.after = [
-        withReplacements(
-            names=context.names, stallId=stallId, subsetSize=context.size, unfit=frozenset([context.lost])
+        with_replacements(
+            names=context.names, stall_id=stall_id, subset_size=context.size, unfit=frozenset([context.lost])
         )
-        for stallId in range(context.stalls)
+        for stall_id in range(context.stalls)
     ]
 
 
@@ -116,8 +116,8 @@
 @then("the allotments of a cap of {cap:d} add up to it and differ by at most 1")
 def then_cap(context: Any, cap: int) -> None:
     for name in context.names:
-        ids = users(names=context.names, stallIds=range(context.stalls), subsetSize=context.size, name=name)
-        parts = [allotment(cap=cap, userIds=ids, stallId=stallId) for stallId in ids]
+        ids = users(names=context.names, stall_ids=range(context.stalls), subset_size=context.size, name=name)
+        parts = [allotment(cap=cap, user_ids=ids, stall_id=stall_id) for stall_id in ids]
         assert sum(parts) == cap and max(parts) - min(parts) <= 1, parts
 
 
--- a/steps/stage.py
+++ b/steps/stage.py
@@ -94,7 +94,7 @@
 class NoNet:
     """Reaches nobody."""
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         return Error(Fault(kind=Kind.wireUnsure, why="no net"))
 
 
--- a/steps/stallsteps.py
+++ b/steps/stallsteps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import given, then, when
-from common import newWorld
+from common import new_world
 
 from cinderstair.fairground.simnet import SimNet
 from cinderstair.fairground.virtualloop import Boot
@@ -21,7 +21,7 @@
     return status, json.loads(answer) if answer else None
 
 
-def openSession(*, world: World) -> str:
+def open_session(*, world: World) -> str:
     status, answer = ask(
         world=world, method="POST", path="/v1/sessions", value={"database": "db0", "timeLeftUs": 1_000_000}
     )
@@ -34,16 +34,16 @@
     return ask(world=context.world, method="POST", path=path, value={"timeLeftUs": 2_000_000, **fields})
 
 
-def step(*, context: Any, verb: str, timeLeftUs: int = 2_000_000) -> tuple[int, Any]:
+def step(*, context: Any, verb: str, time_left_us: int = 2_000_000) -> tuple[int, Any]:
     path = f"/v1/sessions/{context.session}/{verb}"
-    return ask(world=context.world, method="POST", path=path, value={"timeLeftUs": timeLeftUs})
+    return ask(world=context.world, method="POST", path=path, value={"timeLeftUs": time_left_us})
 
 
 @given("a system at work with an open session")
 def given_work(context: Any) -> None:
-    world = newWorld(context=context, seed=21, changes={"idleTransactionUs": 2_000_000})
+    world = new_world(context=context, seed=21, changes={"idleTransactionUs": 2_000_000})
     world.begin()
-    context.session = openSession(world=world)
+    context.session = open_session(world=world)
 
 
 @then("these jobs are answered at once")
@@ -51,11 +51,11 @@
     wrong = []
     for row in context.table:
         path = row["path"].replace("SESSION", context.session)
-        beganUs = context.world.nowUs
+        began_us = context.world.now_us
         status, answer = ask(world=context.world, method=row["method"], path=path, body=row["body"].encode())
-        tookUs = context.world.nowUs - beganUs
-        if (status, answer.get("kind")) != (int(row["status"]), row["kind"]) or tookUs > 50_000:
-            wrong.append((row["path"], row["body"], status, answer, tookUs))
+        took_us = context.world.now_us - began_us
+        if (status, answer.get("kind")) != (int(row["status"]), row["kind"]) or took_us > 50_000:
+            wrong.append((row["path"], row["body"], status, answer, took_us))
     assert not wrong, wrong
 
 
@@ -71,7 +71,7 @@
     status, answer = statement(context=context, kind="primary", text="get k")
     assert status == 200, answer
     stall = context.world.stall(name="stall-0")
-    context.world.advance(forUs=100_000)
+    context.world.advance(for_us=100_000)
     assert not context.world.errors and not stall.ctx.counters.counts["internal.crashes"]
     assert all(session.transaction is None and not session.busy for session in stall.sessions.open.values())
 
@@ -93,7 +93,7 @@
     assert status == 200, answer
     assert statement(context=context, kind="primary", text="list k")[1]["rows"] == ["x"]
     assert statement(context=context, kind="primary", text="show mine")[1]["rows"] == ["7"]
-    other = openSession(world=context.world)
+    other = open_session(world=context.world)
     assert statement(context=context, session=other, kind="primary", text="show mine")[1]["rows"] == [None]
     status, answer = statement(context=context, session=other, kind="write", prepared="p")
     assert (status, answer["kind"]) == (404, "unknownPrepared"), answer
@@ -135,7 +135,7 @@
     assert step(context=context, verb="begin")[0] == 200
     assert statement(context=context, kind="write", text="put a 1")[0] == 200
     assert statement(context=context, kind="primary", text="get a")[1]["rows"] == ["1"]
-    other = openSession(world=context.world)
+    other = open_session(world=context.world)
     assert statement(context=context, session=other, kind="primary", text="get a")[1]["rows"] == [None]
     assert step(context=context, verb="commit")[0] == 200
     assert statement(context=context, session=other, kind="primary", text="get a")[1]["rows"] == ["1"]
@@ -153,7 +153,7 @@
 def then_abandoned(context: Any) -> None:
     assert step(context=context, verb="begin")[0] == 200
     assert statement(context=context, kind="write", text="put a 3")[0] == 200
-    context.world.advance(forUs=4_000_000)
+    context.world.advance(for_us=4_000_000)
     status, answer = statement(context=context, kind="write", text="put a 4")
     assert (status, answer["kind"]) == (409, "transactionLost"), answer
     assert statement(context=context, kind="primary", text="get a")[1]["rows"] == ["1"]
@@ -161,15 +161,15 @@
 
 @when("a majority of vaults is killed")
 def when_majority(context: Any) -> None:
-    for name in context.world.vaultNames[:3]:
+    for name in context.world.vault_names[:3]:
         context.world.kill(name=name)
 
 
 @then("within {seconds:d} seconds the stall is not ready")
 def then_unready(context: Any, seconds: int) -> None:
-    context.world.awaitThat(
+    context.world.await_that(
         test=lambda: context.world.ask(name="stall-0", method="GET", path="/ready")[0] == 503,
-        withinUs=seconds * 1_000_000,
+        within_us=seconds * 1_000_000,
         what="not ready",
     )
 
@@ -178,40 +178,40 @@
 def then_elsewhere(context: Any) -> None:
     net = SimNet(wires=context.world.wires, boot=Boot(name="client"))
     body = json.dumps({"database": "db0", "timeLeftUs": 5_000_000}).encode()
-    beganUs = context.world.nowUs
+    began_us = context.world.now_us
 
     async def go() -> Any:
-        channel = (await net.dial(address=context.world.http(name="stall-0"), waitUs=500_000)).ok
-        return await channel.passJob(job=HttpJob(method="POST", path="/v1/sessions", body=body), waitUs=6_000_000)
+        channel = (await net.dial(address=context.world.http(name="stall-0"), wait_us=500_000)).ok
+        return await channel.pass_job(job=HttpJob(method="POST", path="/v1/sessions", body=body), wait_us=6_000_000)
 
     response = context.world.run(work=go()).ok
     answer = response.json()
     assert (response.status, answer["kind"], answer["outcome"]) == (503, "notCurrent", "denied"), answer
     assert int(response.headers["Retry-After"]) >= 1 and answer["retryAfterUs"] > 0 and answer["elsewhere"]
-    assert context.world.nowUs - beganUs < 50_000
+    assert context.world.now_us - began_us < 50_000
 
 
 @given("a system of 1 stall with a cap of {cap:d}, and queues of {most:d}")
 def given_small(context: Any, cap: int, most: int) -> None:
-    world = newWorld(context=context, seed=22, stalls=1, cap=cap, changes={"queueMost": most})
+    world = new_world(context=context, seed=22, stalls=1, cap=cap, changes={"queueMost": most})
     world.begin()
-    for name in world.backendNames():
-        world.backend(name=name).serviceUs = 200_000
+    for name in world.backend_names():
+        world.backend(name=name).service_us = 200_000
 
 
 @when("{count:d} clients send slow reads at once with {seconds:d} seconds left each")
 def when_crowd(context: Any, count: int, seconds: int) -> None:
     world = context.world
-    context.leftUs = seconds * 1_000_000
+    context.left_us = seconds * 1_000_000
     context.answers = []
-    sessions = [openSession(world=world) for _ in range(count)]
-    body = json.dumps({"kind": "primary", "text": "get k", "timeLeftUs": context.leftUs}).encode()
+    sessions = [open_session(world=world) for _ in range(count)]
+    body = json.dumps({"kind": "primary", "text": "get k", "timeLeftUs": context.left_us}).encode()
 
     async def one(session: str) -> None:
-        beganUs = world.nowUs
+        began_us = world.now_us
         path = f"/v1/sessions/{session}/statements"
         status, answer = await world._ask(name="stall-0", method="POST", path=path, body=body)
-        context.answers.append((world.nowUs - beganUs, status, json.loads(answer)))
+        context.answers.append((world.now_us - began_us, status, json.loads(answer)))
 
     async def everyone() -> None:
         await asyncio.gather(*(one(session) for session in sessions))
@@ -221,24 +221,24 @@
 
 @then("every client is answered within its time left")
 def then_in_time(context: Any) -> None:
-    assert max(tookUs for tookUs, _, _ in context.answers) <= context.leftUs + 50_000
+    assert max(took_us for took_us, _, _ in context.answers) <= context.left_us + 50_000
     assert sum(status == 200 for _, status, _ in context.answers) >= 10, context.answers
 
 
 @then("those denied were told crowded within {millis:d} milliseconds, with when to come back")
 def then_crowded(context: Any, millis: int) -> None:
-    denied = [(tookUs, answer) for tookUs, status, answer in context.answers if status != 200]
+    denied = [(took_us, answer) for took_us, status, answer in context.answers if status != 200]
     assert len(denied) >= 30, len(denied)
     for _, answer in denied:
         assert answer["kind"] == "crowded" and answer["retryAfterUs"] > 0, answer
-    quick = [tookUs for tookUs, _ in denied if tookUs <= millis * 1000]
-    assert len(quick) == len(denied), sorted(tookUs for tookUs, _ in denied)[-5:]
+    quick = [took_us for took_us, _ in denied if took_us <= millis * 1000]
+    assert len(quick) == len(denied), sorted(took_us for took_us, _ in denied)[-5:]
 
 
 @then("no backend was given more than {cap:d} channels")
 def then_capped(context: Any, cap: int) -> None:
-    for name in context.world.backendNames():
-        assert context.world.backend(name=name).mostLines <= cap
+    for name in context.world.backend_names():
+        assert context.world.backend(name=name).most_lines <= cap
 
 
 @when('a configuration with the language "{language}" is in force')
@@ -249,18 +249,18 @@
     body = world.configuration(version=charter.version + 1, old=(context.old,), language=language)
     status, answer = ask(world=world, method="PUT", path="/v1/configuration", body=body)
     assert status == 200, answer
-    world.awaitThat(
-        test=lambda: all(world.stall(name=n).view.charter.version > charter.version for n in world.stallNames),
-        withinUs=3_000_000,
+    world.await_that(
+        test=lambda: all(world.stall(name=n).view.charter.version > charter.version for n in world.stall_names),
+        within_us=3_000_000,
         what="in force",
     )
-    world.advance(forUs=1_000_000)
+    world.advance(for_us=1_000_000)
 
 
-def readWhere(*, context: Any, kind: str, count: int) -> dict[str, int]:
+def read_where(*, context: Any, kind: str, count: int) -> dict[str, int]:
     """How many reads each backend ran."""
     world = context.world
-    before = {name: world.backend(name=name).ran.total() for name in world.backendNames()}
+    before = {name: world.backend(name=name).ran.total() for name in world.backend_names()}
     for _ in range(count):
         status, answer = statement(context=context, kind=kind, text="get k")
         assert status == 200, answer
@@ -269,13 +269,13 @@
 
 @then("{count:d} live reads all run at the replica in the old hall")
 def then_old(context: Any, count: int) -> None:
-    found = readWhere(context=context, kind="live", count=count)
+    found = read_where(context=context, kind="live", count=count)
     assert found[context.old] == count, found
 
 
 @then("{count:d} live reads all run at the primary")
 def then_primary(context: Any, count: int) -> None:
-    found = readWhere(context=context, kind="live", count=count)
+    found = read_where(context=context, kind="live", count=count)
     assert found[context.world.stall(name="stall-0").view.leads["db0"].primary] == count, found
 
 
@@ -288,7 +288,7 @@
 
 @then("no pool has room for more than {count:d} jobs")
 def then_active(context: Any, count: int) -> None:
-    for name in context.world.stallNames:
+    for name in context.world.stall_names:
         for pool in context.world.stall(name=name).yard.pools.values():
             assert 0 < pool.limit <= count, (name, pool.name, pool.limit)
 
@@ -296,7 +296,7 @@
 @when("both replicas apply 3 seconds late and something is written")
 def when_late(context: Any) -> None:
     for name in context.world.stall(name="stall-0").view.leads["db0"].inSync:
-        context.world.backend(name=name).applyUs = 3_000_000
+        context.world.backend(name=name).apply_us = 3_000_000
     status, answer = statement(context=context, kind="write", text="append k x")
     assert status == 200, answer
 
@@ -308,6 +308,6 @@
 
 @then("a live read 1.6 seconds after it sees it too")
 def then_live(context: Any) -> None:
-    context.world.advance(forUs=1_600_000)
-    other = openSession(world=context.world)
+    context.world.advance(for_us=1_600_000)
+    other = open_session(world=context.world)
     assert statement(context=context, session=other, kind="live", text="list k")[1]["rows"] == ["x"]
--- a/steps/storesteps.py
+++ b/steps/storesteps.py
@@ -4,32 +4,32 @@
 from typing import Any
 
 from behave import given, then, when
-from common import newWorld
+from common import new_world
 
 from cinderstair.fairground.simdisk import SimDisk
 from cinderstair.vault.ballot import Ballot
 from cinderstair.vault.cell import Cell
-from cinderstair.vault.store import LOGS, SLOTS, Store, applyEntry, cellEntry
+from cinderstair.vault.store import LOGS, SLOTS, Store, apply_entry, cell_entry
 
 
 def entry(*, number: int, size: int = 20) -> bytes:
     ballot = Ballot(number + 1, 7)
-    return cellEntry(key=f"k{number}", cell=Cell(promised=ballot, accepted=ballot, value=b"v" * size))
+    return cell_entry(key=f"k{number}", cell=Cell(promised=ballot, accepted=ballot, value=b"v" * size))
 
 
 def save(*, store: Store, number: int, size: int = 20) -> None:
     """As the acceptor does it: into the table first, then onto the disk."""
     data = entry(number=number, size=size)
-    applyEntry(held=store.held, entry=data)
+    apply_entry(held=store.held, entry=data)
     store.save(entries=[data])
 
 
-def newDisk() -> SimDisk:
+def new_disk() -> SimDisk:
     return SimDisk(luck=random.Random(5))
 
 
 def copied(*, disk: SimDisk) -> SimDisk:
-    other = newDisk()
+    other = new_disk()
     other.files = dict(disk.files)
     return other
 
@@ -42,7 +42,7 @@
 
 @given("a store with {count:d} saved entries")
 def given_store(context: Any, count: int) -> None:
-    context.disk = newDisk()
+    context.disk = new_disk()
     store = opened(disk=context.disk)
     for number in range(count):
         context.before = dict(context.disk.files)
@@ -69,14 +69,14 @@
 @given("stores that crash at every write while {count:d} large entries are saved")
 def given_crashes(context: Any, count: int) -> None:
     context.results = []
-    crashAt = 0
+    crash_at = 0
     while True:
-        disk = newDisk()
+        disk = new_disk()
         store = opened(disk=disk)
         answered, crashed = 0, False
         for number in range(count):
-            if disk.syncs >= crashAt:
-                disk.tearNext = True
+            if disk.syncs >= crash_at:
+                disk.tear_next = True
             try:
                 save(store=store, number=number, size=4_000)
             except OSError:
@@ -84,26 +84,26 @@
                 break
             # why: the turn-over inside a save makes several writes; each is to be struck in some run
             answered = number + 1
-            if disk.syncs == crashAt - 1:
-                disk.tearNext = True
+            if disk.syncs == crash_at - 1:
+                disk.tear_next = True
         context.results.append((answered, disk))
         if not crashed:
             break
-        crashAt += 1
+        crash_at += 1
 
 
 @then("each holds every entry that was answered")
 def then_answered(context: Any) -> None:
     assert len(context.results) > 400
     for answered, disk in context.results:
-        disk.tearNext = False
+        disk.tear_next = False
         cells = opened(disk=disk).held.cells
         assert all(f"k{number}" in cells for number in range(answered)), answered
 
 
 @given("a store whose slots have taken turns")
 def given_turns(context: Any) -> None:
-    context.disk = newDisk()
+    context.disk = new_disk()
     store = opened(disk=context.disk)
     for number in range(200):
         save(store=store, number=number, size=4_000)
@@ -162,16 +162,16 @@
 
 @given("a world with a vault whose next sync fails")
 def given_failing(context: Any) -> None:
-    world = newWorld(context=context, seed=3)
+    world = new_world(context=context, seed=3)
     world.begin()
-    world.disks["vault-1"].failNext = True
+    world.disks["vault-1"].fail_next = True
 
 
 @when("an operator submits a configuration")
 def when_submits(context: Any) -> None:
     body = context.world.configuration(version=2)
     context.status, _ = context.world.ask(name="stall-1", method="PUT", path="/v1/configuration", body=body)
-    context.world.advance(forUs=1_000_000)
+    context.world.advance(for_us=1_000_000)
 
 
 @then('that vault has halted with the words "{words}"')
--- a/steps/tracesteps.py
+++ b/steps/tracesteps.py
@@ -17,11 +17,11 @@
     ctx = context.world.contexts["stall-0"]
     context.lines = []
     ctx.traces = Traces(service="stall-0", luck=random.Random(1), sink=context.lines.append)
-    context.beganUs = WALL_START_US + context.world.nowUs
+    context.began_us = WALL_START_US + context.world.now_us
     for number in range(count):
         text = "get k" if number else "dance"
         statement(context=context, kind="primary", text=text)
-    context.world.advance(forUs=1_000_000)
+    context.world.advance(for_us=1_000_000)
 
 
 @then("the lines hold {count:d} spans with hex ids, the right times and the right outcome")
@@ -34,7 +34,7 @@
     for span in spans:
         assert re.fullmatch("[0-9a-f]{32}", span["traceId"]) and re.fullmatch("[0-9a-f]{16}", span["spanId"])
         start, end = int(span["startTimeUnixNano"]), int(span["endTimeUnixNano"])
-        assert context.beganUs * 1000 <= start < end < context.beganUs * 1000 + 10**9, (start, end)
+        assert context.began_us * 1000 <= start < end < context.began_us * 1000 + 10**9, (start, end)
         assert span["name"] == "statement" and span["kind"] == 2, span
     statuses = [
         int(a["value"]["intValue"])
@@ -48,6 +48,6 @@
 @then("without a sink nothing is kept")
 def then_off(context: Any) -> None:
     traces = Traces(service="x", luck=random.Random(1))
-    traces.span(name="statement", wallUs=1, tookUs=1, attributes={}, failed=False)
+    traces.span(name="statement", wall_us=1, took_us=1, attributes={}, failed=False)
     assert not traces.spans
     assert context.world.contexts["stall-1"].traces is None
--- a/steps/trialsteps.py
+++ b/steps/trialsteps.py
@@ -4,27 +4,27 @@
 
 from behave import then, when
 
-from cinderstair.fairground.faults import switchedIn
-from cinderstair.fairground.trials import runTrial
+from cinderstair.fairground.faults import switched_in
+from cinderstair.fairground.trials import run_trial
 
 
-def runAll(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
+def run_all(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
     context.wrong, context.done = [], 0
     for seed in range(first, last + 1):
-        with switchedIn(name=fault):
-            verdict = runTrial(name=trial, seed=seed)
+        with switched_in(name=fault):
+            verdict = run_trial(name=trial, seed=seed)
         context.wrong += [f"seed {seed}: {line}" for line in verdict.wrong]
         context.done += verdict.done
 
 
 @when("the trial {trial} is run with seeds {first:d} to {last:d}")
 def when_trial(context: Any, trial: str, first: int, last: int) -> None:
-    runAll(context=context, trial=trial, first=first, last=last, fault="")
+    run_all(context=context, trial=trial, first=first, last=last, fault="")
 
 
 @when("the trial {trial} is run with seeds {first:d} to {last:d} and the fault {fault}")
 def when_fault(context: Any, trial: str, first: int, last: int, fault: str) -> None:
-    runAll(context=context, trial=trial, first=first, last=last, fault=fault)
+    run_all(context=context, trial=trial, first=first, last=last, fault=fault)
 
 
 @then("the checkers find nothing")
--- a/steps/vectorsteps.py
+++ b/steps/vectorsteps.py
@@ -9,7 +9,7 @@
 from cinderstair.pitch.speech import Speech
 from cinderstair.pitch.unpacker import Unpacker
 from cinderstair.vault.acceptor import SINCE
-from cinderstair.vault.ballot import BLANK, Ballot, readBallot
+from cinderstair.vault.ballot import BLANK, Ballot, read_ballot
 from cinderstair.vault.known_vectors import KnownVectors
 
 
@@ -18,7 +18,7 @@
     if unpacker.u8() == SINCE:
         unpacker.u64()
         unpacker.u64()
-    return len(unpacker.many(each=lambda u: (u.text(), readBallot(unpacker=u))))
+    return len(unpacker.many(each=lambda u: (u.text(), read_ballot(unpacker=u))))
 
 
 def ask(*, context: Any, times: int) -> dict[str, Ballot]:
@@ -62,11 +62,11 @@
 @when("the vaults are restarted one by one, and proposer 0 asks for the vector")
 def when_restarted(context: Any) -> None:
     world = context.world
-    for name in world.vaultNames:
+    for name in world.vault_names:
         world.kill(name=name)
-        world.advance(forUs=600_000)
+        world.advance(for_us=600_000)
         world.start(name=name)
-        world.advance(forUs=1_500_000)
+        world.advance(for_us=1_500_000)
     ask(context=context, times=1)
 
 
@@ -94,9 +94,9 @@
     for _ in range(60):
         if down and world.luck.random() < 0.5:
             world.start(name=down.pop())
-            world.advance(forUs=800_000)
+            world.advance(for_us=800_000)
         elif not down and world.luck.random() < 0.4:
-            down.append(world.luck.choice(world.vaultNames))
+            down.append(world.luck.choice(world.vault_names))
             world.kill(name=down[-1])
         key = f"key-{world.luck.randrange(12)}"
         written = write(context=context, key=key, value=b"%d" % world.luck.randrange(1000))
--- a/steps/viewsteps.py
+++ b/steps/viewsteps.py
@@ -56,10 +56,10 @@
     def __init__(self, *, relays: dict[str, FakeRelay]) -> None:
         self.relays = relays
 
-    async def ask(self, *, address: str, body: bytes, waitUs: int) -> Result[bytes, Fault]:
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
         relay = self.relays[address]
         if relay.silent:
-            await asyncio.sleep(waitUs / 1_000_000)
+            await asyncio.sleep(wait_us / 1_000_000)
             return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: silent"))
         await asyncio.sleep(relay.away_us / 1_000_000)
         return Ok(relay.answer(body=body))
--- a/steps/wiresteps.py
+++ b/steps/wiresteps.py
@@ -10,15 +10,15 @@
 from common import run
 from stage import Stage
 
-from cinderstair.fairground.fleet import freePorts
+from cinderstair.fairground.fleet import free_ports
 from cinderstair.pitch import recordwire
 from cinderstair.pitch.counters import Counters
-from cinderstair.pitch.recordwire import HEAD, MAGIC, RECORDS_VERSION, RecordWire, readFrame
+from cinderstair.pitch.recordwire import HEAD, MAGIC, RECORDS_VERSION, RecordWire, read_frame
 
 
 @given("a listener that never answers its first connection")
 def given_silent(context: Any) -> None:
-    context.port = freePorts(count=1)[0]
+    context.port = free_ports(count=1)[0]
     context.connections = 0
 
     async def client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -26,7 +26,7 @@
         first = context.connections == 1
         while True:
             try:
-                number, body = await readFrame(reader=reader)
+                number, body = await read_frame(reader=reader)
             except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
                 writer.close()
                 return
@@ -46,7 +46,7 @@
     async def go() -> None:
         # why: bounded by count, each ask ends by itself; what is awaited is the first answer
         for _ in range(200):
-            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=b"x", waitUs=100_000)
+            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=b"x", wait_us=100_000)
             if result.is_ok():
                 context.answer = result.ok
                 break
@@ -64,7 +64,7 @@
 
 @given("a listener that answers with what it is asked")
 def given_echo(context: Any) -> None:
-    context.port = freePorts(count=1)[0]
+    context.port = free_ports(count=1)[0]
     context.counters = Counters()
     context.wire = RecordWire(counters=context.counters)
 
@@ -95,7 +95,7 @@
     other = RecordWire(counters=Counters())
 
     async def go() -> Any:
-        result = await other.ask(address=f"127.0.0.1:{context.port}", body=b"hello", waitUs=30_000_000)
+        result = await other.ask(address=f"127.0.0.1:{context.port}", body=b"hello", wait_us=30_000_000)
         await other.close()
         await context.wire.close()
         return result
@@ -147,7 +147,7 @@
     async def go() -> None:
         until = context.healed + 20
         while context.answered is None and loop.time() < until:
-            result = await wire.ask(address="127.0.0.1:9", body=b"x", waitUs=every_ms * 1_000)
+            result = await wire.ask(address="127.0.0.1:9", body=b"x", wait_us=every_ms * 1_000)
             if result.is_ok():
                 context.answered = loop.time()
             await asyncio.sleep(every_ms / 1_000)
@@ -173,7 +173,7 @@
 
 @given("a listener that answers out of order, late, in part or not at all")
 def given_unruly(context: Any) -> None:
-    context.port = freePorts(count=1)[0]
+    context.port = free_ports(count=1)[0]
     context.arrived = collections.Counter()
     luck = random.Random(17)
 
@@ -194,7 +194,7 @@
         tasks = set()
         try:
             while True:
-                number, body = await readFrame(reader=reader)
+                number, body = await read_frame(reader=reader)
                 context.arrived[body] += 1
                 tasks.add(asyncio.create_task(answer(writer, number, body)))
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
@@ -213,7 +213,7 @@
     async def asker() -> None:
         for number in numbers:
             body = b"question %d" % number
-            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=body, waitUs=WAIT_US)
+            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=body, wait_us=WAIT_US)
             context.answers.append((body, result.ok if result.is_ok() else None))
 
     async def go() -> None:
