--- a/src/cinderstair/__main__.py
+++ b/src/cinderstair/__main__.py
@@ -6,9 +6,9 @@
 from cleo.exceptions import CleoError
 
 from . import VERSION
-from .counter.checkverb import CheckVerb, FormatVerb
-from .counter.controlverb import GuildhallVerb, ShardsVerb
-from .counter.operatorverb import (
+from .cli.checkverb import CheckVerb, FormatVerb
+from .cli.controlverb import GuildhallVerb, ShardsVerb
+from .cli.operatorverb import (
     CountersVerb,
     DrainVerb,
     FetchVerb,
@@ -17,9 +17,9 @@
     StatusVerb,
     SubmitVerb,
 )
-from .counter.roleverb import StallVerb, VaultVerb
-from .counter.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
-from .counter.simulateverb import SimulateVerb
+from .cli.roleverb import StallVerb, VaultVerb
+from .cli.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
+from .cli.simulateverb import SimulateVerb
 
 USAGE = 2
 
--- a/src/cinderstair/counter/checkverb.py
+++ b/src/cinderstair/cli/checkverb.py
@@ -6,7 +6,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument
 
-from ..charter.formatter import format_program, format_selector
+from ..config.formatter import format_program, format_selector
 from .documentmixin import DONE, DocumentMixin
 
 
--- a/src/cinderstair/counter/controlverb.py
+++ b/src/cinderstair/cli/controlverb.py
@@ -8,13 +8,13 @@
 from cleo.helpers import argument, option
 from expression import Result
 
-from ..pitch.counters import Counters
-from ..pitch.desks import GUILDHALL, SHARDS
-from ..pitch.fault import Fault
-from ..pitch.file_place import address_trouble
-from ..pitch.packer import Packer
-from ..pitch.recordwire import RecordWire
-from ..pitch.unpacker import Unpacker
+from ..runtime.counters import Counters
+from ..runtime.desks import GUILDHALL, SHARDS
+from ..runtime.fault import Fault
+from ..runtime.file_place import address_trouble
+from ..runtime.packer import Packer
+from ..runtime.recordwire import RecordWire
+from ..runtime.unpacker import Unpacker
 
 DONE, DENIED, USAGE, UNKNOWN = 0, 1, 2, 3
 WAIT_US = 5_000_000
--- a/src/cinderstair/counter/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -11,10 +11,10 @@
 
 from expression import Result
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.settings import LIVE, Settings, may_change_live, read_settings
-from ..pitch.traces import Sink, Traces
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.settings import LIVE, Settings, may_change_live, read_settings
+from ..runtime.traces import Sink, Traces
 from .market import Market
 
 WATCH_US = 1_000_000
--- a/src/cinderstair/counter/documentmixin.py
+++ b/src/cinderstair/cli/documentmixin.py
@@ -3,8 +3,8 @@
 import sys
 from pathlib import Path
 
-from ..charter.charter import Charter
-from ..charter.check import check_charter
+from ..config.charter import Charter
+from ..config.check import check_charter
 
 DONE, DENIED, USAGE = 0, 1, 2
 
--- a/src/cinderstair/counter/edge.py
+++ b/src/cinderstair/cli/edge.py
@@ -6,11 +6,11 @@
 
 from expression import Result
 
-from ..pitch.counters import Counters
-from ..pitch.fault import Fault
-from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse
-from ..pitch.realnet import RealNet
+from ..runtime.counters import Counters
+from ..runtime.fault import Fault
+from ..runtime.httpjob import HttpJob
+from ..runtime.httpresponse import HttpResponse
+from ..runtime.realnet import RealNet
 
 DIAL_WAIT_US = 2_000_000
 ANSWER_WAIT_US = 15_000_000
--- a/src/cinderstair/counter/market.py
+++ b/src/cinderstair/cli/market.py
@@ -6,11 +6,11 @@
 
 from dependency_injector import containers, providers
 
-from ..pitch.context import Context
-from ..pitch.counters import Counters
-from ..pitch.nodisk import NoDisk
-from ..pitch.realdisk import RealDisk
-from ..pitch.realnet import RealNet
+from ..runtime.context import Context
+from ..runtime.counters import Counters
+from ..runtime.nodisk import NoDisk
+from ..runtime.realdisk import RealDisk
+from ..runtime.realnet import RealNet
 
 
 def monotonic_us() -> int:
--- a/src/cinderstair/counter/operatorverb.py
+++ b/src/cinderstair/cli/operatorverb.py
@@ -8,7 +8,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from ..pitch.httpresponse import HttpResponse
+from ..runtime.httpresponse import HttpResponse
 from .edge import ask_now
 
 DONE, DENIED, USAGE, UNKNOWN = 0, 1, 2, 3
--- a/src/cinderstair/counter/roleverb.py
+++ b/src/cinderstair/cli/roleverb.py
@@ -10,10 +10,10 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from ..pitch.context import Context
-from ..pitch.settings import Settings, read_settings
-from ..stall.stall import Stall
-from ..vault.vault import Vault
+from ..consensus.vault import Vault
+from ..http_frontend.stall import Stall
+from ..runtime.context import Context
+from ..runtime.settings import Settings, read_settings
 from .daemon import USAGE, Daemon, Trader
 
 FLAGS = (
--- a/src/cinderstair/counter/shardverbs.py
+++ b/src/cinderstair/cli/shardverbs.py
@@ -6,11 +6,11 @@
 
 from cleo.helpers import argument, option
 
-from ..pitch.desks import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
-from ..pitch.file_place import address_trouble
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
-from ..steward.shard_state import ShardPhase
+from ..failover.shard_state import ShardPhase
+from ..runtime.desks import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
+from ..runtime.file_place import address_trouble
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .controlverb import AT, DENIED, DONE, UNKNOWN, USAGE, ControlVerb, ask
 
 LOOK_EVERY_S = 0.2
--- a/src/cinderstair/counter/simulateverb.py
+++ b/src/cinderstair/cli/simulateverb.py
@@ -6,9 +6,9 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from ..almanac.scenario import read_scenario
-from ..almanac.whatif import what_if
-from ..fairground.rehearsal import rehearse
+from ..maintenance.scenario import read_scenario
+from ..maintenance.whatif import what_if
+from ..simulation.rehearsal import rehearse
 from .documentmixin import DENIED, DONE, USAGE, DocumentMixin
 
 
--- a/src/cinderstair/charter/chancery.py
+++ b/src/cinderstair/config/chancery.py
@@ -2,10 +2,10 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..vault.register import Found, Register
+from ..consensus.register import Found, Register
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .charter import Charter
 from .check import check_charter
 
--- a/src/cinderstair/charter/charter.py
+++ b/src/cinderstair/config/charter.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ..almanac.window import Window
+from ..maintenance.window import Window
 from .backend import Backend
 from .compiler import Program
 from .route import Route
--- a/src/cinderstair/charter/check.py
+++ b/src/cinderstair/config/check.py
@@ -6,9 +6,9 @@
 from expression import Error, Ok, Result
 from marshmallow import ValidationError
 
-from ..almanac.window import Window, moment_us
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
+from ..maintenance.window import Window, moment_us
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .backend import Backend
 from .charter import Charter
 from .compiler import Program, compile_program, compile_selector
--- a/src/cinderstair/charter/compiler.py
+++ b/src/cinderstair/config/compiler.py
@@ -9,8 +9,8 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .route import KINDS, Policy, Route
 from .selector import EVERYTHING, Selector
 
--- a/src/cinderstair/charter/formatter.py
+++ b/src/cinderstair/config/formatter.py
@@ -2,7 +2,7 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.fault import Fault
+from ..runtime.fault import Fault
 from .compiler import POLICIES, UNITS, compile_program, compile_selector
 from .route import Policy, Route
 
--- a/src/cinderstair/charter/schema.py
+++ b/src/cinderstair/config/schema.py
@@ -2,7 +2,7 @@
 
 from marshmallow import Schema, ValidationError, fields, validate
 
-from ..pitch.settings import NAME, check_address
+from ..runtime.settings import NAME, check_address
 
 LABELS = fields.Dict(
     keys=fields.String(validate=validate.Regexp(r"^[A-Za-z_][A-Za-z0-9_.-]*$", error="not a label's name")),
--- a/src/cinderstair/charter/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -4,15 +4,18 @@
 import zlib
 from dataclasses import dataclass, field, replace
 from enum import IntEnum
+from itertools import accumulate, pairwise
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 PLAN_KEY = "plan"
 MOST_BYTES = 32 * 1024 * 1024
-DIGEST_BYTES = 8
+# why: digests can't be compressed, and go with each change to every vault
+DIGEST_BYTES = 4
 # of the versions that were acknowledged, so many are known by their content
-ACCEPTED_MOST = 512
+ACCEPTED_MOST = 256
+MODULUS = 2**64
 
 
 class Consistency(IntEnum):
@@ -62,12 +65,26 @@
     version: int
     digest: bytes
 
-    def write(self, *, packer: Packer) -> None:
-        packer.u64(value=self.version).blob(value=self.digest)
-
 
-def _read_accepted(unpacker: Unpacker) -> AcceptedVersion:
-    return AcceptedVersion(version=unpacker.u64(), digest=unpacker.blob())
+def _write_accepted(*, packer: Packer, accepted: tuple[AcceptedVersion, ...]) -> None:
+    """All steps from version to version first, since these are much alike, then all digests."""
+    packer.u64(value=accepted[0].version if accepted else 0)
+    steps = [after.version - before.version for before, after in pairwise(accepted)]
+    packer.many(values=steps, each=lambda p, step: p.u64(value=step % MODULUS))
+    packer.blob(value=b"".join(each.digest for each in accepted))
+
+
+def _read_accepted(*, unpacker: Unpacker) -> tuple[AcceptedVersion, ...]:
+    first = unpacker.u64()
+    steps = unpacker.many(each=lambda u: u.u64())
+    digests = unpacker.blob()
+    versions = accumulate([first, *steps], lambda version, step: (version + step) % MODULUS)
+    parts = [digests[at : at + DIGEST_BYTES] for at in range(0, len(digests), DIGEST_BYTES)]
+    if len(parts) > len(steps) + 1 or any(len(part) != DIGEST_BYTES for part in parts):
+        raise ValueError("digests of no version")
+    return tuple(
+        AcceptedVersion(version=version, digest=part) for version, part in zip(versions, parts, strict=False)
+    )
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -110,7 +127,7 @@
         packer.many(values=self.routes.values(), each=lambda p, r: r.write(packer=p))
         packer.many(values=self.services.values(), each=lambda p, s: s.write(packer=p))
         packer.blob(value=self.document if with_document else b"")
-        packer.many(values=self.accepted if with_document else (), each=lambda p, a: a.write(packer=p))
+        _write_accepted(packer=packer, accepted=self.accepted if with_document else ())
         body = packer.bytes()
         # why: a plan goes whole to every vault, and routes are much alike
         return Packer().u64(value=self.version).bytes() + zlib.compress(body)
@@ -152,7 +169,7 @@
     services = unpacker.many(each=_read_service)
     document = unpacker.blob()
     # why: what was written before digests were kept ends here
-    accepted = unpacker.many(each=_read_accepted) if unpacker.more else []
+    accepted = _read_accepted(unpacker=unpacker) if unpacker.more else ()
     unpacker.done()
     return ServicePlan(
         version=version,
@@ -160,7 +177,7 @@
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
         document=document,
-        accepted=tuple(accepted),
+        accepted=accepted,
     )
 
 
--- a/src/cinderstair/charter/shard_map.py
+++ b/src/cinderstair/config/shard_map.py
@@ -8,10 +8,10 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 AGREE_PERCENT = 51
 
--- a/src/cinderstair/vault/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..pitch.context import Context
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .ballot import Ballot, read_ballot
 from .cell import Cell
 from .roster import Roster, read_roster
--- a/src/cinderstair/vault/ballot.py
+++ b/src/cinderstair/consensus/ballot.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 
 class Ballot(NamedTuple):
--- a/src/cinderstair/vault/known_vectors.py
+++ b/src/cinderstair/consensus/known_vectors.py
@@ -1,7 +1,7 @@
 """What an asker has of each vault's vector, so that a vault need say only what came since."""
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .acceptor import MOST_SOURCES, SINCE
 from .ballot import BLANK, Ballot, read_ballot
 
--- a/src/cinderstair/vault/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from ..pitch.context import Context
-from ..pitch.desks import LEASE
-from ..pitch.packer import Packer
+from ..runtime.context import Context
+from ..runtime.desks import LEASE
+from ..runtime.packer import Packer
 from .acceptor import OK
 from .register import Register
 
--- a/src/cinderstair/vault/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -6,13 +6,13 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.desks import ACCEPT, ADOPT, HELLO, PREPARE, READ, VECTOR
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..pitch.parley import Body
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.desks import ACCEPT, ADOPT, HELLO, PREPARE, READ, VECTOR
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
+from ..runtime.parley import Body
+from ..runtime.unpacker import Unpacker
 from .acceptor import AHEAD, BEATEN, OK, ROSTER_KEY, SINCE, STALE
 from .ballot import BLANK, Ballot, read_ballot
 from .known_vectors import KnownVectors
--- a/src/cinderstair/vault/register_view.py
+++ b/src/cinderstair/consensus/register_view.py
@@ -6,9 +6,9 @@
 from expression import Result
 from reactivex.subject import Subject
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.ownermixin import OwnerMixin
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.ownermixin import OwnerMixin
 from .acceptor import ROSTER_KEY
 from .ballot import BLANK, Ballot
 from .register import Found, Register
--- a/src/cinderstair/vault/store.py
+++ b/src/cinderstair/consensus/store.py
@@ -6,11 +6,11 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.disk import Disk
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.disk import Disk
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .ballot import read_ballot
 from .cell import Cell
 
--- a/src/cinderstair/vault/succession.py
+++ b/src/cinderstair/consensus/succession.py
@@ -4,9 +4,9 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .acceptor import LONGEST_LEASE_US
 from .register import Register
 from .roster import Roster, Voter
--- a/src/cinderstair/vault/vault.py
+++ b/src/cinderstair/consensus/vault.py
@@ -5,15 +5,15 @@
 
 from expression import Error, Ok, Result
 
-from ..crier.crowd import Crowd
-from ..crier.member import Member, Standing
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import ACCEPT, ADOPT, HELLO, LEASE, PREPARE, READ, VECTOR
-from ..pitch.fault import Fault
-from ..pitch.packer import Packer
-from ..pitch.settings import Settings
-from ..pitch.unpacker import Unpacker
+from ..membership.crowd import Crowd
+from ..membership.member import Member, Standing
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import ACCEPT, ADOPT, HELLO, LEASE, PREPARE, READ, VECTOR
+from ..runtime.fault import Fault
+from ..runtime.packer import Packer
+from ..runtime.settings import Settings
+from ..runtime.unpacker import Unpacker
 from .acceptor import ROSTER_KEY, Acceptor
 from .register import Register
 from .roster import Roster, Voter, read_roster, read_voter, write_voter
--- a/src/cinderstair/vault/voter_watch.py
+++ b/src/cinderstair/consensus/voter_watch.py
@@ -1,8 +1,8 @@
 """Failure detection of voters by a standby, which may take the place of one that is lost."""
 
-from ..crier.crowd import Crowd
-from ..crier.member import Standing
-from ..pitch.context import Context
+from ..membership.crowd import Crowd
+from ..membership.member import Standing
+from ..runtime.context import Context
 from .roster import Roster, Voter
 
 
--- a/src/cinderstair/guildhall/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..crier.announcement import GONE, Announcement, read_announcement
-from ..crier.beat import READY
-from ..crier.news import News
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import ANNOUNCE
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..membership.announcement import GONE, Announcement, read_announcement
+from ..membership.beat import READY
+from ..membership.news import News
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import ANNOUNCE
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 SPREAD_WAIT_US = 600_000
 MOST_SPREAD = 20_000
--- a/src/cinderstair/guildhall/booth_census.py
+++ b/src/cinderstair/control_plane/booth_census.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import BOOTHS, PLACE, PLACES
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
-from ..steward.booth_places import BoothPlace
-from ..steward.shard_state import Vote
+from ..failover.booth_places import BoothPlace
+from ..failover.shard_state import Vote
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import BOOTHS, PLACE, PLACES
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .relay import Relay
 
 WITHIN_US = 30_000_000
--- a/src/cinderstair/guildhall/guildhall.py
+++ b/src/cinderstair/control_plane/guildhall.py
@@ -2,35 +2,32 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
-from expression import Error, Ok, Result
-
-from ..charter.service_plan import PLAN_KEY, ServicePlan, plan_version, read_service_plan
-from ..charter.shard_check import shard_map_troubles
-from ..charter.shard_map import ShardMap, check_shard_map
-from ..crier.announcement import Announcement, read_announcement
-from ..crier.beat import READY
-from ..crier.news import News
-from ..pitch.context import Context
-from ..pitch.desks import GUILDHALL, OPINION, SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS, SUSPECT
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..pitch.settings import Settings
-from ..pitch.unpacker import Unpacker
-from ..steward.backend_control import BackendControl, Promoter
-from ..steward.promotion_duty import PROBE_WAIT_US, PromotionDuty
-from ..steward.shard_duty import Ballots, Handover, ShardDuty
-from ..steward.shard_state import SHARDS_KEY, read_shard_state
-from ..vault.register import Found
-from ..vault.register_view import RegisterView
-from ..vault.vault import Vault
+from expression import Ok, Result
+
+from ..config.service_plan import PLAN_KEY, read_service_plan
+from ..consensus.register_view import RegisterView
+from ..consensus.vault import Vault
+from ..failover.backend_control import BackendControl, Promoter
+from ..failover.promotion_duty import PROBE_WAIT_US, PromotionDuty
+from ..failover.shard_duty import Ballots, Handover, ShardDuty
+from ..membership.announcement import Announcement, read_announcement
+from ..membership.beat import READY
+from ..membership.news import News
+from ..runtime.context import Context
+from ..runtime.desks import GUILDHALL, OPINION, SUSPECT
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
+from ..runtime.settings import Settings
+from ..runtime.unpacker import Unpacker
 from .announcer import Announcer
 from .booth_census import BoothCensus
+from .orders import Orders
 from .relay import Relay
+from .shard_desk import ShardDesk
 from .slot_keeper import SlotKeeper
-from .status_text import describe, status_text
+from .status_text import status_text
 
 VIEW_EVERY_US = 200_000
 NEWS_EVERY_US = 250_000
@@ -128,10 +125,15 @@
         self.announcer = Announcer(ctx=ctx, desk=vault.desk, news=self.news, voters=self._voters)
         self.view.post(command=self.view.pull, once="view")
         self.news.begin()
-        vault.desk.open(kind=SHARDS, answer=self._shards_asked)
-        vault.desk.open(kind=SHARDS_PLAN, answer=self._shards_planned)
-        vault.desk.open(kind=SHARDS_ABANDON, answer=self._shards_abandoned)
-        vault.desk.open(kind=SHARDS_PROGRESS, answer=self._shards_progress)
+        self.orders = Orders(register=vault.register, view=self.view)
+        self.shard_desk = ShardDesk(
+            desk=vault.desk,
+            register=vault.register,
+            shards=self.shards,
+            plan=lambda: self.duty.plan,
+            planned=self._planned,
+            brings=lambda: self.handover is not None,
+        )
         vault.desk.open(kind=GUILDHALL, answer=self._status_asked)
         vault.desk.open(kind=SUSPECT, answer=self._suspected)
         vault.desk.open(kind=OPINION, answer=self._opinion)
@@ -232,116 +234,6 @@
 
     # -- operators --
 
-    async def submit(self, *, plan: ServicePlan) -> Result[bool, Fault]:
-        """Puts a checked configuration into the register; True where it changed anything.
-
-        The highest version holds: one that is not above it is taken note of and changes nothing. versionTaken: its
-        number was acknowledged for another document. registerUnreachable: no majority is in reach.
-        """
-
-        def decide(current: bytes) -> Result[bytes, Fault]:
-            if not current:
-                return Ok(plan.following(standing=None).bytes())
-            standing = read_service_plan(data=current)
-            if plan.version > standing.version:
-                return Ok(plan.following(standing=standing).bytes())
-            known = standing.digest_of(version=plan.version)
-            if known is None:
-                return Ok(standing.with_accepted(other=plan).bytes())
-            if known != plan.digest:
-                why = f"version {plan.version} has other content; version {standing.version} is in force"
-                return Error(Fault(kind=Kind.versionTaken, why=why))
-            return Error(Fault(kind=Kind.versionOld, why="it was acknowledged before"))
-
-        if not self.view.current:
-            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
-        result: Result[Found, Fault] = Error(Fault(kind=Kind.registerUnreachable, why="not tried"))
-        for _ in range(SUBMIT_TRIES):
-            result = await self.vault.register.change(key=PLAN_KEY, decide=decide)
-            if result.is_ok():
-                self.view.take_own(key=PLAN_KEY, result=result)
-                return Ok(plan_version(data=result.ok.value) == plan.version)
-            # why: the same version may be put again to the same effect; one that won meanwhile answers for it
-            if result.error.kind == Kind.versionOld:
-                return Ok(False)
-            if result.error.kind != Kind.registerUnsure:
-                break
-        return Error(result.error)
-
-    async def fetch(self) -> Result[bytes, Fault]:
-        """The newest accepted configuration in its operator's own bytes, as a majority holds it."""
-        if not self.view.current:
-            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
-        found = await self.vault.register.read(key=PLAN_KEY)
-        if found.is_error():
-            return Error(found.error)
-        if not found.ok.value:
-            return Error(Fault(kind=Kind.noConfiguration, why="no configuration has been accepted yet"))
-        return Ok(read_service_plan(data=found.ok.value).document)
-
-    async def _shards_asked(self, unpacker: Unpacker) -> bytes:
-        """An operator's shard map, or no bytes for a word on the one that stands; answered by a kind and words."""
-        raw = unpacker.blob()
-        unpacker.done()
-        if not raw:
-            found = await self.vault.register.read(key=SHARDS_KEY)
-            if found.is_error():
-                return Packer().text(value=found.error.kind.value).text(value=found.error.why).bytes()
-            return Packer().text(value="").text(value=describe(state=read_shard_state(data=found.ok.value))).bytes()
-        checked = self._checked(raw=raw)
-        result = Error(checked.error) if checked.is_error() else await self.shards.propose(wanted=checked.ok)
-        return answered(result=result, words="put to the booths")
-
-    def _checked(self, *, raw: bytes) -> Result[ShardMap, Fault]:
-        """An operator's map, held against the configuration and the map that stand."""
-        checked = check_shard_map(raw=raw)
-        if checked.is_error():
-            return checked
-        plan = self.duty.plan
-        if plan is None:
-            return Error(Fault(kind=Kind.noConfiguration, why="no configuration has been accepted yet"))
-        text, current = raw.decode(errors="replace"), self.shards.state.current
-        troubles = shard_map_troubles(text=text, wanted=checked.ok, current=current, plan=plan)
-        if troubles:
-            return Error(Fault(kind=Kind.brokenConfiguration, why="\n".join(troubles)))
-        return checked
-
-    async def _shards_planned(self, unpacker: Unpacker) -> bytes:
-        """A dry run: nothing is put anywhere."""
-        raw = unpacker.blob()
-        unpacker.done()
-        checked = self._checked(raw=raw)
-        if checked.is_error():
-            return answered(result=checked, words="")
-        wanted, current = checked.ok, self.shards.state.current
-        if wanted.version <= current.version:
-            fault = Fault(kind=Kind.versionOld, why=f"version {current.version} stands")
-            return answered(result=Error(fault), words="")
-        lines = []
-        for database, service in sorted(wanted.places.items()):
-            now = current.place(database=database, planned=self._planned(database))
-            if now != service:
-                lines.append(f"{database}: from {now} to {service}")
-        foreseen = await self.shards.forecast()
-        lines.append(foreseen.words() if lines else "nothing moves")
-        if self.handover is None:
-            lines.append("begin would be refused: nothing here brings a database's data to another place")
-        return answered(result=Ok(None), words="\n".join(lines))
-
-    async def _shards_abandoned(self, unpacker: Unpacker) -> bytes:
-        version = unpacker.u64()
-        unpacker.done()
-        return answered(result=await self.shards.abandon(version=version), words=f"map {version} is given up")
-
-    async def _shards_progress(self, unpacker: Unpacker) -> bytes:
-        """Words for people, then the phase, the turn, the version that stands, and why the last was withdrawn."""
-        unpacker.done()
-        progress = await self.shards.progress()
-        state = progress.state
-        packer = Packer().text(value="").text(value=progress.words())
-        packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
-        return packer.bytes()
-
     async def _status_asked(self, unpacker: Unpacker) -> bytes:
         unpacker.done()
         return Packer().text(value="").text(value=status_text(guildhall=self)).bytes()
@@ -354,10 +246,3 @@
     def resettle(self, *, settings: Settings) -> None:
         self.settings = settings
         self.vault.resettle(settings=settings)
-
-
-def answered(*, result: Result[Any, Fault], words: str) -> bytes:
-    """An operator's answer: a kind, empty where all is well, and words."""
-    if result.is_error():
-        return Packer().text(value=result.error.kind.value).text(value=result.error.why).bytes()
-    return Packer().text(value="").text(value=words).bytes()
--- a/src/cinderstair/guildhall/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -2,21 +2,21 @@
 
 from collections.abc import Callable
 
-from ..crier.announcement import GONE, Announcement
-from ..crier.news import News
-from ..crier.relay_record import (
+from ..consensus.register import Found
+from ..consensus.register_view import RegisterView
+from ..failover.shard_state import Vote
+from ..membership.announcement import GONE, Announcement
+from ..membership.news import News
+from ..membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
     RelayedValue,
     read_relay_question,
 )
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import RELAY
-from ..pitch.unpacker import Unpacker
-from ..steward.shard_state import Vote
-from ..vault.register import Found
-from ..vault.register_view import RegisterView
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import RELAY
+from ..runtime.unpacker import Unpacker
 from .sample_board import SampleBoard
 
 TICK_US = 100_000
--- a/src/cinderstair/guildhall/sample_board.py
+++ b/src/cinderstair/control_plane/sample_board.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from ..crier.pooled_sample import ASK_AFTER_US, PooledSample, ToldSample, WantedSample
-from ..pitch.context import Context
-from ..pitch.position import Position
+from ..membership.pooled_sample import ASK_AFTER_US, PooledSample, ToldSample, WantedSample
+from ..runtime.context import Context
+from ..runtime.position import Position
 
 KEEP_US = 10_000_000
 ASK_AGAIN_US = 600_000
--- a/src/cinderstair/guildhall/slot_keeper.py
+++ b/src/cinderstair/control_plane/slot_keeper.py
@@ -2,15 +2,15 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..steward.booth_places import PLACES_KEY, BoothPlace, BoothPlaces, read_booth_places
-from ..steward.slots import SLOTS_KEY, Slots, read_slots
-from ..vault.lease import Lease
-from ..vault.register import Register
-from ..vault.register_view import RegisterView
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..consensus.register_view import RegisterView
+from ..failover.booth_places import PLACES_KEY, BoothPlace, BoothPlaces, read_booth_places
+from ..failover.slots import SLOTS_KEY, Slots, read_slots
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 from .booth_census import BoothCensus
 
 TICK_US = 500_000
--- a/src/cinderstair/guildhall/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..steward.shard_state import ShardPhase, ShardState
+from ..failover.shard_state import ShardPhase, ShardState
 
 if TYPE_CHECKING:
     from .guildhall import Guildhall
--- a/src/cinderstair/steward/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -6,9 +6,9 @@
 
 from expression import Result
 
-from ..crier.announcement import Announcement
-from ..pitch.fault import Fault
-from ..pitch.position import Position
+from ..membership.announcement import Announcement
+from ..runtime.fault import Fault
+from ..runtime.position import Position
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cinderstair/steward/booth_places.py
+++ b/src/cinderstair/failover/booth_places.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 # why: a key of its own, since a daemon of an earlier version can't read a slot table of another shape
 PLACES_KEY = "places"
--- a/src/cinderstair/steward/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from ..crier.announcement import GONE, Announcement
-from ..crier.beat import READY
-from ..crier.news import News
-from ..pitch.context import Context
-from ..pitch.kind import Kind
+from ..membership.announcement import GONE, Announcement
+from ..membership.beat import READY
+from ..membership.news import News
+from ..runtime.context import Context
+from ..runtime.kind import Kind
 from .backend_control import BackendControl
 
 FORGET_US = 25_000_000
--- a/src/cinderstair/steward/lead.py
+++ b/src/cinderstair/failover/lead.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 SETTLED, CLOSING, MOVING = "settled", "closing", "moving"
 STATES = (SETTLED, CLOSING, MOVING)
--- a/src/cinderstair/steward/leadduty.py
+++ b/src/cinderstair/failover/leadduty.py
@@ -6,19 +6,19 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.charter import Charter
-from ..crier.beat import EMPTYING
-from ..crier.news import QUIET_US, News
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..stall.gauge import Reading, read_gauge
-from ..stall.sight import Sight
-from ..stall.view import View
-from ..stall.yard import Yard
-from ..vault.lease import Lease
-from ..vault.register import Register
+from ..config.charter import Charter
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..http_frontend.gauge import Reading, read_gauge
+from ..http_frontend.sight import Sight
+from ..http_frontend.view import View
+from ..http_frontend.yard import Yard
+from ..membership.beat import EMPTYING
+from ..membership.news import QUIET_US, News
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 from .lead import CLOSING, MOVING, SETTLED, Lead, lead_key
 from .platform import Platform
 
--- a/src/cinderstair/steward/platform.py
+++ b/src/cinderstair/failover/platform.py
@@ -2,8 +2,8 @@
 
 import json
 
-from ..pitch.context import Context
-from ..pitch.httpjob import HttpJob
+from ..runtime.context import Context
+from ..runtime.httpjob import HttpJob
 
 DIAL_WAIT_US = 500_000
 PROMOTE_WAIT_US = 3_000_000
--- a/src/cinderstair/steward/promotion_duty.py
+++ b/src/cinderstair/failover/promotion_duty.py
@@ -7,18 +7,18 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.service_plan import PLAN_KEY, Service, ServicePlan, read_service_plan
-from ..crier.announcement import GONE, Announcement
-from ..crier.beat import READY
-from ..crier.news import Heard, News
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..pitch.position import Position
-from ..vault.lease import Lease
-from ..vault.register import Found, Register
-from ..vault.register_view import RegisterView
+from ..config.service_plan import PLAN_KEY, Service, ServicePlan, read_service_plan
+from ..consensus.lease import Lease
+from ..consensus.register import Found, Register
+from ..consensus.register_view import RegisterView
+from ..membership.announcement import GONE, Announcement
+from ..membership.beat import READY
+from ..membership.news import Heard, News
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
+from ..runtime.position import Position
 from .backend_control import BackendControl, BackendState, Promoter
 from .departures import Departures
 from .service_lead import PREFIX, LeadState, ServiceLead, read_service_lead, service_lead_key
--- a/src/cinderstair/steward/service_lead.py
+++ b/src/cinderstair/failover/service_lead.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ..pitch.packer import Packer
-from ..pitch.position import START, Position
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.position import START, Position
+from ..runtime.unpacker import Unpacker
 
 
 class LeadState(IntEnum):
--- a/src/cinderstair/steward/shard_duty.py
+++ b/src/cinderstair/failover/shard_duty.py
@@ -6,14 +6,14 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.shard_map import ShardMap
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..vault.lease import Lease
-from ..vault.register import Found, Register
-from ..vault.register_view import RegisterView
+from ..config.shard_map import ShardMap
+from ..consensus.lease import Lease
+from ..consensus.register import Found, Register
+from ..consensus.register_view import RegisterView
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 from .shard_forecast import ShardForecast, forecast
 from .shard_progress import ShardProgress
 from .shard_state import (
--- a/src/cinderstair/steward/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from ..charter.shard_map import ShardMap, read_shard_map
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..config.shard_map import ShardMap, read_shard_map
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 SHARDS_KEY = "shards"
 # why: a booth that has heard nothing lately ends what may end within this time, so a proposal stands at least as long
--- a/src/cinderstair/steward/slotduty.py
+++ b/src/cinderstair/failover/slotduty.py
@@ -2,15 +2,15 @@
 
 from expression import Error, Ok, Result
 
-from ..crier.crowd import Crowd
-from ..crier.member import Standing
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..stall.view import View
-from ..vault.lease import Lease
-from ..vault.register import Register
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..http_frontend.view import View
+from ..membership.crowd import Crowd
+from ..membership.member import Standing
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 from .slots import SLOTS_KEY, read_slots
 
 TICK_US = 1_000_000
--- a/src/cinderstair/steward/windowduty.py
+++ b/src/cinderstair/failover/windowduty.py
@@ -2,14 +2,14 @@
 
 from expression import Error, Ok, Result
 
-from ..almanac.windowstates import WINDOWS_KEY, read_window_states
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
-from ..stall.view import View
-from ..vault.lease import Lease
-from ..vault.register import Register
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..http_frontend.view import View
+from ..maintenance.windowstates import WINDOWS_KEY, read_window_states
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 
 TICK_US = 500_000
 WINDOW_DUTY = "windows"
--- a/src/cinderstair/stall/copies.py
+++ b/src/cinderstair/http_frontend/copies.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import COPY, FORGET, TOUCH
-from ..pitch.ownermixin import OwnerMixin
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import COPY, FORGET, TOUCH
+from ..runtime.ownermixin import OwnerMixin
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .filters.readyfilter import ReadyFilter
 from .session import Session, read_session
 from .sessions import Sessions
--- a/src/cinderstair/stall/denymixin.py
+++ b/src/cinderstair/http_frontend/denymixin.py
@@ -2,11 +2,11 @@
 
 from typing import Any
 
-from ..pitch.answers import ANSWERS
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.httpresponse import HttpResponse, json_response
-from ..pitch.kind import Kind
+from ..runtime.answers import ANSWERS
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.httpresponse import HttpResponse, json_response
+from ..runtime.kind import Kind
 
 
 class DenyMixin:
--- a/src/cinderstair/stall/doubts.py
+++ b/src/cinderstair/http_frontend/doubts.py
@@ -2,9 +2,9 @@
 
 from collections import Counter
 
-from ..pitch.context import Context
-from ..pitch.kind import Kind
-from ..pitch.ownermixin import OwnerMixin
+from ..runtime.context import Context
+from ..runtime.kind import Kind
+from ..runtime.ownermixin import OwnerMixin
 from .gauge import read_gauge
 from .yard import Yard
 
--- a/src/cinderstair/stall/filters/bodyfilter.py
+++ b/src/cinderstair/http_frontend/filters/bodyfilter.py
@@ -2,9 +2,9 @@
 
 import json
 
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 
--- a/src/cinderstair/stall/filters/deskfilter.py
+++ b/src/cinderstair/http_frontend/filters/deskfilter.py
@@ -1,13 +1,13 @@
 """Answers the platform, the backends' beats and the operators."""
 
-from ...charter.chancery import CHARTER_KEY, Chancery
-from ...crier.beat import beat_from_json
-from ...crier.news import News
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse, json_response
-from ...pitch.kind import Kind
-from ...steward.leadduty import LeadDuty
-from ...vault.succession import Succession
+from ...config.chancery import CHARTER_KEY, Chancery
+from ...consensus.succession import Succession
+from ...failover.leadduty import LeadDuty
+from ...membership.beat import beat_from_json
+from ...membership.news import News
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse, json_response
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 from ..statuspage import StatusPage
--- a/src/cinderstair/stall/filters/keepfilter.py
+++ b/src/cinderstair/http_frontend/filters/keepfilter.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 from typing import Any
 
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 from ..keeper import Keeper
--- a/src/cinderstair/stall/filters/passfilter.py
+++ b/src/cinderstair/http_frontend/filters/passfilter.py
@@ -4,13 +4,13 @@
 
 from expression import Result
 
-from ...charter.charter import Charter
-from ...crier.news import News
-from ...pitch.context import Context
-from ...pitch.fault import Fault
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
-from ...steward.lead import SETTLED, Lead
+from ...config.charter import Charter
+from ...failover.lead import SETTLED, Lead
+from ...membership.news import News
+from ...runtime.context import Context
+from ...runtime.fault import Fault
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 from ..ledgerbook import LedgerBook
--- a/src/cinderstair/stall/filters/readyfilter.py
+++ b/src/cinderstair/http_frontend/filters/readyfilter.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from ...crier.crowd import Crowd
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...membership.crowd import Crowd
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 from ..view import View
--- a/src/cinderstair/stall/filters/routefilter.py
+++ b/src/cinderstair/http_frontend/filters/routefilter.py
@@ -1,9 +1,9 @@
 """Checks a statement and finds where its kind goes."""
 
-from ...charter.route import KINDS
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...config.route import KINDS
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import Job
 from ..view import View
--- a/src/cinderstair/stall/filters/sessionfilter.py
+++ b/src/cinderstair/http_frontend/filters/sessionfilter.py
@@ -1,8 +1,8 @@
 """Finds the session that a job is for; one job of a session at a time."""
 
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..handle import Handle, read_handle
 from ..handover import Handover
--- a/src/cinderstair/stall/filters/timeleftfilter.py
+++ b/src/cinderstair/http_frontend/filters/timeleftfilter.py
@@ -1,8 +1,8 @@
 """Every job of a client says how much time it has left."""
 
-from ...pitch.context import Context
-from ...pitch.httpresponse import HttpResponse
-from ...pitch.kind import Kind
+from ...runtime.context import Context
+from ...runtime.httpresponse import HttpResponse
+from ...runtime.kind import Kind
 from ..denymixin import DenyMixin
 from ..job import MOST_TIME_LEFT_US, Job
 
--- a/src/cinderstair/stall/gauge.py
+++ b/src/cinderstair/http_frontend/gauge.py
@@ -5,10 +5,10 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.fault import Fault
-from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse
-from ..pitch.kind import Kind
+from ..runtime.fault import Fault
+from ..runtime.httpjob import HttpJob
+from ..runtime.httpresponse import HttpResponse
+from ..runtime.kind import Kind
 from .yard import Yard
 
 GAUGE_WAIT_US = 500_000
--- a/src/cinderstair/stall/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -3,14 +3,14 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from ..crier.crowd import Crowd
-from ..crier.member import Member
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import HANDOVER, SEEK
-from ..pitch.packer import Packer
-from ..pitch.parley import Body
-from ..pitch.unpacker import Unpacker
+from ..membership.crowd import Crowd
+from ..membership.member import Member
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import HANDOVER, SEEK
+from ..runtime.packer import Packer
+from ..runtime.parley import Body
+from ..runtime.unpacker import Unpacker
 from .copies import Copies
 from .filters.readyfilter import ReadyFilter
 from .handle import UNMARKED, Handle, Tag, read_handle
--- a/src/cinderstair/stall/job.py
+++ b/src/cinderstair/http_frontend/job.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..pitch.httpjob import HttpJob
+from ..runtime.httpjob import HttpJob
 from .session import Session
 
 MOST_TIME_LEFT_US = 600_000_000
--- a/src/cinderstair/stall/keeper.py
+++ b/src/cinderstair/http_frontend/keeper.py
@@ -3,13 +3,13 @@
 import asyncio
 import zlib
 
-from ..crier.crowd import Crowd
-from ..crier.member import Member, Standing
-from ..pitch.context import Context
-from ..pitch.desks import COPY, FORGET, TOUCH
-from ..pitch.ownermixin import OwnerMixin
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..membership.crowd import Crowd
+from ..membership.member import Member, Standing
+from ..runtime.context import Context
+from ..runtime.desks import COPY, FORGET, TOUCH
+from ..runtime.ownermixin import OwnerMixin
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .copies import ANYONE
 from .session import Session
 from .sessions import Sessions
--- a/src/cinderstair/stall/ledgerbook.py
+++ b/src/cinderstair/http_frontend/ledgerbook.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..pitch.context import Context
+from ..runtime.context import Context
 from .view import View
 from .waterline import Waterline
 from .yard import Yard
--- a/src/cinderstair/stall/passmixin.py
+++ b/src/cinderstair/http_frontend/passmixin.py
@@ -6,10 +6,10 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.fault import Fault
-from ..pitch.httpjob import HttpJob
-from ..pitch.kind import Kind
-from ..pitch.net import Channel
+from ..runtime.fault import Fault
+from ..runtime.httpjob import HttpJob
+from ..runtime.kind import Kind
+from ..runtime.net import Channel
 from .job import Job
 
 # why: these words of a backend say that it has not run the job, so that it may be sent again elsewhere
--- a/src/cinderstair/stall/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -5,10 +5,10 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.net import Channel
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.net import Channel
 
 DIAL_WAIT_US = 400_000
 IDLE_US = 45_000_000
--- a/src/cinderstair/stall/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -3,9 +3,9 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..pitch.context import Context
-from ..pitch.ownermixin import OwnerMixin
-from ..steward.lead import Lead
+from ..failover.lead import Lead
+from ..runtime.context import Context
+from ..runtime.ownermixin import OwnerMixin
 from .gauge import read_gauge
 from .sight import Sight
 from .view import View
--- a/src/cinderstair/stall/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..pitch.net import Channel
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.net import Channel
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .handle import UNMARKED, Handle, Tag, read_handle
 from .pool import Pool
 
--- a/src/cinderstair/stall/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -2,8 +2,8 @@
 
 from reactivex.subject import Subject
 
-from ..pitch.context import Context
-from ..pitch.ownermixin import OwnerMixin
+from ..runtime.context import Context
+from ..runtime.ownermixin import OwnerMixin
 from .session import Session
 
 SWEEP_US = 500_000
--- a/src/cinderstair/stall/sight.py
+++ b/src/cinderstair/http_frontend/sight.py
@@ -1,8 +1,8 @@
 """Whether this stall reaches any backend at all, though the news call some of them fit."""
 
-from ..crier.news import News
-from ..pitch.context import Context
-from ..pitch.ownermixin import OwnerMixin
+from ..membership.news import News
+from ..runtime.context import Context
+from ..runtime.ownermixin import OwnerMixin
 from .gauge import read_gauge
 from .yard import Yard
 
--- a/src/cinderstair/stall/stall.py
+++ b/src/cinderstair/http_frontend/stall.py
@@ -6,23 +6,23 @@
 
 from expression import Ok, Result
 
-from ..charter.chancery import Chancery
-from ..crier.beat import Beat
-from ..crier.crowd import Crowd
-from ..crier.member import Member, Standing
-from ..crier.news import News
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.fault import Fault
-from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse
-from ..pitch.kind import Kind
-from ..pitch.settings import Settings
-from ..steward.leadduty import LeadDuty
-from ..steward.platform import Platform
-from ..steward.slotduty import SlotDuty
-from ..steward.windowduty import WindowDuty
-from ..vault.register import Register
+from ..config.chancery import Chancery
+from ..consensus.register import Register
+from ..failover.leadduty import LeadDuty
+from ..failover.platform import Platform
+from ..failover.slotduty import SlotDuty
+from ..failover.windowduty import WindowDuty
+from ..membership.beat import Beat
+from ..membership.crowd import Crowd
+from ..membership.member import Member, Standing
+from ..membership.news import News
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.fault import Fault
+from ..runtime.httpjob import HttpJob
+from ..runtime.httpresponse import HttpResponse
+from ..runtime.kind import Kind
+from ..runtime.settings import Settings
 from .copies import Copies
 from .denymixin import DenyMixin
 from .doubts import Doubts
--- a/src/cinderstair/stall/statuspage.py
+++ b/src/cinderstair/http_frontend/statuspage.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from ..crier.crowd import Crowd
-from ..crier.news import News
-from ..pitch.context import Context
-from ..steward.leadduty import LeadDuty
+from ..failover.leadduty import LeadDuty
+from ..membership.crowd import Crowd
+from ..membership.news import News
+from ..runtime.context import Context
 from .copies import Copies
 from .keeper import Keeper
 from .sessions import Sessions
--- a/src/cinderstair/stall/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -1,15 +1,15 @@
 """A stall's view of the register: the configuration, the slots, the windows and the leads."""
 
-from ..almanac.leaving import Leaving, leaving
-from ..almanac.windowstates import WINDOWS_KEY, WindowStates, read_window_states
-from ..charter.chancery import CHARTER_KEY
-from ..charter.charter import Charter
-from ..charter.check import check_charter
-from ..pitch.context import Context
-from ..steward.lead import Lead, read_lead
-from ..steward.slots import SLOTS_KEY, Slots, read_slots
-from ..vault.register import Register
-from ..vault.register_view import LEASE_US, RegisterView
+from ..config.chancery import CHARTER_KEY
+from ..config.charter import Charter
+from ..config.check import check_charter
+from ..consensus.register import Register
+from ..consensus.register_view import LEASE_US, RegisterView
+from ..failover.lead import Lead, read_lead
+from ..failover.slots import SLOTS_KEY, Slots, read_slots
+from ..maintenance.leaving import Leaving, leaving
+from ..maintenance.windowstates import WINDOWS_KEY, WindowStates, read_window_states
+from ..runtime.context import Context
 
 __all__ = ["LEASE_US", "View"]
 
--- a/src/cinderstair/stall/yard.py
+++ b/src/cinderstair/http_frontend/yard.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Iterable
 
-from ..charter.backend import Backend
-from ..crier.news import QUIET_US, News
-from ..pitch.context import Context
-from ..pitch.ownermixin import OwnerMixin
-from ..steward.lead import Lead
+from ..config.backend import Backend
+from ..failover.lead import Lead
+from ..membership.news import QUIET_US, News
+from ..runtime.context import Context
+from ..runtime.ownermixin import OwnerMixin
 from .pool import Pool
 from .share import allotment, with_replacements
 from .view import View
--- a/src/cinderstair/almanac/leaving.py
+++ b/src/cinderstair/maintenance/leaving.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ..charter.charter import Charter
+from ..config.charter import Charter
 from .windowstates import Stage, WindowStates
 
 
--- a/src/cinderstair/almanac/scenario.py
+++ b/src/cinderstair/maintenance/scenario.py
@@ -7,10 +7,10 @@
 from expression import Error, Ok, Result
 from marshmallow import Schema, ValidationError, fields, validate
 
-from ..charter.charter import Charter
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.settings import NAME
+from ..config.charter import Charter
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.settings import NAME
 
 
 class LeadSchema(Schema):
--- a/src/cinderstair/almanac/whatif.py
+++ b/src/cinderstair/maintenance/whatif.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..charter.charter import Charter
-from ..stall.share import allotment, with_replacements
+from ..config.charter import Charter
+from ..http_frontend.share import allotment, with_replacements
 from .leaving import Leaving, leaving
 from .scenario import Scenario
 from .windowstates import Stage, WindowStates
--- a/src/cinderstair/almanac/window.py
+++ b/src/cinderstair/maintenance/window.py
@@ -5,7 +5,7 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.selector import Selector
+from ..config.selector import Selector
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cinderstair/crier/crowd.py
+++ b/src/cinderstair/membership/crowd.py
@@ -2,12 +2,12 @@
 
 from dataclasses import replace
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import PROBE, PROBE_FOR
-from ..pitch.ownermixin import OwnerMixin
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import PROBE, PROBE_FOR
+from ..runtime.ownermixin import OwnerMixin
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .member import Member, Standing, read_member
 
 PROBE_EVERY_US = 300_000
--- a/src/cinderstair/crier/member.py
+++ b/src/cinderstair/membership/member.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 
 
 class Standing(IntEnum):
--- a/src/cinderstair/crier/news.py
+++ b/src/cinderstair/membership/news.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import NEWS
-from ..pitch.ownermixin import OwnerMixin
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import NEWS
+from ..runtime.ownermixin import OwnerMixin
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .beat import READY, read_beat
 from .crowd import Crowd
 
--- a/src/cinderstair/crier/pooled_sample.py
+++ b/src/cinderstair/membership/pooled_sample.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from ..pitch.packer import Packer
-from ..pitch.position import Position
-from ..pitch.unpacker import Unpacker
+from ..runtime.packer import Packer
+from ..runtime.position import Position
+from ..runtime.unpacker import Unpacker
 
 # why: steady clocks run apart by less than 500 in a million, and one machine's clock measures another's span
 DRIFT_PART = 1_000
--- a/src/cinderstair/crier/records.feature
+++ b/src/cinderstair/membership/records.feature
@@ -20,7 +20,7 @@
   Scenario: A plan's version and its short form
     Given 50 service plans from a seed
     Then a version of 77 is read from the first bytes alone, and 0 from none
-    And without its document a plan is the same but for that
+    And without its document a plan is the same but for that and what was acknowledged
 
   Scenario: A backend that went for good says nothing more
     Given 50 announcements from a seed
--- a/src/cinderstair/crier/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from ..pitch.packer import Packer
-from ..pitch.unpacker import Unpacker
-from ..steward.shard_state import Vote
-from ..vault.ballot import Ballot, read_ballot
+from ..consensus.ballot import Ballot, read_ballot
+from ..failover.shard_state import Vote
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
 from .announcement import Announcement, read_announcement
 from .pooled_sample import (
     PooledSample,
--- a/src/cinderstair/booth/booth.py
+++ b/src/cinderstair/pooler/booth.py
@@ -4,10 +4,10 @@
 
 from expression import Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.fault import Fault
-from ..steward.booth_places import BoothPlace
+from ..failover.booth_places import BoothPlace
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.fault import Fault
 from .forward_desk import ForwardDesk
 from .forwarder import Forwarder
 from .link import Dialer
--- a/src/cinderstair/booth/dealing.py
+++ b/src/cinderstair/pooler/dealing.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ..stall.share import allotment, rank
+from ..http_frontend.share import allotment, rank
 
 SLACK = 8
 PER_HOLDER = 4
--- a/src/cinderstair/booth/detours.py
+++ b/src/cinderstair/pooler/detours.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ..pitch.context import Context
+from ..runtime.context import Context
 from .forwarder import Forwarder, Holder
 from .link_pool import LinkPool
 
--- a/src/cinderstair/booth/forward_desk.py
+++ b/src/cinderstair/pooler/forward_desk.py
@@ -5,12 +5,12 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.desk import Desk
-from ..pitch.desks import FORWARD
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.unpacker import Unpacker
+from ..runtime.context import Context
+from ..runtime.desk import Desk
+from ..runtime.desks import FORWARD
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.unpacker import Unpacker
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, Outcome, read_forward_question
 from .levelling import level
 from .link import Link
--- a/src/cinderstair/booth/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..pitch.position import Position
-from ..pitch.unpacker import Unpacker
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
+from ..runtime.position import Position
+from ..runtime.unpacker import Unpacker
 from .reply import Reply, State
 from .statement import Statement, Verb
 
--- a/src/cinderstair/booth/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..pitch.kind import Kind
-from ..pitch.position import Position
+from ..runtime.kind import Kind
+from ..runtime.position import Position
 from .forward_record import ForwardQuestion, ForwardStep, Outcome
 from .reply import Reply, State
 from .statement import Statement, Verb
--- a/src/cinderstair/booth/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -5,11 +5,11 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.context import Context
-from ..pitch.desks import FORWARD
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
+from ..runtime.context import Context
+from ..runtime.desks import FORWARD
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
 from .forwarded_link import ForwardedLink
 
--- a/src/cinderstair/booth/freshness.py
+++ b/src/cinderstair/pooler/freshness.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_left, insort
 
-from ..pitch.position import Position
+from ..runtime.position import Position
 
 APART_US = 20_000
 MOST = 256
--- a/src/cinderstair/booth/link_pool.py
+++ b/src/cinderstair/pooler/link_pool.py
@@ -6,10 +6,10 @@
 
 from expression import Error, Ok, Result
 
-from ..crier.announcement import Announcement
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
+from ..membership.announcement import Announcement
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .forwarder import Forwarder, Holder
 from .link import Dialer, Link
 from .reply import Reply
--- a/src/cinderstair/booth/place_teller.py
+++ b/src/cinderstair/pooler/place_teller.py
@@ -1,10 +1,10 @@
 """Says where this booth is, until the table of places says it as well."""
 
-from ..pitch.context import Context
-from ..pitch.desks import PLACE
-from ..pitch.packer import Packer
-from ..stall.share import rank
-from ..steward.booth_places import BoothPlace
+from ..failover.booth_places import BoothPlace
+from ..http_frontend.share import rank
+from ..runtime.context import Context
+from ..runtime.desks import PLACE
+from ..runtime.packer import Packer
 from .relayed_view import RelayedView
 
 TELL_EVERY_US = 2_000_000
--- a/src/cinderstair/booth/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -7,25 +7,25 @@
 from expression import Error, Ok, Result
 from reactivex.subject import Subject
 
-from ..charter.service_plan import PLAN_KEY, ServicePlan, read_service_plan
-from ..crier.announcement import GONE
-from ..crier.relay_record import (
+from ..config.service_plan import PLAN_KEY, ServicePlan, read_service_plan
+from ..consensus.ballot import Ballot
+from ..failover.booth_places import PLACES_KEY, BoothPlace, read_booth_places
+from ..failover.service_lead import PREFIX, LeadState, ServiceLead, read_service_lead
+from ..failover.shard_state import SHARDS_KEY, ShardPhase, ShardState, Vote, read_shard_state
+from ..failover.slots import SLOTS_KEY, Slots, read_slots
+from ..membership.announcement import GONE
+from ..membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
     RelayedValue,
     RelayQuestion,
     read_relay_answer,
 )
-from ..pitch.context import Context
-from ..pitch.desks import RELAY
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.packer import Packer
-from ..steward.booth_places import PLACES_KEY, BoothPlace, read_booth_places
-from ..steward.service_lead import PREFIX, LeadState, ServiceLead, read_service_lead
-from ..steward.shard_state import SHARDS_KEY, ShardPhase, ShardState, Vote, read_shard_state
-from ..steward.slots import SLOTS_KEY, Slots, read_slots
-from ..vault.ballot import Ballot
+from ..runtime.context import Context
+from ..runtime.desks import RELAY
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.packer import Packer
 from .sample_pool import SamplePool
 
 PULL_EVERY_US = 250_000
--- a/src/cinderstair/booth/reply.py
+++ b/src/cinderstair/pooler/reply.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ..pitch.kind import Kind
-from ..pitch.position import Position
+from ..runtime.kind import Kind
+from ..runtime.position import Position
 
 
 class State(IntEnum):
--- a/src/cinderstair/booth/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -5,19 +5,19 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.service_plan import PLAN_KEY, DatabaseRoute
-from ..crier.announcement import GONE
-from ..crier.beat import READY
-from ..crier.pooled_sample import ASK_AFTER_US
-from ..pitch.answers import ANSWERS
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.position import Position
-from ..stall.share import allotment, subset
-from ..steward.booth_places import PLACES_KEY
-from ..steward.service_lead import PREFIX, LeadState, ServiceLead
-from ..steward.slots import SLOTS_KEY
+from ..config.service_plan import PLAN_KEY, DatabaseRoute
+from ..failover.booth_places import PLACES_KEY
+from ..failover.service_lead import PREFIX, LeadState, ServiceLead
+from ..failover.slots import SLOTS_KEY
+from ..http_frontend.share import allotment, subset
+from ..membership.announcement import GONE
+from ..membership.beat import READY
+from ..membership.pooled_sample import ASK_AFTER_US
+from ..runtime.answers import ANSWERS
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.position import Position
 from .dealing import Spot, dealt_copies, dealt_links
 from .detours import Detours
 from .forwarder import Forwarder, Holder
--- a/src/cinderstair/booth/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ..crier.pooled_sample import PooledSample, ToldSample, WantedSample, drift_us
-from ..pitch.context import Context
-from ..pitch.position import Position
-from ..steward.service_lead import LeadState, ServiceLead
+from ..failover.service_lead import LeadState, ServiceLead
+from ..membership.pooled_sample import PooledSample, ToldSample, WantedSample, drift_us
+from ..runtime.context import Context
+from ..runtime.position import Position
 
 KEEP_US = 5_000_000
 UNTOLD_US = -(1 << 62)
--- a/src/cinderstair/booth/session.py
+++ b/src/cinderstair/pooler/session.py
@@ -4,12 +4,12 @@
 
 from expression import Error, Ok, Result
 
-from ..charter.service_plan import Consistency, DatabaseRoute
-from ..pitch.answers import ANSWERS
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.position import Position
+from ..config.service_plan import Consistency, DatabaseRoute
+from ..runtime.answers import ANSWERS
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.position import Position
 from .levelling import level
 from .link import Link
 from .link_pool import LinkPool
--- a/src/cinderstair/booth/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from ..charter.service_plan import DatabaseRoute
-from ..pitch.context import Context
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..steward.service_lead import LeadState
-from ..steward.shard_state import GIVE_UP_US, SHARDS_KEY, UNTOLD_US, ShardPhase, ShardState, Vote
+from ..config.service_plan import DatabaseRoute
+from ..failover.service_lead import LeadState
+from ..failover.shard_state import GIVE_UP_US, SHARDS_KEY, UNTOLD_US, ShardPhase, ShardState, Vote
+from ..runtime.context import Context
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
 from .relayed_view import LEASE_US, RelayedView
 from .under_way import UnderWay
 
--- a/src/cinderstair/booth/under_way.py
+++ b/src/cinderstair/pooler/under_way.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ..pitch.context import Context
+from ..runtime.context import Context
 from .link import Link
 from .reply import Reply
 
--- a/src/cinderstair/fairground/__main__.py
+++ b/src/cinderstair/simulation/__main__.py
@@ -7,8 +7,8 @@
 import signal
 import sys
 
-from ..counter.market import Market
-from ..pitch.context import Context
+from ..cli.market import Market
+from ..runtime.context import Context
 from .fleet import Fleet
 from .fleetday import FleetDay
 from .standin import StandIn
@@ -64,7 +64,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation", description=__doc__)
     roles = parser.add_subparsers(dest="role", required=True)
     one = roles.add_parser("backend", help="a stand-in backend")
     for name in ("name", "site", "folder", "http", "database", "stalls"):
--- a/src/cinderstair/fairground/caller.py
+++ b/src/cinderstair/simulation/caller.py
@@ -4,10 +4,10 @@
 from collections import Counter
 from typing import Any
 
-from ..pitch.context import Context
-from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse
-from ..pitch.net import Channel
+from ..runtime.context import Context
+from ..runtime.httpjob import HttpJob
+from ..runtime.httpresponse import HttpResponse
+from ..runtime.net import Channel
 from .event import Event
 from .sent import Sent, sent_as
 
--- a/src/cinderstair/fairground/capacity/__main__.py
+++ b/src/cinderstair/simulation/capacity/__main__.py
@@ -23,7 +23,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="python -m cinderstair.fairground.capacity", description=__doc__)
+    made = argparse.ArgumentParser(prog="python -m cinderstair.simulation.capacity", description=__doc__)
     made.add_argument("--out", default="", help="where the results go, a line of JSON each")
     made.add_argument(
         "--steps",
--- a/src/cinderstair/fairground/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -6,25 +6,25 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from ...booth.booth import Booth
-from ...booth.relayed_view import RelayedView
-from ...booth.router import Router
-from ...booth.session import Session
-from ...booth.statement import Statement, Verb
-from ...crier.announcement import Announcement
-from ...crier.crowd import Crowd
-from ...crier.member import Member
-from ...crier.news import Heard, News
-from ...crier.relay_record import RelayedBackend, RelayQuestion
-from ...guildhall.relay import Relay
-from ...pitch.context import Context
-from ...pitch.desk import Desk
-from ...pitch.nodisk import NoDisk
-from ...pitch.packer import Packer
-from ...pitch.unpacker import Unpacker
-from ...steward.service_lead import read_service_lead
-from ...vault.register import Found, Register
-from ...vault.register_view import RegisterView
+from ...consensus.register import Found, Register
+from ...consensus.register_view import RegisterView
+from ...control_plane.relay import Relay
+from ...failover.service_lead import read_service_lead
+from ...membership.announcement import Announcement
+from ...membership.crowd import Crowd
+from ...membership.member import Member
+from ...membership.news import Heard, News
+from ...membership.relay_record import RelayedBackend, RelayQuestion
+from ...pooler.booth import Booth
+from ...pooler.relayed_view import RelayedView
+from ...pooler.router import Router
+from ...pooler.session import Session
+from ...pooler.statement import Statement, Verb
+from ...runtime.context import Context
+from ...runtime.desk import Desk
+from ...runtime.nodisk import NoDisk
+from ...runtime.packer import Packer
+from ...runtime.unpacker import Unpacker
 from .child import Child, metered_context, rss_bytes, use_adapter
 from .hollow_link import hollow_dialer
 from .made_up import BALLOT, announcements_of, lead_value, plan_of, slots_of, whole_answer
@@ -250,7 +250,7 @@
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
         """The adapter's door with a session behind it, over a transport in memory."""
         use_adapter()
-        from citizen.client_door import ClientDoor
+        from adapter.client_door import ClientDoor
 
         booth = self._booth(databases=3)
         doors: set[Any] = set()
--- a/src/cinderstair/fairground/capacity/booth_child.py
+++ b/src/cinderstair/simulation/capacity/booth_child.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from ...booth.relayed_view import LEASE_US
+from ...pooler.relayed_view import LEASE_US
 from .child import Child, now_us, reading_of
 from .hollow_booth import HollowBooth
 from .reading import Reading
--- a/src/cinderstair/fairground/capacity/child.py
+++ b/src/cinderstair/simulation/capacity/child.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from ...pitch.context import Context
-from ...pitch.counters import Counters
-from ...pitch.disk import Disk
+from ...runtime.context import Context
+from ...runtime.counters import Counters
+from ...runtime.disk import Disk
 from .metered_net import MeteredNet
 from .reading import Reading
 
--- a/src/cinderstair/fairground/capacity/children.py
+++ b/src/cinderstair/simulation/capacity/children.py
@@ -1,4 +1,4 @@
-"""The tool's child processes: `python -m cinderstair.fairground.capacity.children ROLE OPTIONS`."""
+"""The tool's child processes: `python -m cinderstair.simulation.capacity.children ROLE OPTIONS`."""
 
 import asyncio
 import json
--- a/src/cinderstair/fairground/capacity/guildhall_child.py
+++ b/src/cinderstair/simulation/capacity/guildhall_child.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...pitch.realdisk import RealDisk
+from ...runtime.realdisk import RealDisk
 from .child import Child, metered_context, reading_of, use_adapter
 from .hollow_control import HollowControl
 from .metered_protocol import MeteredProtocol
@@ -13,9 +13,9 @@
 class GuildhallChild(Child):
     def __init__(self, *, options: dict[str, Any]) -> None:
         use_adapter()
-        from citizen.guildhall_role import GuildhallRole
-        from citizen.settings_file import Machine
-        from citizen.streams import RealStreams
+        from adapter.guildhall_role import GuildhallRole
+        from adapter.settings_file import Machine
+        from adapter.streams import RealStreams
 
         self.http = [0, 0]
 
--- a/src/cinderstair/fairground/capacity/hollow_booth.py
+++ b/src/cinderstair/simulation/capacity/hollow_booth.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...booth.booth import Booth
-from ...charter.service_plan import PLAN_KEY
-from ...pitch.nodisk import NoDisk
-from ...steward.service_lead import PREFIX
-from ...steward.slots import SLOTS_KEY
+from ...config.service_plan import PLAN_KEY
+from ...failover.service_lead import PREFIX
+from ...failover.slots import SLOTS_KEY
+from ...pooler.booth import Booth
+from ...runtime.nodisk import NoDisk
 from .child import metered_context, now_us
 from .hollow_link import hollow_dialer
 from .naming import REGIONS
--- a/src/cinderstair/fairground/capacity/hollow_control.py
+++ b/src/cinderstair/simulation/capacity/hollow_control.py
@@ -4,11 +4,11 @@
 
 from expression import Ok, Result
 
-from ...crier.announcement import Announcement
-from ...pitch.fault import Fault
-from ...pitch.position import Position
-from ...steward.backend_control import BackendState
-from ...steward.service_lead import ServiceLead
+from ...failover.backend_control import BackendState
+from ...failover.service_lead import ServiceLead
+from ...membership.announcement import Announcement
+from ...runtime.fault import Fault
+from ...runtime.position import Position
 
 
 class HollowControl:
--- a/src/cinderstair/fairground/capacity/hollow_link.py
+++ b/src/cinderstair/simulation/capacity/hollow_link.py
@@ -5,12 +5,12 @@
 
 from expression import Ok, Result
 
-from ...booth.link import Link
-from ...booth.reply import Reply, State
-from ...booth.statement import Statement, Verb
-from ...crier.announcement import Announcement
-from ...pitch.fault import Fault
-from ...pitch.position import Position
+from ...membership.announcement import Announcement
+from ...pooler.link import Link
+from ...pooler.reply import Reply, State
+from ...pooler.statement import Statement, Verb
+from ...runtime.fault import Fault
+from ...runtime.position import Position
 
 ROW = b"1 Bolt 10.49"
 
--- a/src/cinderstair/fairground/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -1,11 +1,11 @@
 """Views of any size, made up in memory: what a booth and a guildhall would hold."""
 
-from ...charter.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
-from ...crier.announcement import Announcement
-from ...crier.relay_record import RelayAnswer, RelayedBackend, RelayedValue
-from ...steward.service_lead import LeadState, ServiceLead, service_lead_key
-from ...steward.slots import SLOTS_KEY, Slots
-from ...vault.ballot import Ballot
+from ...config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
+from ...consensus.ballot import Ballot
+from ...failover.service_lead import LeadState, ServiceLead, service_lead_key
+from ...failover.slots import SLOTS_KEY, Slots
+from ...membership.announcement import Announcement
+from ...membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
 from .naming import COPIES, LINK_CAP, backend_name, booth_name, service_name, zone_of
 
 BALLOT = Ballot(7, 1 << 60)
--- a/src/cinderstair/fairground/capacity/measurement.py
+++ b/src/cinderstair/simulation/capacity/measurement.py
@@ -7,8 +7,8 @@
 
 from expression import Ok
 
-from ...steward.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
-from ...vault.register import Decide
+from ...consensus.register import Decide
+from ...failover.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
 from .naming import COPIES, backend_name, booth_name, service_name, zone_of
 from .part import Part
 from .reading import Reading
--- a/src/cinderstair/fairground/capacity/metered_net.py
+++ b/src/cinderstair/simulation/capacity/metered_net.py
@@ -2,11 +2,11 @@
 
 from expression import Result
 
-from ...pitch.counters import Counters
-from ...pitch.fault import Fault
-from ...pitch.lean_net import LeanNet
-from ...pitch.net import RecordAnswer
-from ...pitch.recordwire import HEAD
+from ...runtime.counters import Counters
+from ...runtime.fault import Fault
+from ...runtime.lean_net import LeanNet
+from ...runtime.net import RecordAnswer
+from ...runtime.recordwire import HEAD
 
 
 class MeteredNet(LeanNet):
--- a/src/cinderstair/fairground/capacity/part.py
+++ b/src/cinderstair/simulation/capacity/part.py
@@ -29,7 +29,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "cinderstair.fairground.capacity.children",
+                "cinderstair.simulation.capacity.children",
                 self.role,
                 json.dumps(self.options),
                 stdin=asyncio.subprocess.PIPE,
--- a/src/cinderstair/fairground/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from ...pitch.nodisk import NoDisk
-from ...vault.register import Register
+from ...consensus.register import Register
+from ...runtime.nodisk import NoDisk
 from ..fleet import free_ports
 from .beat_line import BeatLine
 from .child import metered_context
--- a/src/cinderstair/fairground/checks.py
+++ b/src/cinderstair/simulation/checks.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..pitch.answers import ANSWERS
-from ..pitch.kind import Kind
+from ..runtime.answers import ANSWERS
+from ..runtime.kind import Kind
 from .event import Event
 from .sent import Sent
 
--- a/src/cinderstair/fairground/days.py
+++ b/src/cinderstair/simulation/days.py
@@ -121,7 +121,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground.days", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.days", description=__doc__)
     parser.add_argument("--places", default=",".join(PLACES))
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--first", type=int, default=1)
--- a/src/cinderstair/fairground/explorer/__main__.py
+++ b/src/cinderstair/simulation/explorer/__main__.py
@@ -38,7 +38,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    found = argparse.ArgumentParser(prog="python -m cinderstair.fairground.explorer", description=__doc__)
+    found = argparse.ArgumentParser(prog="python -m cinderstair.simulation.explorer", description=__doc__)
     found.add_argument("--model", required=True, choices=list(MODELS))
     found.add_argument("--depth", type=count, help="the most choices on a way (default: the model's)")
     found.add_argument("--turns", type=count, help="the most choices other than the first (default: the model's)")
--- a/src/cinderstair/fairground/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -4,8 +4,8 @@
 import random
 from collections.abc import Hashable
 
-from ...pitch.context import Context
-from ...pitch.speech import Speech
+from ...runtime.context import Context
+from ...runtime.speech import Speech
 from .choice_disk import ChoiceDisk
 from .choice_net import ChoiceNet
 from .event import Event, Output
--- a/src/cinderstair/fairground/explorer/choice_net.py
+++ b/src/cinderstair/simulation/explorer/choice_net.py
@@ -5,9 +5,9 @@
 
 from expression import Error, Ok, Result
 
-from ...pitch.fault import Fault
-from ...pitch.kind import Kind
-from ...pitch.net import Channel, HttpAnswer, RecordAnswer
+from ...runtime.fault import Fault
+from ...runtime.kind import Kind
+from ...runtime.net import Channel, HttpAnswer, RecordAnswer
 from .event import Answered, Asked, Output, Token
 
 
--- a/src/cinderstair/fairground/explorer/client_actor.py
+++ b/src/cinderstair/simulation/explorer/client_actor.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Awaitable, Callable, Hashable, Sequence
 
-from ...vault.register import Register
-from ...vault.roster import Roster
+from ...consensus.register import Register
+from ...consensus.roster import Roster
 from .actor import Actor
 from .event import Said
 from .recipe import Recipe
--- a/src/cinderstair/fairground/explorer/explorer_faults.py
+++ b/src/cinderstair/simulation/explorer/explorer_faults.py
@@ -8,16 +8,16 @@
 
 from expression import Error, Ok, Result
 
-from ...pitch.fault import Fault
-from ...pitch.kind import Kind
-from ...vault import lease
-from ...vault.acceptor import ROSTER_KEY, Acceptor
-from ...vault.cell import Cell
-from ...vault.lease import Lease
-from ...vault.register import Register
-from ...vault.roster import Roster, Voter, read_roster
-from ...vault.store import cell_entry
-from ...vault.succession import Succession
+from ...consensus import lease
+from ...consensus.acceptor import ROSTER_KEY, Acceptor
+from ...consensus.cell import Cell
+from ...consensus.lease import Lease
+from ...consensus.register import Register
+from ...consensus.roster import Roster, Voter, read_roster
+from ...consensus.store import cell_entry
+from ...consensus.succession import Succession
+from ...runtime.fault import Fault
+from ...runtime.kind import Kind
 
 Patches = list[Any]
 
--- a/src/cinderstair/fairground/explorer/guard.py
+++ b/src/cinderstair/simulation/explorer/guard.py
@@ -4,9 +4,9 @@
 from functools import lru_cache
 from itertools import combinations
 
-from ...vault.ballot import BLANK
-from ...vault.roster import Roster
-from ...vault.roster import read_roster as read_roster
+from ...consensus.ballot import BLANK
+from ...consensus.roster import Roster
+from ...consensus.roster import read_roster as read_roster
 from .vault_actor import VaultFacts
 
 
--- a/src/cinderstair/fairground/explorer/register_model.py
+++ b/src/cinderstair/simulation/explorer/register_model.py
@@ -5,11 +5,11 @@
 
 from expression import Error, Ok, Result
 
-from ...pitch.fault import Fault
-from ...pitch.kind import Kind
-from ...vault.ballot import Ballot
-from ...vault.cell import Cell
-from ...vault.roster import Roster, Voter
+from ...consensus.ballot import Ballot
+from ...consensus.cell import Cell
+from ...consensus.roster import Roster, Voter
+from ...runtime.fault import Fault
+from ...runtime.kind import Kind
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
 from .event import Said
--- a/src/cinderstair/fairground/explorer/returning_model.py
+++ b/src/cinderstair/simulation/explorer/returning_model.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Hashable
 
-from ...vault.ballot import Ballot
-from ...vault.cell import Cell
-from ...vault.roster import Roster
+from ...consensus.ballot import Ballot
+from ...consensus.cell import Cell
+from ...consensus.roster import Roster
 from .client_actor import Operation
 from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, Watch, founded, read, voter_of, write
 from .roster_model import RosterModel, replace
--- a/src/cinderstair/fairground/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Hashable, Sequence
 
-from ...vault.cell import Cell
-from ...vault.roster import Roster, Voter
-from ...vault.succession import Succession, without
+from ...consensus.cell import Cell
+from ...consensus.roster import Roster, Voter
+from ...consensus.succession import Succession, without
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
 from .event import Said
--- a/src/cinderstair/fairground/explorer/seeker_actor.py
+++ b/src/cinderstair/simulation/explorer/seeker_actor.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Hashable, Sequence
 
-from ...vault.lease import Lease
-from ...vault.roster import Roster
+from ...consensus.lease import Lease
+from ...consensus.roster import Roster
 from .client_actor import ClientActor, Operation, Outcome
 from .recipe import Recipe
 
--- a/src/cinderstair/fairground/explorer/vault_actor.py
+++ b/src/cinderstair/simulation/explorer/vault_actor.py
@@ -4,13 +4,13 @@
 from collections.abc import Hashable
 from typing import Any, NamedTuple
 
-from ...crier.member import Standing
-from ...pitch.settings import Settings
-from ...vault.ballot import Ballot
-from ...vault.cell import Cell
-from ...vault.roster import Roster
-from ...vault.store import Store, cell_entry, ident_entry, roster_entry
-from ...vault.vault import Vault
+from ...consensus.ballot import Ballot
+from ...consensus.cell import Cell
+from ...consensus.roster import Roster
+from ...consensus.store import Store, cell_entry, ident_entry, roster_entry
+from ...consensus.vault import Vault
+from ...membership.member import Standing
+from ...runtime.settings import Settings
 from ..simdisk import SimDisk
 from .actor import Actor
 from .recipe import Recipe
--- a/src/cinderstair/fairground/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Hashable
 
-from ...vault.cell import Cell
+from ...consensus.cell import Cell
 from .actor import Actor
 from .client_actor import ClientActor, Operation
 from .recipe import Recipe
--- a/src/cinderstair/fairground/faults.py
+++ b/src/cinderstair/simulation/faults.py
@@ -10,30 +10,30 @@
 
 from expression import Ok
 
-from ..almanac.leaving import Leaving
-from ..charter import chancery
-from ..crier.news import News
-from ..pitch.fault import Fault
-from ..pitch.kind import Kind
-from ..pitch.parley import Parley
-from ..stall import view, yard
-from ..stall.denymixin import DenyMixin
-from ..stall.filters import sessionfilter
-from ..stall.filters.keepfilter import KeepFilter
-from ..stall.filters.passfilter import PassFilter
-from ..stall.handle import Handle, Tag, read_handle
-from ..stall.handover import Handover
-from ..stall.keeper import Keeper
-from ..stall.ledgerbook import LedgerBook
-from ..stall.passmixin import PassMixin
-from ..stall.pool import Pool
-from ..stall.samples import Samples
-from ..stall.session import Session
-from ..stall.sessions import Sessions
-from ..stall.stall import Stall
-from ..stall.view import View
-from ..steward import leadduty
-from ..vault.store import Store
+from ..config import chancery
+from ..consensus.store import Store
+from ..failover import leadduty
+from ..http_frontend import view, yard
+from ..http_frontend.denymixin import DenyMixin
+from ..http_frontend.filters import sessionfilter
+from ..http_frontend.filters.keepfilter import KeepFilter
+from ..http_frontend.filters.passfilter import PassFilter
+from ..http_frontend.handle import Handle, Tag, read_handle
+from ..http_frontend.handover import Handover
+from ..http_frontend.keeper import Keeper
+from ..http_frontend.ledgerbook import LedgerBook
+from ..http_frontend.passmixin import PassMixin
+from ..http_frontend.pool import Pool
+from ..http_frontend.samples import Samples
+from ..http_frontend.session import Session
+from ..http_frontend.sessions import Sessions
+from ..http_frontend.stall import Stall
+from ..http_frontend.view import View
+from ..maintenance.leaving import Leaving
+from ..membership.news import News
+from ..runtime.fault import Fault
+from ..runtime.kind import Kind
+from ..runtime.parley import Parley
 
 Patches = list[Any]
 
@@ -208,7 +208,7 @@
     """Nobody is ever held to have fallen silent."""
     return [
         patch.object(News, "quiet", lambda self, *, name: False),
-        patch.object(News, "ageUs", lambda self, *, name: 0),
+        patch.object(News, "age_us", lambda self, *, name: 0),
     ]
 
 
--- a/src/cinderstair/fairground/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..counter.edge import ask
-from ..counter.market import Market
-from ..pitch.context import Context
+from ..cli.edge import ask
+from ..cli.market import Market
+from ..runtime.context import Context
 from . import checks
 from .caller import Caller
 from .event import Event
@@ -89,7 +89,7 @@
         self.settings_path(name=name).write_text(text)
 
     def command(self, *, name: str) -> list[str]:
-        fair = [sys.executable, "-m", "cinderstair.fairground"]
+        fair = [sys.executable, "-m", "cinderstair.simulation"]
         if name == "platform":
             backends = {d: {n: self.http(name=n) for n in names} for d, names in self.databases.items()}
             return [*fair, "platform", "--http", self.http(name=name), "--backends", json.dumps(backends)]
--- a/src/cinderstair/fairground/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from ..pitch.desks import NAMES
+from ..runtime.desks import NAMES
 from .world import World
 
 SPAN_US = 10_000_000
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground.loads", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.loads", description=__doc__)
     parser.add_argument("--stalls", default="3,9,30", help="numbers of stalls, with commas between")
     parser.add_argument("--callers", type=int, default=120)
     options = parser.parse_args()
--- a/src/cinderstair/fairground/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -4,7 +4,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from ...booth.router import CONTROL_LINKS
+from ...pooler.router import CONTROL_LINKS
 from .asked import Asked
 from .attempt import Attempt
 from .log_entry import LogEntry
--- a/src/cinderstair/fairground/platformsim/cap_checker.py
+++ b/src/cinderstair/simulation/platformsim/cap_checker.py
@@ -1,6 +1,6 @@
 """What all booths together hold at a backend stays within its cap, less what is left for control."""
 
-from ...booth.router import CONTROL_LINKS
+from ...pooler.router import CONTROL_LINKS
 from .checker import Checker
 
 
--- a/src/cinderstair/fairground/platformsim/forward_faults.py
+++ b/src/cinderstair/simulation/platformsim/forward_faults.py
@@ -5,11 +5,11 @@
 
 from expression import Error, Ok
 
-from ...booth import forward_desk, router
-from ...booth.forward_desk import ForwardDesk
-from ...booth.forward_record import Outcome
-from ...pitch.fault import Fault
-from ...pitch.kind import Kind
+from ...pooler import forward_desk, router
+from ...pooler.forward_desk import ForwardDesk
+from ...pooler.forward_record import Outcome
+from ...runtime.fault import Fault
+from ...runtime.kind import Kind
 
 Patches = list[Any]
 
--- a/src/cinderstair/fairground/platformsim/lead_trials.py
+++ b/src/cinderstair/simulation/platformsim/lead_trials.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import patch
 
-from ...vault.lease import Lease
+from ...consensus.lease import Lease
 from .platform_world import PlatformWorld
 
 BACK_MS = 20_000
--- a/src/cinderstair/fairground/platformsim/platform_faults.py
+++ b/src/cinderstair/simulation/platformsim/platform_faults.py
@@ -10,17 +10,18 @@
 
 from expression import Ok
 
-from ...booth.link_pool import LinkPool
-from ...booth.relayed_view import RelayedView
-from ...booth.router import Router
-from ...booth.sample_pool import SamplePool
-from ...booth.session import Session
-from ...charter.service_plan import PLAN_KEY, ServicePlan, read_service_plan
-from ...guildhall.announcer import Announcer
-from ...guildhall.guildhall import Guildhall
-from ...guildhall.sample_board import SampleBoard
-from ...pitch.kind import Kind
-from ...steward.promotion_duty import PromotionDuty
+from ...config.service_plan import PLAN_KEY, ServicePlan, read_service_plan
+from ...control_plane import orders
+from ...control_plane.announcer import Announcer
+from ...control_plane.orders import Orders
+from ...control_plane.sample_board import SampleBoard
+from ...failover.promotion_duty import PromotionDuty
+from ...pooler.link_pool import LinkPool
+from ...pooler.relayed_view import RelayedView
+from ...pooler.router import Router
+from ...pooler.sample_pool import SamplePool
+from ...pooler.session import Session
+from ...runtime.kind import Kind
 from ..simdisk import SimDisk
 from . import forward_faults, shard_faults
 from .repository import see_adapter
@@ -30,7 +31,7 @@
 
 def answer_to_nothing() -> Patches:
     """Each answer to a client is followed by another."""
-    from citizen import client_door
+    from adapter import client_door
 
     encode = client_door.encode
     return [patch.object(client_door, "encode", lambda reply: encode(reply) + b"READY I -\r\n")]
@@ -38,7 +39,7 @@
 
 def other_text() -> Patches:
     """Backends are sent another text than the client's."""
-    from citizen import backend_link
+    from adapter import backend_link
 
     text_for = backend_link.text_for
 
@@ -50,7 +51,7 @@
 
 def commit_for_leavers() -> Patches:
     """What is to be rolled back is committed."""
-    from citizen.backend_link import BackendLink
+    from adapter.backend_link import BackendLink
 
     return [patch.object(BackendLink, "rollback", lambda self: self._ask(b"ASK - COMMIT"))]
 
@@ -71,7 +72,7 @@
 
 def rows_kept() -> Patches:
     """An answer's rows are given twice."""
-    from citizen import client_door
+    from adapter import client_door
 
     encode = client_door.encode
 
@@ -110,7 +111,7 @@
 
 def promise_unknown() -> Patches:
     """Where nobody knows the outcome, the client is promised that nothing is kept."""
-    from citizen import words
+    from adapter import words
 
     mild = MappingProxyType({**words.WORDS, Kind.outcomeUnknown: b"ABORTED"})
     return [patch.object(words, "WORDS", mild)]
@@ -123,7 +124,7 @@
 
 def no_guard() -> Patches:
     """Copies are read from whatever their logs have."""
-    from citizen.backend_link import BackendLink
+    from adapter.backend_link import BackendLink
 
     send, begin = BackendLink.send, BackendLink.begin
 
@@ -176,7 +177,7 @@
 
 def drop_at_stop() -> Patches:
     """A planned stop closes every connection, whatever is under way on it."""
-    from citizen.client_door import ClientDoor
+    from adapter.client_door import ClientDoor
 
     return [patch.object(ClientDoor, "at_rest", property(lambda self: True))]
 
@@ -199,7 +200,7 @@
 
 def plan_back_and_forth() -> Patches:
     """A booth falls back now and then to the configuration before."""
-    from cinderstair.booth.booth import Booth
+    from cinderstair.pooler.booth import Booth
 
     tend = Booth._tend
 
@@ -216,7 +217,7 @@
 
 def take_anything() -> Patches:
     """A configuration that is no valid one is acknowledged."""
-    from citizen.control_edge import ControlEdge
+    from adapter.control_edge import ControlEdge
 
     put = ControlEdge._put
 
@@ -229,14 +230,12 @@
 
 def older_again() -> Patches:
     """An older configuration takes the place of a newer one."""
-    from ...guildhall import guildhall
-
-    read = guildhall.read_service_plan
+    read = orders.read_service_plan
 
     def as_of_nothing(*, data: bytes) -> Any:
         return replace(read(data=data), version=0, accepted=())
 
-    return [patch.object(guildhall, "read_service_plan", as_of_nothing)]
+    return [patch.object(orders, "read_service_plan", as_of_nothing)]
 
 
 def any_content_confirmed() -> Patches:
@@ -265,18 +264,18 @@
     async def known(self: Any) -> Any:
         return Ok(read_service_plan(data=self.view.known[PLAN_KEY].value).document)
 
-    return [patch.object(Guildhall, "fetch", known)]
+    return [patch.object(Orders, "fetch", known)]
 
 
 def altered_read_back() -> Patches:
     """What is read back says the same in other bytes."""
-    fetch = Guildhall.fetch
+    fetch = Orders.fetch
 
     async def other(self: Any) -> Any:
         found = await fetch(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(Guildhall, "fetch", other)]
+    return [patch.object(Orders, "fetch", other)]
 
 
 def disks_forget() -> Patches:
--- a/src/cinderstair/fairground/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from ...pitch.context import Context
-from ...pitch.counters import Counters
-from ...pitch.nodisk import NoDisk
+from ...runtime.context import Context
+from ...runtime.counters import Counters
+from ...runtime.nodisk import NoDisk
 from ..simdisk import SimDisk
 from ..simnet import SimNet
 from ..virtualloop import Boot, VirtualLoop
@@ -212,7 +212,7 @@
 
     def machine(self, *, name: str) -> Any:
         """What the settings file of a machine says now."""
-        from citizen.settings_file import Machine
+        from adapter.settings_file import Machine
 
         booth = name in self.booths
         return Machine(
@@ -237,8 +237,8 @@
 
     def start(self, *, name: str) -> None:
         """One run of a machine's process."""
-        from citizen.booth_role import BoothRole
-        from citizen.guildhall_role import GuildhallRole
+        from adapter.booth_role import BoothRole
+        from adapter.guildhall_role import GuildhallRole
 
         self.wires.dark.discard(name)
         boot = Boot(name=name)
--- a/src/cinderstair/fairground/platformsim/platformsim.feature
+++ b/src/cinderstair/simulation/platformsim/platformsim.feature
@@ -109,3 +109,15 @@
     And each guildhall has counted looks at which votes were missing
     When an empty one takes its place
     Then each guildhall tells of its votes "3 of 3, epoch 3, bears the loss of 1 more; standing by: nobody"
+
+  Scenario: One seed is gone from the first moment on
+    When a simulated platform begins while one of its three seeds is dark
+    Then each guildhall tells of its votes "2 of 3, epoch 1, bears the loss of 0 more"
+    When the seed that was dark starts at last
+    Then each guildhall tells of its votes "3 of 3, epoch 2, bears the loss of 1 more; standing by: nobody"
+
+  Scenario: A machine that missed hundreds of changes has them all within its time, and disks stay bounded
+    When a simulated platform serves, and a guildhall is without power while 600 orders are confirmed
+    Then from the 200th order on no disk has grown by more than a log's length
+    When the guildhall has power again
+    Then within 4000 ms it votes, knows the newest order, and holds it on its disk
--- a/src/cinderstair/fairground/platformsim/shard_faults.py
+++ b/src/cinderstair/simulation/platformsim/shard_faults.py
@@ -3,9 +3,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...booth.shards import Shards
-from ...booth.under_way import UnderWay
-from ...steward.shard_duty import ShardDuty
+from ...failover.shard_duty import ShardDuty
+from ...pooler.shards import Shards
+from ...pooler.under_way import UnderWay
 from .stand_in_handover import StandInHandover
 
 
--- a/src/cinderstair/fairground/platformsim/shard_growth.py
+++ b/src/cinderstair/simulation/platformsim/shard_growth.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from ...steward.shard_state import ShardPhase
+from ...failover.shard_state import ShardPhase
 from .platform_world import PlatformWorld
 from .repository import see_adapter
 from .shard_trials import await_phase, duty_of, moved, propose
@@ -65,7 +65,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground.platformsim.shard_growth")
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.platformsim.shard_growth")
     parser.add_argument("--booths", default="9,27,81")
     options = parser.parse_args()
     see_adapter()
--- a/src/cinderstair/fairground/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -4,11 +4,11 @@
 from contextlib import ExitStack
 from unittest.mock import AsyncMock, patch
 
-from ...booth.relayed_view import LEASE_US, RelayedView
-from ...charter.shard_map import ShardMap
-from ...pitch.kind import Kind
-from ...steward.shard_duty import ShardDuty
-from ...steward.shard_state import SHARDS_KEY, ShardPhase
+from ...config.shard_map import ShardMap
+from ...failover.shard_duty import ShardDuty
+from ...failover.shard_state import SHARDS_KEY, ShardPhase
+from ...pooler.relayed_view import LEASE_US, RelayedView
+from ...runtime.kind import Kind
 from .platform_world import PlatformWorld
 
 MOVING = ("ledger0-self", "ledger0-primary")
--- a/src/cinderstair/fairground/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -7,8 +7,8 @@
 
 from expression import Error, Ok, Result
 
-from ...pitch.fault import Fault
-from ...pitch.kind import Kind
+from ...runtime.fault import Fault
+from ...runtime.kind import Kind
 from ..virtualloop import BOOT, Boot
 from .listener import Listener
 from .stream_fabric import StreamFabric
--- a/src/cinderstair/fairground/platformsim/succession_trials.py
+++ b/src/cinderstair/simulation/platformsim/succession_trials.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ...vault.roster import Roster
+from ...consensus.roster import Roster
 from .machine_trials import back
 from .platform_world import CATCH_UP_US, PlatformWorld
 
--- a/src/cinderstair/fairground/platformsim/sweep.py
+++ b/src/cinderstair/simulation/platformsim/sweep.py
@@ -27,7 +27,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground.platformsim.sweep", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.platformsim.sweep", description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--trials", default=",".join(TRIALS))
@@ -44,7 +44,7 @@
     see_adapter()
     # why: loaded before the processes part, so that a tree which is being worked on is the same to all of them
     for module in ("booth_role", "guildhall_role"):
-        importlib.import_module(f"citizen.{module}")
+        importlib.import_module(f"adapter.{module}")
     tasks = [
         (name, seed, options.fault)
         for name in options.trials.split(",")
--- a/src/cinderstair/fairground/rehearsal.py
+++ b/src/cinderstair/simulation/rehearsal.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from ..almanac.scenario import Scenario
-from ..almanac.windowstates import Stage
-from ..charter.charter import Charter
+from ..config.charter import Charter
+from ..maintenance.scenario import Scenario
+from ..maintenance.windowstates import Stage
 from . import checks
 from .world import World
 
--- a/src/cinderstair/fairground/simnet.py
+++ b/src/cinderstair/simulation/simnet.py
@@ -10,12 +10,12 @@
 
 from expression import Error, Ok, Result
 
-from ..pitch.fault import Fault
-from ..pitch.httpjob import HttpJob, Line
-from ..pitch.httpresponse import HttpResponse
-from ..pitch.kind import Kind
-from ..pitch.net import Channel, HttpAnswer, RecordAnswer
-from ..pitch.speech import unwrapped
+from ..runtime.fault import Fault
+from ..runtime.httpjob import HttpJob, Line
+from ..runtime.httpresponse import HttpResponse
+from ..runtime.kind import Kind
+from ..runtime.net import Channel, HttpAnswer, RecordAnswer
+from ..runtime.speech import unwrapped
 from .virtualloop import BOOT, Boot, VirtualLoop
 
 PATHS = frozenset(["/run", "/position", "/pull", "/v1/beats", "/promote"])
--- a/src/cinderstair/fairground/standin.py
+++ b/src/cinderstair/simulation/standin.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..pitch.context import Context
-from ..pitch.httpjob import HttpJob, Line
-from ..pitch.httpresponse import HttpResponse, json_response
-from ..pitch.net import Channel
+from ..runtime.context import Context
+from ..runtime.httpjob import HttpJob, Line
+from ..runtime.httpresponse import HttpResponse, json_response
+from ..runtime.net import Channel
 from .sent import Sent, sent_as
 
 WAL = "wal"
--- a/src/cinderstair/fairground/standinplatform.py
+++ b/src/cinderstair/simulation/standinplatform.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from ..pitch.context import Context
-from ..pitch.httpjob import HttpJob
-from ..pitch.httpresponse import HttpResponse, json_response
+from ..runtime.context import Context
+from ..runtime.httpjob import HttpJob
+from ..runtime.httpresponse import HttpResponse, json_response
 
 RECONCILE_US = 200_000
 
--- a/src/cinderstair/fairground/sweep.py
+++ b/src/cinderstair/simulation/sweep.py
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m cinderstair.fairground.sweep", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.sweep", description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--trials", default=",".join(TRIALS))
--- a/src/cinderstair/fairground/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..stall.handle import read_handle
+from ..http_frontend.handle import read_handle
 from . import checks
 from .event import Event
 from .sent import Sent
--- a/src/cinderstair/fairground/upgradetrials.py
+++ b/src/cinderstair/simulation/upgradetrials.py
@@ -1,6 +1,6 @@
 """Upgrades daemon by daemon: two versions of the records side by side, forward and back, under work."""
 
-from ..pitch.speech import SPEECH, Speech
+from ..runtime.speech import SPEECH, Speech
 from .stalltrials import await_end, await_ready
 from .trial import SETTLE_US, Trial
 
--- a/src/cinderstair/fairground/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -8,14 +8,14 @@
 from datetime import datetime, timedelta, timezone
 from typing import Any
 
-from ..pitch.context import Context
-from ..pitch.counters import Counters
-from ..pitch.httpjob import HttpJob
-from ..pitch.nodisk import NoDisk
-from ..pitch.settings import Settings
-from ..pitch.speech import SPEECH, Speech
-from ..stall.stall import Stall
-from ..vault.vault import Vault
+from ..consensus.vault import Vault
+from ..http_frontend.stall import Stall
+from ..runtime.context import Context
+from ..runtime.counters import Counters
+from ..runtime.httpjob import HttpJob
+from ..runtime.nodisk import NoDisk
+from ..runtime.settings import Settings
+from ..runtime.speech import SPEECH, Speech
 from .caller import PATIENT_US, Caller
 from .event import Event
 from .simdisk import SimDisk
@@ -381,7 +381,7 @@
         for stall in self.stall_names:
             for database in self.databases:
                 name = f"once-{stall}-{database}"
-                patient = {"once": True, "timeLeftUs": PATIENT_US, **options}
+                patient = {"once": True, "time_left_us": PATIENT_US, **options}
                 self._caller(name=name, stalls=[stall], database=database, think_us=think_us, **patient)
 
     def _caller(self, *, name: str, stalls: list[str], database: str, think_us: int, **options: Any) -> None:
--- a/steps/almanacsteps.py
+++ b/steps/almanacsteps.py
@@ -9,12 +9,12 @@
 
 from behave import given, then, when
 
-from cinderstair.almanac.leaving import leaving
-from cinderstair.almanac.whatif import open_states
-from cinderstair.almanac.window import Window
-from cinderstair.almanac.windowstates import WindowStates, read_window_states
-from cinderstair.charter.check import check_charter
-from cinderstair.charter.compiler import compile_selector
+from cinderstair.config.check import check_charter
+from cinderstair.config.compiler import compile_selector
+from cinderstair.maintenance.leaving import leaving
+from cinderstair.maintenance.whatif import open_states
+from cinderstair.maintenance.window import Window
+from cinderstair.maintenance.windowstates import WindowStates, read_window_states
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/steps/announcersteps.py
+++ b/steps/announcersteps.py
@@ -8,16 +8,16 @@
 from guildhallsteps import FakeCrowd
 from stage import Stage
 
-from cinderstair.crier.announcement import GONE, Announcement, read_announcement
-from cinderstair.crier.beat import EMPTYING, READY
-from cinderstair.crier.news import News
-from cinderstair.guildhall.announcer import Announcer
-from cinderstair.pitch.desk import Desk
-from cinderstair.pitch.desks import ANNOUNCE, NEWS
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.unpacker import Unpacker
+from cinderstair.control_plane.announcer import Announcer
+from cinderstair.membership.announcement import GONE, Announcement, read_announcement
+from cinderstair.membership.beat import EMPTYING, READY
+from cinderstair.membership.news import News
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import ANNOUNCE, NEWS
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.unpacker import Unpacker
 
 VOTERS = ("v1", "v2", "v3")
 STATES = {"ready": READY, "emptying": EMPTYING, "gone": GONE}
--- a/steps/answersteps.py
+++ b/steps/answersteps.py
@@ -5,8 +5,8 @@
 
 from behave import then
 
-from cinderstair.pitch.answers import ANSWERS, DENIED, UNKNOWN
-from cinderstair.pitch.kind import Kind
+from cinderstair.runtime.answers import ANSWERS, DENIED, UNKNOWN
+from cinderstair.runtime.kind import Kind
 
 PAGE = Path(__file__).parent.parent / "docs" / "interface.md"
 INSIDE = {Kind.badSettings, Kind.diskDamaged}
--- a/steps/badinputsteps.py
+++ b/steps/badinputsteps.py
@@ -7,8 +7,8 @@
 from behave import then, when
 from stallsteps import ask, statement
 
-from cinderstair.pitch.answers import ANSWERS
-from cinderstair.pitch.kind import Kind
+from cinderstair.runtime.answers import ANSWERS
+from cinderstair.runtime.kind import Kind
 
 ODD: list[Any] = [None, True, -1, 0, 1 << 70, 1.5, "", "x" * 300, [], {}, [[]], {"a": {"b": 1}}, "\u0000", "\ud83d"]
 
--- a/steps/boothsteps.py
+++ b/steps/boothsteps.py
@@ -20,23 +20,23 @@
     statement,
 )
 
-from cinderstair.booth.dealing import Spot, dealt_copies, dealt_links
-from cinderstair.booth.forwarder import Forwarder
-from cinderstair.booth.freshness import Freshness
-from cinderstair.booth.link_pool import LinkPool
-from cinderstair.booth.reply import State
-from cinderstair.booth.router import CONTROL_LINKS, Router
-from cinderstair.booth.session import Session
-from cinderstair.charter.service_plan import Consistency
-from cinderstair.crier.announcement import GONE
-from cinderstair.crier.beat import EMPTYING, READY
-from cinderstair.crier.pooled_sample import PooledSample
-from cinderstair.crier.relay_record import RelayAnswer, RelayedValue
-from cinderstair.pitch.position import Position
-from cinderstair.steward.booth_places import PLACES_KEY, BoothPlace, BoothPlaces
-from cinderstair.steward.service_lead import LeadState, ServiceLead, service_lead_key
-from cinderstair.steward.slots import SLOTS_KEY, Slots
-from cinderstair.vault.ballot import Ballot
+from cinderstair.config.service_plan import Consistency
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.failover.booth_places import PLACES_KEY, BoothPlace, BoothPlaces
+from cinderstair.failover.service_lead import LeadState, ServiceLead, service_lead_key
+from cinderstair.failover.slots import SLOTS_KEY, Slots
+from cinderstair.membership.announcement import GONE
+from cinderstair.membership.beat import EMPTYING, READY
+from cinderstair.membership.pooled_sample import PooledSample
+from cinderstair.membership.relay_record import RelayAnswer, RelayedValue
+from cinderstair.pooler.dealing import Spot, dealt_copies, dealt_links
+from cinderstair.pooler.forwarder import Forwarder
+from cinderstair.pooler.freshness import Freshness
+from cinderstair.pooler.link_pool import LinkPool
+from cinderstair.pooler.reply import State
+from cinderstair.pooler.router import CONTROL_LINKS, Router
+from cinderstair.pooler.session import Session
+from cinderstair.runtime.position import Position
 
 STATE_WORDS = {State.idle: "I", State.open: "T", State.failed: "E"}
 
--- a/steps/capacitysteps.py
+++ b/steps/capacitysteps.py
@@ -9,21 +9,21 @@
 from behave import given, then, when
 from common import run
 
-from cinderstair.booth.booth import Booth
-from cinderstair.booth.statement import Statement, Verb
-from cinderstair.fairground.capacity.child import metered_context
-from cinderstair.fairground.capacity.fit import least_squares, plainest
-from cinderstair.fairground.capacity.hollow_link import HollowLink, hollow_dialer
-from cinderstair.fairground.capacity.made_up import whole_answer
-from cinderstair.fairground.capacity.reading import Reading, read_reading
-from cinderstair.fairground.capacity.reckoning import Reckoning
-from cinderstair.fairground.capacity.results import Results
-from cinderstair.fairground.capacity.run import Run
-from cinderstair.fairground.capacity.sample import gathered, read_sample
-from cinderstair.fairground.capacity.spread import spread_of
-from cinderstair.fairground.capacity.step import Step, read_step
-from cinderstair.fairground.capacity.users_size import UsersSize
-from cinderstair.pitch.nodisk import NoDisk
+from cinderstair.pooler.booth import Booth
+from cinderstair.pooler.statement import Statement, Verb
+from cinderstair.runtime.nodisk import NoDisk
+from cinderstair.simulation.capacity.child import metered_context
+from cinderstair.simulation.capacity.fit import least_squares, plainest
+from cinderstair.simulation.capacity.hollow_link import HollowLink, hollow_dialer
+from cinderstair.simulation.capacity.made_up import whole_answer
+from cinderstair.simulation.capacity.reading import Reading, read_reading
+from cinderstair.simulation.capacity.reckoning import Reckoning
+from cinderstair.simulation.capacity.results import Results
+from cinderstair.simulation.capacity.run import Run
+from cinderstair.simulation.capacity.sample import gathered, read_sample
+from cinderstair.simulation.capacity.spread import spread_of
+from cinderstair.simulation.capacity.step import Step, read_step
+from cinderstair.simulation.capacity.users_size import UsersSize
 
 SECOND = 1_000_000
 
--- a/steps/chartersteps.py
+++ b/steps/chartersteps.py
@@ -9,9 +9,9 @@
 
 from behave import then, use_step_matcher, when
 
-from cinderstair.charter.check import check_charter
-from cinderstair.charter.compiler import compile_program, compile_selector
-from cinderstair.charter.formatter import format_program
+from cinderstair.config.check import check_charter
+from cinderstair.config.compiler import compile_program, compile_selector
+from cinderstair.config.formatter import format_program
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "configuration.json"
 
--- a/steps/citizensteps.py
+++ b/steps/citizensteps.py
@@ -23,26 +23,26 @@
 REPOSITORY = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(REPOSITORY / "platform"))
 
-from citizen.backend_link import BackendCommands, BackendDialer, BackendLink  # noqa: E402
-from citizen.client_door import GREETING_US, MOST_ASKED, ClientDoor, encode  # noqa: E402
-from citizen.control_edge import ControlEdge  # noqa: E402
-from citizen.http_edge import MOST_BODY_BYTES, HttpServer, post  # noqa: E402
-from citizen.lines import MOST_BYTES, Lines  # noqa: E402
-from citizen.operator_document import read_document  # noqa: E402
-from citizen.promotion_call import PromotionCall  # noqa: E402
-from citizen.settings_file import read_machine  # noqa: E402
-from citizen.statements import read_statement, text_for  # noqa: E402
-from citizen.words import position_text, read_position, word  # noqa: E402
-
-from cinderstair.booth.reply import Reply, State, refusal  # noqa: E402
-from cinderstair.booth.statement import Statement, Verb  # noqa: E402
-from cinderstair.charter.service_plan import ServicePlan, read_service_plan  # noqa: E402
-from cinderstair.crier.announcement import Announcement, read_announcement  # noqa: E402
-from cinderstair.pitch.fault import Fault  # noqa: E402
-from cinderstair.pitch.kind import Kind  # noqa: E402
-from cinderstair.pitch.packer import Packer  # noqa: E402
-from cinderstair.pitch.position import START, Position  # noqa: E402
-from cinderstair.pitch.unpacker import Unpacker  # noqa: E402
+from adapter.backend_link import BackendCommands, BackendDialer, BackendLink  # noqa: E402
+from adapter.client_door import GREETING_US, MOST_ASKED, ClientDoor, encode  # noqa: E402
+from adapter.control_edge import ControlEdge  # noqa: E402
+from adapter.http_edge import MOST_BODY_BYTES, HttpServer, post  # noqa: E402
+from adapter.lines import MOST_BYTES, Lines  # noqa: E402
+from adapter.operator_document import read_document  # noqa: E402
+from adapter.promotion_call import PromotionCall  # noqa: E402
+from adapter.settings_file import read_machine  # noqa: E402
+from adapter.statements import read_statement, text_for  # noqa: E402
+from adapter.words import position_text, read_position, word  # noqa: E402
+
+from cinderstair.config.service_plan import ServicePlan, read_service_plan  # noqa: E402
+from cinderstair.membership.announcement import Announcement, read_announcement  # noqa: E402
+from cinderstair.pooler.reply import Reply, State, refusal  # noqa: E402
+from cinderstair.pooler.statement import Statement, Verb  # noqa: E402
+from cinderstair.runtime.fault import Fault  # noqa: E402
+from cinderstair.runtime.kind import Kind  # noqa: E402
+from cinderstair.runtime.packer import Packer  # noqa: E402
+from cinderstair.runtime.position import START, Position  # noqa: E402
+from cinderstair.runtime.unpacker import Unpacker  # noqa: E402
 
 PROMISES = (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"WRONGHOST", b"FULL")
 STATES = {"I": State.idle, "T": State.open, "E": State.failed}
@@ -395,6 +395,7 @@
         self.document: Result[bytes, Fault] = Error(Fault(kind=Kind.noConfiguration, why="none yet"))
         self.departed: list[str] = []
         self.in_touch = True
+        self.orders = self
 
     async def hear(self, *, announcement: Announcement) -> bool:
         self.heard.append(announcement)
@@ -1108,8 +1109,8 @@
 import sys, json
 sys.path[:0] = [{platform!r}, {src!r}]
 import platform
-from citizen.{role}_role import *
-from citizen.process import run
+from adapter.{role}_role import *
+from adapter.process import run
 print(json.dumps({{"platform": platform.__file__, "python": platform.python_implementation(),
                    "loaded": sorted({{name.partition(".")[0] for name in sys.modules}})}}))
 """
--- a/steps/common.py
+++ b/steps/common.py
@@ -4,8 +4,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from cinderstair.fairground.fleet import Fleet
-from cinderstair.fairground.world import World
+from cinderstair.simulation.fleet import Fleet
+from cinderstair.simulation.world import World
 
 
 def new_world(*, context: Any, **options: Any) -> World:
--- a/steps/controlverbsteps.py
+++ b/steps/controlverbsteps.py
@@ -11,13 +11,13 @@
 from behave import given, then, when
 from cleo.application import Application
 
-from cinderstair.counter.controlverb import GuildhallVerb, ShardsVerb
-from cinderstair.counter.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
-from cinderstair.fairground.fleet import free_ports
-from cinderstair.pitch.counters import Counters
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.recordwire import RecordWire
-from cinderstair.steward.shard_state import ShardPhase
+from cinderstair.cli.controlverb import GuildhallVerb, ShardsVerb
+from cinderstair.cli.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
+from cinderstair.failover.shard_state import ShardPhase
+from cinderstair.runtime.counters import Counters
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.recordwire import RecordWire
+from cinderstair.simulation.fleet import free_ports
 
 
 def answer_of(*, words: str) -> bytes:
--- a/steps/crowdsteps.py
+++ b/steps/crowdsteps.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 from common import new_world
 
-from cinderstair.crier.member import Standing
-from cinderstair.fairground.simnet import SimNet
-from cinderstair.fairground.virtualloop import Boot
+from cinderstair.membership.member import Standing
+from cinderstair.simulation.simnet import SimNet
+from cinderstair.simulation.virtualloop import Boot
 
 
 def removed(*, context: Any, but: str) -> list[str]:
--- a/steps/daysteps.py
+++ b/steps/daysteps.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from cinderstair.fairground.blow import Blow
-from cinderstair.fairground.days import plan, run_day, shortest
+from cinderstair.simulation.blow import Blow
+from cinderstair.simulation.days import plan, run_day, shortest
 
 
 @when("a short day in {place} is run with seed {seed:d}")
--- a/steps/desksteps.py
+++ b/steps/desksteps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 from stage import Stage
 
-from cinderstair.pitch.desk import Desk
-from cinderstair.pitch.desks import NEWS, PROBE
-from cinderstair.pitch.unpacker import Unpacker
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import NEWS, PROBE
+from cinderstair.runtime.unpacker import Unpacker
 
 
 @given("a desk that answers news with 30 bytes")
--- a/steps/detoursteps.py
+++ b/steps/detoursteps.py
@@ -7,13 +7,13 @@
 from expression import Ok, Result
 from stage import Stage, announcement
 
-from cinderstair.booth.detours import Detours
-from cinderstair.booth.forwarder import Holder
-from cinderstair.booth.link_pool import LinkPool
-from cinderstair.booth.reply import Reply
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.position import Position
+from cinderstair.pooler.detours import Detours
+from cinderstair.pooler.forwarder import Holder
+from cinderstair.pooler.link_pool import LinkPool
+from cinderstair.pooler.reply import Reply
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.position import Position
 
 TEND_MS = 100
 ANSWER_US = 5_000
--- a/steps/explorersteps.py
+++ b/steps/explorersteps.py
@@ -6,12 +6,12 @@
 
 from behave import given, then, when
 
-from cinderstair.fairground.explorer.__main__ import main
-from cinderstair.fairground.explorer.exploration import Exploration
-from cinderstair.fairground.explorer.explored_world import ExploredWorld
-from cinderstair.fairground.explorer.models import MODELS
-from cinderstair.fairground.explorer.search import Search, replay
-from cinderstair.fairground.explorer.world_state import Budget
+from cinderstair.simulation.explorer.__main__ import main
+from cinderstair.simulation.explorer.exploration import Exploration
+from cinderstair.simulation.explorer.explored_world import ExploredWorld
+from cinderstair.simulation.explorer.models import MODELS
+from cinderstair.simulation.explorer.search import Search, replay
+from cinderstair.simulation.explorer.world_state import Budget
 
 NAMES = ("first", "second")
 MOST = 3
--- a/steps/fleetsteps.py
+++ b/steps/fleetsteps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 from common import new_fleet, run
 
-from cinderstair.fairground.trial import Verdict
+from cinderstair.simulation.trial import Verdict
 
 LONG_US = 60_000_000
 
--- a/steps/forwardsteps.py
+++ b/steps/forwardsteps.py
@@ -8,14 +8,14 @@
 from expression import Error, Ok, Result
 from stage import FakeBackend, FakeDialer, Stage, ToldView, announcement, plan, position, route, statement
 
-from cinderstair.booth.forward_desk import ForwardDesk
-from cinderstair.booth.forwarder import Forwarder, Holder
-from cinderstair.booth.router import Router
-from cinderstair.booth.session import Session
-from cinderstair.pitch.context import Context
-from cinderstair.pitch.desk import Desk
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
+from cinderstair.pooler.forward_desk import ForwardDesk
+from cinderstair.pooler.forwarder import Forwarder, Holder
+from cinderstair.pooler.router import Router
+from cinderstair.pooler.session import Session
+from cinderstair.runtime.context import Context
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
 
 TEND_S = 0.2
 SKEW_US = 77_000_000_000
--- a/steps/guildhallsteps.py
+++ b/steps/guildhallsteps.py
@@ -8,35 +8,35 @@
 from expression import Error, Ok, Result
 from stage import Stage, announcement, plan, position, shown
 
-from cinderstair.booth.relayed_view import LEASE_US
-from cinderstair.charter.service_plan import PLAN_KEY
-from cinderstair.crier.announcement import GONE, Announcement
-from cinderstair.crier.beat import EMPTYING, READY
-from cinderstair.crier.news import News
-from cinderstair.crier.pooled_sample import ToldSample
-from cinderstair.crier.relay_record import RelayAnswer, RelayQuestion, read_relay_answer
-from cinderstair.guildhall.booth_census import BoothCensus
-from cinderstair.guildhall.relay import Relay
-from cinderstair.guildhall.slot_keeper import SlotKeeper
-from cinderstair.pitch.context import Context
-from cinderstair.pitch.desk import Desk
-from cinderstair.pitch.desks import BOOTHS, PLACE, RELAY
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.position import Position
-from cinderstair.pitch.unpacker import Unpacker
-from cinderstair.steward.backend_control import BackendState
-from cinderstair.steward.booth_places import PLACES_KEY, read_booth_places
-from cinderstair.steward.promotion_duty import PromotionDuty
-from cinderstair.steward.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
-from cinderstair.steward.shard_state import Vote
-from cinderstair.steward.slots import SLOTS_KEY, read_slots
-from cinderstair.vault.acceptor import BEATEN, OK
-from cinderstair.vault.ballot import Ballot
-from cinderstair.vault.register import Found
-from cinderstair.vault.register_view import RegisterView
-from cinderstair.vault.roster import Roster, Voter
+from cinderstair.config.service_plan import PLAN_KEY
+from cinderstair.consensus.acceptor import BEATEN, OK
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.register import Found
+from cinderstair.consensus.register_view import RegisterView
+from cinderstair.consensus.roster import Roster, Voter
+from cinderstair.control_plane.booth_census import BoothCensus
+from cinderstair.control_plane.relay import Relay
+from cinderstair.control_plane.slot_keeper import SlotKeeper
+from cinderstair.failover.backend_control import BackendState
+from cinderstair.failover.booth_places import PLACES_KEY, read_booth_places
+from cinderstair.failover.promotion_duty import PromotionDuty
+from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
+from cinderstair.failover.shard_state import Vote
+from cinderstair.failover.slots import SLOTS_KEY, read_slots
+from cinderstair.membership.announcement import GONE, Announcement
+from cinderstair.membership.beat import EMPTYING, READY
+from cinderstair.membership.news import News
+from cinderstair.membership.pooled_sample import ToldSample
+from cinderstair.membership.relay_record import RelayAnswer, RelayQuestion, read_relay_answer
+from cinderstair.pooler.relayed_view import LEASE_US
+from cinderstair.runtime.context import Context
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import BOOTHS, PLACE, RELAY
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.unpacker import Unpacker
 
 BEAT_US = 1_000_000
 QUIET_US = 3_000_000
--- a/steps/parleysteps.py
+++ b/steps/parleysteps.py
@@ -6,13 +6,13 @@
 from behave import then, when
 from common import new_world
 
-from cinderstair.fairground.virtualloop import Boot
-from cinderstair.pitch.desk import Desk
-from cinderstair.pitch.desks import SEEK
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.speech import WRAPPED, Speech
-from cinderstair.pitch.unpacker import Unpacker
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import SEEK
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.speech import WRAPPED, Speech
+from cinderstair.runtime.unpacker import Unpacker
+from cinderstair.simulation.virtualloop import Boot
 
 ADDRESS = "10.9.9.9:7100"
 
--- a/steps/platformsteps.py
+++ b/steps/platformsteps.py
@@ -1,6 +1,7 @@
 """Steps for trials on the simulated platform, and for the faults that prove their checkers."""
 
 import json
+import random
 import re
 import sys
 from pathlib import Path
@@ -8,18 +9,21 @@
 
 from behave import then, when
 
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.unpacker import Unpacker
+from cinderstair.config.service_plan import PLAN_KEY, plan_version
+from cinderstair.consensus.store import LOG_MOST_BYTES, Store
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.unpacker import Unpacker
 
 # why: the adapter lies beside the product and is no part of its package
 sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
 
-from cinderstair.fairground.platformsim.platform_faults import switched_in  # noqa: E402
-from cinderstair.fairground.platformsim.platform_trials import run_trial  # noqa: E402
-from cinderstair.fairground.platformsim.platform_world import PlatformWorld  # noqa: E402
-from cinderstair.fairground.platformsim.repository import see_adapter  # noqa: E402
-from cinderstair.fairground.platformsim.shard_trials import MOVING, TARGET, moved, propose  # noqa: E402
-from cinderstair.guildhall.status_text import status_text  # noqa: E402
+from cinderstair.control_plane.status_text import status_text  # noqa: E402
+from cinderstair.simulation.platformsim.platform_faults import switched_in  # noqa: E402
+from cinderstair.simulation.platformsim.platform_trials import run_trial  # noqa: E402
+from cinderstair.simulation.platformsim.platform_world import PlatformWorld  # noqa: E402
+from cinderstair.simulation.platformsim.repository import see_adapter  # noqa: E402
+from cinderstair.simulation.platformsim.shard_trials import MOVING, TARGET, moved, propose  # noqa: E402
+from cinderstair.simulation.simdisk import SimDisk  # noqa: E402
 
 
 def play(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
@@ -105,7 +109,7 @@
 def asked(*, context: Any, at: int, handler: str, body: bytes) -> tuple[str, str]:
     """A guildhall's kind and words to an operator's question."""
     guildhall = context.world.roles[context.world.guildhalls[at]].guildhall
-    answer = Unpacker(data=context.world.run(work=getattr(guildhall, handler)(Unpacker(data=body))))
+    answer = Unpacker(data=context.world.run(work=getattr(guildhall.shard_desk, handler)(Unpacker(data=body))))
     return answer.text(), answer.text()
 
 
@@ -120,7 +124,7 @@
     context.worlds.append(context.world)
     context.world.begin()
     context.document = document(version=version, places=dict.fromkeys(MOVING, TARGET))
-    context.planned = asked(context=context, at=0, handler="_shards_planned", body=context.document)
+    context.planned = asked(context=context, at=0, handler="_planned_only", body=context.document)
 
 
 @then("what it would do is told, and how long writes would wait, and nothing has changed")
@@ -133,7 +137,7 @@
     context.foretold_us = int(found[1]) * 1_000
     assert context.foretold_us < int(found[2]) * 1_000, words
     context.world.advance(for_ms=1_000)
-    assert asked(context=context, at=1, handler="_shards_asked", body=Packer().blob(value=b"").bytes())[1].startswith(
+    assert asked(context=context, at=1, handler="_asked", body=Packer().blob(value=b"").bytes())[1].startswith(
         "map 0: all as planned"
     )
 
@@ -141,7 +145,7 @@
 @then("a map that names an unknown place or database is refused with its line, planned and begun alike")
 def then_refused(context: Any) -> None:
     body = document(version=4, places={MOVING[0]: "nobody", "nowhere": TARGET})
-    for handler in ("_shards_planned", "_shards_asked"):
+    for handler in ("_planned_only", "_asked"):
         kind, words = asked(context=context, at=1, handler=handler, body=body)
         assert kind == "brokenConfiguration", (kind, words)
         lines = words.splitlines()
@@ -151,11 +155,11 @@
 
 @when("the operator begins it and follows it to its end")
 def when_begins(context: Any) -> None:
-    assert asked(context=context, at=2, handler="_shards_asked", body=context.document) == ("", "put to the booths")
+    assert asked(context=context, at=2, handler="_asked", body=context.document) == ("", "put to the booths")
     context.seen = []
 
     def ends() -> bool:
-        words = asked(context=context, at=0, handler="_shards_progress", body=b"")[1]
+        words = asked(context=context, at=0, handler="_progress", body=b"")[1]
         context.seen.append(words)
         return words == "steady: map 4"
 
@@ -178,14 +182,14 @@
 @then("a map that is silent on a database that has moved is refused")
 def then_lost(context: Any) -> None:
     body = document(version=5, places={MOVING[0]: TARGET})
-    kind, words = asked(context=context, at=0, handler="_shards_asked", body=body)
+    kind, words = asked(context=context, at=0, handler="_asked", body=body)
     assert kind == "brokenConfiguration" and f"'{MOVING[1]}' is lost" in words, (kind, words)
 
 
 @then("nothing is there to give up any more")
 def then_none(context: Any) -> None:
     body = Packer().u64(value=5).bytes()
-    kind, words = asked(context=context, at=0, handler="_shards_abandoned", body=body)
+    kind, words = asked(context=context, at=0, handler="_abandoned", body=body)
     assert kind == "versionOld" and "map 4 stands" in words, (kind, words)
 
 
@@ -220,3 +224,70 @@
     world = context.world
     for name in world.guildhalls:
         assert world.contexts[name].counters.counts["vault.votesMissing"], name
+
+
+@when("a simulated platform begins while one of its three seeds is dark")
+def when_begins_short(context: Any) -> None:
+    see_adapter()
+    context.world = world = PlatformWorld(seed=1)
+    context.worlds.append(world)
+    world.wires.dark.add("guildhall-2")
+    context.absent = [world.guildhalls.pop(2)]
+    world.begin()
+    world.advance(for_ms=3_000)
+
+
+@when("the seed that was dark starts at last")
+def when_starts_late(context: Any) -> None:
+    world = context.world
+    world.guildhalls += context.absent
+    for name in context.absent:
+        world.start(name=name)
+    world.advance(for_ms=4_000)
+
+
+# -- hundreds of changes --
+
+
+@when("a simulated platform serves, and a guildhall is without power while {count:d} orders are confirmed")
+def when_orders_missed(context: Any, count: int) -> None:
+    see_adapter()
+    context.world = world = PlatformWorld(seed=1)
+    context.worlds.append(world)
+    world.begin()
+    context.away, *context.there = world.guildhalls
+    world.power_off(name=context.away)
+    world.controls.remove(world.address(name=context.away, door="control"))
+    context.sizes = []
+    for number in range(count):
+        body = world.configuration(version=10 + 2 * number, extra=(f"extra-{number % 7}",))
+        assert world.run(work=world.operator.put(body=body)) == 200
+        context.sizes.append([sum(map(len, world.disks[name].files.values())) for name in context.there])
+    context.newest = 10 + 2 * (count - 1)
+
+
+@then("from the {number:d}th order on no disk has grown by more than a log's length")
+def then_bounded(context: Any, number: int) -> None:
+    early = [max(sizes) for sizes in zip(*context.sizes[:number], strict=True)]
+    late = [max(sizes) for sizes in zip(*context.sizes, strict=True)]
+    assert all(b - a <= LOG_MOST_BYTES for a, b in zip(early, late, strict=True)), (early, late)
+    assert max(late) <= 4 * LOG_MOST_BYTES, late
+
+
+@when("the guildhall has power again")
+def when_power_again(context: Any) -> None:
+    context.world.power_on(name=context.away)
+
+
+@then("within {wait_ms:d} ms it votes, knows the newest order, and holds it on its disk")
+def then_caught_up(context: Any, wait_ms: int) -> None:
+    world = context.world
+    world.advance(for_ms=wait_ms)
+    guildhall = world.roles[context.away].guildhall
+    assert guildhall.vault.votes and guildhall.view.current
+    assert guildhall.duty.plan.version == context.newest, guildhall.duty.plan.version
+    # why: of a copy, since to open a store turns its slots over
+    disk = SimDisk(luck=random.Random(0))
+    disk.files = dict(world.disks[context.away].files)
+    held = Store(disk=disk).open().ok.held
+    assert plan_version(data=held.cells[PLAN_KEY].value) == context.newest
--- a/steps/poolsteps.py
+++ b/steps/poolsteps.py
@@ -8,12 +8,12 @@
 from behave import given, then, when
 from stage import Stage, position, shown
 
-from cinderstair.booth.sample_pool import SamplePool
-from cinderstair.crier.pooled_sample import PooledSample, ToldSample, WantedSample
-from cinderstair.guildhall.sample_board import SampleBoard
-from cinderstair.pitch.context import Context
-from cinderstair.pitch.position import Position
-from cinderstair.steward.service_lead import LeadState, ServiceLead
+from cinderstair.control_plane.sample_board import SampleBoard
+from cinderstair.failover.service_lead import LeadState, ServiceLead
+from cinderstair.membership.pooled_sample import PooledSample, ToldSample, WantedSample
+from cinderstair.pooler.sample_pool import SamplePool
+from cinderstair.runtime.context import Context
+from cinderstair.runtime.position import Position
 
 SERVICE = "s"
 MILLION = 1_000_000
--- a/steps/recordsteps.py
+++ b/steps/recordsteps.py
@@ -6,7 +6,9 @@
 
 from behave import given, then
 
-from cinderstair.charter.service_plan import (
+from cinderstair.config.service_plan import (
+    DIGEST_BYTES,
+    AcceptedVersion,
     Consistency,
     DatabaseRoute,
     Service,
@@ -14,9 +16,13 @@
     plan_version,
     read_service_plan,
 )
-from cinderstair.crier.announcement import GONE, STATES, Announcement, read_announcement
-from cinderstair.crier.pooled_sample import PooledSample, ToldSample, WantedSample
-from cinderstair.crier.relay_record import (
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.failover.booth_places import BoothPlace, BoothPlaces, read_booth_places
+from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead
+from cinderstair.failover.slots import Slots, read_slots
+from cinderstair.membership.announcement import GONE, STATES, Announcement, read_announcement
+from cinderstair.membership.pooled_sample import PooledSample, ToldSample, WantedSample
+from cinderstair.membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
     RelayedValue,
@@ -24,13 +30,9 @@
     read_relay_answer,
     read_relay_question,
 )
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.position import Position
-from cinderstair.pitch.unpacker import Unpacker
-from cinderstair.steward.booth_places import BoothPlace, BoothPlaces, read_booth_places
-from cinderstair.steward.service_lead import LeadState, ServiceLead, read_service_lead
-from cinderstair.steward.slots import Slots, read_slots
-from cinderstair.vault.ballot import Ballot
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.unpacker import Unpacker
 
 EDGES_32 = (0, 1, 2**31, 2**32 - 1)
 EDGES_64 = (0, 1, 2**32, 2**63, 2**64 - 1)
@@ -78,12 +80,16 @@
         Service(name=f"{text(luck)}{n}", link_cap=u32(luck), confirmations=u32(luck))
         for n in range(luck.randrange(4))
     ]
+    accepted = tuple(
+        AcceptedVersion(version=u64(luck), digest=luck.randbytes(DIGEST_BYTES)) for _ in range(luck.randrange(6))
+    )
     return ServicePlan(
         version=u64(luck),
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
         rest_limit_us=u64(luck),
         document=luck.randbytes(luck.randrange(80)),
+        accepted=accepted,
     )
 
 
@@ -246,11 +252,12 @@
     assert plan_version(data=b"") == 0
 
 
-@then("without its document a plan is the same but for that")
+@then("without its document a plan is the same but for that and what was acknowledged")
 def then_short(context: Any) -> None:
     for record in context.records:
         found = read_service_plan(data=record.bytes(with_document=False))
-        assert found.document == b"" and {**vars(found), "document": record.document} == vars(record)
+        assert found.document == b"" and found.accepted == ()
+        assert {**vars(found), "document": record.document, "accepted": record.accepted} == vars(record)
 
 
 @then("what a backend said when it went for good stands against whatever it said before or after")
--- a/steps/registersteps.py
+++ b/steps/registersteps.py
@@ -7,17 +7,17 @@
 from common import new_world
 from expression import Error, Ok
 
-from cinderstair.fairground.virtualloop import Boot
-from cinderstair.pitch.desks import LEASE
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.speech import unwrapped
-from cinderstair.vault.ballot import Ballot
-from cinderstair.vault.cell import Cell
-from cinderstair.vault.lease import Lease
-from cinderstair.vault.register import Register
-from cinderstair.vault.roster import Roster, Voter
-from cinderstair.vault.succession import Succession, without
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.cell import Cell
+from cinderstair.consensus.lease import Lease
+from cinderstair.consensus.register import Register
+from cinderstair.consensus.roster import Roster, Voter
+from cinderstair.consensus.succession import Succession, without
+from cinderstair.runtime.desks import LEASE
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.speech import unwrapped
+from cinderstair.simulation.virtualloop import Boot
 
 
 @given("5 vaults and {count:d} proposers, with seed {seed:d}")
--- a/steps/settingssteps.py
+++ b/steps/settingssteps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.pitch.settings import read_settings
+from cinderstair.runtime.settings import read_settings
 
 GOOD = (
     'name = "stall-1"',
--- a/steps/shardsteps.py
+++ b/steps/shardsteps.py
@@ -7,9 +7,9 @@
 
 from behave import given, then, when
 
-from cinderstair.charter.shard_check import shard_map_troubles
-from cinderstair.charter.shard_map import ShardMap, check_shard_map
-from cinderstair.steward.shard_state import ShardPhase, ShardState, read_shard_state
+from cinderstair.config.shard_check import shard_map_troubles
+from cinderstair.config.shard_map import ShardMap, check_shard_map
+from cinderstair.failover.shard_state import ShardPhase, ShardState, read_shard_state
 
 
 @when("the shard map {document} is checked")
--- a/steps/sharesteps.py
+++ b/steps/sharesteps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.stall.share import allotment, shuffled, subset, users, with_replacements
+from cinderstair.http_frontend.share import allotment, shuffled, subset, users, with_replacements
 
 RECORDED = {
     0: "b04 b08 b05 b11 b10 b03 b00 b02 b01 b07 b09 b06",
--- a/steps/stage.py
+++ b/steps/stage.py
@@ -9,22 +9,22 @@
 
 from expression import Error, Ok, Result
 
-from cinderstair.booth.relayed_view import RelayedView
-from cinderstair.booth.reply import Reply, State
-from cinderstair.booth.statement import Statement, Verb
-from cinderstair.charter.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
-from cinderstair.crier.announcement import Announcement
-from cinderstair.crier.beat import READY
-from cinderstair.crier.relay_record import RelayAnswer, RelayedBackend, RelayedValue
-from cinderstair.fairground.virtualloop import VirtualLoop
-from cinderstair.pitch.context import Context
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.nodisk import NoDisk
-from cinderstair.pitch.position import Position
-from cinderstair.steward.service_lead import LeadState, ServiceLead, service_lead_key
-from cinderstair.steward.slots import SLOTS_KEY, Slots
-from cinderstair.vault.ballot import Ballot
+from cinderstair.config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.failover.service_lead import LeadState, ServiceLead, service_lead_key
+from cinderstair.failover.slots import SLOTS_KEY, Slots
+from cinderstair.membership.announcement import Announcement
+from cinderstair.membership.beat import READY
+from cinderstair.membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
+from cinderstair.pooler.relayed_view import RelayedView
+from cinderstair.pooler.reply import Reply, State
+from cinderstair.pooler.statement import Statement, Verb
+from cinderstair.runtime.context import Context
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.nodisk import NoDisk
+from cinderstair.runtime.position import Position
+from cinderstair.simulation.virtualloop import VirtualLoop
 
 SITE = "kingston"
 NOT_RUN = ("BUSY", "UNNAMED", "LAGGING", "READONLY")
--- a/steps/stallsteps.py
+++ b/steps/stallsteps.py
@@ -7,10 +7,10 @@
 from behave import given, then, when
 from common import new_world
 
-from cinderstair.fairground.simnet import SimNet
-from cinderstair.fairground.virtualloop import Boot
-from cinderstair.fairground.world import World
-from cinderstair.pitch.httpjob import HttpJob
+from cinderstair.runtime.httpjob import HttpJob
+from cinderstair.simulation.simnet import SimNet
+from cinderstair.simulation.virtualloop import Boot
+from cinderstair.simulation.world import World
 
 
 def ask(
--- a/steps/storesteps.py
+++ b/steps/storesteps.py
@@ -6,10 +6,10 @@
 from behave import given, then, when
 from common import new_world
 
-from cinderstair.fairground.simdisk import SimDisk
-from cinderstair.vault.ballot import Ballot
-from cinderstair.vault.cell import Cell
-from cinderstair.vault.store import LOGS, SLOTS, Store, apply_entry, cell_entry
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.cell import Cell
+from cinderstair.consensus.store import LOGS, SLOTS, Store, apply_entry, cell_entry
+from cinderstair.simulation.simdisk import SimDisk
 
 
 def entry(*, number: int, size: int = 20) -> bytes:
--- a/steps/tracesteps.py
+++ b/steps/tracesteps.py
@@ -8,8 +8,8 @@
 from behave import then, when
 from stallsteps import statement
 
-from cinderstair.fairground.world import WALL_START_US
-from cinderstair.pitch.traces import Traces
+from cinderstair.runtime.traces import Traces
+from cinderstair.simulation.world import WALL_START_US
 
 
 @when("stall-0 traces into a list, and {count:d} statements are sent to it")
--- a/steps/trialsteps.py
+++ b/steps/trialsteps.py
@@ -4,8 +4,8 @@
 
 from behave import then, when
 
-from cinderstair.fairground.faults import switched_in
-from cinderstair.fairground.trials import run_trial
+from cinderstair.simulation.faults import switched_in
+from cinderstair.simulation.trials import run_trial
 
 
 def run_all(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
--- a/steps/underwaysteps.py
+++ b/steps/underwaysteps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 from stage import Stage
 
-from cinderstair.booth.reply import Reply
-from cinderstair.booth.under_way import UnderWay
+from cinderstair.pooler.reply import Reply
+from cinderstair.pooler.under_way import UnderWay
 
 WITHIN_US = 3_000_000
 
--- a/steps/vectorsteps.py
+++ b/steps/vectorsteps.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 from expression import Ok
 
-from cinderstair.pitch.packer import Packer
-from cinderstair.pitch.speech import Speech
-from cinderstair.pitch.unpacker import Unpacker
-from cinderstair.vault.acceptor import SINCE
-from cinderstair.vault.ballot import BLANK, Ballot, read_ballot
-from cinderstair.vault.known_vectors import KnownVectors
+from cinderstair.consensus.acceptor import SINCE
+from cinderstair.consensus.ballot import BLANK, Ballot, read_ballot
+from cinderstair.consensus.known_vectors import KnownVectors
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.speech import Speech
+from cinderstair.runtime.unpacker import Unpacker
 
 
 def keys_in(*, answer: bytes) -> int:
--- a/steps/viewsteps.py
+++ b/steps/viewsteps.py
@@ -8,14 +8,14 @@
 from expression import Error, Ok, Result
 from stage import SITE, Stage, plan
 
-from cinderstair.booth.relayed_view import RelayedView
-from cinderstair.charter.service_plan import PLAN_KEY
-from cinderstair.crier.relay_record import RelayAnswer, RelayedValue, read_relay_question
-from cinderstair.pitch.fault import Fault
-from cinderstair.pitch.kind import Kind
-from cinderstair.pitch.unpacker import Unpacker
-from cinderstair.steward.service_lead import service_lead_key
-from cinderstair.vault.ballot import Ballot
+from cinderstair.config.service_plan import PLAN_KEY
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.failover.service_lead import service_lead_key
+from cinderstair.membership.relay_record import RelayAnswer, RelayedValue, read_relay_question
+from cinderstair.pooler.relayed_view import RelayedView
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.unpacker import Unpacker
 
 
 class FakeRelay:
--- a/steps/wiresteps.py
+++ b/steps/wiresteps.py
@@ -10,10 +10,10 @@
 from common import run
 from stage import Stage
 
-from cinderstair.fairground.fleet import free_ports
-from cinderstair.pitch import recordwire
-from cinderstair.pitch.counters import Counters
-from cinderstair.pitch.recordwire import HEAD, MAGIC, RECORDS_VERSION, RecordWire, read_frame
+from cinderstair.runtime import recordwire
+from cinderstair.runtime.counters import Counters
+from cinderstair.runtime.recordwire import HEAD, MAGIC, RECORDS_VERSION, RecordWire, read_frame
+from cinderstair.simulation.fleet import free_ports
 
 
 @given("a listener that never answers its first connection")
