--- a/environment.py
+++ b/environment.py
@@ -1,8 +1,13 @@
 """Behave's hooks: every scenario clears away the worlds and fleets that it made."""
 
 import asyncio
+import sys
+from pathlib import Path
 from typing import Any
 
+# why: the adapter lies beside the product and is no part of its package
+sys.path.append(str(Path(__file__).resolve().parent / "platform"))
+
 
 def before_scenario(context: Any, scenario: Any) -> None:
     context.worlds = []
--- /dev/null
+++ b/steps/adaptercommon.py
@@ -0,0 +1,68 @@
+"""What several steps of the adapter share."""
+
+import asyncio
+from collections import deque
+from pathlib import Path
+from typing import Any
+
+from expression import Error, Ok, Result
+from stage import MemoryTransport
+
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+
+REPOSITORY = Path(__file__).resolve().parent.parent
+
+
+def raw(*, text: str) -> bytes:
+    r"""The bytes of a text in which \r, \n, \t and \xNN stand for what they stand for in Python."""
+    return b"" if text == "(empty)" else text.encode().decode("unicode_escape").encode("latin-1")
+
+
+def document() -> dict[str, Any]:
+    base = {"path_start": "/", "sort": "primary", "give_up_ms": 650, "rank": 1, "target": "s1", "max_age_ms": 1100}
+    return {
+        "revision": 21,
+        "routes": [
+            {**base, "name": "r1", "host_name": "db1"},
+            {**base, "name": "r2", "host_name": "db2", "sort": "recent_enough", "target": "s2", "give_up_ms": 0.5},
+            {**base, "name": "r3", "host_name": "db2", "path_start": "/x", "sort": "self_hosted"},
+        ],
+        "services": [
+            {"name": "s1", "max_links": 40, "waits_for": 1},
+            {"name": "s2", "max_links": 26, "waits_for": 0},
+        ],
+        "limits": {"tx_rest_ms": 2400},
+    }
+
+
+def connect(*, context: Any, make: Any) -> None:
+    def work() -> None:
+        context.protocol = make()
+        context.transport = MemoryTransport(protocol=context.protocol)
+
+    context.stage.call(call=work)
+
+
+class MemoryStreams:
+    """Connects to a far end that answers by a script: a text to send, `close`, `silence`, `refuse`."""
+
+    def __init__(self, *, script: list[str]) -> None:
+        self.script = deque(script)
+        self.transports: list[MemoryTransport] = []
+
+    async def connect(self, *, address: str, protocol: Any, wait_us: int) -> Result[Any, Fault]:
+        await asyncio.sleep(0.001)
+        words = self.script.popleft()
+        if words == "refuse":
+            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: refused"))
+        made = protocol()
+        transport = MemoryTransport(protocol=made)
+        self.transports.append(transport)
+        loop = asyncio.get_running_loop()
+        for number, each in enumerate(words.split(" + "), start=1):
+            if each == "close":
+                loop.call_later(number / 1_000, lambda: transport.lose(error=None))
+            elif each != "silence":
+                loop.call_later(number / 1_000, transport.feed, raw(text=each))
+        return Ok(made)
--- a/steps/announcersteps.py
+++ b/steps/announcersteps.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from behave import given, then, when
+from clusterstage import FakeCrowd
 from expression import Error, Ok, Result
-from guildhallsteps import FakeCrowd
 from stage import Stage
 
 from cinderstair.control_plane.announcer import Announcer
--- /dev/null
+++ b/steps/clientdoorsteps.py
@@ -0,0 +1,177 @@
+"""Steps for the door that clients come in by."""
+
+from typing import Any
+
+from adapter.client_door import GREETING_US, MOST_ASKED, ClientDoor
+from adapter.lines import MOST_BYTES
+from adaptercommon import connect, raw
+from behave import given, then, when
+from stage import Stage
+
+from cinderstair.pooler.reply import Reply, State
+from cinderstair.pooler.statement import Statement, Verb
+
+
+class FakeSession:
+    """Answers each statement after a while, and keeps a state as a session does."""
+
+    def __init__(self, *, booth: "FakeBooth") -> None:
+        self.booth = booth
+        self.state = State.idle
+        self.busy = False
+
+    async def run(self, *, statement: Statement) -> Reply:
+        assert not self.busy, "two statements at once"
+        self.busy = True
+        self.booth.ran.append(f"{statement.ident.decode()} {statement.verb.name}")
+        await self.booth.ctx.rest(wait_us=self.booth.work_us)
+        self.busy = False
+        if statement.verb in (Verb.begin, Verb.begin_read):
+            self.state = State.open
+        elif statement.verb in (Verb.commit, Verb.rollback):
+            self.state = State.idle
+        self.booth.answered.append(statement.ident.decode())
+        return Reply(rows=[], stamp=statement.ident, state=self.state)
+
+
+class FakeBooth:
+    def __init__(self, *, stage: Stage) -> None:
+        self.ctx = stage.ctx
+        self.view: Any = type("View", (), {"plan": object()})()
+        self.databases = {"db1"}
+        self.ran: list[str] = []
+        self.answered: list[str] = []
+        self.ended: list[State] = []
+        self.work_us = 2_000
+
+    async def knows(self, *, database: str, until_us: int) -> bool:
+        while self.view.plan is None and self.ctx.now_us() < until_us:
+            await self.ctx.rest(wait_us=50_000)
+        return self.view.plan is not None and database in self.databases
+
+    def open(self, *, database: str) -> FakeSession:
+        return FakeSession(booth=self)
+
+    def closed(self, *, session: FakeSession) -> None:
+        self.ended.append(session.state)
+
+
+@given("a client's connection")
+def given_door(context: Any) -> None:
+    context.stage = Stage(context=context)
+    context.booth = FakeBooth(stage=context.stage)
+    context.doors = set()
+    context.counted = []
+    connect(
+        context=context,
+        make=lambda: ClientDoor(booth=context.booth, doors=context.doors, count=context.counted.append),
+    )
+
+
+@given("a client's connection that was greeted")
+def given_greeted(context: Any) -> None:
+    context.execute_steps("Given a client's connection")
+    context.stage.call(call=lambda: context.transport.feed(b"GREET db1 u1\r\n"))
+    context.stage.advance(for_us=1_000)
+    assert context.transport.take() == b"READY I -\r\n"
+
+
+@when("it sends `{text}`")
+def when_sends(context: Any, text: str) -> None:
+    context.stage.call(call=lambda: context.transport.feed(raw(text=text)))
+    context.stage.advance(for_us=100_000)
+
+
+@when("it sends `{text}` byte by byte")
+def when_sends_bytes(context: Any, text: str) -> None:
+    for byte in raw(text=text):
+        context.stage.call(call=lambda byte=byte: context.transport.feed(bytes([byte])))
+    context.stage.advance(for_us=100_000)
+
+
+@when("it sends a line of more than 1 MiB")
+def when_sends_long(context: Any) -> None:
+    context.stage.call(call=lambda: context.transport.feed(b"ASK 1 PUT a " + b"x" * MOST_BYTES))
+    context.stage.advance(for_us=100_000)
+
+
+@then("it receives")
+def then_receives(context: Any) -> None:
+    found = context.transport.take().decode().replace("\r\n", "\n").strip()
+    assert found == context.text.strip(), found
+
+
+@then("it receives nothing")
+def then_receives_nothing(context: Any) -> None:
+    assert context.transport.take() == b""
+
+
+@then('the booth has run "{texts}"')
+def then_ran(context: Any, texts: str) -> None:
+    found = ", ".join(context.booth.ran) or "nothing"
+    assert found == texts, found
+
+
+@then('the booth has ended sessions in "{states}"')
+def then_ended(context: Any, states: str) -> None:
+    context.stage.advance(for_us=10_000)
+    found = ", ".join(state.name for state in context.booth.ended) or "none"
+    assert found == states, found
+    assert not context.doors
+
+
+@given("no configuration yet")
+def given_none_yet(context: Any) -> None:
+    context.booth.view.plan = None
+
+
+@when("{wait_ms:d} ms pass at the door")
+def when_pass_at_door(context: Any, wait_ms: int) -> None:
+    context.stage.advance(for_us=wait_ms * 1_000)
+
+
+@when("the time for a greeting is over")
+def when_greeting_over(context: Any) -> None:
+    context.stage.advance(for_us=GREETING_US + 1_000)
+
+
+@when("a client that does not read sends {count:d} asks")
+def when_not_reading(context: Any, count: int) -> None:
+    context.count = count
+    context.stage.call(call=context.protocol.pause_writing)
+    data = b"".join(b"ASK %d FETCH 1\r\n" % number for number in range(count))
+    context.stage.call(call=lambda: context.transport.feed(data))
+    context.stage.advance(for_us=500_000)
+
+
+@then("no more than {count:d} is run, and reading is paused")
+def then_paused(context: Any, count: int) -> None:
+    assert len(context.booth.ran) <= count, context.booth.ran
+    assert context.transport.paused and len(context.protocol.asked) > MOST_ASKED // 2
+
+
+@when("it reads again")
+def when_reads(context: Any) -> None:
+    context.stage.call(call=context.protocol.resume_writing)
+    context.stage.advance(for_us=1_000_000)
+
+
+@then("all are answered in order, and reading goes on")
+def then_all_in_order(context: Any) -> None:
+    found = [line.split()[1] for line in context.transport.take().split(b"\r\n") if line.startswith(b"DONE")]
+    assert found == [b"%d" % number for number in range(context.count)], found
+    assert not context.transport.paused
+
+
+@when("the client vanishes while {what}")
+def when_client_vanishes(context: Any, what: str) -> None:
+    wait_us = {"its statement runs": 1_000, "nothing runs": 100_000}[what]
+    context.stage.call(call=lambda: context.transport.feed(b"ASK 7 BEGIN\r\n"))
+    context.stage.advance(for_us=wait_us)
+    context.stage.call(call=lambda: context.transport.lose(error=ConnectionResetError("reset")))
+    context.stage.advance(for_us=100_000)
+
+
+@then("nothing at the door has crashed")
+def then_door_not_crashed(context: Any) -> None:
+    assert not context.stage.crashed, context.stage.crashes
--- /dev/null
+++ b/steps/clusterstage.py
@@ -0,0 +1,320 @@
+"""Stand-ins for a register, a service of backends, and what stands around a controller."""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from expression import Error, Ok, Result
+from stage import Stage, announcement
+
+from cinderstair.consensus.acceptor import BEATEN, OK
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.register import Found
+from cinderstair.consensus.register_view import RegisterView
+from cinderstair.consensus.roster import Roster, Voter
+from cinderstair.failover.backend_control import BackendState
+from cinderstair.failover.promotion_duty import PromotionDuty
+from cinderstair.membership.announcement import Announcement
+from cinderstair.membership.beat import READY
+from cinderstair.membership.news import News
+from cinderstair.pooler.relayed_view import LEASE_US
+from cinderstair.runtime.context import Context
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.unpacker import Unpacker
+
+BEAT_US = 1_000_000
+QUIET_US = 3_000_000
+OUTWAIT_US = LEASE_US + LEASE_US // 10
+PROMOTED_US = 300_000
+COMMIT_US = 5_000
+ROSTER = Roster(epoch=1, voters=(Voter(ident=1, name="vault-1", address="10.0.0.1:1"),))
+
+
+class Store:
+    """What all registers of a stage share: the values, and who holds which lease."""
+
+    def __init__(self) -> None:
+        self.values: dict[str, Found] = {}
+        self.turn = 0
+        self.leases: dict[str, tuple[int, int]] = {}
+        self.writes: list[tuple[int, str, bytes]] = []
+        self.refused: set[str] = set()
+
+
+class FakeRegister:
+    """A register whose majority is one store, reached by this daemon unless it is cut off."""
+
+    def __init__(self, *, ctx: Context, store: Store, proposer: int) -> None:
+        self.ctx = ctx
+        self.store = store
+        self.proposer = proposer
+        self.roster: Roster | None = ROSTER
+        self.cut = False
+
+    def _missing(self) -> Any:
+        return Error(Fault(kind=Kind.registerUnreachable, why="cut off"))
+
+    async def poll(
+        self, *, roster: Roster, body: bytes, enough: Callable[[list[bytes]], bool], first: int = 0
+    ) -> list[bytes]:
+        await self.ctx.rest(wait_us=2_000)
+        if self.cut:
+            return []
+        unpacker = Unpacker(data=body)
+        unpacker.u8()
+        unpacker.u32()
+        duty, proposer, length_us = unpacker.text(), unpacker.u64(), unpacker.u64()
+        now_us = self.ctx.now_us()
+        holder, until_us = self.store.leases.get(duty, (0, 0))
+        if holder != proposer and until_us > now_us:
+            return [bytes([BEATEN])]
+        self.store.leases[duty] = (proposer, now_us + length_us)
+        return [bytes([OK])]
+
+    async def change(self, *, key: str, decide: Callable[[bytes], Result[bytes, Fault]]) -> Result[Found, Fault]:
+        await self.ctx.rest(wait_us=2_000)
+        if self.cut:
+            return self._missing()
+        found = self.store.values.get(key)
+        decided = decide(b"" if found is None else found.value)
+        if decided.is_error():
+            return Error(decided.error)
+        if key in self.store.refused:
+            return Error(Fault(kind=Kind.registerUnsure, why="cut short"))
+        self.store.turn += 1
+        made = Found(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
+        self.store.values[key] = made
+        self.store.writes.append((self.ctx.now_us(), key, decided.ok))
+        await self.ctx.rest(wait_us=2_000)
+        return Ok(made)
+
+    async def read(self, *, key: str) -> Result[Found, Fault]:
+        await self.ctx.rest(wait_us=2_000)
+        return self._missing() if self.cut else Ok(self.store.values[key])
+
+    async def vector(self) -> Result[dict[str, Ballot], Fault]:
+        await self.ctx.rest(wait_us=2_000)
+        return self._missing() if self.cut else Ok({key: found.ballot for key, found in self.store.values.items()})
+
+
+class FakeCrowd:
+    def alive(self, *, role: str = "") -> list[Any]:
+        return []
+
+
+class Simulated:
+    """A backend of a service: what it is, and what it does when it is told."""
+
+    def __init__(self, *, name: str, leads: bool, at: Position) -> None:
+        self.name = name
+        self.leads = leads
+        self.term = at.term
+        self.at = at
+        self.held = 0
+        self.paused = False
+        self.standing = READY
+        self.role_told = leads
+        self.up = True
+        self.beats = True
+        self.reach = "yes"
+        self.pausable = True
+        self.promotable = True
+        self.steps_down = True
+        self.follows_us = 0
+        self.number = 0
+        self.stepped_us = 0
+        self.log: list[str] = []
+
+
+class Cluster:
+    """A service's backends, and the platform that promotes. A commit is acknowledged once a copy has it."""
+
+    def __init__(self, *, stage: Stage, names: tuple[str, ...], at: Position, confirmations: int) -> None:
+        self.stage = stage
+        self.backends = {name: Simulated(name=name, leads=name == names[0], at=at) for name in names}
+        self.confirmations = confirmations
+        self.acknowledged = at
+        self.lost: list[str] = []
+        self.calls: list[tuple[int, str, int]] = []
+        self.refuses: set[str] = set()
+        self.writing = False
+        self.hears: list[Callable[[Announcement], None]] = []
+        stage.call(call=lambda: stage.ctx.spawn(work=self._beat()))
+        stage.call(call=lambda: stage.ctx.spawn(work=self._commit()))
+
+    async def _beat(self) -> None:
+        while True:
+            for each in self.backends.values():
+                self.say(backend=each)
+            await asyncio.sleep(BEAT_US / 1_000_000)
+
+    def say(self, *, backend: Simulated) -> None:
+        if backend.up and backend.beats:
+            backend.number += 1
+            word = announcement(name=backend.name, state=backend.standing, leads=backend.leads, number=backend.number)
+            for hear in self.hears:
+                hear(word)
+
+    async def _commit(self) -> None:
+        while True:
+            await asyncio.sleep(COMMIT_US / 1_000_000)
+            if not self.writing:
+                continue
+            for primary in [each for each in self.backends.values() if each.leads and each.up]:
+                made = Position(primary.term, primary.at.number + 1)
+                primary.at = made
+                took = [
+                    copy
+                    for copy in self.backends.values()
+                    if copy is not primary
+                    and copy.up
+                    and not copy.leads
+                    and not copy.paused
+                    and copy.held <= made.term
+                ]
+                for copy in took:
+                    copy.at = max(copy.at, made)
+                if len(took) >= self.confirmations:
+                    self.acknowledged = max(self.acknowledged, made)
+
+    def _state(self, backend: Simulated) -> Result[BackendState, Fault]:
+        return Ok(BackendState(leads=backend.leads, term=backend.term, received=backend.at, term_held=backend.held))
+
+    async def _told(self, *, name: str, text: str, wait_us: int) -> Simulated | Fault:
+        backend = self.backends[name]
+        if not backend.up or backend.reach == "no":
+            await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
+            details = {"refused": int(not backend.up and backend.reach == "yes")}
+            return Fault(kind=Kind.wireUnsent, why="not reached", details=details)
+        if backend.reach == "silent":
+            await asyncio.sleep(wait_us / 1_000_000)
+            return Fault(kind=Kind.wireUnsure, why="silent")
+        await asyncio.sleep(0.001)
+        if text != "state":
+            backend.log.append(text)
+        return backend
+
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+        found = await self._told(name=backend.name, text="state", wait_us=wait_us)
+        return Error(found) if isinstance(found, Fault) else self._state(found)
+
+    async def pause(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+        found = await self._told(name=backend.name, text=f"pause {term}", wait_us=wait_us)
+        if isinstance(found, Fault):
+            return Error(found)
+        if not found.pausable:
+            return Error(Fault(kind=Kind.wireUnsure, why="BUSY"))
+        if term > found.held and not found.leads:
+            found.held, found.paused = term, True
+        return self._state(found)
+
+    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+        found = await self._told(name=backend.name, text="resume", wait_us=wait_us)
+        if isinstance(found, Fault):
+            return Error(found)
+        found.held, found.paused = 0, False
+        return self._state(found)
+
+    async def step_down(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+        found = await self._told(name=backend.name, text=f"step down {term}", wait_us=wait_us)
+        if isinstance(found, Fault):
+            return Error(found)
+        if found.leads and found.term < term and found.steps_down:
+            for copy in [each for each in self.backends.values() if each.follows_us]:
+                self.stage.loop.call_later(copy.follows_us / 1_000_000, setattr, copy, "at", found.at)
+            found.leads, found.stepped_us = False, self.stage.now_us
+            self.say(backend=found)
+        return self._state(found)
+
+    async def promote(
+        self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
+    ) -> Result[None, Fault]:
+        await asyncio.sleep(0.01)
+        self.calls.append((self.stage.now_us, backend, fence_number))
+        found = self.backends[backend]
+        if not found.up or backend in self.refuses:
+            return Error(Fault(kind=Kind.noBackend, why="409"))
+        if found.promotable and not found.leads:
+            self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._lead, found)
+        return Ok(None)
+
+    def _lead(self, backend: Simulated) -> None:
+        if not backend.up or backend.leads:
+            return
+        if backend.at < self.acknowledged:
+            self.lost.append(f"{backend.name} has {backend.at}, acknowledged was {self.acknowledged}")
+        backend.leads, backend.paused, backend.held = True, False, 0
+        backend.term = max(each.term for each in self.backends.values()) + 1
+        backend.at = Position(backend.term, backend.at.number)
+        for other in self.backends.values():
+            # why: copies that were ahead are cut back to what the new primary has
+            if other is not backend and not other.leads:
+                other.at = min(other.at, Position(backend.at.term, backend.at.number))
+        self.say(backend=backend)
+
+
+class Hall:
+    """What stands around the duties of one guildhall."""
+
+    def __init__(self, *, context: Any, name: str, number: int) -> None:
+        stage, self.ctx = context.stage, context.stage.context(name=name, seed=number)
+        self.stage = stage
+        self.opinion = (0, 0)
+        self.asked_opinions = 0
+        self.neighbours: list[str] = []
+
+        def work() -> None:
+            self.register = FakeRegister(ctx=self.ctx, store=context.store, proposer=number)
+            self.desk = Desk(ctx=self.ctx)
+            self.view = RegisterView(ctx=self.ctx, register=self.register, lease_us=LEASE_US)
+            self.news: News[Announcement] = News(
+                ctx=self.ctx, desk=self.desk, crowd=FakeCrowd(), peers=list, quiet_us=QUIET_US
+            )
+
+        stage.call(call=work)
+
+    async def opinions(self, name: str) -> tuple[int, int]:
+        self.asked_opinions += 1
+        await asyncio.sleep(0.005)
+        return self.opinion
+
+    def add_duty(self, *, cluster: Cluster) -> None:
+        def work() -> None:
+            self.duty = PromotionDuty(
+                ctx=self.ctx,
+                register=self.register,
+                view=self.view,
+                news=self.news,
+                control=cluster,
+                promoter=cluster,
+                opinions=self.opinions,
+                lease_us=LEASE_US,
+            )
+
+        self.stage.call(call=work)
+        cluster.hears.append(lambda word: self.news.hear(beat=word))
+
+    def kill(self) -> None:
+        """The process ends: nothing of it runs on."""
+        self.register.cut = True
+        self.stage.call(call=self.ctx.close)
+
+
+def new_stage(*, context: Any) -> None:
+    context.stage = Stage(context=context)
+    context.store = Store()
+    context.halls = []
+
+
+def new_hall(*, context: Any) -> Hall:
+    hall = Hall(context=context, name=f"core-{len(context.halls) + 1}", number=len(context.halls) + 1)
+    context.halls.append(hall)
+    return hall
+
+
+def put(*, context: Any, key: str, value: bytes) -> None:
+    context.store.turn += 1
+    context.store.values[key] = Found(ballot=Ballot(context.store.turn, 99), value=value)
--- /dev/null
+++ b/steps/documentsteps.py
@@ -0,0 +1,80 @@
+"""Steps for the operator's document."""
+
+import json
+from typing import Any
+
+from adapter.operator_document import read_document
+from adaptercommon import document, raw
+from behave import given, then, when
+
+from cinderstair.config.service_plan import read_service_plan
+from cinderstair.runtime.kind import Kind
+
+
+@given("a valid document")
+def given_document(context: Any) -> None:
+    context.document = document()
+
+
+@when("the document has its {place} as {value}")
+def when_changed(context: Any, place: str, value: str) -> None:
+    at: Any = context.document
+    *steps, last = [int(step) if step.isdigit() else step for step in place.split(".")]
+    for step in steps:
+        at = at[step]
+    if value == "missing":
+        del at[last]
+    else:
+        at[last] = json.loads(value)
+
+
+def read_changed(*, context: Any) -> Any:
+    context.raw = json.dumps(context.document).encode()
+    return read_document(raw=context.raw)
+
+
+@then("it is taken")
+def then_taken(context: Any) -> None:
+    context.plan = read_changed(context=context)
+    assert context.plan.is_ok(), context.plan
+    context.plan = context.plan.ok
+    assert context.plan.document == context.raw
+    assert read_service_plan(data=context.plan.bytes()) == context.plan
+
+
+@then("its database {database} leads to {service} as {sort} within {limit_us:d} us, {age_us:d} us old at most")
+def then_route(context: Any, database: str, service: str, sort: str, limit_us: int, age_us: int) -> None:
+    found = context.plan.routes[database]
+    assert (found.service, found.consistency.name, found.time_limit_us, found.max_age_us) == (
+        service,
+        sort,
+        limit_us,
+        age_us,
+    ), found
+
+
+@then("its version is {version:d}, its service {service} has {cap:d} links and {confirmations:d} confirmations")
+def then_service(context: Any, version: int, service: str, cap: int, confirmations: int) -> None:
+    found = context.plan.services[service]
+    assert (context.plan.version, found.link_cap, found.confirmations) == (version, cap, confirmations)
+
+
+@then("it is broken")
+def then_broken(context: Any) -> None:
+    found = read_changed(context=context)
+    assert found.is_error() and found.error.kind == Kind.brokenConfiguration, found
+    assert found.error.why
+
+
+@then("every beginning of it is broken")
+def then_beginnings(context: Any) -> None:
+    whole = json.dumps(context.document).encode()
+    for end in range(len(whole)):
+        assert read_document(raw=whole[:end]).is_error(), whole[:end]
+
+
+@then("the document {text} is broken")
+def then_raw_broken(context: Any, text: str) -> None:
+    data = {"of 100000 brackets": b"[" * 100_000, "of noise": b"\xff\xfe\x00{", "of nothing": b""}.get(text)
+    found = read_document(raw=raw(text=text) if data is None else data)
+    assert found.is_error() and found.error.kind == Kind.brokenConfiguration, found
--- /dev/null
+++ b/steps/freshnesssteps.py
@@ -0,0 +1,86 @@
+"""Steps for the freshness of reads."""
+
+import random
+from typing import Any
+
+from behave import given, then, when
+from stage import (
+    position,
+    shown,
+)
+
+from cinderstair.pooler.freshness import Freshness
+from cinderstair.runtime.position import Position
+
+
+@given('samples "{text}"')
+def given_samples(context: Any, text: str) -> None:
+    context.fresh = Freshness()
+    note_all(context=context, text=text)
+
+
+def note_all(*, context: Any, text: str) -> None:
+    for each in text.split():
+        asked_ms, _, at = each.partition(":")
+        found = position(text=at)
+        assert found is not None
+        context.fresh.note(asked_us=int(asked_ms) * 1_000, position=found)
+
+
+@when('a late answer is noted: "{text}"')
+def when_late(context: Any, text: str) -> None:
+    note_all(context=context, text=text)
+
+
+@when("all past {at} is fenced off as of {as_of_ms:d} ms")
+def when_fence(context: Any, at: str, as_of_ms: int) -> None:
+    found = position(text=at)
+    assert found is not None
+    context.fresh.fence(as_of_us=as_of_ms * 1_000, position=found)
+
+
+@when("a read since {since_ms:d} ms has been guarded")
+def when_guarded(context: Any, since_ms: int) -> None:
+    context.fresh.needed(since_us=since_ms * 1_000)
+
+
+@then("a read since {since_ms:d} ms needs {at}")
+def then_needs(context: Any, since_ms: int, at: str) -> None:
+    found = context.fresh.needed(since_us=since_ms * 1_000)
+    assert shown(at=found) == at, found
+
+
+@then("over {runs:d} seeded runs no needed position ever lacks a commit that was acknowledged before")
+def then_never_lacks(context: Any, runs: int) -> None:
+    for seed in range(runs):
+        luck, fresh = random.Random(seed), Freshness()
+        acknowledged: list[tuple[int, Position]] = []
+        under_way: list[tuple[int, int, Position]] = []
+        at, answered = Position(1, 0), 0
+        for now_ms in range(0, 2_000, 7):
+            if luck.random() < 0.5:
+                at = Position(at.term, at.number + 1)
+                acknowledged.append((now_ms, at))
+            if luck.random() < 0.6:
+                # why: the position in an answer is that of any moment between the asking and the answer
+                under_way.append((now_ms + luck.randrange(1, 60), now_ms, at))
+            for entry in [entry for entry in under_way if entry[0] <= now_ms]:
+                under_way.remove(entry)
+                fresh.note(asked_us=entry[1] * 1_000, position=entry[2])
+            since_ms = now_ms - luck.randrange(0, 400)
+            found = fresh.needed(since_us=since_ms * 1_000)
+            if found is not None:
+                answered += 1
+                assert all(found >= commit for when, commit in acknowledged if when < since_ms), (seed, now_ms)
+        assert answered > 100, (seed, answered)
+
+
+@then("a minute of samples {every_ms:d} ms apart leaves at most {most:d}, none older than needed for {age_ms:d} ms")
+def then_bounded(context: Any, every_ms: int, most: int, age_ms: int) -> None:
+    fresh = Freshness()
+    for now_ms in range(0, 60_000, every_ms):
+        fresh.note(asked_us=now_ms * 1_000, position=Position(1, now_ms))
+    assert len(fresh.samples) <= most, len(fresh.samples)
+    since_us = fresh.newest_us - age_ms * 1_000
+    found = fresh.needed(since_us=since_us)
+    assert found is not None and found.number * 1_000 - since_us <= 2 * max(20, every_ms) * 1_000, found
--- /dev/null
+++ b/steps/linesteps.py
@@ -0,0 +1,56 @@
+"""Steps for lines of the platform's wire."""
+
+import random
+from typing import Any
+
+from adapter.lines import MOST_BYTES, Lines
+from adaptercommon import raw
+from behave import then
+
+
+def feed_all(*, chunks: list[bytes]) -> list[bytes]:
+    lines = Lines()
+    return [line for chunk in chunks for line in lines.feed(chunk)]
+
+
+@then('the chunks "{chunks}" make the lines "{lines}"')
+def then_lines(context: Any, chunks: str, lines: str) -> None:
+    found = feed_all(chunks=[raw(text=chunk) for chunk in chunks.split(" + ")])
+    wanted = [] if lines == "none" else [raw(text=line) for line in lines.split(" / ")]
+    assert found == wanted, found
+
+
+@then("{count:d} seeded streams make the same lines however they are split")
+def then_any_split(context: Any, count: int) -> None:
+    luck = random.Random("lines")
+    for _ in range(count):
+        stream = b"".join(luck.choice([b"a", b"\r", b"\n", b"\r\n", b" ", b"ROW x", b"\x00\xff"]) for _ in range(40))
+        whole = feed_all(chunks=[stream])
+        assert whole == stream.split(b"\r\n")[:-1]
+        assert feed_all(chunks=[stream[n : n + 1] for n in range(len(stream))]) == whole
+        cuts = sorted(luck.randrange(len(stream) + 1) for _ in range(luck.randrange(12)))
+        parts = [stream[a:b] for a, b in zip([0, *cuts], [*cuts, len(stream)], strict=True)]
+        assert feed_all(chunks=parts) == whole, parts
+
+
+def long_line(*, over: int) -> bytes:
+    return b"x" * (MOST_BYTES + over)
+
+
+@then("a line of 1 MiB is taken, split {place}")
+def then_mebibyte(context: Any, place: str) -> None:
+    stream = long_line(over=0) + b"\r\n"
+    ends = {"nowhere": [], "in its middle": [1000], "before CR": [MOST_BYTES], "before LF": [MOST_BYTES + 1]}[place]
+    parts = [stream[a:b] for a, b in zip([0, *ends], [*ends, len(stream)], strict=True)]
+    assert feed_all(chunks=parts) == [long_line(over=0)]
+
+
+@then("a line over 1 MiB is refused {when}")
+def then_too_long(context: Any, when: str) -> None:
+    end = {"before it ends": b"", "when it ends": b"\r\n", "after another": b"\r\nx\r\n"}[when]
+    # why: a CR may be the first half of an end, and must not count
+    try:
+        Lines().feed(long_line(over=2) + end)
+    except ValueError:
+        return
+    raise AssertionError("taken")
--- a/steps/platformsteps.py
+++ b/steps/platformsteps.py
@@ -3,27 +3,21 @@
 import json
 import random
 import re
-import sys
-from pathlib import Path
 from typing import Any
 
 from behave import then, when
 
 from cinderstair.config.service_plan import PLAN_KEY, plan_version
 from cinderstair.consensus.store import LOG_MOST_BYTES, Store
+from cinderstair.control_plane.status_text import status_text
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
-
-# why: the adapter lies beside the product and is no part of its package
-sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
-
-from cinderstair.control_plane.status_text import status_text  # noqa: E402
-from cinderstair.simulation.platformsim.platform_faults import switched_in  # noqa: E402
-from cinderstair.simulation.platformsim.platform_trials import run_trial  # noqa: E402
-from cinderstair.simulation.platformsim.platform_world import PlatformWorld  # noqa: E402
-from cinderstair.simulation.platformsim.repository import see_adapter  # noqa: E402
-from cinderstair.simulation.platformsim.shard_trials import MOVING, TARGET, moved, propose  # noqa: E402
-from cinderstair.simulation.simdisk import SimDisk  # noqa: E402
+from cinderstair.simulation.platformsim.platform_faults import switched_in
+from cinderstair.simulation.platformsim.platform_trials import run_trial
+from cinderstair.simulation.platformsim.platform_world import PlatformWorld
+from cinderstair.simulation.platformsim.repository import see_adapter
+from cinderstair.simulation.platformsim.shard_trials import MOVING, TARGET, moved, propose
+from cinderstair.simulation.simdisk import SimDisk
 
 
 def play(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
--- /dev/null
+++ b/steps/promotionsteps.py
@@ -0,0 +1,379 @@
+"""Steps for the duty of promotions."""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from behave import given, then, when
+from clusterstage import OUTWAIT_US, Cluster, new_hall, new_stage, put
+from expression import Error
+from stage import plan
+
+from cinderstair.config.service_plan import PLAN_KEY
+from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
+from cinderstair.membership.announcement import GONE
+from cinderstair.membership.beat import EMPTYING
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.position import Position
+
+
+@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{copies}" are copies')
+def given_service(context: Any, confirmations: int, primary: str, copies: str) -> None:
+    new_stage(context=context)
+    names = (primary, *copies.split(", "))
+    context.cluster = Cluster(stage=context.stage, names=names, at=Position(3, 100), confirmations=confirmations)
+    put(context=context, key=PLAN_KEY, value=plan(confirmations=confirmations).bytes())
+    new_hall(context=context).add_duty(cluster=context.cluster)
+
+
+@given("the duty is held and the lead settled")
+@when("the duty is held and the lead settled")
+def given_settled(context: Any) -> None:
+    wait_for(context=context, test=lambda: lead_of(context=context) is not None, within_us=5_000_000)
+    lead = lead_of(context=context)
+    assert lead is not None and lead.state == LeadState.settled
+    context.stage.advance(for_us=2_500_000)
+    context.cluster.writing = True
+    context.stage.advance(for_us=100_000)
+
+
+def lead_of(*, context: Any) -> ServiceLead | None:
+    found = context.store.values.get(service_lead_key(service="s"))
+    return None if found is None else read_service_lead(data=found.value)
+
+
+def wait_for(*, context: Any, test: Callable[[], bool], within_us: int) -> int:
+    began_us = context.stage.now_us
+    while not test():
+        assert context.stage.now_us - began_us < within_us, f"not within {within_us} us"
+        context.stage.advance(for_us=10_000)
+    return context.stage.now_us - began_us
+
+
+def states_written(*, context: Any) -> list[str]:
+    leads = [read_service_lead(data=value) for _, key, value in context.store.writes if key.startswith("service/")]
+    return [f"{lead.state.name} {lead.primary} {lead.term}" for lead in leads]
+
+
+@when('"{name}" crashes')
+@given('"{name}" crashes')
+def when_crashes(context: Any, name: str) -> None:
+    context.cluster.backends[name].up = False
+    context.crashed_us = context.stage.now_us
+
+
+@when('"{name}" comes back')
+def when_back(context: Any, name: str) -> None:
+    backend = context.cluster.backends[name]
+    backend.up = True
+    context.cluster.say(backend=backend)
+
+
+@when('"{name}" announces that it empties')
+def when_empties(context: Any, name: str) -> None:
+    backend = context.cluster.backends[name]
+    backend.standing = EMPTYING
+    context.stage.call(call=lambda: context.cluster.say(backend=backend))
+    context.began_us = context.stage.now_us
+
+
+@when("the other one takes the duty, and reads nothing any more")
+def when_reads_nothing(context: Any) -> None:
+    first, second = context.halls
+
+    async def missed() -> Any:
+        return Error(Fault(kind=Kind.registerUnreachable, why="its questions are lost"))
+
+    context.read = second.register.vector
+    second.register.vector = missed
+    context.written = len(context.store.writes)
+    first.register.cut = True
+    context.store.leases.clear()
+    wait_for(context=context, test=lambda: second.duty.lease.held, within_us=900_000)
+    context.stage.advance(for_us=50_000)
+
+
+@then("it holds the duty, takes what it knows for current, and writes nothing")
+def then_writes_nothing(context: Any) -> None:
+    second = context.halls[1]
+    assert second.duty.lease.held and second.view.current
+    assert len(context.store.writes) == context.written, context.store.writes[context.written :]
+
+
+@when("the other one reads again")
+def when_reads_again(context: Any) -> None:
+    context.halls[1].register.vector = context.read
+    context.stage.advance(for_us=1_500_000)
+
+
+@then("it takes a number for its fence, and confirms the lead")
+def then_confirms(context: Any) -> None:
+    keys = [key for _, key, _ in context.store.writes[context.written :]]
+    assert keys[:2] == ["promotion.fence", "service/s"], keys
+
+
+@when('"{name}" says goodbye, and {ends}')
+def when_says_goodbye(context: Any, name: str, ends: str) -> None:
+    backend = context.cluster.backends[name]
+    backend.standing = GONE
+    context.stage.call(call=lambda: context.cluster.say(backend=backend))
+    backend.beats = False
+    backend.up = ends != "ends"
+
+
+@when('"{name}" ends')
+def when_ends(context: Any, name: str) -> None:
+    context.cluster.backends[name].up = False
+
+
+@when('"{name}" receives again')
+def when_receives(context: Any, name: str) -> None:
+    context.cluster.backends[name].paused = False
+
+
+@when('"{name}" is suspected')
+def when_suspected(context: Any, name: str) -> None:
+    for hall in context.halls:
+        context.stage.call(call=lambda hall=hall: hall.duty.suspect(name=name))
+
+
+@given('"{name}" can\'t be paused')
+def given_not_pausable(context: Any, name: str) -> None:
+    context.cluster.backends[name].pausable = False
+
+
+@given('"{name}" is {reach} to the guildhalls')
+@when('"{name}" is {reach} to the guildhalls')
+def given_reach(context: Any, name: str, reach: str) -> None:
+    context.cluster.backends[name].reach = {"dark": "no", "silent": "silent", "reachable": "yes"}[reach]
+
+
+@when('"{name}" beats no more')
+def when_beats_no_more(context: Any, name: str) -> None:
+    context.cluster.backends[name].beats = False
+
+
+@given('"{name}" is {behind:d} behind')
+def given_behind(context: Any, name: str, behind: int) -> None:
+    backend = context.cluster.backends[name]
+    backend.paused, backend.at = True, Position(backend.at.term, backend.at.number - behind)
+
+
+@given('"{name}" is {behind:d} behind, and has all {wait_ms:d} ms after the primary stepped down')
+def given_follows(context: Any, name: str, behind: int, wait_ms: int) -> None:
+    given_behind(context=context, name=name, behind=behind)
+    context.cluster.backends[name].follows_us = wait_ms * 1_000
+
+
+@given('"{name}" does not step down')
+def given_not_stepping(context: Any, name: str) -> None:
+    context.cluster.backends[name].steps_down = False
+
+
+@given('the platform says that "{name}" is not running')
+def given_refused(context: Any, name: str) -> None:
+    context.cluster.refuses.add(name)
+
+
+@given('"{name}" never comes to lead')
+def given_never(context: Any, name: str) -> None:
+    context.cluster.backends[name].promotable = False
+
+
+@given("of {asked:d} other guildhalls {reached:d} reach it")
+def given_opinions(context: Any, asked: int, reached: int) -> None:
+    for hall in context.halls:
+        hall.opinion = (reached, asked)
+
+
+@when("{wait_ms:d} ms pass at the guildhalls")
+def when_guildhalls_pass(context: Any, wait_ms: int) -> None:
+    context.stage.advance(for_us=wait_ms * 1_000)
+
+
+@then('"{name}" leads and the lead is settled within {most_ms:d} ms')
+def then_settled_on(context: Any, name: str, most_ms: int) -> None:
+    def settled() -> bool:
+        lead = lead_of(context=context)
+        return lead is not None and lead.primary == name and lead.state == LeadState.settled
+
+    wait_for(context=context, test=settled, within_us=most_ms * 1_000)
+    assert context.cluster.backends[name].leads
+    context.stage.advance(for_us=1_200_000)
+
+
+@then('the lead went "{words}"')
+def then_lead_went(context: Any, words: str) -> None:
+    found = ", ".join(states_written(context=context))
+    assert found == words, found
+
+
+@then('the platform was asked to promote "{words}"')
+def then_promoted(context: Any, words: str) -> None:
+    found = ", ".join(f"{name} under {fence}" for _, name, fence in context.cluster.calls) or "nobody"
+    assert found == words, found
+
+
+@then("no acknowledged commit is lost")
+def then_none_lost(context: Any) -> None:
+    assert not context.cluster.lost, context.cluster.lost
+
+
+@then("commits are acknowledged again")
+def then_acknowledged(context: Any) -> None:
+    before = context.cluster.acknowledged
+    context.stage.advance(for_us=100_000)
+    assert context.cluster.acknowledged > before
+
+
+@then("nobody but one leads, and no copy is paused")
+def then_one_leads(context: Any) -> None:
+    up = [each for each in context.cluster.backends.values() if each.up]
+    assert sum(each.leads for each in up) == 1, [(each.name, each.leads) for each in up]
+    assert not any(each.paused for each in up), [each.name for each in up if each.paused]
+
+
+@then("between the first word that it does not serve and the word that another does all older views ran out")
+def then_outwaited(context: Any) -> None:
+    leads = [(at_us, read_service_lead(data=value)) for at_us, key, value in context.store.writes if "/" in key]
+    stopped_us = next(at_us for at_us, lead in leads if lead.state != LeadState.settled)
+    assert leads[-1][1].state == LeadState.settled and leads[-1][0] - stopped_us >= OUTWAIT_US, leads
+
+
+@then('"{name}" stepped down at least {least_ms:d} ms after the word that it closes')
+def then_closed_first(context: Any, name: str, least_ms: int) -> None:
+    closing_us = next(
+        at_us
+        for at_us, key, value in context.store.writes
+        if key.startswith("service/") and read_service_lead(data=value).state == LeadState.closing
+    )
+    stepped_us = context.cluster.backends[name].stepped_us
+    assert stepped_us - closing_us >= least_ms * 1_000, (stepped_us, closing_us)
+
+
+@when("the copies are paused")
+def when_paused(context: Any) -> None:
+    copies = [each for each in context.cluster.backends.values() if not each.leads]
+    wait_for(context=context, test=lambda: any(each.paused for each in copies), within_us=10_000_000)
+
+
+@then("each copy that was paused was resumed, and only after a write that confirms the lead")
+def then_resumed(context: Any) -> None:
+    writes = states_written(context=context)
+    assert len(writes) >= 2 and writes[-1].split()[1:] == writes[0].split()[1:], writes
+    for each in context.cluster.backends.values():
+        if any(entry.startswith("pause") for entry in each.log):
+            assert each.log[-1] == "resume", (each.name, each.log)
+
+
+@then('"{name}" was told "{words}"')
+def then_told(context: Any, name: str, words: str) -> None:
+    found = ", ".join(context.cluster.backends[name].log) or "nothing"
+    assert found == words, found
+
+
+@then('the lead is {state} on "{name}"')
+def then_lead_is(context: Any, state: str, name: str) -> None:
+    lead = lead_of(context=context)
+    assert lead is not None and (lead.state.name, lead.primary) == (state, name), lead
+
+
+@given("another guildhall waits for the duty")
+def given_another(context: Any) -> None:
+    new_hall(context=context).add_duty(cluster=context.cluster)
+    for backend in context.cluster.backends.values():
+        context.stage.call(call=lambda backend=backend: context.cluster.say(backend=backend))
+
+
+@when('another holder has meanwhile written that "{name}" leads in term {term:d}')
+def when_written(context: Any, name: str, term: int) -> None:
+    lead = ServiceLead(term=term, primary=name, state=LeadState.settled)
+    put(context=context, key=service_lead_key(service="s"), value=lead.bytes())
+    context.written = lead
+    for each in context.cluster.backends.values():
+        each.leads = each.name == name
+        each.term = term
+        context.stage.call(call=lambda each=each: context.cluster.say(backend=each))
+
+
+@when("the lead closes")
+def when_lead_closes(context: Any) -> None:
+    def closing() -> bool:
+        lead = lead_of(context=context)
+        return lead is not None and lead.state == LeadState.closing
+
+    wait_for(context=context, test=closing, within_us=2_000_000)
+
+
+@when("the lead moves on")
+def when_lead_moves_on(context: Any) -> None:
+    def moving() -> bool:
+        lead = lead_of(context=context)
+        return lead is not None and lead.state == LeadState.moving
+
+    wait_for(context=context, test=moving, within_us=2_000_000)
+
+
+@then("that word stands for {wait_ms:d} ms")
+def then_stands(context: Any, wait_ms: int) -> None:
+    for _ in range(wait_ms // 10):
+        assert lead_of(context=context) == context.written, lead_of(context=context)
+        context.stage.advance(for_us=10_000)
+
+
+@when("the holder of the duty dies {moment}")
+def when_holder_dies(context: Any, moment: str) -> None:
+    def moving() -> bool:
+        lead = lead_of(context=context)
+        return lead is not None and lead.state == LeadState.moving
+
+    def paused() -> bool:
+        return any(each.paused for each in context.cluster.backends.values())
+
+    def closing() -> bool:
+        lead = lead_of(context=context)
+        return lead is not None and lead.state == LeadState.closing
+
+    tests: dict[str, Callable[[], bool]] = {
+        "when the lead closes": closing,
+        "when the old primary has stepped down": lambda: any(
+            each.stepped_us for each in context.cluster.backends.values()
+        ),
+        "when the copies are paused": paused,
+        "when the lead moves": moving,
+        "when the platform has been asked": lambda: bool(context.cluster.calls),
+        "when another leads": lambda: any(each.leads and each.term > 3 for each in context.cluster.backends.values()),
+    }
+    test = tests[moment]
+
+    # why: every turn of the loop is looked at, since what happens between two writes is shorter than a step
+    async def watch() -> None:
+        for _ in range(60_000):
+            if test():
+                return
+            await asyncio.sleep(0.0005)
+        raise AssertionError(moment)
+
+    context.stage.run(work=watch())
+    holder = next(hall for hall in context.halls if hall.duty.lease.held)
+    holder.kill()
+
+
+@when("the holder of the duty is cut off from the register")
+def when_holder_cut(context: Any) -> None:
+    holder = next(hall for hall in context.halls if hall.duty.lease.held)
+    holder.register.cut = True
+
+
+@then("no two holders ever called under the same fence, and the fences rose")
+def then_fences(context: Any) -> None:
+    fences = [fence for _, _, fence in context.cluster.calls]
+    assert fences == sorted(fences) and len(set(fences)) == 2, fences
+
+
+@then("no guildhall has crashed")
+def then_no_hall_crashed(context: Any) -> None:
+    assert not context.stage.crashes, context.stage.crashes
+    for hall in context.halls:
+        assert not hall.ctx.counters.counts["internal.crashes"], hall.ctx.name
--- /dev/null
+++ b/steps/statementsteps.py
@@ -0,0 +1,50 @@
+"""Steps for statements as clients write them."""
+
+import random
+from typing import Any
+
+from adapter.statements import read_statement, text_for
+from adaptercommon import raw
+from behave import then
+
+from cinderstair.pooler.statement import Verb
+
+
+@then('the text "{text}" is a {verb}')
+def then_statement(context: Any, text: str, verb: str) -> None:
+    context.statement = read_statement(ident=b"id1", text=raw(text=text))
+    assert context.statement.verb == Verb[verb], context.statement
+
+
+@then('with "{field}" as "{value}"')
+def then_field(context: Any, field: str, value: str) -> None:
+    found = getattr(context.statement, field)
+    assert (str(found) if isinstance(found, bool) else found) == (
+        value if isinstance(found, bool) else raw(text=value.strip("'"))
+    ), found
+
+
+@then('the text "{text}" is no statement')
+def then_no_statement(context: Any, text: str) -> None:
+    try:
+        found = read_statement(ident=b"1", text=raw(text=text))
+    except ValueError:
+        return
+    raise AssertionError(found)
+
+
+@then("a backend is sent {count:d} seeded reads, writes and commits byte for byte, whatever the alias")
+def then_bytes(context: Any, count: int) -> None:
+    luck = random.Random("texts")
+    for _ in range(count):
+        data = luck.randbytes(luck.randrange(1, 60)).replace(b"\r\n", b"")
+        thing = luck.randbytes(luck.randrange(1, 9)).translate(None, b" \r\n") or b"q"
+        for text in (b"FETCH " + thing + data, b"PUT " + thing + b" q" + data, b"COMMIT"):
+            read = read_statement(ident=b"1", text=text)
+            assert text_for(statement=read, alias=luck.choice([b"", b"p7"])) == text
+
+
+@then('a backend is sent "{sent}" for "{text}" under the alias "{alias}"')
+def then_alias(context: Any, sent: str, text: str, alias: str) -> None:
+    found = text_for(statement=read_statement(ident=b"1", text=raw(text=text)), alias=raw(text=alias))
+    assert found == raw(text=sent), found
--- /dev/null
+++ b/steps/wordsteps.py
@@ -0,0 +1,54 @@
+"""Steps for positions and words of the platform's wire."""
+
+import re
+from typing import Any
+
+from adapter.client_door import encode
+from adapter.words import position_text, read_position, word
+from adaptercommon import raw
+from behave import then
+from stage import position, shown
+
+from cinderstair.pooler.reply import Reply, State, refusal
+from cinderstair.runtime.kind import Kind
+
+PROMISES = (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"WRONGHOST", b"FULL")
+STATES = {"I": State.idle, "T": State.open, "E": State.failed}
+
+
+@then("{kind} is told as {text}")
+def then_word(context: Any, kind: str, text: str) -> None:
+    found = word(kind=Kind[kind]).decode()
+    assert found == text, found
+
+
+@then('no promise is made for "{kinds}"')
+def then_no_promise(context: Any, kinds: str) -> None:
+    told = {kind: word(kind=Kind[kind]).decode() for kind in kinds.split(", ")}
+    assert not any(found.encode() in PROMISES for found in told.values()), told
+
+
+@then("every kind has a word")
+def then_all_words(context: Any) -> None:
+    assert all(re.fullmatch(rb"[A-Z]+", word(kind=kind)) for kind in Kind)
+
+
+@then('the position "{text}" reads as {found}')
+def then_position(context: Any, text: str, found: str) -> None:
+    read = read_position(text=raw(text=text))
+    assert shown(at=read) == found, read
+    if read is not None:
+        assert read_position(text=position_text(position=read)) == read
+
+
+@then("a reply of {rows:d} rows, {outcome}, in state {state} at {at} is told as")
+def then_encoded(context: Any, rows: int, outcome: str, state: str, at: str) -> None:
+    reply = Reply(rows=[b"row %d" % n for n in range(rows)], state=STATES[state], position=position(text=at))
+    kind, _, rest = outcome.partition(" ")
+    if kind == "stamp":
+        reply.stamp = rest.encode()
+    elif kind == "native":
+        reply.fault, reply.native = Kind.backendFault, rest.encode()
+    elif kind != "done":
+        reply = refusal(kind=Kind[kind], state=STATES[state], come_back_us=int(rest or 0) * 1_000)
+    assert encode(reply).decode() == "".join(line + "\r\n" for line in context.text.splitlines()), encode(reply)
