--- a/src/cinderstair/failover/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -22,7 +22,10 @@
 
 
 class BackendControl(Protocol):
-    """Errors: wireUnsent where the backend can't be reached at all, wireUnsure where it is reached and silent."""
+    """Errors: wireUnsent where the backend can't be reached at all, wireUnsure where it is reached and silent.
+
+    A fault's detail `ended` is 1 where the backend is surely not there: its port refuses, or another answers there.
+    """
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]: ...
 
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -1,6 +1,7 @@
 """Copies that have left, until nothing rests on their logs any more."""
 
 import asyncio
+from collections.abc import Awaitable, Callable
 
 from ..membership.announcement import GONE, Announcement
 from ..membership.beat import READY
@@ -12,6 +13,8 @@
 FORGET_US = 25_000_000
 PROBE_WAIT_US = 400_000
 AGAIN_US = 300_000
+# by a backend's name: how many others reach it, and how many have said whether they do
+Opinions = Callable[[str], Awaitable[tuple[int, int]]]
 
 
 class Departures:
@@ -22,10 +25,13 @@
     be promoted meanwhile is fenced as if the copy were still there: with its pause, or not at all.
     """
 
-    def __init__(self, *, ctx: Context, news: News[Announcement], control: BackendControl) -> None:
+    def __init__(
+        self, *, ctx: Context, news: News[Announcement], control: BackendControl, opinions: Opinions
+    ) -> None:
         self.ctx = ctx
         self.news = news
         self.control = control
+        self.opinions = opinions
         self.settled: set[str] = set()
         self.settling: set[str] = set()
 
@@ -58,17 +64,24 @@
             ended = [each.name for each in left if await self._has_ended(backend=each)]
             if ended and await self._is_followed(primary=primary, copies=copies):
                 self.settled.update(ended)
+                self.ctx.log.info("%s: goodbyes of %s are settled", service, ", ".join(ended))
             else:
                 await self.ctx.rest(wait_us=AGAIN_US)
         finally:
             self.settling.discard(service)
 
     async def _has_ended(self, *, backend: Announcement) -> bool:
-        """Whether a backend is surely not there; silence alone may be a cut between it and this daemon."""
+        """Whether a backend that said goodbye is not there any more, by its address or by what all of control see."""
         state = await self.control.state(backend=backend, wait_us=PROBE_WAIT_US)
         if state.is_ok():
             return False
-        return state.error.kind == Kind.wireUnsent and bool(state.error.details.get("refused"))
+        if state.error.details.get("ended"):
+            return True
+        if state.error.kind != Kind.wireUnsent:
+            return False
+        # why: silence alone may be a cut between it and this daemon, and it may go on confirming behind it
+        reached, asked = await self.opinions(backend.name)
+        return asked > 0 and not reached
 
     async def _is_followed(self, *, primary: Announcement, copies: list[Announcement]) -> bool:
         """Whether a copy that stays holds all that the primary held after the others had ended."""
--- a/src/cinderstair/failover/promotion_duty.feature
+++ b/src/cinderstair/failover/promotion_duty.feature
@@ -360,6 +360,22 @@
     And the lead went "settled a 3, moving c 4, settled c 4"
     And no acknowledged commit is lost
 
+  Scenario Outline: A copy that left in the dark is settled where <reached> of <asked> others reach it: <word>
+    Given a service with 1 confirmations, where "a" leads and "b, c" are copies
+    And of <asked> other guildhalls <reached> reach it
+    And the duty is held and the lead settled
+    When "b" says goodbye, and ends
+    And "b" is dark to the guildhalls
+    And 2000 ms pass at the guildhalls
+    Then the goodbye of "b" is settled: <word>
+
+    Examples:
+      | asked | reached | word |
+      | 2     | 0       | yes  |
+      | 1     | 0       | yes  |
+      | 2     | 1       | no   |
+      | 0     | 0       | no   |
+
   Scenario: A copy that said goodbye and confirms yet is fenced with the others
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And "c" is 40 behind
--- a/src/cinderstair/failover/promotion_duty.py
+++ b/src/cinderstair/failover/promotion_duty.py
@@ -1,7 +1,7 @@
 """The duty of keeping a primary for every service whose backends confirm commits themselves."""
 
 import asyncio
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Callable, Coroutine
 from dataclasses import replace
 from typing import Any, NamedTuple
 
@@ -20,7 +20,7 @@
 from ..runtime.ownermixin import OwnerMixin
 from ..runtime.position import Position
 from .backend_control import BackendControl, BackendState, Promoter
-from .departures import Departures
+from .departures import Departures, Opinions
 from .service_lead import PREFIX, LeadState, ServiceLead, read_service_lead, service_lead_key
 
 TICK_US = 100_000
@@ -44,7 +44,6 @@
 FORGET_US = 25_000_000
 EXPECTED_US = 1_400_000
 Ask = Coroutine[Any, Any, Result[BackendState, Fault]]
-Opinions = Callable[[str], Awaitable[tuple[int, int]]]
 
 
 class Fenced(NamedTuple):
@@ -95,7 +94,7 @@
         self.reasons: dict[str, str] = {}
         self.fenced: set[str] = set()
         self.paused: dict[str, set[str]] = {}
-        self.departures = Departures(ctx=ctx, news=news, control=control)
+        self.departures = Departures(ctx=ctx, news=news, control=control, opinions=opinions)
         # why: a new holder confirms every lead, and all at once they would hold up every view
         self.confirming = 0
         self.resuming: set[str] = set()
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -31,7 +31,7 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 end = await opened
         except (TimeoutError, OSError) as error:
-            details = {"refused": int(isinstance(error, ConnectionRefusedError))}
+            details = {"ended": int(isinstance(error, ConnectionRefusedError))}
             return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: {type(error).__name__}", details=details))
         made = protocol()
         end.attach(protocol=made)
--- a/steps/backendlinksteps.py
+++ b/steps/backendlinksteps.py
@@ -149,6 +149,12 @@
     context.stage.advance(for_us=1_000)
 
 
+@then("the one that was meant has surely ended: {words}")
+def then_ended(context: Any, words: str) -> None:
+    assert context.result.is_error()
+    assert bool(context.result.error.details.get("ended")) == (words == "yes"), context.result
+
+
 @then("its greeting was `{text}`")
 def then_greeting(context: Any, text: str) -> None:
     assert context.streams.transports[0].sent == raw(text=text), context.streams.transports[0].sent
--- a/steps/clusterstage.py
+++ b/steps/clusterstage.py
@@ -187,7 +187,7 @@
         backend = self.backends[name]
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
-            details = {"refused": int(not backend.up and backend.reach == "yes")}
+            details = {"ended": int(not backend.up and backend.reach == "yes")}
             return Fault(kind=Kind.wireUnsent, why="not reached", details=details)
         if backend.reach == "silent":
             await asyncio.sleep(wait_us / 1_000_000)
--- a/steps/promotionsteps.py
+++ b/steps/promotionsteps.py
@@ -122,6 +122,12 @@
     backend.up = ends != "ends"
 
 
+@then('the goodbye of "{name}" is settled: {words}')
+def then_goodbye_settled(context: Any, name: str, words: str) -> None:
+    left = [each.name for each in context.halls[0].duty.departures.unsettled(service="s")]
+    assert (name not in left) == (words == "yes"), left
+
+
 @when('"{name}" ends')
 def when_ends(context: Any, name: str) -> None:
     context.cluster.backends[name].up = False
