--- a/src/cinderstair/consensus/vault.py
+++ b/src/cinderstair/consensus/vault.py
@@ -24,6 +24,9 @@
 HELLO_EVERY_US = 250_000
 HELLO_WAIT_US = 500_000
 ENTER_AFTER_US = 600_000
+# a vault that is not in line greets once in so many turns
+QUIET_TURNS = 8
+WATCHING_MOST = 2
 # a standby counts as there for so long after its last greeting
 STANDBY_US = 2_000_000
 LEAVE_POLL_US = 50_000
@@ -125,8 +128,11 @@
             self.strangers[voter.name] = voter
             self.greeted_us[voter.name] = self.ctx.now_us()
         roster = b"" if self.roster is None else self.roster.bytes()
+        # why: once there is a roster only operators ask who else there is; many standbys greet all the time, and the
+        # list grows with them
+        listed = self.strangers.values() if self.roster is None or not voter.ident else ()
         packer = Packer().u8(value=0).blob(value=roster)
-        packer.many(values=self.strangers.values(), each=lambda p, v: write_voter(packer=p, voter=v))
+        packer.many(values=listed, each=lambda p, v: write_voter(packer=p, voter=v))
         return packer.bytes()
 
     async def _meet(self) -> None:
@@ -140,7 +146,7 @@
                 await self._enter()
             self._count_votes()
             # why: a stranger that holds no vote leaves the system with one loss less to bear
-            quiet = 8 if self.votes else 1
+            quiet = 1 if self.in_line() else QUIET_TURNS
             await self.ctx.rest(wait_us=HELLO_EVERY_US * quiet + self.ctx.luck.randrange(50_000))
 
     @property
@@ -148,6 +154,19 @@
         """Whether the roster that is known here has this vault."""
         return self.me is not None and self.roster is not None and self.roster.has(ident=self.me.ident)
 
+    def in_line(self) -> bool:
+        """Whether this vault is among those that have to take a place soon, should one be free."""
+        if self.votes:
+            return False
+        if self.roster is None or self.crowd is None or self.me is None:
+            return True
+        names = [voter.name for voter in self.roster.voters]
+        if self.me.name in names or len(names) < self.most:
+            return True
+        # why: where many stand by, a few that watch are enough, and all would weigh on the voters
+        others = [member.name for member in self.crowd.alive(role="vault") if member.name not in names]
+        return sum(name < self.me.name for name in others) < WATCHING_MOST
+
     async def _greet(self) -> None:
         """Greets the seeds and the voters; whoever is late is heard all the same, and holds nothing up."""
         assert self.me is not None
--- a/src/cinderstair/simulation/platformsim/platformsim.feature
+++ b/src/cinderstair/simulation/platformsim/platformsim.feature
@@ -121,3 +121,10 @@
     Then from the 200th order on no disk has grown by more than a log's length
     When the guildhall has power again
     Then within 4000 ms it votes, knows the newest order, and holds it on its disk
+
+  Scenario: Of many standbys two watch the voters closely, and others take over from them
+    When a simulated platform serves, and 5 empty guildhalls stand by
+    Then 2 of those that stand by are in line for a place
+    And a greeting is answered with the roster alone
+    When those that are in line are lost for good
+    Then 2 of those that stand by are in line for a place
--- a/steps/platformsteps.py
+++ b/steps/platformsteps.py
@@ -8,8 +8,10 @@
 from behave import then, when
 
 from cinderstair.config.service_plan import PLAN_KEY, plan_version
+from cinderstair.consensus.roster import read_roster, read_voter, write_voter
 from cinderstair.consensus.store import LOG_MOST_BYTES, Store
 from cinderstair.control_plane.status_text import status_text
+from cinderstair.runtime.desks import HELLO
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.platformsim.platform_faults import switched_in
@@ -285,3 +287,48 @@
     disk.files = dict(world.disks[context.away].files)
     held = Store(disk=disk).open().ok.held
     assert plan_version(data=held.cells[PLAN_KEY].value) == context.newest
+
+
+# -- many standbys --
+
+
+@when("a simulated platform serves, and {count:d} empty guildhalls stand by")
+def when_stand_by(context: Any, count: int) -> None:
+    see_adapter()
+    context.world = world = PlatformWorld(seed=1)
+    context.worlds.append(world)
+    world.begin()
+    for number in range(count):
+        world.add_guildhall(name=f"standby-{number}", zone=world.zones["guildhall-0"])
+    world.advance(for_ms=15_000)
+
+
+def standbys_in_line(*, world: PlatformWorld) -> list[str]:
+    vaults = {name: world.roles[name].guildhall.vault for name in world.guildhalls}
+    return [name for name, vault in vaults.items() if vault.in_line() and not vault.votes]
+
+
+@then("{count:d} of those that stand by are in line for a place")
+def then_in_line(context: Any, count: int) -> None:
+    found = standbys_in_line(world=context.world)
+    assert len(found) == count, found
+
+
+@then("a greeting is answered with the roster alone")
+def then_roster_alone(context: Any) -> None:
+    world = context.world
+    asking, asked = (world.roles[name].guildhall.vault for name in ("standby-0", "guildhall-0"))
+    packer = Packer()
+    write_voter(packer=packer, voter=asking.me)
+    answer = Unpacker(data=world.run(work=asked.desk.answers[HELLO](Unpacker(data=packer.bytes()))))
+    answer.u8()
+    assert read_roster(data=answer.blob()) == asked.roster
+    assert answer.many(each=lambda u: read_voter(unpacker=u)) == []
+
+
+@when("those that are in line are lost for good")
+def when_in_line_lost(context: Any) -> None:
+    world = context.world
+    for name in standbys_in_line(world=world):
+        world.remove_guildhall(name=name)
+    world.advance(for_ms=15_000)
