--- a/src/cinderstair/config/__init__.py
+++ b/src/cinderstair/config/__init__.py
@@ -1,1 +1,1 @@
-"""The charter: what operators declare, checked and compiled before anything is written."""
+"""The configuration: its language, checks, compiler, the plan of services and the shard map."""
--- a/src/cinderstair/consensus/__init__.py
+++ b/src/cinderstair/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Vaults: the register on a majority of disks, its roster and its leases."""
+"""The register on a quorum of disks: ballots, rosters, leases, snapshots, failure detection of voters."""
--- a/src/cinderstair/control_plane/__init__.py
+++ b/src/cinderstair/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The guildhall: control beside a vault; it hears the backends, tells the booths, and moves leads."""
+"""The controller: takes orders and beats, relays the register to proxies, assigns ids."""
--- a/src/cinderstair/failover/__init__.py
+++ b/src/cinderstair/failover/__init__.py
@@ -1,1 +1,1 @@
-"""The steward: duties that one daemon does, under a lease."""
+"""Leads of databases and services, promotions and their fencing, ids of daemons, changes of the shard map."""
--- a/src/cinderstair/http_frontend/__init__.py
+++ b/src/cinderstair/http_frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The stall: the front daemon that carries sessions and their jobs."""
+"""The proxy of the product's own HTTP interface."""
--- a/src/cinderstair/maintenance/__init__.py
+++ b/src/cinderstair/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""The almanac: move windows, which labelled things empty, and when."""
+"""Move windows and dry runs of them."""
--- a/src/cinderstair/membership/__init__.py
+++ b/src/cinderstair/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The crier: who is in the market, and what the backends last said."""
+"""Membership by probes and suspicion, and news of backends pulled by vectors of versions."""
--- a/src/cinderstair/pooler/__init__.py
+++ b/src/cinderstair/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""The booth: the lean front daemon whose sessions are connections."""
+"""The proxy of the platform's clients: sessions, links, routing, freshness of reads."""
--- a/src/cinderstair/runtime/__init__.py
+++ b/src/cinderstair/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The pitch: what every trader in the market stands on. Context, error kinds, records, net and disk."""
+"""What every daemon stands on: context, records and their transport, settings, errors, counters, traces."""
--- a/src/cinderstair/simulation/__init__.py
+++ b/src/cinderstair/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The fairground: the tests' world. Stand-in backends, platform and callers; a simulator; a fleet runner."""
+"""Simulators, stand-ins for outside systems, checkers, the explorer, the capacity tool and a fleet runner."""
--- a/src/cinderstair/simulation/__main__.py
+++ b/src/cinderstair/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""The fairground's own programs: stand-ins as processes, and a whole fleet on loopback from one command."""
+"""The simulation's own programs: stand-ins as processes, and a whole fleet on loopback from one command."""
 
 import argparse
 import asyncio
