--- a/environment.py
+++ b/features/environment.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 # why: the adapter lies beside the product and is no part of its package
-sys.path.append(str(Path(__file__).resolve().parent / "platform"))
+sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
--- a/steps/adaptercommon.py
+++ b/features/steps/adaptercommon.py
@@ -11,7 +11,7 @@
 from cinderstair.runtime.fault import Fault
 from cinderstair.runtime.kind import Kind
 
-REPOSITORY = Path(__file__).resolve().parent.parent
+REPOSITORY = Path(__file__).resolve().parents[2]
 
 
 def raw(*, text: str) -> bytes:
--- a/steps/almanacsteps.py
+++ b/features/steps/almanacsteps.py
@@ -16,7 +16,7 @@
 from cinderstair.maintenance.window import Window
 from cinderstair.maintenance.windowstates import WindowStates, read_window_states
 
-EXAMPLES = Path(__file__).parent.parent / "examples"
+EXAMPLES = Path(__file__).parents[2] / "examples"
 
 
 @given("a window from {starts:d} to {ends:d}")
--- a/steps/answersteps.py
+++ b/features/steps/answersteps.py
@@ -8,7 +8,7 @@
 from cinderstair.runtime.answers import ANSWERS, DENIED, UNKNOWN
 from cinderstair.runtime.kind import Kind
 
-PAGE = Path(__file__).parent.parent / "docs" / "interface.md"
+PAGE = Path(__file__).parents[2] / "docs" / "interface.md"
 INSIDE = {Kind.badSettings, Kind.diskDamaged}
 
 
--- a/steps/architecturesteps.py
+++ b/features/steps/architecturesteps.py
@@ -7,7 +7,7 @@
 
 from behave import then
 
-SOURCES = Path(__file__).resolve().parent.parent / "src" / "cinderstair"
+SOURCES = Path(__file__).resolve().parents[2] / "src" / "cinderstair"
 # may only shrink
 ALLOWED: dict[str, set[str]] = {
     "cli": {"config", "consensus", "failover", "http_frontend", "maintenance", "runtime", "simulation"},
--- a/steps/chartersteps.py
+++ b/features/steps/chartersteps.py
@@ -13,7 +13,7 @@
 from cinderstair.config.compiler import compile_program, compile_selector
 from cinderstair.config.formatter import format_program
 
-EXAMPLE = Path(__file__).parent.parent / "examples" / "configuration.json"
+EXAMPLE = Path(__file__).parents[2] / "examples" / "configuration.json"
 
 MACHINES = ({"hall": "old", "rack": "a"}, {"hall": "new", "rack": "b"}, {"rack": "c", "tier": "gold"})
 
--- a/steps/testrunsteps.py
+++ b/features/steps/testrunsteps.py
@@ -11,7 +11,7 @@
 
 from behave import given, then, when
 
-SCRIPT = Path(__file__).resolve().parent.parent / ".ci" / "tests.py"
+SCRIPT = Path(__file__).resolve().parents[2] / ".ci" / "tests.py"
 spec = importlib.util.spec_from_file_location("ci_tests", SCRIPT)
 assert spec is not None and spec.loader is not None
 tests = importlib.util.module_from_spec(spec)
