--- /dev/null
+++ b/features/steps/record_format_examples.py
@@ -0,0 +1,463 @@
+"""Examples of everything that has a type of its own and is sent between daemons or kept in the register."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from cinderstair.config.service_plan import (
+    AcceptedVersion,
+    Consistency,
+    DatabaseRoute,
+    Service,
+    ServicePlan,
+    read_service_plan,
+)
+from cinderstair.config.shard_map import ShardMap, read_shard_map
+from cinderstair.consensus.ballot import Ballot, read_ballot
+from cinderstair.consensus.cell import Cell
+from cinderstair.consensus.roster import Roster, Voter, read_roster, read_voter, write_voter
+from cinderstair.consensus.store import Held, apply_entry, cell_entry, ident_entry, roster_entry
+from cinderstair.failover.booth_places import BoothPlace, BoothPlaces, read_booth_places
+from cinderstair.failover.lead import CLOSING, MOVING, SETTLED, Lead, read_lead
+from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead
+from cinderstair.failover.shard_state import ShardPhase, ShardState, Vote, read_shard_state
+from cinderstair.failover.slots import Slots, read_slots
+from cinderstair.http_frontend.handle import UNMARKED, Handle, Tag, read_handle
+from cinderstair.http_frontend.session import Session, read_session
+from cinderstair.maintenance.windowstates import Stage as WindowStage
+from cinderstair.maintenance.windowstates import WindowStates, read_window_states
+from cinderstair.membership.announcement import GONE, Announcement, read_announcement
+from cinderstair.membership.beat import EMPTYING, READY, STARTING, Beat, read_beat
+from cinderstair.membership.member import Member, Standing, read_member
+from cinderstair.membership.pooled_sample import PooledSample, ToldSample, WantedSample
+from cinderstair.membership.relay_record import (
+    RelayAnswer,
+    RelayedBackend,
+    RelayedValue,
+    RelayQuestion,
+    read_relay_answer,
+    read_relay_question,
+)
+from cinderstair.pooler.forward_record import (
+    ForwardAnswer,
+    ForwardQuestion,
+    ForwardStep,
+    Outcome,
+    read_forward_answer,
+    read_forward_question,
+)
+from cinderstair.pooler.reply import Reply, State
+from cinderstair.pooler.statement import Statement, Verb
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.unpacker import Unpacker
+
+# a session's age is told, so its examples are written and read at one moment
+NOW_US = 50_000_000
+SESSION_TAG = Tag(4, "0badcafe")
+
+
+@dataclass(frozen=True, kw_only=True)
+class Example:
+    """A value, and how the code writes and reads it."""
+
+    value: Any
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+
+def packed(value: Any) -> bytes:
+    """What a type writes that is always part of a larger record."""
+    packer = Packer()
+    value.write(packer=packer)
+    return packer.bytes()
+
+
+def whole(*, data: bytes, read: Callable[[Unpacker], Any], version: int = 1) -> Any:
+    """Reads a part of a record that is all there is."""
+    unpacker = Unpacker(data=data, version=version)
+    found = read(unpacker)
+    unpacker.done()
+    return found
+
+
+def announcement(*, state: str, leads: bool = False) -> Announcement:
+    return Announcement(
+        name="db-1",
+        number=7,
+        service="alpha",
+        address="10.3.0.1:5432",
+        site="near",
+        state=state,
+        leads=leads,
+        room=12,
+    )
+
+
+def beat(*, state: str) -> Beat:
+    return Beat(name="db-1", incarnation=3, number=9, site="near", state=state, leads=True, term=4, position=1_234)
+
+
+def member(*, standing: Standing) -> Member:
+    return Member(
+        name="pooler-1",
+        role="stall",
+        site="near",
+        records="10.2.0.1:7200",
+        http="10.2.0.1:8080",
+        incarnation=5,
+        standing=standing,
+    )
+
+
+def roster(*, epoch: int) -> Roster:
+    voters = [Voter(ident=0x10 + n, name=f"replica-{n}", address=f"10.1.0.{n}:7100") for n in (1, 2, 3)]
+    return Roster(epoch=epoch, voters=tuple(voters))
+
+
+def plan() -> ServicePlan:
+    kinds = (Consistency.primary, Consistency.bounded, Consistency.session)
+    routes = [
+        DatabaseRoute(
+            database=f"database-{number}",
+            service="alpha" if number else "beta",
+            consistency=consistency,
+            time_limit_us=250_000 + number,
+            rank=number,
+            max_age_us=1_000_000 * number,
+        )
+        for number, consistency in enumerate(kinds)
+    ]
+    services = [
+        Service(name="alpha", link_cap=40, confirmations=1),
+        Service(name="beta", link_cap=8, confirmations=2),
+    ]
+    return ServicePlan(
+        version=9,
+        routes={route.database: route for route in routes},
+        services={service.name: service for service in services},
+        rest_limit_us=30_000_000,
+        document=b'{"version": 9}',
+        accepted=(
+            AcceptedVersion(version=8, digest=b"\x01\x02\x03\x04"),
+            AcceptedVersion(version=9, digest=b"\x05\x06\x07\x08"),
+        ),
+    )
+
+
+def lead(*, state: str) -> Lead:
+    return Lead(
+        term=6,
+        primary="db-1",
+        incarnation=2,
+        state=state,
+        inSync=("db-2", "db-3"),
+        joining=("db-4",),
+        heirs=("db-5",),
+        planned=state == CLOSING,
+    )
+
+
+def service_lead(*, state: LeadState) -> ServiceLead:
+    return ServiceLead(
+        term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, turn=8
+    )
+
+
+def shard_state(*, phase: ShardPhase) -> ShardState:
+    return ShardState(
+        phase=phase,
+        current=ShardMap(version=1, places={"orders": "alpha"}),
+        following=ShardMap(version=2, places={"orders": "beta", "reports": "beta"}, agree_percent=75),
+        ready_in_us=900_000,
+        turn=3,
+        under_way_us=2_900_000,
+        why="too few agreed",
+    )
+
+
+def window_states() -> WindowStates:
+    stages = (WindowStage.booked, WindowStage.open, WindowStage.ended)
+    return WindowStates(stages=tuple((f"window-{n}", 1_000 + n, 2_000 + n, stage) for n, stage in enumerate(stages)))
+
+
+def relay_question(*, vote: Vote) -> RelayQuestion:
+    return RelayQuestion(
+        booth="pooler-1",
+        site="near",
+        source=0x1234,
+        edition=17,
+        troubled=("db-1", "db-2"),
+        turn=3,
+        vote=vote,
+        samples=(ToldSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
+        wanted=(WantedSample(service="beta", edition=4),),
+        brief=vote == Vote.silent,
+    )
+
+
+def relay_answer() -> RelayAnswer:
+    return RelayAnswer(
+        source=0x1234,
+        edition=18,
+        age_us=150_000,
+        whole=True,
+        values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
+        backends=(RelayedBackend(announcement=announcement(state=READY, leads=True), quiet=True),),
+        guildhalls=("10.1.0.1:7100", "10.1.0.2:7100"),
+        answered_us=88,
+        samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), edition=5),),
+        ask=("alpha",),
+        site="far",
+    )
+
+
+def forward_question(*, step: ForwardStep, verb: Verb) -> ForwardQuestion:
+    return ForwardQuestion(
+        asker="pooler-2",
+        step=step,
+        life=0x55,
+        until_us=999_000,
+        channel=12,
+        backend="db-1",
+        service="alpha",
+        database="orders",
+        rank=2,
+        read_only=True,
+        at_least=Position(6, 100),
+        values={b"zone": b"UTC"},
+        statement=Statement(ident=b"q1", verb=verb, text=b"SELECT 1", name=b"n", content=b"c", writes=True),
+        shape=b"SELECT ?",
+        channels=(12, 13),
+    )
+
+
+def forward_answer(*, outcome: Outcome, state: State, fault: Kind | None) -> ForwardAnswer:
+    reply = Reply(
+        rows=[b"row-1", b"row-2"],
+        stamp=b"stamp",
+        fault=fault,
+        native=b"native words",
+        not_run=True,
+        retriable=True,
+        state=state,
+        position=None if fault is None else Position(6, 101),
+        come_back_us=5_000,
+    )
+    return ForwardAnswer(life=0x55, now_us=998_000, outcome=outcome, reply=reply, unknown=(13,))
+
+
+def session(*, marked: bool = True) -> Session:
+    return Session(
+        ident="pooler-1.00aa",
+        database="orders",
+        values={"zone": "UTC", "limit": 5},
+        prepared={"find": "SELECT ?"},
+        floor=77,
+        used_us=NOW_US - 250_000,
+        tag=SESSION_TAG if marked else UNMARKED,
+        was=Tag(3, "00c0ffee") if marked else UNMARKED,
+    )
+
+
+def first_version_session(*, marked: bool) -> Session:
+    """What the first version carries of a session: neither its age nor its former state."""
+    found = session(marked=marked)
+    found.used_us, found.was = NOW_US, UNMARKED
+    return found
+
+
+def session_example(*, value: Session, version: int) -> Example:
+    return Example(
+        value=value,
+        encode=lambda each: each.write(packer=Packer(), version=version, now_us=NOW_US).bytes(),
+        decode=lambda data: whole(data=data, read=lambda u: read_session(unpacker=u, now_us=NOW_US), version=version),
+    )
+
+
+def disk_entry_example(*, value: Held, encode: Callable[[Held], bytes]) -> Example:
+    """One entry of a replica's log, read into an otherwise empty state."""
+
+    def decode(data: bytes) -> Held:
+        held = Held()
+        assert not apply_entry(held=held, entry=data)
+        return held
+
+    return Example(value=value, encode=encode, decode=decode)
+
+
+def bytes_example(*, value: Any, read: Callable[[bytes], Any]) -> Example:
+    """A type that writes a whole record or a whole value."""
+    return Example(value=value, encode=lambda each: each.bytes(), decode=read)
+
+
+def part_example(*, value: Any, read: Callable[[Unpacker], Any]) -> Example:
+    """A type that writes a part of a record."""
+    return Example(value=value, encode=packed, decode=lambda data: whole(data=data, read=read))
+
+
+def voter_example() -> Example:
+    def encode(voter: Voter) -> bytes:
+        packer = Packer()
+        write_voter(packer=packer, voter=voter)
+        return packer.bytes()
+
+    return Example(
+        value=roster(epoch=1).voters[0],
+        encode=encode,
+        decode=lambda data: whole(data=data, read=lambda u: read_voter(unpacker=u)),
+    )
+
+
+def handle_example(*, value: Handle) -> Example:
+    return Example(
+        value=value, encode=lambda each: str(each).encode(), decode=lambda data: read_handle(text=data.decode())
+    )
+
+
+def shard_examples() -> dict[str, Example]:
+    shard_map = ShardMap(version=4, places={"orders": "alpha", "reports": "beta"}, agree_percent=60)
+    phases = {"steady": ShardPhase.steady, "proposed": ShardPhase.proposed, "closing": ShardPhase.closing}
+    found = {"shard map": part_example(value=shard_map, read=lambda u: read_shard_map(unpacker=u))}
+    for name, phase in phases.items():
+        state = shard_state(phase=phase)
+        found[f"shard state, {name}"] = bytes_example(value=state, read=lambda data: read_shard_state(data=data))
+    return found
+
+
+def lead_examples() -> dict[str, Example]:
+    found = {}
+    for name, state in {"settled": SETTLED, "closing": CLOSING, "moving": MOVING}.items():
+        value = lead(state=state)
+        found[f"database lead, {name}"] = bytes_example(value=value, read=lambda data: read_lead(data=data))
+    states = {"settled": LeadState.settled, "closing": LeadState.closing, "moving": LeadState.moving}
+    for name, number in states.items():
+        word = service_lead(state=number)
+        found[f"service lead, {name}"] = bytes_example(value=word, read=lambda data: read_service_lead(data=data))
+    return found
+
+
+def register_examples() -> dict[str, Example]:
+    """Every typed value that is kept in the register."""
+    slots = Slots(names=((0, "pooler-1"), (2, "pooler-3")))
+    places = BoothPlaces(
+        places={"pooler-1": BoothPlace(site="near", records="10.2.0.1:7200"), "pooler-2": BoothPlace(site="far")}
+    )
+    return {
+        "voter list": bytes_example(value=roster(epoch=3), read=lambda data: read_roster(data=data)),
+        "service configuration": bytes_example(value=plan(), read=lambda data: read_service_plan(data=data)),
+        "slot table": bytes_example(value=slots, read=lambda data: read_slots(data=data)),
+        "place table": bytes_example(value=places, read=lambda data: read_booth_places(data=data)),
+        "window stages": bytes_example(value=window_states(), read=lambda data: read_window_states(data=data)),
+        **lead_examples(),
+        **shard_examples(),
+    }
+
+
+def disk_examples() -> dict[str, Example]:
+    """The entries of a replica's log and slots."""
+    cell = Cell(promised=Ballot(9, 3), accepted=Ballot(8, 2), value=b"kept")
+    voters = roster(epoch=2).bytes()
+    return {
+        "disk entry, one key": disk_entry_example(
+            value=Held(cells={"plan": cell}),
+            encode=lambda held: b"".join(cell_entry(key=key, cell=each) for key, each in held.cells.items()),
+        ),
+        "disk entry, voter list": disk_entry_example(
+            value=Held(roster=voters), encode=lambda held: roster_entry(data=held.roster)
+        ),
+        "disk entry, identity": disk_entry_example(
+            value=Held(ident=0x1122334455667788), encode=lambda held: ident_entry(ident=held.ident)
+        ),
+    }
+
+
+def membership_examples() -> dict[str, Example]:
+    standings = {
+        "alive": Standing.alive,
+        "suspect": Standing.suspect,
+        "left": Standing.left,
+        "dead": Standing.dead,
+    }
+    found = {
+        f"member, {name}": part_example(value=member(standing=standing), read=lambda u: read_member(unpacker=u))
+        for name, standing in standings.items()
+    }
+    for name, state in {"ready": READY, "emptying": EMPTYING, "gone": GONE}.items():
+        word = announcement(state=state)
+        found[f"announcement, {name}"] = part_example(value=word, read=lambda u: read_announcement(unpacker=u))
+    for name, state in {"ready": READY, "emptying": EMPTYING, "starting": STARTING}.items():
+        found[f"beat, {name}"] = part_example(value=beat(state=state), read=lambda u: read_beat(unpacker=u))
+    return found
+
+
+def relay_examples() -> dict[str, Example]:
+    votes = {"silent": Vote.silent, "agrees": Vote.agrees, "disagrees": Vote.disagrees, "closed": Vote.closed}
+    found = {
+        f"relay question, {name}": part_example(
+            value=relay_question(vote=vote), read=lambda u: read_relay_question(unpacker=u)
+        )
+        for name, vote in votes.items()
+    }
+    found["relay answer"] = bytes_example(value=relay_answer(), read=lambda data: read_relay_answer(data=data))
+    return found
+
+
+def forward_examples() -> dict[str, Example]:
+    steps = {
+        "hello": (ForwardStep.hello, Verb.begin),
+        "single": (ForwardStep.single, Verb.write),
+        "begin": (ForwardStep.begin, Verb.begin_read),
+        "next": (ForwardStep.next, Verb.commit),
+        "rollback": (ForwardStep.rollback, Verb.rollback),
+        "close": (ForwardStep.close, Verb.read),
+        "position": (ForwardStep.position, Verb.execute),
+        "keep": (ForwardStep.keep, Verb.set_value),
+        "next, prepare": (ForwardStep.next, Verb.prepare),
+        "next, forget": (ForwardStep.next, Verb.forget),
+    }
+    found = {}
+    for name, (step, verb) in steps.items():
+        question = forward_question(step=step, verb=verb)
+        found[f"forward question, {name}"] = bytes_example(
+            value=question, read=lambda data: whole(data=data, read=lambda u: read_forward_question(unpacker=u))
+        )
+    answers = {
+        "answered": forward_answer(outcome=Outcome.answered, state=State.open, fault=None),
+        "not sent": forward_answer(outcome=Outcome.not_sent, state=State.idle, fault=Kind.noBackend),
+        "lost": forward_answer(outcome=Outcome.lost, state=State.failed, fault=Kind.outcomeUnknown),
+    }
+    for name, answer in answers.items():
+        found[f"forward answer, {name}"] = bytes_example(
+            value=answer, read=lambda data: read_forward_answer(data=data)
+        )
+    return found
+
+
+def session_examples() -> dict[str, Example]:
+    return {
+        "session, version 1": session_example(value=first_version_session(marked=True), version=1),
+        "session without a tag, version 1": session_example(value=first_version_session(marked=False), version=1),
+        "session, version 2": session_example(value=session(), version=2),
+        "session handle": handle_example(value=Handle("pooler-1.00aa", SESSION_TAG)),
+        "session handle without a tag": handle_example(value=Handle("pooler-1.00aa", UNMARKED)),
+    }
+
+
+def ballot_example() -> Example:
+    return part_example(value=Ballot(5, 6), read=lambda u: read_ballot(unpacker=u))
+
+
+def all_examples() -> dict[str, Example]:
+    """Every example by the name under which it is frozen."""
+    return {
+        "ballot": ballot_example(),
+        "voter": voter_example(),
+        **register_examples(),
+        **disk_examples(),
+        **membership_examples(),
+        **relay_examples(),
+        **forward_examples(),
+        **session_examples(),
+    }
--- /dev/null
+++ b/features/steps/record_format_handlers.py
@@ -0,0 +1,475 @@
+"""Real request handlers on a fixed seed, and the requests that are frozen together with their answers."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+from typing import Any
+
+from expression import Error, Ok, Result
+from record_format_examples import (
+    NOW_US,
+    announcement,
+    forward_question,
+    packed,
+    plan,
+    relay_question,
+    roster,
+    session,
+)
+from stage import FakeDialer, Stage, ToldView
+
+from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.lease import Lease
+from cinderstair.consensus.register import Register
+from cinderstair.consensus.roster import Roster, Voter, write_voter
+from cinderstair.consensus.store import Store, ident_entry
+from cinderstair.consensus.vault import Vault
+from cinderstair.control_plane.guildhall import Guildhall
+from cinderstair.failover.backend_control import BackendState
+from cinderstair.failover.shard_state import Vote
+from cinderstair.http_frontend.copies import Copies
+from cinderstair.http_frontend.filters.readyfilter import ReadyFilter
+from cinderstair.http_frontend.handover import Handover
+from cinderstair.http_frontend.keeper import Keeper
+from cinderstair.http_frontend.sessions import Sessions
+from cinderstair.membership.announcement import Announcement
+from cinderstair.membership.beat import READY
+from cinderstair.membership.crowd import Crowd
+from cinderstair.membership.member import Member
+from cinderstair.pooler.forward_desk import ForwardDesk
+from cinderstair.pooler.forward_record import ForwardStep
+from cinderstair.pooler.router import Router
+from cinderstair.pooler.statement import Verb
+from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import (
+    ACCEPT,
+    ADOPT,
+    ANNOUNCE,
+    BOOTHS,
+    COPY,
+    FORGET,
+    FORWARD,
+    GUILDHALL,
+    HANDOVER,
+    HELLO,
+    LEASE,
+    NEWS,
+    OPINION,
+    PARLEY,
+    PLACE,
+    PLACES,
+    PREPARE,
+    PROBE,
+    PROBE_FOR,
+    READ,
+    RELAY,
+    SEEK,
+    SHARDS,
+    SHARDS_ABANDON,
+    SHARDS_PLAN,
+    SHARDS_PROGRESS,
+    SUSPECT,
+    TOUCH,
+    VECTOR,
+)
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.net import RecordAnswer
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.settings import Settings
+from cinderstair.runtime.speech import wrapped
+from cinderstair.runtime.unpacker import Unpacker
+from cinderstair.simulation.simdisk import SimDisk
+
+ADDRESS = "10.1.0.1:7100"
+SEEDS = (ADDRESS, "10.1.0.2:7100", "10.1.0.3:7100")
+PROPOSER = 0x77
+SECOND_VERSION = 2
+EPOCH = 3
+LEASE_US = 1_500_000
+# leases that others granted before this replica got its vote have run out by then
+OTHER_LEASES_US = 2_100_000
+LOOK_US = 500_000
+
+
+@dataclass(frozen=True, kw_only=True)
+class Request:
+    """A record that a daemon is asked, in the version that it says, after a pause."""
+
+    name: str
+    data: bytes
+    pause_us: int = 0
+
+
+class DeskNet:
+    """Carries records to the desks that it knows, and keeps each with its answer."""
+
+    def __init__(self) -> None:
+        self.desks: dict[str, Desk] = {}
+        self.carried: list[tuple[bytes, bytes]] = []
+
+    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+        desk = self.desks.get(address)
+        if desk is None:
+            return Error(Fault(kind=Kind.wireUnsure, why="nobody is there"))
+        answer = await desk.answer(body)
+        self.carried.append((body, answer))
+        return Ok(answer)
+
+    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
+        """Desks are put in by hand."""
+
+
+class ReachableBackends:
+    """A control of backends that reaches every one of them."""
+
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+        return Ok(BackendState(leads=False, term=1, received=Position(1, 5), term_held=1))
+
+
+def settings() -> Settings:
+    return Settings(name="replica-1", site="near", records=ADDRESS, seeds=SEEDS)
+
+
+def disk_with_identity() -> SimDisk:
+    """A disk whose identity is that of the first voter."""
+    disk = SimDisk(luck=Random(1))
+    store = Store(disk=disk).open().ok
+    store.save(entries=[ident_entry(ident=roster(epoch=EPOCH).voters[0].ident)])
+    return disk
+
+
+def replica_desk(*, stage: Stage) -> Desk:
+    """A register replica that was restarted and knows no roster."""
+    stage.ctx.disk = disk_with_identity()
+    vault = Vault(ctx=stage.ctx, settings=settings(), halt=lambda why: None)
+    opened = stage.call(call=vault.open)
+    assert opened.is_ok(), opened
+    return vault.desk
+
+
+def control_desk(*, stage: Stage) -> Desk:
+    """A control daemon that reaches every backend and no other daemon but itself."""
+    net = DeskNet()
+    stage.ctx.net = net
+    stage.ctx.disk = disk_with_identity()
+    backends: Any = ReachableBackends()
+    control = Guildhall(
+        ctx=stage.ctx,
+        settings=settings(),
+        control=backends,
+        promoter=backends,
+        halt=lambda why: None,
+        quiet_us=3_000_000,
+        booth_lease_us=2_000_000,
+    )
+    started = stage.run(work=control.start())
+    assert started.is_ok(), started
+    net.desks[ADDRESS] = control.vault.desk
+    return control.vault.desk
+
+
+def session_desk(*, stage: Stage, draining: bool = False) -> Desk:
+    """A front end that holds one session; its view of the register is not asked for."""
+    desk = Desk(ctx=stage.ctx)
+    me = Member(name="pooler-9", role="stall", site="near", records=ADDRESS, http="", incarnation=1)
+
+    def build() -> None:
+        ctx = stage.ctx
+        crowd = Crowd(ctx=ctx, desk=desk, me=me, seeds=())
+        sessions = Sessions(ctx=ctx, idleTransactionUs=10_000_000, idleSessionUs=86_400_000_000)
+        no_view: Any = None
+        ready = ReadyFilter(ctx=ctx, view=no_view, crowd=crowd)
+        ready.draining = draining
+        copies = Copies(ctx=ctx, desk=desk, sessions=sessions, ready=ready)
+        keeper = Keeper(ctx=ctx, crowd=crowd, sessions=sessions)
+        Handover(ctx=ctx, desk=desk, crowd=crowd, sessions=sessions, ready=ready, copies=copies, keeper=keeper)
+        held = session()
+        held.ident = "pooler-9.00bb"
+        sessions.open[held.ident] = held
+
+    stage.call(call=build)
+    return desk
+
+
+def draining_desk(*, stage: Stage) -> Desk:
+    """A front end that is about to stop."""
+    return session_desk(stage=stage, draining=True)
+
+
+def forward_desk(*, stage: Stage) -> Desk:
+    """A pooler that forwards statements and holds no link."""
+    desk = Desk(ctx=stage.ctx)
+    told = ToldView(stage=stage)
+
+    def build() -> None:
+        router = Router(ctx=stage.ctx, view=told.view, dialer=FakeDialer(backends={}), distance=lambda site: 0)
+        ForwardDesk(ctx=stage.ctx, router=router, desk=desk)
+
+    stage.call(call=build)
+    return desk
+
+
+def vote_request(*, kind: int, key: str, turn: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
+    packer = Packer().u8(value=kind).u32(value=epoch).text(value=key)
+    Ballot(turn, PROPOSER).write(packer=packer)
+    return (packer if value is None else packer.blob(value=value)).bytes()
+
+
+def read_request(*, key: str) -> bytes:
+    return Packer().u8(value=READ).u32(value=EPOCH).text(value=key).bytes()
+
+
+def lease_request(*, holder: int, length_us: int) -> bytes:
+    packer = Packer().u8(value=LEASE).u32(value=EPOCH).text(value="slots")
+    return packer.u64(value=holder).u64(value=length_us).bytes()
+
+
+def vector_request(*, version: int) -> bytes:
+    packer = Packer().u8(value=VECTOR).u32(value=EPOCH)
+    if version > 1:
+        packer.many(values=[(0x99, 5)], each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
+    return packer.bytes()
+
+
+def hello_request(*, voter: Voter) -> bytes:
+    packer = Packer().u8(value=HELLO)
+    write_voter(packer=packer, voter=voter)
+    return packer.bytes()
+
+
+def adopt_request(*, epoch: int) -> bytes:
+    return Packer().u8(value=ADOPT).blob(value=roster(epoch=epoch).bytes()).bytes()
+
+
+def parley_request(*, lowest: int, highest: int) -> bytes:
+    return Packer().u8(value=PARLEY).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
+
+
+def second(data: bytes) -> bytes:
+    """A record in the second version."""
+    return wrapped(version=SECOND_VERSION, body=data)
+
+
+def replica_requests() -> list[Request]:
+    """Every record that a register replica answers, in an order in which each kind of answer comes up."""
+    asker = Voter(ident=0, name="", address="")
+    return [
+        Request(name="hello, no voters yet", data=hello_request(voter=roster(epoch=EPOCH).voters[1])),
+        Request(name="prepare, no vote", data=vote_request(kind=PREPARE, key="plan", turn=1, epoch=0)),
+        Request(name="adopt", data=adopt_request(epoch=EPOCH)),
+        Request(name="adopt an older one, version 2", data=second(adopt_request(epoch=EPOCH - 1))),
+        Request(name="prepare", data=vote_request(kind=PREPARE, key="plan", turn=5)),
+        Request(name="prepare, beaten", data=vote_request(kind=PREPARE, key="plan", turn=4)),
+        Request(name="accept", data=vote_request(kind=ACCEPT, key="plan", turn=5, value=plan().bytes())),
+        Request(name="accept, beaten", data=vote_request(kind=ACCEPT, key="plan", turn=4, value=b"late")),
+        Request(name="prepare, version 2", data=second(vote_request(kind=PREPARE, key="plan", turn=6))),
+        Request(name="prepare, older voters", data=vote_request(kind=PREPARE, key="plan", turn=9, epoch=EPOCH - 1)),
+        Request(name="prepare, newer voters", data=vote_request(kind=PREPARE, key="plan", turn=9, epoch=EPOCH + 1)),
+        Request(
+            name="accept, version 2", data=second(vote_request(kind=ACCEPT, key="service/alpha", turn=7, value=b"v"))
+        ),
+        Request(name="read", data=read_request(key="plan")),
+        Request(name="read, nothing there", data=read_request(key="slots")),
+        Request(name="read, version 2", data=second(read_request(key="service/alpha"))),
+        Request(name="vector, version 1", data=vector_request(version=1)),
+        Request(name="vector, version 2", data=second(vector_request(version=SECOND_VERSION))),
+        Request(name="lease, too early", data=lease_request(holder=8, length_us=LEASE_US)),
+        Request(name="lease", data=lease_request(holder=8, length_us=LEASE_US), pause_us=OTHER_LEASES_US),
+        Request(name="lease, held by another", data=lease_request(holder=9, length_us=LEASE_US)),
+        Request(name="lease, given back, version 2", data=second(lease_request(holder=8, length_us=0))),
+        Request(name="hello", data=hello_request(voter=roster(epoch=EPOCH).voters[2])),
+        Request(name="hello of an asker, version 2", data=second(hello_request(voter=asker))),
+        Request(name="parley", data=parley_request(lowest=1, highest=2)),
+        Request(name="parley, nothing in common", data=parley_request(lowest=8, highest=9)),
+        Request(name="read, a version that is not spoken", data=wrapped(version=9, body=read_request(key="plan"))),
+    ]
+
+
+def text_request(*, kind: int, texts: tuple[str, ...]) -> bytes:
+    packer = Packer().u8(value=kind)
+    for text in texts:
+        packer.text(value=text)
+    return packer.bytes()
+
+
+def news_request(*, known: tuple[tuple[int, int], ...]) -> bytes:
+    packer = Packer().u8(value=NEWS)
+    return packer.many(values=known, each=lambda p, e: p.u64(value=e[0]).u64(value=e[1])).bytes()
+
+
+def probe_request() -> bytes:
+    other = Member(
+        name="pooler-1", role="stall", site="near", records="10.2.0.1:7200", http="10.2.0.1:8080", incarnation=5
+    )
+    packer = Packer().u8(value=PROBE)
+    return packer.many(values=[other], each=lambda p, each: each.write(packer=p)).bytes()
+
+
+def relay_request(*, vote: Vote) -> bytes:
+    return bytes([RELAY]) + packed(relay_question(vote=vote))
+
+
+def control_requests() -> list[Request]:
+    """Every record that a control daemon answers beside a replica's."""
+    word = bytes([ANNOUNCE]) + packed(announcement(state=READY))
+    bare = {"booths": BOOTHS, "places": PLACES}
+    return [
+        Request(name="probe", data=probe_request()),
+        Request(name="probe, version 2", data=second(probe_request())),
+        Request(name="probe for", data=text_request(kind=PROBE_FOR, texts=(ADDRESS,))),
+        Request(name="news, none yet", data=news_request(known=())),
+        Request(name="announce", data=second(word)),
+        Request(name="news", data=news_request(known=((0x99, 5),))),
+        Request(name="opinion", data=second(text_request(kind=OPINION, texts=("db-1",)))),
+        Request(name="suspect", data=second(text_request(kind=SUSPECT, texts=("db-1",)))),
+        Request(name="relay, brief", data=second(relay_request(vote=Vote.silent)), pause_us=LOOK_US),
+        Request(name="relay, whole", data=second(relay_request(vote=Vote.agrees))),
+        Request(name="place", data=text_request(kind=PLACE, texts=("pooler-1", "near", "10.2.0.1:7200"))),
+        *(Request(name=name, data=second(bytes([kind]))) for name, kind in bare.items()),
+    ]
+
+
+def operator_requests() -> list[Request]:
+    """What an operator's tool asks; the answers hold words for people."""
+    unreadable = b"no document"
+    return [
+        Request(name="status", data=bytes([GUILDHALL])),
+        Request(name="shards, as they stand", data=Packer().u8(value=SHARDS).blob(value=b"").bytes()),
+        Request(name="shards, refused", data=Packer().u8(value=SHARDS).blob(value=unreadable).bytes()),
+        Request(name="shards plan, refused", data=Packer().u8(value=SHARDS_PLAN).blob(value=unreadable).bytes()),
+        Request(name="shards abandon", data=Packer().u8(value=SHARDS_ABANDON).u64(value=2).bytes()),
+        Request(name="shards progress", data=bytes([SHARDS_PROGRESS])),
+        Request(name="shards progress, version 2", data=second(bytes([SHARDS_PROGRESS]))),
+    ]
+
+
+def session_record(*, head: Packer, version: int, ident: str) -> bytes:
+    sent = session()
+    sent.ident = ident
+    return sent.write(packer=head, version=version, now_us=NOW_US).bytes()
+
+
+def copy_request(*, ident: str, number: int) -> bytes:
+    head = Packer().u8(value=COPY).u64(value=0x31).u64(value=number)
+    return second(session_record(head=head, version=SECOND_VERSION, ident=ident))
+
+
+def touch_request() -> bytes:
+    named = [("pooler-1.00aa", 4), ("pooler-1.00cc", 1)]
+    packer = Packer().u8(value=TOUCH).u64(value=0x31).u64(value=9)
+    return second(packer.many(values=named, each=lambda p, e: p.text(value=e[0]).u64(value=e[1])).bytes())
+
+
+def seek_requests(*, ident: str) -> list[Request]:
+    """The same question in both versions: the first has the handle in one text."""
+    held = session()
+    held.ident = ident
+    first_version = text_request(kind=SEEK, texts=(held.handle,))
+    packer = Packer().u8(value=SEEK).text(value=ident).u64(value=held.tag.edition).text(value=held.tag.mark)
+    return [
+        Request(name=f"seek {ident}, version 1", data=first_version),
+        Request(name=f"seek {ident}, version 2", data=second(packer.bytes())),
+    ]
+
+
+def handover_requests(*, ident: str) -> list[Request]:
+    first_version = session_record(head=Packer().u8(value=HANDOVER), version=1, ident=ident)
+    later = session_record(head=Packer().u8(value=HANDOVER), version=SECOND_VERSION, ident=ident)
+    return [
+        Request(name=f"handover {ident}, version 1", data=first_version),
+        Request(name=f"handover {ident}, version 2", data=second(later)),
+    ]
+
+
+def session_requests() -> list[Request]:
+    """Every record about sessions, each answer at least once."""
+    forget = Packer().u8(value=FORGET).u64(value=0x31).text(value="pooler-1.00aa").u64(value=4).bytes()
+    return [
+        Request(name="copy", data=copy_request(ident="pooler-1.00aa", number=1)),
+        Request(name="copy, alive here", data=copy_request(ident="pooler-9.00bb", number=2)),
+        Request(name="touch", data=touch_request()),
+        *seek_requests(ident="pooler-1.00aa"),
+        *seek_requests(ident="pooler-9.00bb"),
+        *handover_requests(ident="pooler-9.00bb"),
+        Request(name="forget", data=second(forget)),
+        *seek_requests(ident="pooler-1.00dd"),
+    ]
+
+
+def draining_requests() -> list[Request]:
+    return [*handover_requests(ident="pooler-1.00aa"), Request(name="touch, leaving", data=touch_request())]
+
+
+def forward_requests() -> list[Request]:
+    steps = {"hello": ForwardStep.hello, "single, another life": ForwardStep.single}
+    return [
+        Request(name=name, data=second(bytes([FORWARD]) + forward_question(step=step, verb=Verb.read).bytes()))
+        for name, step in steps.items()
+    ]
+
+
+@dataclass(frozen=True, kw_only=True)
+class Dialogue:
+    """A handler, and what it is asked in turn. `worded`: its answers hold words for people as their second text."""
+
+    make: Callable[..., Desk]
+    requests: Callable[[], list[Request]]
+    worded: bool = False
+
+
+DIALOGUES = {
+    "register replica": Dialogue(make=replica_desk, requests=replica_requests),
+    "control daemon": Dialogue(make=control_desk, requests=control_requests),
+    "operator": Dialogue(make=control_desk, requests=operator_requests, worded=True),
+    "front end": Dialogue(make=session_desk, requests=session_requests),
+    "front end that stops": Dialogue(make=draining_desk, requests=draining_requests),
+    "pooler": Dialogue(make=forward_desk, requests=forward_requests),
+}
+
+
+def without_words(*, answer: bytes) -> bytes:
+    """An operator's answer without the words for people, which may be put otherwise."""
+    version, body = (answer[:1], answer[1:]) if answer[0] & 0x80 else (b"", answer)
+    unpacker = Unpacker(data=body)
+    kind = unpacker.text()
+    unpacker.text()
+    return version + Packer().text(value=kind).bytes() + body[unpacker.at :]
+
+
+def answers(*, stage: Stage, dialogue: Dialogue, asked: list[bytes]) -> list[bytes]:
+    """What the handler answers to these records, one after the other."""
+    desk = dialogue.make(stage=stage)
+    found = []
+    for data, request in zip(asked, dialogue.requests(), strict=True):
+        stage.advance(for_us=request.pause_us)
+        answer = stage.run(work=desk.answer(data))
+        found.append(without_words(answer=answer) if dialogue.worded else answer)
+    return found
+
+
+async def use_register(*, register: Register, lease: Lease) -> None:
+    """Everything that a client of the register sends: a write, a read, vectors, a lease, a roster."""
+    one_voter = Roster(epoch=EPOCH, voters=roster(epoch=EPOCH).voters[:1])
+    assert await register.tell(address=ADDRESS, roster=one_voter)
+    await register.ctx.rest(wait_us=OTHER_LEASES_US)
+    assert await register.find_roster()
+    assert (await register.change(key="plan", decide=lambda _: Ok(b"value"))).is_ok()
+    assert (await register.read(key="plan")).ok.value == b"value"
+    assert (await register.vector()).is_ok()
+    assert (await register.vector()).is_ok()
+    assert await lease.seek()
+    await lease.drop()
+
+
+def register_conversation(*, stage: Stage) -> list[tuple[bytes, bytes]]:
+    """All records between a client of the register and its only voter, with their answers, in their order."""
+    client = stage.context(name="client", seed=3)
+    net = DeskNet()
+    client.net = net
+    net.desks[ADDRESS] = replica_desk(stage=stage)
+    register = Register(ctx=client, seeds=(ADDRESS,))
+    lease = Lease(ctx=client, register=register, duty="slots", seekers=lambda: 1)
+    stage.run(work=use_register(register=register, lease=lease))
+    return net.carried
--- /dev/null
+++ b/features/steps/record_format_steps.py
@@ -0,0 +1,235 @@
+"""Steps that hold records and register values against those that an earlier version wrote.
+
+All of them are in `features/compatibility/data/record_format.json`, as hex under names of their own.
+"""
+
+import asyncio
+import json
+from pathlib import Path
+from typing import Any
+
+from behave import given, then, when
+from clusterstage import Cluster, new_hall, new_stage, put
+from record_format_examples import all_examples
+from record_format_handlers import DIALOGUES, answers, register_conversation
+from stage import Stage, plan
+
+from cinderstair.config.chancery import CHARTER_KEY
+from cinderstair.config.check import check_charter
+from cinderstair.config.service_plan import PLAN_KEY, read_service_plan
+from cinderstair.config.shard_map import check_shard_map
+from cinderstair.consensus.acceptor import ROSTER_KEY
+from cinderstair.control_plane import slot_keeper
+from cinderstair.failover import leadduty, promotion_duty, shard_duty, slotduty, windowduty
+from cinderstair.failover.booth_places import PLACES_KEY
+from cinderstair.failover.lead import lead_key
+from cinderstair.failover.service_lead import service_lead_key
+from cinderstair.failover.shard_state import SHARDS_KEY
+from cinderstair.failover.slots import SLOTS_KEY
+from cinderstair.maintenance.windowstates import WINDOWS_KEY
+from cinderstair.runtime.desks import KINDS, NAMES
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.position import Position
+from cinderstair.runtime.recordwire import HEAD, MAGIC, RECORDS_VERSION, read_frame
+from cinderstair.runtime.speech import denial, unwrapped, wrapped
+
+DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data" / "record_format.json"
+# a duty that nobody holds is taken within this time
+TAKEN_US = 10_000_000
+FRAME_NUMBER = 0x0102030405060708
+FRAME_BODY = b"a record"
+
+
+def frozen(*, part: str) -> Any:
+    """One part of the frozen data."""
+    return json.loads(DATA.read_text())[part]
+
+
+def register_keys() -> dict[str, str]:
+    """The keys under which values are kept, by what they hold."""
+    return {
+        "voter list": ROSTER_KEY,
+        "configuration document": CHARTER_KEY,
+        "service configuration": PLAN_KEY,
+        "slot table": SLOTS_KEY,
+        "place table": PLACES_KEY,
+        "shard state": SHARDS_KEY,
+        "window stages": WINDOWS_KEY,
+        "promotion fence": promotion_duty.FENCE_KEY,
+        "lead of the database 'orders'": lead_key(database="orders"),
+        "lead of the service 'alpha'": service_lead_key(service="alpha"),
+    }
+
+
+def lease_names() -> dict[str, str]:
+    """The names under which duties are leased, by the duty."""
+    return {
+        "shards": shard_duty.SHARD_DUTY,
+        "promotion": promotion_duty.PROMOTION_DUTY,
+        "slots of front ends": slotduty.SLOT_DUTY,
+        "slots of poolers": slot_keeper.SLOT_DUTY,
+        "windows": windowduty.WINDOW_DUTY,
+        "database leads": leadduty.LEAD_DUTY,
+    }
+
+
+def framed() -> bytes:
+    """A record as it goes over TCP."""
+    return HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(FRAME_BODY), FRAME_NUMBER) + FRAME_BODY
+
+
+def fence_after(*, context: Any, before: bytes) -> bytes:
+    """The fence that the next holder of the duty of promotions writes."""
+    new_stage(context=context)
+    cluster = Cluster(stage=context.stage, names=("db-1", "db-2"), at=Position(3, 100), confirmations=1)
+    put(context=context, key=PLAN_KEY, value=plan(confirmations=1).bytes())
+    put(context=context, key=promotion_duty.FENCE_KEY, value=before)
+    new_hall(context=context).add_duty(cluster=cluster)
+    context.stage.advance(for_us=TAKEN_US)
+    return context.store.values[promotion_duty.FENCE_KEY].value
+
+
+@given("the frozen record examples")
+def given_examples(context: Any) -> None:
+    context.frozen = frozen(part="examples")
+
+
+@then("there is one for every example that the tests make, {count:d} in all")
+def then_complete(context: Any, count: int) -> None:
+    assert context.frozen.keys() == all_examples().keys(), context.frozen.keys() ^ all_examples().keys()
+    assert len(context.frozen) == count, len(context.frozen)
+
+
+@then("each frozen example is read as the value that it was made of")
+def then_read(context: Any) -> None:
+    for name, example in all_examples().items():
+        found = example.decode(bytes.fromhex(context.frozen[name]))
+        assert found == example.value, (name, found, example.value)
+
+
+@then("each frozen example, read and written again, has the same bytes")
+def then_written_again(context: Any) -> None:
+    for name, example in all_examples().items():
+        found = example.encode(example.decode(bytes.fromhex(context.frozen[name])))
+        assert found.hex() == context.frozen[name], (name, found.hex())
+
+
+@then("each value that the tests make is written as the frozen bytes")
+def then_written(context: Any) -> None:
+    for name, example in all_examples().items():
+        found = example.encode(example.value)
+        assert found.hex() == context.frozen[name], (name, found.hex())
+
+
+@given('the frozen dialogue with a "{daemon}"')
+def given_dialogue(context: Any, daemon: str) -> None:
+    context.dialogue = DIALOGUES[daemon]
+    context.frozen = frozen(part="dialogues")[daemon]
+
+
+@then("the frozen dialogue's requests are built with the same bytes, {count:d} in all")
+def then_requests(context: Any, count: int) -> None:
+    built = [(request.name, request.data.hex()) for request in context.dialogue.requests()]
+    kept = [(each["name"], each["request"]) for each in context.frozen]
+    assert built == kept, (built, kept)
+    assert len(kept) == count, len(kept)
+
+
+@then("today's handler answers the frozen requests with the same bytes")
+def then_answers(context: Any) -> None:
+    asked = [bytes.fromhex(each["request"]) for each in context.frozen]
+    found = answers(stage=Stage(context=context), dialogue=context.dialogue, asked=asked)
+    for each, answer in zip(context.frozen, found, strict=True):
+        assert answer.hex() == each["answer"], (each["name"], answer.hex(), each["answer"])
+
+
+@when("a client of the register writes, reads, compares and leases as in the frozen conversation")
+def when_conversation(context: Any) -> None:
+    context.carried = register_conversation(stage=Stage(context=context))
+
+
+@then("the records that it sent and was sent have the frozen bytes, {count:d} in all")
+def then_conversation(context: Any, count: int) -> None:
+    kept = [(each["request"], each["answer"]) for each in frozen(part="register conversation")]
+    found = [(request.hex(), answer.hex()) for request, answer in context.carried]
+    assert found == kept, (found, kept)
+    assert len(kept) == count, len(kept)
+
+
+@then("the wire kinds have the frozen numbers and the frozen names in counters")
+def then_kinds(context: Any) -> None:
+    assert {str(number): name for number, name in NAMES.items()} == frozen(part="wire kinds"), dict(NAMES)
+
+
+@then("each version of the records has the frozen kinds")
+def then_kinds_by_version(context: Any) -> None:
+    found = {str(version): sorted(kinds) for version, kinds in KINDS.items()}
+    assert found == frozen(part="wire kinds by version"), found
+
+
+@then("the error kinds are spelled as the frozen ones, {count:d} in all")
+def then_errors(context: Any, count: int) -> None:
+    kept = frozen(part="error kinds")
+    assert len(kept) == count, len(kept)
+    assert sorted(kind.value for kind in Kind) == sorted(kept), {kind.value for kind in Kind} ^ set(kept)
+    assert all(Kind(spelling).value == spelling for spelling in kept)
+
+
+@then("the register's keys are the frozen ones")
+def then_keys(context: Any) -> None:
+    assert register_keys() == frozen(part="register keys"), register_keys()
+
+
+@then("the names of leases are the frozen ones")
+def then_leases(context: Any) -> None:
+    assert lease_names() == frozen(part="lease names"), lease_names()
+
+
+@then("the next holder of the promotion duty counts the frozen fence up to the frozen next one")
+def then_fence(context: Any) -> None:
+    kept = frozen(part="promotion fence")
+    found = fence_after(context=context, before=bytes.fromhex(kept["before"]))
+    assert found.hex() == kept["after"], found.hex()
+
+
+@then("the frozen configuration document is accepted as version {version:d}")
+def then_configuration(context: Any, version: int) -> None:
+    checked = check_charter(raw=bytes.fromhex(frozen(part="documents")["configuration"]))
+    assert checked.is_ok() and checked.ok.version == version, checked
+
+
+@then("the frozen shard document is accepted as version {version:d}")
+def then_shard_document(context: Any, version: int) -> None:
+    checked = check_shard_map(raw=bytes.fromhex(frozen(part="documents")["shards"]))
+    assert checked.is_ok() and checked.ok.version == version, checked
+
+
+@then("the frozen service configuration of before digests were kept is read as version {version:d}")
+def then_plan_without_digests(context: Any, version: int) -> None:
+    found = read_service_plan(data=bytes.fromhex(frozen(part="documents")["service configuration without digests"]))
+    assert (found.version, found.accepted, found.document) == (version, (), b'{"version": 9}'), found
+    assert len(found.routes) == 3 and len(found.services) == 2, found
+
+
+@then("the frozen frame is read from a connection, and written with the same bytes")
+def then_frame(context: Any) -> None:
+    kept = bytes.fromhex(frozen(part="frame"))
+
+    async def read() -> tuple[int, bytes]:
+        reader = asyncio.StreamReader()
+        reader.feed_data(kept)
+        return await read_frame(reader=reader)
+
+    assert Stage(context=context).run(work=read()) == (FRAME_NUMBER, FRAME_BODY)
+    assert framed() == kept, framed().hex()
+
+
+@then("the frozen marks of a version and of a denial are read and written with the same bytes")
+def then_marks(context: Any) -> None:
+    kept = frozen(part="marks")
+    speech = Stage(context=context).ctx.speech
+    assert unwrapped(data=bytes.fromhex(kept["version 2"])) == (2, FRAME_BODY)
+    assert wrapped(version=2, body=FRAME_BODY).hex() == kept["version 2"]
+    assert unwrapped(data=bytes.fromhex(kept["version 1"])) == (1, FRAME_BODY)
+    assert wrapped(version=1, body=FRAME_BODY).hex() == kept["version 1"]
+    assert denial(speech=speech).hex() == kept["denial"]
