--- /dev/null
+++ b/features/steps/frozen_data.py
@@ -0,0 +1,37 @@
+"""Recorded data that today's code must still reproduce."""
+
+import json
+from pathlib import Path
+from typing import Any
+
+DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data"
+
+
+def load(*, name: str) -> Any:
+    """The recorded JSON of that name below the data folder."""
+    return json.loads((DATA / f"{name}.json").read_text())
+
+
+def differences(*, recorded: dict[str, Any], found: dict[str, Any]) -> list[str]:
+    """One line for each key whose value was recorded differently, or stands on one side alone."""
+    keys = sorted(recorded.keys() | found.keys())
+    return [
+        f"{key}: recorded {recorded.get(key)!r}, found {found.get(key)!r}"
+        for key in keys
+        if key not in recorded or key not in found or recorded[key] != found[key]
+    ]
+
+
+def check_same(*, recorded: dict[str, Any], found: dict[str, Any]) -> None:
+    """Fails with every difference; an empty record proves nothing and fails as well."""
+    assert recorded, "nothing was recorded"
+    wrong = differences(recorded=recorded, found=found)
+    assert not wrong, "\n".join(wrong)
+
+
+def check_same_list(*, recorded: list[Any], found: list[Any]) -> None:
+    """As check_same, by place in the list."""
+    check_same(
+        recorded={f"{number:03}": value for number, value in enumerate(recorded)},
+        found={f"{number:03}": value for number, value in enumerate(found)},
+    )
--- /dev/null
+++ b/features/steps/platform_messages_steps.py
@@ -0,0 +1,462 @@
+"""Steps that compare the platform's wire, as the adapter reads and writes it, with what was recorded."""
+
+import json
+import os
+import tempfile
+from typing import Any
+
+from adapter.backend_link import BackendCommands, BackendDialer, BackendLink
+from adapter.booth_role import BoothRole
+from adapter.client_door import ClientDoor, encode
+from adapter.control_edge import ControlEdge
+from adapter.http_edge import HttpServer
+from adapter.lines import Lines
+from adapter.operator_document import read_document
+from adapter.promotion_call import PromotionCall
+from adapter.settings_file import Machine, read_machine
+from adapter.statements import read_statement, text_for
+from adapter.words import position_text, read_position, word
+from adaptercommon import MemoryStreams, connect
+from behave import then
+from clientdoorsteps import FakeBooth
+from controledgesteps import FakeGuildhall
+from expression import Error, Ok
+from frozen_data import check_same, check_same_list, load
+from stage import NoNet, Stage, announcement
+
+from cinderstair.config.service_plan import Consistency, ServicePlan
+from cinderstair.pooler.reply import Reply, State, refusal
+from cinderstair.pooler.statement import Statement, Verb
+from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.position import Position
+
+STATE_LETTERS = {"I": State.idle, "T": State.open, "E": State.failed}
+STATEMENT_KINDS = {
+    Verb.begin: "begin",
+    Verb.begin_read: "begin for reading",
+    Verb.commit: "commit",
+    Verb.rollback: "undo",
+    Verb.read: "read",
+    Verb.write: "write",
+    Verb.set_value: "set a value",
+    Verb.prepare: "name a statement",
+    Verb.execute: "run a named statement",
+    Verb.forget: "forget a named statement",
+}
+SORTS = {
+    Consistency.primary: "primary",
+    Consistency.bounded: "bounded age",
+    Consistency.session: "own writes",
+}
+ANSWER_US = 100_000
+
+
+def as_bytes(*, text: str) -> bytes:
+    """JSON holds no bytes, so each byte is recorded as the letter of its number."""
+    return text.encode("latin-1")
+
+
+def as_text(*, data: bytes) -> str:
+    """The recorded form of bytes."""
+    return data.decode("latin-1")
+
+
+# -- clients --
+
+
+def error_words() -> dict[str, str]:
+    """The word that a client is told for each error kind."""
+    return {kind.value: as_text(data=word(kind=kind)) for kind in Kind}
+
+
+@then("the frozen error words are sent to clients")
+def then_error_words(context: Any) -> None:
+    check_same(recorded=load(name="platform/error_words"), found=error_words())
+
+
+def reply_bytes(*, outcome: dict[str, Any]) -> str:
+    """The bytes of one reply to a client."""
+    state = STATE_LETTERS[outcome["state"]]
+    position = Position(*outcome["position"]) if outcome["position"] else None
+    if "kind" in outcome:
+        reply = refusal(kind=Kind(outcome["kind"]), state=state, come_back_us=outcome["come_back_us"])
+        reply.position = position
+    else:
+        rows = [as_bytes(text=row) for row in outcome["rows"]]
+        reply = Reply(rows=rows, stamp=as_bytes(text=outcome["stamp"]), state=state, position=position)
+    if outcome.get("native"):
+        reply.native = as_bytes(text=outcome["native"])
+    return as_text(data=encode(reply))
+
+
+@then("the frozen replies are written to clients byte for byte")
+def then_replies(context: Any) -> None:
+    recorded = load(name="platform/replies")
+    found = [reply_bytes(outcome=each["outcome"]) for each in recorded]
+    check_same_list(recorded=[each["bytes"] for each in recorded], found=found)
+
+
+def positions(*, texts: list[str]) -> dict[str, Any]:
+    """What each text reads as, and how that is written again."""
+    found: dict[str, Any] = {}
+    for text in texts:
+        position = read_position(text=as_bytes(text=text))
+        numbers = None if position is None else list(position)
+        found[text] = {"numbers": numbers, "written": as_text(data=position_text(position=position))}
+    return found
+
+
+@then("the frozen positions are read and written alike")
+def then_positions(context: Any) -> None:
+    recorded = load(name="platform/positions")
+    check_same(recorded=recorded, found=positions(texts=list(recorded)))
+
+
+def statement_form(*, text: str) -> dict[str, Any] | str:
+    """What a client's text means, and what a backend is sent for it."""
+    try:
+        statement = read_statement(ident=b"id7", text=as_bytes(text=text))
+    except ValueError as error:
+        return str(error)
+    return {
+        "kind": STATEMENT_KINDS[statement.verb],
+        "ident": as_text(data=statement.ident),
+        "name": as_text(data=statement.name),
+        "content": as_text(data=statement.content),
+        "changes": bool(statement.writes),
+        "to backend": as_text(data=text_for(statement=statement, alias=b"p7")),
+    }
+
+
+@then("the frozen texts of statements are read and sent on alike")
+def then_statements(context: Any) -> None:
+    recorded = load(name="platform/statements")
+    check_same(recorded=recorded, found={text: statement_form(text=text) for text in recorded})
+
+
+def split_lines(*, chunks: list[str]) -> list[str]:
+    """The lines that chunks of bytes make."""
+    lines = Lines()
+    return [as_text(data=line) for chunk in chunks for line in lines.feed(as_bytes(text=chunk))]
+
+
+@then("the frozen chunks make the recorded lines")
+def then_lines(context: Any) -> None:
+    recorded = load(name="platform/lines")
+    found = [split_lines(chunks=each["chunks"]) for each in recorded]
+    check_same_list(recorded=[each["lines"] for each in recorded], found=found)
+
+
+def conversation(*, context: Any, sends: list[str], configured: bool) -> list[dict[str, Any]]:
+    """What a client receives after each message that it sends."""
+    context.stage = Stage(context=context)
+    booth = FakeBooth(stage=context.stage)
+    if not configured:
+        booth.view.plan = None
+    counted: list[str] = []
+    connect(context=context, make=lambda: ClientDoor(booth=booth, doors=set(), count=counted.append))
+    found = []
+    for text in sends:
+        data = as_bytes(text=text)
+        context.stage.call(call=lambda data=data: context.transport.feed(data))
+        context.stage.advance(for_us=ANSWER_US if configured else 2_000_000)
+        received = as_text(data=context.transport.take())
+        found.append({"receives": received, "closed": context.transport.closing, "counted": list(counted)})
+    return found
+
+
+@then("the frozen conversations at the client's door go as recorded")
+def then_conversations(context: Any) -> None:
+    recorded = load(name="platform/client_door")
+    found = [conversation(context=context, sends=each["sends"], configured=each["configured"]) for each in recorded]
+    check_same_list(recorded=[each["answers"] for each in recorded], found=found)
+
+
+# -- backends --
+
+
+def ask_everything(*, link: BackendLink) -> None:
+    """Each question that a link can put to its backend."""
+    at = Position(3, 7)
+    link.greet(service="s1", name="srv-1")
+    link.begin(read_only=False, at_least=None)
+    link.begin(read_only=True, at_least=at)
+    for text in (b"FETCH 1", b"PUT 1 a  b", b"COMMIT"):
+        link.send(statement=read_statement(ident=b"id", text=text))
+    link.send(statement=read_statement(ident=b"id", text=b"FETCH 1"), at_least=at)
+    link.set_value(name=b"a", value=b"b c")
+    link.prepare(alias=b"p0", shape=b"q", writes=True)
+    link.prepare(alias=b"p1", shape=b"r", writes=False)
+    ran = Statement(ident=b"id", verb=Verb.execute, name=b"mine", content=b"1 x")
+    link.send(statement=ran, at_least=at, alias=b"p0")
+    link.clear()
+    link.rollback()
+    link.ask_position()
+
+
+def backend_lines(*, context: Any) -> str:
+    """The bytes that a backend is sent."""
+    context.stage = Stage(context=context)
+    connect(context=context, make=BackendLink)
+    context.stage.call(call=lambda: ask_everything(link=context.protocol))
+    return as_text(data=context.transport.take())
+
+
+@then("the frozen questions are put to a backend byte for byte")
+def then_backend_lines(context: Any) -> None:
+    found = backend_lines(context=context).split("\r\n")
+    check_same_list(recorded=load(name="platform/backend_questions"), found=found)
+
+
+def read_reply(*, context: Any, answer: str) -> dict[str, Any]:
+    """How a backend's answer to a read is understood."""
+    context.stage = Stage(context=context)
+    connect(context=context, make=BackendLink)
+    asked: list[Any] = []
+    statement = read_statement(ident=b"id", text=b"FETCH 1")
+    context.stage.call(call=lambda: asked.append(context.protocol.send(statement=statement)))
+    context.stage.call(call=lambda: context.transport.feed(as_bytes(text=answer)))
+    context.stage.advance(for_us=1_000)
+    if not asked[0].done() or asked[0].exception() is not None:
+        return {"answered": False}
+    reply: Reply = asked[0].result()
+    return {
+        "answered": True,
+        "rows": [as_text(data=row) for row in reply.rows],
+        "stamp": as_text(data=reply.stamp),
+        "kind": None if reply.fault is None else reply.fault.value,
+        "native": as_text(data=reply.native),
+        "was not run": reply.not_run,
+        "may be tried elsewhere": reply.retriable,
+        "state": next(letter for letter, state in STATE_LETTERS.items() if state == reply.state),
+        "position": None if reply.position is None else list(reply.position),
+    }
+
+
+@then("the frozen answers of a backend are understood alike")
+def then_backend_answers(context: Any) -> None:
+    recorded = load(name="platform/backend_answers")
+    check_same(recorded=recorded, found={text: read_reply(context=context, answer=text) for text in recorded})
+
+
+def command_bytes(*, context: Any) -> dict[str, str]:
+    """What a backend is sent for each command, after which nothing answers."""
+    found = {}
+    for name in ("state", "pause", "step down"):
+        stage = Stage(context=context)
+        streams = MemoryStreams(script=["READY I 3.5\\r\\n + silence"])
+        commands = BackendCommands(ctx=stage.ctx, dialer=BackendDialer(ctx=stage.ctx, streams=streams))
+        backend = announcement(name="srv-1", service="s1")
+        calls = {
+            "state": lambda of=commands, to=backend: of.state(backend=to, wait_us=300_000),
+            "pause": lambda of=commands, to=backend: of.pause(backend=to, wait_us=300_000, term=4),
+            "step down": lambda of=commands, to=backend: of.step_down(backend=to, wait_us=300_000, term=5),
+        }
+        stage.run(work=calls[name]())
+        found[name] = as_text(data=streams.transports[0].sent)
+    return found
+
+
+@then("the frozen commands are sent to a backend byte for byte")
+def then_commands(context: Any) -> None:
+    check_same(recorded=load(name="platform/backend_commands"), found=command_bytes(context=context))
+
+
+# -- HTTP at the edges --
+
+
+def control_answer(*, context: Any, exchange: dict[str, Any]) -> dict[str, Any]:
+    """The control edge's answer to one request, with a guildhall in the recorded state."""
+    stage = Stage(context=context)
+    guildhall = FakeGuildhall()
+    guildhall.in_touch = exchange.get("in_touch", True)
+    if "kind" in exchange:
+        fault = Error(Fault(kind=Kind(exchange["kind"]), why="because"))
+        guildhall.submits = guildhall.document = fault
+    elif "document" in exchange:
+        guildhall.document = Ok(as_bytes(text=exchange["document"]))
+    nearer = {"yard-b": "10.2.0.2:5001"}
+    edge = ControlEdge(guildhall=guildhall, beat_to=lambda site: nearer.get(site, ""))  # type: ignore[arg-type]
+    body = as_bytes(text=exchange.get("body", ""))
+    status, answer = stage.run(work=edge.handle(exchange["method"], exchange["target"], body))
+    return {
+        "status": status,
+        "body": as_text(data=answer),
+        "heard": [heard_form(each=each) for each in guildhall.heard],
+        "departed": guildhall.departed,
+    }
+
+
+def heard_form(*, each: Any) -> dict[str, Any]:
+    """What a beat has told."""
+    return {
+        "server": each.name,
+        "call_count": each.number,
+        "target": each.service,
+        "address": each.address,
+        "zone": each.site,
+        "standing": each.state,
+        "primary": each.leads,
+        "call_room": each.room,
+    }
+
+
+@then("the frozen requests to the control edge are answered as recorded")
+def then_control(context: Any) -> None:
+    recorded = load(name="platform/control_edge")
+    found = [control_answer(context=context, exchange=each["request"]) for each in recorded]
+    check_same_list(recorded=[each["answer"] for each in recorded], found=found)
+
+
+def plan_form(*, plan: ServicePlan) -> dict[str, Any]:
+    """What an operator's document asks for."""
+    routes = {
+        name: [each.service, SORTS[each.consistency], each.time_limit_us, each.rank, each.max_age_us]
+        for name, each in plan.routes.items()
+    }
+    services = {name: [each.link_cap, each.confirmations] for name, each in plan.services.items()}
+    return {
+        "revision": plan.version,
+        "routes": routes,
+        "services": services,
+        "rest limit": plan.rest_limit_us,
+        "bytes kept": as_text(data=plan.document),
+    }
+
+
+def document_form(*, text: str) -> dict[str, Any] | str:
+    """What a document reads as, or why it is refused."""
+    read = read_document(raw=text.encode())
+    return plan_form(plan=read.ok) if read.is_ok() else f"{read.error.kind.value}: {read.error.why}"
+
+
+@then("the frozen operator documents are read alike")
+def then_documents(context: Any) -> None:
+    recorded = load(name="platform/operator_documents")
+    check_same(recorded=recorded, found={text: document_form(text=text) for text in recorded})
+
+
+def edge_bytes(*, context: Any) -> str:
+    """The bytes of an answer at an HTTP edge."""
+    context.stage = Stage(context=context)
+
+    async def handle(method: str, target: str, body: bytes) -> tuple[int, bytes]:
+        return 409, json.dumps({"error": f"{method} {target}"}).encode()
+
+    connect(context=context, make=lambda: HttpServer(ctx=context.stage.ctx, handle=handle))
+    request = b"PUT /cinderstair/settings HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
+    context.stage.call(call=lambda: context.transport.feed(request))
+    context.stage.advance(for_us=ANSWER_US)
+    return as_text(data=context.transport.take())
+
+
+@then("the frozen bytes of an answer leave the HTTP edge")
+def then_edge_bytes(context: Any) -> None:
+    check_same_list(recorded=load(name="platform/edge_answer"), found=edge_bytes(context=context).split("\r\n"))
+
+
+class ServingStreams:
+    """Keeps what is served at each address instead of listening there."""
+
+    def __init__(self) -> None:
+        self.served: dict[str, Any] = {}
+
+    async def serve(self, *, address: str, protocol: Any) -> None:
+        self.served[address] = protocol
+
+
+class QuietNet(NoNet):
+    """Listens, and never hears anything."""
+
+    async def listen(self, *, address: str, answer: Any) -> None:
+        return None
+
+
+def probe_answers(*, context: Any, targets: list[str]) -> dict[str, str]:
+    """The bytes that the ready probe is answered by a daemon that is not ready."""
+    context.stage = Stage(context=context)
+    context.stage.ctx.net = QuietNet()
+    streams = ServingStreams()
+    machine = Machine(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
+    role = BoothRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
+    context.stage.run(work=role.start())
+    found = {}
+    for target in targets:
+        connect(context=context, make=streams.served["r:1"])
+        request = f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
+        context.stage.call(call=lambda data=request: context.transport.feed(data))
+        context.stage.advance(for_us=ANSWER_US)
+        found[target] = as_text(data=context.transport.take())
+    return found
+
+
+@then("the frozen probes of readiness are answered as recorded")
+def then_probe(context: Any) -> None:
+    recorded = load(name="platform/ready_probe")
+    check_same(recorded=recorded, found=probe_answers(context=context, targets=list(recorded)))
+
+
+def promotion(*, context: Any, status: str) -> dict[str, str]:
+    """The promotion call as sent, and how its answer is taken."""
+    stage = Stage(context=context, name="core-1")
+    script = f"HTTP/1.1 {status} X\\r\\nContent-Length: 0\\r\\n\\r\\n" if status.isdigit() else status
+    streams = MemoryStreams(script=[script])
+    call = PromotionCall(ctx=stage.ctx, streams=streams, address="10.0.0.1:80")
+    work = call.promote(service="s1", backend="srv-1", fence_number=12, holds=lambda: True)
+    result = stage.run(work=work)
+    sent = as_text(data=streams.transports[0].sent) if streams.transports else ""
+    return {"sent": sent, "result": "done" if result.is_ok() else result.error.kind.value}
+
+
+@then("the frozen promotion call is sent byte for byte")
+def then_promotion(context: Any) -> None:
+    recorded = load(name="platform/promotion_call")
+    check_same(recorded=recorded, found={each: promotion(context=context, status=each) for each in recorded})
+
+
+# -- settings --
+
+
+def machine_form(*, machine: Machine) -> dict[str, Any]:
+    """What a settings file says, by the file's own keys; times are microseconds."""
+    return {
+        "node": machine.name,
+        "zone": machine.site,
+        "ip": machine.ip,
+        "seeds": list(machine.seeds),
+        "zones": machine.regions,
+        "spare_ports first": machine.spare_port,
+        "data_folder": machine.folder,
+        "addresses.front": machine.front,
+        "addresses.ready": machine.ready,
+        "addresses.control": machine.control,
+        "provider_api.address": machine.provider,
+        "first_run": machine.first_run,
+        "survive": machine.losses,
+        "beat_every_ms": machine.beat_every_us,
+        "bounds.grace_s": machine.grace_us,
+        "bounds.catch_up_s": machine.catch_up_us,
+        "bounds.drain_ms": machine.drain_us,
+        "own records address": machine.records,
+        "records addresses of seeds": list(machine.record_seeds),
+        "distances": [machine.distance(site=site) for site in ("yard-a", "yard-b", "yard-c", "yard-z")],
+    }
+
+
+def settings_form(*, text: str) -> dict[str, Any] | str:
+    """What a platform's settings file reads as, or why it is refused."""
+    handle, path = tempfile.mkstemp(suffix=".toml")
+    try:
+        os.write(handle, text.encode())
+        read = read_machine(path=path)
+    finally:
+        os.close(handle)
+        os.unlink(path)
+    return machine_form(machine=read.ok) if read.is_ok() else read.error.why.replace(path, "FILE")
+
+
+@then("the frozen settings files of the platform are read alike")
+def then_settings(context: Any) -> None:
+    recorded = load(name="platform/settings_files")
+    check_same(recorded=recorded, found={text: settings_form(text=text) for text in recorded})
