--- a/features/compatibility/http_interface.feature
+++ b/features/compatibility/http_interface.feature
@@ -31,6 +31,13 @@
     Given the frozen system at work
     Then the frozen counter names stand at its daemons after the requests of session
 
+  Scenario: Traces keep their form
+    Given the frozen system at work
+    Then the frozen traces are written meanwhile
+
+  Scenario: Forwarded statements are counted under the same names
+    Then the frozen counters of forwarded statements are counted again
+
   Scenario: Counter names are not renamed
     Then each frozen counter name still stands in the sources
 
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -2,23 +2,30 @@
 
 import asyncio
 import json
+import random
 import re
 from pathlib import Path
 from typing import Any
 
 from behave import given, then
 from common import new_world, run
+from forwardsteps import given_holder
 from frozen_data import check_same, check_same_list, load
 from stage import Stage
 
 from cinderstair.http_frontend.denymixin import DenyMixin
+from cinderstair.pooler.forward_record import ForwardQuestion, ForwardStep
+from cinderstair.pooler.statement import Statement, Verb
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.counters import Counters
 from cinderstair.runtime.desk import Desk
+from cinderstair.runtime.desks import FORWARD
 from cinderstair.runtime.httpjob import HttpJob
 from cinderstair.runtime.httpresponse import HttpResponse
 from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.realnet import RealNet
+from cinderstair.runtime.traces import Traces
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.fleet import free_ports
 from cinderstair.simulation.simnet import SimNet
@@ -30,6 +37,7 @@
 ANSWER_WAIT_US = 8_000_000
 HANDLE = re.compile(r"[A-Za-z0-9_.-]+\.\d+-[0-9a-f]{8}")
 VARYING = re.compile(r'"(ageUs|opened|closed|open|waiting|position|received|applied)":\d+')
+SPAN_VARYING = re.compile(r'"(traceId|spanId|startTimeUnixNano|endTimeUnixNano)":"\w+"')
 NUMBER = re.compile(r"(: ?)\d+")
 
 
@@ -167,11 +175,11 @@
 
 
 def backend_bodies(*, world: World, requests: list[dict[str, Any]]) -> list[str]:
-    """Every different request that a backend or the platform is sent meanwhile, without its numbers."""
+    """Every different request that front daemons send to others meanwhile, without its numbers."""
     sent: set[str] = set()
 
     def note(*, source: str, target: str, job: HttpJob) -> None:
-        if job.path in ("/run", "/position", "/promote"):
+        if source in world.stall_names and not job.path.startswith("/v1/"):
             body = NUMBER.sub(r"\1N", job.body.decode())
             sent.add(f"{job.method} {job.path} {body}")
 
@@ -182,11 +190,30 @@
 
 @then("the frozen requests to backends are sent again meanwhile")
 def then_backend_bodies(context: Any) -> None:
-    requests = [each["request"] for each in load(name="http/session")]
+    requests = [each["request"] for name in ("session", "operators") for each in load(name=f"http/{name}")]
     found = backend_bodies(world=context.world, requests=requests)
     check_same_list(recorded=load(name="http/backend_requests"), found=found)
 
 
+# -- traces --
+
+
+def spans(*, world: World, requests: list[dict[str, Any]]) -> list[str]:
+    """The spans that a front daemon writes meanwhile, without ids, times and the session's state."""
+    lines: list[bytes] = []
+    world.contexts["stall-0"].traces = Traces(service="stall-0", luck=random.Random(1), sink=lines.append)
+    replayed(world=world, requests=requests)
+    world.advance(for_us=2_000_000)
+    return sorted({SPAN_VARYING.sub(r'"\1":"N"', line.decode().strip()) for line in lines})
+
+
+@then("the frozen traces are written meanwhile")
+def then_spans(context: Any) -> None:
+    requests = [each["request"] for each in load(name="http/session")]
+    found = spans(world=context.world, requests=requests)
+    check_same_list(recorded=load(name="http/traces"), found=found)
+
+
 # -- counters --
 
 
@@ -239,6 +266,41 @@
     check_same(recorded=recorded, found=record_counters(context=context, numbers=list(recorded)))
 
 
+def lost_question(*, context: Any) -> ForwardQuestion:
+    """A write whose link is lost before its answer."""
+    context.backends["a"].script.append("lose")
+    return ForwardQuestion(
+        asker="booth-1",
+        step=ForwardStep.single,
+        life=context.forwards.life,
+        until_us=context.holder_ctx.now_us() + 1_000_000,
+        backend="a",
+        service="s",
+        database="db",
+        statement=Statement(ident=b"id", verb=Verb.write, text=b"PUT 1 x"),
+    )
+
+
+def forward_counters(*, context: Any) -> list[str]:
+    """What a daemon counts that is asked to run statements for another one."""
+    given_holder(context)
+    ctx = context.holder_ctx
+    fetch = Statement(ident=b"id", verb=Verb.read, text=b"FETCH 1")
+    for question in (
+        ForwardQuestion(asker="booth-1", step=ForwardStep.hello),
+        ForwardQuestion(asker="booth-1", step=ForwardStep.single, life=1, backend="a", statement=fetch),
+        lost_question(context=context),
+    ):
+        body = Packer().u8(value=FORWARD).bytes() + question.bytes()
+        context.stage.run(work=context.net.desk.answer(body))
+    return [name for name in sorted(ctx.counters.snapshot()) if name.startswith("forward.")]
+
+
+@then("the frozen counters of forwarded statements are counted again")
+def then_forward_counters(context: Any) -> None:
+    check_same_list(recorded=load(name="http/forward_counters"), found=forward_counters(context=context))
+
+
 # -- bytes on a real connection --
 
 
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -373,14 +373,25 @@
         return None
 
 
-def probe_answers(*, context: Any, targets: list[str]) -> dict[str, str]:
-    """The bytes that the ready probe is answered by a daemon that is not ready."""
+class ReadyBooth:
+    """A booth that is ready and in touch."""
+
+    def __init__(self) -> None:
+        self.ready = True
+        self.view = self
+        self.alone_us = 0
+
+
+def probe_answers(*, context: Any, targets: list[str], ready: bool) -> dict[str, str]:
+    """The bytes that the ready probe is answered."""
     context.stage = Stage(context=context)
     context.stage.ctx.net = QuietNet()
     streams = ServingStreams()
     machine = Machine(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
     role = BoothRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
     context.stage.run(work=role.start())
+    if ready:
+        role.booth = ReadyBooth()  # type: ignore[assignment]
     found = {}
     for target in targets:
         connect(context=context, make=streams.served["r:1"])
@@ -394,7 +405,9 @@
 @then("the frozen probes of readiness are answered as recorded")
 def then_probe(context: Any) -> None:
     recorded = load(name="platform/ready_probe")
-    check_same(recorded=recorded, found=probe_answers(context=context, targets=list(recorded)))
+    for answer, ready in (("ready", True), ("not ready", False)):
+        targets = list(recorded[answer])
+        check_same(recorded=recorded[answer], found=probe_answers(context=context, targets=targets, ready=ready))
 
 
 def promotion(*, context: Any, status: str) -> dict[str, str]:
