--- a/features/cli/controlverb.feature
+++ b/features/cli/controller_commands.feature
@@ -1,22 +1,22 @@
-Feature: Operators' verbs that speak to a guildhall
+Feature: Operators' verbs that speak to a controller
 
   Scenario Outline: <verb> with <answer> ends with <code> and says "<words>"
-    Given a guildhall's address that answers <answer>
+    Given a controller's address that answers <answer>
     When an operator runs "<verb>"
     Then it ends with <code> and says "<words>"
 
     Examples:
       | verb            | answer                    | code | words                    |
-      | guildhall       | text "all is well"        | 0    | all is well              |
+      | controller       | text "all is well"        | 0    | all is well              |
       | shards          | text "map 3: a at s"      | 0    | map 3: a at s            |
-      | shards MAP      | text "put to the booths"  | 0    | put to the booths        |
+      | shards MAP      | text "put to the proxies"  | 0    | put to the proxies        |
       | shards MAP      | kind versionOld           | 1    | versionOld:              |
       | shards MAP      | bytes of another shape    | 1    | records address          |
       | shards MISSING  | text "never asked"        | 2    | No such file             |
       | shards plan MAP    | text "a: from s to t"      | 0 | a: from s to t           |
       | shards plan MAP    | kind brokenConfiguration   | 1 | brokenConfiguration:     |
       | shards plan MISSING | text "never asked"        | 2 | No such file             |
-      | shards begin MAP   | text "put to the booths"   | 0 | put to the booths        |
+      | shards begin MAP   | text "put to the proxies"   | 0 | put to the proxies        |
       | shards begin MAP   | kind versionTaken          | 1 | versionTaken:            |
       | shards abandon 3   | text "map 3 is given up"   | 0 | map 3 is given up        |
       | shards abandon 3   | kind versionOld            | 1 | versionOld:              |
@@ -34,6 +34,6 @@
 
     Examples:
       | verb       | address      | code | words             |
-      | guildhall  | somewhere    | 2    | is not an address |
-      | guildhall  | 127.0.0.1:1  | 1    | wireUnsure        |
+      | controller  | somewhere    | 2    | is not an address |
+      | controller  | 127.0.0.1:1  | 1    | wireUnsure        |
       | shards MAP | 127.0.0.1:1  | 3    | wireUnsure        |
--- a/features/compatibility/http_interface.feature
+++ b/features/compatibility/http_interface.feature
@@ -15,7 +15,7 @@
     Given the frozen system at work
     Then the frozen requests of bad_requests are answered as recorded
 
-  Scenario: Operators, the platform and backends' beats are answered as before
+  Scenario: Operators, the platform and backends' heartbeats are answered as before
     Given the frozen system at work
     Then the frozen requests of operators are answered as recorded
 
--- a/features/consensus/store.feature
+++ b/features/consensus/store.feature
@@ -1,4 +1,4 @@
-Feature: A vault's disk
+Feature: A register replica's disk
   Two slots written in turn, a short log between; what was answered is there after any crash.
 
   Scenario: A log torn at any byte keeps everything that was synced before
@@ -10,21 +10,21 @@
     Given stores that crash at every write while 400 large entries are saved
     Then each holds every entry that was answered
 
-  Scenario: A failed sync ends the vault, and no answer leaves
-    Given a world with a vault whose next sync fails
+  Scenario: A failed sync ends the register replica, and no answer leaves
+    Given a world with a register replica whose next sync fails
     When an operator submits a configuration
-    Then that vault has halted with the words "disk failed"
+    Then that register replica has halted with the words "disk failed"
     And the configuration is accepted by the others
 
-  Scenario: A disk of a newer format stops the vault with one line and is left as it is
+  Scenario: A disk of a newer format stops the register replica with one line and is left as it is
     Given a store whose slots have taken turns
     When each of its files in turn is marked with a newer format
     Then opening it fails each time with the words "format 2, and 1 is the newest", and changes nothing
 
-  Scenario Outline: Damage that may hide an answered entry stops the vault with a clear word
+  Scenario Outline: Damage that may hide an answered entry stops the register replica with a clear word
     Given a store whose slots have taken turns
     When <damage>
-    Then opening it fails with the words "replace this vault"
+    Then opening it fails with the words "replace this register replica"
 
     Examples:
       | damage                                  |
--- a/features/control_plane/announcer.feature
+++ b/features/control_plane/announcer.feature
@@ -29,41 +29,41 @@
     Then the announcement is acknowledged
     And 3 voters were told that srv-1 is emptying
 
-  Scenario: What no majority took is spread again by the next beat
+  Scenario: What no majority took is spread again by the next heartbeat
     Given of the voters v1 are reached
     When srv-1 announces that it empties
     Given of the voters v1, v2 are reached
     When srv-1 announces that it empties
     Then the announcement is acknowledged
 
-  Scenario: A goodbye of a backend that is known here
+  Scenario: A deregistration of a backend that is known here
     Given of the voters v1, v2, v3 are reached
     And srv-1 was heard here as ready
-    When srv-1 says goodbye
+    When srv-1 deregisters
     Then the announcement is acknowledged
     And 3 voters were told that srv-1 is gone
     And srv-1 is known here as gone of service s1
 
-  Scenario: A goodbye of a backend that another daemon knows
+  Scenario: A deregistration of a backend that another daemon knows
     Given of the voters v1, v2, v3 are reached
     And srv-1 was heard at v2 as ready
-    When srv-1 says goodbye
+    When srv-1 deregisters
     Then the announcement is acknowledged
     And srv-1 is known here as gone of service s1
 
-  Scenario: A goodbye of a backend that nobody knows any more names it alone
+  Scenario: A deregistration of a backend that nobody knows any more names it alone
     Given of the voters v1, v2, v3 are reached
-    When srv-1 says goodbye
+    When srv-1 deregisters
     Then the announcement is acknowledged
     And srv-1 is known here as gone of no service
 
-  Scenario: A goodbye that no majority takes is not acknowledged, and is sent again
+  Scenario: A deregistration that no majority takes is not acknowledged, and is sent again
     Given of the voters v1 are reached
     And srv-1 was heard here as ready
-    When srv-1 says goodbye
+    When srv-1 deregisters
     Then the announcement is not acknowledged
     Given of the voters v1, v2 are reached
-    When srv-1 says goodbye
+    When srv-1 deregisters
     Then the announcement is acknowledged
 
   Scenario: What was told by another daemon is known here
--- a/features/control_plane/slot_keeper.feature
+++ b/features/control_plane/proxy_id_assigner.feature
@@ -1,7 +1,7 @@
-Feature: Dense, stable ids for booths
+Feature: Dense, stable ids for proxies
 
-  Scenario: Whoever asks any guildhall is dealt an id, all in one write
-    Given 3 guildhalls that keep slots
+  Scenario: Whoever asks any controller is dealt an id, all in one write
+    Given 3 controllers that keep slots
     And "b1, b2" ask core-1
     And "b3" ask core-2
     When 8 s pass at the keepers
@@ -9,7 +9,7 @@
     And they were written 1 times
 
   Scenario: One that comes later gets the lowest that is free, and nobody else's changes
-    Given 2 guildhalls that keep slots
+    Given 2 controllers that keep slots
     And "b1, b2, b3" ask core-1
     When 8 s pass at the keepers
     And "b2" are silent from now on
@@ -22,7 +22,7 @@
     Then the slots are "0 b1, 1 a9, 2 b3"
 
   Scenario: One that is back within its time of grace keeps its id
-    Given 2 guildhalls that keep slots
+    Given 2 controllers that keep slots
     And "b1, b2" ask core-1
     When 8 s pass at the keepers
     And "b1" are silent from now on
@@ -33,18 +33,18 @@
     And they were written 1 times
 
   Scenario: Who takes the duty frees nobody whom it has only not heard of yet
-    Given 3 guildhalls that keep slots
+    Given 3 controllers that keep slots
     And "b1" ask core-1
     And "b2" ask core-2
     And "b3" ask core-3
     When 8 s pass at the keepers
-    And the keeper that holds the duty dies, and its booths find another after 20 s
+    And the keeper that holds the duty dies, and its proxies find another after 20 s
     And 45 s pass at the keepers
     Then the slots are "0 b1, 1 b2, 2 b3"
     And they were written 1 times
 
-  Scenario: Whoever holds a duty knows which word all other guildhalls have
-    Given 3 guildhalls that keep slots
+  Scenario: Whoever holds a duty knows which word all other controllers have
+    Given 3 controllers that keep slots
     And core-1 knows turn 4 and phase 2 of the shard map
     And core-2 knows turn 4 and phase 2 of the shard map
     And core-3 knows turn 4 and phase 1 of the shard map
@@ -53,19 +53,19 @@
     Then core-1 takes all others for told of turn 4 and phase 2: yes
     And core-1 takes all others for told of turn 5 and phase 2: no
 
-  Scenario: A guildhall that answers nobody has been told nothing
-    Given 3 guildhalls that keep slots
+  Scenario: A controller that answers nobody has been told nothing
+    Given 3 controllers that keep slots
     And core-1 knows turn 4 and phase 2 of the shard map
     And core-2 knows turn 4 and phase 2 of the shard map
     When core-3 answers nobody
     Then core-1 takes all others for told of turn 4 and phase 2: no
 
   Scenario: A keeper tells its neighbours whom it sees, and how they vote
-    Given 1 guildhalls that keep slots
-    Then a keeper that is asked tells how long ago it saw each booth
+    Given 1 controllers that keep slots
+    Then a keeper that is asked tells how long ago it saw each proxy
 
-  Scenario: Where a booth is stands in a table beside the ids, whichever guildhall it told
-    Given 2 guildhalls that keep slots
+  Scenario: Where a proxy is stands in a table beside the ids, whichever controller it told
+    Given 2 controllers that keep slots
     And "b1, b2" ask core-1
     And "b1" tells core-1 that it is in "north" at "10.0.0.1:5"
     And "b2" tells core-2 that it is in "south" at "10.0.0.2:5"
@@ -75,8 +75,8 @@
     And 8 s pass at the keepers
     Then the places are "b1 north 10.0.0.9:5, b2 south 10.0.0.2:5"
 
-  Scenario: A place is written once, and stays while its booth has an id
-    Given 2 guildhalls that keep slots
+  Scenario: A place is written once, and stays while its proxy has an id
+    Given 2 controllers that keep slots
     And "b1, b2" ask core-1
     And "b1" tells core-1 that it is in "north" at "10.0.0.1:5"
     When 20 s pass at the keepers
@@ -89,7 +89,7 @@
     Then the places are "b2 south 10.0.0.2:5"
 
   Scenario: Who told of no place, or has no id, is in no table of places
-    Given 1 guildhalls that keep slots
+    Given 1 controllers that keep slots
     And "b1" ask core-1
     And "b7" tells core-1 that it is in "north" at "10.0.0.7:5"
     When 8 s pass at the keepers
--- a/features/failover/promotion_duty.feature
+++ b/features/failover/service_failover.feature
@@ -9,7 +9,7 @@
   Scenario: Nobody is promoted while all is well
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    When 20000 ms pass at the guildhalls
+    When 20000 ms pass at the controllers
     Then the lead went "settled a 3"
     And "b" was told "nothing"
 
@@ -26,7 +26,7 @@
     And no acknowledged commit is lost
     And nobody but one leads, and no copy is paused
     And commits are acknowledged again
-    And no guildhall has crashed
+    And no controller has crashed
 
   Scenario: A primary that crashed has its place taken by the furthest copy
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
@@ -54,24 +54,24 @@
   Scenario Outline: A suspicion alone moves nothing
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And "a" is <reach> to the guildhalls
+    And "a" is <reach> to the controllers
     When "a" is suspected
-    And 2000 ms pass at the guildhalls
+    And 2000 ms pass at the controllers
     Then the lead went "settled a 3"
     And "b" was told "nothing"
 
-    Examples: it takes connections, and its beats come
+    Examples: it takes connections, and its heartbeats come
       | reach     |
       | reachable |
       | silent    |
 
-  Scenario Outline: Whether a primary is gone is judged by what most guildhalls see
+  Scenario Outline: Whether a primary is gone is judged by what most controllers see
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And of <asked> other guildhalls <reached> reach it
-    And "a" is dark to the guildhalls
+    And of <asked> other controllers <reached> reach it
+    And "a" is dark to the controllers
     When "a" is suspected
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the lead is settled on "<primary>"
     And the platform was asked to promote "<promoted>"
 
@@ -90,7 +90,7 @@
     And the duty is held and the lead settled
     When "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the platform was asked to promote "<promoted>"
     And no acknowledged commit is lost
 
@@ -103,11 +103,11 @@
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And "b" can't be paused
     And the duty is held and the lead settled
-    When "a" is dark to the guildhalls
+    When "a" is dark to the controllers
     And "a" is suspected
     And the copies are paused
-    And "a" is reachable to the guildhalls
-    And 2000 ms pass at the guildhalls
+    And "a" is reachable to the controllers
+    And 2000 ms pass at the controllers
     Then the platform was asked to promote "nobody"
     And the lead is settled on "a"
     And each copy that was paused was resumed, and only after a write that confirms the lead
@@ -118,14 +118,14 @@
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And "b" can't be paused
     And the duty is held and the lead settled
-    When "a" is dark to the guildhalls
+    When "a" is dark to the controllers
     And "a" is suspected
     And the copies are paused
-    And "c" is silent to the guildhalls
-    And "a" is reachable to the guildhalls
-    And 4000 ms pass at the guildhalls
-    And "c" is reachable to the guildhalls
-    And 4000 ms pass at the guildhalls
+    And "c" is silent to the controllers
+    And "a" is reachable to the controllers
+    And 4000 ms pass at the controllers
+    And "c" is reachable to the controllers
+    And 4000 ms pass at the controllers
     Then the lead is settled on "a"
     And nobody but one leads, and no copy is paused
 
@@ -135,11 +135,11 @@
     When "a" crashes
     And "a" is suspected
     And the lead moves on
-    And "c" is silent to the guildhalls
+    And "c" is silent to the controllers
     Then "b" leads and the lead is settled within 4000 ms
-    When 2000 ms pass at the guildhalls
-    And "c" is reachable to the guildhalls
-    And 4000 ms pass at the guildhalls
+    When 2000 ms pass at the controllers
+    And "c" is reachable to the controllers
+    And 4000 ms pass at the controllers
     Then nobody but one leads, and no copy is paused
 
   Scenario: A primary that leaves serves on while no copy is near
@@ -147,7 +147,7 @@
     And the duty is held and the lead settled
     When "b" crashes
     And "a" announces that it empties
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the lead went "settled a 3"
     And "a" was told "nothing"
     When "b" comes back
@@ -188,7 +188,7 @@
   Scenario: A copy that is silent holds up no planned move that another can serve
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And "b" is silent to the guildhalls
+    And "b" is silent to the controllers
     When "a" announces that it empties
     Then "c" leads and the lead is settled within 2500 ms
     And no acknowledged commit is lost
@@ -197,13 +197,13 @@
     Given a service with 1 confirmations, where "a" leads and "b" are copies
     And the duty is held and the lead settled
     When "b" crashes
-    And 1000 ms pass at the guildhalls
+    And 1000 ms pass at the controllers
     And "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the platform was asked to promote "nobody"
     When "a" comes back
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the lead is settled on "a"
 
   Scenario: One that is not running gives way to another that holds everything
@@ -225,7 +225,7 @@
     And the platform says that "d" is not running
     When "a" crashes
     And "a" is suspected
-    And 4000 ms pass at the guildhalls
+    And 4000 ms pass at the controllers
     Then the lead is moving on "d"
     And no acknowledged commit is lost
     When "c" comes back
@@ -255,7 +255,7 @@
   Scenario Outline: A holder that dies in the middle has its move ended by the next
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And another guildhall waits for the duty
+    And another controller waits for the duty
     When "a" crashes
     And "a" is suspected
     And the holder of the duty dies <moment>
@@ -263,7 +263,7 @@
     And no acknowledged commit is lost
     And commits are acknowledged again
     And nobody but one leads, and no copy is paused
-    And no guildhall has crashed
+    And no controller has crashed
 
     Examples:
       | moment                           |
@@ -275,14 +275,14 @@
   Scenario Outline: A holder that dies in the middle of a planned move has it ended by the next
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And another guildhall waits for the duty
+    And another controller waits for the duty
     When "a" announces that it empties
     And the holder of the duty dies <moment>
     Then "b" leads and the lead is settled within 9000 ms
     And no acknowledged commit is lost
     And commits are acknowledged again
     And nobody but one leads, and no copy is paused
-    And no guildhall has crashed
+    And no controller has crashed
 
     Examples:
       | moment                                |
@@ -294,12 +294,12 @@
   Scenario: A holder that dies with copies paused, and a primary that is well after all
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And another guildhall waits for the duty
-    When "a" is dark to the guildhalls
+    And another controller waits for the duty
+    When "a" is dark to the controllers
     And "a" is suspected
     And the holder of the duty dies when the copies are paused
-    And "a" is reachable to the guildhalls
-    And 6000 ms pass at the guildhalls
+    And "a" is reachable to the controllers
+    And 6000 ms pass at the controllers
     Then the lead is settled on "a"
     And each copy that was paused was resumed, and only after a write that confirms the lead
     And nobody but one leads, and no copy is paused
@@ -308,7 +308,7 @@
   Scenario: Two holders never call under the same fence
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    And another guildhall waits for the duty
+    And another controller waits for the duty
     When "a" crashes
     And "a" is suspected
     And the holder of the duty dies when the platform has been asked
@@ -329,7 +329,7 @@
     When the holder of the duty is cut off from the register
     And "a" crashes
     And "a" is suspected
-    And 8000 ms pass at the guildhalls
+    And 8000 ms pass at the controllers
     Then the platform was asked to promote "nobody"
     And the lead went "settled a 3"
 
@@ -337,22 +337,22 @@
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And "c" is 40 behind
     And the duty is held and the lead settled
-    When "b" says goodbye, and ends
+    When "b" deregisters, and ends
     And what was acknowledged is noted
     And "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the guildhalls
+    And 3000 ms pass at the controllers
     Then the platform was asked to promote "nobody"
     When "a" comes back
     Then "a" leads and the lead is settled within 2000 ms
     And no acknowledged commit is lost
-    And no guildhall has crashed
+    And no controller has crashed
 
   Scenario: A copy that left holds nobody back once another one holds all that it may have confirmed
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    When "b" says goodbye, and ends
-    And 1000 ms pass at the guildhalls
+    When "b" deregisters, and ends
+    And 1000 ms pass at the controllers
     And what was acknowledged is noted
     And "a" crashes
     And "a" is suspected
@@ -362,12 +362,12 @@
 
   Scenario Outline: A copy that left in the dark is settled where <reached> of <asked> others reach it: <word>
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
-    And of <asked> other guildhalls <reached> reach it
+    And of <asked> other controllers <reached> reach it
     And the duty is held and the lead settled
-    When "b" says goodbye, and ends
-    And "b" is dark to the guildhalls
-    And 2000 ms pass at the guildhalls
-    Then the goodbye of "b" is settled: <word>
+    When "b" deregisters, and ends
+    And "b" is dark to the controllers
+    And 2000 ms pass at the controllers
+    Then the deregistration of "b" is settled: <word>
 
     Examples:
       | asked | reached | word |
@@ -376,23 +376,23 @@
       | 2     | 1       | no   |
       | 0     | 0       | no   |
 
-  Scenario: A copy that said goodbye and confirms yet is fenced with the others
+  Scenario: A copy that deregistered and confirms yet is fenced with the others
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And "c" is 40 behind
     And the duty is held and the lead settled
-    When "b" says goodbye, and serves on
-    And 1000 ms pass at the guildhalls
+    When "b" deregisters, and serves on
+    And 1000 ms pass at the controllers
     And what was acknowledged is noted
-    And "a" is dark to the guildhalls
+    And "a" is dark to the controllers
     And "a" is suspected
-    And 4000 ms pass at the guildhalls
+    And 4000 ms pass at the controllers
     Then "b" was told "pause 4"
     And no acknowledged commit is lost
 
-  Scenario: A primary that says goodbye first and serves on steps down before another one leads
+  Scenario: A primary that deregisters first and serves on steps down before another one leads
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
     And the duty is held and the lead settled
-    When "a" says goodbye, and serves on
+    When "a" deregisters, and serves on
     Then "b" leads and the lead is settled within 4000 ms
     And the lead went "settled a 3, closing a 3, moving b 4, settled b 4"
     And "a" stepped down at least 250 ms after the word that it closes
@@ -400,7 +400,7 @@
 
   Scenario: A new holder acts only on what was read since it holds the duty
     Given a service with 1 confirmations, where "a" leads and "b, c" are copies
-    And another guildhall waits for the duty
+    And another controller waits for the duty
     And the duty is held and the lead settled
     When the other one takes the duty, and reads nothing any more
     Then it holds the duty, takes what it knows for current, and writes nothing
--- a/features/http_frontend/stall.feature
+++ b/features/http_frontend/http_proxy.feature
@@ -1,7 +1,7 @@
-Feature: A stall's edge
+Feature: An HTTP proxy's edge
   Bad input gets its closed kind and its status at once, and harms nobody else.
 
-  Scenario: Every bad job gets its own answer, and the stall goes on
+  Scenario: Every bad job gets its own answer, and the HTTP proxy goes on
     Given a system at work with an open session
     Then these jobs are answered at once
       | method | path                                | body                                                  | status | kind              |
@@ -49,12 +49,12 @@
 
   Scenario: Without a view that can be current nothing is served, and the client is told when to come back
     Given a system at work with an open session
-    When a majority of vaults is killed
-    Then within 3 seconds the stall is not ready
+    When a majority of register replicas is killed
+    Then within 3 seconds the HTTP proxy is not ready
     And a new session is denied at once with notCurrent, a Retry-After and where else to go
 
   Scenario: More than the channels can take waits in order, then is denied at once
-    Given a system of 1 stall with a cap of 4, and queues of 10
+    Given a system of 1 HTTP proxy with a cap of 4, and queues of 10
     When 60 clients send slow reads at once with 3 seconds left each
     Then every client is answered within its time left
     And those denied were told crowded within 50 milliseconds, with when to come back
--- a/features/maintenance/whatif.feature
+++ b/features/maintenance/whatif.feature
@@ -11,7 +11,7 @@
     When the example is simulated with {"stalls": ["stall-1", "stall-2", "stall-3"], "lost": ["league-c"]}
     Then 64 channels are closed and 0 opened
 
-  Scenario: A stall that joins takes its part of every cap from the others
+  Scenario: An HTTP proxy that joins takes its part of every cap from the others
     When the example is simulated with {"stalls": ["stall-1", "stall-2"], "joins": ["stall-3"]}
     Then as many channels are opened as closed
     And no backend's cap is exceeded, before or after
@@ -27,7 +27,7 @@
     Examples:
       | scenario                                         | words                               |
       | {"stalls": []                                    | line 1, column                      |
-      | {"stalls": []}                                   | /stalls: 1 to 500 stalls            |
+      | {"stalls": []}                                   | /stalls: 1 to 500 HTTP proxies            |
       | {"stalls": ["s"], "lost": ["nobody"]}            | /lost/0: 'nobody' is not known      |
       | {"stalls": ["s"], "windows": ["monday"]}         | /windows/0: 'monday' is not known   |
       | {"stalls": ["s"], "colour": 1}                   | /colour: Unknown field              |
--- a/features/maintenance/windowstates.feature
+++ b/features/maintenance/window_states.feature
@@ -22,10 +22,10 @@
   Scenario Outline: <why>
     Given a configuration with halls and windows over each other
     When the windows <names> are open
-    Then the backends <backends> and the stalls <stalls> are to stand empty
+    Then the backends <backends> and the HTTP proxies <HTTP proxies> are to stand empty
 
     Examples:
-      | why                              | names     | backends      | stalls |
+      | why                              | names     | backends      | HTTP proxies |
       | nothing booked empties nothing   | none      | none          | none   |
       | one window                       | one       | a b           | s1     |
       | overlapping windows count together | one two | a b c         | s1 s2  |
--- a/features/membership/records.feature
+++ b/features/membership/records.feature
@@ -1,4 +1,4 @@
-Feature: The records between guildhalls and booths, and in the register
+Feature: The records between controllers and proxies, and in the register
 
   Scenario Outline: What is written is read back, and what is broken is refused
     Given 300 <records> from a seed
--- a/features/platform/adapter/client_door.feature
+++ b/features/platform/adapter/client_door.feature
@@ -59,12 +59,12 @@
       DONE 3
       READY I -
       """
-    And the booth has run "1 begin, 2 write, 3 commit"
+    And the proxy has run "1 begin, 2 write, 3 commit"
 
   Scenario: However its bytes are split
     Given a client's connection that was greeted
     When it sends `ASK 1 FETCH a\r\nASK 2 FETCH b\r\n` byte by byte
-    Then the booth has run "1 read, 2 read"
+    Then the proxy has run "1 read, 2 read"
 
   Scenario: A text that is none is refused, and the session goes on in its state
     Given a client's connection that was greeted
@@ -90,7 +90,7 @@
       <answer>
       """
     And the connection is closed
-    And the booth has ended sessions in "idle"
+    And the proxy has ended sessions in "idle"
 
     Examples:
       | text               | answer                             |
@@ -102,7 +102,7 @@
     Given a client's connection that was greeted
     When it sends `<end>\r\nASK 1 PUT a x\r\n`
     Then the connection is closed
-    And the booth has run "nothing"
+    And the proxy has run "nothing"
 
     Examples:
       | end       |
@@ -117,7 +117,7 @@
       ERROR GARBLED a line is too long
       """
     And the connection is closed
-    And the booth has ended sessions in "idle"
+    And the proxy has ended sessions in "idle"
 
   Scenario: A client that does not read its answers is not read from
     Given a client's connection that was greeted
@@ -129,7 +129,7 @@
   Scenario Outline: A client that vanishes in a transaction
     Given a client's connection that was greeted
     When the client vanishes while <what>
-    Then the booth has ended sessions in "<state>"
+    Then the proxy has ended sessions in "<state>"
     And nothing at the door has crashed
 
     Examples:
--- a/features/platform/adapter/control_edge.feature
+++ b/features/platform/adapter/control_edge.feature
@@ -3,21 +3,21 @@
   Background:
     Given a control edge
 
-  Scenario: A beat is heard and acknowledged
-    When a backend sends a beat
+  Scenario: A heartbeat is heard and acknowledged
+    When a backend sends a heartbeat
     Then the answer is 200 with `{}`
     And 1 beats were heard
-    And the last beat has name srv-1
-    And the last beat has service s1
-    And the last beat has number 6
-    And the last beat has state ready
-    And the last beat has leads False
-    And the last beat has room 3
-
-  Scenario Outline: What a beat may say
-    When a backend sends a beat with <field> as <value>
+    And the last heartbeat has name srv-1
+    And the last heartbeat has service s1
+    And the last heartbeat has number 6
+    And the last heartbeat has state ready
+    And the last heartbeat has leads False
+    And the last heartbeat has room 3
+
+  Scenario Outline: What a heartbeat may say
+    When a backend sends a heartbeat with <field> as <value>
     Then the answer is 200
-    And the last beat has <kept> <as>
+    And the last heartbeat has <kept> <as>
     And whatever was heard can be told to others
 
     Examples:
@@ -28,12 +28,12 @@
       | revision  | missing    | name  | srv-1      |
       | new       | {"a": 1}   | name  | srv-1      |
 
-  Scenario: A beat from another zone is told of a nearer address
-    When a backend sends a beat with zone as "yard-b"
+  Scenario: A heartbeat from another zone is told of a nearer address
+    When a backend sends a heartbeat with zone as "yard-b"
     Then the answer is 200 with `{"beat_to": "10.2.0.2:5001"}`
 
   Scenario Outline: What is no beat is refused and not heard
-    When a backend sends a beat with <field> as <value>
+    When a backend sends a heartbeat with <field> as <value>
     Then the answer is 400
     And 0 beats were heard
 
@@ -86,15 +86,15 @@
       | DELETE | /cinderstair/settings     | (empty) | 405    |
       | POST   | /cinderstair/settings     | {}      | 405    |
 
-  Scenario: A backend's goodbye is taken, whatever it said before
-    When a backend sends a beat with db_role as "primary"
+  Scenario: A backend's deregistration is taken, whatever it said before
+    When a backend sends a heartbeat with db_role as "primary"
     And DELETE /cinderstair/servers/srv-1 is called
     Then the answer is 200 with `{}`
-    And the goodbye of srv-1 was taken
+    And the deregistration of srv-1 was taken
 
   Scenario Outline: What no majority can be told is not acknowledged, so that the backend goes on to another daemon
-    Given a guildhall out of touch with a majority
-    When a backend sends a beat with standing as <standing>
+    Given a controller out of touch with a majority
+    When a backend sends a heartbeat with standing as <standing>
     Then the answer is 503
     And 1 beats were heard
     When DELETE /cinderstair/servers/srv-1 is called
@@ -116,7 +116,7 @@
     And the plan that was submitted keeps the operator's bytes, or there is none: none
 
   Scenario Outline: A configuration that got no majority is never acknowledged, nor refused for good
-    Given a guildhall that answers <kind>
+    Given a controller that answers <kind>
     When the operator puts a valid document
     Then the answer is 503
     When GET /cinderstair/settings is called
@@ -128,7 +128,7 @@
       | registerUnsure      | 503 |
 
   Scenario: Another content under a number that is taken is refused at once
-    Given a guildhall that answers versionTaken
+    Given a controller that answers versionTaken
     When the operator puts a valid document
     Then the answer is 409
 
@@ -137,6 +137,6 @@
     Then the answer is 404
 
   Scenario: The newest configuration comes back whole
-    Given a guildhall that keeps `{"revision": 7,\r\n "x": "\xc3\xa9"}`
+    Given a controller that keeps `{"revision": 7,\r\n "x": "\xc3\xa9"}`
     When GET /cinderstair/settings?fresh=1 is called
     Then the answer is 200 with `{"revision": 7,\r\n "x": "\xc3\xa9"}`
--- a/features/platform/adapter/launch.feature
+++ b/features/platform/adapter/launch.feature
@@ -7,10 +7,10 @@
 
     Examples:
       | role  | unused                                                                      |
-      | booth | marshmallow, cleo, lark, aiohttp, httpcore, google, dependency_injector |
+      | proxy | marshmallow, cleo, lark, aiohttp, httpcore, google, dependency_injector |
 
-  Scenario: A guildhall's role is loaded beside the standard library's platform
-    When a Python with the launcher's path loads the role guildhall
+  Scenario: A controller's role is loaded beside the standard library's platform
+    When a Python with the launcher's path loads the role controller
     Then its platform is the standard library's
 
   Scenario Outline: A launch that can't be
@@ -19,17 +19,17 @@
     Examples:
       | arguments   | words                |
       | nothing     | usage: launch.py     |
-      | stall       | usage: launch.py     |
-      | booth booth | usage: launch.py     |
-      | booth       | CINDERSTAIR_SETTINGS |
-      | guildhall   | CINDERSTAIR_SETTINGS |
+      | HTTP proxy       | usage: launch.py     |
+      | proxy proxy | usage: launch.py     |
+      | proxy       | CINDERSTAIR_SETTINGS |
+      | controller   | CINDERSTAIR_SETTINGS |
 
-  Scenario Outline: However few the zones, the guildhalls on <machines> machines with disks bear the loss of <losses>
-    Then the deploy file puts <guildhalls> guildhalls on zones of <machines> machines with disks
+  Scenario Outline: However few the zones, the controllers on <machines> machines with disks bear the loss of <losses>
+    Then the deploy file puts <controllers> controllers on zones of <machines> machines with disks
     And a majority of them outlives the loss of <losses>
 
     Examples:
-      | machines         | guildhalls | losses |
+      | machines         | controllers | losses |
       | 2, 2, 1          | 3          | 1      |
       | 2, 2, 2, 1, 1, 1 | 6          | 2      |
       | 5                | 3          | 1      |
--- a/features/pooler/detours.feature
+++ b/features/pooler/detours.feature
@@ -1,7 +1,7 @@
 Feature: Ways round to a primary that can't be reached from here
 
   Background:
-    Given a primary "a", and other booths "near" and "far" that may have links to it
+    Given a primary "a", and other proxies "near" and "far" that may have links to it
 
   Scenario: Nothing is sought while the primary is reached
     When 2000 ms pass, with a look each 100 ms
--- a/features/pooler/forward_desk.feature
+++ b/features/pooler/forward_server.feature
@@ -1,7 +1,7 @@
-Feature: Statements passed on to a booth that holds links
+Feature: Statements passed on to a proxy that holds links
 
   Background:
-    Given a booth that holds 2 links to "a", which leads, and another that holds none
+    Given a proxy that holds 2 links to "a", which leads, and another that holds none
 
   Scenario: A statement runs over a holder's link, with the session's values and shapes ahead of it
     When the other's client asks "SET k v, NAME q PUT x, FETCH 1, RUN q 5, FETCH 2"
@@ -22,13 +22,13 @@
     Then "a" was sent "begin, PUT 1 x, rollback, begin, PUT 2 x, rollback"
     And the holder has no transaction of others, and every link is given back
 
-  Scenario: A transaction that rests is kept, and one whose booth has ended is rolled back
+  Scenario: A transaction that rests is kept, and one whose proxy has ended is rolled back
     When the other's client asks "BEGIN, PUT 1 x"
     And 6000 ms pass
     And the other's client asks "COMMIT"
     Then the other's client was told "done T, done T, done I"
     When the other's client asks "BEGIN, PUT 2 x"
-    And the other booth ends
+    And the other proxy ends
     And 3000 ms pass
     Then the holder has no transaction of others, and every link is given back
     And "a" was sent "begin, PUT 1 x, COMMIT, begin, PUT 2 x, close"
@@ -87,7 +87,7 @@
     And 50 ms pass
     Then the holder is busy with "db": yes
 
-  Scenario: A booth that holds no links sends nothing for others
+  Scenario: A proxy that holds no links sends nothing for others
     When the holder may hold no links any more
     And the other's client asks "FETCH 1"
     Then the other's client was told "timeLeftSpent I"
--- a/features/pooler/under_way.feature
+++ b/features/pooler/in_flight_writes.feature
@@ -2,7 +2,7 @@
   An answer says that a write has landed or never will. A link that is lost says neither for a while.
 
   Background:
-    Given what a booth has under way
+    Given what a proxy has under way
 
   Scenario: Nothing has left, so nothing lands
     Then of "a" anything may land: no
--- a/features/pooler/link_pool.feature
+++ b/features/pooler/link_pool.feature
@@ -1,4 +1,4 @@
-Feature: One booth's links to one backend
+Feature: One proxy's links to one backend
 
   Scenario: Links are opened as they are needed, up to the limit
     Given a pool of 2 links
@@ -256,7 +256,7 @@
     And 450 ms pass at the pool
     Then 0 links are open and 2 were dialled
 
-  Scenario: Who waits for a link of a booth that may hold none any more is told so at once
+  Scenario: Who waits for a link of a proxy that may hold none any more is told so at once
     Given a pool of 1 links
     When 1 ask for a link
     And 1 ask for a link
--- a/features/pooler/relayed_view.feature
+++ b/features/pooler/relayed_view.feature
@@ -1,21 +1,21 @@
-Feature: What a booth knows, from one guildhall at a time
+Feature: What a proxy knows, from one controller at a time
 
   Background:
     Given a view that asks "g1, g2"
 
-  Scenario: It stays with the guildhall that answered, and asks it for changes alone
+  Scenario: It stays with the controller that answered, and asks it for changes alone
     When the view keeps itself for 1000 ms
     Then the view is current
-    And it asked for everything once, and stayed with one guildhall
+    And it asked for everything once, and stayed with one controller
 
-  Scenario: It is as old as what its guildhall knew, counted from the asking
+  Scenario: It is as old as what its controller knew, counted from the asking
     Given "g1, g2" know things 700 ms old
     When the view keeps itself for 1000 ms
     Then the view is current
-    When the guildhalls "g1, g2" are silent for 600 ms
+    When the controllers "g1, g2" are silent for 600 ms
     Then the view is not current
 
-  Scenario: The nearest guildhall is found again, also when it was not there at first
+  Scenario: The nearest controller is found again, also when it was not there at first
     Given "g2" stands in another zone
     And "g1" is silent
     When the view chooses, and keeps itself for 1500 ms
@@ -28,13 +28,13 @@
     Then it asks "g1"
     And the view is current
 
-  Scenario: One of the booth's own zone is nearer than any that answers sooner
+  Scenario: One of the proxy's own zone is nearer than any that answers sooner
     Given "g1" is 30 ms away
     And "g2" stands in another zone
     When the view chooses, and keeps itself for 500 ms
     Then it asks "g1"
 
-  Scenario: A booth that begins waits for no guildhall that is silent
+  Scenario: A proxy that begins waits for no controller that is silent
     Given "g2" stands in another zone
     And "g1" is silent
     When the view chooses, and keeps itself for 10 ms
@@ -55,17 +55,17 @@
     Then it asks "g2"
     And over 1500 ms the view is never older than 320 ms
 
-  Scenario: A guildhall that is silent is left for another
+  Scenario: A controller that is silent is left for another
     When the view keeps itself for 1000 ms
-    And the guildhall that it asks is silent for 1500 ms
+    And the controller that it asks is silent for 1500 ms
     Then the view is current
 
-  Scenario: A guildhall that is cut off from the others knows nothing current, and is left for another
+  Scenario: A controller that is cut off from the others knows nothing current, and is left for another
     Given "g1" know things 5000 ms old
     When the view keeps itself for 2000 ms
     Then the view is current
 
-  Scenario: The register never goes back, whatever a guildhall that lags says
+  Scenario: The register never goes back, whatever a controller that lags says
     Given "g1, g2" tell the plan of version 7 under turn 3
     When the view keeps itself for 500 ms
     Then the view's plan is 7
--- a/features/pooler/session.feature
+++ b/features/pooler/session.feature
@@ -1,7 +1,7 @@
 Feature: One client's session
 
   Background:
-    Given a booth, where "a" leads and "b, c" are copies, all at 3.5
+    Given a proxy, where "a" leads and "b, c" are copies, all at 3.5
 
   # -- single statements --
 
@@ -96,7 +96,7 @@
     And "b" was sent "begin, PUT 1 x, COMMIT"
 
   Scenario: A write out of touch with the register is not offered to anybody
-    When the booth has been out of touch for 1300 ms
+    When the proxy has been out of touch for 1300 ms
     And the client asks "PUT 1 x"
     Then the client was told "notCurrent I"
     And "a" was sent "nothing"
@@ -145,7 +145,7 @@
       | FAILED  |
 
   Scenario Outline: A read is offered to another place than the one that is silent or lost
-    Given a booth, where "a" leads and "<copies>" are copies, all at 3.5
+    Given a proxy, where "a" leads and "<copies>" are copies, all at 3.5
     And its route reads bounded with 1000 ms of age and a limit of 800 ms
     And "c" answers "<c>"
     And the primary's position was asked for 10 ms ago
@@ -259,7 +259,7 @@
       | BUSY    |
 
   Scenario Outline: A begin is offered to another place than the one that is silent or lost
-    Given a booth, where "a" leads and "c" are copies, all at 3.5
+    Given a proxy, where "a" leads and "c" are copies, all at 3.5
     And its route reads bounded with 1000 ms of age and a limit of 2000 ms
     And "c" answers "<c>"
     And the primary's position was asked for 10 ms ago
@@ -367,10 +367,10 @@
   Scenario: A transaction whose client rests is ended, and its end says so
     When the client asks "BEGIN, PUT 1 x"
     And 2000 ms pass
-    And the booth ends transactions that rest for more than 3000 ms
+    And the proxy ends transactions that rest for more than 3000 ms
     Then "a" was sent "begin, PUT 1 x"
     When 1001 ms pass
-    And the booth ends transactions that rest for more than 3000 ms
+    And the proxy ends transactions that rest for more than 3000 ms
     Then "a" was sent "begin, PUT 1 x, rollback"
     When the client asks "PUT 2 x, COMMIT, PUT 3 x"
     Then the client was told "done T, done T, transactionFailed E, transactionLost I, done I"
@@ -380,7 +380,7 @@
     When the client asks "BEGIN, PUT 1 x"
     And the client begins to ask "PUT 2 x"
     And 500 ms pass
-    And the booth ends transactions that rest for more than 300 ms
+    And the proxy ends transactions that rest for more than 300 ms
     And 500 ms pass
     Then the client was told "done T, done T, done T"
 
--- a/features/simulation/days.feature
+++ b/features/simulation/days.feature
@@ -1,5 +1,5 @@
 Feature: Days at the size of today
-  9 stalls, 5 vaults, 3 sites, 3 databases of 3 backends, 150 sessions, and everything that the users say fails.
+  9 HTTP proxies, 5 register replicas, 3 sites, 3 databases of 3 backends, 150 sessions, and everything that the users say fails.
 
   Scenario Outline: A short day in <place>
     When a short day in <place> is run with seed <seed>
--- a/features/simulation/explorer/models.feature
+++ b/features/simulation/explorer/models.feature
@@ -1,5 +1,5 @@
 Feature: Small cases of the register, the lease and the roster's change, explored exhaustively
-  Every way that a few real vaults and clients can go, within bounds; wider ones by hand.
+  Every way that a few real register replicas and clients can go, within bounds; wider ones by hand.
 
   Scenario Outline: <model> within <turns> turns
     When the model "<model>" is explored within <turns> turns
--- a/features/simulation/fleet.feature
+++ b/features/simulation/fleet.feature
@@ -3,23 +3,23 @@
   A small fleet of separate processes; what is awaited is an event, and the limits are generous.
 
   Scenario: From nothing to service, through a kill and a freeze, to an orderly stop
-    Given a fleet of 3 stalls, 5 vaults and 1 database, at work with 12 clients
+    Given a fleet of 3 HTTP proxies, 5 register replicas and 1 database, at work with 12 clients
     When the primary's process is killed
     Then another leads, and commits are acknowledged again
-    When a stall's process is frozen until the others hold it to be gone, and goes on
+    When an HTTP proxy's process is frozen until the others hold it to be gone, and goes on
     Then it serves again
-    When a vault's process is killed and started again
+    When a register replica's process is killed and started again
     And an operator submits version 2 with the command line
-    Then version 2 is in force at every stall, and is read back to the byte
+    Then version 2 is in force at every HTTP proxy, and is read back to the byte
     And the status verb shows the members, the leads and the slots
     When a settings file changes, with a signal and without one, to good values and to bad ones
     Then the good ones are taken, and the bad ones are named in the log and change nothing
-    When a stall is told to stop
+    When an HTTP proxy is told to stop
     Then it ends with exit code 0, and its clients go elsewhere
     And every checker finds nothing in the whole history
 
   Scenario: A hall is emptied by a booked window, and filled again after
-    Given a fleet of 3 stalls, 5 vaults and 1 database, at work with 12 clients
+    Given a fleet of 3 HTTP proxies, 5 register replicas and 1 database, at work with 12 clients
     When an operator books a window over the primary and stall-2
     Then the primary has moved, stall-2 stands empty, and the status verb says so
     When the window has ended
--- a/features/simulation/platformsim/platformfaults.feature
+++ b/features/simulation/platformsim/platformfaults.feature
@@ -16,13 +16,13 @@
       | shared_links       | calm_day                  | 1    | PINNED  | transaction                       |
       | write_again        | answers_lost              | 1    | TWICE   | stands in                         |
       | promise_unknown    | answers_lost              | 1    | REFUSED | and is kept                       |
-      | view_forever       | booth_cut_off_unconfirmed | 1    | ONE     | by old primary                    |
-      | no_guard           | copies_lag                | 2    | STALE   | recent_enough read                |
-      | own_forgotten      | copies_lag                | 1    | STALE   | self_hosted read                  |
-      | pooled_for_new     | copies_lag                | 2    | STALE   | recent_enough read                |
-      | worst_copy         | primary_crash_copy_deaf   | 1    | LOST    | leads without                     |
-      | drop_at_stop       | booths_stopped            | 1    | LOST    | closed on                         |
-      | deaf_to_emptying   | release_copies            | 1    | DRAIN   | after it said it leaves           |
+      | view_forever       | proxy_cut_off_unconfirmed | 1    | ONE     | by old primary                    |
+      | no_guard           | replicas_lag                | 2    | STALE   | recent_enough read                |
+      | own_forgotten      | replicas_lag                | 1    | STALE   | self_hosted read                  |
+      | pooled_for_new     | replicas_lag                | 2    | STALE   | recent_enough read                |
+      | worst_replica         | primary_crash_replica_deaf   | 1    | LOST    | leads without                     |
+      | drop_at_stop       | proxies_stopped            | 1    | LOST    | closed on                         |
+      | deaf_to_emptying   | release_replicas            | 1    | DRAIN   | after it said it leaves           |
       | first_plan_forever | configurations            | 1    | CONFIG  | was acknowledged                  |
       | plan_back_and_forth | configurations           | 1    | CONFIG  | was seen there                    |
       | take_anything      | configurations            | 1    | CONFIG  | something invalid got 200         |
@@ -37,12 +37,12 @@
       | serves_alone          | cut_off_for_long | 1    | CONFIG | is cut off, and answers 200        |
       | confirms_alone        | cut_off_for_long | 4    | DRAIN  | after it said it leaves            |
 
-    Examples: statements passed on between booths
+    Examples: statements passed on between proxies
       | fault               | trial                  | seed | rule    | words                      |
       | forwards_unchecked  | few_links_frozen       | 7    | LATE    | after its client's answer  |
       | forwards_promised   | few_links_answers_lost | 2    | TWICE   | stands in                  |
       | forwards_any_values | few_links_calm         | 1    | PINNED  | values                     |
-      | links_at_once       | few_links_ids_change   | 2    | CAP     | booths hold 4 of 9         |
+      | links_at_once       | few_links_ids_change   | 2    | CAP     | proxies hold 4 of 9         |
 
   Scenario: A run in which a checker had no chance has failed
     When the platform trial calm_day is played with seed 1 and no clients
--- a/features/simulation/platformsim/platformsim.feature
+++ b/features/simulation/platformsim/platformsim.feature
@@ -1,5 +1,5 @@
 Feature: The roles on a simulated platform
-  Clients, backends, operators and the platform are stand-ins on virtual time; booths and guildhalls are the real ones.
+  Clients, backends, operators and the platform are stand-ins on virtual time; proxies and controllers are the real ones.
   Every rule has its checker, and a trial in which a checker had no chance has failed.
 
   Scenario Outline: No rule is broken in <trial>
@@ -15,21 +15,21 @@
       | trial                       | share | last |
       | primary_crash               | 93    | 2    |
       | dark_primary                | 93    | 2    |
-      | primary_crash_copy_deaf     | 93    | 2    |
-      | copies_lag                  | 95    | 1    |
-      | copy_crash                  | 98    | 1    |
+      | primary_crash_replica_deaf     | 93    | 2    |
+      | replicas_lag                  | 95    | 1    |
+      | replica_crash                  | 98    | 1    |
       | release_primary             | 97    | 2    |
-      | release_copies              | 99    | 1    |
+      | release_replicas              | 99    | 1    |
       | release_primary_soon        | 90    | 3    |
       | release_primary_alone       | 90    | 3    |
       | release_both                | 97    | 1    |
       | release_both_far            | 95    | 2    |
-      | release_primary_copies_deaf | 93    | 1    |
+      | release_primary_replicas_deaf | 93    | 1    |
       | leaving_primary_crash       | 93    | 2    |
       | candidate_crash             | 85    | 1    |
       | far_regions                 | 85    | 3    |
       | primary_cut                 | 90    | 1    |
-      | primary_cut_from_booths     | 93    | 3    |
+      | primary_cut_from_proxies     | 93    | 3    |
       | silence_looked_at           | 80    | 2    |
       | primary_dies_behind_detours | 85    | 3    |
       | platform_troubled           | 90    | 1    |
@@ -38,21 +38,21 @@
       | trial                     | share | last |
       | holder_killed             | 90    | 2    |
       | two_holders               | 93    | 2    |
-      | booth_cut_off             | 93    | 2    |
-      | booth_cut_off_unconfirmed | 93    | 1    |
-      | booth_frozen_in_move      | 93    | 1    |
+      | proxy_cut_off             | 93    | 2    |
+      | proxy_cut_off_unconfirmed | 93    | 1    |
+      | proxy_frozen_in_move      | 93    | 1    |
 
     Examples: machines are killed, frozen, stopped, or left without power
       | trial              | share | last |
-      | guildhall_killed   | 99    | 1    |
+      | controller_killed   | 99    | 1    |
       | backends_unheard   | 90    | 1    |
-      | guildhall_wiped    | 99    | 1    |
-      | guildhalls_stopped | 99    | 1    |
+      | controller_wiped    | 99    | 1    |
+      | controllers_stopped | 99    | 1    |
       | newest_on_one      | 96    | 2    |
-      | booths_killed      | 93    | 1    |
-      | booths_frozen      | 93    | 1    |
-      | booths_stopped     | 99    | 1    |
-      | booth_alone        | 98    | 2    |
+      | proxies_killed      | 93    | 1    |
+      | proxies_frozen      | 93    | 1    |
+      | proxies_stopped     | 99    | 1    |
+      | proxy_alone        | 98    | 2    |
       | all_killed         | 90    | 2    |
       | all_powered_off    | 90    | 1    |
 
@@ -79,7 +79,7 @@
       | configurations             | 99    | 2    |
       | configurations_under_kills | 99    | 1    |
 
-    Examples: 3 links to a backend for 6 booths
+    Examples: 3 links to a backend for 6 proxies
       | trial                    | share | last |
       | few_links_calm           | 99    | 1    |
       | few_links_killed         | 93    | 1    |
@@ -103,27 +103,27 @@
     When the platform trial primary_crash is played with seeds 3 to 3
     Then the same seed once more is the same run
 
-  Scenario: A guildhall tells how many more losses are borne, and since when votes are missing
-    When a simulated platform serves, and a guildhall is lost for good
-    Then each guildhall tells of its votes "2 of 3, epoch 1, bears the loss of 0 more, VOTES MISSING for \d+ s"
-    And each guildhall has counted looks at which votes were missing
+  Scenario: A controller tells how many more losses are borne, and since when votes are missing
+    When a simulated platform serves, and a controller is lost for good
+    Then each controller tells of its votes "2 of 3, epoch 1, bears the loss of 0 more, VOTES MISSING for \d+ s"
+    And each controller has counted looks at which votes were missing
     When an empty one takes its place
-    Then each guildhall tells of its votes "3 of 3, epoch 3, bears the loss of 1 more; standing by: nobody"
+    Then each controller tells of its votes "3 of 3, epoch 3, bears the loss of 1 more; standing by: nobody"
 
   Scenario: One seed is gone from the first moment on
     When a simulated platform begins while one of its three seeds is dark
-    Then each guildhall tells of its votes "2 of 3, epoch 1, bears the loss of 0 more"
+    Then each controller tells of its votes "2 of 3, epoch 1, bears the loss of 0 more"
     When the seed that was dark starts at last
-    Then each guildhall tells of its votes "3 of 3, epoch 2, bears the loss of 1 more; standing by: nobody"
+    Then each controller tells of its votes "3 of 3, epoch 2, bears the loss of 1 more; standing by: nobody"
 
   Scenario: A machine that missed hundreds of changes has them all within its time, and disks stay bounded
-    When a simulated platform serves, and a guildhall is without power while 600 orders are confirmed
+    When a simulated platform serves, and a controller is without power while 600 orders are confirmed
     Then from the 200th order on no disk has grown by more than a log's length
-    When the guildhall has power again
+    When the controller has power again
     Then within 4000 ms it votes, knows the newest order, and holds it on its disk
 
   Scenario: Of many standbys two watch the voters closely, and others take over from them
-    When a simulated platform serves, and 5 empty guildhalls stand by
+    When a simulated platform serves, and 5 empty controllers stand by
     Then 2 of those that stand by are in line for a place
     And a greeting is answered with the roster alone
     When those that are in line are lost for good
--- a/features/simulation/platformsim/shards.feature
+++ b/features/simulation/platformsim/shards.feature
@@ -1,6 +1,6 @@
 Feature: The shard map changes under traffic
-  Writes keep to their usual place until enough booths have agreed, then all move together. No write lands twice or
-  nowhere, reads stay as fresh as ever, and a booth that has not heard or does not agree holds the old map.
+  Writes keep to their usual place until enough proxies have agreed, then all move together. No write lands twice or
+  nowhere, reads stay as fresh as ever, and a proxy that has not heard or does not agree holds the old map.
 
   Scenario Outline: No rule is broken in <trial>
     When the platform trial <trial> is played with seeds <first> to <last>
@@ -12,11 +12,11 @@
       | shards_in_a_match | 98    | 1     | 1    |
       | shards_in_a_rush  | 96    | 1     | 2    |
 
-    Examples: not all booths hear, or agree
+    Examples: not all proxies hear, or agree
       | trial                  | share | first | last |
-      | shards_booth_deaf      | 85    | 1     | 2    |
-      | shards_booth_frozen    | 90    | 1     | 2    |
-      | shards_booth_disagrees | 90    | 1     | 2    |
+      | shards_proxy_deaf      | 85    | 1     | 2    |
+      | shards_proxy_frozen    | 90    | 1     | 2    |
+      | shards_proxy_disagrees | 90    | 1     | 2    |
       | shards_too_few         | 99    | 1     | 1    |
 
     Examples: something fails meanwhile
@@ -37,18 +37,18 @@
 
     Examples: a match afternoon and a month-end rush, and everything that can happen in the middle
       | trial                                    | share | first | last |
-      | shards_booth_killed_in_a_match           | 97    | 1     | 1    |
-      | shards_booth_killed_in_a_rush            | 97    | 2     | 2    |
-      | shards_booth_cut_one_way_in_a_match      | 92    | 1     | 1    |
-      | shards_booth_cut_one_way_in_a_rush       | 82    | 2     | 2    |
-      | shards_booth_late_in_a_match             | 97    | 1     | 1    |
-      | shards_booth_late_in_a_rush              | 95    | 2     | 2    |
-      | shards_booth_old_in_a_match              | 92    | 1     | 1    |
-      | shards_booth_old_in_a_rush               | 82    | 2     | 2    |
-      | shards_vault_lost_in_a_match             | 97    | 1     | 1    |
-      | shards_vault_lost_in_a_rush              | 95    | 2     | 2    |
-      | shards_vault_restarted_in_a_match        | 97    | 1     | 1    |
-      | shards_vault_restarted_in_a_rush         | 95    | 2     | 2    |
+      | shards_proxy_killed_in_a_match           | 97    | 1     | 1    |
+      | shards_proxy_killed_in_a_rush            | 97    | 2     | 2    |
+      | shards_proxy_cut_one_way_in_a_match      | 92    | 1     | 1    |
+      | shards_proxy_cut_one_way_in_a_rush       | 82    | 2     | 2    |
+      | shards_proxy_late_in_a_match             | 97    | 1     | 1    |
+      | shards_proxy_late_in_a_rush              | 95    | 2     | 2    |
+      | shards_proxy_old_in_a_match              | 92    | 1     | 1    |
+      | shards_proxy_old_in_a_rush               | 82    | 2     | 2    |
+      | shards_register_replica_lost_in_a_match             | 97    | 1     | 1    |
+      | shards_register_replica_lost_in_a_rush              | 95    | 2     | 2    |
+      | shards_register_replica_restarted_in_a_match        | 97    | 1     | 1    |
+      | shards_register_replica_restarted_in_a_rush         | 95    | 2     | 2    |
       | shards_holder_killed_proposed_in_a_match | 97    | 1     | 1    |
       | shards_holder_killed_proposed_in_a_rush  | 97    | 2     | 2    |
       | shards_holder_killed_closing_in_a_match  | 97    | 1     | 1    |
@@ -82,10 +82,10 @@
     Then what it would do is told, and how long writes would wait, and nothing has changed
     And a map that names an unknown place or database is refused with its line, planned and begun alike
     When the operator begins it and follows it to its end
-    Then the booths hold the map of version 4, and writes waited for no longer than was foretold
+    Then the proxies hold the map of version 4, and writes waited for no longer than was foretold
     And a map that is silent on a database that has moved is refused
     And nothing is there to give up any more
 
-  Scenario: An operator sees what a guildhall knows
-    When a simulated platform serves, and the map of version 4 is put to its booths
-    Then a guildhall tells of the vaults, services, backends, booths, duties and the map of version 4
+  Scenario: An operator sees what a controller knows
+    When a simulated platform serves, and the map of version 4 is put to its proxies
+    Then a controller tells of the register replicas, services, backends, proxies, duties and the map of version 4
--- a/features/simulation/faults.feature
+++ b/features/simulation/seeded_bugs.feature
@@ -15,27 +15,27 @@
       | any_age            | lagging_replica   | 1    | live read               |
       | deaf_to_emptying    | backend_empties   | 1    | asked after emptying    |
       | no_versions        | configurations   | 1    | an old version          |
-      | forgetful_vault    | vaults_turned     | 1    | read back               |
+      | forgetful_register_replica    | register_replicas_turned     | 1    | read back               |
       | leave_transactions | clients_vanish    | 1    | another's transaction   |
-      | other_text         | stall_killed      | 1    | nobody sent             |
-      | mixed_values       | stall_killed      | 1    | was shown               |
-      | deaf_to_windows     | hall_moved        | 1    | still in the old hall   |
-      | lose_sessions      | hall_moved        | 1    | sessions were lost      |
+      | other_text         | http_proxy_killed      | 1    | nobody sent             |
+      | mixed_values       | http_proxy_killed      | 1    | was shown               |
+      | deaf_to_windows     | data_centre_moved        | 1    | still in the old hall   |
+      | lose_sessions      | data_centre_moved        | 1    | sessions were lost      |
       | newest_always      | upgraded_in_turn   | 1    | is ready                |
       | never_move         | primary_killed    | 1    | service not back        |
       | forget_floor       | lagging_replica   | 1    | its own session's       |
       | take_anything      | configurations   | 1    | a broken configuration  |
       | older_again        | configurations   | 1    | fell back from          |
-      | altered_read_back   | vaults_turned     | 1    | read back               |
+      | altered_read_back   | register_replicas_turned     | 1    | read back               |
       | deaf_to_quiet       | primary_frozen    | 1    | asked after going quiet |
       | held_denials       | primary_killed    | 1    | came only after         |
       | no_retry_after      | primary_killed    | 1    | without when to come    |
-      | drop_at_stop        | stalls_stopped    | 2    | was dropped by          |
-      | other_params       | stall_killed      | 1    | nobody sent             |
-      | lose_prepared      | stalls_stopped    | 1    | lost what it had        |
+      | drop_at_stop        | http_proxies_stopped    | 2    | was dropped by          |
+      | other_params       | http_proxy_killed      | 1    | nobody sent             |
+      | lose_prepared      | http_proxies_stopped    | 1    | lost what it had        |
       | never_give_up       | primary_muted     | 6    | came only after         |
       | whole_cap          | cap_held          | 1    | was given               |
-      | no_copies          | stall_killed      | 1    | sessions were lost      |
+      | no_replicas          | http_proxy_killed      | 1    | sessions were lost      |
       | any_handle         | owners_frozen     | 1    | was shown               |
-      | keep_copies        | copies_forgotten  | 1    | still holds             |
-      | open_all           | hall_moved        | 1    | a storm after           |
+      | keep_replicas        | replicas_forgotten  | 1    | still holds             |
+      | open_all           | data_centre_moved        | 1    | a storm after           |
--- a/features/simulation/trials.feature
+++ b/features/simulation/trials.feature
@@ -20,32 +20,32 @@
       | lagging_replica        | 500  |
       | slow_backend           | 500  |
       | primary_and_replica_lost | 500  |
-      | stall_killed           | 500  |
-      | stall_frozen           | 350  |
-      | stall_blind            | 350  |
+      | http_proxy_killed           | 500  |
+      | http_proxy_frozen           | 350  |
+      | http_proxy_blind            | 350  |
       | clients_vanish         | 350  |
-      | stalls_stopped         | 500  |
-      | stalls_drained         | 400  |
+      | http_proxies_stopped         | 500  |
+      | http_proxies_drained         | 400  |
       | cap_held               | 4000 |
       | kickoff               | 4000 |
       | sites_changed          | 350  |
-      | hall_moved             | 750  |
-      | hall_moved_amid_crashes  | 750  |
-      | whole_hall_held_back     | 500  |
+      | data_centre_moved             | 750  |
+      | data_centre_moved_amid_crashes  | 750  |
+      | whole_data_centre_held_back     | 500  |
       | move_cancelled         | 400  |
       | backends_replaced      | 200  |
       | everything_killed      | 200  |
       | stuttering            | 400  |
-      | late_beats             | 300  |
-      | vaults_turned          | 500  |
-      | vaults_gone            | 500  |
-      | vault_disks            | 350  |
-      | vault_wiped            | 500  |
+      | late_heartbeats             | 300  |
+      | register_replicas_turned          | 500  |
+      | register_replicas_gone            | 500  |
+      | register_replica_disks            | 350  |
+      | register_replica_wiped            | 500  |
       | answers_lost           | 350  |
       | answers_garbled        | 500  |
       | promotion_lost         | 500  |
       | backend_empties        | 750  |
-      | beats_lost             | 500  |
+      | heartbeats_lost             | 500  |
       | restarts_in_turn        | 1000 |
       | configurations        | 500  |
       | owners_killed          | 1000 |
@@ -53,7 +53,7 @@
       | owners_cut             | 1000 |
       | owner_and_second        | 700  |
       | owners_stopped_and_killed | 700 |
-      | copies_forgotten       | 500  |
+      | replicas_forgotten       | 500  |
       | upgraded_in_turn        | 1200 |
       | strange_version        | 400  |
       | chaos                 | 1000 |
@@ -65,6 +65,6 @@
     Examples:
       | found                                                 | trial              | seed |
       | a lead settled with nobody in sync forgot its heirs   | candidate_killed_too | 6    |
-      | a stall ended under a job that was just coming in     | stalls_stopped      | 7    |
-      | beats that had lain in a frozen stall counted as new  | late_beats          | 2    |
+      | an HTTP proxy ended under a job that was just coming in     | http_proxies_stopped      | 7    |
+      | heartbeats that had lain in a frozen HTTP proxy counted as new  | late_heartbeats          | 2    |
       | seekers in step split the grants of a lease           | everything_killed   | 3    |
--- a/features/steps/adaptercommon.py
+++ b/features/steps/adapter_common.py
@@ -8,8 +8,7 @@
 from expression import Error, Ok, Result
 from stage import MemoryTransport
 
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 
 REPOSITORY = Path(__file__).resolve().parents[2]
 
@@ -51,11 +50,11 @@
         self.script = deque(script)
         self.transports: list[MemoryTransport] = []
 
-    async def connect(self, *, address: str, protocol: Any, wait_us: int) -> Result[Any, Fault]:
+    async def connect(self, *, address: str, protocol: Any, wait_us: int) -> Result[Any, CinderstairError]:
         await asyncio.sleep(0.001)
         words = self.script.popleft()
         if words == "refuse":
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: refused"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: refused"))
         made = protocol()
         transport = MemoryTransport(protocol=made)
         self.transports.append(transport)
--- a/features/steps/announcersteps.py
+++ b/features/steps/announcer_steps.py
@@ -1,21 +1,20 @@
-"""Steps for the spreading of backends' goodbyes."""
+"""Steps for the spreading of backends' deregistrations."""
 
 from dataclasses import replace
 from typing import Any
 
 from behave import given, then, when
-from clusterstage import FakeCrowd
+from cluster_stage import FakeMembership
 from expression import Error, Ok, Result
 from stage import Stage
 
 from cinderstair.control_plane.announcer import Announcer
 from cinderstair.membership.announcement import GONE, Announcement, read_announcement
-from cinderstair.membership.beat import EMPTYING, READY
-from cinderstair.membership.news import News
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.desks import ANNOUNCE, NEWS
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.membership.heartbeat import EMPTYING, READY
+from cinderstair.membership.heartbeat_table import HeartbeatTable
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
+from cinderstair.runtime.message_types import ANNOUNCE, HEARTBEATS
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 
@@ -30,17 +29,17 @@
     def __init__(self) -> None:
         self.reached: tuple[str, ...] = ()
         self.known: dict[str, Announcement] = {}
-        self.told: list[tuple[str, Announcement]] = []
+        self.reported: list[tuple[str, Announcement]] = []
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         if address not in self.reached:
-            return Error(Fault(kind=Kind.wireUnsure, why="cut off"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="cut off"))
         if body[0] == ANNOUNCE:
-            self.told.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
+            self.reported.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
             return Ok(b"\0")
-        if body[0] == NEWS:
+        if body[0] == HEARTBEATS:
             return Ok(self._news(address=address))
-        return Error(Fault(kind=Kind.wireUnsure, why="no such desk"))
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no such desk"))
 
     def _news(self, *, address: str) -> bytes:
         def each(packer: Packer, announcement: Announcement) -> None:
@@ -63,15 +62,20 @@
     ctx = context.stage.ctx = replace(context.stage.ctx, net=context.voters)
 
     def work() -> None:
-        context.desk = Desk(ctx=ctx)
-        context.news = News(
+        context.dispatcher = Dispatcher(ctx=ctx)
+        context.heartbeat_table = HeartbeatTable(
             ctx=ctx,
-            desk=context.desk,
-            crowd=FakeCrowd(),
+            dispatcher=context.dispatcher,
+            membership=FakeMembership(),
             read=lambda unpacker: read_announcement(unpacker=unpacker),
             peers=list,
         )
-        context.announcer = Announcer(ctx=ctx, desk=context.desk, news=context.news, voters=lambda: context.roster)
+        context.announcer = Announcer(
+            ctx=ctx,
+            dispatcher=context.dispatcher,
+            heartbeat_table=context.heartbeat_table,
+            voters=lambda: context.roster,
+        )
 
     context.stage.call(call=work)
 
@@ -88,7 +92,7 @@
 
 @given("srv-1 was heard here as {state}")
 def given_heard(context: Any, state: str) -> None:
-    context.stage.call(call=lambda: context.news.hear(beat=word(state=state)))
+    context.stage.call(call=lambda: context.heartbeat_table.receive(heartbeat=word(state=state)))
 
 
 @given("srv-1 was heard at {name} as {state}")
@@ -102,22 +106,22 @@
     said = word(state="emptying", number=context.number)
 
     async def work() -> bool:
-        context.news.hear(beat=said)
+        context.heartbeat_table.receive(heartbeat=said)
         return await context.announcer.spread(announcement=said)
 
     context.acknowledged = context.stage.run(work=work())
 
 
-@when("srv-1 says goodbye")
-def when_goodbye(context: Any) -> None:
+@when("srv-1 deregisters")
+def when_deregistration(context: Any) -> None:
     context.acknowledged = context.stage.run(work=context.announcer.depart(name="srv-1"))
 
 
 @when("another daemon tells that srv-1 is {state}")
-def when_told(context: Any, state: str) -> None:
+def when_reported(context: Any, state: str) -> None:
     packer = Packer().u8(value=ANNOUNCE)
     word(state=state).write(packer=packer)
-    context.stage.run(work=context.desk.answers[ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
+    context.stage.run(work=context.dispatcher.handlers[ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
 
 
 @then("the announcement is {words}")
@@ -126,19 +130,21 @@
 
 
 @then("{count:d} voters were told that srv-1 is {state}")
-def then_told(context: Any, count: int, state: str) -> None:
+def then_reported(context: Any, count: int, state: str) -> None:
     context.stage.advance(for_us=1_000_000)
-    found = [name for name, said in context.voters.told if said.name == "srv-1" and said.state == STATES[state]]
+    found = [name for name, said in context.voters.reported if said.name == "srv-1" and said.state == STATES[state]]
     assert len(found) == count, found
 
 
 @then("srv-1 is known here as {state} of {service}")
 def then_known_of(context: Any, state: str, service: str) -> None:
-    beat = context.news.latest(name="srv-1").beat
+    heartbeat = context.heartbeat_table.latest(name="srv-1").heartbeat
     named = "" if service == "no service" else service.removeprefix("service ")
-    assert (beat.state, beat.service) == (STATES[state], named), beat
+    assert (heartbeat.state, heartbeat.service) == (STATES[state], named), heartbeat
 
 
 @then("srv-1 is known here as {state}")
 def then_known(context: Any, state: str) -> None:
-    assert context.news.latest(name="srv-1").beat.state == STATES[state], context.news.latest(name="srv-1")
+    assert context.heartbeat_table.latest(name="srv-1").heartbeat.state == STATES[state], (
+        context.heartbeat_table.latest(name="srv-1")
+    )
--- a/features/steps/backendlinksteps.py
+++ b/features/steps/backend_link_steps.py
@@ -5,7 +5,7 @@
 
 from adapter.backend_link import BackendCommands, BackendDialer, BackendLink
 from adapter.statements import read_statement
-from adaptercommon import MemoryStreams, connect, raw
+from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
 from expression import Ok
 from stage import Stage, announcement, position, shown
@@ -19,7 +19,7 @@
 def given_link(context: Any) -> None:
     context.stage = Stage(context=context)
     context.lost = 0
-    context.asked = []
+    context.requested = []
     connect(context=context, make=BackendLink)
 
     def lost() -> None:
@@ -37,7 +37,7 @@
         at_least = position(text=at)
     first, _, rest = text.partition(" ")
     if first == "GREET":
-        future = link.greet(service="s1", name="srv-1")
+        future = link.handshake(service="s1", name="srv-1")
     elif first == "BEGIN":
         future = link.begin(read_only=bool(rest), at_least=at_least)
     elif first in ("UNDO", "STATE"):
@@ -59,7 +59,7 @@
         future = link.send(statement=ran, at_least=at_least, alias=alias.encode())
     else:
         future = link.send(statement=read_statement(ident=b"id", text=text.encode()), at_least=at_least)
-    context.asked.append(future)
+    context.requested.append(future)
 
 
 @when("the link asks `{texts}`")
@@ -100,14 +100,14 @@
     if future.exception() is not None:
         return "lost" if isinstance(future.exception(), ConnectionError) else repr(future.exception())
     reply = future.result()
-    told = reply.native.decode() if reply.fault is not None else f"{len(reply.rows)} rows {reply.stamp.decode()}"
+    reported = reply.native.decode() if reply.fault is not None else f"{len(reply.rows)} rows {reply.stamp.decode()}"
     marks = " not run" * reply.not_run + " retriable" * reply.retriable
-    return f"{told}{marks} {'ITE'[reply.state]} {shown(at=reply.position)}"
+    return f"{reported}{marks} {'ITE'[reply.state]} {shown(at=reply.position)}"
 
 
 @then("the answers to the link are `{texts}`")
 def then_link_answers(context: Any, texts: str) -> None:
-    found = " / ".join(outcome(future=future) for future in context.asked)
+    found = " / ".join(outcome(future=future) for future in context.requested)
     assert found == texts, found
 
 
--- a/features/steps/badinputsteps.py
+++ b/features/steps/bad_input_steps.py
@@ -1,14 +1,14 @@
-"""Steps for bad input at a stall's edges."""
+"""Steps for bad input at an HTTP proxy's edges."""
 
 import json
 import random
 from typing import Any
 
 from behave import then, when
-from stallsteps import ask, statement
+from http_proxy_steps import ask, statement
 
-from cinderstair.runtime.answers import ANSWERS
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.error_responses import ERROR_RESPONSES
+from cinderstair.runtime.errors import ErrorCode
 
 ODD: list[Any] = [None, True, -1, 0, 1 << 70, 1.5, "", "x" * 300, [], {}, [[]], {"a": {"b": 1}}, "\u0000", "\ud83d"]
 
@@ -16,76 +16,74 @@
 OPTIONAL = ("params", "incarnation", "number", "term", "position", "leads", "stalls", "leaves", "enters")
 
 
-def jobs(*, context: Any) -> list[tuple[str, str, dict[str, Any]]]:
+def requests(*, context: Any) -> list[tuple[str, str, dict[str, Any]]]:
     """Whole jobs of every edge, to be spoilt."""
     path = f"/v1/sessions/{context.session}"
-    beat = {"name": "db0-z", "incarnation": 1, "number": 1, "site": "k", "state": "ready"}
+    heartbeat = {"name": "db0-z", "incarnation": 1, "number": 1, "site": "k", "state": "ready"}
     return [
         ("POST", "/v1/sessions", {"database": "db0", "timeLeftUs": 1_000_000}),
         ("POST", f"{path}/statements", {"kind": "write", "text": "put bad 1", "params": [], "timeLeftUs": 900_000}),
         ("PUT", f"{path}/values", {"values": {"mine": "bad"}, "timeLeftUs": 900_000}),
         ("PUT", f"{path}/prepared/bad", {"text": "put bad 2", "timeLeftUs": 900_000}),
         ("POST", f"{path}/commit", {"timeLeftUs": 900_000}),
-        ("POST", "/v1/beats", {**beat, "leads": True, "term": 9, "position": 9}),
+        ("POST", "/v1/beats", {**heartbeat, "leads": True, "term": 9, "position": 9}),
         ("PUT", "/v1/configuration", json.loads(context.world.configuration(version=7))),
         ("POST", "/v1/override", {"database": "db0", "backend": "db0-b", "iAcceptLoss": True}),
         ("POST", "/v1/vaults", {"leaves": "vault-1", "enters": "vault-9"}),
     ]
 
 
-def spoilt(*, luck: random.Random, method: str, path: str, body: dict[str, Any]) -> tuple[str, str, bytes]:
+def spoilt(*, rng: random.Random, method: str, path: str, body: dict[str, Any]) -> tuple[str, str, bytes]:
     """Never a whole job: something that it needs is gone, of another type, cut off, or too large."""
     data = json.dumps(body).encode()
-    how = luck.choice(["cut", "field", "field", "method", "path", "noise", "large", "twice"])
+    how = rng.choice(["cut", "field", "field", "method", "path", "noise", "large", "twice"])
     if how == "cut":
-        return method, path, data[: luck.randrange(len(data))]
+        return method, path, data[: rng.randrange(len(data))]
     if how == "noise":
-        return method, path, luck.randbytes(luck.randrange(1, 200))
+        return method, path, rng.randbytes(rng.randrange(1, 200))
     if how == "large":
         return method, path, data[:-1] + b', "more": "' + b"x" * (1024 * 1024) + b'"}'
     if how == "twice":
         return method, path, data + data
     if how == "method":
-        return luck.choice(["PATCH", "TRACE", "HEAD"]), path, data
+        return rng.choice(["PATCH", "TRACE", "HEAD"]), path, data
     if how == "path":
-        return method, path + luck.choice(["/", "/more", "%2e", "\u00e9"]), data
+        return method, path + rng.choice(["/", "/more", "%2e", "\u00e9"]), data
     needed = [key for key in body if key not in OPTIONAL] or ["leaves"]
-    key = luck.choice(needed)
+    key = rng.choice(needed)
     changed = {k: v for k, v in body.items() if k != key}
-    if luck.random() < 0.7:
-        changed[key] = luck.choice([odd for odd in ODD if not isinstance(odd, type(body[key]))])
+    if rng.random() < 0.7:
+        changed[key] = rng.choice([odd for odd in ODD if not isinstance(odd, type(body[key]))])
     return method, path, json.dumps(changed).encode()
 
 
 def state(*, context: Any) -> tuple[Any, ...]:
     world = context.world
-    stall = world.stall(name="stall-0")
-    session = next(iter(stall.sessions.open.values()))
+    http_proxy = world.http_proxy(name="stall-0")
+    session = next(iter(http_proxy.sessions.open.values()))
     return (
         world.ask(name="stall-0", method="GET", path="/v1/configuration")[1],
-        {database: lead.bytes() for database, lead in stall.view.leads.items()},
+        {database: lead.bytes() for database, lead in http_proxy.view.leads.items()},
         (session.handle, dict(session.values), dict(session.prepared), session.transaction),
-        sorted(stall.sessions.open),
-        sorted(world.backend(name=stall.view.leads["db0"].primary).current),
+        sorted(http_proxy.sessions.open),
+        sorted(world.backend(name=http_proxy.view.leads["db0"].primary).current),
     )
 
 
 @when("{count:d} bad jobs made by seed {seed:d} are sent to clients', platform's, backends' and operators' edges")
 def when_bad(context: Any, count: int, seed: int) -> None:
-    luck = random.Random(seed)
-    whole = jobs(context=context)
+    rng = random.Random(seed)
+    whole = requests(context=context)
     context.before, context.wrong, context.kinds = state(context=context), [], set()
     for _ in range(count):
-        method, path, body = spoilt(
-            luck=luck, **dict(zip(("method", "path", "body"), luck.choice(whole), strict=True))
-        )
+        method, path, body = spoilt(rng=rng, **dict(zip(("method", "path", "body"), rng.choice(whole), strict=True)))
         began_us = context.world.now_us
         status, data = context.world.ask(name="stall-0", method=method, path=path, body=body)
         took_us = context.world.now_us - began_us
         value = json.loads(data) if data else {}
         kind = value.get("kind", "")
         # why: an error of ours would be a kind of the table as well, so it is named apart
-        fits = kind and kind != "internal" and ANSWERS[Kind(kind)].status == status
+        fits = kind and kind != "internal" and ERROR_RESPONSES[ErrorCode(kind)].status == status
         context.kinds.add(kind)
         if not fits or took_us > 1_000_000:
             context.wrong.append((method, path, body[:120], status, value, took_us))
@@ -98,7 +96,7 @@
     assert wanted <= context.kinds, context.kinds
 
 
-@then("the configuration, the leads, the session and what it keeps are as before, and the stall serves")
+@then("the configuration, the leads, the session and what it keeps are as before, and the HTTP proxy serves")
 def then_before(context: Any) -> None:
     after = state(context=context)
     assert after == context.before, [pair for pair in zip(context.before, after, strict=True) if pair[0] != pair[1]]
@@ -107,28 +105,28 @@
     assert not context.world.errors
 
 
-@when("a backend's {count:d} beats that end with emptying come twice each, in an order drawn by seed {seed:d}")
-def when_beats(context: Any, count: int, seed: int) -> None:
+@when("a backend's {count:d} heartbeats that end with emptying come twice each, in an order drawn by seed {seed:d}")
+def when_heartbeats(context: Any, count: int, seed: int) -> None:
     world = context.world
-    lead = world.stall(name="stall-0").view.leads["db0"]
-    context.name = lead.inSync[0]
+    lead = world.http_proxy(name="stall-0").view.leads["db0"]
+    context.name = lead.in_sync[0]
     backend = world.backend(name=context.name)
     backend.beating = False
-    beats = [backend.beat() for _ in range(count)]
-    beats[-1]["state"] = "emptying"
+    heartbeats = [backend.heartbeat() for _ in range(count)]
+    heartbeats[-1]["state"] = "emptying"
     # why: from an earlier run of it, numbered higher, and still older than all that came since
-    beats.append({**beats[0], "incarnation": 0, "number": 10_000})
-    order = beats * 2
+    heartbeats.append({**heartbeats[0], "incarnation": 0, "number": 10_000})
+    order = heartbeats * 2
     random.Random(seed).shuffle(order)
-    for beat in order:
-        status, answer = ask(world=world, method="POST", path="/v1/beats", value=beat)
+    for heartbeat in order:
+        status, answer = ask(world=world, method="POST", path="/v1/beats", value=heartbeat)
         assert status == 200, answer
 
 
-@then("the stall holds it to be emptying, and goes on with the others")
+@then("the HTTP proxy holds it to be emptying, and goes on with the others")
 def then_emptying(context: Any) -> None:
-    stall = context.world.stall(name="stall-0")
-    assert stall.news.latest(name=context.name).beat.state == "emptying"
-    assert not stall.news.fit(name=context.name)
+    http_proxy = context.world.http_proxy(name="stall-0")
+    assert http_proxy.heartbeat_table.latest(name=context.name).heartbeat.state == "emptying"
+    assert not http_proxy.heartbeat_table.fit(name=context.name)
     status, answer = statement(context=context, kind="live", text="list k")
     assert status == 200, answer
--- a/features/steps/capacitysteps.py
+++ b/features/steps/capacity_steps.py
@@ -9,9 +9,9 @@
 from behave import given, then, when
 from common import run
 
-from cinderstair.pooler.booth import Booth
+from cinderstair.pooler.proxy import Proxy
 from cinderstair.pooler.statement import Statement, Verb
-from cinderstair.runtime.nodisk import NoDisk
+from cinderstair.runtime.no_disk import NoDisk
 from cinderstair.simulation.capacity.child import metered_context
 from cinderstair.simulation.capacity.fit import least_squares, plainest
 from cinderstair.simulation.capacity.hollow_link import HollowLink, hollow_dialer
@@ -39,10 +39,10 @@
 # -- the fit --
 
 
-@given("steps of {booths} booths with {databases} databases each")
-def given_steps(context: Any, booths: str, databases: str) -> None:
+@given("steps of {proxies} proxies with {databases} databases each")
+def given_steps(context: Any, proxies: str, databases: str) -> None:
     context.steps = [
-        Step(guildhalls=5, booths=n, databases=d) for n in numbers(text=booths) for d in numbers(text=databases)
+        Step(controllers=5, proxies=n, databases=d) for n in numbers(text=proxies) for d in numbers(text=databases)
     ]
 
 
@@ -51,20 +51,20 @@
     context.values = [base + more * step.databases for step in context.steps]
 
 
-@given("a cost of {base:g} and {more:g} more for each booth")
-def given_by_booth(context: Any, base: float, more: float) -> None:
-    context.values = [base + more * step.booths for step in context.steps]
+@given("a cost of {base:g} and {more:g} more for each proxy")
+def given_by_proxy(context: Any, base: float, more: float) -> None:
+    context.values = [base + more * step.proxies for step in context.steps]
 
 
-@given("a cost of {base:g} and {more:g} more for each booth and database")
+@given("a cost of {base:g} and {more:g} more for each proxy and database")
 def given_by_both(context: Any, base: float, more: float) -> None:
-    context.values = [base + more * step.booths * step.databases for step in context.steps]
+    context.values = [base + more * step.proxies * step.databases for step in context.steps]
 
 
 @given("noise of {parts:d} in a hundred from seed {seed:d}")
 def given_noise(context: Any, parts: int, seed: int) -> None:
-    luck = random.Random(seed)
-    context.values = [value * (1 + luck.gauss(0, parts / 100)) for value in context.values]
+    rng = random.Random(seed)
+    context.values = [value * (1 + rng.gauss(0, parts / 100)) for value in context.values]
 
 
 @given("the largest step costs half as much again")
@@ -118,9 +118,9 @@
         assert 0 < gap <= count * fit.errors[name], (name, fit.coefficients, fit.errors)
 
 
-@then("what it says at {booths:d} booths and {databases:d} databases is within {count:d} spreads of {truth:g}")
-def then_says(context: Any, booths: int, databases: int, count: int, truth: float) -> None:
-    step = Step(guildhalls=5, booths=booths, databases=databases)
+@then("what it says at {proxies:d} proxies and {databases:d} databases is within {count:d} spreads of {truth:g}")
+def then_says(context: Any, proxies: int, databases: int, count: int, truth: float) -> None:
+    step = Step(controllers=5, proxies=proxies, databases=databases)
     gap, spread = abs(context.fit.at(step=step) - truth), context.fit.spread(step=step)
     assert gap <= count * spread < truth, (gap, spread)
 
@@ -147,9 +147,9 @@
     )
 
 
-@given("two booth processes of 5 booths each that idle {seconds:d} s with {count:d} bytes and {cpu_ms:d} ms each")
+@given("two proxy processes of 5 proxies each that idle {seconds:d} s with {count:d} bytes and {cpu_ms:d} ms each")
 def given_idle(context: Any, seconds: int, count: int, cpu_ms: int) -> None:
-    context.step = Step(guildhalls=5, booths=10, databases=3)
+    context.step = Step(controllers=5, proxies=10, databases=3)
     context.idle = both(context=context, phase="idle", events=0, seconds=seconds, count=count, cpu_ms=cpu_ms)
 
 
@@ -160,14 +160,14 @@
     )
 
 
-@then("an idle booth takes {count:d} bytes and {cpu_us:d} microseconds a second")
+@then("an idle proxy takes {count:d} bytes and {cpu_us:d} microseconds a second")
 def then_idle(context: Any, count: int, cpu_us: int) -> None:
     found = context.idle.rate(name="bytes_in"), context.idle.rate(name="cpu_us")
     assert found == (count, cpu_us), found
     assert context.idle.added.rss_bytes == 62_000_000, context.idle.added
 
 
-@then("an event gives each booth {count:d} bytes and {cpu_us:d} microseconds")
+@then("an event gives each proxy {count:d} bytes and {cpu_us:d} microseconds")
 def then_event(context: Any, count: int, cpu_us: int) -> None:
     sample, idle = context.sample, context.idle
     found = sample.each(name="bytes_in", idle=idle), sample.each(name="cpu_us", idle=idle)
@@ -201,7 +201,7 @@
 
 @then("a phase that lacks a process's second reading is refused")
 def then_phase_lacking(context: Any) -> None:
-    step = Step(guildhalls=5, booths=10, databases=3)
+    step = Step(controllers=5, proxies=10, databases=3)
     before, after = [reading(at_s=1), reading(at_s=1)], [reading(at_s=2)]
     for early, late in ((before, after), ([], [])):
         try:
@@ -221,25 +221,25 @@
         reading(at_s=0),
         reading(
             at_s=seconds,
-            bytes_in=bytes_each * step.booths,
-            records_in=40 * step.booths,
+            bytes_in=bytes_each * step.proxies,
+            records_in=40 * step.proxies,
             cpu_us=int(busy * seconds * SECOND),
         ),
     )
     return gathered(
-        step=step, phase=phase, role="booth", things=step.booths, events=events, before=[before], after=[after]
+        step=step, phase=phase, role="booth", things=step.proxies, events=events, before=[before], after=[after]
     ).value()
 
 
-@given("a run of made-up samples in which a booth idles at {count:d} bytes a second")
+@given("a run of made-up samples in which a proxy idles at {count:d} bytes a second")
 def given_run(context: Any, count: int) -> None:
-    context.steps = [Step(guildhalls=5, booths=n, databases=d) for n, d in ((10, 3), (10, 30), (30, 10), (100, 30))]
+    context.steps = [Step(controllers=5, proxies=n, databases=d) for n, d in ((10, 3), (10, 30), (30, 10), (100, 30))]
     context.lines = [made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count) for step in context.steps]
 
 
-@given("one more step whose booths were busy for {parts:d} in a hundred and carried {count:d} bytes a second")
+@given("one more step whose proxies were busy for {parts:d} in a hundred and carried {count:d} bytes a second")
 def given_busy(context: Any, parts: int, count: int) -> None:
-    step = Step(guildhalls=5, booths=300, databases=100)
+    step = Step(controllers=5, proxies=300, databases=100)
     context.lines.append(made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count, busy=parts / 100))
 
 
@@ -248,7 +248,7 @@
     " and {late:d} of 100 beats late"
 )
 def given_shed(context: Any, count: int, quiet: int, late: int) -> None:
-    step = Step(guildhalls=5, booths=10, databases=1000)
+    step = Step(controllers=5, proxies=10, databases=1000)
     context.lines += [
         {"kind": "load"},
         made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count),
@@ -256,7 +256,7 @@
     ]
 
 
-@given("a configuration takes {count:d} bytes for each database at each booth")
+@given("a configuration takes {count:d} bytes for each database at each proxy")
 def given_configuration(context: Any, count: int) -> None:
     lines = []
     for step, idle in zip(context.steps, context.lines, strict=True):
@@ -268,19 +268,19 @@
 
 @given("a configuration there takes {count:d} bytes")
 def given_there(context: Any, count: int) -> None:
-    step = Step(guildhalls=5, booths=300, databases=100)
+    step = Step(controllers=5, proxies=300, databases=100)
     context.lines.append(made_up_line(step=step, phase="configuration", events=2, bytes_each=100 + 2 * count))
 
 
 @then("the bytes of a configuration are fitted to {count:d} for each database from {points:d} points")
 def then_configuration(context: Any, count: int, points: int) -> None:
-    fit = Results(lines=context.lines).slopes["booth bytes a configuration"]
+    fit = Results(lines=context.lines).slopes["proxy bytes a configuration"]
     assert fit.points == points and math.isclose(fit.coefficients["D"], count), fit
 
 
-@then("the booths' idle bytes are fitted to {count:d} from {points:d} points")
+@then("the proxies' idle bytes are fitted to {count:d} from {points:d} points")
 def then_fitted(context: Any, count: int, points: int) -> None:
-    fit = Results(lines=context.lines).slopes["booth idle bytes"]
+    fit = Results(lines=context.lines).slopes["proxy idle bytes"]
     assert fit.points == points and math.isclose(fit.coefficients["1"], count) and len(fit.coefficients) == 1, fit
 
 
@@ -290,7 +290,7 @@
     context.rows = {(row.role, row.what): row for row in reckoning.rows}
 
 
-@then("a booth's idle bytes are {count:d} a second and held")
+@then("a proxy's idle bytes are {count:d} a second and held")
 def then_row_held(context: Any, count: int) -> None:
     row = context.rows["booth", "bytes, idle"]
     assert math.isclose(row.reckoned, count) and row.factor < 1 and row.verdict.startswith("held"), row
@@ -355,52 +355,52 @@
     )
 
 
-@when("a booth of a step with {booths:d} booths and {databases:d} databases was seen to idle at {cores:g} cores")
-def when_seen(context: Any, booths: int, databases: int, cores: float) -> None:
-    step = Step(guildhalls=5, booths=booths, databases=databases)
-    context.bounds.booth_cores.append((step, cores))
+@when("a proxy of a step with {proxies:d} proxies and {databases:d} databases was seen to idle at {cores:g} cores")
+def when_seen(context: Any, proxies: int, databases: int, cores: float) -> None:
+    step = Step(controllers=5, proxies=proxies, databases=databases)
+    context.bounds.proxy_cores.append((step, cores))
 
 
-@then("a step of {booths:d} booths and {databases:d} databases may begin")
-def then_may(context: Any, booths: int, databases: int) -> None:
-    why = context.bounds.unfit(step=Step(guildhalls=5, booths=booths, databases=databases))
+@then("a step of {proxies:d} proxies and {databases:d} databases may begin")
+def then_may(context: Any, proxies: int, databases: int) -> None:
+    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert not why, why
 
 
-@then('a step of {booths:d} booths and {databases:d} databases may not, since "{reason}"')
-def then_may_not(context: Any, booths: int, databases: int, reason: str) -> None:
-    why = context.bounds.unfit(step=Step(guildhalls=5, booths=booths, databases=databases))
+@then('a step of {proxies:d} proxies and {databases:d} databases may not, since "{reason}"')
+def then_may_not(context: Any, proxies: int, databases: int, reason: str) -> None:
+    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert why == reason, why
 
 
-@then('with {seconds:d} s left a step of {booths:d} booths and {databases:d} databases may not, since "{reason}"')
-def then_late(context: Any, seconds: int, booths: int, databases: int, reason: str) -> None:
+@then('with {seconds:d} s left a step of {proxies:d} proxies and {databases:d} databases may not, since "{reason}"')
+def then_late(context: Any, seconds: int, proxies: int, databases: int, reason: str) -> None:
     context.bounds.until = time.monotonic() + seconds
-    why = context.bounds.unfit(step=Step(guildhalls=5, booths=booths, databases=databases))
+    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert why == reason, why
 
 
 # -- hollow links --
 
 
-@given("a made-up booth before {databases:d} databases")
-def given_booth(context: Any, databases: int) -> None:
-    async def made() -> Booth:
+@given("a made-up proxy before {databases:d} databases")
+def given_proxy(context: Any, databases: int) -> None:
+    async def made() -> Proxy:
         ctx = metered_context(name="booth-0000", site="e1", disk=NoDisk(), seed=1)
-        booth = Booth(ctx=ctx, site="e1", seeds=tuple, dialer=hollow_dialer, distance=lambda site: 0)
-        booth.view._take(answer=whole_answer(booths=2, databases=databases, guildhalls=3))
-        return booth
+        proxy = Proxy(ctx=ctx, site="e1", seeds=tuple, dialer=hollow_dialer, distance=lambda site: 0)
+        proxy.view._take(answer=whole_answer(proxies=2, databases=databases, controllers=3))
+        return proxy
 
-    context.booth = run(context=context, work=made())
+    context.proxy = run(context=context, work=made())
 
 
 @when("a session reads, writes and runs a transaction")
 def when_session(context: Any) -> None:
-    booth = context.booth
+    proxy = context.proxy
 
     async def work() -> list[Any]:
-        booth.view.as_of_us = booth.ctx.now_us()
-        session = booth.open(database="ledger-0000.pool.example")
+        proxy.view.as_of_us = proxy.ctx.now_us()
+        session = proxy.open(database="ledger-0000.pool.example")
         verbs = (Verb.read, Verb.write, Verb.begin, Verb.read, Verb.write, Verb.commit)
         return [await session.run(statement=Statement(ident=b"1", verb=verb, text=b"x")) for verb in verbs]
 
@@ -410,6 +410,6 @@
 @then("every answer is without fault and the links are hollow ones")
 def then_answers(context: Any) -> None:
     assert [reply.fault for reply in context.replies] == [None] * 6, context.replies
-    links = [link for pool in context.booth.router.pools.values() for link in pool.idle]
+    links = [link for pool in context.proxy.router.pools.values() for link in pool.idle]
     assert links and all(isinstance(link, HollowLink) for link in links), links
-    context.booth.stop()
+    context.proxy.stop()
--- a/features/steps/clientdoorsteps.py
+++ b/features/steps/client_door_steps.py
@@ -4,7 +4,7 @@
 
 from adapter.client_door import GREETING_US, MOST_ASKED, ClientDoor
 from adapter.lines import MOST_BYTES
-from adaptercommon import connect, raw
+from adapter_common import connect, raw
 from behave import given, then, when
 from stage import Stage
 
@@ -15,26 +15,26 @@
 class FakeSession:
     """Answers each statement after a while, and keeps a state as a session does."""
 
-    def __init__(self, *, booth: "FakeBooth") -> None:
-        self.booth = booth
+    def __init__(self, *, proxy: "FakeProxy") -> None:
+        self.proxy = proxy
         self.state = State.idle
         self.busy = False
 
     async def run(self, *, statement: Statement) -> Reply:
         assert not self.busy, "two statements at once"
         self.busy = True
-        self.booth.ran.append(f"{statement.ident.decode()} {statement.verb.name}")
-        await self.booth.ctx.rest(wait_us=self.booth.work_us)
+        self.proxy.ran.append(f"{statement.ident.decode()} {statement.verb.name}")
+        await self.proxy.ctx.sleep(duration_us=self.proxy.work_us)
         self.busy = False
         if statement.verb in (Verb.begin, Verb.begin_read):
             self.state = State.open
         elif statement.verb in (Verb.commit, Verb.rollback):
             self.state = State.idle
-        self.booth.answered.append(statement.ident.decode())
+        self.proxy.answered.append(statement.ident.decode())
         return Reply(rows=[], stamp=statement.ident, state=self.state)
 
 
-class FakeBooth:
+class FakeProxy:
     def __init__(self, *, stage: Stage) -> None:
         self.ctx = stage.ctx
         self.view: Any = type("View", (), {"plan": object()})()
@@ -46,11 +46,11 @@
 
     async def knows(self, *, database: str, until_us: int) -> bool:
         while self.view.plan is None and self.ctx.now_us() < until_us:
-            await self.ctx.rest(wait_us=50_000)
+            await self.ctx.sleep(duration_us=50_000)
         return self.view.plan is not None and database in self.databases
 
     def open(self, *, database: str) -> FakeSession:
-        return FakeSession(booth=self)
+        return FakeSession(proxy=self)
 
     def closed(self, *, session: FakeSession) -> None:
         self.ended.append(session.state)
@@ -59,12 +59,12 @@
 @given("a client's connection")
 def given_door(context: Any) -> None:
     context.stage = Stage(context=context)
-    context.booth = FakeBooth(stage=context.stage)
+    context.proxy = FakeProxy(stage=context.stage)
     context.doors = set()
     context.counted = []
     connect(
         context=context,
-        make=lambda: ClientDoor(booth=context.booth, doors=context.doors, count=context.counted.append),
+        make=lambda: ClientDoor(proxy=context.proxy, doors=context.doors, count=context.counted.append),
     )
 
 
@@ -106,23 +106,23 @@
     assert context.transport.take() == b""
 
 
-@then('the booth has run "{texts}"')
+@then('the proxy has run "{texts}"')
 def then_ran(context: Any, texts: str) -> None:
-    found = ", ".join(context.booth.ran) or "nothing"
+    found = ", ".join(context.proxy.ran) or "nothing"
     assert found == texts, found
 
 
-@then('the booth has ended sessions in "{states}"')
+@then('the proxy has ended sessions in "{states}"')
 def then_ended(context: Any, states: str) -> None:
     context.stage.advance(for_us=10_000)
-    found = ", ".join(state.name for state in context.booth.ended) or "none"
+    found = ", ".join(state.name for state in context.proxy.ended) or "none"
     assert found == states, found
     assert not context.doors
 
 
 @given("no configuration yet")
 def given_none_yet(context: Any) -> None:
-    context.booth.view.plan = None
+    context.proxy.view.plan = None
 
 
 @when("{wait_ms:d} ms pass at the door")
@@ -146,8 +146,8 @@
 
 @then("no more than {count:d} is run, and reading is paused")
 def then_paused(context: Any, count: int) -> None:
-    assert len(context.booth.ran) <= count, context.booth.ran
-    assert context.transport.paused and len(context.protocol.asked) > MOST_ASKED // 2
+    assert len(context.proxy.ran) <= count, context.proxy.ran
+    assert context.transport.paused and len(context.protocol.requested) > MOST_ASKED // 2
 
 
 @when("it reads again")
--- a/features/steps/clusterstage.py
+++ b/features/steps/cluster_stage.py
@@ -13,19 +13,18 @@
 from cinderstair.consensus.register_view import RegisterView
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.failover.backend_control import BackendState
-from cinderstair.failover.promotion_duty import PromotionDuty
+from cinderstair.failover.service_failover import ServiceFailover
 from cinderstair.membership.announcement import Announcement
-from cinderstair.membership.beat import READY
-from cinderstair.membership.news import News
+from cinderstair.membership.heartbeat import READY
+from cinderstair.membership.heartbeat_table import HeartbeatTable
 from cinderstair.pooler.relayed_view import LEASE_US
 from cinderstair.runtime.context import Context
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 from cinderstair.runtime.unpacker import Unpacker
 
-BEAT_US = 1_000_000
+HEARTBEAT_US = 1_000_000
 QUIET_US = 3_000_000
 OUTWAIT_US = LEASE_US + LEASE_US // 10
 PROMOTED_US = 300_000
@@ -55,12 +54,12 @@
         self.cut = False
 
     def _missing(self) -> Any:
-        return Error(Fault(kind=Kind.registerUnreachable, why="cut off"))
+        return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="cut off"))
 
     async def poll(
         self, *, roster: Roster, body: bytes, enough: Callable[[list[bytes]], bool], first: int = 0
     ) -> list[bytes]:
-        await self.ctx.rest(wait_us=2_000)
+        await self.ctx.sleep(duration_us=2_000)
         if self.cut:
             return []
         unpacker = Unpacker(data=body)
@@ -74,8 +73,10 @@
         self.store.leases[duty] = (proposer, now_us + length_us)
         return [bytes([OK])]
 
-    async def change(self, *, key: str, decide: Callable[[bytes], Result[bytes, Fault]]) -> Result[Found, Fault]:
-        await self.ctx.rest(wait_us=2_000)
+    async def change(
+        self, *, key: str, decide: Callable[[bytes], Result[bytes, CinderstairError]]
+    ) -> Result[Found, CinderstairError]:
+        await self.ctx.sleep(duration_us=2_000)
         if self.cut:
             return self._missing()
         found = self.store.values.get(key)
@@ -83,24 +84,24 @@
         if decided.is_error():
             return Error(decided.error)
         if key in self.store.refused:
-            return Error(Fault(kind=Kind.registerUnsure, why="cut short"))
+            return Error(CinderstairError(code=ErrorCode.REGISTER_UNSURE, reason="cut short"))
         self.store.turn += 1
         made = Found(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
         self.store.values[key] = made
         self.store.writes.append((self.ctx.now_us(), key, decided.ok))
-        await self.ctx.rest(wait_us=2_000)
+        await self.ctx.sleep(duration_us=2_000)
         return Ok(made)
 
-    async def read(self, *, key: str) -> Result[Found, Fault]:
-        await self.ctx.rest(wait_us=2_000)
+    async def read(self, *, key: str) -> Result[Found, CinderstairError]:
+        await self.ctx.sleep(duration_us=2_000)
         return self._missing() if self.cut else Ok(self.store.values[key])
 
-    async def vector(self) -> Result[dict[str, Ballot], Fault]:
-        await self.ctx.rest(wait_us=2_000)
+    async def vector(self) -> Result[dict[str, Ballot], CinderstairError]:
+        await self.ctx.sleep(duration_us=2_000)
         return self._missing() if self.cut else Ok({key: found.ballot for key, found in self.store.values.items()})
 
 
-class FakeCrowd:
+class FakeMembership:
     def alive(self, *, role: str = "") -> list[Any]:
         return []
 
@@ -116,9 +117,9 @@
         self.held = 0
         self.paused = False
         self.standing = READY
-        self.role_told = leads
+        self.role_reported = leads
         self.up = True
-        self.beats = True
+        self.heartbeats = True
         self.reach = "yes"
         self.pausable = True
         self.promotable = True
@@ -142,21 +143,21 @@
         self.refuses: set[str] = set()
         self.writing = False
         self.hears: list[Callable[[Announcement], None]] = []
-        stage.call(call=lambda: stage.ctx.spawn(work=self._beat()))
+        stage.call(call=lambda: stage.ctx.spawn(work=self._heartbeat()))
         stage.call(call=lambda: stage.ctx.spawn(work=self._commit()))
 
-    async def _beat(self) -> None:
+    async def _heartbeat(self) -> None:
         while True:
             for each in self.backends.values():
                 self.say(backend=each)
-            await asyncio.sleep(BEAT_US / 1_000_000)
+            await asyncio.sleep(HEARTBEAT_US / 1_000_000)
 
     def say(self, *, backend: Simulated) -> None:
-        if backend.up and backend.beats:
+        if backend.up and backend.heartbeats:
             backend.number += 1
             word = announcement(name=backend.name, state=backend.standing, leads=backend.leads, number=backend.number)
-            for hear in self.hears:
-                hear(word)
+            for receive in self.hears:
+                receive(word)
 
     async def _commit(self) -> None:
         while True:
@@ -167,76 +168,80 @@
                 made = Position(primary.term, primary.at.number + 1)
                 primary.at = made
                 took = [
-                    copy
-                    for copy in self.backends.values()
-                    if copy is not primary
-                    and copy.up
-                    and not copy.leads
-                    and not copy.paused
-                    and copy.held <= made.term
+                    replica
+                    for replica in self.backends.values()
+                    if replica is not primary
+                    and replica.up
+                    and not replica.leads
+                    and not replica.paused
+                    and replica.held <= made.term
                 ]
-                for copy in took:
-                    copy.at = max(copy.at, made)
+                for replica in took:
+                    replica.at = max(replica.at, made)
                 if len(took) >= self.confirmations:
                     self.acknowledged = max(self.acknowledged, made)
 
-    def _state(self, backend: Simulated) -> Result[BackendState, Fault]:
+    def _state(self, backend: Simulated) -> Result[BackendState, CinderstairError]:
         return Ok(BackendState(leads=backend.leads, term=backend.term, received=backend.at, term_held=backend.held))
 
-    async def _told(self, *, name: str, text: str, wait_us: int) -> Simulated | Fault:
+    async def _reported(self, *, name: str, text: str, wait_us: int) -> Simulated | CinderstairError:
         backend = self.backends[name]
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
             details = {"ended": int(not backend.up and backend.reach == "yes")}
-            return Fault(kind=Kind.wireUnsent, why="not reached", details=details)
+            return CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="not reached", details=details)
         if backend.reach == "silent":
             await asyncio.sleep(wait_us / 1_000_000)
-            return Fault(kind=Kind.wireUnsure, why="silent")
+            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="silent")
         await asyncio.sleep(0.001)
         if text != "state":
             backend.log.append(text)
         return backend
 
-    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
-        found = await self._told(name=backend.name, text="state", wait_us=wait_us)
-        return Error(found) if isinstance(found, Fault) else self._state(found)
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
+        found = await self._reported(name=backend.name, text="state", wait_us=wait_us)
+        return Error(found) if isinstance(found, CinderstairError) else self._state(found)
 
-    async def pause(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
-        found = await self._told(name=backend.name, text=f"pause {term}", wait_us=wait_us)
-        if isinstance(found, Fault):
+    async def pause(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
+        found = await self._reported(name=backend.name, text=f"pause {term}", wait_us=wait_us)
+        if isinstance(found, CinderstairError):
             return Error(found)
         if not found.pausable:
-            return Error(Fault(kind=Kind.wireUnsure, why="BUSY"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="BUSY"))
         if term > found.held and not found.leads:
             found.held, found.paused = term, True
         return self._state(found)
 
-    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
-        found = await self._told(name=backend.name, text="resume", wait_us=wait_us)
-        if isinstance(found, Fault):
+    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
+        found = await self._reported(name=backend.name, text="resume", wait_us=wait_us)
+        if isinstance(found, CinderstairError):
             return Error(found)
         found.held, found.paused = 0, False
         return self._state(found)
 
-    async def step_down(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
-        found = await self._told(name=backend.name, text=f"step down {term}", wait_us=wait_us)
-        if isinstance(found, Fault):
+    async def step_down(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
+        found = await self._reported(name=backend.name, text=f"step down {term}", wait_us=wait_us)
+        if isinstance(found, CinderstairError):
             return Error(found)
         if found.leads and found.term < term and found.steps_down:
-            for copy in [each for each in self.backends.values() if each.follows_us]:
-                self.stage.loop.call_later(copy.follows_us / 1_000_000, setattr, copy, "at", found.at)
+            for replica in [each for each in self.backends.values() if each.follows_us]:
+                self.stage.loop.call_later(replica.follows_us / 1_000_000, setattr, replica, "at", found.at)
             found.leads, found.stepped_us = False, self.stage.now_us
             self.say(backend=found)
         return self._state(found)
 
     async def promote(
         self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
-    ) -> Result[None, Fault]:
+    ) -> Result[None, CinderstairError]:
         await asyncio.sleep(0.01)
         self.calls.append((self.stage.now_us, backend, fence_number))
         found = self.backends[backend]
         if not found.up or backend in self.refuses:
-            return Error(Fault(kind=Kind.noBackend, why="409"))
+            return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="409"))
         if found.promotable and not found.leads:
             self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._lead, found)
         return Ok(None)
@@ -256,8 +261,8 @@
         self.say(backend=backend)
 
 
-class Hall:
-    """What stands around the duties of one guildhall."""
+class ControllerStage:
+    """What stands around the duties of one controller."""
 
     def __init__(self, *, context: Any, name: str, number: int) -> None:
         stage, self.ctx = context.stage, context.stage.context(name=name, seed=number)
@@ -268,10 +273,10 @@
 
         def work() -> None:
             self.register = FakeRegister(ctx=self.ctx, store=context.store, proposer=number)
-            self.desk = Desk(ctx=self.ctx)
+            self.dispatcher = Dispatcher(ctx=self.ctx)
             self.view = RegisterView(ctx=self.ctx, register=self.register, lease_us=LEASE_US)
-            self.news: News[Announcement] = News(
-                ctx=self.ctx, desk=self.desk, crowd=FakeCrowd(), peers=list, quiet_us=QUIET_US
+            self.heartbeat_table: HeartbeatTable[Announcement] = HeartbeatTable(
+                ctx=self.ctx, dispatcher=self.dispatcher, membership=FakeMembership(), peers=list, quiet_us=QUIET_US
             )
 
         stage.call(call=work)
@@ -283,11 +288,11 @@
 
     def add_duty(self, *, cluster: Cluster) -> None:
         def work() -> None:
-            self.duty = PromotionDuty(
+            self.duty = ServiceFailover(
                 ctx=self.ctx,
                 register=self.register,
                 view=self.view,
-                news=self.news,
+                heartbeat_table=self.heartbeat_table,
                 control=cluster,
                 promoter=cluster,
                 opinions=self.opinions,
@@ -295,7 +300,7 @@
             )
 
         self.stage.call(call=work)
-        cluster.hears.append(lambda word: self.news.hear(beat=word))
+        cluster.hears.append(lambda word: self.heartbeat_table.receive(heartbeat=word))
 
     def kill(self) -> None:
         """The process ends: nothing of it runs on."""
@@ -306,13 +311,15 @@
 def new_stage(*, context: Any) -> None:
     context.stage = Stage(context=context)
     context.store = Store()
-    context.halls = []
+    context.controller_stages = []
 
 
-def new_hall(*, context: Any) -> Hall:
-    hall = Hall(context=context, name=f"core-{len(context.halls) + 1}", number=len(context.halls) + 1)
-    context.halls.append(hall)
-    return hall
+def new_controller(*, context: Any) -> ControllerStage:
+    controller = ControllerStage(
+        context=context, name=f"core-{len(context.controller_stages) + 1}", number=len(context.controller_stages) + 1
+    )
+    context.controller_stages.append(controller)
+    return controller
 
 
 def put(*, context: Any, key: str, value: bytes) -> None:
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -21,9 +21,9 @@
 from cinderstair.failover.shard_progress import ShardProgress
 from cinderstair.failover.shard_state import ShardPhase, ShardState, Vote
 from cinderstair.runtime.counters import Counters
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.recordwire import RecordWire
+from cinderstair.runtime.record_transport import RecordTransport
 from cinderstair.runtime.settings import Settings, may_change_live, read_settings
 from cinderstair.simulation.fleet import free_ports
 
@@ -101,7 +101,7 @@
 def error_kind(*, text: str) -> str | None:
     """The error kind that a message on standard error begins with; its prose is not recorded."""
     ahead = KIND_AHEAD.match(text)
-    return ahead[1] if ahead is not None and ahead[1] in {kind.value for kind in Kind} else None
+    return ahead[1] if ahead is not None and ahead[1] in {kind.value for kind in ErrorCode} else None
 
 
 @contextlib.contextmanager
@@ -138,7 +138,7 @@
 
 
 @contextlib.contextmanager
-def front_daemon(*, status: int, body: str, asked: list[str]) -> Iterator[str]:
+def front_daemon(*, status: int, body: str, requested: list[str]) -> Iterator[str]:
     """An address whose HTTP server notes each request and gives one answer."""
 
     class Handler(BaseHTTPRequestHandler):
@@ -146,7 +146,7 @@
 
         def _serve(self) -> None:
             sent = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-            asked.append(f"{self.command} {self.path} {sent.decode()}")
+            requested.append(f"{self.command} {self.path} {sent.decode()}")
             self.send_response(status)
             self.send_header("Content-Length", str(len(body)))
             self.end_headers()
@@ -170,11 +170,11 @@
 
 def operator_result(*, line: str, status: int, body: str) -> dict[str, Any]:
     """What a command asks a front daemon, and how it ends after the answer."""
-    asked: list[str] = []
-    with files() as paths, front_daemon(status=status, body=body, asked=asked) as address:
+    requested: list[str] = []
+    with files() as paths, front_daemon(status=status, body=body, requested=requested) as address:
         words = [paths.get(word, word) for word in line.split()]
         ran = run_command(words=[*words, "--at", address])
-    return {"asked": asked, "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
+    return {"asked": requested, "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
 
 
 @then("the frozen commands ask a front daemon and end as recorded")
@@ -188,14 +188,14 @@
 
 
 @contextlib.contextmanager
-def control_daemon(*, answer: bytes, asked: list[str]) -> Iterator[str]:
+def control_daemon(*, answer: bytes, requested: list[str]) -> Iterator[str]:
     """An address that notes each record and gives one answer."""
     port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
-    wire = RecordWire(counters=Counters())
+    wire = RecordTransport(counters=Counters())
 
     async def reply(body: bytes) -> bytes:
-        asked.append(body.hex())
+        requested.append(body.hex())
         return answer
 
     loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=reply))
@@ -213,11 +213,11 @@
 
 def control_result(*, line: str, answer: str) -> dict[str, Any]:
     """What a command asks a control daemon, and how it ends after the answer; records are in hexadecimal."""
-    asked: list[str] = []
-    with files() as paths, control_daemon(answer=bytes.fromhex(answer), asked=asked) as address:
+    requested: list[str] = []
+    with files() as paths, control_daemon(answer=bytes.fromhex(answer), requested=requested) as address:
         words = [paths.get(word, word) for word in line.split()]
         ran = run_command(words=[*words, "--at", address])
-    return {"asked": asked[:1], "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
+    return {"asked": requested[:1], "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
 
 
 def answer_record(*, kind: str, words: str, progress: tuple[int, int, int, str] | None = None) -> str:
@@ -293,7 +293,7 @@
     """Every setting by the file's own key, or why the file is refused."""
     read, path = settings_of(text=text)
     if read.is_error():
-        return f"{read.error.kind.value}: {read.error.why.replace(path, 'FILE')}"
+        return f"{read.error.code.value}: {read.error.reason.replace(path, 'FILE')}"
     return {key: value(read.ok) for key, value in FIELDS.items()}
 
 
--- a/features/steps/chartersteps.py
+++ b/features/steps/configuration_steps.py
@@ -9,7 +9,7 @@
 
 from behave import then, use_step_matcher, when
 
-from cinderstair.config.check import check_charter
+from cinderstair.config.check import check_configuration
 from cinderstair.config.compiler import compile_program, compile_selector
 from cinderstair.config.formatter import format_program
 
@@ -96,31 +96,31 @@
     assert context.result.is_error(), context.result
     fault = context.result.error
     assert (fault.details["line"], fault.details["column"]) == (int(line), int(column)), fault
-    assert words in fault.why, fault.why
+    assert words in fault.reason, fault.reason
 
 
 @when(r"the good document is checked")
 def when_good(context: Any) -> None:
-    context.result = check_charter(raw=json.dumps(good()).encode())
+    context.result = check_configuration(raw=json.dumps(good()).encode())
 
 
 @when(r"the good document is checked with (?P<change>.+)")
 def when_changed(context: Any, change: str) -> None:
     document = changed(document=good(), change=change)
-    context.result = check_charter(raw=json.dumps(document).encode())
+    context.result = check_configuration(raw=json.dumps(document).encode())
 
 
 @when(r"the bytes (?P<text>.+) are checked")
 def when_bytes(context: Any, text: str) -> None:
-    context.result = check_charter(raw=text.encode("latin-1").decode("unicode_escape").encode("latin-1"))
+    context.result = check_configuration(raw=text.encode("latin-1").decode("unicode_escape").encode("latin-1"))
 
 
 @then(r"it is accepted with 2 databases, 6 backends and 1 window")
 def then_good(context: Any) -> None:
     assert context.result.is_ok(), context.result
-    charter = context.result.ok
-    assert (len(charter.databases), len(charter.backends), len(charter.windows)) == (2, 6, 1)
-    assert not charter.warnings, charter.warnings
+    configuration = context.result.ok
+    assert (len(configuration.databases), len(configuration.backends), len(configuration.windows)) == (2, 6, 1)
+    assert not configuration.warnings, configuration.warnings
 
 
 @then(r'it is denied with "(?P<words>.*)"')
@@ -151,7 +151,10 @@
 @then(r"the format verb prints the example with the same meaning, and printing that again changes nothing")
 def then_verb(context: Any) -> None:
     first = format_verb(path=EXAMPLE)
-    before, after = check_charter(raw=EXAMPLE.read_bytes()).ok, check_charter(raw=first.stdout.encode()).ok
+    before, after = (
+        check_configuration(raw=EXAMPLE.read_bytes()).ok,
+        check_configuration(raw=first.stdout.encode()).ok,
+    )
     assert [r.where.text for r in before.program.routes] == [r.where.text for r in after.program.routes]
     assert before.program.policies == after.program.policies and before.backends == after.backends
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
--- a/features/steps/controledgesteps.py
+++ b/features/steps/control_edge_steps.py
@@ -4,30 +4,31 @@
 from typing import Any
 
 from adapter.control_edge import ControlEdge
-from adaptercommon import document, raw
+from adapter_common import document, raw
 from behave import given, then, when
 from expression import Error, Ok, Result
 from stage import Stage
 
 from cinderstair.config.service_plan import ServicePlan
 from cinderstair.membership.announcement import Announcement, read_announcement
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 
 
-class FakeGuildhall:
+class FakeController:
     def __init__(self) -> None:
         self.heard: list[Announcement] = []
         self.submitted: list[ServicePlan] = []
-        self.submits: Result[bool, Fault] = Ok(True)
-        self.document: Result[bytes, Fault] = Error(Fault(kind=Kind.noConfiguration, why="none yet"))
+        self.submits: Result[bool, CinderstairError] = Ok(True)
+        self.document: Result[bytes, CinderstairError] = Error(
+            CinderstairError(code=ErrorCode.NO_CONFIGURATION, reason="none yet")
+        )
         self.departed: list[str] = []
         self.in_touch = True
         self.orders = self
 
-    async def hear(self, *, announcement: Announcement) -> bool:
+    async def receive(self, *, announcement: Announcement) -> bool:
         self.heard.append(announcement)
         return self.in_touch
 
@@ -35,15 +36,15 @@
         self.departed.append(name)
         return self.in_touch
 
-    async def submit(self, *, plan: ServicePlan) -> Result[bool, Fault]:
+    async def submit(self, *, plan: ServicePlan) -> Result[bool, CinderstairError]:
         self.submitted.append(plan)
         return self.submits
 
-    async def fetch(self) -> Result[bytes, Fault]:
+    async def fetch(self) -> Result[bytes, CinderstairError]:
         return self.document
 
 
-BEAT = {
+HEARTBEAT = {
     "target": "s1",
     "address": "10.8.0.3:5100",
     "zone": "yard-a",
@@ -59,24 +60,24 @@
 @given("a control edge")
 def given_edge(context: Any) -> None:
     context.stage = Stage(context=context)
-    context.guildhall = FakeGuildhall()
+    context.controller = FakeController()
     nearer = {"yard-b": "10.2.0.2:5001"}
-    context.edge = ControlEdge(guildhall=context.guildhall, beat_to=lambda site: nearer.get(site, ""))
+    context.edge = ControlEdge(controller=context.controller, heartbeat_to=lambda site: nearer.get(site, ""))
 
 
 def handle(*, context: Any, method: str, target: str, body: bytes = b"") -> None:
     context.status, context.body = context.stage.run(work=context.edge.handle(method, target, body))
 
 
-@when("a backend sends a beat")
-def when_beat(context: Any) -> None:
-    handle(context=context, method="PUT", target="/cinderstair/servers/srv-1", body=json.dumps(BEAT).encode())
+@when("a backend sends a heartbeat")
+def when_heartbeat(context: Any) -> None:
+    handle(context=context, method="PUT", target="/cinderstair/servers/srv-1", body=json.dumps(HEARTBEAT).encode())
 
 
-@when("a backend sends a beat with {field} as {value}")
-def when_beat_with(context: Any, field: str, value: str) -> None:
-    beat = {key: each for key, each in BEAT.items() if key != field}
-    text = json.dumps(beat)
+@when("a backend sends a heartbeat with {field} as {value}")
+def when_heartbeat_with(context: Any, field: str, value: str) -> None:
+    heartbeat = {key: each for key, each in HEARTBEAT.items() if key != field}
+    text = json.dumps(heartbeat)
     if value != "missing":
         # why: as text, since not every JSON can be made from Python's values
         text = text[:-1] + f', "{field}": {value}}}'
@@ -102,25 +103,25 @@
     handle(context=context, method="PUT", target="/cinderstair/settings", body=context.raw)
 
 
-@given("a guildhall out of touch with a majority")
+@given("a controller out of touch with a majority")
 def given_out_of_touch(context: Any) -> None:
-    context.guildhall.in_touch = False
+    context.controller.in_touch = False
 
 
-@then("the goodbye of {name} was taken")
+@then("the deregistration of {name} was taken")
 def then_departed(context: Any, name: str) -> None:
-    assert context.guildhall.departed == [name], context.guildhall.departed
+    assert context.controller.departed == [name], context.controller.departed
 
 
-@given("a guildhall that answers {kind}")
+@given("a controller that answers {kind}")
 def given_kind(context: Any, kind: str) -> None:
-    fault = Error(Fault(kind=Kind[kind], why="so"))
-    context.guildhall.submits = context.guildhall.document = fault
+    fault = Error(CinderstairError(code=ErrorCode(kind), reason="so"))
+    context.controller.submits = context.controller.document = fault
 
 
-@given("a guildhall that keeps `{text}`")
+@given("a controller that keeps `{text}`")
 def given_keeps(context: Any, text: str) -> None:
-    context.guildhall.document = Ok(raw(text=text))
+    context.controller.document = Ok(raw(text=text))
 
 
 @then("the answer is {status:d} with `{body}`")
@@ -135,17 +136,17 @@
 
 @then("{count:d} beats were heard")
 def then_heard(context: Any, count: int) -> None:
-    assert len(context.guildhall.heard) == count, context.guildhall.heard
+    assert len(context.controller.heard) == count, context.controller.heard
 
 
-@then("the last beat has {field} {value}")
-def then_last_beat(context: Any, field: str, value: str) -> None:
-    assert str(getattr(context.guildhall.heard[-1], field)) == value, context.guildhall.heard[-1]
+@then("the last heartbeat has {field} {value}")
+def then_last_heartbeat(context: Any, field: str, value: str) -> None:
+    assert str(getattr(context.controller.heard[-1], field)) == value, context.controller.heard[-1]
 
 
 @then("whatever was heard can be told to others")
 def then_packable(context: Any) -> None:
-    for each in context.guildhall.heard:
+    for each in context.controller.heard:
         packer = Packer()
         each.write(packer=packer)
         assert read_announcement(unpacker=Unpacker(data=packer.bytes())) == each
@@ -153,5 +154,5 @@
 
 @then("the plan that was submitted keeps the operator's bytes, or there is none: {word}")
 def then_submitted(context: Any, word: str) -> None:
-    found = [plan.document for plan in context.guildhall.submitted]
+    found = [plan.document for plan in context.controller.submitted]
     assert found == ([context.raw] if word == "keeps" else []), found
--- a/features/steps/controlverbsteps.py
+++ b/features/steps/controller_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the verbs that speak to a guildhall, on real sockets of loopback."""
+"""Steps for the verbs that speak to a controller, on real sockets of loopback."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,17 @@
 from behave import given, then, when
 from cleo.application import Application
 
-from cinderstair.cli.controlverb import GuildhallVerb, ShardsVerb
-from cinderstair.cli.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
+from cinderstair.cli.controller_commands import ControllerCommand, ShardsCommand
+from cinderstair.cli.shard_commands import (
+    ShardsAbandonCommand,
+    ShardsBeginCommand,
+    ShardsPlanCommand,
+    ShardsWatchCommand,
+)
 from cinderstair.failover.shard_state import ShardPhase
 from cinderstair.runtime.counters import Counters
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.recordwire import RecordWire
+from cinderstair.runtime.record_transport import RecordTransport
 from cinderstair.simulation.fleet import free_ports
 
 
@@ -34,17 +39,17 @@
     return b"\x00\x01"
 
 
-@given("a guildhall's address that answers {words}")
-def given_guildhall(context: Any, words: str) -> None:
+@given("a controller's address that answers {words}")
+def given_controller(context: Any, words: str) -> None:
     port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
-    wire = RecordWire(counters=Counters())
+    wire = RecordTransport(counters=Counters())
 
     async def answer(body: bytes) -> bytes:
         return answer_of(words=words)
 
     loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=answer))
-    # why: the verb runs a loop of its own and waits in it, so its guildhall needs another thread
+    # why: the verb runs a loop of its own and waits in it, so its controller needs another thread
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
 
@@ -65,8 +70,14 @@
         given = {"MAP": str(path), "MISSING": str(Path(folder, "missing.json"))}
         argv = [given.get(word, word) for word in words.split()] + ["--at", address]
         app = Application("cinderstair", "0")
-        app.add(ShardsVerb())
-        for verb in (GuildhallVerb, ShardsPlanVerb, ShardsBeginVerb, ShardsWatchVerb, ShardsAbandonVerb):
+        app.add(ShardsCommand())
+        for verb in (
+            ControllerCommand,
+            ShardsPlanCommand,
+            ShardsBeginCommand,
+            ShardsWatchCommand,
+            ShardsAbandonCommand,
+        ):
             app.add(verb())
         app.auto_exits(False)
         said = io.StringIO()
--- a/features/steps/daysteps.py
+++ b/features/steps/day_steps.py
@@ -4,13 +4,13 @@
 
 from behave import given, then, when
 
-from cinderstair.simulation.blow import Blow
 from cinderstair.simulation.days import plan, run_day, shortest
+from cinderstair.simulation.injected_fault import InjectedFault
 
 
 @when("a short day in {place} is run with seed {seed:d}")
 def when_day(context: Any, place: str, seed: int) -> None:
-    context.verdict = run_day(place=place, seed=seed, blows=plan(place=place, seed=seed, whole=False))
+    context.verdict = run_day(place=place, seed=seed, injected_faults=plan(place=place, seed=seed, whole=False))
     context.wrong = context.verdict.wrong
 
 
@@ -22,22 +22,24 @@
 
 @given("a day of {count:d} failures that fails whenever the 7th, the 8th and the 31st fall")
 def given_failing(context: Any, count: int) -> None:
-    context.blows = [Blow(number=n, kind="crowd", at_us=n * 1_000_000, length_us=500_000) for n in range(count)]
+    context.injected_faults = [
+        InjectedFault(number=n, kind="crowd", at_us=n * 1_000_000, length_us=500_000) for n in range(count)
+    ]
     context.runs = 0
 
-    def fails(blows: list[Blow]) -> bool:
+    def fails(injected_faults: list[InjectedFault]) -> bool:
         context.runs += 1
-        return {7, 8, 31} <= {blow.number for blow in blows}
+        return {7, 8, 31} <= {injected_fault.number for injected_fault in injected_faults}
 
     context.fails = fails
 
 
 @when("it is shrunk")
 def when_shrunk(context: Any) -> None:
-    context.left = shortest(blows=context.blows, fails=context.fails)
+    context.left = shortest(injected_faults=context.injected_faults, fails=context.fails)
 
 
 @then("just these three are left, after fewer than {most:d} runs")
 def then_left(context: Any, most: int) -> None:
-    assert [blow.number for blow in context.left] == [7, 8, 31], context.left
+    assert [injected_fault.number for injected_fault in context.left] == [7, 8, 31], context.left
     assert context.runs < most, context.runs
--- a/features/steps/detoursteps.py
+++ b/features/steps/detour_steps.py
@@ -11,8 +11,7 @@
 from cinderstair.pooler.forwarder import Holder
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import Reply
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 
 TEND_MS = 100
@@ -34,7 +33,7 @@
         await asyncio.sleep(self.wait_us / 1_000_000)
         if self.holder.name in self.reached:
             return Reply(rows=[], position=Position(1, 7))
-        return Reply(rows=[], fault=Kind.noBackend, not_run=True)
+        return Reply(rows=[], fault=ErrorCode.NO_BACKEND, not_run=True)
 
     def close(self) -> None:
         pass
@@ -46,12 +45,12 @@
         self.wait_us = ANSWER_US
         self.tried: list[str] = []
 
-    async def link(self, *, holders: tuple[Holder, ...], **_: Any) -> Result[WayLink, Fault]:
+    async def link(self, *, holders: tuple[Holder, ...], **_: Any) -> Result[WayLink, CinderstairError]:
         self.tried.append(holders[0].name)
         return Ok(WayLink(holder=holders[0], reached=self.reached, wait_us=self.wait_us))
 
 
-@given('a primary "{name}", and other booths "near" and "far" that may have links to it')
+@given('a primary "{name}", and other proxies "near" and "far" that may have links to it')
 def given_primary(context: Any, name: str) -> None:
     context.stage = Stage(context=context)
     holders = (Holder(0, "near", "near:1"), Holder(2, "far", "far:1"))
@@ -61,7 +60,7 @@
         context.detours = Detours(ctx=context.stage.ctx, others=lambda pool: holders)
         context.detours.forwarder = context.forwarder
         context.pool = LinkPool(
-            ctx=context.stage.ctx, backend=announcement(name=name), dialer=no_dialer, on_trouble=lambda: None
+            ctx=context.stage.ctx, backend=announcement(name=name), dialer=no_dialer, on_link_failure=lambda: None
         )
 
     context.stage.call(call=make)
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -26,15 +26,15 @@
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.consensus.store import LOGS, SLOTS, Held, Store, ident_entry
-from cinderstair.failover.booth_places import PLACES_KEY, BoothPlace, BoothPlaces
-from cinderstair.failover.service_lead import LeadState, ServiceLead, service_lead_key
+from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.failover.shard_state import SHARDS_KEY, ShardPhase, ShardState
-from cinderstair.failover.slots import SLOTS_KEY, Slots
-from cinderstair.runtime.fault import Fault
+from cinderstair.runtime.errors import CinderstairError
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
 from cinderstair.runtime.unpacker import Unpacker
-from cinderstair.simulation.simdisk import SimDisk
+from cinderstair.simulation.sim_disk import SimDisk
 
 DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data" / "disk"
 FILES = (*SLOTS, *LOGS)
@@ -48,7 +48,7 @@
 
 def new_disk() -> SimDisk:
     """An empty disk in memory."""
-    return SimDisk(luck=random.Random(DISK_SEED))
+    return SimDisk(rng=random.Random(DISK_SEED))
 
 
 def opened(*, disk: SimDisk) -> Store:
@@ -103,29 +103,29 @@
 
 def first_values() -> dict[str, bytes]:
     """What the register holds under the first roster, by key."""
-    lead = ServiceLead(term=1, primary="db-1", state=LeadState.settled, turn=1)
+    lead = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, turn=1)
     return {
         ROSTER_KEY: roster(epoch=1).bytes(),
         PLAN_KEY: plan(version=1).bytes(),
-        service_lead_key(service="alpha"): lead.bytes(),
-        SLOTS_KEY: Slots(names=((0, "pooler-1"),)).bytes(),
+        service_primary_key(service="alpha"): lead.bytes(),
+        PROXY_IDS_KEY: ProxyIds(names=((0, "pooler-1"),)).bytes(),
     }
 
 
 def later_values() -> dict[str, bytes]:
     """What is written under the second roster, by key."""
-    lead = ServiceLead(
+    lead = ServicePrimary(
         term=2,
         primary="db-2",
-        state=LeadState.moving,
+        state=PrimaryState.moving,
         fence=Position(1, 4_096),
         ready_in_us=700_000,
         planned=True,
         turn=2,
     )
     places = {
-        "pooler-1": BoothPlace(site="near", records="10.2.0.1:7200"),
-        "pooler-2": BoothPlace(site="far"),
+        "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
+        "pooler-2": ProxyAddress(site="far"),
     }
     shards = ShardState(
         phase=ShardPhase.proposed,
@@ -136,9 +136,9 @@
         why="too few agreed",
     )
     return {
-        service_lead_key(service="alpha"): lead.bytes(),
-        SLOTS_KEY: Slots(names=((0, "pooler-1"), (1, "pooler-2"))).bytes(),
-        PLACES_KEY: BoothPlaces(places=places).bytes(),
+        service_primary_key(service="alpha"): lead.bytes(),
+        PROXY_IDS_KEY: ProxyIds(names=((0, "pooler-1"), (1, "pooler-2"))).bytes(),
+        PROXY_ADDRESSES_KEY: ProxyAddresses(places=places).bytes(),
         SHARDS_KEY: shards.bytes(),
     }
 
@@ -295,10 +295,10 @@
     }
 
 
-def outcome_of(*, result: Result[Store, Fault]) -> dict[str, Any]:
+def outcome_of(*, result: Result[Store, CinderstairError]) -> dict[str, Any]:
     """What opening a disk came to, in the plain form that is kept beside the files."""
     if result.is_error():
-        return {"refused": result.error.kind.value}
+        return {"refused": result.error.code.value}
     return state_of(held=result.ok.held, torn_bytes=result.ok.torn_bytes)
 
 
@@ -360,7 +360,7 @@
 
 @then('the frozen disk is refused with the words "{words}", and not one byte is changed')
 def then_refused(context: Any, words: str) -> None:
-    assert context.result.is_error() and words in context.result.error.why, context.result
+    assert context.result.is_error() and words in context.result.error.reason, context.result
     assert context.disk.files == frozen_files(example=context.example)
 
 
@@ -370,7 +370,7 @@
     for disk in context.marked:
         before = dict(disk.files)
         result = Store(disk=disk).open()
-        assert result.is_error() and words in result.error.why, result
+        assert result.is_error() and words in result.error.reason, result
         assert disk.files == before
 
 
--- a/features/steps/explorersteps.py
+++ b/features/steps/explorer_steps.py
@@ -38,7 +38,7 @@
     def wrong(self, *, state: tuple[int, int]) -> str:
         return "forbidden" if state == self.forbidden else ""
 
-    def told(self, *, state: tuple[int, int], choice: int) -> str:
+    def reported(self, *, state: tuple[int, int], choice: int) -> str:
         return f"{NAMES[choice]} goes up"
 
 
@@ -82,15 +82,15 @@
     assert not report.exhausted
 
 
-@then('the wrong state was found after "{told}"')
-def then_found(context: Any, told: str) -> None:
+@then('the wrong state was found after "{reported}"')
+def then_found(context: Any, reported: str) -> None:
     assert context.report.wrong == "forbidden"
-    assert sorted(context.report.told) == sorted(told.split(", ")), context.report
+    assert sorted(context.report.reported) == sorted(reported.split(", ")), context.report
 
 
 @then("the same choices lead to it again")
 def then_again(context: Any) -> None:
-    assert replay(space=context.space, choices=context.report.choices) == (context.report.told, "forbidden")
+    assert replay(space=context.space, choices=context.report.choices) == (context.report.reported, "forbidden")
 
 
 @when('the model "{model}" is explored twice to depth {depth:d}')
@@ -171,11 +171,11 @@
 @then("no state is wrong, and all of at least {states:d} within the bounds were seen")
 def then_none(context: Any, states: int) -> None:
     report = context.report
-    assert not report.wrong, (report.wrong, report.told)
+    assert not report.wrong, (report.wrong, report.reported)
     assert report.states >= states and not report.left, report
 
 
 @then('a state is wrong: "{words}"')
 def then_wrong(context: Any, words: str) -> None:
     assert words in context.report.wrong, context.report
-    assert context.report.told
+    assert context.report.reported
--- a/features/steps/fleetsteps.py
+++ b/features/steps/fleet_steps.py
@@ -33,9 +33,12 @@
     )
 
 
-@given("a fleet of {stalls:d} stalls, {vaults:d} vaults and 1 database, at work with {clients:d} clients")
-def given_fleet(context: Any, stalls: int, vaults: int, clients: int) -> None:
-    fleet = new_fleet(context=context, stalls=stalls, vaults=vaults, databases=1)
+@given(
+    "a fleet of {http_proxies:d} HTTP proxies, {register_replicas:d} register replicas and 1 database, "
+    "at work with {clients:d} clients"
+)
+def given_fleet(context: Any, http_proxies: int, register_replicas: int, clients: int) -> None:
+    fleet = new_fleet(context=context, http_proxies=http_proxies, register_replicas=register_replicas, databases=1)
 
     async def go() -> None:
         await fleet.begin()
@@ -70,7 +73,7 @@
     run(context=context, work=go())
 
 
-@when("a stall's process is frozen until the others hold it to be gone, and goes on")
+@when("an HTTP proxy's process is frozen until the others hold it to be gone, and goes on")
 def when_frozen(context: Any) -> None:
     async def gone() -> bool:
         members = (await context.fleet.status(name="stall-0"))["members"]
@@ -92,8 +95,8 @@
     )
 
 
-@when("a vault's process is killed and started again")
-def when_vault(context: Any) -> None:
+@when("a register replica's process is killed and started again")
+def when_register_replica(context: Any) -> None:
     context.fleet.kill(name="vault-2")
     context.fleet.start(name="vault-2")
 
@@ -104,10 +107,10 @@
     assert result.returncode == 0, result.stderr
 
 
-@then("version 2 is in force at every stall, and is read back to the byte")
+@then("version 2 is in force at every HTTP proxy, and is read back to the byte")
 def then_in_force(context: Any) -> None:
     async def in_force() -> bool:
-        statuses = [await context.fleet.status(name=name) for name in context.fleet.stall_names]
+        statuses = [await context.fleet.status(name=name) for name in context.fleet.http_proxy_names]
         return all(status.get("configuration") == 2 for status in statuses)
 
     run(context=context, work=context.fleet.await_that(test=in_force, within_us=LONG_US, what="in force"))
@@ -161,7 +164,7 @@
     assert status["queueMost"] == 160, status["queueMost"]
 
 
-@when("a stall is told to stop")
+@when("an HTTP proxy is told to stop")
 def when_stop(context: Any) -> None:
     context.stop_us = now_us()
     context.fleet.signal(name="stall-1", number=signal.SIGTERM)
--- a/features/steps/forwardsteps.py
+++ b/features/steps/forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps for statements that one booth passes on to another."""
+"""Steps for statements that one proxy passes on to another."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,45 +6,44 @@
 
 from behave import given, then, when
 from expression import Error, Ok, Result
-from stage import FakeBackend, FakeDialer, Stage, ToldView, announcement, plan, position, route, statement
+from stage import FakeBackend, FakeDialer, ReportedView, Stage, announcement, plan, position, route, statement
 
-from cinderstair.pooler.forward_desk import ForwardDesk
+from cinderstair.pooler.forward_server import ForwardServer
 from cinderstair.pooler.forwarder import Forwarder, Holder
 from cinderstair.pooler.router import Router
 from cinderstair.pooler.session import Session
 from cinderstair.runtime.context import Context
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 
 TEND_S = 0.2
 SKEW_US = 77_000_000_000
 
 
-class OneDeskNet:
+class OneDispatcherNet:
     """Reaches the holder alone, unless it is gone. While it stands still, what comes lies before it."""
 
     def __init__(self) -> None:
-        self.desk: Desk | None = None
+        self.dispatcher: Dispatcher | None = None
         self.gone = False
         self.goes = asyncio.Event()
         self.goes.set()
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         work = asyncio.create_task(self._arrive(body=body))
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await asyncio.shield(work))
         except (TimeoutError, ConnectionError) as error:
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
     async def _arrive(self, *, body: bytes) -> bytes:
         await asyncio.sleep(0.001)
         await self.goes.wait()
-        assert self.desk is not None
+        assert self.dispatcher is not None
         if self.gone:
             raise ConnectionResetError("gone")
-        answer = await self.desk.answer(body)
+        answer = await self.dispatcher.answer(body)
         if self.gone:
             raise ConnectionResetError("gone")
         return answer
@@ -63,17 +62,19 @@
         return self.ctx.now_us()
 
 
-def new_router(*, context: Any, ctx: Context, told: ToldView) -> Router:
-    told.view.ctx = ctx
-    router = Router(ctx=ctx, view=told.view, dialer=FakeDialer(backends=context.backends), distance=lambda site: 0)
-    told.plan(plan=plan(routes=(route(),)))
-    told.slots(names=("holder", "booth-1"))
-    told.tell(backends=tuple(announcement(name=name, leads=name == "a") for name in ("a", "b")))
-    told.lead(primary="a")
+def new_router(*, context: Any, ctx: Context, reported: ReportedView) -> Router:
+    reported.view.ctx = ctx
+    router = Router(
+        ctx=ctx, view=reported.view, dialer=FakeDialer(backends=context.backends), distance=lambda site: 0
+    )
+    reported.plan(plan=plan(routes=(route(),)))
+    reported.proxy_ids(names=("holder", "booth-1"))
+    reported.tell(backends=tuple(announcement(name=name, leads=name == "a") for name in ("a", "b")))
+    reported.lead(primary="a")
     return router
 
 
-@given('a booth that holds 2 links to "a", which leads, and another that holds none')
+@given('a proxy that holds 2 links to "a", which leads, and another that holds none')
 def given_holder(context: Any) -> None:
     stage = context.stage = Stage(context=context)
     at = position(text="3.5")
@@ -82,18 +83,20 @@
     context.holder_ctx = stage.context(name="holder", seed=2)
     # why: no two machines' steady clocks agree
     context.holder_ctx.clock = lambda: stage.now_us + SKEW_US
-    context.holder_told = ToldView(stage=ShiftedStage(stage=stage, ctx=context.holder_ctx))
-    context.other_told = ToldView(stage=stage)
-    context.net = stage.ctx.net = OneDeskNet()
-    context.router = new_router(context=context, ctx=stage.ctx, told=context.other_told)
-    context.holder = new_router(context=context, ctx=context.holder_ctx, told=context.holder_told)
-    context.told = context.other_told
+    context.holder_reported = ReportedView(stage=ShiftedStage(stage=stage, ctx=context.holder_ctx))
+    context.other_reported = ReportedView(stage=stage)
+    context.net = stage.ctx.net = OneDispatcherNet()
+    context.router = new_router(context=context, ctx=stage.ctx, reported=context.other_reported)
+    context.holder = new_router(context=context, ctx=context.holder_ctx, reported=context.holder_reported)
+    context.reported = context.other_reported
     context.replies = []
     context.tends: list[Callable[[], None]] = []
 
     def begin() -> None:
-        context.net.desk = Desk(ctx=context.holder_ctx)
-        context.forwards = ForwardDesk(ctx=context.holder_ctx, router=context.holder, desk=context.net.desk)
+        context.net.dispatcher = Dispatcher(ctx=context.holder_ctx)
+        context.forwards = ForwardServer(
+            ctx=context.holder_ctx, router=context.holder, dispatcher=context.net.dispatcher
+        )
         context.forwarder = Forwarder(ctx=stage.ctx)
         context.holder.pools["a"].allow(limit=2)
         pool = context.router.pools["a"]
@@ -137,7 +140,7 @@
 
 
 @then('the other\'s client was told "{words}"')
-def then_other_told(context: Any, words: str) -> None:
+def then_other_reported(context: Any, words: str) -> None:
     found = ", ".join(context.replies) or "nothing"
     assert found == words, found
 
@@ -155,10 +158,10 @@
 
 @then("the holder has no transaction of others, and every link is given back")
 def then_no_channels(context: Any) -> None:
-    assert not context.forwards.open, context.forwards.channels
+    assert not context.forwards.open, context.forwards.connections
     assert not any(pool.taken for pool in context.holder.pools.values())
     assert not any(pool.taken for pool in context.router.pools.values())
-    assert not context.forwarder.channels
+    assert not context.forwarder.connections
 
 
 @when("the holder stops")
@@ -168,13 +171,13 @@
 
 @when("the holder has been out of touch for {wait_ms:d} ms")
 def when_holder_out(context: Any, wait_ms: int) -> None:
-    context.holder_told.in_touch = False
+    context.holder_reported.in_touch = False
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
 @when('the holder has heard that "{name}" leads')
 def when_holder_hears(context: Any, name: str) -> None:
-    context.holder_told.lead(primary=name, term=4)
+    context.holder_reported.lead(primary=name, term=4)
 
 
 @when("the holder stands still")
@@ -194,7 +197,9 @@
 def when_holder_anew(context: Any, seconds: int) -> None:
     def anew() -> None:
         context.holder_ctx.clock = lambda: context.stage.now_us + SKEW_US - seconds * 1_000_000
-        context.forwards = ForwardDesk(ctx=context.holder_ctx, router=context.holder, desk=context.net.desk)
+        context.forwards = ForwardServer(
+            ctx=context.holder_ctx, router=context.holder, dispatcher=context.net.dispatcher
+        )
 
     context.stage.call(call=anew)
 
@@ -204,10 +209,10 @@
     context.net.gone = True
 
 
-@when("the other booth ends")
+@when("the other proxy ends")
 def when_other_ends(context: Any) -> None:
     context.stage.call(call=lambda: context.tending[0].cancel())
-    context.forwarder.channels.clear()
+    context.forwarder.connections.clear()
     context.router.pools["a"].taken.clear()
 
 
--- a/features/steps/freshnesssteps.py
+++ b/features/steps/freshness_steps.py
@@ -24,7 +24,7 @@
         asked_ms, _, at = each.partition(":")
         found = position(text=at)
         assert found is not None
-        context.fresh.note(asked_us=int(asked_ms) * 1_000, position=found)
+        context.fresh.note(requested_us=int(asked_ms) * 1_000, position=found)
 
 
 @when('a late answer is noted: "{text}"')
@@ -53,21 +53,21 @@
 @then("over {runs:d} seeded runs no needed position ever lacks a commit that was acknowledged before")
 def then_never_lacks(context: Any, runs: int) -> None:
     for seed in range(runs):
-        luck, fresh = random.Random(seed), Freshness()
+        rng, fresh = random.Random(seed), Freshness()
         acknowledged: list[tuple[int, Position]] = []
         under_way: list[tuple[int, int, Position]] = []
         at, answered = Position(1, 0), 0
         for now_ms in range(0, 2_000, 7):
-            if luck.random() < 0.5:
+            if rng.random() < 0.5:
                 at = Position(at.term, at.number + 1)
                 acknowledged.append((now_ms, at))
-            if luck.random() < 0.6:
+            if rng.random() < 0.6:
                 # why: the position in an answer is that of any moment between the asking and the answer
-                under_way.append((now_ms + luck.randrange(1, 60), now_ms, at))
+                under_way.append((now_ms + rng.randrange(1, 60), now_ms, at))
             for entry in [entry for entry in under_way if entry[0] <= now_ms]:
                 under_way.remove(entry)
-                fresh.note(asked_us=entry[1] * 1_000, position=entry[2])
-            since_ms = now_ms - luck.randrange(0, 400)
+                fresh.note(requested_us=entry[1] * 1_000, position=entry[2])
+            since_ms = now_ms - rng.randrange(0, 400)
             found = fresh.needed(since_us=since_ms * 1_000)
             if found is not None:
                 answered += 1
@@ -79,7 +79,7 @@
 def then_bounded(context: Any, every_ms: int, most: int, age_ms: int) -> None:
     fresh = Freshness()
     for now_ms in range(0, 60_000, every_ms):
-        fresh.note(asked_us=now_ms * 1_000, position=Position(1, now_ms))
+        fresh.note(requested_us=now_ms * 1_000, position=Position(1, now_ms))
     assert len(fresh.samples) <= most, len(fresh.samples)
     since_us = fresh.newest_us - age_ms * 1_000
     found = fresh.needed(since_us=since_us)
--- a/features/steps/frozen_data.py
+++ b/features/steps/frozen_data.py
@@ -7,9 +7,34 @@
 DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data"
 
 
+def renamed(*, value: Any, names: dict[str, str], messages: dict[str, str]) -> Any:
+    """Recorded data under today's names.
+
+    `names` are whole texts (commands, counters); `messages` are parts of texts that are written for people. Nothing
+    that a program reads may stand in either.
+    """
+    if isinstance(value, dict):
+        return {
+            names.get(key, key): renamed(value=each, names=names, messages=messages) for key, each in value.items()
+        }
+    if isinstance(value, list):
+        entries = [renamed(value=each, names=names, messages=messages) for each in value]
+        sorted_before = all(isinstance(each, str) for each in value) and value == sorted(value)
+        return sorted(entries) if sorted_before else entries
+    if not isinstance(value, str):
+        return value
+    if value in names:
+        return names[value]
+    for old, new in messages.items():
+        value = value.replace(old, new)
+    return value
+
+
 def load(*, name: str) -> Any:
-    """The recorded JSON of that name below the data folder."""
-    return json.loads((DATA / f"{name}.json").read_text())
+    """The recorded JSON of that name below the data folder, with what `renamed.json` lists under its new name."""
+    changes = json.loads((DATA / "renamed.json").read_text())
+    recorded = json.loads((DATA / f"{name}.json").read_text())
+    return renamed(value=recorded, names=changes["names"], messages=changes["messages"])
 
 
 def differences(*, recorded: dict[str, Any], found: dict[str, Any]) -> list[str]:
--- a/features/steps/httpedgesteps.py
+++ b/features/steps/http_edge_steps.py
@@ -7,7 +7,7 @@
 import h11
 from adapter.http_edge import MOST_BODY_BYTES, HttpServer, post
 from adapter.promotion_call import PromotionCall
-from adaptercommon import MemoryStreams, connect, raw
+from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
 from stage import Stage
 
@@ -183,7 +183,7 @@
 
 @then("the result is {word}")
 def then_result(context: Any, word: str) -> None:
-    found = str(context.result.ok) if context.result.is_ok() else context.result.error.kind.value
+    found = str(context.result.ok) if context.result.is_ok() else context.result.error.code.value
     assert found == word, found
 
 
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -9,27 +9,27 @@
 
 from behave import given, then
 from common import new_world, run
-from forwardsteps import given_holder
+from forward_steps import given_holder
 from frozen_data import check_same, check_same_list, load
 from stage import Stage
 
-from cinderstair.http_frontend.denymixin import DenyMixin
+from cinderstair.http_frontend.reject_mixin import RejectMixin
 from cinderstair.pooler.forward_record import ForwardQuestion, ForwardStep
 from cinderstair.pooler.statement import Statement, Verb
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.counters import Counters
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.desks import FORWARD
-from cinderstair.runtime.httpjob import HttpJob
-from cinderstair.runtime.httpresponse import HttpResponse
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import ErrorCode
+from cinderstair.runtime.http_request import HttpRequest
+from cinderstair.runtime.http_response import HttpResponse
+from cinderstair.runtime.message_types import FORWARD
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.realnet import RealNet
+from cinderstair.runtime.real_net import RealNet
 from cinderstair.runtime.traces import Traces
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.fleet import free_ports
-from cinderstair.simulation.simnet import SimNet
-from cinderstair.simulation.virtualloop import Boot
+from cinderstair.simulation.sim_net import SimNet
+from cinderstair.simulation.virtual_loop import Boot
 from cinderstair.simulation.world import World
 
 SOURCES = Path(__file__).resolve().parents[2]
@@ -58,7 +58,7 @@
 # -- error kinds --
 
 
-class Denier(DenyMixin):
+class Denier(RejectMixin):
     """Gives the answers that every filter gives."""
 
     def __init__(self, *, ctx: Context) -> None:
@@ -69,9 +69,9 @@
     """The answer for each error kind, by the kind's word on the wire."""
     stage = Stage(context=context)
     denier = Denier(ctx=stage.ctx)
-    found = {word: shown(response=denier.deny(kind=Kind(word), why="because")) for word in kinds}
+    found = {word: shown(response=denier.reject(kind=ErrorCode(word), why="because")) for word in kinds}
     details = {"retryAfterUs": 2_500_000, "elsewhere": ["10.0.0.1:1"]}
-    busy = denier.deny(kind=Kind("crowded"), why="because", details=details)
+    busy = denier.reject(kind=ErrorCode("crowded"), why="because", details=details)
     return {**found, "crowded with details": shown(response=busy)}
 
 
@@ -79,8 +79,8 @@
     """The names of the counters that count denials."""
     stage = Stage(context=context)
     denier = Denier(ctx=stage.ctx)
-    for kind in Kind:
-        denier.deny(kind=kind, why="because")
+    for kind in ErrorCode:
+        denier.reject(kind=kind, why="because")
     denier.done()
     return sorted(stage.ctx.counters.snapshot())
 
@@ -88,7 +88,7 @@
 @then("the frozen answer for each error kind is given again")
 def then_kinds(context: Any) -> None:
     recorded = load(name="http/error_kinds")
-    words = [kind.value for kind in Kind]
+    words = [kind.value for kind in ErrorCode]
     check_same(recorded=recorded, found=denials(context=context, kinds=words))
 
 
@@ -103,10 +103,10 @@
 async def exchange(*, world: World, name: str, method: str, path: str, body: bytes) -> HttpResponse:
     """One request on a connection of its own."""
     net = SimNet(wires=world.wires, boot=Boot(name="operator"))
-    channel = (await net.dial(address=world.http(name=name), wait_us=500_000)).ok
-    job = HttpJob(method=method, path=path, body=body)
-    result = await channel.pass_job(job=job, wait_us=ANSWER_WAIT_US)
-    channel.close()
+    connection = (await net.dial(address=world.http(name=name), wait_us=500_000)).ok
+    request = HttpRequest(method=method, path=path, body=body)
+    result = await connection.send_request(request=request, wait_us=ANSWER_WAIT_US)
+    connection.close()
     return result.ok
 
 
@@ -178,10 +178,10 @@
     """Every different request that front daemons send to others meanwhile, without its numbers."""
     sent: set[str] = set()
 
-    def note(*, source: str, target: str, job: HttpJob) -> None:
-        if source in world.stall_names and not job.path.startswith("/v1/"):
-            body = NUMBER.sub(r"\1N", job.body.decode())
-            sent.add(f"{job.method} {job.path} {body}")
+    def note(*, source: str, target: str, request: HttpRequest) -> None:
+        if source in world.http_proxy_names and not request.path.startswith("/v1/"):
+            body = NUMBER.sub(r"\1N", request.body.decode())
+            sent.add(f"{request.method} {request.path} {body}")
 
     world.wires.arrived = note  # type: ignore[method-assign]
     replayed(world=world, requests=requests)
@@ -201,7 +201,7 @@
 def spans(*, world: World, requests: list[dict[str, Any]]) -> list[str]:
     """The spans that a front daemon writes meanwhile, without ids, times and the session's state."""
     lines: list[bytes] = []
-    world.contexts["stall-0"].traces = Traces(service="stall-0", luck=random.Random(1), sink=lines.append)
+    world.contexts["stall-0"].traces = Traces(service="stall-0", rng=random.Random(1), sink=lines.append)
     replayed(world=world, requests=requests)
     world.advance(for_us=2_000_000)
     return sorted({SPAN_VARYING.sub(r'"\1":"N"', line.decode().strip()) for line in lines})
@@ -252,9 +252,9 @@
 
     async def count(number: int) -> list[str]:
         ctx = stage.context(name=f"daemon-{number}")
-        desk = Desk(ctx=ctx)
-        desk.open(kind=number, answer=answer)
-        await desk.answer(bytes([number]))
+        dispatcher = Dispatcher(ctx=ctx)
+        dispatcher.add_handler(message_type=number, handler=answer)
+        await dispatcher.answer(bytes([number]))
         return sorted(ctx.counters.snapshot())
 
     return {number: stage.run(work=count(int(number))) for number in numbers}
@@ -292,7 +292,7 @@
         lost_question(context=context),
     ):
         body = Packer().u8(value=FORWARD).bytes() + question.bytes()
-        context.stage.run(work=context.net.desk.answer(body))
+        context.stage.run(work=context.net.dispatcher.answer(body))
     return [name for name in sorted(ctx.counters.snapshot()) if name.startswith("forward.")]
 
 
@@ -309,8 +309,8 @@
     port = free_ports(count=1)[0]
     net = RealNet(counters=Counters())
 
-    async def answer(job: HttpJob) -> HttpResponse:
-        body = json.dumps({"path": job.path, "body": job.body.decode()}).encode()
+    async def answer(request: HttpRequest) -> HttpResponse:
+        body = json.dumps({"path": request.path, "body": request.body.decode()}).encode()
         return HttpResponse(status=503, body=body, headers={"Retry-After": "2"})
 
     async def go() -> bytes:
--- a/features/steps/stallsteps.py
+++ b/features/steps/http_proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a stall's edge."""
+"""Steps for an HTTP proxy's edge."""
 
 import asyncio
 import json
@@ -7,9 +7,9 @@
 from behave import given, then, when
 from common import new_world
 
-from cinderstair.runtime.httpjob import HttpJob
-from cinderstair.simulation.simnet import SimNet
-from cinderstair.simulation.virtualloop import Boot
+from cinderstair.runtime.http_request import HttpRequest
+from cinderstair.simulation.sim_net import SimNet
+from cinderstair.simulation.virtual_loop import Boot
 from cinderstair.simulation.world import World
 
 
@@ -70,10 +70,10 @@
 def then_works(context: Any) -> None:
     status, answer = statement(context=context, kind="primary", text="get k")
     assert status == 200, answer
-    stall = context.world.stall(name="stall-0")
+    http_proxy = context.world.http_proxy(name="stall-0")
     context.world.advance(for_us=100_000)
-    assert not context.world.errors and not stall.ctx.counters.counts["internal.crashes"]
-    assert all(session.transaction is None and not session.busy for session in stall.sessions.open.values())
+    assert not context.world.errors and not http_proxy.ctx.counters.counts["internal.crashes"]
+    assert all(session.transaction is None and not session.busy for session in http_proxy.sessions.open.values())
 
 
 @when('it prepares "{text}", and sets the value "{key}" to "{value}"')
@@ -159,13 +159,13 @@
     assert statement(context=context, kind="primary", text="get a")[1]["rows"] == ["1"]
 
 
-@when("a majority of vaults is killed")
+@when("a majority of register replicas is killed")
 def when_majority(context: Any) -> None:
-    for name in context.world.vault_names[:3]:
+    for name in context.world.register_replica_names[:3]:
         context.world.kill(name=name)
 
 
-@then("within {seconds:d} seconds the stall is not ready")
+@then("within {seconds:d} seconds the HTTP proxy is not ready")
 def then_unready(context: Any, seconds: int) -> None:
     context.world.await_that(
         test=lambda: context.world.ask(name="stall-0", method="GET", path="/ready")[0] == 503,
@@ -181,8 +181,10 @@
     began_us = context.world.now_us
 
     async def go() -> Any:
-        channel = (await net.dial(address=context.world.http(name="stall-0"), wait_us=500_000)).ok
-        return await channel.pass_job(job=HttpJob(method="POST", path="/v1/sessions", body=body), wait_us=6_000_000)
+        connection = (await net.dial(address=context.world.http(name="stall-0"), wait_us=500_000)).ok
+        return await connection.send_request(
+            request=HttpRequest(method="POST", path="/v1/sessions", body=body), wait_us=6_000_000
+        )
 
     response = context.world.run(work=go()).ok
     answer = response.json()
@@ -191,16 +193,16 @@
     assert context.world.now_us - began_us < 50_000
 
 
-@given("a system of 1 stall with a cap of {cap:d}, and queues of {most:d}")
+@given("a system of 1 HTTP proxy with a cap of {cap:d}, and queues of {most:d}")
 def given_small(context: Any, cap: int, most: int) -> None:
-    world = new_world(context=context, seed=22, stalls=1, cap=cap, changes={"queueMost": most})
+    world = new_world(context=context, seed=22, http_proxies=1, cap=cap, changes={"queueMost": most})
     world.begin()
     for name in world.backend_names():
         world.backend(name=name).service_us = 200_000
 
 
 @when("{count:d} clients send slow reads at once with {seconds:d} seconds left each")
-def when_crowd(context: Any, count: int, seconds: int) -> None:
+def when_membership(context: Any, count: int, seconds: int) -> None:
     world = context.world
     context.left_us = seconds * 1_000_000
     context.answers = []
@@ -227,12 +229,12 @@
 
 @then("those denied were told crowded within {millis:d} milliseconds, with when to come back")
 def then_crowded(context: Any, millis: int) -> None:
-    denied = [(took_us, answer) for took_us, status, answer in context.answers if status != 200]
-    assert len(denied) >= 30, len(denied)
-    for _, answer in denied:
+    rejected = [(took_us, answer) for took_us, status, answer in context.answers if status != 200]
+    assert len(rejected) >= 30, len(rejected)
+    for _, answer in rejected:
         assert answer["kind"] == "crowded" and answer["retryAfterUs"] > 0, answer
-    quick = [took_us for took_us, _ in denied if took_us <= millis * 1000]
-    assert len(quick) == len(denied), sorted(took_us for took_us, _ in denied)[-5:]
+    quick = [took_us for took_us, _ in rejected if took_us <= millis * 1000]
+    assert len(quick) == len(rejected), sorted(took_us for took_us, _ in rejected)[-5:]
 
 
 @then("no backend was given more than {cap:d} channels")
@@ -244,13 +246,16 @@
 @when('a configuration with the language "{language}" is in force')
 def when_language(context: Any, language: str) -> None:
     world = context.world
-    charter = world.stall(name="stall-0").view.charter
-    context.old = world.stall(name="stall-0").view.leads["db0"].inSync[0]
-    body = world.configuration(version=charter.version + 1, old=(context.old,), language=language)
+    configuration = world.http_proxy(name="stall-0").view.configuration
+    context.old = world.http_proxy(name="stall-0").view.leads["db0"].in_sync[0]
+    body = world.configuration(version=configuration.version + 1, old=(context.old,), language=language)
     status, answer = ask(world=world, method="PUT", path="/v1/configuration", body=body)
     assert status == 200, answer
     world.await_that(
-        test=lambda: all(world.stall(name=n).view.charter.version > charter.version for n in world.stall_names),
+        test=lambda: all(
+            world.http_proxy(name=n).view.configuration.version > configuration.version
+            for n in world.http_proxy_names
+        ),
         within_us=3_000_000,
         what="in force",
     )
@@ -276,7 +281,7 @@
 @then("{count:d} live reads all run at the primary")
 def then_primary(context: Any, count: int) -> None:
     found = read_where(context=context, kind="live", count=count)
-    assert found[context.world.stall(name="stall-0").view.leads["db0"].primary] == count, found
+    assert found[context.world.http_proxy(name="stall-0").view.leads["db0"].primary] == count, found
 
 
 @then("a live read is denied with routeDenied, and a fresh read still runs")
@@ -288,14 +293,14 @@
 
 @then("no pool has room for more than {count:d} jobs")
 def then_active(context: Any, count: int) -> None:
-    for name in context.world.stall_names:
-        for pool in context.world.stall(name=name).yard.pools.values():
+    for name in context.world.http_proxy_names:
+        for pool in context.world.http_proxy(name=name).connection_pools.pools.values():
             assert 0 < pool.limit <= count, (name, pool.name, pool.limit)
 
 
 @when("both replicas apply 3 seconds late and something is written")
 def when_late(context: Any) -> None:
-    for name in context.world.stall(name="stall-0").view.leads["db0"].inSync:
+    for name in context.world.http_proxy(name="stall-0").view.leads["db0"].in_sync:
         context.world.backend(name=name).apply_us = 3_000_000
     status, answer = statement(context=context, kind="write", text="append k x")
     assert status == 200, answer
--- a/features/steps/underwaysteps.py
+++ b/features/steps/in_flight_steps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 from stage import Stage
 
+from cinderstair.pooler.in_flight_writes import InFlightWrites
 from cinderstair.pooler.reply import Reply
-from cinderstair.pooler.under_way import UnderWay
 
 WITHIN_US = 3_000_000
 
@@ -27,10 +27,10 @@
         self.closed.append(self.name)
 
 
-@given("what a booth has under way")
+@given("what a proxy has under way")
 def given_under_way(context: Any) -> None:
     context.stage = Stage(context=context)
-    context.under_way = UnderWay(ctx=context.stage.ctx)
+    context.under_way = InFlightWrites(ctx=context.stage.ctx)
     context.owed, context.closed = [], []
 
 
--- a/features/steps/launchsteps.py
+++ b/features/steps/launch_steps.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from adaptercommon import REPOSITORY
+from adapter_common import REPOSITORY
 from behave import then, when
 
 IMPORTS = """
@@ -58,9 +58,9 @@
     assert done.returncode == code and words in done.stderr, (done.returncode, done.stderr)
 
 
-@then("the deploy file puts {count:d} guildhalls on zones of {machines} machines with disks")
+@then("the deploy file puts {count:d} controllers on zones of {machines} machines with disks")
 def then_deploys(context: Any, count: int, machines: str) -> None:
-    role = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())["roles"]["guildhall"]
+    role = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())["roles"]["controller"]
     zones = [int(each) for each in machines.split(", ")]
     # why: a share is rounded up in each zone, and no zone has more than its machines
     placed = sum(min(zone, role["count"]) if "count" in role else math.ceil(zone * role["share"]) for zone in zones)
--- a/features/steps/linesteps.py
+++ b/features/steps/line_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from adapter.lines import MOST_BYTES, Lines
-from adaptercommon import raw
+from adapter_common import raw
 from behave import then
 
 
@@ -22,13 +22,13 @@
 
 @then("{count:d} seeded streams make the same lines however they are split")
 def then_any_split(context: Any, count: int) -> None:
-    luck = random.Random("lines")
+    rng = random.Random("lines")
     for _ in range(count):
-        stream = b"".join(luck.choice([b"a", b"\r", b"\n", b"\r\n", b" ", b"ROW x", b"\x00\xff"]) for _ in range(40))
+        stream = b"".join(rng.choice([b"a", b"\r", b"\n", b"\r\n", b" ", b"ROW x", b"\x00\xff"]) for _ in range(40))
         whole = feed_all(chunks=[stream])
         assert whole == stream.split(b"\r\n")[:-1]
         assert feed_all(chunks=[stream[n : n + 1] for n in range(len(stream))]) == whole
-        cuts = sorted(luck.randrange(len(stream) + 1) for _ in range(luck.randrange(12)))
+        cuts = sorted(rng.randrange(len(stream) + 1) for _ in range(rng.randrange(12)))
         parts = [stream[a:b] for a, b in zip([0, *cuts], [*cuts, len(stream)], strict=True)]
         assert feed_all(chunks=parts) == whole, parts
 
--- /dev/null
+++ b/features/steps/link_allocation_steps.py
@@ -0,0 +1,113 @@
+"""Steps for how links and copies are assigned to proxies."""
+
+from typing import Any
+
+from behave import given, then
+
+from cinderstair.pooler.link_allocation import Location, allocate_links, allocate_replicas
+
+
+def locations(*, text: str) -> list[Location]:
+    return [Location(each, each[:1]) for each in text.split() if each != "-"]
+
+
+@given('proxies in "{text}"')
+def given_proxy_spots(context: Any, text: str) -> None:
+    context.proxy_locations = list(enumerate(locations(text=text)))
+
+
+@given("{count:d} proxies in 6 zones of 3 regions")
+def given_many_spots(context: Any, count: int) -> None:
+    zones = ("n1", "s1", "w1", "n2", "s2", "w2")
+    context.proxy_locations = [(n, Location(zones[n % 6], zones[n % 6][:1])) for n in range(count)]
+
+
+@given('copies in "{text}", with room for {room:d} each')
+def given_replica_spots(context: Any, text: str, room: int) -> None:
+    context.replica_locations, context.room = locations(text=text), room
+    context.allocated = allocate_replicas(
+        proxies=context.proxy_locations, replicas=context.replica_locations, room=room
+    )
+
+
+@then('the copies are dealt "{text}"')
+def then_allocated(context: Any, text: str) -> None:
+    found = " ".join(str(context.allocated.get(n, "-")) for n, _ in context.proxy_locations)
+    assert found == text, found
+
+
+@then("no proxy is dealt more than one copy, and no copy more than its room")
+def then_allocated_room(context: Any) -> None:
+    for number in range(len(context.replica_locations)):
+        assert sum(n == number for n in context.allocated.values()) <= context.room
+
+
+@then("the copies are dealt to {first:d} and {second:d} proxies")
+def then_allocated_counts(context: Any, first: int, second: int) -> None:
+    counts = [list(context.allocated.values()).count(n) for n in (0, 1)]
+    assert counts == [first, second], counts
+
+
+@then("with any one proxy less at most {most:d} others are dealt another copy")
+def then_little_changes(context: Any, most: int) -> None:
+    for gone, _ in context.proxy_locations:
+        left = [entry for entry in context.proxy_locations if entry[0] != gone]
+        allocated = allocate_replicas(proxies=left, replicas=context.replica_locations, room=context.room)
+        moved = [n for n, _ in left if allocated.get(n) != context.allocated.get(n)]
+        assert len(moved) <= most, (gone, moved)
+
+
+def links_of(*, context: Any, proxies: list[tuple[int, Location]], backend: str) -> dict[int, int]:
+    return allocate_links(proxies=proxies, backend=backend, location=context.backend_location, room=context.room)
+
+
+@given('a backend "{name}" in "{site}" that takes {room:d} links')
+def given_backend_spot(context: Any, name: str, site: str, room: int) -> None:
+    context.backend_location, context.room = locations(text=site)[0], room
+    context.links = links_of(context=context, proxies=context.proxy_locations, backend=name)
+
+
+@then('the links are dealt "{text}"')
+def then_links(context: Any, text: str) -> None:
+    found = " ".join(str(context.links.get(n, "-")) for n, _ in context.proxy_locations)
+    assert found == text, found
+
+
+@then("all links dealt are {count:d}")
+def then_links_sum(context: Any, count: int) -> None:
+    assert sum(context.links.values()) == count, context.links
+
+
+@then('of the region "n" {home:d} proxies hold links, of "s" {far:d} and of "w" {third:d}')
+def then_link_holders(context: Any, home: int, far: int, third: int) -> None:
+    found = [
+        sum(location.region == each and n in context.links for n, location in context.proxy_locations)
+        for each in "nsw"
+    ]
+    assert found == [home, far, third], found
+
+
+@then("in each zone somebody holds links")
+def then_zones_hold(context: Any) -> None:
+    zones = {location.site for _, location in context.proxy_locations}
+    assert zones == {location.site for n, location in context.proxy_locations if n in context.links}
+
+
+@then('over {count:d} backends at that place no proxy of "{region}" holds for more than {most:d} and none for nobody')
+def then_links_even(context: Any, count: int, region: str, most: int) -> None:
+    held = {n: 0 for n, location in context.proxy_locations if location.region == region}
+    for number in range(count):
+        for n in links_of(context=context, proxies=context.proxy_locations, backend=f"i-{number}"):
+            if n in held:
+                held[n] += 1
+    assert max(held.values()) <= most and min(held.values()) > 0, held
+
+
+@then("with any one proxy less at most {most:d} others hold another number of links")
+def then_links_churn(context: Any, most: int) -> None:
+    worst = 0
+    for gone, _ in context.proxy_locations:
+        left = [entry for entry in context.proxy_locations if entry[0] != gone]
+        links = links_of(context=context, proxies=left, backend="x")
+        worst = max(worst, sum(links.get(n) != context.links.get(n) for n, _ in left))
+    assert worst <= most, worst
--- a/features/steps/linkpoolsteps.py
+++ b/features/steps/link_pool_steps.py
@@ -41,23 +41,23 @@
         if not self.task.done():
             return "waits"
         result = self.task.result()
-        return "a link" if result.is_ok() else result.error.kind.value
+        return "a link" if result.is_ok() else result.error.code.value
 
 
 @given("a pool of {limit:d} links")
 def given_pool(context: Any, limit: int) -> None:
     context.stage = Stage(context=context)
     context.backend = FakeBackend(name="b1", at=Position(3, 1))
-    context.troubles = 0
+    context.problems = 0
 
-    def trouble() -> None:
-        context.troubles += 1
+    def problem() -> None:
+        context.problems += 1
 
     context.pool = LinkPool(
         ctx=context.stage.ctx,
         backend=announcement(name="b1"),
         dialer=FakeDialer(backends={"b1": context.backend}),
-        on_trouble=trouble,
+        on_link_failure=problem,
     )
     context.pool.limit = limit
     context.waiters = []
@@ -152,7 +152,7 @@
 
 
 @then("the last one was told within {most_ms:d} ms")
-def then_told(context: Any, most_ms: int) -> None:
+def then_reported(context: Any, most_ms: int) -> None:
     waiter = context.waiters[-1]
     assert waiter.task.done() and waiter.ended_us - waiter.began_us <= most_ms * 1_000
 
@@ -292,4 +292,4 @@
 
 @then("the backend was blamed {count:d} times")
 def then_blamed(context: Any, count: int) -> None:
-    assert context.troubles == count, context.troubles
+    assert context.problems == count, context.problems
--- a/features/steps/almanacsteps.py
+++ b/features/steps/maintenance_steps.py
@@ -9,12 +9,12 @@
 
 from behave import given, then, when
 
-from cinderstair.config.check import check_charter
+from cinderstair.config.check import check_configuration
 from cinderstair.config.compiler import compile_selector
 from cinderstair.maintenance.leaving import leaving
 from cinderstair.maintenance.whatif import open_states
 from cinderstair.maintenance.window import Window
-from cinderstair.maintenance.windowstates import WindowStates, read_window_states
+from cinderstair.maintenance.window_states import WindowStates, read_window_states
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 
@@ -46,15 +46,17 @@
 
 
 @given("a configuration with halls and windows over each other")
-def given_halls(context: Any) -> None:
+def given_controllers(context: Any) -> None:
     times = {"starts": "2026-12-04T22:00:00Z", "ends": "2026-12-05T22:00:00Z"}
     document = {
         "version": 1,
         "databases": {
             "db": {
                 "backends": [
-                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": hall}}
-                    for i, (n, hall) in enumerate((("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1)
+                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": controller}}
+                    for i, (n, controller) in enumerate(
+                        (("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1
+                    )
                 ]
             }
         },
@@ -64,19 +66,19 @@
             {"name": "two", "empties": "hall in (old, mid)", **times},
         ],
     }
-    context.charter = check_charter(raw=json.dumps(document).encode()).ok
+    context.configuration = check_configuration(raw=json.dumps(document).encode()).ok
 
 
 @when("the windows {names} are open")
 def when_open(context: Any, names: str) -> None:
-    states = open_states(charter=context.charter, names=tuple(names.split()))
-    context.leaving = leaving(charter=context.charter, states=states)
+    states = open_states(configuration=context.configuration, names=tuple(names.split()))
+    context.leaving = leaving(configuration=context.configuration, states=states)
 
 
-@then("the backends {backends} and the stalls {stalls} are to stand empty")
-def then_leaving(context: Any, backends: str, stalls: str) -> None:
-    wanted = [set() if names == "none" else set(names.split()) for names in (backends, stalls)]
-    assert [set(context.leaving.backends), set(context.leaving.stalls)] == wanted, context.leaving
+@then("the backends {backends} and the HTTP proxies {http_proxies} are to stand empty")
+def then_leaving(context: Any, backends: str, http_proxies: str) -> None:
+    wanted = [set() if names == "none" else set(names.split()) for names in (backends, http_proxies)]
+    assert [set(context.leaving.backends), set(context.leaving.http_proxies)] == wanted, context.leaving
 
 
 def simulate(*, scenario: Path, words: tuple[str, ...] = ()) -> subprocess.CompletedProcess[str]:
--- a/features/steps/crowdsteps.py
+++ b/features/steps/membership_steps.py
@@ -7,8 +7,8 @@
 from common import new_world
 
 from cinderstair.membership.member import Standing
-from cinderstair.simulation.simnet import SimNet
-from cinderstair.simulation.virtualloop import Boot
+from cinderstair.simulation.sim_net import SimNet
+from cinderstair.simulation.virtual_loop import Boot
 
 
 def removed(*, context: Any, but: str) -> list[str]:
@@ -16,9 +16,9 @@
     world = context.world
     return [
         f"{name} took {member.name} for dead"
-        for name in (*world.stall_names, *world.vault_names)
+        for name in (*world.http_proxy_names, *world.register_replica_names)
         if world.up(name=name)
-        for member in world.things[name].crowd.members.values()
+        for member in world.things[name].membership.members.values()
         if member.standing == Standing.dead and member.name != but
     ]
 
@@ -26,21 +26,21 @@
 def gone_everywhere(*, context: Any, name: str) -> bool:
     world = context.world
     return all(
-        world.things[each].crowd.standing(name=name) in (Standing.dead, None)
-        for each in (*world.stall_names, *world.vault_names)
+        world.things[each].membership.standing(name=name) in (Standing.dead, None)
+        for each in (*world.http_proxy_names, *world.register_replica_names)
         if each != name
     )
 
 
-@given("a system of {stalls:d} stalls and {vaults:d} vaults, with seed {seed:d}")
-def given_system(context: Any, stalls: int, vaults: int, seed: int) -> None:
-    world = new_world(context=context, seed=seed, stalls=stalls, vaults=vaults)
+@given("a system of {http_proxies:d} HTTP proxies and {register_replicas:d} register replicas, with seed {seed:d}")
+def given_system(context: Any, http_proxies: int, register_replicas: int, seed: int) -> None:
+    world = new_world(context=context, seed=seed, http_proxies=http_proxies, register_replicas=register_replicas)
     world.begin()
     # why: everyone has to know everyone before anything is tried
     world.await_that(
         test=lambda: all(
-            len(world.things[n].crowd.alive()) == stalls + vaults - 1
-            for n in (*world.stall_names, *world.vault_names)
+            len(world.things[n].membership.alive()) == http_proxies + register_replicas - 1
+            for n in (*world.http_proxy_names, *world.register_replica_names)
         ),
         within_us=20_000_000,
         what="everyone knows everyone",
@@ -88,9 +88,9 @@
 @then("within {seconds:d} seconds everyone counts {name} in again")
 def then_in(context: Any, seconds: int, name: str) -> None:
     world = context.world
-    others = [each for each in (*world.stall_names, *world.vault_names) if each != name]
+    others = [each for each in (*world.http_proxy_names, *world.register_replica_names) if each != name]
     world.await_that(
-        test=lambda: all(world.things[each].crowd.standing(name=name) == Standing.alive for each in others),
+        test=lambda: all(world.things[each].membership.standing(name=name) == Standing.alive for each in others),
         within_us=seconds * 1_000_000,
         what=f"{name} is counted in",
     )
@@ -107,33 +107,33 @@
 
 @when("{count:d} records of random bytes are sent to stall-0 and vault-0")
 def when_random(context: Any, count: int) -> None:
-    world, luck = context.world, random.Random(6)
+    world, rng = context.world, random.Random(6)
     net = SimNet(wires=world.wires, boot=Boot(name="stranger"))
     context.answers = []
     for number in range(count):
-        kind = luck.choice([1, 2, 3, 4, 5, 6, 7, 20, 21, 30, 99])
-        junk = luck.randbytes(luck.randrange(0, 60))
+        kind = rng.choice([1, 2, 3, 4, 5, 6, 7, 20, 21, 30, 99])
+        junk = rng.randbytes(rng.randrange(0, 60))
         # why: half of them begin like a record of that kind whose text or list then makes no sense
         body = bytes([kind]) + (len(junk).to_bytes(4, "big") if number % 2 else b"") + junk
         address = world.records(name=("stall-0", "vault-0")[number % 2])
-        context.answers.append(world.run(work=net.ask(address=address, body=body, wait_us=100_000)))
+        context.answers.append(world.run(work=net.request(address=address, body=body, wait_us=100_000)))
 
 
 @then("they are answered by nobody, and both go on")
 def then_dropped(context: Any) -> None:
     world = context.world
-    # why: by chance a few are whole records of another epoch, to which a vault answers with one byte
-    told = [answer.ok for answer in context.answers if answer.is_ok()]
-    assert all(len(answer) == 1 for answer in told) and len(told) < 20, told[:3]
+    # why: by chance a few are whole records of another epoch, to which a register replica answers with one byte
+    reported = [answer.ok for answer in context.answers if answer.is_ok()]
+    assert all(len(answer) == 1 for answer in reported) and len(reported) < 20, reported[:3]
     assert not world.errors, world.errors[:3]
     assert world.ready()
-    assert world.vault(name="vault-0").roster is not None and not world.halted
+    assert world.register_replica(name="vault-0").roster is not None and not world.halted
 
 
 @when("{name} is frozen for {seconds:d} seconds and goes on")
 def when_frozen(context: Any, name: str, seconds: int) -> None:
     world = context.world
-    context.before = world.things[name].crowd.me.incarnation
+    context.before = world.things[name].membership.me.incarnation
     world.freeze(name=name)
     world.advance(for_us=seconds * 1_000_000)
     assert gone_everywhere(context=context, name=name)
--- a/features/steps/documentsteps.py
+++ b/features/steps/operator_document_steps.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from adapter.operator_document import read_document
-from adaptercommon import document, raw
+from adapter_common import document, raw
 from behave import given, then, when
 
 from cinderstair.config.service_plan import read_service_plan
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import ErrorCode
 
 
 @given("a valid document")
@@ -62,8 +62,8 @@
 @then("it is broken")
 def then_broken(context: Any) -> None:
     found = read_changed(context=context)
-    assert found.is_error() and found.error.kind == Kind.brokenConfiguration, found
-    assert found.error.why
+    assert found.is_error() and found.error.code == ErrorCode.BROKEN_CONFIGURATION, found
+    assert found.error.reason
 
 
 @then("every beginning of it is broken")
@@ -77,4 +77,4 @@
 def then_raw_broken(context: Any, text: str) -> None:
     data = {"of 100000 brackets": b"[" * 100_000, "of noise": b"\xff\xfe\x00{", "of nothing": b""}.get(text)
     found = read_document(raw=raw(text=text) if data is None else data)
-    assert found.is_error() and found.error.kind == Kind.brokenConfiguration, found
+    assert found.is_error() and found.error.code == ErrorCode.BROKEN_CONFIGURATION, found
