--- a/features/steps/parleysteps.py
+++ b/features/steps/peer_client_steps.py
@@ -6,63 +6,65 @@
 from behave import then, when
 from common import new_world
 
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.desks import SEEK
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import ErrorCode
+from cinderstair.runtime.message_types import SEEK
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.speech import WRAPPED, Speech
+from cinderstair.runtime.protocol_versions import WRAPPED, ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
-from cinderstair.simulation.virtualloop import Boot
+from cinderstair.simulation.virtual_loop import Boot
 
 ADDRESS = "10.9.9.9:7100"
 
 
-def speech(*, text: str) -> Speech:
+def protocol_versions(*, text: str) -> ProtocolVersions:
     lowest, _, highest = text.partition(" to ")
-    return Speech(lowest=int(lowest), highest=int(highest))
+    return ProtocolVersions(lowest=int(lowest), highest=int(highest))
 
 
 def new_context(*, context: Any, name: str, versions: str) -> Any:
-    context.world.speeches[name] = speech(text=versions)
+    context.world.versions_by_address[name] = protocol_versions(text=versions)
     context.world.addresses.setdefault(name, name)
     return context.world._context(name=name, boot=Boot(name=name))
 
 
-def open_desk(*, context: Any, name: str, versions: str) -> Desk:
+def open_dispatcher(*, context: Any, name: str, versions: str) -> Dispatcher:
     """A desk that answers with the version and the word that it was asked with."""
     ctx = new_context(context=context, name=name, versions=versions)
-    desk = Desk(ctx=ctx)
+    dispatcher = Dispatcher(ctx=ctx)
 
     async def seek(unpacker: Unpacker) -> bytes:
         word = unpacker.text()
         unpacker.done()
         return Packer().u8(value=unpacker.version).text(value=word).bytes()
 
-    desk.open(kind=SEEK, answer=seek)
-    context.world.run(work=ctx.net.listen(address=ADDRESS, answer=desk.answer))
-    return desk
+    dispatcher.add_handler(message_type=SEEK, handler=seek)
+    context.world.run(work=ctx.net.listen(address=ADDRESS, answer=dispatcher.answer))
+    return dispatcher
 
 
 def ask_again(*, context: Any, times: int) -> None:
     body = Packer().u8(value=SEEK).text(value="word").bytes()
     for _ in range(times):
-        result = context.world.run(work=context.asker.parley.ask(address=ADDRESS, body=body, wait_us=100_000))
+        result = context.world.run(
+            work=context.asker.peer_client.request(address=ADDRESS, body=body, wait_us=100_000)
+        )
         context.world.advance(for_us=1_500_000)
         context.results.append(result)
 
 
 @when("a daemon of versions {one} asks a daemon of versions {other} three times")
 def when_asks(context: Any, one: str, other: str) -> None:
-    new_world(context=context, seed=1, stalls=0, vaults=0, databases=0)
+    new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
     context.results = []
-    open_desk(context=context, name="other-1", versions=other)
+    open_dispatcher(context=context, name="other-1", versions=other)
     context.asker = new_context(context=context, name="one-1", versions=one)
     ask_again(context=context, times=3)
 
 
 @when("the other is replaced by one of versions {other}, and asked six times")
 def when_replaced(context: Any, other: str) -> None:
-    open_desk(context=context, name="other-2", versions=other)
+    open_dispatcher(context=context, name="other-2", versions=other)
     ask_again(context=context, times=6)
 
 
@@ -74,41 +76,41 @@
 @then("it is denied, with both versions named, logged once and counted")
 def then_denied(context: Any) -> None:
     error = context.results[-1].error
-    assert error.kind == Kind.otherVersion, error
-    assert "3 to 4" in error.why and "1 to 2" in error.why, error.why
-    assert len(context.asker.parley.logged) == 1, context.asker.parley.logged
+    assert error.code == ErrorCode.OTHER_VERSION, error
+    assert "3 to 4" in error.reason and "1 to 2" in error.reason, error.reason
+    assert len(context.asker.peer_client.logged) == 1, context.asker.peer_client.logged
     assert context.asker.counters.counts["records.otherVersion"] >= 2
 
 
 @when("a desk of versions {versions} is given {count:d} records made by seed {seed:d}")
 def when_given(context: Any, versions: str, count: int, seed: int) -> None:
-    new_world(context=context, seed=1, stalls=0, vaults=0, databases=0)
-    desk = open_desk(context=context, name="other-1", versions=versions)
-    luck = random.Random(seed)
+    new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
+    dispatcher = open_dispatcher(context=context, name="other-1", versions=versions)
+    rng = random.Random(seed)
     whole = Packer().u8(value=SEEK).text(value="word").bytes()
     context.fates = {"malformed": 0, "denied": 0, "answered": 0}
     for _ in range(count):
-        body = bytes([WRAPPED | luck.randrange(0, 6)]) * luck.randrange(0, 3) + whole
-        how = luck.choice(["as it is", "cut", "longer", "twice", "flipped"])
-        at = luck.randrange(len(body))
+        body = bytes([WRAPPED | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
+        how = rng.choice(["as it is", "cut", "longer", "twice", "flipped"])
+        at = rng.randrange(len(body))
         if how == "cut":
             body = body[:at]
         elif how == "longer":
-            body += luck.randbytes(luck.randrange(1, 40))
+            body += rng.randbytes(rng.randrange(1, 40))
         elif how == "twice":
             body += body
         elif how == "flipped":
-            body = body[:at] + bytes([body[at] ^ (1 << luck.randrange(8))]) + body[at + 1 :]
+            body = body[:at] + bytes([body[at] ^ (1 << rng.randrange(8))]) + body[at + 1 :]
         try:
-            answer = context.world.run(work=desk.answer(body))
+            answer = context.world.run(work=dispatcher.answer(body))
         except ValueError:
             context.fates["malformed"] += 1
             continue
-        denied = answer == bytes([WRAPPED, 1, 2])
+        rejected = answer == bytes([WRAPPED, 1, 2])
         # why: only a whole record of a version that is spoken may be answered, and only by what it asked
         sound = answer[-4:] != b"word" or body[-4:] == b"word"
-        assert denied or sound, (body, answer)
-        context.fates["denied" if denied else "answered"] += 1
+        assert rejected or sound, (body, answer)
+        context.fates["denied" if rejected else "answered"] += 1
 
 
 @then("each is dropped as malformed, denied by its version, or answered as it should be")
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -6,20 +6,20 @@
 from typing import Any
 
 from adapter.backend_link import BackendCommands, BackendDialer, BackendLink
-from adapter.booth_role import BoothRole
 from adapter.client_door import ClientDoor, encode
 from adapter.control_edge import ControlEdge
 from adapter.http_edge import HttpServer
 from adapter.lines import Lines
 from adapter.operator_document import read_document
 from adapter.promotion_call import PromotionCall
+from adapter.proxy_role import ProxyRole
 from adapter.settings_file import Machine, read_machine
 from adapter.statements import read_statement, text_for
 from adapter.words import position_text, read_position, word
-from adaptercommon import MemoryStreams, connect
+from adapter_common import MemoryStreams, connect
 from behave import then
-from clientdoorsteps import FakeBooth
-from controledgesteps import FakeGuildhall
+from client_door_steps import FakeProxy
+from control_edge_steps import FakeController
 from expression import Error, Ok
 from frozen_data import check_same, check_same_list, load
 from stage import NoNet, Stage, announcement
@@ -27,8 +27,7 @@
 from cinderstair.config.service_plan import Consistency, ServicePlan
 from cinderstair.pooler.reply import Reply, State, refusal
 from cinderstair.pooler.statement import Statement, Verb
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 
 STATE_LETTERS = {"I": State.idle, "T": State.open, "E": State.failed}
@@ -67,7 +66,7 @@
 
 def error_words() -> dict[str, str]:
     """The word that a client is told for each error kind."""
-    return {kind.value: as_text(data=word(kind=kind)) for kind in Kind}
+    return {kind.value: as_text(data=word(kind=kind)) for kind in ErrorCode}
 
 
 @then("the frozen error words are sent to clients")
@@ -80,7 +79,7 @@
     state = STATE_LETTERS[outcome["state"]]
     position = Position(*outcome["position"]) if outcome["position"] else None
     if "kind" in outcome:
-        reply = refusal(kind=Kind(outcome["kind"]), state=state, come_back_us=outcome["come_back_us"])
+        reply = refusal(kind=ErrorCode(outcome["kind"]), state=state, come_back_us=outcome["come_back_us"])
         reply.position = position
     else:
         rows = [as_bytes(text=row) for row in outcome["rows"]]
@@ -151,11 +150,11 @@
 def conversation(*, context: Any, sends: list[str], configured: bool) -> list[dict[str, Any]]:
     """What a client receives after each message that it sends."""
     context.stage = Stage(context=context)
-    booth = FakeBooth(stage=context.stage)
+    proxy = FakeProxy(stage=context.stage)
     if not configured:
-        booth.view.plan = None
+        proxy.view.plan = None
     counted: list[str] = []
-    connect(context=context, make=lambda: ClientDoor(booth=booth, doors=set(), count=counted.append))
+    connect(context=context, make=lambda: ClientDoor(proxy=proxy, doors=set(), count=counted.append))
     found = []
     for text in sends:
         data = as_bytes(text=text)
@@ -179,7 +178,7 @@
 def ask_everything(*, link: BackendLink) -> None:
     """Each question that a link can put to its backend."""
     at = Position(3, 7)
-    link.greet(service="s1", name="srv-1")
+    link.handshake(service="s1", name="srv-1")
     link.begin(read_only=False, at_least=None)
     link.begin(read_only=True, at_least=at)
     for text in (b"FETCH 1", b"PUT 1 a  b", b"COMMIT"):
@@ -213,14 +212,14 @@
     """How a backend's answer to a read is understood."""
     context.stage = Stage(context=context)
     connect(context=context, make=BackendLink)
-    asked: list[Any] = []
+    requested: list[Any] = []
     statement = read_statement(ident=b"id", text=b"FETCH 1")
-    context.stage.call(call=lambda: asked.append(context.protocol.send(statement=statement)))
+    context.stage.call(call=lambda: requested.append(context.protocol.send(statement=statement)))
     context.stage.call(call=lambda: context.transport.feed(as_bytes(text=answer)))
     context.stage.advance(for_us=1_000)
-    if not asked[0].done() or asked[0].exception() is not None:
+    if not requested[0].done() or requested[0].exception() is not None:
         return {"answered": False}
-    reply: Reply = asked[0].result()
+    reply: Reply = requested[0].result()
     return {
         "answered": True,
         "rows": [as_text(data=row) for row in reply.rows],
@@ -267,29 +266,29 @@
 
 
 def control_answer(*, context: Any, exchange: dict[str, Any]) -> dict[str, Any]:
-    """The control edge's answer to one request, with a guildhall in the recorded state."""
+    """The control edge's answer to one request, with a controller in the recorded state."""
     stage = Stage(context=context)
-    guildhall = FakeGuildhall()
-    guildhall.in_touch = exchange.get("in_touch", True)
+    controller = FakeController()
+    controller.in_touch = exchange.get("in_touch", True)
     if "kind" in exchange:
-        fault = Error(Fault(kind=Kind(exchange["kind"]), why="because"))
-        guildhall.submits = guildhall.document = fault
+        fault = Error(CinderstairError(code=ErrorCode(exchange["kind"]), reason="because"))
+        controller.submits = controller.document = fault
     elif "document" in exchange:
-        guildhall.document = Ok(as_bytes(text=exchange["document"]))
+        controller.document = Ok(as_bytes(text=exchange["document"]))
     nearer = {"yard-b": "10.2.0.2:5001"}
-    edge = ControlEdge(guildhall=guildhall, beat_to=lambda site: nearer.get(site, ""))  # type: ignore[arg-type]
+    edge = ControlEdge(controller=controller, heartbeat_to=lambda site: nearer.get(site, ""))  # type: ignore[arg-type]
     body = as_bytes(text=exchange.get("body", ""))
     status, answer = stage.run(work=edge.handle(exchange["method"], exchange["target"], body))
     return {
         "status": status,
         "body": as_text(data=answer),
-        "heard": [heard_form(each=each) for each in guildhall.heard],
-        "departed": guildhall.departed,
+        "heard": [heard_form(each=each) for each in controller.heard],
+        "departed": controller.departed,
     }
 
 
 def heard_form(*, each: Any) -> dict[str, Any]:
-    """What a beat has told."""
+    """What a heartbeat has told."""
     return {
         "server": each.name,
         "call_count": each.number,
@@ -328,7 +327,7 @@
 def document_form(*, text: str) -> dict[str, Any] | str:
     """What a document reads as, or why it is refused."""
     read = read_document(raw=text.encode())
-    return plan_form(plan=read.ok) if read.is_ok() else f"{read.error.kind.value}: {read.error.why}"
+    return plan_form(plan=read.ok) if read.is_ok() else f"{read.error.code.value}: {read.error.reason}"
 
 
 @then("the frozen operator documents are read alike")
@@ -373,8 +372,8 @@
         return None
 
 
-class ReadyBooth:
-    """A booth that is ready and in touch."""
+class ReadyProxy:
+    """A proxy that is ready and in touch."""
 
     def __init__(self) -> None:
         self.ready = True
@@ -388,10 +387,10 @@
     context.stage.ctx.net = QuietNet()
     streams = ServingStreams()
     machine = Machine(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
-    role = BoothRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
+    role = ProxyRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
     context.stage.run(work=role.start())
     if ready:
-        role.booth = ReadyBooth()  # type: ignore[assignment]
+        role.proxy = ReadyProxy()  # type: ignore[assignment]
     found = {}
     for target in targets:
         connect(context=context, make=streams.served["r:1"])
@@ -419,7 +418,7 @@
     work = call.promote(service="s1", backend="srv-1", fence_number=12, holds=lambda: True)
     result = stage.run(work=work)
     sent = as_text(data=streams.transports[0].sent) if streams.transports else ""
-    return {"sent": sent, "result": "done" if result.is_ok() else result.error.kind.value}
+    return {"sent": sent, "result": "done" if result.is_ok() else result.error.code.value}
 
 
 @then("the frozen promotion call is sent byte for byte")
@@ -466,7 +465,7 @@
     finally:
         os.close(handle)
         os.unlink(path)
-    return machine_form(machine=read.ok) if read.is_ok() else read.error.why.replace(path, "FILE")
+    return machine_form(machine=read.ok) if read.is_ok() else read.error.reason.replace(path, "FILE")
 
 
 @then("the frozen settings files of the platform are read alike")
--- a/features/steps/platformsteps.py
+++ b/features/steps/platform_trial_steps.py
@@ -11,15 +11,15 @@
 from cinderstair.consensus.roster import read_roster, read_voter, write_voter
 from cinderstair.consensus.store import LOG_MOST_BYTES, Store
 from cinderstair.control_plane.status_text import status_text
-from cinderstair.runtime.desks import HELLO
+from cinderstair.runtime.message_types import JOIN_REQUEST
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
-from cinderstair.simulation.platformsim.platform_faults import switched_in
 from cinderstair.simulation.platformsim.platform_trials import run_trial
 from cinderstair.simulation.platformsim.platform_world import PlatformWorld
 from cinderstair.simulation.platformsim.repository import see_adapter
+from cinderstair.simulation.platformsim.seeded_bugs import switched_in
 from cinderstair.simulation.platformsim.shard_trials import MOVING, TARGET, moved, propose
-from cinderstair.simulation.simdisk import SimDisk
+from cinderstair.simulation.sim_disk import SimDisk
 
 
 def play(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
@@ -78,7 +78,7 @@
         assert (again.chances, again.served, again.owed) == (verdict.chances, verdict.served, verdict.owed), seed
 
 
-@when("a simulated platform serves, and the map of version {version:d} is put to its booths")
+@when("a simulated platform serves, and the map of version {version:d} is put to its proxies")
 def when_serves(context: Any, version: int) -> None:
     see_adapter()
     context.world = PlatformWorld(seed=1)
@@ -88,24 +88,29 @@
     moved(world=context.world, version=version)
 
 
-@then("a guildhall tells of the vaults, services, backends, booths, duties and the map of version {version:d}")
+@then(
+    "a controller tells of the register replicas, services, backends, proxies, duties and "
+    "the map of version {version:d}"
+)
 def then_tells(context: Any, version: int) -> None:
     world = context.world
-    texts = [status_text(guildhall=world.roles[name].guildhall) for name in world.guildhalls]
+    texts = [status_text(controller=world.roles[name].controller) for name in world.controllers]
     for text in texts:
         assert f"map {version}: ledger0-primary at ledger1" in text and "NOT CURRENT" not in text, text
-        for name in [*world.guildhalls, *world.backends, *world.services]:
+        for name in [*world.controllers, *world.backends, *world.services]:
             assert f" {name}" in f"\n{text}".replace("\n", "\n "), (name, text)
         assert "votes: 3 of 3, epoch 1, bears the loss of 1 more; standing by: nobody" in text, text
     together = "\n".join(texts)
-    assert all(f"booth {name}: asked" in together for name in world.booths), together
+    assert all(f"proxy {name}: asked" in together for name in world.proxies), together
     assert "holds the duty of promotions" in together and "holds the duty of slots" in together, together
 
 
-def asked(*, context: Any, at: int, handler: str, body: bytes) -> tuple[str, str]:
-    """A guildhall's kind and words to an operator's question."""
-    guildhall = context.world.roles[context.world.guildhalls[at]].guildhall
-    answer = Unpacker(data=context.world.run(work=getattr(guildhall.shard_desk, handler)(Unpacker(data=body))))
+def requested(*, context: Any, at: int, handler: str, body: bytes) -> tuple[str, str]:
+    """A controller's kind and words to an operator's question."""
+    controller = context.world.roles[context.world.controllers[at]].controller
+    answer = Unpacker(
+        data=context.world.run(work=getattr(controller.shard_map_handler, handler)(Unpacker(data=body)))
+    )
     return answer.text(), answer.text()
 
 
@@ -120,20 +125,20 @@
     context.worlds.append(context.world)
     context.world.begin()
     context.document = document(version=version, places=dict.fromkeys(MOVING, TARGET))
-    context.planned = asked(context=context, at=0, handler="_planned_only", body=context.document)
+    context.planned = requested(context=context, at=0, handler="_planned_only", body=context.document)
 
 
 @then("what it would do is told, and how long writes would wait, and nothing has changed")
-def then_told(context: Any) -> None:
+def then_reported(context: Any) -> None:
     kind, words = context.planned
     lines = words.splitlines()
     assert not kind and lines[:2] == [f"{name}: from ledger0 to ledger1" for name in sorted(MOVING)], words
-    found = re.match(r"writes of moving databases wait about (\d+) ms .*, (\d+) ms with a booth silent", lines[2])
-    assert found is not None and "all 3 booths heard" in lines[2], words
+    found = re.match(r"writes of moving databases wait about (\d+) ms .*, (\d+) ms with a proxy silent", lines[2])
+    assert found is not None and "all 3 proxies heard" in lines[2], words
     context.foretold_us = int(found[1]) * 1_000
     assert context.foretold_us < int(found[2]) * 1_000, words
     context.world.advance(for_ms=1_000)
-    assert asked(context=context, at=1, handler="_asked", body=Packer().blob(value=b"").bytes())[1].startswith(
+    assert requested(context=context, at=1, handler="_asked", body=Packer().blob(value=b"").bytes())[1].startswith(
         "map 0: all as planned"
     )
 
@@ -142,7 +147,7 @@
 def then_refused(context: Any) -> None:
     body = document(version=4, places={MOVING[0]: "nobody", "nowhere": TARGET})
     for handler in ("_planned_only", "_asked"):
-        kind, words = asked(context=context, at=1, handler=handler, body=body)
+        kind, words = requested(context=context, at=1, handler=handler, body=body)
         assert kind == "brokenConfiguration", (kind, words)
         lines = words.splitlines()
         assert lines[0].startswith("line 4: ") and "'nobody' is no service" in lines[0], words
@@ -151,23 +156,23 @@
 
 @when("the operator begins it and follows it to its end")
 def when_begins(context: Any) -> None:
-    assert asked(context=context, at=2, handler="_asked", body=context.document) == ("", "put to the booths")
+    assert requested(context=context, at=2, handler="_asked", body=context.document) == ("", "put to the proxies")
     context.seen = []
 
     def ends() -> bool:
-        words = asked(context=context, at=0, handler="_progress", body=b"")[1]
+        words = requested(context=context, at=0, handler="_progress", body=b"")[1]
         context.seen.append(words)
         return words == "steady: map 4"
 
     context.world.await_that(test=ends, within_ms=8_000, what="it is done")
 
 
-@then("the booths hold the map of version {version:d}, and writes waited for no longer than was foretold")
+@then("the proxies hold the map of version {version:d}, and writes waited for no longer than was foretold")
 def then_held(context: Any, version: int) -> None:
     moved(world=context.world, version=version)
-    for words in ("proposed: map 4 after 0; of 3 booths 3 agrees", "closing: map 4 after 0; of 3 booths"):
+    for words in ("proposed: map 4 after 0; of 3 proxies 3 agrees", "closing: map 4 after 0; of 3 proxies"):
         assert any(each.startswith(words) for each in context.seen), context.seen
-    duties = [context.world.roles[name].guildhall.shards for name in context.world.guildhalls]
+    duties = [context.world.roles[name].controller.shards for name in context.world.controllers]
     took_us = [duty.closing_us for duty in duties if duty.closing_us is not None]
     assert len(took_us) == 1 and context.foretold_us // 4 <= took_us[0] <= context.foretold_us, (
         took_us,
@@ -178,47 +183,47 @@
 @then("a map that is silent on a database that has moved is refused")
 def then_lost(context: Any) -> None:
     body = document(version=5, places={MOVING[0]: TARGET})
-    kind, words = asked(context=context, at=0, handler="_asked", body=body)
+    kind, words = requested(context=context, at=0, handler="_asked", body=body)
     assert kind == "brokenConfiguration" and f"'{MOVING[1]}' is lost" in words, (kind, words)
 
 
 @then("nothing is there to give up any more")
 def then_none(context: Any) -> None:
     body = Packer().u64(value=5).bytes()
-    kind, words = asked(context=context, at=0, handler="_abandoned", body=body)
+    kind, words = requested(context=context, at=0, handler="_abandoned", body=body)
     assert kind == "versionOld" and "map 4 stands" in words, (kind, words)
 
 
-@when("a simulated platform serves, and a guildhall is lost for good")
-def when_guildhall_lost(context: Any) -> None:
+@when("a simulated platform serves, and a controller is lost for good")
+def when_controller_lost(context: Any) -> None:
     see_adapter()
     context.world = world = PlatformWorld(seed=1)
     context.worlds.append(world)
     world.begin()
-    world.remove_guildhall(name="guildhall-0")
+    world.remove_controller(name="guildhall-0")
     world.advance(for_ms=12_000)
 
 
 @when("an empty one takes its place")
 def when_takes_place(context: Any) -> None:
     world = context.world
-    world.add_guildhall(name="guildhall-9", zone=world.zones["guildhall-1"])
+    world.add_controller(name="guildhall-9", zone=world.zones["guildhall-1"])
     world.advance(for_ms=8_000)
 
 
-@then('each guildhall tells of its votes "{words}"')
+@then('each controller tells of its votes "{words}"')
 def then_tells_votes(context: Any, words: str) -> None:
     world = context.world
-    for name in world.guildhalls:
-        text = status_text(guildhall=world.roles[name].guildhall)
+    for name in world.controllers:
+        text = status_text(controller=world.roles[name].controller)
         (line,) = [line for line in text.splitlines() if line.startswith("votes:")]
         assert re.search(words, line), (name, line)
 
 
-@then("each guildhall has counted looks at which votes were missing")
+@then("each controller has counted looks at which votes were missing")
 def then_counted_missing(context: Any) -> None:
     world = context.world
-    for name in world.guildhalls:
+    for name in world.controllers:
         assert world.contexts[name].counters.counts["vault.votesMissing"], name
 
 
@@ -228,7 +233,7 @@
     context.world = world = PlatformWorld(seed=1)
     context.worlds.append(world)
     world.wires.dark.add("guildhall-2")
-    context.absent = [world.guildhalls.pop(2)]
+    context.absent = [world.controllers.pop(2)]
     world.begin()
     world.advance(for_ms=3_000)
 
@@ -236,7 +241,7 @@
 @when("the seed that was dark starts at last")
 def when_starts_late(context: Any) -> None:
     world = context.world
-    world.guildhalls += context.absent
+    world.controllers += context.absent
     for name in context.absent:
         world.start(name=name)
     world.advance(for_ms=4_000)
@@ -245,13 +250,13 @@
 # -- hundreds of changes --
 
 
-@when("a simulated platform serves, and a guildhall is without power while {count:d} orders are confirmed")
+@when("a simulated platform serves, and a controller is without power while {count:d} orders are confirmed")
 def when_orders_missed(context: Any, count: int) -> None:
     see_adapter()
     context.world = world = PlatformWorld(seed=1)
     context.worlds.append(world)
     world.begin()
-    context.away, *context.there = world.guildhalls
+    context.away, *context.there = world.controllers
     world.power_off(name=context.away)
     world.controls.remove(world.address(name=context.away, door="control"))
     context.sizes = []
@@ -270,7 +275,7 @@
     assert max(late) <= 4 * LOG_MOST_BYTES, late
 
 
-@when("the guildhall has power again")
+@when("the controller has power again")
 def when_power_again(context: Any) -> None:
     context.world.power_on(name=context.away)
 
@@ -279,11 +284,11 @@
 def then_caught_up(context: Any, wait_ms: int) -> None:
     world = context.world
     world.advance(for_ms=wait_ms)
-    guildhall = world.roles[context.away].guildhall
-    assert guildhall.vault.votes and guildhall.view.current
-    assert guildhall.duty.plan.version == context.newest, guildhall.duty.plan.version
+    controller = world.roles[context.away].controller
+    assert controller.register_replica.votes and controller.view.current
+    assert controller.duty.plan.version == context.newest, controller.duty.plan.version
     # why: of a copy, since to open a store turns its slots over
-    disk = SimDisk(luck=random.Random(0))
+    disk = SimDisk(rng=random.Random(0))
     disk.files = dict(world.disks[context.away].files)
     held = Store(disk=disk).open().ok.held
     assert plan_version(data=held.cells[PLAN_KEY].value) == context.newest
@@ -292,20 +297,24 @@
 # -- many standbys --
 
 
-@when("a simulated platform serves, and {count:d} empty guildhalls stand by")
+@when("a simulated platform serves, and {count:d} empty controllers stand by")
 def when_stand_by(context: Any, count: int) -> None:
     see_adapter()
     context.world = world = PlatformWorld(seed=1)
     context.worlds.append(world)
     world.begin()
     for number in range(count):
-        world.add_guildhall(name=f"standby-{number}", zone=world.zones["guildhall-0"])
+        world.add_controller(name=f"standby-{number}", zone=world.zones["guildhall-0"])
     world.advance(for_ms=15_000)
 
 
 def standbys_in_line(*, world: PlatformWorld) -> list[str]:
-    vaults = {name: world.roles[name].guildhall.vault for name in world.guildhalls}
-    return [name for name, vault in vaults.items() if vault.in_line() and not vault.votes]
+    register_replicas = {name: world.roles[name].controller.register_replica for name in world.controllers}
+    return [
+        name
+        for name, register_replica in register_replicas.items()
+        if register_replica.in_line() and not register_replica.votes
+    ]
 
 
 @then("{count:d} of those that stand by are in line for a place")
@@ -317,12 +326,12 @@
 @then("a greeting is answered with the roster alone")
 def then_roster_alone(context: Any) -> None:
     world = context.world
-    asking, asked = (world.roles[name].guildhall.vault for name in ("standby-0", "guildhall-0"))
+    asking, requested = (world.roles[name].controller.register_replica for name in ("standby-0", "guildhall-0"))
     packer = Packer()
     write_voter(packer=packer, voter=asking.me)
-    answer = Unpacker(data=world.run(work=asked.desk.answers[HELLO](Unpacker(data=packer.bytes()))))
+    answer = Unpacker(data=world.run(work=requested.dispatcher.handlers[JOIN_REQUEST](Unpacker(data=packer.bytes()))))
     answer.u8()
-    assert read_roster(data=answer.blob()) == asked.roster
+    assert read_roster(data=answer.blob()) == requested.roster
     assert answer.many(each=lambda u: read_voter(unpacker=u)) == []
 
 
@@ -330,5 +339,5 @@
 def when_in_line_lost(context: Any) -> None:
     world = context.world
     for name in standbys_in_line(world=world):
-        world.remove_guildhall(name=name)
+        world.remove_controller(name=name)
     world.advance(for_ms=15_000)
--- /dev/null
+++ b/features/steps/proxy_id_steps.py
@@ -0,0 +1,201 @@
+"""Steps for the ids of proxies."""
+
+import asyncio
+from typing import Any
+
+from behave import given, then, when
+from cluster_stage import ControllerStage, new_controller, new_stage
+from expression import Error, Ok, Result
+from stage import Stage, position, shown
+
+from cinderstair.control_plane.proxy_census import ProxyCensus
+from cinderstair.control_plane.proxy_id_assigner import ProxyIdAssigner
+from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, read_proxy_addresses
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, read_proxy_ids
+from cinderstair.failover.service_primary import PrimaryState, read_service_primary
+from cinderstair.failover.shard_state import Vote
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
+from cinderstair.runtime.message_types import ANNOUNCE_ADDRESS, PROXIES
+from cinderstair.runtime.packer import Packer
+from cinderstair.runtime.unpacker import Unpacker
+
+
+class FakeRelay:
+    """Which proxies asked a controller lately."""
+
+    def __init__(self, *, stage: Stage) -> None:
+        self.stage = stage
+        self.asking: set[str] = set()
+        self.requested_us: dict[str, int] = {}
+        self.votes: dict[str, tuple[int, Vote]] = {}
+
+    def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
+        now_us = self.stage.now_us
+        self.requested_us.update(dict.fromkeys(self.asking, now_us))
+        return [
+            (name, now_us - us, *self.votes.get(name, (0, Vote.silent)))
+            for name, us in self.requested_us.items()
+            if now_us - us <= within_us
+        ]
+
+
+class DispatcherNet:
+    """Carries records from one desk of a stage to another."""
+
+    def __init__(self, *, desks: dict[str, Dispatcher]) -> None:
+        self.desks = desks
+
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        await asyncio.sleep(0.002)
+        if address not in self.desks:
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: nobody"))
+        return Ok(await self.desks[address].answer(body))
+
+
+@given("{count:d} controllers that keep slots")
+def given_keepers(context: Any, count: int) -> None:
+    new_stage(context=context)
+    context.desks, context.words, context.censuses = {}, {}, {}
+    context.every = []
+    context.id_assigners = []
+    for _ in range(count):
+        controller = new_controller(context=context)
+        controller.ctx.net = DispatcherNet(desks=context.desks)
+        context.desks[controller.ctx.name] = controller.dispatcher
+        context.words[controller.ctx.name] = (0, 0)
+        context.every.append(controller.ctx.name)
+        controller.relay = FakeRelay(stage=context.stage)
+
+        def work(controller: ControllerStage = controller) -> None:
+            census = ProxyCensus(
+                ctx=controller.ctx,
+                dispatcher=controller.dispatcher,
+                relay=controller.relay,
+                neighbours=lambda: [name for name in context.every if name != controller.ctx.name],
+                word=lambda: context.words[controller.ctx.name],
+            )
+            context.censuses[controller.ctx.name] = census
+            id_assigner = ProxyIdAssigner(
+                ctx=controller.ctx, register=controller.register, view=controller.view, census=census
+            )
+            context.id_assigners.append(id_assigner)
+
+        context.stage.call(call=work)
+
+
+@given('"{proxies}" ask {where}')
+@when('"{proxies}" ask {where}')
+def when_proxies_ask(context: Any, proxies: str, where: str) -> None:
+    for name in proxies.split(", "):
+        context.controller_stages[int(where.removeprefix("core-")) - 1].relay.asking.add(name)
+
+
+@when('"{proxies}" are silent from now on')
+def when_proxies_silent(context: Any, proxies: str) -> None:
+    for controller in context.controller_stages:
+        controller.relay.seen(within_us=0)
+        controller.relay.asking -= set(proxies.split(", "))
+
+
+@when("{seconds:d} s pass at the keepers")
+def when_keepers_pass(context: Any, seconds: int) -> None:
+    context.stage.advance(for_us=seconds * 1_000_000)
+
+
+@then('the slots are "{words}"')
+def then_slots(context: Any, words: str) -> None:
+    found = context.store.values.get(PROXY_IDS_KEY)
+    names = read_proxy_ids(data=b"" if found is None else found.value).names
+    text = ", ".join(f"{number} {name}" for number, name in names) or "none"
+    assert text == words, text
+
+
+@given('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
+@when('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
+def when_tells_place(context: Any, proxy: str, where: str, site: str, address: str) -> None:
+    body = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
+    context.stage.run(work=context.controller_stages[int(where.removeprefix("core-")) - 1].dispatcher.answer(body))
+
+
+@then('the places are "{words}"')
+def then_places(context: Any, words: str) -> None:
+    found = context.store.values.get(PROXY_ADDRESSES_KEY)
+    places = {} if found is None else read_proxy_addresses(data=found.value).places
+    text = ", ".join(f"{name} {place.site} {place.records}" for name, place in sorted(places.items())) or "none"
+    assert text == words, text
+
+
+@then("places were written {count:d} times")
+def then_place_writes(context: Any, count: int) -> None:
+    writes = [key for _, key, _ in context.store.writes if key == PROXY_ADDRESSES_KEY]
+    assert len(writes) == count, len(writes)
+
+
+@then("they were written {count:d} times")
+def then_slot_writes(context: Any, count: int) -> None:
+    writes = [key for _, key, _ in context.store.writes if key == PROXY_IDS_KEY]
+    assert len(writes) == count, len(writes)
+
+
+@given("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
+@when("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
+def when_knows(context: Any, name: str, turn: int, phase: int) -> None:
+    context.words[name] = (turn, phase)
+
+
+@when("{name} answers nobody")
+def when_answers_nobody(context: Any, name: str) -> None:
+    context.desks.pop(name)
+
+
+@then("{name} takes all others for told of turn {turn:d} and phase {phase:d}: {answer}")
+def then_reported_word(context: Any, name: str, turn: int, phase: int, answer: str) -> None:
+    census = context.censuses[name]
+    context.stage.run(work=census.gather(every_us=0))
+    assert census.reported(word=(turn, phase)) == (answer == "yes"), census.words
+
+
+@when("the keeper that holds the duty dies, and its proxies find another after {seconds:d} s")
+def when_keeper_dies(context: Any, seconds: int) -> None:
+    dead = next(
+        context.controller_stages[n] for n, id_assigner in enumerate(context.id_assigners) if id_assigner.lease.held
+    )
+    dead.kill()
+    context.desks.pop(dead.ctx.name)
+    context.stage.advance(for_us=seconds * 1_000_000)
+    other = next(controller for controller in context.controller_stages if controller.ctx.name in context.desks)
+    other.relay.asking |= dead.relay.asking
+
+
+@then("a keeper that is asked tells how long ago it saw each proxy")
+def then_proxies(context: Any) -> None:
+    context.controller_stages[0].relay.asking, context.controller_stages[0].relay.requested_us = (
+        {"b"},
+        {"a": context.stage.now_us - 7_000},
+    )
+    context.controller_stages[0].relay.votes["b"] = (4, Vote.agrees)
+    body = Packer().u8(value=PROXIES).bytes()
+    unpacker = Unpacker(data=context.stage.run(work=context.desks["core-1"].answer(body)))
+    found = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Vote(u.u8())))
+    word = unpacker.u64(), unpacker.u8()
+    unpacker.done()
+    assert word == (0, 0), word
+    assert sorted(found) == [("a", 7_000, 0, Vote.silent), ("b", 0, 4, Vote.agrees)], found
+
+
+@then("the position that the lead was fenced at is at or past every acknowledged commit")
+def then_fence_past(context: Any) -> None:
+    moving = [
+        read_service_primary(data=value)
+        for _, key, value in context.store.writes
+        if key.startswith("service/") and read_service_primary(data=value).state == PrimaryState.moving
+    ]
+    assert moving and all(lead.fence.term == 3 for lead in moving), moving
+    before = position(text=context.acknowledged)
+    assert before is not None and moving[0].fence >= before, (shown(at=moving[0].fence), context.acknowledged)
+
+
+@when("what was acknowledged is noted")
+def when_noted(context: Any) -> None:
+    context.acknowledged = shown(at=context.cluster.acknowledged)
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -17,19 +17,19 @@
 from cinderstair.consensus.cell import Cell
 from cinderstair.consensus.roster import Roster, Voter, read_roster, read_voter, write_voter
 from cinderstair.consensus.store import Held, apply_entry, cell_entry, ident_entry, roster_entry
-from cinderstair.failover.booth_places import BoothPlace, BoothPlaces, read_booth_places
-from cinderstair.failover.lead import CLOSING, MOVING, SETTLED, Lead, read_lead
-from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead
+from cinderstair.failover.database_primary import CLOSING, MOVING, SETTLED, DatabasePrimary, read_database_primary
+from cinderstair.failover.proxy_addresses import ProxyAddress, ProxyAddresses, read_proxy_addresses
+from cinderstair.failover.proxy_ids import ProxyIds, read_proxy_ids
+from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, read_service_primary
 from cinderstair.failover.shard_state import ShardPhase, ShardState, Vote, read_shard_state
-from cinderstair.failover.slots import Slots, read_slots
-from cinderstair.http_frontend.handle import UNMARKED, Handle, Tag, read_handle
 from cinderstair.http_frontend.session import Session, read_session
-from cinderstair.maintenance.windowstates import Stage as WindowStage
-from cinderstair.maintenance.windowstates import WindowStates, read_window_states
+from cinderstair.http_frontend.session_token import UNMARKED, SessionToken, Tag, parse_session_token
+from cinderstair.maintenance.window_states import Stage as WindowStage
+from cinderstair.maintenance.window_states import WindowStates, read_window_states
 from cinderstair.membership.announcement import GONE, Announcement, read_announcement
-from cinderstair.membership.beat import EMPTYING, READY, STARTING, Beat, read_beat
+from cinderstair.membership.heartbeat import EMPTYING, READY, STARTING, Heartbeat, read_heartbeat
 from cinderstair.membership.member import Member, Standing, read_member
-from cinderstair.membership.pooled_sample import PooledSample, ToldSample, WantedSample
+from cinderstair.membership.pooled_sample import PooledSample, ReportedSample, WantedSample
 from cinderstair.membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
@@ -48,7 +48,7 @@
 )
 from cinderstair.pooler.reply import Reply, State
 from cinderstair.pooler.statement import Statement, Verb
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
 from cinderstair.runtime.unpacker import Unpacker
@@ -95,8 +95,10 @@
     )
 
 
-def beat(*, state: str) -> Beat:
-    return Beat(name="db-1", incarnation=3, number=9, site="near", state=state, leads=True, term=4, position=1_234)
+def heartbeat(*, state: str) -> Heartbeat:
+    return Heartbeat(
+        name="db-1", incarnation=3, number=9, site="near", state=state, leads=True, term=4, position=1_234
+    )
 
 
 def member(*, standing: Standing) -> Member:
@@ -146,21 +148,21 @@
     )
 
 
-def lead(*, state: str) -> Lead:
-    return Lead(
+def lead(*, state: str) -> DatabasePrimary:
+    return DatabasePrimary(
         term=6,
         primary="db-1",
         incarnation=2,
         state=state,
-        inSync=("db-2", "db-3"),
+        in_sync=("db-2", "db-3"),
         joining=("db-4",),
         heirs=("db-5",),
         planned=state == CLOSING,
     )
 
 
-def service_lead(*, state: LeadState) -> ServiceLead:
-    return ServiceLead(
+def service_primary(*, state: PrimaryState) -> ServicePrimary:
+    return ServicePrimary(
         term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, turn=8
     )
 
@@ -184,14 +186,14 @@
 
 def relay_question(*, vote: Vote) -> RelayQuestion:
     return RelayQuestion(
-        booth="pooler-1",
+        proxy="pooler-1",
         site="near",
         source=0x1234,
         edition=17,
         troubled=("db-1", "db-2"),
         turn=3,
         vote=vote,
-        samples=(ToldSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
+        samples=(ReportedSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
         wanted=(WantedSample(service="beta", edition=4),),
         brief=vote == Vote.silent,
     )
@@ -205,7 +207,7 @@
         whole=True,
         values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
         backends=(RelayedBackend(announcement=announcement(state=READY, leads=True), quiet=True),),
-        guildhalls=("10.1.0.1:7100", "10.1.0.2:7100"),
+        controllers=("10.1.0.1:7100", "10.1.0.2:7100"),
         answered_us=88,
         samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), edition=5),),
         ask=("alpha",),
@@ -219,7 +221,7 @@
         step=step,
         life=0x55,
         until_us=999_000,
-        channel=12,
+        connection=12,
         backend="db-1",
         service="alpha",
         database="orders",
@@ -229,11 +231,11 @@
         values={b"zone": b"UTC"},
         statement=Statement(ident=b"q1", verb=verb, text=b"SELECT 1", name=b"n", content=b"c", writes=True),
         shape=b"SELECT ?",
-        channels=(12, 13),
+        connections=(12, 13),
     )
 
 
-def forward_answer(*, outcome: Outcome, state: State, fault: Kind | None) -> ForwardAnswer:
+def forward_answer(*, outcome: Outcome, state: State, fault: ErrorCode | None) -> ForwardAnswer:
     reply = Reply(
         rows=[b"row-1", b"row-2"],
         stamp=b"stamp",
@@ -310,9 +312,11 @@
     )
 
 
-def handle_example(*, value: Handle) -> Example:
+def handle_example(*, value: SessionToken) -> Example:
     return Example(
-        value=value, encode=lambda each: str(each).encode(), decode=lambda data: read_handle(text=data.decode())
+        value=value,
+        encode=lambda each: str(each).encode(),
+        decode=lambda data: parse_session_token(text=data.decode()),
     )
 
 
@@ -330,25 +334,27 @@
     found = {}
     for name, state in {"settled": SETTLED, "closing": CLOSING, "moving": MOVING}.items():
         value = lead(state=state)
-        found[f"database lead, {name}"] = bytes_example(value=value, read=lambda data: read_lead(data=data))
-    states = {"settled": LeadState.settled, "closing": LeadState.closing, "moving": LeadState.moving}
+        found[f"database lead, {name}"] = bytes_example(
+            value=value, read=lambda data: read_database_primary(data=data)
+        )
+    states = {"settled": PrimaryState.settled, "closing": PrimaryState.closing, "moving": PrimaryState.moving}
     for name, number in states.items():
-        word = service_lead(state=number)
-        found[f"service lead, {name}"] = bytes_example(value=word, read=lambda data: read_service_lead(data=data))
+        word = service_primary(state=number)
+        found[f"service lead, {name}"] = bytes_example(value=word, read=lambda data: read_service_primary(data=data))
     return found
 
 
 def register_examples() -> dict[str, Example]:
     """Every typed value that is kept in the register."""
-    slots = Slots(names=((0, "pooler-1"), (2, "pooler-3")))
-    places = BoothPlaces(
-        places={"pooler-1": BoothPlace(site="near", records="10.2.0.1:7200"), "pooler-2": BoothPlace(site="far")}
+    proxy_ids = ProxyIds(names=((0, "pooler-1"), (2, "pooler-3")))
+    places = ProxyAddresses(
+        places={"pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"), "pooler-2": ProxyAddress(site="far")}
     )
     return {
         "voter list": bytes_example(value=roster(epoch=3), read=lambda data: read_roster(data=data)),
         "service configuration": bytes_example(value=plan(), read=lambda data: read_service_plan(data=data)),
-        "slot table": bytes_example(value=slots, read=lambda data: read_slots(data=data)),
-        "place table": bytes_example(value=places, read=lambda data: read_booth_places(data=data)),
+        "slot table": bytes_example(value=proxy_ids, read=lambda data: read_proxy_ids(data=data)),
+        "place table": bytes_example(value=places, read=lambda data: read_proxy_addresses(data=data)),
         "window stages": bytes_example(value=window_states(), read=lambda data: read_window_states(data=data)),
         **lead_examples(),
         **shard_examples(),
@@ -388,7 +394,7 @@
         word = announcement(state=state)
         found[f"announcement, {name}"] = part_example(value=word, read=lambda u: read_announcement(unpacker=u))
     for name, state in {"ready": READY, "emptying": EMPTYING, "starting": STARTING}.items():
-        found[f"beat, {name}"] = part_example(value=beat(state=state), read=lambda u: read_beat(unpacker=u))
+        found[f"beat, {name}"] = part_example(value=heartbeat(state=state), read=lambda u: read_heartbeat(unpacker=u))
     return found
 
 
@@ -425,8 +431,8 @@
         )
     answers = {
         "answered": forward_answer(outcome=Outcome.answered, state=State.open, fault=None),
-        "not sent": forward_answer(outcome=Outcome.not_sent, state=State.idle, fault=Kind.noBackend),
-        "lost": forward_answer(outcome=Outcome.lost, state=State.failed, fault=Kind.outcomeUnknown),
+        "not sent": forward_answer(outcome=Outcome.not_sent, state=State.idle, fault=ErrorCode.NO_BACKEND),
+        "lost": forward_answer(outcome=Outcome.lost, state=State.failed, fault=ErrorCode.OUTCOME_UNKNOWN),
     }
     for name, answer in answers.items():
         found[f"forward answer, {name}"] = bytes_example(
@@ -440,8 +446,8 @@
         "session, version 1": session_example(value=first_version_session(marked=True), version=1),
         "session without a tag, version 1": session_example(value=first_version_session(marked=False), version=1),
         "session, version 2": session_example(value=session(), version=2),
-        "session handle": handle_example(value=Handle("pooler-1.00aa", SESSION_TAG)),
-        "session handle without a tag": handle_example(value=Handle("pooler-1.00aa", UNMARKED)),
+        "session handle": handle_example(value=SessionToken("pooler-1.00aa", SESSION_TAG)),
+        "session handle without a tag": handle_example(value=SessionToken("pooler-1.00aa", UNMARKED)),
     }
 
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -16,52 +16,53 @@
     roster,
     session,
 )
-from stage import FakeDialer, Stage, ToldView
+from stage import FakeDialer, ReportedView, Stage
 
 from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.register_replica import RegisterReplica
 from cinderstair.consensus.roster import Voter, write_voter
 from cinderstair.consensus.store import Store, ident_entry
-from cinderstair.consensus.vault import Vault
-from cinderstair.control_plane.guildhall import Guildhall
+from cinderstair.control_plane.controller import Controller
 from cinderstair.failover.backend_control import BackendState
 from cinderstair.failover.shard_state import Vote
-from cinderstair.http_frontend.copies import Copies
-from cinderstair.http_frontend.filters.readyfilter import ReadyFilter
+from cinderstair.http_frontend.filters.ready_filter import ReadyFilter
 from cinderstair.http_frontend.handover import Handover
-from cinderstair.http_frontend.keeper import Keeper
+from cinderstair.http_frontend.session_replicas import SessionReplicas
+from cinderstair.http_frontend.session_replicator import SessionReplicator
 from cinderstair.http_frontend.sessions import Sessions
 from cinderstair.membership.announcement import Announcement
-from cinderstair.membership.beat import READY
-from cinderstair.membership.crowd import Crowd
+from cinderstair.membership.heartbeat import READY
 from cinderstair.membership.member import Member
-from cinderstair.pooler.forward_desk import ForwardDesk
+from cinderstair.membership.membership import Membership
 from cinderstair.pooler.forward_record import ForwardStep
+from cinderstair.pooler.forward_server import ForwardServer
 from cinderstair.pooler.router import Router
 from cinderstair.pooler.statement import Verb
 from cinderstair.runtime.context import Context
-from cinderstair.runtime.desk import Desk
-from cinderstair.runtime.desks import (
+from cinderstair.runtime.dispatcher import Dispatcher
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
+from cinderstair.runtime.message_types import (
     ACCEPT,
     ADOPT,
     ANNOUNCE,
-    BOOTHS,
-    COPY,
+    ANNOUNCE_ADDRESS,
+    CONTROLLER,
     FORGET,
     FORWARD,
-    GUILDHALL,
     HANDOVER,
-    HELLO,
+    HANDSHAKE,
+    HEARTBEATS,
+    JOIN_REQUEST,
     LEASE,
-    NEWS,
     OPINION,
-    PARLEY,
-    PLACE,
-    PLACES,
     PREPARE,
     PROBE,
     PROBE_FOR,
+    PROXIES,
+    PROXY_ADDRESSES,
     READ,
     RELAY,
+    REPLICA,
     SEEK,
     SHARDS,
     SHARDS_ABANDON,
@@ -71,15 +72,13 @@
     TOUCH,
     VECTOR,
 )
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
 from cinderstair.runtime.net import RecordAnswer
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
+from cinderstair.runtime.protocol_versions import wrapped
 from cinderstair.runtime.settings import Settings
-from cinderstair.runtime.speech import wrapped
 from cinderstair.runtime.unpacker import Unpacker
-from cinderstair.simulation.simdisk import SimDisk
+from cinderstair.simulation.sim_disk import SimDisk
 
 ADDRESS = "10.1.0.1:7100"
 SEEDS = (ADDRESS, "10.1.0.2:7100", "10.1.0.3:7100")
@@ -101,23 +100,23 @@
     pause_us: int = 0
 
 
-class DeskNet:
+class DispatcherNet:
     """Carries records to the desks that it knows, and keeps each with its answer."""
 
     def __init__(self) -> None:
-        self.desks: dict[str, Desk] = {}
+        self.desks: dict[str, Dispatcher] = {}
         self.carried: list[tuple[bytes, bytes]] = []
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
-        desk = self.desks.get(address)
-        if desk is None:
-            return Error(Fault(kind=Kind.wireUnsure, why="nobody is there"))
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        dispatcher = self.desks.get(address)
+        if dispatcher is None:
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="nobody is there"))
         try:
-            answer = await desk.answer(body)
+            answer = await dispatcher.answer(body)
         except ValueError:
             # why: a record that is refused is left without an answer
             self.carried.append((body, b""))
-            return Error(Fault(kind=Kind.wireUnsure, why="no answer"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer"))
         self.carried.append((body, answer))
         return Ok(answer)
 
@@ -128,7 +127,7 @@
 class ReachableBackends:
     """A control of backends that reaches every one of them."""
 
-    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
         return Ok(BackendState(leads=False, term=1, received=Position(1, 5), term_held=1))
 
 
@@ -138,68 +137,83 @@
 
 def disk_with_identity() -> SimDisk:
     """A disk whose identity is that of the first voter."""
-    disk = SimDisk(luck=Random(1))
+    disk = SimDisk(rng=Random(1))
     store = Store(disk=disk).open().ok
     store.save(entries=[ident_entry(ident=roster(epoch=EPOCH).voters[0].ident)])
     return disk
 
 
-def replica_desk(*, stage: Stage) -> Desk:
+def replica_dispatcher(*, stage: Stage) -> Dispatcher:
     """A register replica that was restarted and knows no roster."""
     stage.ctx.disk = disk_with_identity()
-    vault = Vault(ctx=stage.ctx, settings=settings(), halt=lambda why: None)
-    opened = stage.call(call=vault.open)
+    register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda why: None)
+    opened = stage.call(call=register_replica.open)
     assert opened.is_ok(), opened
-    return vault.desk
+    return register_replica.dispatcher
 
 
-def control_desk(*, stage: Stage) -> Desk:
+def control_dispatcher(*, stage: Stage) -> Dispatcher:
     """A control daemon that reaches every backend and no other daemon but itself."""
-    net = DeskNet()
+    net = DispatcherNet()
     stage.ctx.net = net
     stage.ctx.disk = disk_with_identity()
     backends: Any = ReachableBackends()
-    control = Guildhall(
+    control = Controller(
         ctx=stage.ctx,
         settings=settings(),
         control=backends,
         promoter=backends,
         halt=lambda why: None,
         quiet_us=3_000_000,
-        booth_lease_us=2_000_000,
+        proxy_lease_us=2_000_000,
     )
     started = stage.run(work=control.start())
     assert started.is_ok(), started
-    net.desks[ADDRESS] = control.vault.desk
-    return control.vault.desk
+    net.desks[ADDRESS] = control.register_replica.dispatcher
+    return control.register_replica.dispatcher
 
 
 @dataclass(frozen=True, kw_only=True)
 class FrontEnd:
     """What of a front end has to do with sessions; its view of the register is not asked for."""
 
-    desk: Desk
-    crowd: Crowd
+    dispatcher: Dispatcher
+    membership: Membership
     sessions: Sessions
     ready: ReadyFilter
-    keeper: Keeper
+    session_replicator: SessionReplicator
     handover: Handover
 
 
 def front_end(*, ctx: Context, me: Member) -> FrontEnd:
     """A front end without sessions. Needs a running loop."""
-    desk = Desk(ctx=ctx)
-    crowd = Crowd(ctx=ctx, desk=desk, me=me, seeds=())
+    dispatcher = Dispatcher(ctx=ctx)
+    membership = Membership(ctx=ctx, dispatcher=dispatcher, me=me, seeds=())
     sessions = Sessions(ctx=ctx, idleTransactionUs=10_000_000, idleSessionUs=86_400_000_000)
     no_view: Any = None
-    ready = ReadyFilter(ctx=ctx, view=no_view, crowd=crowd)
-    copies = Copies(ctx=ctx, desk=desk, sessions=sessions, ready=ready)
-    keeper = Keeper(ctx=ctx, crowd=crowd, sessions=sessions)
-    handover = Handover(ctx=ctx, desk=desk, crowd=crowd, sessions=sessions, ready=ready, copies=copies, keeper=keeper)
-    return FrontEnd(desk=desk, crowd=crowd, sessions=sessions, ready=ready, keeper=keeper, handover=handover)
+    ready = ReadyFilter(ctx=ctx, view=no_view, membership=membership)
+    replicas = SessionReplicas(ctx=ctx, dispatcher=dispatcher, sessions=sessions, ready=ready)
+    session_replicator = SessionReplicator(ctx=ctx, membership=membership, sessions=sessions)
+    handover = Handover(
+        ctx=ctx,
+        dispatcher=dispatcher,
+        membership=membership,
+        sessions=sessions,
+        ready=ready,
+        session_replicas=replicas,
+        session_replicator=session_replicator,
+    )
+    return FrontEnd(
+        dispatcher=dispatcher,
+        membership=membership,
+        sessions=sessions,
+        ready=ready,
+        session_replicator=session_replicator,
+        handover=handover,
+    )
 
 
-def session_desk(*, stage: Stage, draining: bool = False) -> Desk:
+def session_dispatcher(*, stage: Stage, draining: bool = False) -> Dispatcher:
     """A front end that holds one session."""
     me = Member(name="pooler-9", role="stall", site="near", records=ADDRESS, http="", incarnation=1)
     built = stage.call(call=lambda: front_end(ctx=stage.ctx, me=me))
@@ -207,25 +221,25 @@
     held = session()
     held.ident = "pooler-9.00bb"
     built.sessions.open[held.ident] = held
-    return built.desk
+    return built.dispatcher
 
 
-def draining_desk(*, stage: Stage) -> Desk:
+def draining_dispatcher(*, stage: Stage) -> Dispatcher:
     """A front end that is about to stop."""
-    return session_desk(stage=stage, draining=True)
+    return session_dispatcher(stage=stage, draining=True)
 
 
-def forward_desk(*, stage: Stage) -> Desk:
+def forward_server(*, stage: Stage) -> Dispatcher:
     """A pooler that forwards statements and holds no link."""
-    desk = Desk(ctx=stage.ctx)
-    told = ToldView(stage=stage)
+    dispatcher = Dispatcher(ctx=stage.ctx)
+    reported = ReportedView(stage=stage)
 
     def build() -> None:
-        router = Router(ctx=stage.ctx, view=told.view, dialer=FakeDialer(backends={}), distance=lambda site: 0)
-        ForwardDesk(ctx=stage.ctx, router=router, desk=desk)
+        router = Router(ctx=stage.ctx, view=reported.view, dialer=FakeDialer(backends={}), distance=lambda site: 0)
+        ForwardServer(ctx=stage.ctx, router=router, dispatcher=dispatcher)
 
     stage.call(call=build)
-    return desk
+    return dispatcher
 
 
 def vote_request(*, kind: int, key: str, turn: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
@@ -251,7 +265,7 @@
 
 
 def hello_request(*, voter: Voter) -> bytes:
-    packer = Packer().u8(value=HELLO)
+    packer = Packer().u8(value=JOIN_REQUEST)
     write_voter(packer=packer, voter=voter)
     return packer.bytes()
 
@@ -261,7 +275,7 @@
 
 
 def parley_request(*, lowest: int, highest: int) -> bytes:
-    return Packer().u8(value=PARLEY).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
+    return Packer().u8(value=HANDSHAKE).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
 
 
 def second(data: bytes) -> bytes:
@@ -312,7 +326,7 @@
 
 
 def news_request(*, known: tuple[tuple[int, int], ...]) -> bytes:
-    packer = Packer().u8(value=NEWS)
+    packer = Packer().u8(value=HEARTBEATS)
     return packer.many(values=known, each=lambda p, e: p.u64(value=e[0]).u64(value=e[1])).bytes()
 
 
@@ -331,7 +345,7 @@
 def control_requests() -> list[Request]:
     """Every record that a control daemon answers beside a replica's."""
     word = bytes([ANNOUNCE]) + packed(announcement(state=READY))
-    bare = {"booths": BOOTHS, "places": PLACES}
+    bare = {"booths": PROXIES, "places": PROXY_ADDRESSES}
     return [
         Request(name="probe", data=probe_request()),
         Request(name="probe, version 2", data=second(probe_request())),
@@ -343,7 +357,7 @@
         Request(name="suspect", data=second(text_request(kind=SUSPECT, texts=("db-1",)))),
         Request(name="relay, brief", data=second(relay_request(vote=Vote.silent)), pause_us=LOOK_US),
         Request(name="relay, whole", data=second(relay_request(vote=Vote.agrees))),
-        Request(name="place", data=text_request(kind=PLACE, texts=("pooler-1", "near", "10.2.0.1:7200"))),
+        Request(name="place", data=text_request(kind=ANNOUNCE_ADDRESS, texts=("pooler-1", "near", "10.2.0.1:7200"))),
         *(Request(name=name, data=second(bytes([kind]))) for name, kind in bare.items()),
     ]
 
@@ -352,7 +366,7 @@
     """What an operator's tool asks; the answers hold words for people."""
     unreadable = b"no document"
     return [
-        Request(name="status", data=bytes([GUILDHALL])),
+        Request(name="status", data=bytes([CONTROLLER])),
         Request(name="shards, as they stand", data=Packer().u8(value=SHARDS).blob(value=b"").bytes()),
         Request(name="shards, refused", data=Packer().u8(value=SHARDS).blob(value=unreadable).bytes()),
         Request(name="shards plan, refused", data=Packer().u8(value=SHARDS_PLAN).blob(value=unreadable).bytes()),
@@ -368,8 +382,8 @@
     return sent.write(packer=head, version=version, now_us=NOW_US).bytes()
 
 
-def copy_request(*, ident: str, number: int) -> bytes:
-    head = Packer().u8(value=COPY).u64(value=0x31).u64(value=number)
+def replica_request(*, ident: str, number: int) -> bytes:
+    head = Packer().u8(value=REPLICA).u64(value=0x31).u64(value=number)
     return second(session_record(head=head, version=SECOND_VERSION, ident=ident))
 
 
@@ -404,8 +418,8 @@
     """Every record about sessions, each answer at least once."""
     forget = Packer().u8(value=FORGET).u64(value=0x31).text(value="pooler-1.00aa").u64(value=4).bytes()
     return [
-        Request(name="copy", data=copy_request(ident="pooler-1.00aa", number=1)),
-        Request(name="copy, alive here", data=copy_request(ident="pooler-9.00bb", number=2)),
+        Request(name="copy", data=replica_request(ident="pooler-1.00aa", number=1)),
+        Request(name="copy, alive here", data=replica_request(ident="pooler-9.00bb", number=2)),
         Request(name="touch", data=touch_request()),
         *seek_requests(ident="pooler-1.00aa"),
         *seek_requests(ident="pooler-9.00bb"),
@@ -431,18 +445,18 @@
 class Dialogue:
     """A handler, and what it is asked in turn. `worded`: its answers hold words for people as their second text."""
 
-    make: Callable[..., Desk]
+    make: Callable[..., Dispatcher]
     requests: Callable[[], list[Request]]
     worded: bool = False
 
 
 DIALOGUES = {
-    "register replica": Dialogue(make=replica_desk, requests=replica_requests),
-    "control daemon": Dialogue(make=control_desk, requests=control_requests),
-    "operator": Dialogue(make=control_desk, requests=operator_requests, worded=True),
-    "front end": Dialogue(make=session_desk, requests=session_requests),
-    "front end that stops": Dialogue(make=draining_desk, requests=draining_requests),
-    "pooler": Dialogue(make=forward_desk, requests=forward_requests),
+    "register replica": Dialogue(make=replica_dispatcher, requests=replica_requests),
+    "control daemon": Dialogue(make=control_dispatcher, requests=control_requests),
+    "operator": Dialogue(make=control_dispatcher, requests=operator_requests, worded=True),
+    "front end": Dialogue(make=session_dispatcher, requests=session_requests),
+    "front end that stops": Dialogue(make=draining_dispatcher, requests=draining_requests),
+    "pooler": Dialogue(make=forward_server, requests=forward_requests),
 }
 
 
@@ -455,12 +469,12 @@
     return version + Packer().text(value=kind).bytes() + body[unpacker.at :]
 
 
-def answers(*, stage: Stage, dialogue: Dialogue, asked: list[bytes]) -> list[bytes]:
+def answers(*, stage: Stage, dialogue: Dialogue, requested: list[bytes]) -> list[bytes]:
     """What the handler answers to these records, one after the other."""
-    desk = dialogue.make(stage=stage)
+    dispatcher = dialogue.make(stage=stage)
     found = []
-    for data, request in zip(asked, dialogue.requests(), strict=True):
+    for data, request in zip(requested, dialogue.requests(), strict=True):
         stage.advance(for_us=request.pause_us)
-        answer = stage.run(work=desk.answer(data))
+        answer = stage.run(work=dispatcher.answer(data))
         found.append(without_words(answer=answer) if dialogue.worded else answer)
     return found
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -9,30 +9,36 @@
 from typing import Any
 
 from behave import given, then, when
-from clusterstage import Cluster, new_hall, new_stage, put
+from cluster_stage import Cluster, new_controller, new_stage, put
 from record_format_conversations import CONVERSATIONS
 from record_format_examples import all_examples
 from record_format_handlers import DIALOGUES, answers
 from stage import Stage, plan
 
-from cinderstair.config.chancery import CHARTER_KEY
-from cinderstair.config.check import check_charter
+from cinderstair.config.check import check_configuration
+from cinderstair.config.configuration_store import CONFIGURATION_KEY
 from cinderstair.config.service_plan import PLAN_KEY, read_service_plan
 from cinderstair.config.shard_map import check_shard_map
 from cinderstair.consensus.acceptor import ROSTER_KEY
-from cinderstair.control_plane import slot_keeper
-from cinderstair.failover import leadduty, promotion_duty, shard_duty, slotduty, windowduty
-from cinderstair.failover.booth_places import PLACES_KEY
-from cinderstair.failover.lead import lead_key
-from cinderstair.failover.service_lead import service_lead_key
+from cinderstair.control_plane import proxy_id_assigner
+from cinderstair.failover import (
+    database_failover,
+    proxy_id_reclaimer,
+    service_failover,
+    shard_map_coordinator,
+    window_scheduler,
+)
+from cinderstair.failover.database_primary import database_primary_key
+from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY
+from cinderstair.failover.service_primary import service_primary_key
 from cinderstair.failover.shard_state import SHARDS_KEY
-from cinderstair.failover.slots import SLOTS_KEY
-from cinderstair.maintenance.windowstates import WINDOWS_KEY
-from cinderstair.runtime.desks import KINDS, NAMES, PROBE
-from cinderstair.runtime.kind import Kind
+from cinderstair.maintenance.window_states import WINDOWS_KEY
+from cinderstair.runtime.errors import ErrorCode
+from cinderstair.runtime.message_types import KINDS, NAMES, PROBE
 from cinderstair.runtime.position import Position
-from cinderstair.runtime.recordwire import HEAD, MAGIC, RECORDS_VERSION, read_frame
-from cinderstair.runtime.speech import denial, unwrapped, wrapped
+from cinderstair.runtime.protocol_versions import denial, unwrapped, wrapped
+from cinderstair.runtime.record_transport import HEAD, MAGIC, RECORDS_VERSION, read_frame
 
 DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data" / "record_format.json"
 # a duty that nobody holds is taken within this time
@@ -46,31 +52,38 @@
     return json.loads(DATA.read_text())[part]
 
 
+def renamed_message_type(*, name: str) -> str:
+    """Today's name of a message type in counters, where `renamed.json` lists another than the frozen one."""
+    names = json.loads((DATA.parent / "renamed.json").read_text())["names"]
+    prefix = "records.answered."
+    return names.get(prefix + name, prefix + name).removeprefix(prefix)
+
+
 def register_keys() -> dict[str, str]:
     """The keys under which values are kept, by what they hold."""
     return {
         "voter list": ROSTER_KEY,
-        "configuration document": CHARTER_KEY,
+        "configuration document": CONFIGURATION_KEY,
         "service configuration": PLAN_KEY,
-        "slot table": SLOTS_KEY,
-        "place table": PLACES_KEY,
+        "slot table": PROXY_IDS_KEY,
+        "place table": PROXY_ADDRESSES_KEY,
         "shard state": SHARDS_KEY,
         "window stages": WINDOWS_KEY,
-        "promotion fence": promotion_duty.FENCE_KEY,
-        "lead of the database 'orders'": lead_key(database="orders"),
-        "lead of the service 'alpha'": service_lead_key(service="alpha"),
+        "promotion fence": service_failover.FENCE_KEY,
+        "lead of the database 'orders'": database_primary_key(database="orders"),
+        "lead of the service 'alpha'": service_primary_key(service="alpha"),
     }
 
 
 def lease_names() -> dict[str, str]:
     """The names under which duties are leased, by the duty."""
     return {
-        "shards": shard_duty.SHARD_DUTY,
-        "promotion": promotion_duty.PROMOTION_DUTY,
-        "slots of front ends": slotduty.SLOT_DUTY,
-        "slots of poolers": slot_keeper.SLOT_DUTY,
-        "windows": windowduty.WINDOW_DUTY,
-        "database leads": leadduty.LEAD_DUTY,
+        "shards": shard_map_coordinator.SHARD_MAP_LEASE,
+        "promotion": service_failover.SERVICE_FAILOVER_LEASE,
+        "slots of front ends": proxy_id_reclaimer.PROXY_ID_LEASE,
+        "slots of poolers": proxy_id_assigner.PROXY_ID_LEASE,
+        "windows": window_scheduler.WINDOW_LEASE,
+        "database leads": database_failover.DATABASE_FAILOVER_LEASE,
     }
 
 
@@ -98,10 +111,10 @@
     new_stage(context=context)
     cluster = Cluster(stage=context.stage, names=("db-1", "db-2"), at=Position(3, 100), confirmations=1)
     put(context=context, key=PLAN_KEY, value=plan(confirmations=1).bytes())
-    put(context=context, key=promotion_duty.FENCE_KEY, value=before)
-    new_hall(context=context).add_duty(cluster=cluster)
+    put(context=context, key=service_failover.FENCE_KEY, value=before)
+    new_controller(context=context).add_duty(cluster=cluster)
     context.stage.advance(for_us=TAKEN_US)
-    return context.store.values[promotion_duty.FENCE_KEY].value
+    return context.store.values[service_failover.FENCE_KEY].value
 
 
 @given("the frozen record examples")
@@ -152,8 +165,8 @@
 
 @then("today's handler answers the frozen requests with the same bytes")
 def then_answers(context: Any) -> None:
-    asked = [bytes.fromhex(each["request"]) for each in context.frozen]
-    found = answers(stage=Stage(context=context), dialogue=context.dialogue, asked=asked)
+    requested = [bytes.fromhex(each["request"]) for each in context.frozen]
+    found = answers(stage=Stage(context=context), dialogue=context.dialogue, requested=requested)
     for each, answer in zip(context.frozen, found, strict=True):
         assert answer.hex() == each["answer"], (each["name"], answer.hex(), each["answer"])
 
@@ -174,7 +187,8 @@
 
 @then("the wire kinds have the frozen numbers and the frozen names in counters")
 def then_kinds(context: Any) -> None:
-    assert {str(number): name for number, name in NAMES.items()} == frozen(part="wire kinds"), dict(NAMES)
+    kept = {number: renamed_message_type(name=name) for number, name in frozen(part="wire kinds").items()}
+    assert {str(number): name for number, name in NAMES.items()} == kept, dict(NAMES)
 
 
 @then("each version of the records has the frozen kinds")
@@ -187,8 +201,8 @@
 def then_errors(context: Any, count: int) -> None:
     kept = frozen(part="error kinds")
     assert len(kept) == count, len(kept)
-    assert sorted(kind.value for kind in Kind) == sorted(kept), {kind.value for kind in Kind} ^ set(kept)
-    assert all(Kind(spelling).value == spelling for spelling in kept)
+    assert sorted(kind.value for kind in ErrorCode) == sorted(kept), {kind.value for kind in ErrorCode} ^ set(kept)
+    assert all(ErrorCode(spelling).value == spelling for spelling in kept)
 
 
 @then("the register's keys are the frozen ones")
@@ -210,7 +224,7 @@
 
 @then("the frozen configuration document is accepted as version {version:d}")
 def then_configuration(context: Any, version: int) -> None:
-    checked = check_charter(raw=bytes.fromhex(frozen(part="documents")["configuration"]))
+    checked = check_configuration(raw=bytes.fromhex(frozen(part="documents")["configuration"]))
     assert checked.is_ok() and checked.ok.version == version, checked
 
 
@@ -243,9 +257,9 @@
 @then("the frozen marks of a version and of a denial are read and written with the same bytes")
 def then_marks(context: Any) -> None:
     kept = frozen(part="marks")
-    speech = Stage(context=context).ctx.speech
+    protocol_versions = Stage(context=context).ctx.protocol_versions
     assert unwrapped(data=bytes.fromhex(kept["version 2"])) == (2, FRAME_BODY)
     assert wrapped(version=2, body=FRAME_BODY).hex() == kept["version 2"]
     assert unwrapped(data=bytes.fromhex(kept["version 1"])) == (1, FRAME_BODY)
     assert wrapped(version=1, body=FRAME_BODY).hex() == kept["version 1"]
-    assert denial(speech=speech).hex() == kept["denial"]
+    assert denial(protocol_versions=protocol_versions).hex() == kept["denial"]
--- a/features/steps/recordsteps.py
+++ b/features/steps/record_steps.py
@@ -17,11 +17,11 @@
     read_service_plan,
 )
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.failover.booth_places import BoothPlace, BoothPlaces, read_booth_places
-from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead
-from cinderstair.failover.slots import Slots, read_slots
+from cinderstair.failover.proxy_addresses import ProxyAddress, ProxyAddresses, read_proxy_addresses
+from cinderstair.failover.proxy_ids import ProxyIds, read_proxy_ids
+from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, read_service_primary
 from cinderstair.membership.announcement import GONE, STATES, Announcement, read_announcement
-from cinderstair.membership.pooled_sample import PooledSample, ToldSample, WantedSample
+from cinderstair.membership.pooled_sample import PooledSample, ReportedSample, WantedSample
 from cinderstair.membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
@@ -39,129 +39,125 @@
 TEXTS = ("", "a", "s-1", "Überfahrt", "\U0001f6f6", "x" * 300, " \r\n\0")
 
 
-def text(luck: random.Random) -> str:
-    return luck.choice(TEXTS) + str(luck.randrange(3))
+def text(rng: random.Random) -> str:
+    return rng.choice(TEXTS) + str(rng.randrange(3))
 
 
-def u32(luck: random.Random) -> int:
-    return luck.choice(EDGES_32) if luck.random() < 0.5 else luck.getrandbits(32)
+def u32(rng: random.Random) -> int:
+    return rng.choice(EDGES_32) if rng.random() < 0.5 else rng.getrandbits(32)
 
 
-def u64(luck: random.Random) -> int:
-    return luck.choice(EDGES_64) if luck.random() < 0.5 else luck.getrandbits(64)
+def u64(rng: random.Random) -> int:
+    return rng.choice(EDGES_64) if rng.random() < 0.5 else rng.getrandbits(64)
 
 
-def announcement(luck: random.Random) -> Announcement:
+def announcement(rng: random.Random) -> Announcement:
     return Announcement(
-        name=text(luck),
-        number=u64(luck),
-        service=text(luck),
-        address=text(luck),
-        site=text(luck),
-        state=luck.choice(STATES),
-        leads=luck.random() < 0.5,
-        room=u32(luck),
+        name=text(rng),
+        number=u64(rng),
+        service=text(rng),
+        address=text(rng),
+        site=text(rng),
+        state=rng.choice(STATES),
+        leads=rng.random() < 0.5,
+        room=u32(rng),
     )
 
 
-def plan(luck: random.Random) -> ServicePlan:
+def plan(rng: random.Random) -> ServicePlan:
     routes = [
         DatabaseRoute(
-            database=f"{text(luck)}{n}",
-            service=text(luck),
-            consistency=luck.choice(list(Consistency)),
-            time_limit_us=u64(luck),
-            rank=u32(luck),
-            max_age_us=u64(luck),
+            database=f"{text(rng)}{n}",
+            service=text(rng),
+            consistency=rng.choice(list(Consistency)),
+            time_limit_us=u64(rng),
+            rank=u32(rng),
+            max_age_us=u64(rng),
         )
-        for n in range(luck.randrange(5))
+        for n in range(rng.randrange(5))
     ]
     services = [
-        Service(name=f"{text(luck)}{n}", link_cap=u32(luck), confirmations=u32(luck))
-        for n in range(luck.randrange(4))
+        Service(name=f"{text(rng)}{n}", link_cap=u32(rng), confirmations=u32(rng)) for n in range(rng.randrange(4))
     ]
     accepted = tuple(
-        AcceptedVersion(version=u64(luck), digest=luck.randbytes(DIGEST_BYTES)) for _ in range(luck.randrange(6))
+        AcceptedVersion(version=u64(rng), digest=rng.randbytes(DIGEST_BYTES)) for _ in range(rng.randrange(6))
     )
     return ServicePlan(
-        version=u64(luck),
+        version=u64(rng),
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
-        rest_limit_us=u64(luck),
-        document=luck.randbytes(luck.randrange(80)),
+        rest_limit_us=u64(rng),
+        document=rng.randbytes(rng.randrange(80)),
         accepted=accepted,
     )
 
 
-def lead(luck: random.Random) -> ServiceLead:
-    return ServiceLead(
-        term=u64(luck),
-        primary=text(luck),
-        state=luck.choice(list(LeadState)),
-        fence=Position(u64(luck), u64(luck)),
-        ready_in_us=u64(luck),
-        planned=luck.random() < 0.5,
+def lead(rng: random.Random) -> ServicePrimary:
+    return ServicePrimary(
+        term=u64(rng),
+        primary=text(rng),
+        state=rng.choice(list(PrimaryState)),
+        fence=Position(u64(rng), u64(rng)),
+        ready_in_us=u64(rng),
+        planned=rng.random() < 0.5,
     )
 
 
-def question(luck: random.Random) -> RelayQuestion:
+def question(rng: random.Random) -> RelayQuestion:
     return RelayQuestion(
-        booth=text(luck),
-        site=text(luck),
-        source=u64(luck),
-        edition=u64(luck),
-        troubled=tuple(text(luck) for _ in range(luck.randrange(4))),
+        proxy=text(rng),
+        site=text(rng),
+        source=u64(rng),
+        edition=u64(rng),
+        troubled=tuple(text(rng) for _ in range(rng.randrange(4))),
         samples=tuple(
-            ToldSample(
-                service=text(luck), term=u64(luck), moment_us=u64(luck), position=Position(u64(luck), u64(luck))
+            ReportedSample(
+                service=text(rng), term=u64(rng), moment_us=u64(rng), position=Position(u64(rng), u64(rng))
             )
-            for _ in range(luck.randrange(4))
+            for _ in range(rng.randrange(4))
         ),
-        wanted=tuple(WantedSample(service=text(luck), edition=u64(luck)) for _ in range(luck.randrange(4))),
-        brief=luck.random() < 0.5,
+        wanted=tuple(WantedSample(service=text(rng), edition=u64(rng)) for _ in range(rng.randrange(4))),
+        brief=rng.random() < 0.5,
     )
 
 
-def answer(luck: random.Random) -> RelayAnswer:
+def answer(rng: random.Random) -> RelayAnswer:
     return RelayAnswer(
-        source=u64(luck),
-        edition=u64(luck),
-        age_us=u64(luck),
-        whole=luck.random() < 0.5,
+        source=u64(rng),
+        edition=u64(rng),
+        age_us=u64(rng),
+        whole=rng.random() < 0.5,
         values=tuple(
-            RelayedValue(
-                key=text(luck), ballot=Ballot(u64(luck), u64(luck)), value=luck.randbytes(luck.randrange(50))
-            )
-            for _ in range(luck.randrange(4))
+            RelayedValue(key=text(rng), ballot=Ballot(u64(rng), u64(rng)), value=rng.randbytes(rng.randrange(50)))
+            for _ in range(rng.randrange(4))
         ),
         backends=tuple(
-            RelayedBackend(announcement=announcement(luck), quiet=luck.random() < 0.5)
-            for _ in range(luck.randrange(4))
+            RelayedBackend(announcement=announcement(rng), quiet=rng.random() < 0.5) for _ in range(rng.randrange(4))
         ),
-        guildhalls=tuple(text(luck) for _ in range(luck.randrange(4))),
-        answered_us=u64(luck),
+        controllers=tuple(text(rng) for _ in range(rng.randrange(4))),
+        answered_us=u64(rng),
         samples=tuple(
             PooledSample(
-                service=text(luck),
-                term=u64(luck),
-                age_us=u64(luck),
-                position=Position(u64(luck), u64(luck)),
-                edition=u64(luck),
+                service=text(rng),
+                term=u64(rng),
+                age_us=u64(rng),
+                position=Position(u64(rng), u64(rng)),
+                edition=u64(rng),
             )
-            for _ in range(luck.randrange(4))
+            for _ in range(rng.randrange(4))
         ),
-        ask=tuple(text(luck) for _ in range(luck.randrange(4))),
-        site=text(luck),
+        ask=tuple(text(rng) for _ in range(rng.randrange(4))),
+        site=text(rng),
     )
 
 
-def slots(luck: random.Random) -> Slots:
-    return Slots(names=tuple((n, text(luck)) for n in range(luck.randrange(5))))
+def proxy_ids(rng: random.Random) -> ProxyIds:
+    return ProxyIds(names=tuple((n, text(rng)) for n in range(rng.randrange(5))))
 
 
-def places(luck: random.Random) -> BoothPlaces:
-    return BoothPlaces(
-        places={text(luck): BoothPlace(site=text(luck), records=text(luck)) for _ in range(luck.randrange(5))}
+def places(rng: random.Random) -> ProxyAddresses:
+    return ProxyAddresses(
+        places={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
     )
 
 
@@ -181,19 +177,19 @@
 RECORDS: dict[str, tuple[Callable[[random.Random], Any], Callable[[Any], bytes], Callable[[bytes], Any]]] = {
     "announcements": (announcement, packed, unpacked_announcement),
     "service plans": (plan, lambda r: r.bytes(), lambda data: read_service_plan(data=data)),
-    "service leads": (lead, lambda r: r.bytes(), lambda data: read_service_lead(data=data)),
+    "service leads": (lead, lambda r: r.bytes(), lambda data: read_service_primary(data=data)),
     "relay questions": (question, packed, lambda data: read_relay_question(unpacker=Unpacker(data=data))),
     "relay answers": (answer, lambda r: r.bytes(), lambda data: read_relay_answer(data=data)),
-    "slots": (slots, lambda r: r.bytes(), lambda data: read_slots(data=data)),
-    "places": (places, lambda r: r.bytes(), lambda data: read_booth_places(data=data)),
+    "slots": (proxy_ids, lambda r: r.bytes(), lambda data: read_proxy_ids(data=data)),
+    "places": (places, lambda r: r.bytes(), lambda data: read_proxy_addresses(data=data)),
 }
 
 
 @given("{count:d} {records} from a seed")
 def given_records(context: Any, count: int, records: str) -> None:
     context.make, context.write, context.read = RECORDS[records]
-    context.luck = random.Random(f"records/{records}")
-    context.records = [context.make(context.luck) for _ in range(count)]
+    context.rng = random.Random(f"records/{records}")
+    context.records = [context.make(context.rng) for _ in range(count)]
 
 
 @then("each is read as it was written")
@@ -225,10 +221,8 @@
     for record in context.records:
         for _ in range(10):
             data = bytearray(context.write(record))
-            for _ in range(context.luck.randrange(1, 4)):
-                data[context.luck.randrange(len(data))] = context.luck.choice(
-                    [0, 1, 255, context.luck.randrange(256)]
-                )
+            for _ in range(context.rng.randrange(1, 4)):
+                data[context.rng.randrange(len(data))] = context.rng.choice([0, 1, 255, context.rng.randrange(256)])
             try:
                 context.read(bytes(data))
             except ValueError:
@@ -240,7 +234,7 @@
 def then_noise(context: Any) -> None:
     for _ in range(2_000):
         try:
-            context.read(context.luck.randbytes(context.luck.randrange(1, 120)))
+            context.read(context.rng.randbytes(context.rng.randrange(1, 120)))
         except ValueError:
             continue
 
--- a/features/steps/wiresteps.py
+++ b/features/steps/record_transport_steps.py
@@ -10,9 +10,9 @@
 from common import run
 from stage import Stage
 
-from cinderstair.runtime import recordwire
+from cinderstair.runtime import record_transport
 from cinderstair.runtime.counters import Counters
-from cinderstair.runtime.recordwire import HEAD, MAGIC, RECORDS_VERSION, RecordWire, read_frame
+from cinderstair.runtime.record_transport import HEAD, MAGIC, RECORDS_VERSION, RecordTransport, read_frame
 from cinderstair.simulation.fleet import free_ports
 
 
@@ -41,12 +41,12 @@
 
 @when("it is asked again and again")
 def when_asked(context: Any) -> None:
-    wire = RecordWire(counters=Counters())
+    wire = RecordTransport(counters=Counters())
 
     async def go() -> None:
         # why: bounded by count, each ask ends by itself; what is awaited is the first answer
         for _ in range(200):
-            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=b"x", wait_us=100_000)
+            result = await wire.request(address=f"127.0.0.1:{context.port}", body=b"x", wait_us=100_000)
             if result.is_ok():
                 context.answer = result.ok
                 break
@@ -66,7 +66,7 @@
 def given_echo(context: Any) -> None:
     context.port = free_ports(count=1)[0]
     context.counters = Counters()
-    context.wire = RecordWire(counters=context.counters)
+    context.wire = RecordTransport(counters=context.counters)
 
     async def answer(body: bytes) -> bytes:
         return body
@@ -76,12 +76,12 @@
 
 @when("{count:d} connections send it random bytes")
 def when_random(context: Any, count: int) -> None:
-    luck = random.Random(8)
+    rng = random.Random(8)
 
     async def go() -> None:
         for _ in range(count):
             reader, writer = await asyncio.open_connection("127.0.0.1", context.port)
-            writer.write(luck.randbytes(luck.randrange(16, 200)))
+            writer.write(rng.randbytes(rng.randrange(16, 200)))
             await writer.drain()
             # why: the other side's closing is the event that says it has read and refused
             assert await reader.read() == b""
@@ -92,10 +92,10 @@
 
 @then("it still answers, and has counted what it could not read")
 def then_answers(context: Any) -> None:
-    other = RecordWire(counters=Counters())
+    other = RecordTransport(counters=Counters())
 
     async def go() -> Any:
-        result = await other.ask(address=f"127.0.0.1:{context.port}", body=b"hello", wait_us=30_000_000)
+        result = await other.request(address=f"127.0.0.1:{context.port}", body=b"hello", wait_us=30_000_000)
         await other.close()
         await context.wire.close()
         return result
@@ -141,19 +141,19 @@
 @when("it is asked every {every_ms:d} ms of virtual time")
 def when_asked_virtually(context: Any, every_ms: int) -> None:
     loop = context.stage.loop
-    wire = RecordWire(counters=Counters())
+    wire = RecordTransport(counters=Counters())
     context.answered = None
 
     async def go() -> None:
         until = context.healed + 20
         while context.answered is None and loop.time() < until:
-            result = await wire.ask(address="127.0.0.1:9", body=b"x", wait_us=every_ms * 1_000)
+            result = await wire.request(address="127.0.0.1:9", body=b"x", wait_us=every_ms * 1_000)
             if result.is_ok():
                 context.answered = loop.time()
             await asyncio.sleep(every_ms / 1_000)
         await wire.close()
 
-    with patch.object(recordwire.asyncio, "open_connection", context.dial):
+    with patch.object(record_transport.asyncio, "open_connection", context.dial):
         loop.run_until_complete(go())
 
 
@@ -168,24 +168,24 @@
 
 WAIT_US = 40_000
 LATE_S = 0.06
-RECEIVE = RecordWire._read
+RECEIVE = RecordTransport._read
 
 
 @given("a listener that answers out of order, late, in part or not at all")
 def given_unruly(context: Any) -> None:
     context.port = free_ports(count=1)[0]
     context.arrived = collections.Counter()
-    luck = random.Random(17)
+    rng = random.Random(17)
 
     async def answer(writer: asyncio.StreamWriter, number: int, body: bytes) -> None:
         data = b"to " + body
         frame = HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(data), number) + data
-        way = luck.random()
+        way = rng.random()
         if way < 0.1:
             return
-        await asyncio.sleep(LATE_S if way < 0.25 else luck.random() * 0.02)
+        await asyncio.sleep(LATE_S if way < 0.25 else rng.random() * 0.02)
         if way > 0.95:
-            writer.write(frame[: luck.randrange(len(frame))])
+            writer.write(frame[: rng.randrange(len(frame))])
             writer.close()
         elif not writer.is_closing():
             writer.write(frame)
@@ -207,13 +207,13 @@
 
 
 def ask_many(*, context: Any, count: int, together: int) -> None:
-    wire, numbers = RecordWire(counters=Counters()), iter(range(count))
+    wire, numbers = RecordTransport(counters=Counters()), iter(range(count))
     context.answers = []
 
     async def asker() -> None:
         for number in numbers:
             body = b"question %d" % number
-            result = await wire.ask(address=f"127.0.0.1:{context.port}", body=body, wait_us=WAIT_US)
+            result = await wire.request(address=f"127.0.0.1:{context.port}", body=body, wait_us=WAIT_US)
             context.answers.append((body, result.ok if result.is_ok() else None))
 
     async def go() -> None:
@@ -242,7 +242,7 @@
         self.waiting[address] = InOrder()
         await RECEIVE(self, address=address, reader=reader, writer=writer)
 
-    with patch.object(RecordWire, "_read", reading):
+    with patch.object(RecordTransport, "_read", reading):
         ask_many(context=context, count=count, together=together)
 
 
--- a/features/steps/registersteps.py
+++ b/features/steps/register_steps.py
@@ -13,20 +13,23 @@
 from cinderstair.consensus.register import Register
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.consensus.succession import Succession, without
-from cinderstair.runtime.desks import LEASE
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
-from cinderstair.runtime.speech import unwrapped
-from cinderstair.simulation.virtualloop import Boot
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
+from cinderstair.runtime.message_types import LEASE
+from cinderstair.runtime.protocol_versions import unwrapped
+from cinderstair.simulation.virtual_loop import Boot
 
 
-@given("5 vaults and {count:d} proposers, with seed {seed:d}")
-def given_vaults(context: Any, count: int, seed: int) -> None:
-    world = new_world(context=context, seed=seed, stalls=0)
-    for name in world.vault_names:
+@given("5 register replicas and {count:d} proposers, with seed {seed:d}")
+def given_register_replicas(context: Any, count: int, seed: int) -> None:
+    world = new_world(context=context, seed=seed, http_proxies=0)
+    for name in world.register_replica_names:
         world.start(name=name)
     world.await_that(
-        test=lambda: all(world.vault(name=n).roster is not None for n in world.vault_names if n in world.things)
+        test=lambda: all(
+            world.register_replica(name=n).roster is not None
+            for n in world.register_replica_names
+            if n in world.things
+        )
         and len(world.things) == 5,
         within_us=20_000_000,
         what="a roster",
@@ -44,29 +47,29 @@
         if result.is_ok():
             log.append(("done", int(result.ok.value)))
         else:
-            log.append(("unsure" if result.error.kind == Kind.registerUnsure else "denied", 0))
+            log.append(("unsure" if result.error.code == ErrorCode.REGISTER_UNSURE else "denied", 0))
         read = await register.read(key="counter")
         if read.is_ok():
             log.append(("read", int(read.ok.value or b"0")))
-        await register.ctx.rest(wait_us=register.ctx.luck.randrange(20_000, 120_000))
+        await register.ctx.sleep(duration_us=register.ctx.rng.randrange(20_000, 120_000))
 
 
-def trouble(*, world: Any, what: str) -> None:
-    name = world.luck.choice(world.vault_names)
-    if what == "vaults killed":
+def problem(*, world: Any, what: str) -> None:
+    name = world.rng.choice(world.register_replica_names)
+    if what == "register replicas killed":
         world.kill(name=name)
         world.advance(for_us=600_000)
         world.start(name=name)
-    elif what == "vaults frozen":
+    elif what == "register replicas frozen":
         world.freeze(name=name)
         world.advance(for_us=1_500_000)
         world.thaw(name=name)
-    elif what == "vaults cut off":
-        world.cut(ones=[name], others=[f"proposer-{n}" for n in range(4)], both=world.luck.random() < 0.5)
+    elif what == "register replicas cut off":
+        world.cut(ones=[name], others=[f"proposer-{n}" for n in range(4)], both=world.rng.random() < 0.5)
         world.advance(for_us=900_000)
         world.heal()
     elif what == "lost answers":
-        for other in world.vault_names[:2]:
+        for other in world.register_replica_names[:2]:
             world.cut(ones=[other], others=["proposer-0", "proposer-1"], both=False)
         world.advance(for_us=300_000)
         world.heal()
@@ -82,7 +85,7 @@
         for boot, register, log in zip(context.boots, context.registers, context.logs, strict=True)
     ]
     while not all(task.done() for task in tasks):
-        trouble(world=world, what=what)
+        problem(world=world, what=what)
     assert not any(task.exception() for task in tasks)
 
 
@@ -110,7 +113,7 @@
 @when("a value is accepted by vault-0 alone and then read through it")
 def when_minority(context: Any) -> None:
     world = context.world
-    acceptor = world.vault(name="vault-0").acceptor
+    acceptor = world.register_replica(name="vault-0").acceptor
     ballot = Ballot(5, 99)
     acceptor.held.cells["lonely"] = Cell(promised=ballot, accepted=ballot, value=b"x")
     register = context.registers[0]
@@ -131,10 +134,10 @@
 async def seek_on(*, lease: Lease) -> None:
     while True:
         await lease.seek()
-        await lease.ctx.rest(wait_us=400_000)
+        await lease.ctx.sleep(duration_us=400_000)
 
 
-@when("all seek one duty for 60 seconds, while vaults restart and holders freeze")
+@when("all seek one duty for 60 seconds, while register replicas restart and holders freeze")
 def when_duty(context: Any) -> None:
     world = context.world
     leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in context.registers]
@@ -147,7 +150,7 @@
         world.advance(for_us=100_000)
         context.held.append(sum(lease.held for lease in leases))
         if step % 50 == 25:
-            name = world.luck.choice(world.vault_names)
+            name = world.rng.choice(world.register_replica_names)
             world.kill(name=name)
             world.start(name=name)
         if step % 100 == 60:
@@ -168,8 +171,8 @@
 @when("vault-0 comes back with a blank disk while vault-1 is frozen")
 def when_blank(context: Any) -> None:
     world = context.world
-    context.ident = world.vault(name="vault-0").me.ident
-    context.epoch = world.vault(name="vault-2").roster.epoch
+    context.ident = world.register_replica(name="vault-0").me.ident
+    context.epoch = world.register_replica(name="vault-2").roster.epoch
     world.freeze(name="vault-1")
     world.kill(name="vault-0")
     world.disks["vault-0"].wipe()
@@ -179,7 +182,7 @@
 
 @then("vault-0 learns the roster of the others and founds none")
 def then_no_second(context: Any) -> None:
-    mine, others = context.world.vault(name="vault-0"), context.world.vault(name="vault-2")
+    mine, others = context.world.register_replica(name="vault-0"), context.world.register_replica(name="vault-2")
     assert mine.me.ident != context.ident
     assert mine.roster.epoch == others.roster.epoch == context.epoch + 2, (mine.roster, others.roster)
     assert {v.ident for v in mine.roster.voters} == {v.ident for v in others.roster.voters}
@@ -196,10 +199,10 @@
     world, (first, second) = context.world, context.registers
     change = second.change
 
-    async def overtaken(**asked: Any) -> Any:
-        result = await change(**asked)
+    async def overtaken(**requested: Any) -> Any:
+        result = await change(**requested)
         second.change = change
-        # why: nobody need have told it on purpose: any vault's answer brings the newer roster
+        # why: nobody need have told it on purpose: any register replica's answer brings the newer roster
         assert (await strike_off(register=first, name="vault-0")).is_ok()
         second.learn_roster(roster=first.roster)
         return result
@@ -210,7 +213,7 @@
 
 @then("the second change is refused as overtaken, and the roster lacks vault-0 alone")
 def then_overtaken(context: Any) -> None:
-    assert context.result.is_error() and context.result.error.kind == Kind.versionTaken, context.result
+    assert context.result.is_error() and context.result.error.code == ErrorCode.VERSION_TAKEN, context.result
     world, register = context.world, context.registers[0]
     assert world.run(work=register.find_roster())
     names = [voter.name for voter in register.roster.voters]
@@ -220,15 +223,15 @@
 def held_back(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
     """Takes the records that pass the test out of a proposer's network, and keeps them."""
     kept: list[tuple[str, bytes]] = []
-    ask = register.ctx.net.ask
+    ask = register.ctx.net.request
 
-    async def asked(*, address: str, body: bytes, wait_us: int) -> Any:
+    async def requested(*, address: str, body: bytes, wait_us: int) -> Any:
         if test(body):
             kept.append((address, body))
-            return Error(Fault(kind=Kind.wireUnsure, why="held back"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="held back"))
         return await ask(address=address, body=body, wait_us=wait_us)
 
-    register.ctx.net.ask = asked
+    register.ctx.net.request = requested
     return kept
 
 
@@ -243,9 +246,9 @@
     for register in (first, second):
         world.run(work=register.find_roster())
     context.leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in (first, second)]
-    # why: vaults that have just started grant nothing yet
+    # why: register replicas that have just started grant nothing yet
     world.advance(for_us=5_000_000)
-    ask = first.ctx.net.ask
+    ask = first.ctx.net.request
     late = held_back(register=first, test=is_return)
     assert world.run(work=context.leases[0].seek())
     world.run(work=context.leases[0].drop())
@@ -274,7 +277,7 @@
     world.run(work=both())
 
 
-@when("two of five vaults grant a duty, and a roster of three is heard of meanwhile")
+@when("two of five register replicas grant a duty, and a roster of three is heard of meanwhile")
 def when_fewer(context: Any) -> None:
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
@@ -283,8 +286,8 @@
     context.lease = Lease(ctx=register.ctx, register=register, duty="duty")
     poll = register.poll
 
-    async def polled(**asked: Any) -> Any:
-        answers = await poll(**asked)
+    async def polled(**requested: Any) -> Any:
+        answers = await poll(**requested)
         roster = register.roster
         register.learn_roster(roster=Roster(epoch=roster.epoch + 2, voters=roster.voters[2:]))
         return answers
@@ -298,7 +301,9 @@
     assert not context.lease.held
 
 
-@when("a duty is taken from vaults 0 to 2, vaults 0 and 1 die, and a replacement of each begins")
+@when(
+    "a duty is taken from register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins"
+)
 def when_two_leave(context: Any) -> None:
     world, (holder, seeker, changer) = context.world, context.registers
     for register in (holder, seeker):
@@ -307,16 +312,16 @@
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     assert world.run(work=context.leases[0].seek())
-    # why: a vault that is up would take its place again at once
+    # why: a register replica that is up would take its place again at once
     for name in ("vault-0", "vault-1"):
         world.kill(name=name)
     assert world.run(work=strike_off(register=changer, name="vault-0")).is_ok()
     change = changer.change_roster
 
-    async def once(**asked: Any) -> Any:
+    async def once(**requested: Any) -> Any:
         # why: whoever replaces a voter may end between the two changes
         changer.change_roster = None
-        return await change(**asked)
+        return await change(**requested)
 
     changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
--- a/features/steps/promotionsteps.py
+++ b/features/steps/service_failover_steps.py
@@ -5,26 +5,30 @@
 from typing import Any
 
 from behave import given, then, when
-from clusterstage import OUTWAIT_US, Cluster, new_hall, new_stage, put
+from cluster_stage import OUTWAIT_US, Cluster, new_controller, new_stage, put
 from expression import Error
 from stage import plan
 
 from cinderstair.config.service_plan import PLAN_KEY
-from cinderstair.failover.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
+from cinderstair.failover.service_primary import (
+    PrimaryState,
+    ServicePrimary,
+    read_service_primary,
+    service_primary_key,
+)
 from cinderstair.membership.announcement import GONE
-from cinderstair.membership.beat import EMPTYING
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.membership.heartbeat import EMPTYING
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 
 
-@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{copies}" are copies')
-def given_service(context: Any, confirmations: int, primary: str, copies: str) -> None:
+@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{replicas}" are copies')
+def given_service(context: Any, confirmations: int, primary: str, replicas: str) -> None:
     new_stage(context=context)
-    names = (primary, *copies.split(", "))
+    names = (primary, *replicas.split(", "))
     context.cluster = Cluster(stage=context.stage, names=names, at=Position(3, 100), confirmations=confirmations)
     put(context=context, key=PLAN_KEY, value=plan(confirmations=confirmations).bytes())
-    new_hall(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).add_duty(cluster=context.cluster)
 
 
 @given("the duty is held and the lead settled")
@@ -32,15 +36,15 @@
 def given_settled(context: Any) -> None:
     wait_for(context=context, test=lambda: lead_of(context=context) is not None, within_us=5_000_000)
     lead = lead_of(context=context)
-    assert lead is not None and lead.state == LeadState.settled
+    assert lead is not None and lead.state == PrimaryState.settled
     context.stage.advance(for_us=2_500_000)
     context.cluster.writing = True
     context.stage.advance(for_us=100_000)
 
 
-def lead_of(*, context: Any) -> ServiceLead | None:
-    found = context.store.values.get(service_lead_key(service="s"))
-    return None if found is None else read_service_lead(data=found.value)
+def lead_of(*, context: Any) -> ServicePrimary | None:
+    found = context.store.values.get(service_primary_key(service="s"))
+    return None if found is None else read_service_primary(data=found.value)
 
 
 def wait_for(*, context: Any, test: Callable[[], bool], within_us: int) -> int:
@@ -52,7 +56,7 @@
 
 
 def states_written(*, context: Any) -> list[str]:
-    leads = [read_service_lead(data=value) for _, key, value in context.store.writes if key.startswith("service/")]
+    leads = [read_service_primary(data=value) for _, key, value in context.store.writes if key.startswith("service/")]
     return [f"{lead.state.name} {lead.primary} {lead.term}" for lead in leads]
 
 
@@ -80,10 +84,10 @@
 
 @when("the other one takes the duty, and reads nothing any more")
 def when_reads_nothing(context: Any) -> None:
-    first, second = context.halls
+    first, second = context.controller_stages
 
     async def missed() -> Any:
-        return Error(Fault(kind=Kind.registerUnreachable, why="its questions are lost"))
+        return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="its questions are lost"))
 
     context.read = second.register.vector
     second.register.vector = missed
@@ -96,14 +100,14 @@
 
 @then("it holds the duty, takes what it knows for current, and writes nothing")
 def then_writes_nothing(context: Any) -> None:
-    second = context.halls[1]
+    second = context.controller_stages[1]
     assert second.duty.lease.held and second.view.current
     assert len(context.store.writes) == context.written, context.store.writes[context.written :]
 
 
 @when("the other one reads again")
 def when_reads_again(context: Any) -> None:
-    context.halls[1].register.vector = context.read
+    context.controller_stages[1].register.vector = context.read
     context.stage.advance(for_us=1_500_000)
 
 
@@ -113,18 +117,18 @@
     assert keys[:2] == ["promotion.fence", "service/s"], keys
 
 
-@when('"{name}" says goodbye, and {ends}')
-def when_says_goodbye(context: Any, name: str, ends: str) -> None:
+@when('"{name}" deregisters, and {ends}')
+def when_says_deregistration(context: Any, name: str, ends: str) -> None:
     backend = context.cluster.backends[name]
     backend.standing = GONE
     context.stage.call(call=lambda: context.cluster.say(backend=backend))
-    backend.beats = False
+    backend.heartbeats = False
     backend.up = ends != "ends"
 
 
-@then('the goodbye of "{name}" is settled: {words}')
-def then_goodbye_settled(context: Any, name: str, words: str) -> None:
-    left = [each.name for each in context.halls[0].duty.departures.unsettled(service="s")]
+@then('the deregistration of "{name}" is settled: {words}')
+def then_deregistration_settled(context: Any, name: str, words: str) -> None:
+    left = [each.name for each in context.controller_stages[0].duty.departures.unsettled(service="s")]
     assert (name not in left) == (words == "yes"), left
 
 
@@ -140,8 +144,8 @@
 
 @when('"{name}" is suspected')
 def when_suspected(context: Any, name: str) -> None:
-    for hall in context.halls:
-        context.stage.call(call=lambda hall=hall: hall.duty.suspect(name=name))
+    for controller in context.controller_stages:
+        context.stage.call(call=lambda controller=controller: controller.duty.suspect(name=name))
 
 
 @given('"{name}" can\'t be paused')
@@ -149,15 +153,15 @@
     context.cluster.backends[name].pausable = False
 
 
-@given('"{name}" is {reach} to the guildhalls')
-@when('"{name}" is {reach} to the guildhalls')
+@given('"{name}" is {reach} to the controllers')
+@when('"{name}" is {reach} to the controllers')
 def given_reach(context: Any, name: str, reach: str) -> None:
     context.cluster.backends[name].reach = {"dark": "no", "silent": "silent", "reachable": "yes"}[reach]
 
 
 @when('"{name}" beats no more')
-def when_beats_no_more(context: Any, name: str) -> None:
-    context.cluster.backends[name].beats = False
+def when_heartbeats_no_more(context: Any, name: str) -> None:
+    context.cluster.backends[name].heartbeats = False
 
 
 @given('"{name}" is {behind:d} behind')
@@ -187,14 +191,14 @@
     context.cluster.backends[name].promotable = False
 
 
-@given("of {asked:d} other guildhalls {reached:d} reach it")
-def given_opinions(context: Any, asked: int, reached: int) -> None:
-    for hall in context.halls:
-        hall.opinion = (reached, asked)
+@given("of {requested:d} other controllers {reached:d} reach it")
+def given_opinions(context: Any, requested: int, reached: int) -> None:
+    for controller in context.controller_stages:
+        controller.opinion = (reached, requested)
 
 
-@when("{wait_ms:d} ms pass at the guildhalls")
-def when_guildhalls_pass(context: Any, wait_ms: int) -> None:
+@when("{wait_ms:d} ms pass at the controllers")
+def when_controllers_pass(context: Any, wait_ms: int) -> None:
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -202,7 +206,7 @@
 def then_settled_on(context: Any, name: str, most_ms: int) -> None:
     def settled() -> bool:
         lead = lead_of(context=context)
-        return lead is not None and lead.primary == name and lead.state == LeadState.settled
+        return lead is not None and lead.primary == name and lead.state == PrimaryState.settled
 
     wait_for(context=context, test=settled, within_us=most_ms * 1_000)
     assert context.cluster.backends[name].leads
@@ -242,9 +246,9 @@
 
 @then("between the first word that it does not serve and the word that another does all older views ran out")
 def then_outwaited(context: Any) -> None:
-    leads = [(at_us, read_service_lead(data=value)) for at_us, key, value in context.store.writes if "/" in key]
-    stopped_us = next(at_us for at_us, lead in leads if lead.state != LeadState.settled)
-    assert leads[-1][1].state == LeadState.settled and leads[-1][0] - stopped_us >= OUTWAIT_US, leads
+    leads = [(at_us, read_service_primary(data=value)) for at_us, key, value in context.store.writes if "/" in key]
+    stopped_us = next(at_us for at_us, lead in leads if lead.state != PrimaryState.settled)
+    assert leads[-1][1].state == PrimaryState.settled and leads[-1][0] - stopped_us >= OUTWAIT_US, leads
 
 
 @then('"{name}" stepped down at least {least_ms:d} ms after the word that it closes')
@@ -252,7 +256,7 @@
     closing_us = next(
         at_us
         for at_us, key, value in context.store.writes
-        if key.startswith("service/") and read_service_lead(data=value).state == LeadState.closing
+        if key.startswith("service/") and read_service_primary(data=value).state == PrimaryState.closing
     )
     stepped_us = context.cluster.backends[name].stepped_us
     assert stepped_us - closing_us >= least_ms * 1_000, (stepped_us, closing_us)
@@ -260,8 +264,8 @@
 
 @when("the copies are paused")
 def when_paused(context: Any) -> None:
-    copies = [each for each in context.cluster.backends.values() if not each.leads]
-    wait_for(context=context, test=lambda: any(each.paused for each in copies), within_us=10_000_000)
+    replicas = [each for each in context.cluster.backends.values() if not each.leads]
+    wait_for(context=context, test=lambda: any(each.paused for each in replicas), within_us=10_000_000)
 
 
 @then("each copy that was paused was resumed, and only after a write that confirms the lead")
@@ -274,7 +278,7 @@
 
 
 @then('"{name}" was told "{words}"')
-def then_told(context: Any, name: str, words: str) -> None:
+def then_reported(context: Any, name: str, words: str) -> None:
     found = ", ".join(context.cluster.backends[name].log) or "nothing"
     assert found == words, found
 
@@ -285,17 +289,17 @@
     assert lead is not None and (lead.state.name, lead.primary) == (state, name), lead
 
 
-@given("another guildhall waits for the duty")
+@given("another controller waits for the duty")
 def given_another(context: Any) -> None:
-    new_hall(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).add_duty(cluster=context.cluster)
     for backend in context.cluster.backends.values():
         context.stage.call(call=lambda backend=backend: context.cluster.say(backend=backend))
 
 
 @when('another holder has meanwhile written that "{name}" leads in term {term:d}')
 def when_written(context: Any, name: str, term: int) -> None:
-    lead = ServiceLead(term=term, primary=name, state=LeadState.settled)
-    put(context=context, key=service_lead_key(service="s"), value=lead.bytes())
+    lead = ServicePrimary(term=term, primary=name, state=PrimaryState.settled)
+    put(context=context, key=service_primary_key(service="s"), value=lead.bytes())
     context.written = lead
     for each in context.cluster.backends.values():
         each.leads = each.name == name
@@ -307,7 +311,7 @@
 def when_lead_closes(context: Any) -> None:
     def closing() -> bool:
         lead = lead_of(context=context)
-        return lead is not None and lead.state == LeadState.closing
+        return lead is not None and lead.state == PrimaryState.closing
 
     wait_for(context=context, test=closing, within_us=2_000_000)
 
@@ -316,7 +320,7 @@
 def when_lead_moves_on(context: Any) -> None:
     def moving() -> bool:
         lead = lead_of(context=context)
-        return lead is not None and lead.state == LeadState.moving
+        return lead is not None and lead.state == PrimaryState.moving
 
     wait_for(context=context, test=moving, within_us=2_000_000)
 
@@ -332,14 +336,14 @@
 def when_holder_dies(context: Any, moment: str) -> None:
     def moving() -> bool:
         lead = lead_of(context=context)
-        return lead is not None and lead.state == LeadState.moving
+        return lead is not None and lead.state == PrimaryState.moving
 
     def paused() -> bool:
         return any(each.paused for each in context.cluster.backends.values())
 
     def closing() -> bool:
         lead = lead_of(context=context)
-        return lead is not None and lead.state == LeadState.closing
+        return lead is not None and lead.state == PrimaryState.closing
 
     tests: dict[str, Callable[[], bool]] = {
         "when the lead closes": closing,
@@ -362,13 +366,13 @@
         raise AssertionError(moment)
 
     context.stage.run(work=watch())
-    holder = next(hall for hall in context.halls if hall.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
     holder.kill()
 
 
 @when("the holder of the duty is cut off from the register")
 def when_holder_cut(context: Any) -> None:
-    holder = next(hall for hall in context.halls if hall.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
     holder.register.cut = True
 
 
@@ -378,8 +382,8 @@
     assert fences == sorted(fences) and len(set(fences)) == 2, fences
 
 
-@then("no guildhall has crashed")
-def then_no_hall_crashed(context: Any) -> None:
+@then("no controller has crashed")
+def then_no_controller_crashed(context: Any) -> None:
     assert not context.stage.crashes, context.stage.crashes
-    for hall in context.halls:
-        assert not hall.ctx.counters.counts["internal.crashes"], hall.ctx.name
+    for controller in context.controller_stages:
+        assert not controller.ctx.counters.counts["internal.crashes"], controller.ctx.name
--- a/features/steps/sessionsteps.py
+++ b/features/steps/session_steps.py
@@ -1,16 +1,16 @@
-"""Steps for a booth's router and sessions."""
+"""Steps for a proxy's router and sessions."""
 
 import asyncio
 from typing import Any
 
 from behave import given, then, when
-from boothcommon import STATE_WORDS
+from proxy_common import STATE_WORDS
 from stage import (
     SITE,
     FakeBackend,
     FakeDialer,
+    ReportedView,
     Stage,
-    ToldView,
     announcement,
     plan,
     position,
@@ -21,15 +21,15 @@
 
 from cinderstair.config.service_plan import Consistency
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.failover.booth_places import PLACES_KEY, BoothPlace, BoothPlaces
-from cinderstair.failover.service_lead import LeadState, ServiceLead, service_lead_key
-from cinderstair.failover.slots import SLOTS_KEY, Slots
+from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.membership.announcement import GONE
-from cinderstair.membership.beat import EMPTYING, READY
+from cinderstair.membership.heartbeat import EMPTYING, READY
 from cinderstair.membership.pooled_sample import PooledSample
 from cinderstair.membership.relay_record import RelayAnswer, RelayedValue
-from cinderstair.pooler.dealing import Spot, dealt_links
 from cinderstair.pooler.forwarder import Forwarder
+from cinderstair.pooler.link_allocation import Location, allocate_links
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import State
 from cinderstair.pooler.router import CONTROL_LINKS, Router
@@ -45,26 +45,26 @@
     return f"{outcome} {STATE_WORDS[reply.state]}"
 
 
-@given('a booth, where "{primary}" leads and "{copies}" are copies, all at {at}')
-def given_booth(context: Any, primary: str, copies: str, at: str) -> None:
+@given('a proxy, where "{primary}" leads and "{replicas}" are copies, all at {at}')
+def given_proxy(context: Any, primary: str, replicas: str, at: str) -> None:
     stage = context.stage = Stage(context=context)
     found = position(text=at)
     assert found is not None
     context.primary = primary
-    context.names = [primary, *(name for name in copies.split(", ") if name != "none")]
+    context.names = [primary, *(name for name in replicas.split(", ") if name != "none")]
     context.backends = {name: FakeBackend(name=name, at=found) for name in context.names}
-    context.told = ToldView(stage=stage)
+    context.reported = ReportedView(stage=stage)
     context.distances = {SITE: 0}
     context.router = Router(
         ctx=stage.ctx,
-        view=context.told.view,
+        view=context.reported.view,
         dialer=FakeDialer(backends=context.backends),
         distance=lambda site: context.distances.get(site, 3),
     )
-    context.told.plan(plan=plan(routes=(route(),)))
-    context.told.slots(names=("booth-1",))
-    context.told.tell(backends=tuple(announcement(name=n, leads=n == primary) for n in context.names))
-    context.told.lead(primary=primary)
+    context.reported.plan(plan=plan(routes=(route(),)))
+    context.reported.proxy_ids(names=("booth-1",))
+    context.reported.tell(backends=tuple(announcement(name=n, leads=n == primary) for n in context.names))
+    context.reported.lead(primary=primary)
     context.numbers = dict.fromkeys(context.names, 1)
     context.session = Session(ctx=stage.ctx, router=context.router, database="db")
     context.replies = []
@@ -73,7 +73,7 @@
 @given("its route reads {sort} with {age_ms:d} ms of age and a limit of {limit_ms:d} ms")
 def given_route(context: Any, sort: str, age_ms: int, limit_ms: int) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms, limit_ms=limit_ms)
-    context.told.plan(plan=plan(routes=(made,), version=2))
+    context.reported.plan(plan=plan(routes=(made,), version=2))
 
 
 @given('"{name}" answers "{words}"')
@@ -97,7 +97,7 @@
     site = f"far-{name}"
     context.distances[site] = distance
     context.numbers[name] += 1
-    context.told.tell(
+    context.reported.tell(
         backends=(announcement(name=name, site=site, number=context.numbers[name], leads=name == context.primary),)
     )
 
@@ -110,39 +110,39 @@
         backend.log.clear()
 
 
-@when("the guildhall tells of {at} under term {term:d}")
-def when_hall_tells(context: Any, at: str, term: int) -> None:
-    hall_tells(context=context, at=at, term=term, age_us=1_000)
+@when("the controller tells of {at} under term {term:d}")
+def when_controller_tells(context: Any, at: str, term: int) -> None:
+    controller_tells(context=context, at=at, term=term, age_us=1_000)
 
 
-def hall_tells(*, context: Any, at: str, term: int, age_us: int) -> None:
+def controller_tells(*, context: Any, at: str, term: int, age_us: int) -> None:
     found = position(text=at)
     assert found is not None
     now_us = context.stage.now_us
-    context.told.turn += 1
-    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.told.turn)
-    context.told.view.samples.answered(source=1, answered_us=7_000_000, asked_us=now_us, samples=(sample,))
+    context.reported.turn += 1
+    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.reported.turn)
+    context.reported.view.samples.answered(source=1, answered_us=7_000_000, requested_us=now_us, samples=(sample,))
 
 
-@when("for {wait_ms:d} ms the guildhall tells of {at} under term {term:d} each {every_ms:d} ms")
-def when_hall_tells_often(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
+@when("for {wait_ms:d} ms the controller tells of {at} under term {term:d} each {every_ms:d} ms")
+def when_controller_tells_often(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
     # why: the router tends meanwhile, as it does all the time
     for _ in range(wait_ms // every_ms):
-        hall_tells(context=context, at=at, term=term, age_us=200_000)
+        controller_tells(context=context, at=at, term=term, age_us=200_000)
         when_tends(context=context, wait_ms=every_ms)
 
 
-@when("the guildhall sends this booth to the primary")
-def when_hall_sends(context: Any) -> None:
-    context.stage.call(call=lambda: context.told.view.ask("s"))
+@when("the controller sends this proxy to the primary")
+def when_controller_sends(context: Any) -> None:
+    context.stage.call(call=lambda: context.reported.view.ask("s"))
     context.stage.advance(for_us=50_000)
 
 
 @then("it has {what} to tell")
 def then_to_tell(context: Any, what: str) -> None:
-    samples = context.told.view.samples
-    samples.answered(source=1, answered_us=7_000_000, asked_us=context.stage.now_us, samples=())
-    found = ", ".join(shown(at=each.position) for each in samples.told(source=1)) or "nothing"
+    samples = context.reported.view.samples
+    samples.answered(source=1, answered_us=7_000_000, requested_us=context.stage.now_us, samples=())
+    found = ", ".join(shown(at=each.position) for each in samples.reported(source=1)) or "nothing"
     assert found == what, found
 
 
@@ -198,35 +198,35 @@
 
 @when('the lead moves to "{name}" at {fence}, to be ready in {ready_ms:d} ms')
 def when_moves(context: Any, name: str, fence: str, ready_ms: int) -> None:
-    context.told.lead(primary=name, term=4, state=LeadState.moving, fence=fence, ready_in_us=ready_ms * 1_000)
+    context.reported.lead(primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000)
 
 
 @when("the lead is closing")
 def when_closing(context: Any) -> None:
-    context.told.lead(primary=context.primary, state=LeadState.closing)
+    context.reported.lead(primary=context.primary, state=PrimaryState.closing)
 
 
 @when('the lead settles on "{name}" after {wait_ms:d} ms')
 def when_settles(context: Any, name: str, wait_ms: int) -> None:
     async def settle() -> None:
         await asyncio.sleep(wait_ms / 1_000)
-        told = context.told
-        told.turn += 1
-        told.view._take(answer=settled_answer(told=told, primary=name))
-        told.view._wake()
+        reported = context.reported
+        reported.turn += 1
+        reported.view._take(answer=settled_answer(reported=reported, primary=name))
+        reported.view._wake()
 
     context.stage.call(call=lambda: context.stage.ctx.spawn(work=settle()))
 
 
-def settled_answer(*, told: ToldView, primary: str) -> RelayAnswer:
-    lead = ServiceLead(term=4, primary=primary, state=LeadState.settled)
-    value = RelayedValue(key=service_lead_key(service="s"), ballot=Ballot(told.turn, 1), value=lead.bytes())
-    return RelayAnswer(source=1, edition=told.turn, age_us=0, whole=False, values=(value,))
+def settled_answer(*, reported: ReportedView, primary: str) -> RelayAnswer:
+    lead = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
+    value = RelayedValue(key=service_primary_key(service="s"), ballot=Ballot(reported.turn, 1), value=lead.bytes())
+    return RelayAnswer(source=1, edition=reported.turn, age_us=0, whole=False, values=(value,))
 
 
-@when("the booth has been out of touch for {wait_ms:d} ms")
+@when("the proxy has been out of touch for {wait_ms:d} ms")
 def when_out(context: Any, wait_ms: int) -> None:
-    context.told.in_touch = False
+    context.reported.in_touch = False
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -234,7 +234,7 @@
 def when_says(context: Any, name: str, state: str) -> None:
     context.numbers[name] += 1
     states = {"ready": READY, "emptying": EMPTYING, "gone": GONE}
-    context.told.tell(
+    context.reported.tell(
         backends=(
             announcement(name=name, state=states[state], number=context.numbers[name], leads=name == context.primary),
         )
@@ -250,7 +250,7 @@
 @then('the surely leading primary is "{name}"')
 def then_led(context: Any, name: str) -> None:
     led = context.router.may_lead(service="s")
-    found = led.ok.backend.name if led.is_ok() else led.error.kind.value
+    found = led.ok.backend.name if led.is_ok() else led.error.code.value
     assert found == name, found
 
 
@@ -258,7 +258,7 @@
 def then_guard(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms)
     found = context.router.guard(route=made, arrived_us=context.stage.now_us, own=position(text=own))
-    text = shown(at=found.ok) if found.is_ok() else found.error.kind.value
+    text = shown(at=found.ok) if found.is_ok() else found.error.code.value
     assert text == at, text
 
 
@@ -297,9 +297,11 @@
     assert (pool is not None and not pool.closed) == (word == "yes")
 
 
-@then("with {cap:d} links for each backend and {booths:d} booths all limits stay within the cap, control links apart")
-def then_limits(context: Any, cap: int, booths: int) -> None:
-    limits = booth_limits(context=context, cap=cap, booths=booths, dealt=booths)
+@then(
+    "with {cap:d} links for each backend and {proxies:d} proxies all limits stay within the cap, control links apart"
+)
+def then_limits(context: Any, cap: int, proxies: int) -> None:
+    limits = proxy_limits(context=context, cap=cap, proxies=proxies, allocated=proxies)
     for name in context.names:
         total = sum(each[name] for each in limits)
         assert total + CONTROL_LINKS <= cap, (name, total)
@@ -307,39 +309,39 @@
         assert total + CONTROL_LINKS == cap, (name, total)
 
 
-def booth_limits(*, context: Any, cap: int, booths: int, dealt: int) -> list[dict[str, int]]:
+def proxy_limits(*, context: Any, cap: int, proxies: int, allocated: int) -> list[dict[str, int]]:
     limits = []
     context.routers = []
-    for number in range(booths):
+    for number in range(proxies):
         name = f"booth-{number}"
         stage = context.stage
-        told = ToldView(stage=stage)
-        told.view.ctx = stage.context(name=name)
+        reported = ReportedView(stage=stage)
+        reported.view.ctx = stage.context(name=name)
         router = Router(
-            ctx=told.view.ctx,
-            view=told.view,
+            ctx=reported.view.ctx,
+            view=reported.view,
             dialer=FakeDialer(backends=context.backends),
             distance=lambda site: 0,
         )
-        told.tell(backends=tuple(announcement(name=each) for each in context.names))
-        told.slots(names=tuple(f"booth-{each}" for each in range(dealt)))
-        told.plan(plan=plan(link_cap=cap))
-        told.lead(primary=context.primary)
+        reported.tell(backends=tuple(announcement(name=each) for each in context.names))
+        reported.proxy_ids(names=tuple(f"booth-{each}" for each in range(allocated)))
+        reported.plan(plan=plan(link_cap=cap))
+        reported.lead(primary=context.primary)
         context.routers.append(router)
         limits.append({each: router.pools[each].limit for each in context.names})
     return limits
 
 
-@then("with {cap:d} links and {booths:d} booths, one more without a number takes no larger part than it will have")
-def then_newcomer(context: Any, cap: int, booths: int) -> None:
-    limits = booth_limits(context=context, cap=cap, booths=booths + 1, dealt=booths)
-    later = booth_limits(context=context, cap=cap, booths=booths + 1, dealt=booths + 1)
+@then("with {cap:d} links and {proxies:d} proxies, one more without a number takes no larger part than it will have")
+def then_joiner(context: Any, cap: int, proxies: int) -> None:
+    limits = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
+    later = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies + 1)
     for name in context.names:
         assert limits[-1][name] <= later[-1][name], (name, limits[-1], later[-1])
 
 
-def kept_by_booth(*, context: Any, cap: int, booths: int, dealt: int) -> list[list[str]]:
-    booth_limits(context=context, cap=cap, booths=booths, dealt=dealt)
+def kept_by_proxy(*, context: Any, cap: int, proxies: int, allocated: int) -> list[list[str]]:
+    proxy_limits(context=context, cap=cap, proxies=proxies, allocated=allocated)
     return [
         [name for name, pool in router.pools.items() if not pool.lent and name != context.primary]
         for router in context.routers
@@ -347,11 +349,11 @@
 
 
 @then(
-    "with {cap:d} links for each backend and {booths:d} booths each keeps links to {kept:d} copy, "
+    "with {cap:d} links for each backend and {proxies:d} proxies each keeps links to {kept:d} copy, "
     "at most {most:d} to one"
 )
-def then_kept(context: Any, cap: int, booths: int, kept: int, most: int) -> None:
-    found = kept_by_booth(context=context, cap=cap, booths=booths, dealt=booths)
+def then_kept(context: Any, cap: int, proxies: int, kept: int, most: int) -> None:
+    found = kept_by_proxy(context=context, cap=cap, proxies=proxies, allocated=proxies)
     assert all(len(names) == kept for names in found), found
     for name in context.names:
         count = sum(name in names for names in found)
@@ -359,35 +361,35 @@
     assert all(router.pools[context.primary].lent for router in context.routers)
 
 
-@then("with {cap:d} links for each backend and {booths:d} booths one without an id keeps links to {kept:d} copies")
-def then_newcomer_keeps(context: Any, cap: int, booths: int, kept: int) -> None:
-    found = kept_by_booth(context=context, cap=cap, booths=booths + 1, dealt=booths)
+@then("with {cap:d} links for each backend and {proxies:d} proxies one without an id keeps links to {kept:d} copies")
+def then_joiner_keeps(context: Any, cap: int, proxies: int, kept: int) -> None:
+    found = kept_by_proxy(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
     assert len(found[-1]) == kept, found[-1]
 
 
 def places_of(*, names: list[str]) -> bytes:
-    return BoothPlaces(places={n: BoothPlace(site=SITE, records=f"{n}:1") for n in names}).bytes()
+    return ProxyAddresses(places={n: ProxyAddress(site=SITE, records=f"{n}:1") for n in names}).bytes()
 
 
 @then(
-    "with {cap:d} links for each backend and {booths:d} booths that can be reached the parts add up to {room:d}, "
+    "with {cap:d} links for each backend and {proxies:d} proxies that can be reached the parts add up to {room:d}, "
     "and all others know the holders"
 )
-def then_parts(context: Any, cap: int, booths: int, room: int) -> None:
-    names = [f"booth-{n}" for n in range(booths)]
+def then_parts(context: Any, cap: int, proxies: int, room: int) -> None:
+    names = [f"booth-{n}" for n in range(proxies)]
     pools: dict[str, dict[str, LinkPool]] = {}
     for name in names:
         ctx = context.stage.context(name=name)
-        told = ToldView(stage=context.stage)
-        told.view.ctx = ctx
+        reported = ReportedView(stage=context.stage)
+        reported.view.ctx = ctx
         router = Router(
-            ctx=ctx, view=told.view, dialer=FakeDialer(backends=context.backends), distance=lambda site: 0
+            ctx=ctx, view=reported.view, dialer=FakeDialer(backends=context.backends), distance=lambda site: 0
         )
         router.forwarder = Forwarder(ctx=ctx)
-        told.tell(backends=tuple(announcement(name=each) for each in context.names))
-        told.slots(names=tuple(names))
-        told.tell(values={PLACES_KEY: places_of(names=names)})
-        told.plan(plan=plan(link_cap=cap))
+        reported.tell(backends=tuple(announcement(name=each) for each in context.names))
+        reported.proxy_ids(names=tuple(names))
+        reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
+        reported.plan(plan=plan(link_cap=cap))
         pools[name] = router.pools
     for backend in context.names:
         holding = {name for name in names if pools[name][backend].limit}
@@ -397,34 +399,34 @@
             assert known == holding - {name}, (name, known)
 
 
-@given('a booth that can be reached, one of {count:d} before "a", which takes {room:d} links')
+@given('a proxy that can be reached, one of {count:d} before "a", which takes {room:d} links')
 def given_reachable(context: Any, count: int, room: int) -> None:
     stage = context.stage = Stage(context=context)
     context.room = room
-    context.told = ToldView(stage=stage)
+    context.reported = ReportedView(stage=stage)
     context.router = Router(
-        ctx=stage.ctx, view=context.told.view, dialer=FakeDialer(backends={}), distance=lambda site: 0
+        ctx=stage.ctx, view=context.reported.view, dialer=FakeDialer(backends={}), distance=lambda site: 0
     )
     context.router.forwarder = Forwarder(ctx=stage.ctx)
-    context.told.tell(backends=(announcement(name="a"),))
-    context.told.lead(primary="a")
-    deal_ids(context=context, count=count)
-    context.told.plan(plan=plan(link_cap=room + CONTROL_LINKS))
+    context.reported.tell(backends=(announcement(name="a"),))
+    context.reported.lead(primary="a")
+    allocate_ids(context=context, count=count)
+    context.reported.plan(plan=plan(link_cap=room + CONTROL_LINKS))
 
 
-def deal_ids(*, context: Any, count: int, first: int = 1) -> None:
+def allocate_ids(*, context: Any, count: int, first: int = 1) -> None:
     names = [f"booth-{n}" for n in range(first, first + count)]
     context.named = names
     if names:
-        context.told.slots(names=tuple(names))
-        context.told.tell(values={PLACES_KEY: places_of(names=names)})
+        context.reported.proxy_ids(names=tuple(names))
+        context.reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
 
 
 def own_part(*, context: Any, names: list[str]) -> int:
-    spot = Spot(SITE, SITE)
-    booths = [(n, spot) for n, _ in enumerate(names)]
-    dealt = dealt_links(booths=booths, backend="a", spot=spot, room=context.room)
-    return dealt.get(names.index("booth-1"), 0) if "booth-1" in names else 0
+    location = Location(SITE, SITE)
+    proxies = [(n, location) for n, _ in enumerate(names)]
+    allocated = allocate_links(proxies=proxies, backend="a", location=location, room=context.room)
+    return allocated.get(names.index("booth-1"), 0) if "booth-1" in names else 0
 
 
 @then('it may hold its part of "a"')
@@ -444,7 +446,7 @@
 
 
 @when("the ids are dealt anew, so that it may hold {word}")
-def when_dealt_anew(context: Any, word: str) -> None:
+def when_allocated_anew(context: Any, word: str) -> None:
     now = own_part(context=context, names=context.named)
     context.held = context.router.pools["a"].limit
     for ahead in range(40):
@@ -453,10 +455,10 @@
             part = own_part(context=context, names=names)
             if (part > now) if word == "more" else (part < now):
                 context.named = names
-                context.told.tell(
+                context.reported.tell(
                     values={
-                        PLACES_KEY: places_of(names=names),
-                        SLOTS_KEY: Slots(names=tuple(enumerate(names))).bytes(),
+                        PROXY_ADDRESSES_KEY: places_of(names=names),
+                        PROXY_IDS_KEY: ProxyIds(names=tuple(enumerate(names))).bytes(),
                     }
                 )
                 return
@@ -465,7 +467,7 @@
 
 @given("no table of places")
 def given_no_places(context: Any) -> None:
-    context.told.tell(values={PLACES_KEY: BoothPlaces().bytes()})
+    context.reported.tell(values={PROXY_ADDRESSES_KEY: ProxyAddresses().bytes()})
     context.stage.call(call=lambda: context.router.pools["a"].allow(limit=0))
 
 
@@ -474,7 +476,7 @@
     context.stage.call(call=context.session.close)
 
 
-@when("the booth ends transactions that rest for more than {limit_ms:d} ms")
+@when("the proxy ends transactions that rest for more than {limit_ms:d} ms")
 def when_rest_limit(context: Any, limit_ms: int) -> None:
     context.stage.call(call=lambda: context.session.rest_too_long(limit_us=limit_ms * 1_000))
     context.stage.advance(for_us=10_000)
@@ -533,4 +535,4 @@
 
 @when("the configuration drops the database")
 def when_drops(context: Any) -> None:
-    context.told.plan(plan=plan(version=9))
+    context.reported.plan(plan=plan(version=9))
--- a/features/steps/machinesteps.py
+++ b/features/steps/settings_file_steps.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from adapter.settings_file import read_machine
-from adaptercommon import raw
+from adapter_common import raw
 from behave import given, then, when
 
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import ErrorCode
 
 
 def settings_lines() -> list[str]:
@@ -84,14 +84,14 @@
 @then("the file is refused, and {key} on line {number:d} is named")
 def then_refused_at(context: Any, key: str, number: int) -> None:
     found = read_text(context=context, text="\n".join(context.lines).encode())
-    assert found.is_error() and found.error.kind == Kind.badSettings, found
-    assert found.error.why.startswith(f"{context.path}:{number}: {key}: "), found.error.why
+    assert found.is_error() and found.error.code == ErrorCode.BAD_SETTINGS, found
+    assert found.error.reason.startswith(f"{context.path}:{number}: {key}: "), found.error.reason
 
 
 @then("the file is refused as no TOML")
 def then_no_toml(context: Any) -> None:
     found = read_text(context=context, text="\n".join(context.lines).encode())
-    assert found.is_error() and "not TOML" in found.error.why, found
+    assert found.is_error() and "not TOML" in found.error.reason, found
 
 
 @then("every beginning of it is refused, or tells nothing of the machine that the whole does not")
@@ -111,5 +111,5 @@
 
 @then("a file that is not there, and one of noise, are refused")
 def then_not_there(context: Any) -> None:
-    assert read_machine(path="/nowhere/at/all.toml").error.kind == Kind.badSettings
-    assert read_text(context=context, text=b"\xff\xfe\x00").error.kind == Kind.badSettings
+    assert read_machine(path="/nowhere/at/all.toml").error.code == ErrorCode.BAD_SETTINGS
+    assert read_text(context=context, text=b"\xff\xfe\x00").error.code == ErrorCode.BAD_SETTINGS
--- a/features/steps/settingssteps.py
+++ b/features/steps/settings_steps.py
@@ -48,8 +48,8 @@
 
 @then('it is refused with "{words}"')
 def then_refused(context: Any, words: str) -> None:
-    assert context.result.is_error() and words in context.result.error.why, context.result
-    assert "\n" not in context.result.error.why
+    assert context.result.is_error() and words in context.result.error.reason, context.result
+    assert "\n" not in context.result.error.reason
 
 
 @then('the flag {key} as "{value}" gives the site "{site}"')
@@ -60,10 +60,10 @@
 @then('the flag {key} as "{value}" is refused with "{words}"')
 def then_flag_refused(context: Any, key: str, value: str, words: str) -> None:
     result = read_lines(lines=context.lines, flags={key: value})
-    assert result.is_error() and words in result.error.why, result
+    assert result.is_error() and words in result.error.reason, result
 
 
 @then('reading "{path}" is refused with "{words}"')
 def then_missing(context: Any, path: str, words: str) -> None:
     result = read_settings(path=path, flags={})
-    assert result.is_error() and words in result.error.why, result
+    assert result.is_error() and words in result.error.reason, result
--- a/features/steps/shardsteps.py
+++ b/features/steps/shard_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from cinderstair.config.shard_check import shard_map_troubles
+from cinderstair.config.shard_check import shard_map_problems
 from cinderstair.config.shard_map import ShardMap, check_shard_map
 from cinderstair.failover.shard_state import ShardPhase, ShardState, read_shard_state
 
@@ -21,7 +21,7 @@
 def then_found(context: Any, found: str) -> None:
     checked = context.checked
     if found.startswith("refused: "):
-        assert checked.is_error() and checked.error.why.startswith(found.removeprefix("refused: ")), checked
+        assert checked.is_error() and checked.error.reason.startswith(found.removeprefix("refused: ")), checked
         return
     wanted = checked.ok
     places = ", ".join(f"{database} at {service}" for database, service in sorted(wanted.places.items()))
@@ -49,31 +49,31 @@
 def when_held(context: Any, places: str) -> None:
     document = json.dumps({"version": 2, "places": places_of(text=places)}, indent=1)
     wanted = check_shard_map(raw=document.encode()).ok
-    context.troubles = shard_map_troubles(text=document, wanted=wanted, current=context.current, plan=context.plan)
+    context.problems = shard_map_problems(text=document, wanted=wanted, current=context.current, plan=context.plan)
 
 
 @then('the reasons are "{why}"')
 def then_reasons(context: Any, why: str) -> None:
-    assert (" / ".join(context.troubles) or "none") == why, context.troubles
+    assert (" / ".join(context.problems) or "none") == why, context.problems
 
 
-def made_up(*, luck: random.Random) -> ShardMap:
-    names = [f"database-{number}" for number in range(luck.randrange(6))]
-    places = {name: f"service-{luck.randrange(3)}" for name in names}
-    return ShardMap(version=luck.randrange(2**63), places=places, agree_percent=luck.randrange(51, 101))
+def made_up(*, rng: random.Random) -> ShardMap:
+    names = [f"database-{number}" for number in range(rng.randrange(6))]
+    places = {name: f"service-{rng.randrange(3)}" for name in names}
+    return ShardMap(version=rng.randrange(2**63), places=places, agree_percent=rng.randrange(51, 101))
 
 
 def states(*, count: int) -> list[ShardState]:
-    luck = random.Random(7)
+    rng = random.Random(7)
     return [
         ShardState(
-            phase=luck.choice(list(ShardPhase)),
-            current=made_up(luck=luck),
-            following=made_up(luck=luck),
-            ready_in_us=luck.randrange(2**40),
-            turn=luck.randrange(2**40),
-            under_way_us=luck.randrange(2**40),
-            why=luck.choice(("", "too few agree")),
+            phase=rng.choice(list(ShardPhase)),
+            current=made_up(rng=rng),
+            following=made_up(rng=rng),
+            ready_in_us=rng.randrange(2**40),
+            turn=rng.randrange(2**40),
+            under_way_us=rng.randrange(2**40),
+            why=rng.choice(("", "too few agree")),
         )
         for _ in range(count)
     ]
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -11,20 +11,19 @@
 
 from cinderstair.config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.failover.service_lead import LeadState, ServiceLead, service_lead_key
-from cinderstair.failover.slots import SLOTS_KEY, Slots
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.membership.announcement import Announcement
-from cinderstair.membership.beat import READY
+from cinderstair.membership.heartbeat import READY
 from cinderstair.membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
 from cinderstair.pooler.relayed_view import RelayedView
 from cinderstair.pooler.reply import Reply, State
 from cinderstair.pooler.statement import Statement, Verb
 from cinderstair.runtime.context import Context
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
-from cinderstair.runtime.nodisk import NoDisk
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
+from cinderstair.runtime.no_disk import NoDisk
 from cinderstair.runtime.position import Position
-from cinderstair.simulation.virtualloop import VirtualLoop
+from cinderstair.simulation.virtual_loop import VirtualLoop
 
 SITE = "kingston"
 NOT_RUN = ("BUSY", "UNNAMED", "LAGGING", "READONLY")
@@ -49,7 +48,7 @@
         return Context(
             name=name,
             site=SITE,
-            luck=random.Random(seed),
+            rng=random.Random(seed),
             clock=lambda: self.now_us,
             wall=lambda: self.now_us,
             net=NoNet(),
@@ -94,8 +93,8 @@
 class NoNet:
     """Reaches nobody."""
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
-        return Error(Fault(kind=Kind.wireUnsure, why="no net"))
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no net"))
 
 
 class MemoryTransport(asyncio.Transport):
@@ -287,7 +286,7 @@
             # why: what was not run leaves a transaction as it was; what failed in one fails it
             if self.state == State.open and word not in ("BUSY", "LAGGING"):
                 self.state = State.failed
-            reply = Reply(rows=[], fault=Kind.backendFault, native=word.encode(), state=self.state, position=at)
+            reply = Reply(rows=[], fault=ErrorCode.BACKEND_FAULT, native=word.encode(), state=self.state, position=at)
             reply.not_run, reply.retriable = word in NOT_RUN, word in RETRIABLE
         future.set_result(reply)
 
@@ -332,14 +331,14 @@
     def __init__(self, *, backends: dict[str, FakeBackend]) -> None:
         self.backends = backends
 
-    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[FakeLink, Fault]:
+    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[FakeLink, CinderstairError]:
         found = self.backends[backend.name]
         found.dialled += 1
         word = found.dials.popleft() if found.dials else "ok"
         await asyncio.sleep(int(word.split()[1]) / 1_000 if word.startswith("slow") else ANSWER_US / 1_000_000)
-        kinds = {"full": Kind.crowded, "refused": Kind.wireUnsent, "unsure": Kind.wireUnsure}
+        kinds = {"full": ErrorCode.OVERLOADED, "refused": ErrorCode.WIRE_UNSENT, "unsure": ErrorCode.WIRE_UNSURE}
         if word in kinds:
-            return Error(Fault(kind=kinds[word], why=word))
+            return Error(CinderstairError(code=kinds[word], reason=word))
         return Ok(FakeLink(backend=found))
 
 
@@ -380,8 +379,8 @@
     )
 
 
-class ToldView:
-    """A booth's view that is told things without a guildhall. While `in_touch` it hears ten times a second."""
+class ReportedView:
+    """A proxy's view that is told things without a controller. While `in_touch` it hears ten times a second."""
 
     def __init__(self, *, stage: Stage, name: str = "booth-1") -> None:
         self.stage = stage
@@ -426,18 +425,18 @@
         *,
         primary: str,
         term: int = 3,
-        state: LeadState = LeadState.settled,
+        state: PrimaryState = PrimaryState.settled,
         service: str = "s",
         fence: str = "0.0",
         ready_in_us: int = 500_000,
     ) -> None:
         at = position(text=fence)
         assert at is not None
-        lead = ServiceLead(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
-        self.tell(values={service_lead_key(service=service): lead.bytes()})
+        lead = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
+        self.tell(values={service_primary_key(service=service): lead.bytes()})
 
     def plan(self, *, plan: ServicePlan) -> None:
         self.tell(values={PLAN_KEY: plan.bytes()})
 
-    def slots(self, *, names: tuple[str, ...]) -> None:
-        self.tell(values={SLOTS_KEY: Slots(names=tuple(enumerate(names))).bytes()})
+    def proxy_ids(self, *, names: tuple[str, ...]) -> None:
+        self.tell(values={PROXY_IDS_KEY: ProxyIds(names=tuple(enumerate(names))).bytes()})
--- a/features/steps/statementsteps.py
+++ b/features/steps/statement_steps.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from adapter.statements import read_statement, text_for
-from adaptercommon import raw
+from adapter_common import raw
 from behave import then
 
 from cinderstair.pooler.statement import Verb
@@ -35,13 +35,13 @@
 
 @then("a backend is sent {count:d} seeded reads, writes and commits byte for byte, whatever the alias")
 def then_bytes(context: Any, count: int) -> None:
-    luck = random.Random("texts")
+    rng = random.Random("texts")
     for _ in range(count):
-        data = luck.randbytes(luck.randrange(1, 60)).replace(b"\r\n", b"")
-        thing = luck.randbytes(luck.randrange(1, 9)).translate(None, b" \r\n") or b"q"
+        data = rng.randbytes(rng.randrange(1, 60)).replace(b"\r\n", b"")
+        thing = rng.randbytes(rng.randrange(1, 9)).translate(None, b" \r\n") or b"q"
         for text in (b"FETCH " + thing + data, b"PUT " + thing + b" q" + data, b"COMMIT"):
             read = read_statement(ident=b"1", text=text)
-            assert text_for(statement=read, alias=luck.choice([b"", b"p7"])) == text
+            assert text_for(statement=read, alias=rng.choice([b"", b"p7"])) == text
 
 
 @then('a backend is sent "{sent}" for "{text}" under the alias "{alias}"')
--- a/features/steps/storesteps.py
+++ b/features/steps/store_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a vault's disk."""
+"""Steps for a register replica's disk."""
 
 import random
 from typing import Any
@@ -9,7 +9,7 @@
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.consensus.cell import Cell
 from cinderstair.consensus.store import LOGS, SLOTS, Store, apply_entry, cell_entry
-from cinderstair.simulation.simdisk import SimDisk
+from cinderstair.simulation.sim_disk import SimDisk
 
 
 def entry(*, number: int, size: int = 20) -> bytes:
@@ -25,7 +25,7 @@
 
 
 def new_disk() -> SimDisk:
-    return SimDisk(luck=random.Random(5))
+    return SimDisk(rng=random.Random(5))
 
 
 def copied(*, disk: SimDisk) -> SimDisk:
@@ -150,17 +150,17 @@
     for disk in context.newer:
         before = dict(disk.files)
         result = Store(disk=disk).open()
-        assert result.is_error() and words in result.error.why, result
+        assert result.is_error() and words in result.error.reason, result
         assert disk.files == before
 
 
 @then('opening it fails with the words "{words}"')
 def then_fails(context: Any, words: str) -> None:
     result = Store(disk=context.disk).open()
-    assert result.is_error() and words in result.error.why, result
+    assert result.is_error() and words in result.error.reason, result
 
 
-@given("a world with a vault whose next sync fails")
+@given("a world with a register replica whose next sync fails")
 def given_failing(context: Any) -> None:
     world = new_world(context=context, seed=3)
     world.begin()
@@ -174,7 +174,7 @@
     context.world.advance(for_us=1_000_000)
 
 
-@then('that vault has halted with the words "{words}"')
+@then('that register replica has halted with the words "{words}"')
 def then_halted(context: Any, words: str) -> None:
     assert words in context.world.halted.get("vault-1", ""), context.world.halted
 
--- a/features/steps/sharesteps.py
+++ b/features/steps/subsetting_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.http_frontend.share import allotment, shuffled, subset, users, with_replacements
+from cinderstair.http_frontend.subsetting import allotment, shuffled, subset, users, with_replacements
 
 RECORDED = {
     0: "b04 b08 b05 b11 b10 b03 b00 b02 b01 b07 b09 b06",
@@ -20,13 +20,14 @@
 
 def subsets(*, context: Any) -> list[tuple[str, ...]]:
     return [
-        subset(names=context.names, stall_id=stall_id, subset_size=context.size) for stall_id in range(context.stalls)
+        subset(names=context.names, http_proxy_id=http_proxy_id, subset_size=context.size)
+        for http_proxy_id in range(context.http_proxies)
     ]
 
 
-@given("{backends:d} backends, {stalls:d} stalls and subsets of {size:d}")
-def given_sizes(context: Any, backends: int, stalls: int, size: int) -> None:
-    context.names, context.stalls, context.size = names(count=backends), stalls, size
+@given("{backends:d} backends, {http_proxies:d} HTTP proxies and subsets of {size:d}")
+def given_sizes(context: Any, backends: int, http_proxies: int, size: int) -> None:
+    context.names, context.http_proxies, context.size = names(count=backends), http_proxies, size
 
 
 @then("every backend is in between {least:d} and {most:d} subsets")
@@ -36,13 +37,13 @@
     assert (min(found), max(found)) == (least, most), (min(found), max(found))
 
 
-@then("every stall's subset holds between {least:d} and {most:d} backends")
+@then("every HTTP proxy's subset holds between {least:d} and {most:d} backends")
 def then_sizes(context: Any, least: int, most: int) -> None:
     found = [len(each) for each in subsets(context=context)]
     assert min(found) >= least and max(found) <= most, found
 
 
-@then("stalls {first:d} to {last:d} hold every backend once")
+@then("HTTP proxies {first:d} to {last:d} hold every backend once")
 def then_round(context: Any, first: int, last: int) -> None:
     held = [name for each in subsets(context=context)[first : last + 1] for name in each]
     assert sorted(held) == context.names, held
@@ -76,13 +77,16 @@
     context.lost = context.names[number]
     context.after = [
         with_replacements(
-            names=context.names, stall_id=stall_id, subset_size=context.size, unfit=frozenset([context.lost])
+            names=context.names,
+            http_proxy_id=http_proxy_id,
+            subset_size=context.size,
+            unfit=frozenset([context.lost]),
         )
-        for stall_id in range(context.stalls)
+        for http_proxy_id in range(context.http_proxies)
     ]
 
 
-@then("each stall that held it opens one replacement and closes nothing else")
+@then("each HTTP proxy that held it opens one replacement and closes nothing else")
 def then_one_replacement(context: Any) -> None:
     held = 0
     for before, after in zip(context.before, context.after, strict=True):
@@ -108,29 +112,31 @@
 def then_random(context: Any, design: float, drawn: float) -> None:
     counts = Counter(name for each in subsets(context=context) for name in each)
     assert max(counts.values()) / min(counts.values()) == design
-    luck = random.Random(20)
-    randoms = Counter(name for _ in range(context.stalls) for name in luck.sample(context.names, context.size))
+    rng = random.Random(20)
+    randoms = Counter(name for _ in range(context.http_proxies) for name in rng.sample(context.names, context.size))
     assert max(randoms.values()) / min(randoms.values()) > drawn
 
 
 @then("the allotments of a cap of {cap:d} add up to it and differ by at most 1")
 def then_cap(context: Any, cap: int) -> None:
     for name in context.names:
-        ids = users(names=context.names, stall_ids=range(context.stalls), subset_size=context.size, name=name)
-        parts = [allotment(cap=cap, user_ids=ids, stall_id=stall_id) for stall_id in ids]
+        ids = users(
+            names=context.names, http_proxy_ids=range(context.http_proxies), subset_size=context.size, name=name
+        )
+        parts = [allotment(cap=cap, user_ids=ids, http_proxy_id=http_proxy_id) for http_proxy_id in ids]
         assert sum(parts) == cap and max(parts) - min(parts) <= 1, parts
 
 
-@when("a stall joins")
+@when("an HTTP proxy joins")
 def when_joins(context: Any) -> None:
     context.before = subsets(context=context)
-    context.stalls += 1
+    context.http_proxies += 1
 
 
-@when("a stall is lost")
+@when("an HTTP proxy is lost")
 def when_lost(context: Any) -> None:
     context.before = subsets(context=context)[:-1]
-    context.stalls -= 1
+    context.http_proxies -= 1
 
 
 @when("a backend is new")
--- a/features/steps/testrunsteps.py
+++ b/features/steps/test_runner_steps.py
@@ -203,10 +203,10 @@
         (folder / "KNOWN-RED.txt").write_text("features/one.feature:row x | made up | #1\n")
 
 
-@when("its tests run in {jobs:d} processes")
-def when_project_runs(context: Any, jobs: int) -> None:
+@when("its tests run in {requests:d} processes")
+def when_project_runs(context: Any, requests: int) -> None:
     context.ran = subprocess.run(
-        [sys.executable, str(context.project / ".ci" / "tests.py"), "--jobs", str(jobs)],
+        [sys.executable, str(context.project / ".ci" / "tests.py"), "--jobs", str(requests)],
         capture_output=True,
         text=True,
         check=False,
--- a/features/steps/tracesteps.py
+++ b/features/steps/trace_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import then, when
-from stallsteps import statement
+from http_proxy_steps import statement
 
 from cinderstair.runtime.traces import Traces
 from cinderstair.simulation.world import WALL_START_US
@@ -16,7 +16,7 @@
 def when_traced(context: Any, count: int) -> None:
     ctx = context.world.contexts["stall-0"]
     context.lines = []
-    ctx.traces = Traces(service="stall-0", luck=random.Random(1), sink=context.lines.append)
+    ctx.traces = Traces(service="stall-0", rng=random.Random(1), sink=context.lines.append)
     context.began_us = WALL_START_US + context.world.now_us
     for number in range(count):
         text = "get k" if number else "dance"
@@ -47,7 +47,7 @@
 
 @then("without a sink nothing is kept")
 def then_off(context: Any) -> None:
-    traces = Traces(service="x", luck=random.Random(1))
+    traces = Traces(service="x", rng=random.Random(1))
     traces.span(name="statement", wall_us=1, took_us=1, attributes={}, failed=False)
     assert not traces.spans
     assert context.world.contexts["stall-1"].traces is None
--- a/features/steps/trialsteps.py
+++ b/features/steps/trial_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 
-from cinderstair.simulation.faults import switched_in
+from cinderstair.simulation.seeded_bugs import switched_in
 from cinderstair.simulation.trials import run_trial
 
 
--- a/features/steps/vectorsteps.py
+++ b/features/steps/vector_steps.py
@@ -9,7 +9,7 @@
 from cinderstair.consensus.ballot import BLANK, Ballot, read_ballot
 from cinderstair.consensus.known_vectors import KnownVectors
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.speech import Speech
+from cinderstair.runtime.protocol_versions import ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
 
 
@@ -59,10 +59,10 @@
     assert ask(context=context, times=1)["key-7"] == written.ballot
 
 
-@when("the vaults are restarted one by one, and proposer 0 asks for the vector")
+@when("the register replicas are restarted one by one, and proposer 0 asks for the vector")
 def when_restarted(context: Any) -> None:
     world = context.world
-    for name in world.vault_names:
+    for name in world.register_replica_names:
         world.kill(name=name)
         world.advance(for_us=600_000)
         world.start(name=name)
@@ -85,21 +85,21 @@
     assert sum(context.brought) >= count, context.brought
 
 
-@when("keys are written and the vector is asked for 60 times, while vaults are killed and come back")
+@when("keys are written and the vector is asked for 60 times, while register replicas are killed and come back")
 def when_mixed(context: Any) -> None:
     world = context.world
     context.seen = []
     acknowledged: dict[str, Ballot] = {}
     down: list[str] = []
     for _ in range(60):
-        if down and world.luck.random() < 0.5:
+        if down and world.rng.random() < 0.5:
             world.start(name=down.pop())
             world.advance(for_us=800_000)
-        elif not down and world.luck.random() < 0.4:
-            down.append(world.luck.choice(world.vault_names))
+        elif not down and world.rng.random() < 0.4:
+            down.append(world.rng.choice(world.register_replica_names))
             world.kill(name=down[-1])
-        key = f"key-{world.luck.randrange(12)}"
-        written = write(context=context, key=key, value=b"%d" % world.luck.randrange(1000))
+        key = f"key-{world.rng.randrange(12)}"
+        written = write(context=context, key=key, value=b"%d" % world.rng.randrange(1000))
         if written.is_ok():
             acknowledged[key] = written.ok.ballot
         before = dict(acknowledged)
@@ -127,11 +127,11 @@
 
 @when("proposer 0 speaks the first version alone, and asks for the vector 2 times")
 def when_first(context: Any) -> None:
-    context.registers[0].ctx.speech = Speech(lowest=1, highest=1)
+    context.registers[0].ctx.protocol_versions = ProtocolVersions(lowest=1, highest=1)
     ask(context=context, times=2)
 
 
-def told(*, edition: int, keys: dict[str, Ballot]) -> bytes:
+def reported(*, edition: int, keys: dict[str, Ballot]) -> bytes:
     packer = Packer().u8(value=SINCE).u64(value=9).u64(value=edition)
 
     def each(p: Packer, entry: tuple[str, Ballot]) -> None:
@@ -143,8 +143,8 @@
 @when("a source's edition 7 is read before its edition 5")
 def when_overtaken(context: Any) -> None:
     known = KnownVectors()
-    known.read(answers=[told(edition=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
-    context.vector = known.read(answers=[told(edition=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
+    known.read(answers=[reported(edition=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
+    context.vector = known.read(answers=[reported(edition=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
     context.held = known.write(packer=Packer()).bytes()
 
 
--- a/features/steps/viewsteps.py
+++ b/features/steps/view_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the view that a booth has of the register."""
+"""Steps for the view that a proxy has of the register."""
 
 import asyncio
 import contextlib
@@ -10,16 +10,15 @@
 
 from cinderstair.config.service_plan import PLAN_KEY
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.failover.service_lead import service_lead_key
+from cinderstair.failover.service_primary import service_primary_key
 from cinderstair.membership.relay_record import RelayAnswer, RelayedValue, read_relay_question
 from cinderstair.pooler.relayed_view import RelayedView
-from cinderstair.runtime.fault import Fault
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.unpacker import Unpacker
 
 
 class FakeRelay:
-    """A guildhall as a booth's view sees it."""
+    """A controller as a proxy's view sees it."""
 
     def __init__(self, *, number: int) -> None:
         self.number = number
@@ -30,7 +29,7 @@
         self.site = SITE
         self.noise = False
         self.values: tuple[RelayedValue, ...] = ()
-        self.asked: list[int] = []
+        self.requested: list[int] = []
 
     def answer(self, *, body: bytes) -> bytes:
         question = read_relay_question(unpacker=Unpacker(data=body[1:]))
@@ -38,7 +37,7 @@
             return RelayAnswer(
                 source=self.number, edition=self.edition, age_us=self.age_us, whole=False, site=self.site
             ).bytes()
-        self.asked.append(question.edition if question.source == self.number else 0)
+        self.requested.append(question.edition if question.source == self.number else 0)
         whole = question.source != self.number
         if self.noise:
             return b"\xff" * 40
@@ -48,7 +47,7 @@
             age_us=self.age_us,
             whole=whole,
             values=self.values if whole or question.edition < self.edition else (),
-            guildhalls=("g1", "g2"),
+            controllers=("g1", "g2"),
         ).bytes()
 
 
@@ -56,11 +55,11 @@
     def __init__(self, *, relays: dict[str, FakeRelay]) -> None:
         self.relays = relays
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         relay = self.relays[address]
         if relay.silent:
             await asyncio.sleep(wait_us / 1_000_000)
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: silent"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: silent"))
         await asyncio.sleep(relay.away_us / 1_000_000)
         return Ok(relay.answer(body=body))
 
@@ -107,13 +106,13 @@
 
 @given('"{names}" tell a {what} that is none')
 def given_tell_none(context: Any, names: str, what: str) -> None:
-    key = {"plan": PLAN_KEY, "lead": service_lead_key(service="s")}[what]
+    key = {"plan": PLAN_KEY, "lead": service_primary_key(service="s")}[what]
     tell(context=context, names=names, key=key, value=b"\x01\x02\x03", turn=1)
 
 
 @when("the view keeps itself for {wait_ms:d} ms")
 def when_keeps(context: Any, wait_ms: int) -> None:
-    # why: it is begun once, as a booth begins it, and goes on by itself
+    # why: it is begun once, as a proxy begins it, and goes on by itself
     if context.keeping is None:
         context.keeping = context.stage.call(call=lambda: context.stage.ctx.spawn(work=context.view.keep()))
     context.stage.advance(for_us=wait_ms * 1_000)
@@ -157,19 +156,19 @@
 
 @then('it asks "{name}"')
 def then_asks(context: Any, name: str) -> None:
-    assert context.view.asked == name, context.view.asked
+    assert context.view.requested == name, context.view.requested
 
 
-@when('the guildhalls "{names}" are silent for {wait_ms:d} ms')
+@when('the controllers "{names}" are silent for {wait_ms:d} ms')
 def when_silent(context: Any, names: str, wait_ms: int) -> None:
     for name in names.split(", "):
         context.relays[name].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@when("the guildhall that it asks is silent for {wait_ms:d} ms")
+@when("the controller that it asks is silent for {wait_ms:d} ms")
 def when_asked_silent(context: Any, wait_ms: int) -> None:
-    context.relays[context.view.asked].silent = True
+    context.relays[context.view.requested].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -191,11 +190,11 @@
     assert not context.view.current
 
 
-@then("it asked for everything once, and stayed with one guildhall")
+@then("it asked for everything once, and stayed with one controller")
 def then_stayed(context: Any) -> None:
-    asked = sorted((relay.asked for relay in context.relays.values()), key=len)
-    assert not asked[0] and len(asked[1]) >= 4, asked
-    assert [edition == 0 for edition in asked[1]] == [True] + [False] * (len(asked[1]) - 1), asked
+    requested = sorted((relay.requested for relay in context.relays.values()), key=len)
+    assert not requested[0] and len(requested[1]) >= 4, requested
+    assert [edition == 0 for edition in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
 
 
 @then("the view's plan is {version:d}")
--- a/features/steps/wordsteps.py
+++ b/features/steps/word_steps.py
@@ -5,12 +5,12 @@
 
 from adapter.client_door import encode
 from adapter.words import position_text, read_position, word
-from adaptercommon import raw
+from adapter_common import raw
 from behave import then
 from stage import position, shown
 
 from cinderstair.pooler.reply import Reply, State, refusal
-from cinderstair.runtime.kind import Kind
+from cinderstair.runtime.errors import ErrorCode
 
 PROMISES = (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"WRONGHOST", b"FULL")
 STATES = {"I": State.idle, "T": State.open, "E": State.failed}
@@ -18,19 +18,19 @@
 
 @then("{kind} is told as {text}")
 def then_word(context: Any, kind: str, text: str) -> None:
-    found = word(kind=Kind[kind]).decode()
+    found = word(kind=ErrorCode(kind)).decode()
     assert found == text, found
 
 
 @then('no promise is made for "{kinds}"')
 def then_no_promise(context: Any, kinds: str) -> None:
-    told = {kind: word(kind=Kind[kind]).decode() for kind in kinds.split(", ")}
-    assert not any(found.encode() in PROMISES for found in told.values()), told
+    reported = {kind: word(kind=ErrorCode(kind)).decode() for kind in kinds.split(", ")}
+    assert not any(found.encode() in PROMISES for found in reported.values()), reported
 
 
 @then("every kind has a word")
 def then_all_words(context: Any) -> None:
-    assert all(re.fullmatch(rb"[A-Z]+", word(kind=kind)) for kind in Kind)
+    assert all(re.fullmatch(rb"[A-Z]+", word(kind=kind)) for kind in ErrorCode)
 
 
 @then('the position "{text}" reads as {found}')
@@ -48,7 +48,7 @@
     if kind == "stamp":
         reply.stamp = rest.encode()
     elif kind == "native":
-        reply.fault, reply.native = Kind.backendFault, rest.encode()
+        reply.fault, reply.native = ErrorCode.BACKEND_FAULT, rest.encode()
     elif kind != "done":
-        reply = refusal(kind=Kind[kind], state=STATES[state], come_back_us=int(rest or 0) * 1_000)
+        reply = refusal(kind=ErrorCode(kind), state=STATES[state], come_back_us=int(rest or 0) * 1_000)
     assert encode(reply).decode() == "".join(line + "\r\n" for line in context.text.splitlines()), encode(reply)
--- a/src/cinderstair/__main__.py
+++ b/src/cinderstair/__main__.py
@@ -6,20 +6,20 @@
 from cleo.exceptions import CleoError
 
 from . import VERSION
-from .cli.checkverb import CheckVerb, FormatVerb
-from .cli.controlverb import GuildhallVerb, ShardsVerb
-from .cli.operatorverb import (
-    CountersVerb,
-    DrainVerb,
-    FetchVerb,
-    OverrideVerb,
-    ReplaceVaultVerb,
-    StatusVerb,
-    SubmitVerb,
+from .cli.check_commands import CheckCommand, FormatCommand
+from .cli.controller_commands import ControllerCommand, ShardsCommand
+from .cli.daemon_commands import HttpProxyCommand, RegisterReplicaCommand
+from .cli.operator_commands import (
+    CountersCommand,
+    DrainCommand,
+    FetchCommand,
+    OverrideCommand,
+    ReplaceReplicaCommand,
+    StatusCommand,
+    SubmitCommand,
 )
-from .cli.roleverb import StallVerb, VaultVerb
-from .cli.shardverbs import ShardsAbandonVerb, ShardsBeginVerb, ShardsPlanVerb, ShardsWatchVerb
-from .cli.simulateverb import SimulateVerb
+from .cli.shard_commands import ShardsAbandonCommand, ShardsBeginCommand, ShardsPlanCommand, ShardsWatchCommand
+from .cli.simulate_command import SimulateCommand
 
 USAGE = 2
 
@@ -27,24 +27,24 @@
 def main() -> None:
     app = Application("cinderstair", VERSION)
     for verb in (
-        StallVerb,
-        VaultVerb,
-        SubmitVerb,
-        FetchVerb,
-        StatusVerb,
-        CountersVerb,
-        DrainVerb,
-        OverrideVerb,
-        ReplaceVaultVerb,
-        CheckVerb,
-        FormatVerb,
-        SimulateVerb,
-        ShardsVerb,
-        ShardsPlanVerb,
-        ShardsBeginVerb,
-        ShardsWatchVerb,
-        ShardsAbandonVerb,
-        GuildhallVerb,
+        HttpProxyCommand,
+        RegisterReplicaCommand,
+        SubmitCommand,
+        FetchCommand,
+        StatusCommand,
+        CountersCommand,
+        DrainCommand,
+        OverrideCommand,
+        ReplaceReplicaCommand,
+        CheckCommand,
+        FormatCommand,
+        SimulateCommand,
+        ShardsCommand,
+        ShardsPlanCommand,
+        ShardsBeginCommand,
+        ShardsWatchCommand,
+        ShardsAbandonCommand,
+        ControllerCommand,
     ):
         app.add(verb())
     app.auto_exits(False)
--- a/src/cinderstair/cli/checkverb.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -7,42 +7,42 @@
 from cleo.helpers import argument
 
 from ..config.formatter import format_program, format_selector
-from .documentmixin import DONE, DocumentMixin
+from .document_mixin import DONE, DocumentMixin
 
 
-class CheckVerb(DocumentMixin, Command):
+class CheckCommand(DocumentMixin, Command):
     name = "check"
     description = "Check a configuration document; needs no running system"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
         path = self.argument("file")
-        charter = self.read_charter(path=path)
-        if isinstance(charter, int):
-            return charter
-        for warning in charter.warnings:
+        configuration = self.read_configuration(path=path)
+        if isinstance(configuration, int):
+            return configuration
+        for warning in configuration.warnings:
             print(f"{path}: warning: {warning}", file=sys.stderr)
         counts = {
-            "version": charter.version,
-            "databases": len(charter.databases),
-            "backends": len(charter.backends),
-            "windows": len(charter.windows),
+            "version": configuration.version,
+            "databases": len(configuration.databases),
+            "backends": len(configuration.backends),
+            "windows": len(configuration.windows),
         }
         print(json.dumps(counts))
         return DONE
 
 
-class FormatVerb(DocumentMixin, Command):
+class FormatCommand(DocumentMixin, Command):
     name = "format"
     description = "Print a configuration document with its language in its one true form"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
         # why: what does not compile has no true form, and a guess at one would change its meaning
-        charter = self.read_charter(path=self.argument("file"))
-        if isinstance(charter, int):
-            return charter
-        document = json.loads(charter.raw)
+        configuration = self.read_configuration(path=self.argument("file"))
+        if isinstance(configuration, int):
+            return configuration
+        document = json.loads(configuration.raw)
         language = document.get("language", "")
         text = language if isinstance(language, str) else "\n".join(language)
         if text:
--- a/src/cinderstair/cli/market.py
+++ b/src/cinderstair/cli/container.py
@@ -8,9 +8,9 @@
 
 from ..runtime.context import Context
 from ..runtime.counters import Counters
-from ..runtime.nodisk import NoDisk
-from ..runtime.realdisk import RealDisk
-from ..runtime.realnet import RealNet
+from ..runtime.no_disk import NoDisk
+from ..runtime.real_disk import RealDisk
+from ..runtime.real_net import RealNet
 
 
 def monotonic_us() -> int:
@@ -21,15 +21,15 @@
     return time.time_ns() // 1_000
 
 
-class Market(containers.DeclarativeContainer):
+class Container(containers.DeclarativeContainer):
     """The real clock, luck, network and disk; another container may put others in their places."""
 
     config = providers.Configuration()
     counters = providers.Singleton(Counters)
-    luck = providers.Singleton(random.SystemRandom)
+    rng = providers.Singleton(random.SystemRandom)
     net = providers.Singleton(RealNet, counters=counters)
     disk = providers.Selector(
-        config.diskKind,
+        config.disk_kind,
         real=providers.Singleton(RealDisk, folder=config.folder),
         none=providers.Singleton(NoDisk),
     )
@@ -38,7 +38,7 @@
         Context,
         name=config.name,
         site=config.site,
-        luck=luck,
+        rng=rng,
         clock=providers.Object(monotonic_us),
         wall=providers.Object(calendar_us),
         net=net,
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -12,26 +12,26 @@
 from expression import Result
 
 from ..runtime.context import Context
-from ..runtime.fault import Fault
+from ..runtime.errors import CinderstairError
 from ..runtime.settings import LIVE, Settings, may_change_live, read_settings
 from ..runtime.traces import Sink, Traces
-from .market import Market
+from .container import Container
 
 WATCH_US = 1_000_000
 STOPPED, FAILED, USAGE = 0, 1, 2
 
 
-class Trader(Protocol):
+class DaemonRole(Protocol):
     """What a role must be able to do."""
 
-    async def start(self) -> Result[None, Fault]: ...
+    async def start(self) -> Result[None, CinderstairError]: ...
 
     async def drain(self) -> None: ...
 
     def resettle(self, *, settings: Settings) -> None: ...
 
 
-Make = Callable[[Context, Settings, Callable[[str], None]], Trader]
+Make = Callable[[Context, Settings, Callable[[str], None]], DaemonRole]
 
 
 def file_sink(*, path: str) -> Sink:
@@ -61,28 +61,28 @@
         return status.st_mtime_ns, status.st_size
 
     def halt(self, why: str) -> None:
-        """The end when going on would be wrong: no goodbye, no flush, nothing more is answered."""
+        """The end when going on would be wrong: no deregistration, no flush, nothing more is answered."""
         self.log.critical("halts: %s", why)
         logging.shutdown()
         os._exit(FAILED)
 
     async def run(self) -> int:
-        market = Market()
+        market = Container()
         market.config.from_dict(
             {
                 "name": self.settings.name,
                 "site": self.settings.site,
                 "folder": self.settings.folder,
-                "diskKind": "real" if self.settings.folder else "none",
+                "disk_kind": "real" if self.settings.folder else "none",
             }
         )
         ctx = market.context()
         if self.settings.traces:
-            ctx.traces = Traces(service=self.settings.name, luck=ctx.luck, sink=file_sink(path=self.settings.traces))
+            ctx.traces = Traces(service=self.settings.name, rng=ctx.rng, sink=file_sink(path=self.settings.traces))
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGINT, self.stop.set)
-        trader: Trader = self.make(ctx, self.settings, self.halt)
+        trader: DaemonRole = self.make(ctx, self.settings, self.halt)
         loop.add_signal_handler(signal.SIGHUP, lambda: self._reread(trader=trader, why="signal"))
         try:
             started = await trader.start()
@@ -90,9 +90,9 @@
             print(f"{self.path or 'flags'}: can't start: {error}", file=sys.stderr)
             return USAGE
         if started.is_error():
-            print(f"{self.path or 'flags'}: {started.error.why}", file=sys.stderr)
+            print(f"{self.path or 'flags'}: {started.error.reason}", file=sys.stderr)
             return FAILED
-        ctx.ticks(every_us=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
+        ctx.timer(every_us=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
         await self.stop.wait()
         self.log.info("stops")
         await trader.drain()
@@ -101,17 +101,17 @@
         self.log.info("counters %s", ctx.counters.snapshot())
         return self.code
 
-    def _watch(self, *, trader: Trader) -> None:
+    def _watch(self, *, trader: DaemonRole) -> None:
         stamp = self._stamp()
         # why: a file that is read while it is being written is seen again at the next tick
         if self.path and stamp != self.stamp and stamp != (0, 0):
             self.stamp = stamp
             self._reread(trader=trader, why="file changed")
 
-    def _reread(self, *, trader: Trader, why: str) -> None:
+    def _reread(self, *, trader: DaemonRole, why: str) -> None:
         read = read_settings(path=self.path, flags=self.flags)
         if read.is_error():
-            self.log.error("settings not changed (%s): %s", why, read.error.why)
+            self.log.error("settings not changed (%s): %s", why, read.error.reason)
             return
         fixed = may_change_live(old=self.settings, new=read.ok)
         # why: half a change would leave the process in a place that no file describes
--- a/src/cinderstair/cli/roleverb.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -10,11 +10,11 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from ..consensus.vault import Vault
-from ..http_frontend.stall import Stall
+from ..consensus.register_replica import RegisterReplica
+from ..http_frontend.http_proxy import HttpProxy
 from ..runtime.context import Context
 from ..runtime.settings import Settings, read_settings
-from .daemon import USAGE, Daemon, Trader
+from .daemon import USAGE, Daemon, DaemonRole
 
 FLAGS = (
     ("name", "this process's name"),
@@ -28,19 +28,19 @@
 )
 
 
-class RoleVerb(Command):
+class DaemonCommand(Command):
     """Reads and checks the settings, then runs one role until it is told to stop."""
 
     options = [
         option("settings", "s", "settings file (TOML)", flag=False),
         *(option(name, None, words, flag=False) for name, words in FLAGS),
         option("seeds", None, "three seed addresses with commas between", flag=False),
-        option("foundingVaults", None, "how many vaults found the system", flag=False),
+        option("foundingVaults", None, "how many register replicas found the system", flag=False),
     ]
     needs_http = False
     needs_folder = False
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
+    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
         raise NotImplementedError
 
     def _flags(self) -> dict[str, Any] | str:
@@ -68,14 +68,14 @@
             return self._refuse(why=f"flags: {flags}")
         read = read_settings(path=path, flags=flags)
         if read.is_error():
-            return self._refuse(why=read.error.why)
+            return self._refuse(why=read.error.reason)
         settings, where = read.ok, path or "flags"
         if self.needs_http and not settings.http:
             return self._refuse(why=f"{where}: http: an address is needed for this role")
         if self.needs_folder:
-            trouble = folder_trouble(folder=settings.folder)
-            if trouble:
-                return self._refuse(why=f"{where}: folder: {trouble}")
+            problem = folder_error(folder=settings.folder)
+            if problem:
+                return self._refuse(why=f"{where}: folder: {problem}")
         logging.basicConfig(
             level=settings.logLevel.upper(),
             format="%(asctime)s %(levelname)s %(name)s %(message)s",
@@ -89,7 +89,7 @@
         return asyncio.run(main())
 
 
-def folder_trouble(*, folder: str) -> str:
+def folder_error(*, folder: str) -> str:
     """Why a data folder can't be used; empty where it can."""
     if not folder:
         return "a data folder is needed for this role"
@@ -104,19 +104,19 @@
     return ""
 
 
-class StallVerb(RoleVerb):
+class HttpProxyCommand(DaemonCommand):
     name = "stall"
     description = "Run a front daemon: sessions, channels, share"
     needs_http = True
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
-        return Stall(ctx=ctx, settings=settings)
+    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+        return HttpProxy(ctx=ctx, settings=settings)
 
 
-class VaultVerb(RoleVerb):
+class RegisterReplicaCommand(DaemonCommand):
     name = "vault"
     description = "Run a daemon on a disk machine: one vote of the register"
     needs_folder = True
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> Trader:
-        return Vault(ctx=ctx, settings=settings, halt=halt)
+    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+        return RegisterReplica(ctx=ctx, settings=settings, halt=halt)
--- a/src/cinderstair/cli/documentmixin.py
+++ b/src/cinderstair/cli/document_mixin.py
@@ -3,10 +3,10 @@
 import sys
 from pathlib import Path
 
-from ..config.charter import Charter
-from ..config.check import check_charter
+from ..config.check import check_configuration
+from ..config.configuration import Configuration
 
-DONE, DENIED, USAGE = 0, 1, 2
+DONE, REJECTED, USAGE = 0, 1, 2
 
 
 class DocumentMixin:
@@ -19,14 +19,14 @@
             print(f"{path}: {error.strerror}", file=sys.stderr)
             return None
 
-    def read_charter(self, *, path: str) -> Charter | int:
+    def read_configuration(self, *, path: str) -> Configuration | int:
         """The configuration, or the exit code."""
         raw = self.read_file(path=path)
         if raw is None:
             return USAGE
-        checked = check_charter(raw=raw)
+        checked = check_configuration(raw=raw)
         if checked.is_error():
-            for line in checked.error.details.get("errors", [checked.error.why]):
+            for line in checked.error.details.get("errors", [checked.error.reason]):
                 print(f"{path}: {line}", file=sys.stderr)
-            return DENIED
+            return REJECTED
         return checked.ok
--- a/src/cinderstair/cli/operatorverb.py
+++ b/src/cinderstair/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""The verbs of operators that speak to a running stall."""
+"""The verbs of operators that speak to a running HTTP proxy."""
 
 import json
 import sys
@@ -8,14 +8,14 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
-from ..runtime.httpresponse import HttpResponse
+from ..runtime.http_response import HttpResponse
 from .edge import ask_now
 
-DONE, DENIED, USAGE, UNKNOWN = 0, 1, 2, 3
-AT = option("at", "a", "HTTP address of any stall", flag=False, default="127.0.0.1:7200")
+DONE, REJECTED, USAGE, UNKNOWN = 0, 1, 2, 3
+AT = option("at", "a", "HTTP address of any HTTP proxy", flag=False, default="127.0.0.1:7200")
 
 
-class OperatorVerb(Command):
+class OperatorCommand(Command):
     """Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown."""
 
     options = [AT]
@@ -27,12 +27,14 @@
     def speak(self, *, method: str, path: str, value: Any = None, body: bytes = b"") -> HttpResponse | int:
         result = ask_now(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_error():
-            unsure = result.error.kind.value == "wireUnsure" and method != "GET"
-            return self.fail(why=f"{result.error.kind.value}: {result.error.why}", code=UNKNOWN if unsure else DENIED)
+            unsure = result.error.code.value == "wireUnsure" and method != "GET"
+            return self.fail(
+                why=f"{result.error.code.value}: {result.error.reason}", code=UNKNOWN if unsure else REJECTED
+            )
         return result.ok
 
     def verdict(self, *, response: HttpResponse) -> int:
-        """Says what the stall answered; the exit code follows its outcome."""
+        """Says what the HTTP proxy answered; the exit code follows its outcome."""
         value = response.json()
         if value.get("outcome") == "done":
             print(json.dumps(value))
@@ -40,10 +42,10 @@
         print(f"{value.get('kind')}: {value.get('why')}", file=sys.stderr)
         for line in value.get("errors", []):
             print(f"  {line}", file=sys.stderr)
-        return UNKNOWN if value.get("outcome") == "unknown" else DENIED
+        return UNKNOWN if value.get("outcome") == "unknown" else REJECTED
 
 
-class SubmitVerb(OperatorVerb):
+class SubmitCommand(OperatorCommand):
     name = "submit"
     description = "Submit a whole configuration"
     arguments = [argument("file", "the configuration document (JSON)")]
@@ -57,7 +59,7 @@
         return response if isinstance(response, int) else self.verdict(response=response)
 
 
-class FetchVerb(OperatorVerb):
+class FetchCommand(OperatorCommand):
     name = "fetch"
     description = "Read back the newest accepted configuration, to the byte"
 
@@ -72,9 +74,9 @@
         return DONE
 
 
-class StatusVerb(OperatorVerb):
+class StatusCommand(OperatorCommand):
     name = "status"
-    description = "Show what a stall knows of the system"
+    description = "Show what an HTTP proxy knows of the system"
     options = [AT, option("json", None, "as JSON")]
 
     def handle(self) -> int:
@@ -90,13 +92,13 @@
 
 
 def with_others(*, value: dict[str, Any]) -> dict[str, Any]:
-    """Adds what every other stall says of itself, and what holds any duty's holder back."""
+    """Adds what every other HTTP proxy says of itself, and what holds any duty's holder back."""
     by_daemon = {value["stall"]: daemon_part(value=value)}
     for member in value["members"]:
         if member["role"] != "stall" or member["name"] in by_daemon or member["standing"] != "alive":
             continue
         result = ask_now(address=member["http"], method="GET", path="/status")
-        # why: a stall that does not answer is itself a piece of the status
+        # why: an HTTP proxy that does not answer is itself a piece of the status
         if result.is_error():
             by_daemon[member["name"]] = {"configuration": None, "answers": False}
             continue
@@ -108,16 +110,16 @@
 
 
 def daemon_part(*, value: dict[str, Any]) -> dict[str, Any]:
-    channels = [backend["channels"] for backend in value["backends"].values()]
+    connections = [backend["channels"] for backend in value["backends"].values()]
     return {
         "configuration": value["configuration"],
         "answers": True,
         "viewCurrent": value["viewCurrent"],
         "sessions": value["sessions"],
-        # why: a stall of the version before does not tell
+        # why: an HTTP proxy of the version before does not tell
         "sessionsOnOneStall": value.get("sessionsOnOneStall", value["sessions"]),
-        "channelsOpened": sum(each["opened"] for each in channels),
-        "channelsClosed": sum(each["closed"] for each in channels),
+        "channelsOpened": sum(each["opened"] for each in connections),
+        "channelsClosed": sum(each["closed"] for each in connections),
     }
 
 
@@ -126,17 +128,17 @@
         return f"{name}: does not answer"
     return (
         f"{name}: configuration {part['configuration']}, view {'current' if part['viewCurrent'] else 'NOT CURRENT'}, "
-        f"{part['sessions']} sessions, {part['sessionsOnOneStall']} of them on one stall only, "
+        f"{part['sessions']} sessions, {part['sessionsOnOneStall']} of them on one HTTP proxy only, "
         f"channels opened {part['channelsOpened']}, closed {part['channelsClosed']}"
     )
 
 
 def status_text(*, value: dict[str, Any]) -> str:
     lines = [
-        f"stall {value['stall']} at {value['site']}, slot {value['slot']}, "
+        f"HTTP proxy {value['stall']} at {value['site']}, slot {value['slot']}, "
         f"view {'current' if value['viewCurrent'] else 'NOT CURRENT'}, "
         f"configuration {value['configuration']}, {value['sessions']} sessions",
-        f"vaults (epoch {value['roster'].get('epoch')}): {' '.join(value['roster'].get('vaults', []))}",
+        f"register replicas (epoch {value['roster'].get('epoch')}): {' '.join(value['roster'].get('vaults', []))}",
         "members: " + " ".join(f"{m['name']}={m['standing']}" for m in value["members"]),
         "slots: " + " ".join(f"{s['id']}={s['name']}" for s in value["slots"]),
     ]
@@ -148,24 +150,25 @@
     lines += [daemon_text(name=name, part=part) for name, part in value["byDaemon"].items()]
     lines += [f"HELD {database}: {why}" for database, why in value["held"].items()]
     for name, backend in value["backends"].items():
-        channels = backend["channels"]
+        connections = backend["channels"]
         lines.append(
-            f"{name}: {backend['state']}{'' if backend['fit'] else ' UNFIT'}, channels {channels['open']} of "
-            f"{channels['limit']}, opened {channels['opened']}, closed {channels['closed']}"
+            f"{name}: {backend['state']}{'' if backend['fit'] else ' UNFIT'}, channels {connections['open']} of "
+            f"{connections['limit']}, opened {connections['opened']}, closed {connections['closed']}"
         )
     for name, window in value["windows"].items():
         left = "; ".join(window["left"]) or ("nothing left" if window["stage"] == "open" else "-")
         lines.append(
             f"window {name}: {window['stage']}, empties {window['empties']}, backends "
-            f"{' '.join(window['backends']) or '-'}, stalls {' '.join(window['stalls']) or '-'}; still there: {left}"
+            f"{' '.join(window['backends']) or '-'}, HTTP proxies {' '.join(window['stalls']) or '-'}; "
+            f"still there: {left}"
         )
     lines += [f"warning: {warning}" for warning in value["warnings"]]
     return "\n".join(lines)
 
 
-class CountersVerb(OperatorVerb):
+class CountersCommand(OperatorCommand):
     name = "counters"
-    description = "Show a stall's counters"
+    description = "Show an HTTP proxy's counters"
 
     def handle(self) -> int:
         response = self.speak(method="GET", path="/counters")
@@ -176,16 +179,16 @@
         return DONE
 
 
-class DrainVerb(OperatorVerb):
+class DrainCommand(OperatorCommand):
     name = "drain"
-    description = "Make a stall take nothing new"
+    description = "Make an HTTP proxy take nothing new"
 
     def handle(self) -> int:
         response = self.speak(method="POST", path="/drain")
         return response if isinstance(response, int) else self.verdict(response=response)
 
 
-class OverrideVerb(OperatorVerb):
+class OverrideCommand(OperatorCommand):
     name = "override"
     description = "Name a database's primary by hand; acknowledged commits may be lost"
     arguments = [argument("database", "which database"), argument("backend", "which backend is to lead")]
@@ -201,10 +204,13 @@
         return response if isinstance(response, int) else self.verdict(response=response)
 
 
-class ReplaceVaultVerb(OperatorVerb):
+class ReplaceReplicaCommand(OperatorCommand):
     name = "replace-vault"
-    description = "Let a new vault take the place of one that is gone for good"
-    arguments = [argument("leaves", "the vault that is gone"), argument("enters", "the vault that takes its place")]
+    description = "Let a new register replica take the place of one that is gone for good"
+    arguments = [
+        argument("leaves", "the register replica that is gone"),
+        argument("enters", "the register replica that takes its place"),
+    ]
 
     def handle(self) -> int:
         value = {"leaves": self.argument("leaves"), "enters": self.argument("enters")}
