--- a/src/cinderstair/cli/shardverbs.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -7,17 +7,17 @@
 from cleo.helpers import argument, option
 
 from ..failover.shard_state import ShardPhase
-from ..runtime.desks import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
-from ..runtime.file_place import address_trouble
+from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
 from ..runtime.packer import Packer
+from ..runtime.settings_validation import address_error
 from ..runtime.unpacker import Unpacker
-from .controlverb import AT, DENIED, DONE, UNKNOWN, USAGE, ControlVerb, ask
+from .controller_commands import AT, DONE, REJECTED, UNKNOWN, USAGE, RecordCommand, ask
 
 LOOK_EVERY_S = 0.2
 MOST_WAIT_S = 3_600
 
 
-class MapVerb(ControlVerb):
+class ShardMapCommand(RecordCommand):
     """Sends a map that stands in a file."""
 
     arguments = [argument("file", "the new map (JSON)")]
@@ -34,20 +34,20 @@
         return self.put(body=Packer().u8(value=self.kind).blob(value=raw).bytes(), changes=self.changes)
 
 
-class ShardsPlanVerb(MapVerb):
+class ShardsPlanCommand(ShardMapCommand):
     name = "shards plan"
     description = "Check a shard map against what stands, and foretell how long writes would wait; changes nothing"
     kind = SHARDS_PLAN
 
 
-class ShardsBeginVerb(MapVerb):
+class ShardsBeginCommand(ShardMapCommand):
     name = "shards begin"
-    description = "Put a shard map to the booths"
+    description = "Put a shard map to the proxies"
     kind = SHARDS
     changes = True
 
 
-class ShardsAbandonVerb(ControlVerb):
+class ShardsAbandonCommand(RecordCommand):
     name = "shards abandon"
     description = "Give up the change of the shard map that is on its way, before anything was taken over"
     arguments = [argument("version", "the version that is on its way")]
@@ -60,7 +60,7 @@
         return self.put(body=body, changes=True)
 
 
-class ShardsWatchVerb(ControlVerb):
+class ShardsWatchCommand(RecordCommand):
     """Exit codes: 0 the map stands, 1 it was withdrawn, 2 usage, 3 neither within the time given."""
 
     name = "shards watch"
@@ -74,9 +74,9 @@
             return self.fail(why="version: a whole number above 0 is needed", code=USAGE)
         if not wait.isdigit() or not 0 < int(wait) <= MOST_WAIT_S:
             return self.fail(why=f"--wait: a whole number of seconds from 1 to {MOST_WAIT_S} is needed", code=USAGE)
-        trouble = address_trouble(value=at)
-        if trouble:
-            return self.fail(why=f"--at: {trouble}", code=USAGE)
+        problem = address_error(value=at)
+        if problem:
+            return self.fail(why=f"--at: {problem}", code=USAGE)
         return asyncio.run(self._follow(version=int(version), until_s=time.monotonic() + int(wait), at=at))
 
     async def _follow(self, *, version: int, until_s: float, at: str) -> int:
@@ -85,14 +85,14 @@
             result = await ask(address=at, body=Packer().u8(value=SHARDS_PROGRESS).bytes())
             words, code = "", None
             if result.is_error():
-                # why: a guildhall may be restarted meanwhile, and the change goes on without it
-                words = f"{result.error.kind.value}: {result.error.why}"
+                # why: a controller may be restarted meanwhile, and the change goes on without it
+                words = f"{result.error.code.value}: {result.error.reason}"
             else:
                 try:
                     words, code = read_progress(data=result.ok, version=version)
                 except ValueError:
-                    why = "an answer that can't be read: is this a guildhall's records address?"
-                    return self.fail(why=why, code=DENIED)
+                    why = "an answer that can't be read: is this a controller's records address?"
+                    return self.fail(why=why, code=REJECTED)
             if words != said:
                 print(words, flush=True)
                 said = words
@@ -108,11 +108,11 @@
     kind, words = unpacker.text(), unpacker.text()
     if kind:
         unpacker.done()
-        return f"{kind}: {words}", DENIED
+        return f"{kind}: {words}", REJECTED
     phase, _, stands, why = ShardPhase(unpacker.u8()), unpacker.u64(), unpacker.u64(), unpacker.text()
     unpacker.done()
     if stands >= version:
         return words, DONE
     if phase == ShardPhase.steady:
-        return words if why else f"{words}; no change is on its way", DENIED
+        return words if why else f"{words}; no change is on its way", REJECTED
     return words, None
--- a/src/cinderstair/cli/simulateverb.py
+++ b/src/cinderstair/cli/simulate_command.py
@@ -8,11 +8,11 @@
 
 from ..maintenance.scenario import read_scenario
 from ..maintenance.whatif import what_if
-from ..simulation.rehearsal import rehearse
-from .documentmixin import DENIED, DONE, USAGE, DocumentMixin
+from ..simulation.dry_run import run_dry
+from .document_mixin import DONE, REJECTED, USAGE, DocumentMixin
 
 
-class SimulateVerb(DocumentMixin, Command):
+class SimulateCommand(DocumentMixin, Command):
     """Exit codes: 0 answered and nothing holds back, 1 something does, 2 unreadable input."""
 
     name = "simulate"
@@ -24,18 +24,18 @@
     options = [option("rehearse", "r", "also run the real daemons through it in the simulator")]
 
     def handle(self) -> int:
-        charter = self.read_charter(path=self.argument("configuration"))
+        configuration = self.read_configuration(path=self.argument("configuration"))
         raw = self.read_file(path=self.argument("scenario"))
         # why: exit code 1 says that something holds back, so a document that can't be used has another
-        if isinstance(charter, int) or raw is None:
+        if isinstance(configuration, int) or raw is None:
             return USAGE
-        scenario = read_scenario(raw=raw, charter=charter)
+        scenario = read_scenario(raw=raw, configuration=configuration)
         if scenario.is_error():
-            print(f"{self.argument('scenario')}: {scenario.error.why}", file=sys.stderr)
+            print(f"{self.argument('scenario')}: {scenario.error.reason}", file=sys.stderr)
             return USAGE
-        answer = what_if(charter=charter, scenario=scenario.ok)
+        answer = what_if(configuration=configuration, scenario=scenario.ok)
         if self.option("rehearse"):
-            answer["rehearsal"] = rehearse(charter=charter, scenario=scenario.ok)
+            answer["rehearsal"] = run_dry(configuration=configuration, scenario=scenario.ok)
         print(json.dumps(answer, indent=1))
         held = not all(step["finishes"] for step in answer["windows"].values())
-        return DENIED if held else DONE
+        return REJECTED if held else DONE
--- a/src/cinderstair/config/check.py
+++ b/src/cinderstair/config/check.py
@@ -7,19 +7,22 @@
 from marshmallow import ValidationError
 
 from ..maintenance.window import Window, moment_us
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from .backend import Backend
-from .charter import Charter
 from .compiler import Program, compile_program, compile_selector
+from .configuration import Configuration
 from .route import Policy, Route
-from .schema import CharterSchema, check_language
+from .schema import ConfigurationSchema, check_language
 
 MOST_BYTES = 1024 * 1024
 
 
-def broken(*, errors: list[str]) -> Result[Charter, Fault]:
-    return Error(Fault(kind=Kind.brokenConfiguration, why="; ".join(errors[:3]), details={"errors": errors}))
+def broken(*, errors: list[str]) -> Result[Configuration, CinderstairError]:
+    return Error(
+        CinderstairError(
+            code=ErrorCode.BROKEN_CONFIGURATION, reason="; ".join(errors[:3]), details={"errors": errors}
+        )
+    )
 
 
 def flatten(*, messages: Any, path: str) -> list[str]:
@@ -42,7 +45,7 @@
     return dict(pairs)
 
 
-def read_document(*, raw: bytes) -> Result[Any, Fault]:
+def read_document(*, raw: bytes) -> Result[Any, CinderstairError]:
     if len(raw) > MOST_BYTES:
         return broken(errors=[f"the document is larger than {MOST_BYTES} bytes"])
     try:
@@ -59,13 +62,13 @@
     return Ok(document)
 
 
-def check_charter(*, raw: bytes) -> Result[Charter, Fault]:
+def check_configuration(*, raw: bytes) -> Result[Configuration, CinderstairError]:
     """Everything is checked and compiled here, before a version can be written to the register."""
     document = read_document(raw=raw)
     if document.is_error():
         return Error(document.error)
     try:
-        loaded = CharterSchema().load(document.ok)
+        loaded = ConfigurationSchema().load(document.ok)
     except ValidationError as error:
         return broken(errors=flatten(messages=error.normalized_messages(), path=""))
     errors: list[str] = []
@@ -80,7 +83,7 @@
                 errors.append(f"/language: line {statement.line}: no database '{name}'")
     if errors:
         return broken(errors=errors)
-    charter = Charter(
+    configuration = Configuration(
         version=loaded["version"],
         raw=raw,
         backends=backends,
@@ -88,11 +91,11 @@
             name: tuple(sorted(b["name"] for b in database["backends"]))
             for name, database in loaded["databases"].items()
         },
-        stall_labels=loaded["stalls"],
+        http_proxy_labels=loaded["stalls"],
         program=program,
         windows=windows,
     )
-    return Ok(with_warnings(charter=charter))
+    return Ok(with_warnings(configuration=configuration))
 
 
 def collect_backends(*, loaded: dict[str, Any], errors: list[str]) -> dict[str, Backend]:
@@ -119,7 +122,7 @@
         return Program()
     program = compile_program(text=text)
     if program.is_error():
-        errors.append(f"/language: {program.error.why}")
+        errors.append(f"/language: {program.error.reason}")
         return Program()
     return program.ok
 
@@ -135,7 +138,7 @@
         if ends.is_error():
             errors.append(f"{path}/ends: {ends.error}")
         if selector.is_error():
-            errors.append(f"{path}/empties: {selector.error.why}")
+            errors.append(f"{path}/empties: {selector.error.reason}")
         if entry["name"] in windows:
             errors.append(f"{path}/name: '{entry['name']}' stands twice")
         if starts.is_error() or ends.is_error() or selector.is_error():
@@ -146,18 +149,18 @@
     return tuple(windows.values())
 
 
-def with_warnings(*, charter: Charter) -> Charter:
+def with_warnings(*, configuration: Configuration) -> Configuration:
     """Unknown labels and selectors that match nothing are no errors, and still worth a word."""
     things = [
-        *(backend.labels for backend in charter.backends.values()),
-        *charter.stall_labels.values(),
+        *(backend.labels for backend in configuration.backends.values()),
+        *configuration.http_proxy_labels.values(),
     ]
     known = {key for labels in things for key in labels}
     warnings: list[str] = []
-    selectors = [(f"window {window.name}", window.empties) for window in charter.windows]
-    selectors += [(f"language line {route.line}", route.where) for route in charter.program.routes]
+    selectors = [(f"window {window.name}", window.empties) for window in configuration.windows]
+    selectors += [(f"language line {route.line}", route.where) for route in configuration.program.routes]
     for where, selector in selectors:
         warnings += [f"{where}: no label '{key}' anywhere" for key in sorted(selector.keys - known)]
         if not any(selector.picks(labels=labels) for labels in things):
             warnings.append(f"{where}: selects nothing")
-    return Charter(**{**vars(charter), "warnings": tuple(warnings)})
+    return Configuration(**{**vars(configuration), "warnings": tuple(warnings)})
--- a/src/cinderstair/config/compiler.py
+++ b/src/cinderstair/config/compiler.py
@@ -9,8 +9,7 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from .route import KINDS, Policy, Route
 from .selector import EVERYTHING, Selector
 
@@ -117,7 +116,7 @@
     def anyone(self) -> str:
         return "any"
 
-    def denied(self) -> str:
+    def rejected(self) -> str:
         return "deny"
 
     def route(self, kinds: Any, dbs: Any, target: str, where: Selector | None = None) -> Route:
@@ -203,7 +202,7 @@
     return f"found {found}, expected {' or '.join(listed)}"
 
 
-def parse(*, text: str, start: str) -> Result[Any, Fault]:
+def parse(*, text: str, start: str) -> Result[Any, CinderstairError]:
     try:
         tree = parsers()[start].parse(text)
         return Ok(Builder().transform(tree))
@@ -219,12 +218,16 @@
             raise
         line, column, why = inner.line, inner.column, inner.why
     details = {"line": line, "column": column}
-    return Error(Fault(kind=Kind.brokenConfiguration, why=f"line {line}, column {column}: {why}", details=details))
+    return Error(
+        CinderstairError(
+            code=ErrorCode.BROKEN_CONFIGURATION, reason=f"line {line}, column {column}: {why}", details=details
+        )
+    )
 
 
-def compile_program(*, text: str) -> Result[Program, Fault]:
+def compile_program(*, text: str) -> Result[Program, CinderstairError]:
     return parse(text=text + "\n", start="start")
 
 
-def compile_selector(*, text: str) -> Result[Selector, Fault]:
+def compile_selector(*, text: str) -> Result[Selector, CinderstairError]:
     return parse(text=text, start="selection")
--- a/src/cinderstair/config/charter.py
+++ b/src/cinderstair/config/configuration.py
@@ -25,14 +25,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Charter:
+class Configuration:
     """What is in force once a version of it has been accepted."""
 
     version: int
     raw: bytes
     backends: dict[str, Backend]
     databases: dict[str, tuple[str, ...]]
-    stall_labels: dict[str, dict[str, str]] = field(default_factory=dict)
+    http_proxy_labels: dict[str, dict[str, str]] = field(default_factory=dict)
     program: Program = field(default_factory=Program)
     windows: tuple[Window, ...] = ()
     warnings: tuple[str, ...] = ()
--- a/src/cinderstair/config/formatter.py
+++ b/src/cinderstair/config/formatter.py
@@ -2,7 +2,7 @@
 
 from expression import Error, Ok, Result
 
-from ..runtime.fault import Fault
+from ..runtime.errors import CinderstairError
 from .compiler import POLICIES, UNITS, compile_program, compile_selector
 from .route import Policy, Route
 
@@ -39,7 +39,7 @@
     return line, ""
 
 
-def format_line(*, line: str) -> Result[str, Fault]:
+def format_line(*, line: str) -> Result[str, CinderstairError]:
     code, comment = split_comment(line=line)
     compiled = compile_program(text=code)
     if compiled.is_error():
@@ -50,7 +50,7 @@
     return Ok("  ".join(part for part in ("; ".join(texts), comment) if part))
 
 
-def format_program(*, text: str) -> Result[str, Fault]:
+def format_program(*, text: str) -> Result[str, CinderstairError]:
     """The whole text line by line; it must have compiled as a whole before."""
     whole = compile_program(text=text)
     if whole.is_error():
@@ -64,5 +64,5 @@
     return Ok("\n".join(lines))
 
 
-def format_selector(*, text: str) -> Result[str, Fault]:
+def format_selector(*, text: str) -> Result[str, CinderstairError]:
     return compile_selector(text=text).map(lambda selector: selector.text)
--- a/src/cinderstair/config/schema.py
+++ b/src/cinderstair/config/schema.py
@@ -32,7 +32,7 @@
     empties = fields.String(required=True)
 
 
-class CharterSchema(Schema):
+class ConfigurationSchema(Schema):
     """The document's shape; what holds between its parts is checked after."""
 
     version = fields.Integer(required=True, strict=True, validate=validate.Range(min=1, max=2**62))
--- a/src/cinderstair/config/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -11,7 +11,7 @@
 
 PLAN_KEY = "plan"
 MOST_BYTES = 32 * 1024 * 1024
-# why: digests can't be compressed, and go with each change to every vault
+# why: digests can't be compressed, and go with each change to every register replica
 DIGEST_BYTES = 4
 # of the versions that were acknowledged, so many are known by their content
 ACCEPTED_MOST = 256
@@ -129,7 +129,7 @@
         packer.blob(value=self.document if with_document else b"")
         _write_accepted(packer=packer, accepted=self.accepted if with_document else ())
         body = packer.bytes()
-        # why: a plan goes whole to every vault, and routes are much alike
+        # why: a plan goes whole to every register replica, and routes are much alike
         return Packer().u64(value=self.version).bytes() + zlib.compress(body)
 
 
--- a/src/cinderstair/config/shard_map.py
+++ b/src/cinderstair/config/shard_map.py
@@ -8,8 +8,7 @@
 
 from expression import Error, Ok, Result
 
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
@@ -60,15 +59,15 @@
     return doubled
 
 
-def broken(*, why: str) -> Result[ShardMap, Fault]:
-    return Error(Fault(kind=Kind.brokenConfiguration, why=why))
+def broken(*, why: str) -> Result[ShardMap, CinderstairError]:
+    return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason=why))
 
 
 def _texts(value: dict[Any, Any]) -> bool:
     return all(isinstance(service, str) and service and database for database, service in value.items())
 
 
-def check_shard_map(*, raw: bytes) -> Result[ShardMap, Fault]:
+def check_shard_map(*, raw: bytes) -> Result[ShardMap, CinderstairError]:
     """An operator's document, checked whole: `version`, `places`, and perhaps `agree_percent`."""
     try:
         document = json.loads(raw)
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""The owner of a vault's cells and leases: one vote of the register."""
+"""The owner of a register replica's cells and leases: one vote of the register."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,7 +31,7 @@
         self.roster: Roster | None = read_roster(data=self.held.roster) if self.held.roster else None
         self.leases: dict[str, tuple[int, int]] = {}
         # why: a life of its own counts its editions from nothing, and must not be taken for the one before
-        self.source = ctx.luck.getrandbits(62) | 1
+        self.source = ctx.rng.getrandbits(62) | 1
         self.edition = 1
         self.editions: dict[str, int] = {}
         # why: what was granted before a restart is forgotten, so nothing is granted until it has run out
@@ -223,7 +223,7 @@
         joined = roster.has(ident=self.held.ident) and (
             self.roster is None or not self.roster.has(ident=self.held.ident)
         )
-        # why: the vault whose place this one takes may have granted a lease that still runs
+        # why: the register replica whose place this one takes may have granted a lease that still runs
         if joined and roster.epoch > 1:
             self.grants_from_us = self.ctx.now_us() + LONGEST_LEASE_US
         self.roster = roster
--- a/src/cinderstair/consensus/cell.py
+++ b/src/cinderstair/consensus/cell.py
@@ -1,4 +1,4 @@
-"""What one vault holds for one key."""
+"""What one register replica holds for one key."""
 
 from dataclasses import dataclass
 
--- a/src/cinderstair/consensus/known_vectors.py
+++ b/src/cinderstair/consensus/known_vectors.py
@@ -1,4 +1,4 @@
-"""What an asker has of each vault's vector, so that a vault need say only what came since."""
+"""What an asker has of each register replica's vector, so that a register replica need say only what came since."""
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
@@ -7,7 +7,10 @@
 
 
 class KnownVectors:
-    """Owns the vectors by source, which is one life of one vault. Within a life a key's ballot only rises."""
+    """Owns the vectors by source, which is one life of one register replica.
+
+    Within a life a key's ballot only rises.
+    """
 
     def __init__(self) -> None:
         self.by_source: dict[int, tuple[int, dict[str, Ballot]]] = {}
@@ -47,7 +50,7 @@
         return highest
 
     def lagging(self) -> list[str]:
-        """The keys at which the answers read last differ: some of those vaults lack the highest ballot."""
+        """The keys at which the answers read last differ: some of those register replicas lack the highest ballot."""
         keys = {key for vector in self.latest for key in vector}
         return sorted(key for key in keys if len({vector.get(key, BLANK) for vector in self.latest}) > 1)
 
@@ -56,7 +59,7 @@
         # why: an answer that was overtaken by a later one must not take anything back
         vector = {**known, **{key: max(ballot, known.get(key, BLANK)) for key, ballot in changed.items()}}
         self.by_source[source] = (max(edition, known_edition), vector)
-        # why: each restart of a vault is a source of its own, and those of old are never heard again
+        # why: each restart of a register replica is a source of its own, and those of old are never heard again
         while len(self.by_source) > MOST_SOURCES:
             del self.by_source[next(iter(self.by_source))]
         return self.by_source[source]
--- a/src/cinderstair/consensus/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 
 from ..runtime.context import Context
-from ..runtime.desks import LEASE
+from ..runtime.message_types import LEASE
 from ..runtime.packer import Packer
 from .acceptor import OK
 from .register import Register
 
 LENGTH_US = 2_000_000
-# why: monotonic clocks may run apart a little; the holder stops well before any vault thinks it ended
+# why: monotonic clocks may run apart a little; the holder stops well before any register replica thinks it ended
 MARGIN_US = 200_000
 RENEW_US = 600_000
 SEEK_LEAST_US, SEEK_MOST_US = 100_000, 900_000
@@ -30,7 +30,8 @@
         self.again_us = 0
         # when the grant that began the present unbroken holding was asked for
         self.since_us = 0
-        # why: the vaults know a holder by its number, and a new one after each return keeps a return that comes late
+        # why: the register replicas know a holder by its number, and a new one after each return keeps a return
+        # that comes late
         # from freeing what was taken again since
         self.holder = register.proposer
 
@@ -72,19 +73,20 @@
     async def seek(self) -> bool:
         """Takes or renews the lease; a minority's grants are given back at once."""
         start_us, holder = self.ctx.now_us(), self.holder
-        granted, answers, asked = await self._ask(holder=holder, length_us=LENGTH_US)
+        granted, answers, requested = await self._ask(holder=holder, length_us=LENGTH_US)
         # why: what was given back meanwhile may be another's by now
         if granted and holder == self.holder:
             if not self.held:
                 self.since_us = start_us
             self.until_us = start_us + LENGTH_US - MARGIN_US
-        elif not self.held and (len(answers) < asked or any(answer[0] == OK for answer in answers)):
+        elif not self.held and (len(answers) < requested or any(answer[0] == OK for answer in answers)):
             # why: two that each hold a minority would shut each other out until both ran out
             await self._give_back()
-        # why: seekers in step would split the vaults' grants among them again and again, so each waits its own time;
+        # why: seekers in step would split the register replicas' grants among them again and again, so each waits
+        # its own time;
         # the more they are, the longer, since it is the first of them that counts
         most_us = SEEK_MOST_US * min(MOST_TIMES, max(1, self.seekers() // 3))
-        wait_us = RENEW_US if self.held else self.ctx.luck.randrange(SEEK_LEAST_US, most_us)
+        wait_us = RENEW_US if self.held else self.ctx.rng.randrange(SEEK_LEAST_US, most_us)
         self.again_us = self.ctx.now_us() + wait_us
         return self.held
 
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -7,11 +7,10 @@
 from expression import Error, Ok, Result
 
 from ..runtime.context import Context
-from ..runtime.desks import ACCEPT, ADOPT, HELLO, PREPARE, READ, VECTOR
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.message_types import ACCEPT, ADOPT, JOIN_REQUEST, PREPARE, READ, VECTOR
 from ..runtime.packer import Packer
-from ..runtime.parley import Body
+from ..runtime.peer_client import Body
 from ..runtime.unpacker import Unpacker
 from .acceptor import AHEAD, BEATEN, OK, ROSTER_KEY, SINCE, STALE
 from .ballot import BLANK, Ballot, read_ballot
@@ -24,7 +23,7 @@
 READS = 4
 SETTLE_US = 60_000
 READ_TOGETHER = 64
-Decide = Callable[[bytes], Result[bytes, Fault]]
+Decide = Callable[[bytes], Result[bytes, CinderstairError]]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Vote:
-    """One vault's answer."""
+    """One register replica's answer."""
 
     status: int
     promised: Ballot = BLANK
@@ -63,20 +62,23 @@
         self.own = own
         self.ctx = ctx
         self.seeds = seeds
-        self.proposer = ctx.luck.getrandbits(63) | 1
+        self.proposer = ctx.rng.getrandbits(63) | 1
         self.count = 0
         self.roster: Roster | None = None
         self.met: dict[str, Voter] = {}
         self.failed: set[int] = set()
         self.known = KnownVectors()
 
-    async def strangers(self) -> dict[str, Voter]:
-        """Every vault that the seeds have met, by name."""
+    async def candidates(self) -> dict[str, Voter]:
+        """Every register replica that the seeds have met, by name."""
         await self.find_roster()
         return self.met
 
     async def find_roster(self) -> bool:
-        """Asks the seeds, and every vault known, for the newest roster; what comes late is still taken in."""
+        """Asks the seeds, and every register replica known, for the newest roster.
+
+        What comes late is still taken in.
+        """
         known = () if self.roster is None else tuple(v.address for v in self.roster.voters)
         pending = {
             self.ctx.spawn(work=self._ask_roster(address=address), name="roster.ask")
@@ -93,9 +95,9 @@
         return self.roster is not None
 
     async def _ask_roster(self, *, address: str) -> bool:
-        """Whether the vault at an address answered with a roster."""
-        body = Packer().u8(value=HELLO).u64(value=0).text(value="").text(value="").bytes()
-        result = await self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US)
+        """Whether the register replica at an address answered with a roster."""
+        body = Packer().u8(value=JOIN_REQUEST).u64(value=0).text(value="").text(value="").bytes()
+        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US)
         if result.is_error():
             return False
         unpacker = Unpacker(data=result.ok)
@@ -121,9 +123,10 @@
         answers: list[bytes] = []
 
         async def one(voter: Voter) -> bool:
-            result = await self.ctx.parley.ask(address=voter.address, body=body, wait_us=ASK_WAIT_US)
+            result = await self.ctx.peer_client.request(address=voter.address, body=body, wait_us=ASK_WAIT_US)
             heard = result.is_ok() and not self._heed(data=result.ok, voter=voter, roster=roster)
-            # why: whoever failed last time is asked last, so that a lost vault costs one late answer and no more
+            # why: whoever failed last time is asked last, so that a lost register replica costs one late answer
+            # and no more
             (self.failed.discard if heard else self.failed.add)(voter.ident)
             if heard:
                 answers.append(result.ok)
@@ -131,8 +134,8 @@
 
         voters = list(roster.voters)
         if first:
-            self.ctx.luck.shuffle(voters)
-            # why: a vault's own vote costs no journey
+            self.ctx.rng.shuffle(voters)
+            # why: a register replica's own vote costs no journey
             voters.sort(key=lambda voter: (voter.ident in self.failed, voter.address != self.own))
         later = voters[first:] if first else []
         pending = {self.ctx.spawn(work=one(voter)) for voter in voters[: len(voters) - len(later)]}
@@ -152,15 +155,15 @@
             self.learn_roster(roster=read_roster(data=unpacker.blob()))
             return True
         if status == AHEAD and roster.epoch > 0:
-            # why: a vault that missed the roster's change can vote again as soon as it is told
+            # why: a register replica that missed the roster's change can vote again as soon as it is told
             self.ctx.spawn(work=self.tell(address=voter.address, roster=roster))
             return True
         return status not in (OK, BEATEN, SINCE)
 
     async def tell(self, *, address: str, roster: Roster) -> bool:
-        """Whether the vault at an address has made a roster its own, or one as new."""
+        """Whether the register replica at an address has made a roster its own, or one as new."""
         body = Packer().u8(value=ADOPT).blob(value=roster.bytes()).bytes()
-        result = await self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US)
+        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US)
         return result.is_ok()
 
     async def tell_all(self, *, roster: Roster) -> int:
@@ -169,17 +172,17 @@
             self.ctx.spawn(work=self.tell(address=voter.address, roster=roster), name="roster.tell")
             for voter in roster.voters
         }
-        told = 0
-        while pending and told < roster.majority:
+        acknowledged = 0
+        while pending and acknowledged < roster.majority:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            told += sum(task.result() for task in done)
-        return told
+            acknowledged += sum(task.result() for task in done)
+        return acknowledged
 
     def _ballot(self, *, above: Ballot) -> Ballot:
         self.count = max(self.count, above.turn) + 1
         return Ballot(self.count, self.proposer)
 
-    async def change(self, *, key: str, decide: Decide, founding: bool = False) -> Result[Found, Fault]:
+    async def change(self, *, key: str, decide: Decide, founding: bool = False) -> Result[Found, CinderstairError]:
         """Replaces a key's value by what `decide` makes of the current one.
 
         An error from `decide` is given back only after the value it judged is held by a majority.
@@ -189,7 +192,7 @@
         for round_ in range(ROUNDS):
             if round_:
                 # why: two proposers that beat each other must fall out of step
-                await self.ctx.rest(wait_us=self.ctx.luck.randrange(5_000, 40_000 * round_))
+                await self.ctx.sleep(duration_us=self.ctx.rng.randrange(5_000, 40_000 * round_))
             roster = seed_roster(addresses=self.seeds) if founding else self.roster
             if roster is None and not await self.find_roster():
                 continue
@@ -202,13 +205,15 @@
             # why: once our value may have been accepted somewhere, a second decision could take effect twice
             if sent:
                 return await self._settle(key=key)
-        kind = Kind.registerUnsure if sent else Kind.registerUnreachable
-        return Error(Fault(kind=kind, why=f"{key}: no majority of vaults"))
+        kind = ErrorCode.REGISTER_UNSURE if sent else ErrorCode.REGISTER_UNREACHABLE
+        return Error(CinderstairError(code=kind, reason=f"{key}: no majority of register replicas"))
 
-    async def _settle(self, *, key: str) -> Result[Found, Fault]:
-        return Error(Fault(kind=Kind.registerUnsure, why=f"{key}: a write was cut short; read it back"))
+    async def _settle(self, *, key: str) -> Result[Found, CinderstairError]:
+        return Error(
+            CinderstairError(code=ErrorCode.REGISTER_UNSURE, reason=f"{key}: a write was cut short; read it back")
+        )
 
-    async def _round(self, *, key: str, decide: Decide, roster: Roster) -> Result[Found, Fault] | bool:
+    async def _round(self, *, key: str, decide: Decide, roster: Roster) -> Result[Found, CinderstairError] | bool:
         """One ballot. False: it failed before any value was sent; True: a value was sent, and no majority."""
         ballot = self._ballot(above=BLANK)
         packer = Packer().u8(value=PREPARE).u32(value=roster.epoch).text(value=key)
@@ -244,7 +249,7 @@
         answers = await self.poll(roster=roster, body=body, enough=enough, first=first)
         return [read_vote(data=answer) for answer in answers]
 
-    async def read(self, *, key: str) -> Result[Found, Fault]:
+    async def read(self, *, key: str) -> Result[Found, CinderstairError]:
         """The key's value as a majority holds it; one found on fewer is completed first."""
         for turn in range(READS):
             if self.roster is None and not await self.find_roster():
@@ -262,17 +267,19 @@
                 # why: most often its writer is just finishing; many readers that completed it for it would only
                 # beat one another's ballots, each with the whole value
                 if turn + 2 < READS:
-                    await self.ctx.rest(wait_us=self.ctx.luck.randrange(SETTLE_US // 2, SETTLE_US))
+                    await self.ctx.sleep(duration_us=self.ctx.rng.randrange(SETTLE_US // 2, SETTLE_US))
                     continue
             completed = await self.change(key=key, decide=Ok)
             if completed.is_ok():
                 return completed
-        return Error(Fault(kind=Kind.registerUnreachable, why=f"{key}: no majority of vaults"))
+        return Error(
+            CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason=f"{key}: no majority of register replicas")
+        )
 
-    async def vector(self) -> Result[dict[str, Ballot], Fault]:
-        """For every key, the highest ballot that a majority of vaults have accepted anything at."""
+    async def vector(self) -> Result[dict[str, Ballot], CinderstairError]:
+        """For every key, the highest ballot that a majority of register replicas have accepted anything at."""
         if self.roster is None and not await self.find_roster():
-            return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
+            return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
         roster = self.roster
         assert roster is not None
 
@@ -284,10 +291,12 @@
             roster=roster, body=body, enough=lambda got: len(got) >= roster.majority, first=roster.majority
         )
         if len(answers) < roster.majority:
-            return Error(Fault(kind=Kind.registerUnreachable, why="no majority of vaults"))
+            return Error(
+                CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no majority of register replicas")
+            )
         return Ok(self.known.read(answers=answers))
 
-    async def _keep_all(self) -> Result[None, Fault]:
+    async def _keep_all(self) -> Result[None, CinderstairError]:
         """Makes sure that a majority of the present roster holds every key's newest value.
 
         What only the roster before last held must be held by this one before another change is made. Where the
@@ -304,7 +313,7 @@
                     return Error(found.error)
         return Ok(None)
 
-    async def snapshot(self) -> Result[dict[str, Found], Fault]:
+    async def snapshot(self) -> Result[dict[str, Found], CinderstairError]:
         """Every key's value as a majority holds it."""
         highest = await self.vector()
         if highest.is_error():
@@ -319,13 +328,13 @@
                 values[key] = found.ok
         return Ok(values)
 
-    async def change_roster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
+    async def change_roster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
         """Moves to the next roster, which differs by one voter, so that every majority of the two meets.
 
         `alter` is given the roster that is known when this begins. versionTaken: another change came first.
         """
         if self.roster is None and not await self.find_roster():
-            return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
+            return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
         current = self.roster
         assert current is not None
         kept = await self._keep_all()
@@ -333,23 +342,29 @@
             return Error(kept.error)
         # why: keys written again under the roster before this one may lie where no majority of the next one looks
         if self.roster != current:
-            return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
+            return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="another change of roster came first"))
         wanted = alter(current)
         changed = {v.ident for v in wanted.voters} ^ {v.ident for v in current.voters}
         if len(changed) != 1 or wanted.epoch != current.epoch + 1:
-            return Error(Fault(kind=Kind.internal, why="a roster changes by one voter at a time"))
+            return Error(CinderstairError(code=ErrorCode.INTERNAL, reason="a roster changes by one voter at a time"))
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             # why: another change may have come first, and ours was made against the roster before it
             if data and read_roster(data=data).epoch != current.epoch:
-                return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
+                return Error(
+                    CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="another change of roster came first")
+                )
             return Ok(wanted.bytes())
 
         chosen = await self.change(key=ROSTER_KEY, decide=decide)
         if chosen.is_error():
             return Error(chosen.error)
         self.learn_roster(roster=wanted)
-        told = await self.tell_all(roster=wanted)
-        if told < wanted.majority:
-            return Error(Fault(kind=Kind.registerUnsure, why="the new roster is not known to a majority yet"))
+        acknowledged = await self.tell_all(roster=wanted)
+        if acknowledged < wanted.majority:
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.REGISTER_UNSURE, reason="the new roster is not known to a majority yet"
+                )
+            )
         return Ok(wanted)
--- a/src/cinderstair/consensus/vault.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -1,16 +1,16 @@
-"""The vault daemon: finds the others, founds or learns the roster, and votes."""
+"""The register replica daemon: finds the others, founds or learns the roster, and votes."""
 
 import asyncio
 from collections.abc import Callable
 
 from expression import Error, Ok, Result
 
-from ..membership.crowd import Crowd
 from ..membership.member import Member, Standing
+from ..membership.membership import Membership
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import ACCEPT, ADOPT, HELLO, LEASE, PREPARE, READ, VECTOR
-from ..runtime.fault import Fault
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.errors import CinderstairError
+from ..runtime.message_types import ACCEPT, ADOPT, JOIN_REQUEST, LEASE, PREPARE, READ, VECTOR
 from ..runtime.packer import Packer
 from ..runtime.settings import Settings
 from ..runtime.unpacker import Unpacker
@@ -21,10 +21,10 @@
 from .succession import Succession
 from .voter_watch import VoterWatch
 
-HELLO_EVERY_US = 250_000
-HELLO_WAIT_US = 500_000
+JOIN_REQUEST_PERIOD_US = 250_000
+JOIN_REQUEST_WAIT_US = 500_000
 ENTER_AFTER_US = 600_000
-# a vault that is not in line greets once in so many turns
+# a register replica that is not in line greets once in so many turns
 QUIET_TURNS = 8
 WATCHING_MOST = 2
 # a standby counts as there for so long after its last greeting
@@ -34,27 +34,27 @@
 FOUND_WAIT_US = 3_000_000
 LOST_AFTER_LEAST_US = 500_000
 LOST_AFTER_MOST_US = 2_000_000
-# of the time within which another loss must be borne, a newcomer spends so much on judging who is lost
+# of the time within which another loss must be borne, a joining replica spends so much on judging who is lost
 LOST_AFTER_SHARE = 4
 
 
-class Vault:
+class RegisterReplica:
     """Holds one vote under the identity on its disk; with a blank disk it is a stranger until a roster has it."""
 
     def __init__(self, *, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> None:
         self.ctx = ctx
         self.settings = settings
         self.halt = halt
-        self.desk = Desk(ctx=ctx)
-        self.strangers: dict[str, Voter] = {}
+        self.dispatcher = Dispatcher(ctx=ctx)
+        self.candidates: dict[str, Voter] = {}
         self.register = Register(ctx=ctx, seeds=settings.seeds, own=settings.records)
         self.me: Voter | None = None
         self.acceptor: Acceptor | None = None
-        self.crowd: Crowd | None = None
+        self.membership: Membership | None = None
         self.mayFound = True
-        self.greeted_us: dict[str, int] = {}
+        self.join_requested_us: dict[str, int] = {}
         self.started_us = ctx.now_us()
-        self.strange_since_us: int | None = None
+        self.joining_since_us: int | None = None
         # since when fewer vote than are to
         self.short_since_us: int | None = None
         lost_after_us = settings.catchUpUs // LOST_AFTER_SHARE
@@ -62,7 +62,7 @@
             ctx=ctx, lost_after_us=min(LOST_AFTER_MOST_US, max(LOST_AFTER_LEAST_US, lost_after_us))
         )
 
-    def open(self) -> Result[None, Fault]:
+    def open(self) -> Result[None, CinderstairError]:
         """Reads the disk, or marks a blank one with a new identity, and opens the desks of its vote."""
         opened = Store(disk=self.ctx.disk).open()
         if opened.is_error():
@@ -72,10 +72,10 @@
         # why: a blank disk where the system has run before is a lost one, and must not found a second system
         self.mayFound = self.settings.mayFound or not fresh
         if fresh:
-            store.held.ident = self.ctx.luck.getrandbits(62) | 1
+            store.held.ident = self.ctx.rng.getrandbits(62) | 1
             store.save(entries=[ident_entry(ident=store.held.ident)])
         self.me = Voter(ident=store.held.ident, name=self.settings.name, address=self.settings.records)
-        self.strangers[self.me.name] = self.me
+        self.candidates[self.me.name] = self.me
         acceptor = Acceptor(ctx=self.ctx, store=store, fresh=fresh, halt=self.halt)
         self.acceptor = acceptor
         for kind, answer in (
@@ -85,17 +85,17 @@
             (VECTOR, acceptor.vector),
             (LEASE, acceptor.lease),
             (ADOPT, acceptor.adopt),
-            (HELLO, self._hello),
+            (JOIN_REQUEST, self._answer_join_request),
         ):
-            self.desk.open(kind=kind, answer=answer)
+            self.dispatcher.add_handler(message_type=kind, handler=answer)
         return Ok(None)
 
-    async def start(self) -> Result[None, Fault]:
+    async def start(self) -> Result[None, CinderstairError]:
         opened = self.open()
         if opened.is_error():
             return opened
         assert self.me is not None
-        # why: the seeds are vaults, so it is among them that the daemons find one another
+        # why: the seeds are register replicas, so it is among them that the daemons find one another
         me = Member(
             name=self.settings.name,
             role="vault",
@@ -104,12 +104,16 @@
             http=self.settings.http,
             incarnation=1,
         )
-        self.crowd = Crowd(
-            ctx=self.ctx, desk=self.desk, me=me, seeds=self.settings.seeds, every_us=self.settings.probeEveryUs
+        self.membership = Membership(
+            ctx=self.ctx,
+            dispatcher=self.dispatcher,
+            me=me,
+            seeds=self.settings.seeds,
+            every_us=self.settings.probeEveryUs,
         )
-        await self.ctx.net.listen(address=self.settings.records, answer=self.desk.answer)
+        await self.ctx.net.listen(address=self.settings.records, answer=self.dispatcher.answer)
         self.ctx.spawn(work=self._meet(), name="vault.meet")
-        self.ctx.log.info("vault %s ident %x", self.me.name, self.me.ident)
+        self.ctx.log.info("register replica %s ident %x", self.me.name, self.me.ident)
         return Ok(None)
 
     @property
@@ -120,17 +124,17 @@
     def most(self) -> int:
         return self.settings.mostVaults or self.settings.foundingVaults
 
-    async def _hello(self, unpacker: Unpacker) -> bytes:
+    async def _answer_join_request(self, unpacker: Unpacker) -> bytes:
         voter = read_voter(unpacker=unpacker)
         unpacker.done()
-        # why: an asker without an identity is a stall, which only wants the roster
+        # why: an asker without an identity is an HTTP proxy, which only wants the roster
         if voter.ident:
-            self.strangers[voter.name] = voter
-            self.greeted_us[voter.name] = self.ctx.now_us()
+            self.candidates[voter.name] = voter
+            self.join_requested_us[voter.name] = self.ctx.now_us()
         roster = b"" if self.roster is None else self.roster.bytes()
         # why: once there is a roster only operators ask who else there is; many standbys greet all the time, and the
         # list grows with them
-        listed = self.strangers.values() if self.roster is None or not voter.ident else ()
+        listed = self.candidates.values() if self.roster is None or not voter.ident else ()
         packer = Packer().u8(value=0).blob(value=roster)
         packer.many(values=listed, each=lambda p, v: write_voter(packer=p, voter=v))
         return packer.bytes()
@@ -139,7 +143,7 @@
         """Greets the seeds until a roster is known, and now and then after, to hear of a newer one."""
         assert self.me is not None
         while True:
-            await self._greet()
+            await self._send_join_requests()
             if self.roster is None:
                 await self._found()
             elif not self.roster.has(ident=self.me.ident):
@@ -147,40 +151,44 @@
             self._count_votes()
             # why: a stranger that holds no vote leaves the system with one loss less to bear
             quiet = 1 if self.in_line() else QUIET_TURNS
-            await self.ctx.rest(wait_us=HELLO_EVERY_US * quiet + self.ctx.luck.randrange(50_000))
+            await self.ctx.sleep(duration_us=JOIN_REQUEST_PERIOD_US * quiet + self.ctx.rng.randrange(50_000))
 
     @property
     def votes(self) -> bool:
-        """Whether the roster that is known here has this vault."""
+        """Whether the roster that is known here has this register replica."""
         return self.me is not None and self.roster is not None and self.roster.has(ident=self.me.ident)
 
     def in_line(self) -> bool:
-        """Whether this vault is among those that have to take a place soon, should one be free."""
+        """Whether this register replica is among those that have to take a place soon, should one be free."""
         if self.votes:
             return False
-        if self.roster is None or self.crowd is None or self.me is None:
+        if self.roster is None or self.membership is None or self.me is None:
             return True
         names = [voter.name for voter in self.roster.voters]
         if self.me.name in names or len(names) < self.most:
             return True
         # why: where many stand by, a few that watch are enough, and all would weigh on the voters
-        others = [member.name for member in self.crowd.alive(role="vault") if member.name not in names]
+        others = [member.name for member in self.membership.alive(role="vault") if member.name not in names]
         return sum(name < self.me.name for name in others) < WATCHING_MOST
 
-    async def _greet(self) -> None:
+    async def _send_join_requests(self) -> None:
         """Greets the seeds and the voters; whoever is late is heard all the same, and holds nothing up."""
         assert self.me is not None
         known = () if self.roster is None else tuple(v.address for v in self.roster.voters)
         addresses = [a for a in dict.fromkeys(self.settings.seeds + known) if a != self.me.address]
-        greetings = [self.ctx.spawn(work=self._greet_one(address=address), name="greet") for address in addresses]
-        if greetings:
-            await asyncio.wait(greetings, timeout=HELLO_EVERY_US / 1_000_000)
+        join_requests = [
+            self.ctx.spawn(work=self._send_join_request(address=address), name="greet") for address in addresses
+        ]
+        if join_requests:
+            await asyncio.wait(join_requests, timeout=JOIN_REQUEST_PERIOD_US / 1_000_000)
 
-    async def _greet_one(self, *, address: str) -> None:
+    async def _send_join_request(self, *, address: str) -> None:
         assert self.me is not None
-        packer = Packer().u8(value=HELLO)
+        packer = Packer().u8(value=JOIN_REQUEST)
         write_voter(packer=packer, voter=self.me)
-        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), wait_us=HELLO_WAIT_US)
+        result = await self.ctx.peer_client.request(
+            address=address, body=packer.bytes(), wait_us=JOIN_REQUEST_WAIT_US
+        )
         if result.is_error():
             return
         self.watch.answered(address=address)
@@ -189,21 +197,21 @@
         data = unpacker.blob()
         for voter in unpacker.many(each=lambda u: read_voter(unpacker=u)):
             if voter.name != self.me.name:
-                self.strangers[voter.name] = voter
+                self.candidates[voter.name] = voter
         if data:
             await self._adopt(data=data)
 
     async def _enter(self) -> None:
         """A stranger takes a snapshot, then the place of its own name in the roster, a free one, or a lost one's."""
         assert self.me is not None and self.acceptor is not None
-        if self.strange_since_us is None:
-            self.strange_since_us = self.ctx.now_us()
-        assert self.crowd is not None and self.roster is not None
+        if self.joining_since_us is None:
+            self.joining_since_us = self.ctx.now_us()
+        assert self.membership is not None and self.roster is not None
         self.watch.follow(roster=self.roster)
-        self.watch.doubt(roster=self.roster, crowd=self.crowd)
+        self.watch.doubt(roster=self.roster, membership=self.membership)
         # why: where all have just begun, everybody completes what was cut short, and a change of roster, which
         # writes every key anew, would beat their ballots and they its own; what serves clients goes first
-        if self.ctx.now_us() - self.strange_since_us < ENTER_AFTER_US:
+        if self.ctx.now_us() - self.joining_since_us < ENTER_AFTER_US:
             return
         leaves = self._place()
         if leaves is None:
@@ -221,19 +229,19 @@
         entered = await succession.succeed(leaves=leaves, enters=self.me, most=self.most)
         if entered.is_ok():
             await self._adopt(data=entered.ok.bytes())
-            self.strange_since_us = None
+            self.joining_since_us = None
         else:
             self.ctx.counters.add(name="vault.entersAgain")
 
     def _place(self) -> str | None:
         """Whose place may be taken: that of its own name, a free one (an empty name), or that of one lost."""
-        assert self.me is not None and self.crowd is not None and self.roster is not None
+        assert self.me is not None and self.membership is not None and self.roster is not None
         names = [voter.name for voter in self.roster.voters]
         if self.me.name in names:
             return self.me.name
         if len(names) < self.most:
             return ""
-        voter = self.watch.replaceable(roster=self.roster, crowd=self.crowd)
+        voter = self.watch.replaceable(roster=self.roster, membership=self.membership)
         return None if voter is None else voter.name
 
     async def _adopt(self, *, data: bytes) -> None:
@@ -241,16 +249,16 @@
         await self.acceptor.adopt(Unpacker(data=Packer().blob(value=data).bytes()))
 
     async def _found(self) -> None:
-        """A blank seed that has met as many vaults as found the system puts their roster to the seeds' vote."""
+        """Proposes the first roster to the seeds, once this blank seed has met enough replicas."""
         assert self.me is not None
         wanted = self.settings.foundingVaults
         # why: one seed that is cut off or gone from the first moment on must not keep the others from beginning
         if self.ctx.now_us() - self.started_us > FOUND_WAIT_US:
             wanted = min(wanted, len(self.settings.seeds) // 2 + 1)
-        enough = len(self.strangers) >= wanted
+        enough = len(self.candidates) >= wanted
         if self.me.address not in self.settings.seeds or not enough or not self.mayFound:
             return
-        voters = tuple(sorted(self.strangers.values(), key=lambda v: v.name)[: self.settings.foundingVaults])
+        voters = tuple(sorted(self.candidates.values(), key=lambda v: v.name)[: self.settings.foundingVaults])
         mine = Roster(epoch=1, voters=voters).bytes()
         chosen = await self.register.change(key=ROSTER_KEY, decide=lambda data: Ok(data or mine), founding=True)
         # why: a roster counts only once a majority of the seeds hold it, and the first one chosen stays
@@ -260,31 +268,31 @@
             await self._adopt(data=self.register.roster.bytes())
 
     async def drain(self) -> None:
-        """A planned stop: says goodbye, then votes on until a standby, where there is one, has taken its place."""
-        if self.crowd is None:
+        """A planned stop: deregisters, then votes on until a standby, where there is one, has taken its place."""
+        if self.membership is None:
             return
         until_us = self.ctx.now_us() + self.settings.leaveWithinUs
-        await self.crowd.leave()
+        await self.membership.leave()
         # why: with the vote gone before its place is taken, the system would bear one loss less than it is to
         while self.votes and self.standbys() and self.ctx.now_us() < until_us:
-            await self.ctx.rest(wait_us=LEAVE_POLL_US)
+            await self.ctx.sleep(duration_us=LEAVE_POLL_US)
 
     def standbys(self) -> list[str]:
-        """The vaults without a vote that have greeted this one lately, and so may take a place."""
+        """The register replicas without a vote that have greeted this one lately, and so may take a place."""
         if self.roster is None:
             return []
         now_us = self.ctx.now_us()
         return [
             name
-            for name, at_us in sorted(self.greeted_us.items())
-            if now_us - at_us < STANDBY_US and not self.roster.has(ident=self.strangers[name].ident)
+            for name, at_us in sorted(self.join_requested_us.items())
+            if now_us - at_us < STANDBY_US and not self.roster.has(ident=self.candidates[name].ident)
         ]
 
     def present(self) -> list[Voter]:
         """The voters that are not known to be gone."""
-        if self.roster is None or self.crowd is None:
+        if self.roster is None or self.membership is None:
             return []
-        standings = {voter: self.crowd.standing(name=voter.name) for voter in self.roster.voters}
+        standings = {voter: self.membership.standing(name=voter.name) for voter in self.roster.voters}
         return [voter for voter, standing in standings.items() if standing == Standing.alive]
 
     def losses_borne(self) -> int:
--- a/src/cinderstair/consensus/register_view.py
+++ b/src/cinderstair/consensus/register_view.py
@@ -6,9 +6,9 @@
 from expression import Result
 from reactivex.subject import Subject
 
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.errors import CinderstairError
 from .acceptor import ROSTER_KEY
 from .ballot import BLANK, Ballot
 from .register import Found, Register
@@ -20,7 +20,7 @@
 TOGETHER = 64
 
 
-class RegisterView(OwnerMixin):
+class RegisterView(CommandQueueMixin):
     """Owns what a daemon knows of the register. What it says counts only while it is current."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self.ctx.counters.add(name="view.pulls")
         return True
 
-    def take_own(self, *, key: str, result: Result[Found, Fault]) -> None:
+    def take_own(self, *, key: str, result: Result[Found, CinderstairError]) -> None:
         """What we have ourselves written is known without another read."""
         if result.is_ok():
             self._take(key=key, found=result.ok)
@@ -85,7 +85,7 @@
         """Takes a value in; False where it can't be read here, so that the view can't be current."""
         if key == ROSTER_KEY:
             roster = read_roster(data=value)
-            # why: whoever changed the roster may have died before telling the vaults
+            # why: whoever changed the roster may have died before telling the register replicas
             if self.register.roster is None or roster.epoch > self.register.roster.epoch:
                 self.register.learn_roster(roster=roster)
                 self.ctx.spawn(work=self.register.tell_all(roster=roster), name="tell.roster")
--- a/src/cinderstair/consensus/roster.py
+++ b/src/cinderstair/consensus/roster.py
@@ -1,4 +1,4 @@
-"""The roster: which vaults vote."""
+"""The roster: which register replicas vote."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Voter:
-    """A vault by the identity that its disk holds; a blank disk is a new identity."""
+    """A register replica by the identity that its disk holds; a blank disk is a new identity."""
 
     ident: int
     name: str
--- a/src/cinderstair/consensus/store.py
+++ b/src/cinderstair/consensus/store.py
@@ -1,4 +1,4 @@
-"""A vault's disk: two slots written in turn, a short log between."""
+"""A register replica's disk: two slots written in turn, a short log between."""
 
 import struct
 import zlib
@@ -7,8 +7,7 @@
 from expression import Error, Ok, Result
 
 from ..runtime.disk import Disk
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .ballot import read_ballot
@@ -28,7 +27,7 @@
 
 @dataclass(kw_only=True)
 class Held:
-    """All that a vault must not forget."""
+    """All that a register replica must not forget."""
 
     ident: int = 0
     roster: bytes = b""
@@ -80,13 +79,13 @@
         self.log_bytes = 0
         self.torn_bytes = 0
 
-    def open(self) -> Result["Store", Fault]:
+    def open(self) -> Result["Store", CinderstairError]:
         """Reads the state back, cutting a torn tail; damage that may hide a synced entry is an error."""
         newer = self._newer()
         # why: what a later version wrote is not damage, and must stay as it is for that version to read
         if newer:
             why = f"data folder: format {newer}, and {FORMAT} is the newest that is read here; nothing is changed"
-            return Error(Fault(kind=Kind.diskDamaged, why=why))
+            return Error(CinderstairError(code=ErrorCode.DISK_DAMAGED, reason=why))
         slots = [self._read_slot(turn=turn) for turn in (0, 1)]
         if all(slot is None for slot in slots):
             return self._open_without()
@@ -114,7 +113,7 @@
                 formats.append(int(number))
         return max(formats)
 
-    def _open_without(self) -> Result["Store", Fault]:
+    def _open_without(self) -> Result["Store", CinderstairError]:
         raw = [self.disk.read(name=name) for name in (*SLOTS, *LOGS)]
         slot_a, slot_b, log_a, log_b = raw
         # why: the first slot is synced before any log is begun, so a log without a slot means damage;
@@ -188,5 +187,9 @@
             self._turn_over()
 
 
-def damaged(*, why: str) -> Result[Store, Fault]:
-    return Error(Fault(kind=Kind.diskDamaged, why=f"data folder: {why}; replace this vault with a blank one"))
+def damaged(*, why: str) -> Result[Store, CinderstairError]:
+    return Error(
+        CinderstairError(
+            code=ErrorCode.DISK_DAMAGED, reason=f"data folder: {why}; replace this register replica with a blank one"
+        )
+    )
--- a/src/cinderstair/consensus/succession.py
+++ b/src/cinderstair/consensus/succession.py
@@ -1,12 +1,11 @@
-"""One vault takes another's place in the roster, by two changes of one voter each."""
+"""One register replica takes another's place in the roster, by two changes of one voter each."""
 
 from dataclasses import replace
 
 from expression import Error, Ok, Result
 
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from .acceptor import LONGEST_LEASE_US
 from .register import Register
 from .roster import Roster, Voter
@@ -19,10 +18,10 @@
         self.ctx = ctx
         self.register = register
 
-    async def succeed(self, *, leaves: str, enters: Voter, most: int) -> Result[Roster, Fault]:
+    async def succeed(self, *, leaves: str, enters: Voter, most: int) -> Result[Roster, CinderstairError]:
         """`enters` takes the place of the voter named `leaves`, which may have gone already."""
         if not await self.register.find_roster():
-            return Error(Fault(kind=Kind.registerUnreachable, why="no roster"))
+            return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
         roster = self.register.roster
         assert roster is not None
         old = next((v for v in roster.voters if v.name == leaves and v.ident != enters.ident), None)
@@ -37,18 +36,26 @@
             left = await self.register.change_roster(alter=lambda current: without(roster=current, ident=gone))
             if left.is_error():
                 return left
-            self.ctx.log.info("vault %s ident %x has left the roster", old.name, old.ident)
+            self.ctx.log.info("register replica %s ident %x has left the roster", old.name, old.ident)
         roster = self.register.roster
         assert roster is not None
         if roster.has(ident=enters.ident):
             return Ok(roster)
         # why: a stranger takes a place that is free; it can't make the roster larger than it was founded
         if len(roster.voters) >= most:
-            return Error(Fault(kind=Kind.versionTaken, why="the roster is full; name the vault that leaves"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.VERSION_TAKEN, reason="the roster is full; name the register replica that leaves"
+                )
+            )
         # why: it may have voted under an older roster; it discards what it accepted then as it adopts this one, which
         # does not have it, and must have done so before it votes again
         if not await self.register.tell(address=enters.address, roster=roster):
-            return Error(Fault(kind=Kind.registerUnreachable, why=f"{enters.name} does not adopt the roster"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.REGISTER_UNREACHABLE, reason=f"{enters.name} does not adopt the roster"
+                )
+            )
         entered = await self.register.change_roster(
             alter=lambda current: Roster(
                 epoch=current.epoch + 1,
@@ -56,18 +63,18 @@
             )
         )
         if entered.is_ok():
-            self.ctx.log.info("vault %s ident %x has entered the roster", enters.name, enters.ident)
+            self.ctx.log.info("register replica %s ident %x has entered the roster", enters.name, enters.ident)
         return entered
 
-    async def _outwait(self, *, roster: Roster) -> Result[None, Fault]:
+    async def _outwait(self, *, roster: Roster) -> Result[None, CinderstairError]:
         """Waits until every lease that was granted under an earlier roster than this one has run out."""
         # why: once a majority has taken this roster, no majority of an earlier one grants anything any more
         known = await self.register.vector()
         if known.is_error():
             return Error(known.error)
-        await self.ctx.rest(wait_us=LONGEST_LEASE_US)
+        await self.ctx.sleep(duration_us=LONGEST_LEASE_US)
         if self.register.roster != roster:
-            return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
+            return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="another change of roster came first"))
         return Ok(None)
 
 
--- a/src/cinderstair/consensus/voter_watch.py
+++ b/src/cinderstair/consensus/voter_watch.py
@@ -1,15 +1,16 @@
 """Failure detection of voters by a standby, which may take the place of one that is lost."""
 
-from ..membership.crowd import Crowd
 from ..membership.member import Standing
+from ..membership.membership import Membership
 from ..runtime.context import Context
 from .roster import Roster, Voter
 
 
 class VoterWatch:
-    """Owns the moments at which each voter last answered this vault.
+    """Owns the moments at which each voter last answered this register replica.
 
-    A voter's place may be taken at once when it has left by plan, and when it has answered neither this vault for
+    A voter's place may be taken at once when it has left by plan, and when it has answered neither this register
+    replica for
     `lost_after_us` microseconds nor those that were asked for a second opinion. To be wrong about it costs a
     snapshot and no more: the roster's own rule keeps a voter harmless that was only cut off or slow.
     """
@@ -21,7 +22,7 @@
         self.answered_us: dict[str, int] = {}
 
     def answered(self, *, address: str) -> None:
-        """The vault at an address has just answered a greeting."""
+        """The register replica at an address has just answered a greeting."""
         self.answered_us[address] = self.ctx.now_us()
 
     def _silent_us(self, *, voter: Voter) -> int:
@@ -35,20 +36,20 @@
         known, now_us = self.answered_us, self.ctx.now_us()
         self.answered_us = {voter.address: known.get(voter.address, now_us) for voter in roster.voters}
 
-    def doubt(self, *, roster: Roster, crowd: Crowd) -> None:
+    def doubt(self, *, roster: Roster, membership: Membership) -> None:
         """Has the others look for a voter that has been silent for half of the time, so that they know by its end."""
         for voter in roster.voters:
             silent = self._silent_us(voter=voter) > self.lost_after_us // 2
-            if silent and crowd.standing(name=voter.name) == Standing.alive:
-                self.ctx.spawn(work=crowd.check(name=voter.name), name="voter.check")
+            if silent and membership.standing(name=voter.name) == Standing.alive:
+                self.ctx.spawn(work=membership.check(name=voter.name), name="voter.check")
 
-    def replaceable(self, *, roster: Roster, crowd: Crowd) -> Voter | None:
+    def replaceable(self, *, roster: Roster, membership: Membership) -> Voter | None:
         """A voter whose place may be taken now; None where all are there, or where that is not known yet."""
         for voter in roster.voters:
-            if crowd.standing(name=voter.name) == Standing.left:
+            if membership.standing(name=voter.name) == Standing.left:
                 return voter
         for voter in roster.voters:
             silent = self._silent_us(voter=voter) > self.lost_after_us
-            if silent and crowd.standing(name=voter.name) != Standing.alive:
+            if silent and membership.standing(name=voter.name) != Standing.alive:
                 return voter
         return None
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 from ..membership.announcement import GONE, Announcement, read_announcement
-from ..membership.beat import READY
-from ..membership.news import News
+from ..membership.heartbeat import READY
+from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import ANNOUNCE
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import ANNOUNCE
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
@@ -25,18 +25,23 @@
     """
 
     def __init__(
-        self, *, ctx: Context, desk: Desk, news: News[Announcement], voters: Callable[[], tuple[str, ...]]
+        self,
+        *,
+        ctx: Context,
+        dispatcher: Dispatcher,
+        heartbeat_table: HeartbeatTable[Announcement],
+        voters: Callable[[], tuple[str, ...]],
     ) -> None:
         self.ctx = ctx
-        self.news = news
+        self.heartbeat_table = heartbeat_table
         self.voters = voters
         self.spread_states: dict[str, str] = {}
-        desk.open(kind=ANNOUNCE, answer=self._announced)
+        dispatcher.add_handler(message_type=ANNOUNCE, handler=self._announced)
 
     async def _announced(self, unpacker: Unpacker) -> bytes:
         announcement = read_announcement(unpacker=unpacker)
         unpacker.done()
-        self.news.hear(beat=announcement)
+        self.heartbeat_table.receive(heartbeat=announcement)
         return b"\0"
 
     async def spread(self, *, announcement: Announcement) -> bool:
@@ -49,11 +54,11 @@
         voters = self.voters()
         majority = len(voters) // 2 + 1
         pending = {self.ctx.spawn(work=self._tell(address=address, body=body), name="announce") for address in voters}
-        told = 0
-        while pending and told < majority:
+        reported = 0
+        while pending and reported < majority:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            told += sum(task.result() for task in done)
-        if not voters or told < majority:
+            reported += sum(task.result() for task in done)
+        if not voters or reported < majority:
             self.ctx.counters.add(name="announcements.unspread")
             return False
         if len(self.spread_states) >= MOST_SPREAD:
@@ -68,23 +73,23 @@
         return packer.bytes()
 
     async def _tell(self, *, address: str, body: bytes) -> bool:
-        result = await self.ctx.parley.ask(address=address, body=body, wait_us=SPREAD_WAIT_US)
+        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=SPREAD_WAIT_US)
         return result.is_ok()
 
     async def depart(self, *, name: str) -> bool:
-        """Takes a backend's goodbye; whether a majority of the voters holds it."""
-        heard = self.news.latest(name=name)
+        """Takes a backend's deregistration; whether a majority of the voters holds it."""
+        heard = self.heartbeat_table.latest(name=name)
         if heard is None:
-            # why: this daemon may just have begun, while the others know whose goodbye it is
-            await self.news.refresh(peers=self.voters())
-            heard = self.news.latest(name=name)
+            # why: this daemon may just have begun, while the others know whose deregistration it is
+            await self.heartbeat_table.refresh(peers=self.voters())
+            heard = self.heartbeat_table.latest(name=name)
         if heard is None:
             # why: those that pass statements on may remember one that no daemon of control does any more
             known = Announcement(name=name, number=0, service="", address="", site="", state=READY, leads=False)
         else:
-            known = heard.beat
+            known = heard.heartbeat
         if known.state == GONE:
             return await self.spread(announcement=known)
         gone = replace(known, state=GONE, leads=False, number=known.number + 1)
-        self.news.hear(beat=gone)
+        self.heartbeat_table.receive(heartbeat=gone)
         return await self.spread(announcement=gone)
--- a/src/cinderstair/control_plane/orders.py
+++ b/src/cinderstair/control_plane/orders.py
@@ -5,8 +5,7 @@
 from ..config.service_plan import PLAN_KEY, ServicePlan, plan_version, read_service_plan
 from ..consensus.register import Found, Register
 from ..consensus.register_view import RegisterView
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 
 SUBMIT_TRIES = 4
 
@@ -18,14 +17,14 @@
         self.register = register
         self.view = view
 
-    async def submit(self, *, plan: ServicePlan) -> Result[bool, Fault]:
+    async def submit(self, *, plan: ServicePlan) -> Result[bool, CinderstairError]:
         """Puts a checked configuration into the register; True where it changed anything.
 
         The highest version holds: one that is not above it is taken note of and changes nothing. versionTaken: its
         number was acknowledged for another document. registerUnreachable: no majority is in reach.
         """
 
-        def decide(current: bytes) -> Result[bytes, Fault]:
+        def decide(current: bytes) -> Result[bytes, CinderstairError]:
             if not current:
                 return Ok(plan.following(standing=None).bytes())
             standing = read_service_plan(data=current)
@@ -36,31 +35,39 @@
                 return Ok(standing.with_accepted(other=plan).bytes())
             if known != plan.digest:
                 why = f"version {plan.version} has other content; version {standing.version} is in force"
-                return Error(Fault(kind=Kind.versionTaken, why=why))
-            return Error(Fault(kind=Kind.versionOld, why="it was acknowledged before"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=why))
+            return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason="it was acknowledged before"))
 
         if not self.view.current:
-            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
-        result: Result[Found, Fault] = Error(Fault(kind=Kind.registerUnreachable, why="not tried"))
+            return Error(
+                CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
+            )
+        result: Result[Found, CinderstairError] = Error(
+            CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="not tried")
+        )
         for _ in range(SUBMIT_TRIES):
             result = await self.register.change(key=PLAN_KEY, decide=decide)
             if result.is_ok():
                 self.view.take_own(key=PLAN_KEY, result=result)
                 return Ok(plan_version(data=result.ok.value) == plan.version)
             # why: the same version may be put again to the same effect; one that won meanwhile answers for it
-            if result.error.kind == Kind.versionOld:
+            if result.error.code == ErrorCode.VERSION_OLD:
                 return Ok(False)
-            if result.error.kind != Kind.registerUnsure:
+            if result.error.code != ErrorCode.REGISTER_UNSURE:
                 break
         return Error(result.error)
 
-    async def fetch(self) -> Result[bytes, Fault]:
+    async def fetch(self) -> Result[bytes, CinderstairError]:
         """The newest accepted configuration in its operator's own bytes, as a majority holds it."""
         if not self.view.current:
-            return Error(Fault(kind=Kind.registerUnreachable, why="out of touch with the register"))
+            return Error(
+                CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
+            )
         found = await self.register.read(key=PLAN_KEY)
         if found.is_error():
             return Error(found.error)
         if not found.ok.value:
-            return Error(Fault(kind=Kind.noConfiguration, why="no configuration has been accepted yet"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_CONFIGURATION, reason="no configuration has been accepted yet")
+            )
         return Ok(read_service_plan(data=found.ok.value).document)
--- a/src/cinderstair/control_plane/booth_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -1,21 +1,21 @@
-"""Which booths are there and where, when any guildhall last saw each, and how it votes on the next shard map."""
+"""Which proxies are there and where, when any controller last saw each, and how it votes on the next shard map."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..failover.booth_places import BoothPlace
+from ..failover.proxy_addresses import ProxyAddress
 from ..failover.shard_state import Vote
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import BOOTHS, PLACE, PLACES
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import ANNOUNCE_ADDRESS, PROXIES, PROXY_ADDRESSES
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .relay import Relay
 
 WITHIN_US = 30_000_000
 ASK_WAIT_US = 500_000
-# the turn and the phase of a change of the shard map, as a guildhall knows them
+# the turn and the phase of a change of the shard map, as a controller knows them
 Word = tuple[int, int]
 
 
@@ -28,14 +28,14 @@
     vote: Vote
 
 
-class BoothCensus:
-    """Each guildhall knows the booths that ask it; whoever holds a duty asks the others for theirs."""
+class ProxyCensus:
+    """Each controller knows the proxies that ask it; whoever holds a duty asks the others for theirs."""
 
     def __init__(
         self,
         *,
         ctx: Context,
-        desk: Desk,
+        dispatcher: Dispatcher,
         relay: Relay,
         neighbours: Callable[[], list[str]],
         word: Callable[[], Word] = lambda: (0, 0),
@@ -45,16 +45,16 @@
         self.neighbours = neighbours
         self.word = word
         self.words: dict[str, Word] = {}
-        self.booths: dict[str, Seen] = {}
-        self.places: dict[str, tuple[int, BoothPlace]] = {}
-        self.asked_us = self.asked_places_us = -WITHIN_US
-        desk.open(kind=BOOTHS, answer=self._asked)
-        desk.open(kind=PLACE, answer=self._told)
-        desk.open(kind=PLACES, answer=self._places_asked)
-
-    async def _told(self, unpacker: Unpacker) -> bytes:
-        """A booth says where it is; it does so until the table says it as well."""
-        name, place = unpacker.text(), BoothPlace(site=unpacker.text(), records=unpacker.text())
+        self.proxies: dict[str, Seen] = {}
+        self.places: dict[str, tuple[int, ProxyAddress]] = {}
+        self.requested_us = self.asked_places_us = -WITHIN_US
+        dispatcher.add_handler(message_type=PROXIES, handler=self._asked)
+        dispatcher.add_handler(message_type=ANNOUNCE_ADDRESS, handler=self._reported)
+        dispatcher.add_handler(message_type=PROXY_ADDRESSES, handler=self._places_asked)
+
+    async def _reported(self, unpacker: Unpacker) -> bytes:
+        """A proxy says where it is; it does so until the table says it as well."""
+        name, place = unpacker.text(), ProxyAddress(site=unpacker.text(), records=unpacker.text())
         unpacker.done()
         self.places[name] = (self.ctx.now_us(), place)
         return b"\0"
@@ -67,13 +67,13 @@
 
         turn, phase = self.word()
         packer = Packer().many(values=self.relay.seen(within_us=WITHIN_US), each=write)
-        # why: at the end, where a guildhall that knows nothing of it does not look
+        # why: at the end, where a controller that knows nothing of it does not look
         return packer.u64(value=turn).u8(value=phase).bytes()
 
-    def told(self, *, word: Word) -> bool:
-        """Whether every other guildhall has this word and has since named the booths that it sees.
+    def reported(self, *, word: Word) -> bool:
+        """Whether every other controller has this word and has since named the proxies that it sees.
 
-        Before that, one of them may tell a booth that nobody else knows of an older word.
+        Before that, one of them may tell a proxy that nobody else knows of an older word.
         """
         return all(self.words.get(address) == word for address in self.neighbours())
 
@@ -82,7 +82,7 @@
         now_us = self.ctx.now_us()
         self._forget(now_us=now_us)
 
-        def write(packer: Packer, entry: tuple[str, tuple[int, BoothPlace]]) -> None:
+        def write(packer: Packer, entry: tuple[str, tuple[int, ProxyAddress]]) -> None:
             name, (at_us, place) = entry
             packer.text(value=name).u64(value=now_us - at_us).text(value=place.site).text(value=place.records)
 
@@ -92,25 +92,27 @@
         self.places = {name: entry for name, entry in self.places.items() if now_us - entry[0] <= WITHIN_US}
 
     def _take(self, *, name: str, seen: Seen) -> None:
-        known = self.booths.get(name)
+        known = self.proxies.get(name)
         if known is None or seen.at_us > known.at_us:
-            self.booths[name] = seen
+            self.proxies[name] = seen
 
     async def gather(self, *, every_us: int) -> dict[str, Seen]:
-        """What is known of all booths; the other guildhalls are asked no more often than given."""
+        """What is known of all proxies; the other controllers are asked no more often than given."""
         now_us = self.ctx.now_us()
         for name, age_us, turn, vote in self.relay.seen(within_us=WITHIN_US):
             self._take(name=name, seen=Seen(at_us=now_us - age_us, turn=turn, vote=vote))
-        if now_us - self.asked_us >= every_us:
-            self.asked_us = now_us
+        if now_us - self.requested_us >= every_us:
+            self.requested_us = now_us
             await self._ask(now_us=now_us)
-        self.booths = {name: seen for name, seen in self.booths.items() if now_us - seen.at_us < 2 * WITHIN_US}
-        return self.booths
+        self.proxies = {name: seen for name, seen in self.proxies.items() if now_us - seen.at_us < 2 * WITHIN_US}
+        return self.proxies
 
     async def _ask(self, *, now_us: int) -> None:
-        body = Packer().u8(value=BOOTHS).bytes()
+        body = Packer().u8(value=PROXIES).bytes()
         addresses = self.neighbours()
-        asks = [self.ctx.parley.ask(address=address, body=body, wait_us=ASK_WAIT_US) for address in addresses]
+        asks = [
+            self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US) for address in addresses
+        ]
         for address, result in zip(addresses, await asyncio.gather(*asks), strict=True):
             if result.is_error():
                 continue
@@ -126,13 +128,15 @@
                 # why: the answer may have lain anywhere since the asking, so its age counts from there
                 self._take(name=name, seen=Seen(at_us=now_us - age_us, turn=turn, vote=vote))
 
-    async def gather_places(self, *, every_us: int) -> dict[str, BoothPlace]:
-        """Where booths said lately that they are; the other guildhalls are asked no more often than given."""
+    async def gather_places(self, *, every_us: int) -> dict[str, ProxyAddress]:
+        """Where proxies said lately that they are; the other controllers are asked no more often than given."""
         now_us = self.ctx.now_us()
         if now_us - self.asked_places_us >= every_us:
             self.asked_places_us = now_us
-            body = Packer().u8(value=PLACES).bytes()
-            asks = [self.ctx.parley.ask(address=a, body=body, wait_us=ASK_WAIT_US) for a in self.neighbours()]
+            body = Packer().u8(value=PROXY_ADDRESSES).bytes()
+            asks = [
+                self.ctx.peer_client.request(address=a, body=body, wait_us=ASK_WAIT_US) for a in self.neighbours()
+            ]
             for result in await asyncio.gather(*asks):
                 if result.is_ok():
                     self._take_places(data=result.ok, now_us=now_us)
@@ -141,14 +145,14 @@
 
     def _take_places(self, *, data: bytes, now_us: int) -> None:
         try:
-            told = Unpacker(data=data).many(each=_read_place)
+            reported = Unpacker(data=data).many(each=_read_place)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
-        for name, age_us, place in told:
+        for name, age_us, place in reported:
             if name not in self.places or now_us - age_us > self.places[name][0]:
                 self.places[name] = (now_us - age_us, place)
 
 
-def _read_place(unpacker: Unpacker) -> tuple[str, int, BoothPlace]:
-    return unpacker.text(), unpacker.u64(), BoothPlace(site=unpacker.text(), records=unpacker.text())
+def _read_place(unpacker: Unpacker) -> tuple[str, int, ProxyAddress]:
+    return unpacker.text(), unpacker.u64(), ProxyAddress(site=unpacker.text(), records=unpacker.text())
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -1,4 +1,4 @@
-"""Answers booths: all that changed since they last asked, and how old this guildhall's knowledge is."""
+"""Answers proxies: all that changed since they last asked, and how old this controller's knowledge is."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from ..consensus.register_view import RegisterView
 from ..failover.shard_state import Vote
 from ..membership.announcement import GONE, Announcement
-from ..membership.news import News
+from ..membership.heartbeat_table import HeartbeatTable
 from ..membership.relay_record import (
     RelayAnswer,
     RelayedBackend,
@@ -14,12 +14,12 @@
     read_relay_question,
 )
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import RELAY
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import RELAY
 from ..runtime.unpacker import Unpacker
 from .sample_board import SampleBoard
 
-TICK_US = 100_000
+TIMER_PERIOD_US = 100_000
 FORGET_US = 30_000_000
 KEEP_US = 60_000_000
 Shorten = Callable[[str, bytes], bytes]
@@ -32,69 +32,69 @@
         self,
         *,
         ctx: Context,
-        desk: Desk,
+        dispatcher: Dispatcher,
         view: RegisterView,
-        news: News[Announcement],
-        guildhalls: Callable[[], tuple[str, ...]],
-        on_trouble: Callable[[str, str], None],
+        heartbeat_table: HeartbeatTable[Announcement],
+        controllers: Callable[[], tuple[str, ...]],
+        on_link_failure: Callable[[str, str], None],
         shorten: Shorten,
     ) -> None:
         self.ctx = ctx
         self.view = view
-        self.news = news
-        self.guildhalls = guildhalls
-        self.on_trouble = on_trouble
+        self.heartbeat_table = heartbeat_table
+        self.controllers = controllers
+        self.on_link_failure = on_link_failure
         self.shorten = shorten
-        self.source = ctx.luck.getrandbits(62) | 1
+        self.source = ctx.rng.getrandbits(62) | 1
         self.edition = 1
         self.board = SampleBoard(ctx=ctx)
         self.value_editions: dict[str, int] = {}
         self.backends: dict[str, tuple[int, RelayedBackend]] = {}
-        self.booths: dict[str, tuple[int, int, Vote]] = {}
-        self.told: tuple[str, ...] = ()
-        self.told_edition = 0
-        desk.open(kind=RELAY, answer=self.answer)
+        self.proxies: dict[str, tuple[int, int, Vote]] = {}
+        self.reported: tuple[str, ...] = ()
+        self.reported_edition = 0
+        dispatcher.add_handler(message_type=RELAY, handler=self.answer)
         view.changes.subscribe(self._value_changed)
-        ctx.ticks(every_us=TICK_US).subscribe(lambda _: self.look())
+        ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.look())
 
     def _value_changed(self, key: str) -> None:
         self.edition += 1
         self.value_editions[key] = self.edition
 
     def look(self) -> None:
-        """Takes from the news what booths have to know; a beat that says nothing new is none of it."""
+        """Takes from the news what proxies have to know; a heartbeat that says nothing new is none of it."""
         now_us = self.ctx.now_us()
         self.board.look()
-        for name, heard in list(self.news.best.items()):
-            beat = heard.beat
-            if beat.state == GONE and now_us - heard.born_us > FORGET_US:
+        for name, heard in list(self.heartbeat_table.best.items()):
+            heartbeat = heard.heartbeat
+            if heartbeat.state == GONE and now_us - heard.born_us > FORGET_US:
                 continue
-            quiet = self.news.quiet(name=name)
+            quiet = self.heartbeat_table.quiet(name=name)
             known = self.backends.get(name)
-            if known is not None and known[1].quiet == quiet and same(known[1].announcement, beat):
+            if known is not None and known[1].quiet == quiet and same(known[1].announcement, heartbeat):
                 continue
             self.edition += 1
-            self.backends[name] = (self.edition, RelayedBackend(announcement=beat, quiet=quiet))
+            self.backends[name] = (self.edition, RelayedBackend(announcement=heartbeat, quiet=quiet))
         for name, (_, entry) in list(self.backends.items()):
-            if entry.announcement.state == GONE and self.news.age_us(name=name) > FORGET_US:
+            if entry.announcement.state == GONE and self.heartbeat_table.age_us(name=name) > FORGET_US:
                 del self.backends[name]
-        if self.guildhalls() != self.told:
+        if self.controllers() != self.reported:
             self.edition += 1
-            self.told, self.told_edition = self.guildhalls(), self.edition
+            self.reported, self.reported_edition = self.controllers(), self.edition
 
     async def answer(self, unpacker: Unpacker) -> bytes:
         question = read_relay_question(unpacker=unpacker)
         if question.brief:
-            # why: whoever looks for the nearest guildhall asks them all, and is none of the booths of most
+            # why: whoever looks for the nearest controller asks them all, and is none of the proxies of most
             return RelayAnswer(
                 source=self.source, edition=self.edition, age_us=self._age_us(), whole=False, site=self.ctx.site
             ).bytes()
-        self.booths[question.booth] = (self.ctx.now_us(), question.turn, question.vote)
+        self.proxies[question.proxy] = (self.ctx.now_us(), question.turn, question.vote)
         for name in question.troubled:
-            self.on_trouble(name, question.booth)
+            self.on_link_failure(name, question.proxy)
         same_life = question.source == self.source
         if same_life:
-            # why: moments that another life of this guildhall has given out say nothing by this one's clock
+            # why: moments that another life of this controller has given out say nothing by this one's clock
             self.board.tell(samples=question.samples)
         whole = not same_life or question.edition > self.edition
         since = 0 if whole else question.edition
@@ -112,7 +112,7 @@
             whole=whole,
             values=values,
             backends=backends,
-            guildhalls=self.told if whole or self.told_edition > since else (),
+            controllers=self.reported if whole or self.reported_edition > since else (),
             answered_us=self.ctx.now_us(),
             samples=self.board.given(wanted=question.wanted, known=same_life),
             ask=self.board.missing(wanted=question.wanted),
@@ -125,18 +125,18 @@
         return RelayedValue(key=key, ballot=found.ballot, value=self.shorten(key, found.value))
 
     def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
-        """The booths that asked lately: how long ago, and how they vote on which proposal of a shard map."""
+        """The proxies that asked lately: how long ago, and how they vote on which proposal of a shard map."""
         now_us = self.ctx.now_us()
-        self.booths = {name: entry for name, entry in self.booths.items() if now_us - entry[0] < KEEP_US}
+        self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry[0] < KEEP_US}
         return [
             (name, now_us - at_us, turn, vote)
-            for name, (at_us, turn, vote) in self.booths.items()
+            for name, (at_us, turn, vote) in self.proxies.items()
             if now_us - at_us <= within_us
         ]
 
 
 def same(one: Announcement, other: Announcement) -> bool:
-    """Whether two announcements say the same of everything that booths act on."""
+    """Whether two announcements say the same of everything that proxies act on."""
     return (one.state, one.leads, one.address, one.service) == (
         other.state,
         other.leads,
--- a/src/cinderstair/control_plane/sample_board.py
+++ b/src/cinderstair/control_plane/sample_board.py
@@ -1,8 +1,8 @@
-"""The newest sample of each primary's position that booths have told, for the booths that read of it."""
+"""The newest sample of each primary's position that proxies have told, for the proxies that read of it."""
 
 from dataclasses import dataclass
 
-from ..membership.pooled_sample import ASK_AFTER_US, PooledSample, ToldSample, WantedSample
+from ..membership.pooled_sample import ASK_AFTER_US, PooledSample, ReportedSample, WantedSample
 from ..runtime.context import Context
 from ..runtime.position import Position
 
@@ -27,8 +27,8 @@
         self.entries: dict[str, BoardEntry] = {}
         self.sent_us: dict[str, int] = {}
 
-    def tell(self, *, samples: tuple[ToldSample, ...]) -> None:
-        """Takes what a booth has seen, if its moments are by this process's clock."""
+    def tell(self, *, samples: tuple[ReportedSample, ...]) -> None:
+        """Takes what a proxy has seen, if its moments are by this process's clock."""
         now_us = self.ctx.now_us()
         for sample in samples:
             # why: a moment to come is no moment of this clock, or this clock has stood still
--- a/src/cinderstair/control_plane/shard_desk.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -6,29 +6,28 @@
 from expression import Error, Ok, Result
 
 from ..config.service_plan import ServicePlan
-from ..config.shard_check import shard_map_troubles
+from ..config.shard_check import shard_map_problems
 from ..config.shard_map import ShardMap, check_shard_map
 from ..consensus.register import Register
-from ..failover.shard_duty import ShardDuty
+from ..failover.shard_map_coordinator import ShardMapCoordinator
 from ..failover.shard_state import SHARDS_KEY, read_shard_state
-from ..runtime.desk import Desk
-from ..runtime.desks import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .status_text import describe
 
 
-class ShardDesk:
+class ShardMapHandler:
     """Answers operators' records. `planned`: where a database goes by the plan; `brings`: whether data can move."""
 
     def __init__(
         self,
         *,
-        desk: Desk,
+        dispatcher: Dispatcher,
         register: Register,
-        shards: ShardDuty,
+        shards: ShardMapCoordinator,
         plan: Callable[[], ServicePlan | None],
         planned: Callable[[str], str],
         brings: Callable[[], bool],
@@ -38,10 +37,10 @@
         self.plan = plan
         self.planned = planned
         self.brings = brings
-        desk.open(kind=SHARDS, answer=self._asked)
-        desk.open(kind=SHARDS_PLAN, answer=self._planned_only)
-        desk.open(kind=SHARDS_ABANDON, answer=self._abandoned)
-        desk.open(kind=SHARDS_PROGRESS, answer=self._progress)
+        dispatcher.add_handler(message_type=SHARDS, handler=self._asked)
+        dispatcher.add_handler(message_type=SHARDS_PLAN, handler=self._planned_only)
+        dispatcher.add_handler(message_type=SHARDS_ABANDON, handler=self._abandoned)
+        dispatcher.add_handler(message_type=SHARDS_PROGRESS, handler=self._progress)
 
     async def _asked(self, unpacker: Unpacker) -> bytes:
         """An operator's shard map, or no bytes for a word on the one that stands; answered by a kind and words."""
@@ -50,24 +49,26 @@
         if not raw:
             found = await self.register.read(key=SHARDS_KEY)
             if found.is_error():
-                return Packer().text(value=found.error.kind.value).text(value=found.error.why).bytes()
+                return Packer().text(value=found.error.code.value).text(value=found.error.reason).bytes()
             return Packer().text(value="").text(value=describe(state=read_shard_state(data=found.ok.value))).bytes()
         checked = self._checked(raw=raw)
         result = Error(checked.error) if checked.is_error() else await self.shards.propose(wanted=checked.ok)
-        return answered(result=result, words="put to the booths")
+        return answered(result=result, words="put to the proxies")
 
-    def _checked(self, *, raw: bytes) -> Result[ShardMap, Fault]:
+    def _checked(self, *, raw: bytes) -> Result[ShardMap, CinderstairError]:
         """An operator's map, held against the configuration and the map that stand."""
         checked = check_shard_map(raw=raw)
         if checked.is_error():
             return checked
         plan = self.plan()
         if plan is None:
-            return Error(Fault(kind=Kind.noConfiguration, why="no configuration has been accepted yet"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_CONFIGURATION, reason="no configuration has been accepted yet")
+            )
         text, current = raw.decode(errors="replace"), self.shards.state.current
-        troubles = shard_map_troubles(text=text, wanted=checked.ok, current=current, plan=plan)
-        if troubles:
-            return Error(Fault(kind=Kind.brokenConfiguration, why="\n".join(troubles)))
+        problems = shard_map_problems(text=text, wanted=checked.ok, current=current, plan=plan)
+        if problems:
+            return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason="\n".join(problems)))
         return checked
 
     async def _planned_only(self, unpacker: Unpacker) -> bytes:
@@ -79,7 +80,7 @@
             return answered(result=checked, words="")
         wanted, current = checked.ok, self.shards.state.current
         if wanted.version <= current.version:
-            fault = Fault(kind=Kind.versionOld, why=f"version {current.version} stands")
+            fault = CinderstairError(code=ErrorCode.VERSION_OLD, reason=f"version {current.version} stands")
             return answered(result=Error(fault), words="")
         lines = []
         for database, service in sorted(wanted.places.items()):
@@ -107,8 +108,8 @@
         return packer.bytes()
 
 
-def answered(*, result: Result[Any, Fault], words: str) -> bytes:
+def answered(*, result: Result[Any, CinderstairError], words: str) -> bytes:
     """An operator's answer: a kind, empty where all is well, and words."""
     if result.is_error():
-        return Packer().text(value=result.error.kind.value).text(value=result.error.why).bytes()
+        return Packer().text(value=result.error.code.value).text(value=result.error.reason).bytes()
     return Packer().text(value="").text(value=words).bytes()
--- a/src/cinderstair/failover/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -7,7 +7,7 @@
 from expression import Result
 
 from ..membership.announcement import Announcement
-from ..runtime.fault import Fault
+from ..runtime.errors import CinderstairError
 from ..runtime.position import Position
 
 
@@ -27,15 +27,19 @@
     A fault's detail `ended` is 1 where the backend is surely not there: its port refuses, or another answers there.
     """
 
-    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]: ...
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]: ...
 
-    async def pause(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+    async def pause(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
         """Keeps a copy from receiving anything below this term."""
         ...
 
-    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]: ...
+    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]: ...
 
-    async def step_down(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+    async def step_down(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
         """Turns a primary of a lower term into a copy."""
         ...
 
@@ -43,7 +47,7 @@
 class Promoter(Protocol):
     async def promote(
         self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
-    ) -> Result[None, Fault]:
+    ) -> Result[None, CinderstairError]:
         """Has the backend lead. noBackend: it is not running; any other error may be tried again.
 
         `holds` is asked right before the call leaves: a holder that stood still meanwhile must not send it.
--- a/src/cinderstair/failover/lead.py
+++ b/src/cinderstair/failover/database_primary.py
@@ -9,12 +9,12 @@
 STATES = (SETTLED, CLOSING, MOVING)
 
 
-def lead_key(*, database: str) -> str:
+def database_primary_key(*, database: str) -> str:
     return f"lead/{database}"
 
 
 @dataclass(frozen=True, kw_only=True)
-class Lead:
+class DatabasePrimary:
     """The value of a database's lead key.
 
     closing: settled, and about to move as planned; what is open may finish, nothing new begins.
@@ -29,7 +29,7 @@
     primary: str
     incarnation: int
     state: str
-    inSync: tuple[str, ...] = ()
+    in_sync: tuple[str, ...] = ()
     joining: tuple[str, ...] = ()
     heirs: tuple[str, ...] = ()
     planned: bool = False
@@ -41,28 +41,28 @@
 
     @property
     def confirmers(self) -> tuple[str, ...]:
-        return (*self.inSync, *self.joining)
+        return (*self.in_sync, *self.joining)
 
     def bytes(self) -> bytes:
         packer = Packer().u64(value=self.term).text(value=self.primary).u64(value=self.incarnation)
         packer.u8(value=STATES.index(self.state)).u8(value=int(self.planned))
-        for names in (self.inSync, self.joining, self.heirs):
+        for names in (self.in_sync, self.joining, self.heirs):
             packer.many(values=names, each=lambda p, n: p.text(value=n))
         return packer.bytes()
 
 
-def read_lead(*, data: bytes) -> Lead:
+def read_database_primary(*, data: bytes) -> DatabasePrimary:
     unpacker = Unpacker(data=data)
     term, primary, incarnation = unpacker.u64(), unpacker.text(), unpacker.u64()
     state, planned = STATES[min(unpacker.u8(), len(STATES) - 1)], bool(unpacker.u8())
-    inSync, joining, heirs = (tuple(unpacker.many(each=lambda u: u.text())) for _ in range(3))
+    in_sync, joining, heirs = (tuple(unpacker.many(each=lambda u: u.text())) for _ in range(3))
     unpacker.done()
-    return Lead(
+    return DatabasePrimary(
         term=term,
         primary=primary,
         incarnation=incarnation,
         state=state,
-        inSync=inSync,
+        in_sync=in_sync,
         joining=joining,
         heirs=heirs,
         planned=planned,
--- a/src/cinderstair/failover/platform.py
+++ b/src/cinderstair/failover/platform.py
@@ -3,7 +3,7 @@
 import json
 
 from ..runtime.context import Context
-from ..runtime.httpjob import HttpJob
+from ..runtime.http_request import HttpRequest
 
 DIAL_WAIT_US = 500_000
 PROMOTE_WAIT_US = 3_000_000
@@ -21,8 +21,8 @@
         if dialled.is_error():
             return False
         body = json.dumps({"database": database, "backend": backend, "term": term}).encode()
-        result = await dialled.ok.pass_job(
-            job=HttpJob(method="POST", path="/promote", body=body), wait_us=PROMOTE_WAIT_US
+        result = await dialled.ok.send_request(
+            request=HttpRequest(method="POST", path="/promote", body=body), wait_us=PROMOTE_WAIT_US
         )
         dialled.ok.close()
         self.ctx.counters.add(name="promotions.asked")
--- /dev/null
+++ b/src/cinderstair/failover/proxy_id_reclaimer.py
@@ -0,0 +1,69 @@
+"""The duty of freeing the slots of HTTP proxies that are gone for good."""
+
+from expression import Error, Ok, Result
+
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..http_frontend.view import View
+from ..membership.member import Standing
+from ..membership.membership import Membership
+from ..runtime.command_queue import CommandQueueMixin
+from ..runtime.context import Context
+from ..runtime.errors import CinderstairError, ErrorCode
+from .proxy_ids import PROXY_IDS_KEY, read_proxy_ids
+
+TIMER_PERIOD_US = 1_000_000
+GRACE_US = 30_000_000
+PROXY_ID_LEASE = "slots"
+
+
+class ProxyIdReclaimer(CommandQueueMixin):
+    """An HTTP proxy takes its slot itself; only this duty takes one away, after a time of grace."""
+
+    def __init__(
+        self, *, ctx: Context, register: Register, view: View, membership: Membership, grace_us: int = GRACE_US
+    ) -> None:
+        self.ctx = ctx
+        self.register = register
+        self.view = view
+        self.membership = membership
+        self.grace_us = grace_us
+        self.lease = Lease(ctx=ctx, register=register, duty=PROXY_ID_LEASE, seekers=lambda: len(view.proxy_ids.names))
+        self.gone_since_us: dict[str, int] = {}
+        self.open_queue()
+        self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
+
+    async def claim(self, *, name: str) -> None:
+        """Takes the lowest free id, or the one that stood under this name before."""
+        result = await self.register.change(
+            key=PROXY_IDS_KEY, decide=lambda data: Ok(read_proxy_ids(data=data).with_name(name=name).bytes())
+        )
+        self.view.take_own(key=PROXY_IDS_KEY, result=result)
+
+    async def _on_timer(self) -> None:
+        if self.lease.due:
+            await self.lease.seek()
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
+            self.gone_since_us.clear()
+            return
+        now_us = self.ctx.now_us()
+        for _, name in self.view.proxy_ids.names:
+            standing = self.membership.standing(name=name)
+            if standing is not None and standing <= Standing.suspect:
+                self.gone_since_us.pop(name, None)
+            elif now_us - self.gone_since_us.setdefault(name, now_us) > self.grace_us:
+                await self._free(name=name)
+
+    async def _free(self, *, name: str) -> None:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
+            proxy_ids = read_proxy_ids(data=data)
+            if proxy_ids.id_of(name=name) is None:
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="freed already"))
+            return Ok(proxy_ids.without(name=name).bytes())
+
+        result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
+        self.view.take_own(key=PROXY_IDS_KEY, result=result)
+        self.gone_since_us.pop(name, None)
+        if result.is_ok():
+            self.ctx.counters.add(name="slots.freed")
+            self.ctx.log.info("slot of %s is free", name)
--- a/src/cinderstair/failover/promotion_duty.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -12,19 +12,18 @@
 from ..consensus.register import Found, Register
 from ..consensus.register_view import RegisterView
 from ..membership.announcement import GONE, Announcement
-from ..membership.beat import READY
-from ..membership.news import Heard, News
+from ..membership.heartbeat import READY
+from ..membership.heartbeat_table import HeartbeatTable, ReceivedHeartbeat
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.position import Position
 from .backend_control import BackendControl, BackendState, Promoter
 from .departures import Departures, Opinions
-from .service_lead import PREFIX, LeadState, ServiceLead, read_service_lead, service_lead_key
+from .service_primary import PREFIX, PrimaryState, ServicePrimary, read_service_primary, service_primary_key
 
-TICK_US = 100_000
-PROMOTION_DUTY = "promotion"
+TIMER_PERIOD_US = 100_000
+SERVICE_FAILOVER_LEASE = "promotion"
 FENCE_KEY = "promotion.fence"
 PROBE_WAIT_US = 400_000
 PAUSE_WAIT_US = 500_000
@@ -43,7 +42,7 @@
 CONFIRMED_AT_ONCE = 8
 FORGET_US = 25_000_000
 EXPECTED_US = 1_400_000
-Ask = Coroutine[Any, Any, Result[BackendState, Fault]]
+Ask = Coroutine[Any, Any, Result[BackendState, CinderstairError]]
 
 
 class Fenced(NamedTuple):
@@ -54,7 +53,7 @@
     position: Position
 
 
-class PromotionDuty(OwnerMixin):
+class ServiceFailover(CommandQueueMixin):
     """Every step is a compare-and-set on the service's lead, so two holders at once do no harm.
 
     Before another backend is placed so many copies are paused that the old primary can have no further commit
@@ -67,7 +66,7 @@
         ctx: Context,
         register: Register,
         view: RegisterView,
-        news: News[Announcement],
+        heartbeat_table: HeartbeatTable[Announcement],
         control: BackendControl,
         promoter: Promoter,
         opinions: Opinions,
@@ -76,15 +75,15 @@
         self.ctx = ctx
         self.register = register
         self.view = view
-        self.news = news
+        self.heartbeat_table = heartbeat_table
         self.control = control
         self.promoter = promoter
         self.opinions = opinions
-        # why: every booth's view that is older than a write has run out this long after the write
+        # why: every proxy's view that is older than a write has run out this long after the write
         self.outwait_us = lease_us + lease_us // 10
-        self.lease = Lease(ctx=ctx, register=register, duty=PROMOTION_DUTY, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, duty=SERVICE_FAILOVER_LEASE, seekers=lambda: 3)
         self.plan: ServicePlan | None = None
-        self.leads: dict[str, ServiceLead] = {}
+        self.leads: dict[str, ServicePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.stopped_us: dict[str, int] = {}
         self.terms: dict[str, int] = {}
@@ -94,7 +93,7 @@
         self.reasons: dict[str, str] = {}
         self.fenced: set[str] = set()
         self.paused: dict[str, set[str]] = {}
-        self.departures = Departures(ctx=ctx, news=news, control=control, opinions=opinions)
+        self.departures = Departures(ctx=ctx, heartbeat_table=heartbeat_table, control=control, opinions=opinions)
         # why: a new holder confirms every lead, and all at once they would hold up every view
         self.confirming = 0
         self.resuming: set[str] = set()
@@ -102,7 +101,7 @@
         self.fence_number = 0
         view.changes.subscribe(self._changed)
         self.open_queue()
-        self.every(every_us=TICK_US, command=self._tick, name="promotion")
+        self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="promotion")
 
     def _changed(self, key: str) -> None:
         found = self.view.known.get(key)
@@ -112,10 +111,10 @@
             self.plan = read_service_plan(data=found.value)
         elif key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
-            lead, before = read_service_lead(data=found.value), self.leads.get(service)
+            lead, before = read_service_primary(data=found.value), self.leads.get(service)
             # why: from the first word on that is not settled, views that let anybody at the primary run out
             # why: and a settled word that was missed between two others lets them run anew
-            if before is None or before.state == LeadState.settled or lead.turn > before.turn + 1:
+            if before is None or before.state == PrimaryState.settled or lead.turn > before.turn + 1:
                 self.stopped_us[service] = self.ctx.now_us()
             self.leads[service] = lead
             self.lead_since_us[service] = self.ctx.now_us()
@@ -123,9 +122,9 @@
     def suspect(self, *, name: str) -> None:
         """Somebody found a backend silent or gone; whoever holds the duty looks for itself."""
         self.suspects_us.setdefault(name, self.ctx.now_us())
-        self.post(command=self._tick, once="promotion")
+        self.post(command=self._on_timer, once="promotion")
 
-    async def _tick(self) -> None:
+    async def _on_timer(self) -> None:
         if self.lease.due:
             held = self.lease.held
             if await self.lease.seek() and not held:
@@ -145,7 +144,7 @@
     async def _take_fence(self) -> bool:
         """A number above that of every holder before this one."""
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             return Ok((int.from_bytes(data, "big") + 1).to_bytes(8, "big"))
 
         result = await self.register.change(key=FENCE_KEY, decide=decide)
@@ -153,7 +152,7 @@
             self.fence_number = int.from_bytes(result.ok.value, "big")
         return result.is_ok()
 
-    async def _confirm(self, *, service: str, lead: ServiceLead) -> None:
+    async def _confirm(self, *, service: str, lead: ServicePrimary) -> None:
         """Writes a standing lead once more, after which copies that were paused may receive again."""
         # why: a move whose write was cut short could still come to be; this write shuts it out for good
         self.confirming += 1
@@ -165,7 +164,7 @@
             self.fenced.discard(service)
             self.paused[service] = {each.name for each in self._members(service=service)} - {lead.primary}
 
-    async def _resume(self, *, service: str, lead: ServiceLead) -> None:
+    async def _resume(self, *, service: str, lead: ServicePrimary) -> None:
         """Has paused copies receive again, each until it says so, and an old primary give way."""
         try:
             members = [each for each in self._members(service=service) if each.name in self.paused[service]]
@@ -177,25 +176,29 @@
                 if resumed.is_ok():
                     self.paused[service].discard(each.name)
             if self.paused[service]:
-                await self.ctx.rest(wait_us=RESUME_US)
+                await self.ctx.sleep(duration_us=RESUME_US)
         finally:
             self.resuming.discard(service)
 
     def _members(self, *, service: str) -> list[Announcement]:
         """Every backend of a service that may hold acknowledged commits, in the order of names."""
-        at: dict[str, Heard[Announcement]] = {}
-        for name, heard in sorted(self.news.best.items()):
-            if heard.beat.service != service or heard.beat.state == GONE or self.news.age_us(name=name) >= FORGET_US:
+        at: dict[str, ReceivedHeartbeat[Announcement]] = {}
+        for name, heard in sorted(self.heartbeat_table.best.items()):
+            if (
+                heard.heartbeat.service != service
+                or heard.heartbeat.state == GONE
+                or self.heartbeat_table.age_us(name=name) >= FORGET_US
+            ):
                 continue
             # why: the log of a backend that was replaced has passed to the one that came to its address
-            other = at.get(heard.beat.address)
+            other = at.get(heard.heartbeat.address)
             if other is None or heard.born_us > other.born_us:
-                at[heard.beat.address] = heard
-        return sorted((heard.beat for heard in at.values()), key=lambda beat: beat.name)
+                at[heard.heartbeat.address] = heard
+        return sorted((heard.heartbeat for heard in at.values()), key=lambda heartbeat: heartbeat.name)
 
     def _member(self, *, name: str) -> Announcement | None:
-        heard = self.news.latest(name=name)
-        return None if heard is None else heard.beat
+        heard = self.heartbeat_table.latest(name=name)
+        return None if heard is None else heard.heartbeat
 
     def _say(self, *, service: str, reason: str) -> None:
         if self.reasons.get(service) != reason:
@@ -208,15 +211,15 @@
             if self.ctx.now_us() < self.not_before_us.get(service.name, 0):
                 return
             lead = self.leads.get(service.name)
-            if lead is not None and lead.state == LeadState.settled:
+            if lead is not None and lead.state == PrimaryState.settled:
                 self.departures.settle(
                     service=service.name,
                     primary=self._member(name=lead.primary),
-                    copies=self._members(service=service.name),
+                    replicas=self._members(service=service.name),
                 )
             if lead is None:
                 await self._first(service=service)
-            elif lead.state == LeadState.moving:
+            elif lead.state == PrimaryState.moving:
                 await self._finish(service=service, lead=lead)
             elif reason := await self._must_move(service=service, lead=lead):
                 await self._move(service=service, lead=lead, reason=reason)
@@ -225,12 +228,12 @@
             elif self.paused.get(service.name) and service.name not in self.resuming:
                 self.resuming.add(service.name)
                 self.ctx.spawn(work=self._resume(service=service.name, lead=lead), name="resume")
-            elif lead.state == LeadState.closing:
-                await self._put(service=service.name, old=lead, new=replace(lead, state=LeadState.settled))
+            elif lead.state == PrimaryState.closing:
+                await self._put(service=service.name, old=lead, new=replace(lead, state=PrimaryState.settled))
         finally:
             self.tending.discard(service.name)
 
-    async def _put(self, *, service: str, old: ServiceLead | None, new: ServiceLead) -> bool:
+    async def _put(self, *, service: str, old: ServicePrimary | None, new: ServicePrimary) -> bool:
         """The one way in which a lead changes: from exactly what this holder saw, while it holds the lease."""
         if not self.lease.held:
             return False
@@ -238,13 +241,13 @@
         if old is not None and new != old:
             new = replace(new, turn=old.turn + 1)
 
-        def decide(current: bytes) -> Result[bytes, Fault]:
+        def decide(current: bytes) -> Result[bytes, CinderstairError]:
             if current != before and current != new.bytes():
-                return Error(Fault(kind=Kind.versionTaken, why="the lead changed meanwhile"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="the lead changed meanwhile"))
             return Ok(new.bytes())
 
-        key = service_lead_key(service=service)
-        result: Result[Found, Fault] = await self.register.change(key=key, decide=decide)
+        key = service_primary_key(service=service)
+        result: Result[Found, CinderstairError] = await self.register.change(key=key, decide=decide)
         if result.is_ok():
             self.ctx.log.info("%s: term %d %s %s", service, new.term, new.state.name, new.primary)
             self.view.take_own(key=key, result=result)
@@ -280,23 +283,23 @@
             self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
             return
         name = max(leading, key=lambda each: leading[each].term)
-        lead = ServiceLead(term=leading[name].term, primary=name, state=LeadState.settled)
+        lead = ServicePrimary(term=leading[name].term, primary=name, state=PrimaryState.settled)
         await self._put(service=service.name, old=None, new=lead)
 
-    async def _must_move(self, *, service: Service, lead: ServiceLead) -> str:
+    async def _must_move(self, *, service: Service, lead: ServicePrimary) -> str:
         """Why the lead can't stay; empty where it can."""
         name = lead.primary
         member = self._member(name=name)
         if member is None:
             # why: one that was never heard of since this daemon began may still be about to beat
-            if self.ctx.now_us() - self.lead_since_us[service.name] < self.news.quiet_us * 2:
+            if self.ctx.now_us() - self.lead_since_us[service.name] < self.heartbeat_table.quiet_us * 2:
                 return ""
             return "is not known"
         if member.state == GONE:
-            # why: some say goodbye first and serve on; one that leads yet is to step down, and loses nobody's commits
+            # why: some deregister first and serve on; one that leads yet is to step down, and loses nobody's commits
             state = await self.control.state(backend=member, wait_us=PROBE_WAIT_US)
             return "is emptying" if state.is_ok() and state.ok.leads else "is gone"
-        quiet = self.news.quiet(name=name) and self.news.hearing
+        quiet = self.heartbeat_table.quiet(name=name) and self.heartbeat_table.hearing
         if member.state != READY:
             # why: one that leaves may die before it has stepped down, and then nobody can ask it to
             dead = quiet or name in self.suspects_us
@@ -311,21 +314,21 @@
         return reason
 
     async def _examine(self, *, member: Announcement, quiet: bool) -> str:
-        own, (reached, asked) = await asyncio.gather(
+        own, (reached, requested) = await asyncio.gather(
             self.control.state(backend=member, wait_us=PROBE_WAIT_US), self.opinions(member.name)
         )
         self.ctx.counters.add(name="promotion.examined")
         if own.is_ok():
             return "" if own.ok.leads else "does not lead"
-        # why: silent is not dead; one that takes connections is waited for until its beats are missed too
-        if own.error.kind != Kind.wireUnsent and not quiet:
+        # why: silent is not dead; one that takes connections is waited for until its heartbeats are missed too
+        if own.error.code != ErrorCode.WIRE_UNSENT and not quiet:
             return ""
         # why: whether a primary is gone is judged by what most see, since the holder may be the one that is cut off
-        if 2 * (asked - reached + 1) <= asked + 1:
+        if 2 * (requested - reached + 1) <= requested + 1:
             return ""
-        return "is gone" if own.error.kind == Kind.wireUnsent else "is silent"
+        return "is gone" if own.error.code == ErrorCode.WIRE_UNSENT else "is silent"
 
-    async def _move(self, *, service: Service, lead: ServiceLead, reason: str) -> None:
+    async def _move(self, *, service: Service, lead: ServicePrimary, reason: str) -> None:
         self._say(service=service.name, reason=f"{lead.primary} {reason}")
         self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
         members = self._members(service=service.name)
@@ -347,10 +350,10 @@
         if fenced is None:
             return
         term, best, fence = fenced
-        moving = ServiceLead(
+        moving = ServicePrimary(
             term=term,
             primary=best,
-            state=LeadState.moving,
+            state=PrimaryState.moving,
             fence=fence,
             # why: a stop that took longer than whole moves do leaves no guess but soon
             ready_in_us=max(0, max(self.move_us, self.outwait_us) - (self.ctx.now_us() - began_us)),
@@ -361,8 +364,8 @@
             await self._finish(service=service, lead=self.leads[service.name])
 
     async def _stop_primary(
-        self, *, service: Service, lead: ServiceLead, old: Announcement, others: list[Announcement]
-    ) -> tuple[ServiceLead, Fenced] | None:
+        self, *, service: Service, lead: ServicePrimary, old: Announcement, others: list[Announcement]
+    ) -> tuple[ServicePrimary, Fenced] | None:
         """Has a primary that is alive step down; it holds all that it ever acknowledged, and so does who has as much.
 
         None: it goes on as it was, since nobody could take its place now.
@@ -377,23 +380,23 @@
             if now is None:
                 self.suspects_us.setdefault(lead.primary, self.ctx.now_us())
             self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
-            if lead.state == LeadState.closing:
-                await self._put(service=service.name, old=lead, new=replace(lead, state=LeadState.settled))
+            if lead.state == PrimaryState.closing:
+                await self._put(service=service.name, old=lead, new=replace(lead, state=PrimaryState.settled))
             return None
-        if lead.state == LeadState.settled and now.leads:
-            closing = replace(lead, state=LeadState.closing, ready_in_us=self.move_us, planned=True)
+        if lead.state == PrimaryState.settled and now.leads:
+            closing = replace(lead, state=PrimaryState.closing, ready_in_us=self.move_us, planned=True)
             if not await self._put(service=service.name, old=lead, new=closing):
                 return None
             lead = self.leads[service.name]
             # why: what the primary was given already may end, and nothing more comes once the word is out
-            await self.ctx.rest(wait_us=CLOSING_US)
+            await self.ctx.sleep(duration_us=CLOSING_US)
         term = max([lead.term, now.term_held, *(state.term_held for state in states.values())]) + 1
         stepped = await self.control.step_down(backend=old, term=term, wait_us=PAUSE_WAIT_US)
         if stepped.is_error() or stepped.ok.leads:
             self._say(service=service.name, reason=f"{lead.primary} does not step down")
             self.not_before_us[service.name] = self.ctx.now_us() + STEP_AGAIN_US
-            if lead.state == LeadState.closing:
-                await self._put(service=service.name, old=lead, new=replace(lead, state=LeadState.settled))
+            if lead.state == PrimaryState.closing:
+                await self._put(service=service.name, old=lead, new=replace(lead, state=PrimaryState.settled))
             return None
         fence = stepped.ok.received
         until_us = self.ctx.now_us() + FOLLOW_US
@@ -405,12 +408,12 @@
             full = {name: state for name, state in states.items() if state.received >= fence}
             if full or self.ctx.now_us() > until_us:
                 break
-            await self.ctx.rest(wait_us=POLL_US // 2)
+            await self.ctx.sleep(duration_us=POLL_US // 2)
         best = max(sorted(full), key=lambda name: full[name].received) if full else lead.primary
         return lead, Fenced(term=term, best=best, position=max(fence, full[best].received) if full else fence)
 
     async def _heir(
-        self, *, lead: ServiceLead, old: Announcement | None, others: list[Announcement]
+        self, *, lead: ServicePrimary, old: Announcement | None, others: list[Announcement]
     ) -> Fenced | None:
         """Who has a primary's log from it, at its address, and leads with it; None where there is nobody such."""
         if old is None or old.state != GONE:
@@ -422,7 +425,7 @@
                 return Fenced(term=state.term, best=name, position=state.received)
         return None
 
-    async def _fence(self, *, service: Service, lead: ServiceLead, others: list[Announcement]) -> Fenced | None:
+    async def _fence(self, *, service: Service, lead: ServicePrimary, others: list[Announcement]) -> Fenced | None:
         """Pauses copies until the old primary can have nothing confirmed; None where too few can be paused."""
         term = max(lead.term, self.terms.get(service.name, 0)) + 1
         self.fenced.add(service.name)
@@ -450,10 +453,10 @@
         )
         return None
 
-    async def _finish(self, *, service: Service, lead: ServiceLead) -> None:
+    async def _finish(self, *, service: Service, lead: ServicePrimary) -> None:
         """From moving to settled: promote, see it lead, and outwait every older view."""
         since_us = self.lead_since_us[service.name]
-        asked_us = -PROMOTE_AGAIN_US
+        requested_us = -PROMOTE_AGAIN_US
         reached_us = self.ctx.now_us()
         taken = False
         while True:
@@ -461,8 +464,8 @@
                 return
             member = self._member(name=lead.primary)
             now_us = self.ctx.now_us()
-            if not taken and now_us - asked_us >= PROMOTE_AGAIN_US:
-                asked_us = now_us
+            if not taken and now_us - requested_us >= PROMOTE_AGAIN_US:
+                requested_us = now_us
                 result = await self.promoter.promote(
                     service=service.name,
                     backend=lead.primary,
@@ -471,24 +474,24 @@
                 )
                 taken = result.is_ok()
                 if result.is_error():
-                    self.ctx.log.warning("%s: %s not promoted: %s", service.name, lead.primary, result.error.why)
-                if result.is_error() and result.error.kind == Kind.noBackend:
+                    self.ctx.log.warning("%s: %s not promoted: %s", service.name, lead.primary, result.error.reason)
+                if result.is_error() and result.error.code == ErrorCode.NO_BACKEND:
                     await self._supersede(service=service, lead=lead)
                     return
             state = None if member is None else await self.control.state(backend=member, wait_us=PROBE_WAIT_US)
             if state is not None and state.is_ok() and state.ok.leads:
                 break
-            if state is not None and (state.is_ok() or state.error.kind != Kind.wireUnsent):
+            if state is not None and (state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT):
                 reached_us = self.ctx.now_us()
             lost = self.ctx.now_us() - reached_us > LOST_US or (member is not None and member.state == GONE)
             if lost or self.ctx.now_us() - since_us > GIVE_UP_US:
                 await self._supersede(service=service, lead=lead)
                 return
-            await self.ctx.rest(wait_us=POLL_US)
+            await self.ctx.sleep(duration_us=POLL_US)
         wait_us = self.stopped_us[service.name] + self.outwait_us - self.ctx.now_us()
         if wait_us > 0:
-            await self.ctx.rest(wait_us=wait_us)
-        settled = ServiceLead(term=state.ok.term, primary=lead.primary, state=LeadState.settled)
+            await self.ctx.sleep(duration_us=wait_us)
+        settled = ServicePrimary(term=state.ok.term, primary=lead.primary, state=PrimaryState.settled)
         if await self._put(service=service.name, old=lead, new=settled):
             self.fenced.discard(service.name)
             self.paused[service.name] = {each.name for each in self._members(service=service.name)} - {lead.primary}
@@ -497,7 +500,7 @@
             self.move_us += (took_us - self.move_us) // 2
             self.ctx.counters.gauge(name="promotion.last_move_us", value=took_us)
 
-    async def _supersede(self, *, service: Service, lead: ServiceLead) -> None:
+    async def _supersede(self, *, service: Service, lead: ServicePrimary) -> None:
         """The one placed does not come to lead. Another that holds everything takes its place, in a later term."""
         self.not_before_us[service.name] = self.ctx.now_us() + RETRY_US
         members = [each for each in self._members(service=service.name) if each.name != lead.primary]
--- a/src/cinderstair/failover/service_lead.py
+++ b/src/cinderstair/failover/service_primary.py
@@ -8,7 +8,7 @@
 from ..runtime.unpacker import Unpacker
 
 
-class LeadState(IntEnum):
+class PrimaryState(IntEnum):
     """settled: the primary serves. closing: open transactions may end, nothing begins. moving: nobody serves."""
 
     settled = 0
@@ -19,12 +19,12 @@
 PREFIX = "service/"
 
 
-def service_lead_key(*, service: str) -> str:
+def service_primary_key(*, service: str) -> str:
     return PREFIX + service
 
 
 @dataclass(frozen=True, kw_only=True)
-class ServiceLead:
+class ServicePrimary:
     """The register's word on a service.
 
     `fence`, while moving, is at or past every commit that was ever acknowledged; the one placed holds it.
@@ -34,7 +34,7 @@
 
     term: int
     primary: str
-    state: LeadState
+    state: PrimaryState
     fence: Position = START
     ready_in_us: int = 0
     planned: bool = False
@@ -46,13 +46,13 @@
         return packer.u8(value=int(self.planned)).u64(value=self.turn).bytes()
 
 
-def read_service_lead(*, data: bytes) -> ServiceLead:
+def read_service_primary(*, data: bytes) -> ServicePrimary:
     """Raises ValueError where the bytes are none."""
     unpacker = Unpacker(data=data)
-    lead = ServiceLead(
+    lead = ServicePrimary(
         term=unpacker.u64(),
         primary=unpacker.text(),
-        state=LeadState(unpacker.u8()),
+        state=PrimaryState(unpacker.u8()),
         fence=Position(unpacker.u64(), unpacker.u64()),
         ready_in_us=unpacker.u64(),
         planned=bool(unpacker.u8()),
--- a/src/cinderstair/failover/shard_duty.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -1,4 +1,4 @@
-"""The duty of bringing in a new shard map: agreed on by enough booths, then taken by all together."""
+"""The duty of bringing in a new shard map: agreed on by enough proxies, then taken by all together."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -10,10 +10,10 @@
 from ..consensus.lease import Lease
 from ..consensus.register import Found, Register
 from ..consensus.register_view import RegisterView
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.errors import CinderstairError, ErrorCode
+from .proxy_ids import PROXY_IDS_KEY, read_proxy_ids
 from .shard_forecast import ShardForecast, forecast
 from .shard_progress import ShardProgress
 from .shard_state import (
@@ -26,10 +26,9 @@
     Vote,
     read_shard_state,
 )
-from .slots import SLOTS_KEY, read_slots
 
-TICK_US = 150_000
-SHARD_DUTY = "shards"
+TIMER_PERIOD_US = 150_000
+SHARD_MAP_LEASE = "shards"
 SEEN_US = 3_000_000
 PROPOSED_MOST_US = 30_000_000
 CLOSING_MOST_US = 5_000_000
@@ -38,7 +37,7 @@
 
 
 class Ballots(Protocol):
-    """What is known of one booth's vote."""
+    """What is known of one proxy's vote."""
 
     @property
     def at_us(self) -> int: ...
@@ -62,7 +61,7 @@
 Planned = Callable[[str], str]
 
 
-class ShardDuty(OwnerMixin):
+class ShardMapCoordinator(CommandQueueMixin):
     """Every step is a compare-and-set on the shards' key. A step that can't be done goes back to the old map."""
 
     def __init__(
@@ -72,7 +71,7 @@
         register: Register,
         view: RegisterView,
         census: Census,
-        told: Callable[[ShardState], bool],
+        reported: Callable[[ShardState], bool],
         planned: Planned,
         handover: Handover | None,
         lease_us: int,
@@ -82,12 +81,12 @@
         self.register = register
         self.view = view
         self.census = census
-        self.told = told
+        self.reported = reported
         self.planned = planned
         self.handover = handover
         self.lease_us = lease_us
         self.under_way_us = under_way_us
-        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_DUTY, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: 3)
         self.state = ShardState()
         self.since_us = 0
         self.reason = ""
@@ -95,7 +94,7 @@
         self.handover_us = 0
         view.changes.subscribe(self._changed)
         self.open_queue()
-        self.every(every_us=TICK_US, command=self._tick, name="shards")
+        self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="shards")
 
     def _changed(self, key: str) -> None:
         found = self.view.known.get(key)
@@ -103,18 +102,24 @@
             self.state = read_shard_state(data=found.value)
             self.since_us = self.ctx.now_us()
 
-    async def propose(self, *, wanted: ShardMap) -> Result[None, Fault]:
-        """Puts a checked map to the booths. versionOld, versionTaken: another stands, or is on its way."""
+    async def propose(self, *, wanted: ShardMap) -> Result[None, CinderstairError]:
+        """Puts a checked map to the proxies. versionOld, versionTaken: another stands, or is on its way."""
         if self.handover is None:
             why = "nothing here brings a database's data to another place"
-            return Error(Fault(kind=Kind.routeDenied, why=why))
+            return Error(CinderstairError(code=ErrorCode.ROUTE_DENIED, reason=why))
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             state = read_shard_state(data=data)
             if state.phase != ShardPhase.steady and state.following != wanted:
-                return Error(Fault(kind=Kind.versionTaken, why=f"version {state.following.version} is on its way"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.VERSION_TAKEN, reason=f"version {state.following.version} is on its way"
+                    )
+                )
             if wanted.version <= state.current.version and wanted != state.current:
-                return Error(Fault(kind=Kind.versionOld, why=f"version {state.current.version} stands"))
+                return Error(
+                    CinderstairError(code=ErrorCode.VERSION_OLD, reason=f"version {state.current.version} stands")
+                )
             # why: the same map may be put again, by whoever had no clear answer the first time
             if wanted in (state.current, state.following):
                 return Ok(data)
@@ -131,20 +136,26 @@
         self.view.take_own(key=SHARDS_KEY, result=result)
         return Error(result.error) if result.is_error() else Ok(None)
 
-    async def abandon(self, *, version: int) -> Result[None, Fault]:
+    async def abandon(self, *, version: int) -> Result[None, CinderstairError]:
         """Gives a change up, proposed or closing, before anything was taken over. versionOld: there is none."""
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             state = read_shard_state(data=data)
             if state.phase == ShardPhase.steady:
                 # why: whoever had no clear answer the first time may ask again
                 if state.why == ABANDONED and state.current.version < version:
                     return Ok(data)
                 return Error(
-                    Fault(kind=Kind.versionOld, why=f"map {state.current.version} stands, no other is coming")
+                    CinderstairError(
+                        code=ErrorCode.VERSION_OLD, reason=f"map {state.current.version} stands, no other is coming"
+                    )
                 )
             if state.following.version != version:
-                return Error(Fault(kind=Kind.versionTaken, why=f"version {state.following.version} is on its way"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.VERSION_TAKEN, reason=f"version {state.following.version} is on its way"
+                    )
+                )
             new = replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, why=ABANDONED)
             return Ok(new.bytes())
 
@@ -156,18 +167,18 @@
         return Ok(None)
 
     async def progress(self) -> ShardProgress:
-        """Where a change stands, and how those booths vote that have a slot."""
+        """Where a change stands, and how those proxies vote that have a slot."""
         state = self.state
-        booths, named = await self.census(), self._named()
-        votes = {vote: len(self._votes(booths=booths, vote=vote) & named) for vote in Vote}
-        heard = {name for name, seen in booths.items() if self.ctx.now_us() - seen.at_us < SEEN_US}
+        proxies, named = await self.census(), self._named()
+        votes = {vote: len(self._votes(proxies=proxies, vote=vote) & named) for vote in Vote}
+        heard = {name for name, seen in proxies.items() if self.ctx.now_us() - seen.at_us < SEEN_US}
         return ShardProgress(state=state, named=len(named), unheard=len(named - heard), votes=votes)
 
     async def forecast(self) -> ShardForecast:
         progress = await self.progress()
         outwait_us = self.lease_us + self.lease_us // 10 + GIVE_UP_US + self.under_way_us
         return forecast(
-            booths=progress.named,
+            proxies=progress.named,
             silent=progress.unheard,
             outwait_us=outwait_us,
             goes_back_us=outwait_us + CLOSING_MOST_US,
@@ -178,14 +189,14 @@
     async def _put(self, *, old: ShardState, new: ShardState) -> bool:
         """`old` is the word that the step was decided on, and not what may have come in since."""
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             if read_shard_state(data=data) not in (old, new):
-                return Error(Fault(kind=Kind.versionTaken, why="the shard map changed meanwhile"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="the shard map changed meanwhile"))
             return Ok(new.bytes())
 
         if not self.lease.held:
             return False
-        result: Result[Found, Fault] = await self.register.change(key=SHARDS_KEY, decide=decide)
+        result: Result[Found, CinderstairError] = await self.register.change(key=SHARDS_KEY, decide=decide)
         self.view.take_own(key=SHARDS_KEY, result=result)
         if result.is_ok():
             self.ctx.log.info(
@@ -193,7 +204,7 @@
             )
         return result.is_ok()
 
-    async def _tick(self) -> None:
+    async def _on_timer(self) -> None:
         # why: with one map and no other there is nothing to do, and nobody need hold the duty
         if self.state.phase == ShardPhase.steady:
             if self.lease.held:
@@ -207,32 +218,32 @@
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
         state = self.state
-        booths = await self.census()
+        proxies = await self.census()
         # why: whatever is awaited, another holder's step may come in, and a step rests on one word alone
         if state != self.state:
             return
         if state.phase == ShardPhase.proposed:
-            await self._count(state=state, booths=booths)
+            await self._count(state=state, proxies=proxies)
         elif state.phase == ShardPhase.closing:
-            await self._move(state=state, booths=booths)
+            await self._move(state=state, proxies=proxies)
 
     @property
     def outwait_us(self) -> int:
         """After so long nothing that left under the older word takes effect any more, whoever sent it."""
         return self.lease_us + self.lease_us // 10 + GIVE_UP_US + self.state.under_way_us
 
-    def _votes(self, *, booths: dict[str, Ballots], vote: Vote) -> set[str]:
-        """The booths that were seen lately and say this of the next map."""
+    def _votes(self, *, proxies: dict[str, Ballots], vote: Vote) -> set[str]:
+        """The proxies that were seen lately and say this of the next map."""
         now_us, turn = self.ctx.now_us(), self.state.turn
         return {
             name
-            for name, seen in booths.items()
+            for name, seen in proxies.items()
             if now_us - seen.at_us < SEEN_US and seen.turn == turn and seen.vote == vote
         }
 
     def _named(self) -> set[str]:
-        found = self.view.known.get(SLOTS_KEY)
-        return {name for _, name in read_slots(data=b"" if found is None else found.value).names}
+        found = self.view.known.get(PROXY_IDS_KEY)
+        return {name for _, name in read_proxy_ids(data=b"" if found is None else found.value).names}
 
     async def _back(self, *, state: ShardState, why: str) -> None:
         self.reason = why
@@ -241,32 +252,32 @@
         new = ShardState(current=state.current, turn=state.turn, under_way_us=state.under_way_us, why=why)
         await self._put(old=state, new=new)
 
-    async def _count(self, *, state: ShardState, booths: dict[str, Ballots]) -> None:
-        """From proposed to closing, once enough of all booths that have a slot agree."""
+    async def _count(self, *, state: ShardState, proxies: dict[str, Ballots]) -> None:
+        """From proposed to closing, once enough of all proxies that have a slot agree."""
         named = self._named()
-        agree = self._votes(booths=booths, vote=Vote.agrees) & named
+        agree = self._votes(proxies=proxies, vote=Vote.agrees) & named
         if named and 100 * len(agree) >= state.following.agree_percent * len(named):
-            # why: a booth that has not heard of it by then has lost its right to end what it had begun
+            # why: a proxy that has not heard of it by then has lost its right to end what it had begun
             if self.ctx.now_us() - self.since_us >= UNTOLD_US:
                 await self._put(old=state, new=replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_US))
         elif self.ctx.now_us() - self.since_us > PROPOSED_MOST_US:
-            await self._back(state=state, why=f"{len(agree)} of {len(named)} booths agree")
+            await self._back(state=state, why=f"{len(agree)} of {len(named)} proxies agree")
 
-    async def _move(self, *, state: ShardState, booths: dict[str, Ballots]) -> None:
+    async def _move(self, *, state: ShardState, proxies: dict[str, Ballots]) -> None:
         """From closing to steady under the new map, once nobody writes at the old places any more."""
         began_us = self.since_us
         waited_us = self.ctx.now_us() - began_us
-        closed = self._votes(booths=booths, vote=Vote.closed)
-        # why: a booth that says that it has closed writes there no more; one that says nothing, named or not, has
+        closed = self._votes(proxies=proxies, vote=Vote.closed)
+        # why: a proxy that says that it has closed writes there no more; one that says nothing, named or not, has
         # lost its right to by then, since its view of the register has run out
-        unheard = {name for name, seen in booths.items() if self.ctx.now_us() - seen.at_us < SEEN_US} - closed
-        # why: a guildhall that does not know of the closing yet may let a booth begin that nobody else has seen
-        all_closed = self.told(state) and not unheard and self._named() <= closed
+        unheard = {name for name, seen in proxies.items() if self.ctx.now_us() - seen.at_us < SEEN_US} - closed
+        # why: a controller that does not know of the closing yet may let a proxy begin that nobody else has seen
+        all_closed = self.reported(state) and not unheard and self._named() <= closed
         if not all_closed and waited_us < self.outwait_us:
             return
-        asked_us = self.ctx.now_us()
+        requested_us = self.ctx.now_us()
         complete = await self._complete(state=state)
-        self.handover_us = self.ctx.now_us() - asked_us
+        self.handover_us = self.ctx.now_us() - requested_us
         if complete:
             new = ShardState(current=state.following, turn=state.turn, under_way_us=state.under_way_us)
             if await self._put(old=state, new=new):
--- a/src/cinderstair/failover/shard_progress.py
+++ b/src/cinderstair/failover/shard_progress.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardProgress:
-    """`named` booths have a slot, `unheard` of them were not heard lately; `votes` are of the others."""
+    """`named` proxies have a slot, `unheard` of them were not heard lately; `votes` are of the others."""
 
     state: ShardState
     named: int
@@ -22,5 +22,5 @@
         said = ", ".join(f"{self.votes.get(vote, 0)} {vote.name}" for vote in Vote if vote != Vote.silent)
         return (
             f"{state.phase.name}: map {state.following.version} after {state.current.version}; "
-            f"of {self.named} booths {said}, {self.unheard} unheard"
+            f"of {self.named} proxies {said}, {self.unheard} unheard"
         )
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -8,15 +8,15 @@
 from ..runtime.unpacker import Unpacker
 
 SHARDS_KEY = "shards"
-# why: a booth that has heard nothing lately ends what may end within this time, so a proposal stands at least as long
+# why: a proxy that has heard nothing lately ends what may end within this time, so a proposal stands at least as long
 UNTOLD_US = 2_000_000
-# why: a booth that must stop gives up by then what is not answered, so whoever waits for it adds this
+# why: a proxy that must stop gives up by then what is not answered, so whoever waits for it adds this
 GIVE_UP_US = 500_000
 UNDER_WAY_US = 3_000_000
 
 
 class ShardPhase(IntEnum):
-    """steady: one map. proposed: a next one is put to the booths. closing: its databases take no writes anywhere."""
+    """steady: one map. proposed: a next one is put to the proxies. closing: its databases take no writes anywhere."""
 
     steady = 0
     proposed = 1
@@ -24,7 +24,7 @@
 
 
 class Vote(IntEnum):
-    """What a booth says of the next map."""
+    """What a proxy says of the next map."""
 
     silent = 0
     agrees = 1
--- a/src/cinderstair/failover/windowduty.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -5,43 +5,42 @@
 from ..consensus.lease import Lease
 from ..consensus.register import Register
 from ..http_frontend.view import View
-from ..maintenance.windowstates import WINDOWS_KEY, read_window_states
+from ..maintenance.window_states import WINDOWS_KEY, read_window_states
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.errors import CinderstairError, ErrorCode
 
-TICK_US = 500_000
-WINDOW_DUTY = "windows"
+TIMER_PERIOD_US = 500_000
+WINDOW_LEASE = "windows"
 
 
-class WindowDuty(OwnerMixin):
-    """Stalls act on the stages and never on their own clocks, so that all act on the same word."""
+class WindowScheduler(CommandQueueMixin):
+    """HTTP proxies act on the stages and never on their own clocks, so that all act on the same word."""
 
     def __init__(self, *, ctx: Context, register: Register, view: View) -> None:
         self.ctx = ctx
         self.register = register
         self.view = view
-        self.lease = Lease(ctx=ctx, register=register, duty=WINDOW_DUTY, seekers=lambda: len(view.slots.names))
+        self.lease = Lease(ctx=ctx, register=register, duty=WINDOW_LEASE, seekers=lambda: len(view.proxy_ids.names))
         self.open_queue()
-        self.every(every_us=TICK_US, command=self._tick, name="windows")
+        self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="windows")
 
-    async def _tick(self) -> None:
+    async def _on_timer(self) -> None:
         if self.lease.due:
             await self.lease.seek()
-        charter = self.view.charter
-        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or charter is None:
+        configuration = self.view.configuration
+        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or configuration is None:
             return
         wall_us = self.ctx.wall_us()
-        wanted = self.view.window_states.turned(windows=charter.windows, wall_us=wall_us)
+        wanted = self.view.window_states.turned(windows=configuration.windows, wall_us=wall_us)
         if wanted == self.view.window_states:
             return
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             # why: another holder's clock may have turned a window meanwhile, and its word stands
-            turned = read_window_states(data=data).turned(windows=charter.windows, wall_us=wall_us)
+            turned = read_window_states(data=data).turned(windows=configuration.windows, wall_us=wall_us)
             if turned.bytes() == data:
-                return Error(Fault(kind=Kind.versionTaken, why="turned already"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="turned already"))
             return Ok(turned.bytes())
 
         result = await self.register.change(key=WINDOWS_KEY, decide=decide)
--- /dev/null
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -0,0 +1,55 @@
+"""Whether this HTTP proxy reaches any backend at all, though the news call some of them fit."""
+
+from ..membership.heartbeat_table import HeartbeatTable
+from ..runtime.command_queue import CommandQueueMixin
+from ..runtime.context import Context
+from .connection_pools import ConnectionPools
+from .position_query import query_position
+
+LOOK_EVERY_US = 500_000
+BLIND_US = 4_000_000
+
+
+class BackendReachability(CommandQueueMixin):
+    """Owns the time of the last answer from any backend.
+
+    An HTTP proxy that sees none neither serves nor leads duties.
+    """
+
+    def __init__(self, *, ctx: Context, connection_pools: ConnectionPools, heartbeat_table: HeartbeatTable) -> None:
+        self.ctx = ctx
+        self.connection_pools = connection_pools
+        self.heartbeat_table = heartbeat_table
+        self.seen_us = ctx.now_us()
+        self.looked_us = ctx.now_us()
+        self.open_queue()
+        self.every(every_us=LOOK_EVERY_US, command=self._look, name="sight")
+
+    @property
+    def blind(self) -> bool:
+        # why: a process that stood still has seen nothing meanwhile, which is no sign of anything
+        return self.looked_us - self.seen_us > BLIND_US
+
+    def seen(self) -> None:
+        self.seen_us = max(self.seen_us, self.ctx.now_us())
+
+    async def _look(self) -> None:
+        now_us = self.ctx.now_us()
+        if now_us - self.looked_us > 2 * LOOK_EVERY_US:
+            self.seen_us += now_us - self.looked_us
+        self.looked_us = now_us
+        fit = [
+            name
+            for name in self.connection_pools.pools
+            if self.heartbeat_table.fit(name=name) and self.connection_pools.open(name=name)
+        ]
+        # why: where the news call nobody fit there is nobody to be seen
+        if not fit:
+            self.seen()
+        elif now_us - self.seen_us > LOOK_EVERY_US:
+            self.ctx.spawn(work=self._ask(name=self.ctx.rng.choice(fit)), name="sight.ask")
+
+    async def _ask(self, *, name: str) -> None:
+        reading = await query_position(connection_pools=self.connection_pools, name=name)
+        if reading.is_ok():
+            self.seen()
--- a/src/cinderstair/http_frontend/ledgerbook.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -3,25 +3,25 @@
 import asyncio
 
 from ..runtime.context import Context
+from .connection_pools import ConnectionPools
+from .replica_watermark import ReplicaWatermark
 from .view import View
-from .waterline import Waterline
-from .yard import Yard
 
 LOOK_AGAIN_US = 50_000
 
 
-class LedgerBook:
+class CommitWatermarks:
     """Says of a position in a term whether all that must hold it do."""
 
-    def __init__(self, *, ctx: Context, view: View, yard: Yard) -> None:
+    def __init__(self, *, ctx: Context, view: View, connection_pools: ConnectionPools) -> None:
         self.ctx = ctx
         self.view = view
-        self.yard = yard
-        self.lines: dict[str, Waterline] = {}
+        self.connection_pools = connection_pools
+        self.lines: dict[str, ReplicaWatermark] = {}
 
-    def line(self, *, name: str) -> Waterline:
+    def line(self, *, name: str) -> ReplicaWatermark:
         if name not in self.lines:
-            self.lines[name] = Waterline(ctx=self.ctx, yard=self.yard, name=name)
+            self.lines[name] = ReplicaWatermark(ctx=self.ctx, connection_pools=self.connection_pools, name=name)
         return self.lines[name]
 
     def holds(self, *, database: str, term: int) -> bool:
@@ -31,7 +31,7 @@
 
     async def durable(self, *, database: str, term: int, position: int, until_us: int) -> bool:
         """Waits until every in-sync and joining replica holds the position and the term is still in force."""
-        asked: set[str] = set()
+        requested: set[str] = set()
         while True:
             lead = self.view.lead(database=database)
             # why: once another term has begun, nothing of this one may be acknowledged any more
@@ -41,21 +41,21 @@
                 name for name in lead.confirmers if not self.line(name=name).covers(term=term, position=position)
             ]
             # why: with nobody in sync a commit would stand on one disk alone
-            if lead.inSync and not missing and self.view.current:
+            if lead.in_sync and not missing and self.view.current:
                 return True
             left_us = until_us - self.ctx.now_us()
             if left_us <= 0:
                 return False
             for name in missing:
-                if name not in asked or not self.line(name=name).asking:
-                    asked.add(name)
+                if name not in requested or not self.line(name=name).asking:
+                    requested.add(name)
                     self.line(name=name).want(term=term, position=position)
             await self._change(names=missing, wait_us=min(left_us, LOOK_AGAIN_US))
 
     async def _change(self, *, names: list[str], wait_us: int) -> None:
         waits = [self.ctx.spawn(work=self._one(name=name, wait_us=wait_us), name="line") for name in names]
         if not waits:
-            await self.ctx.rest(wait_us=wait_us)
+            await self.ctx.sleep(duration_us=wait_us)
             return
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
 
--- a/src/cinderstair/http_frontend/yard.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -1,41 +1,41 @@
-"""All of a stall's pools, sized by the share."""
+"""All of an HTTP proxy's pools, sized by the share."""
 
 from collections.abc import Iterable
 
 from ..config.backend import Backend
-from ..failover.lead import Lead
-from ..membership.news import QUIET_US, News
+from ..failover.database_primary import DatabasePrimary
+from ..membership.heartbeat_table import QUIET_US, HeartbeatTable
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.ownermixin import OwnerMixin
 from .pool import Pool
-from .share import allotment, with_replacements
+from .subsetting import allotment, with_replacements
 from .view import View
 
-TICK_US = 250_000
-# why: growth waits until every stall has either shrunk or lost its view, so the cap holds in between
+TIMER_PERIOD_US = 250_000
+# why: growth waits until every HTTP proxy has either shrunk or lost its view, so the cap holds in between
 GROW_MARGIN_US = 300_000
 UNFIT_GRACE_US = 3_000_000
 
 
-class Yard(OwnerMixin):
+class ConnectionPools(CommandQueueMixin):
     """Owns the pools. The share is computed here, only when the list, the ids or fitness change."""
 
-    def __init__(self, *, ctx: Context, view: View, news: News, queueMost: int) -> None:
+    def __init__(self, *, ctx: Context, view: View, heartbeat_table: HeartbeatTable, queueMost: int) -> None:
         self.ctx = ctx
         self.view = view
-        self.news = news
+        self.heartbeat_table = heartbeat_table
         self.queueMost = queueMost
         self.pools: dict[str, Pool] = {}
         self.shares: dict[str, tuple[str, ...]] = {}
         self.unfit_since_us: dict[str, int] = {}
         self.grow_at_us: dict[str, int] = {}
         self.wanted: dict[str, int] = {}
-        self.led: dict[str, Lead] = {}
+        self.led: dict[str, DatabasePrimary] = {}
         self.computed = 0
         self.inputs: object = None
         self.open_queue()
         view.changes.subscribe(lambda _: self.post(command=self.refresh, once="refresh"))
-        self.every(every_us=TICK_US, command=self.refresh, name="refresh")
+        self.every(every_us=TIMER_PERIOD_US, command=self.refresh, name="refresh")
 
     def pool(self, *, name: str) -> Pool | None:
         return self.pools.get(name)
@@ -49,41 +49,41 @@
         # why: what a window empties keeps what it still leads, until the lead has moved, and gets nothing else
         if name in self.view.leaving.backends and not self._leads(name=name):
             return False
-        return pool is not None and pool.limit > 0 and self.news.fit(name=name) and not pool.shunned
+        return pool is not None and pool.limit > 0 and self.heartbeat_table.fit(name=name) and not pool.shunned
 
     def _leads(self, *, name: str) -> bool:
         return any(lead.primary == name for lead in self.view.leads.values())
 
     def open(self, *, name: str) -> bool:
-        """Whether this stall may have channels there at all."""
+        """Whether this HTTP proxy may have channels there at all."""
         pool = self.pools.get(name)
         return pool is not None and pool.limit > 0
 
     def reachable(self, *, name: str) -> bool:
         """May anything at all still be sent there?"""
         # why: by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
-        if self.news.age_us(name=name) > QUIET_US + UNFIT_GRACE_US:
+        if self.heartbeat_table.age_us(name=name) > QUIET_US + UNFIT_GRACE_US:
             return False
         since_us = self.unfit_since_us.get(name)
         return since_us is None or self.ctx.now_us() - since_us < UNFIT_GRACE_US
 
     def refresh(self) -> None:
-        charter = self.view.charter
-        if charter is None:
+        configuration = self.view.configuration
+        if configuration is None:
             return
         now_us = self.ctx.now_us()
-        for name in charter.backends:
-            if self.news.fit(name=name):
+        for name in configuration.backends:
+            if self.heartbeat_table.fit(name=name):
                 self.unfit_since_us.pop(name, None)
             else:
                 self.unfit_since_us.setdefault(name, now_us)
                 # why: a backend that empties or fell silent is left alone as soon as no job is under way
                 if name in self.pools:
                     self.pools[name].shut_idle()
-        self._give_up(names=charter.backends)
+        self._give_up(names=configuration.backends)
         held = frozenset((lead.primary, lead.confirmers) for lead in self.view.leads.values())
         away = frozenset(self.unfit_since_us), frozenset(self.view.leaving.backends)
-        inputs = (charter.version, self.view.slots, away, held)
+        inputs = (configuration.version, self.view.proxy_ids, away, held)
         if inputs != self.inputs:
             self.inputs = inputs
             self._compute()
@@ -102,33 +102,33 @@
                 self.pools[before.primary].give_up()
 
     def _compute(self) -> None:
-        charter = self.view.charter
-        assert charter is not None
+        configuration = self.view.configuration
+        assert configuration is not None
         self.computed += 1
-        my_id = self.view.slots.id_of(name=self.ctx.name)
-        ids = self.view.slots.ids
+        my_id = self.view.proxy_ids.id_of(name=self.ctx.name)
+        ids = self.view.proxy_ids.ids
         unfit = frozenset(self.unfit_since_us) | frozenset(self.view.leaving.backends)
         wanted: dict[str, int] = {}
-        for database, names in charter.databases.items():
-            size = charter.amount(name="subsetSize", database=database)
+        for database, names in configuration.databases.items():
+            size = configuration.amount(name="subsetSize", database=database)
             subsets = {
-                number: with_replacements(names=names, stall_id=number, subset_size=size, unfit=unfit)
+                number: with_replacements(names=names, http_proxy_id=number, subset_size=size, unfit=unfit)
                 for number in ids
             }
             self.shares[database] = () if my_id is None else subsets[my_id]
             lead = self.view.leads.get(database)
             for name in names:
-                # why: every stall writes, whatever its subset, and asks those that must hold what it wrote
+                # why: every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
                 leads = lead is not None and name in (lead.primary, *lead.confirmers)
                 user_ids = [n for n, held in subsets.items() if leads or name in held]
                 part = (
                     0
                     if my_id is None
-                    else allotment(cap=charter.backends[name].cap, user_ids=user_ids, stall_id=my_id)
+                    else allotment(cap=configuration.backends[name].cap, user_ids=user_ids, http_proxy_id=my_id)
                 )
-                # why: the source's flow control, a bound on one backend's active jobs from one stall
-                wanted[name] = min(part, charter.amount(name="active", database=database))
-        self._resize(wanted=wanted, backends=charter.backends)
+                # why: the source's flow control, a bound on one backend's active jobs from one HTTP proxy
+                wanted[name] = min(part, configuration.amount(name="active", database=database))
+        self._resize(wanted=wanted, backends=configuration.backends)
 
     def _resize(self, *, wanted: dict[str, int], backends: dict[str, Backend]) -> None:
         now_us = self.ctx.now_us()
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/body_filter.py
@@ -0,0 +1,33 @@
+"""Reads a job's JSON body."""
+
+import json
+
+from ...runtime.context import Context
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..reject_mixin import RejectMixin
+from ..request import Request
+
+MOST_BODY_BYTES = 1024 * 1024
+NO_BODY = frozenset(["ready", "drain", "counters", "status", "fetch", "close", "unprepare"])
+RAW_BODY = frozenset(["submit"])
+
+
+class BodyFilter(RejectMixin):
+    def __init__(self, *, ctx: Context) -> None:
+        self.ctx = ctx
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        if len(request.http.body) > MOST_BODY_BYTES:
+            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a body holds {MOST_BODY_BYTES} bytes at the most")
+        # why: a configuration is kept to the byte, so it is not taken apart here
+        if request.verb in NO_BODY or request.verb in RAW_BODY:
+            return None
+        try:
+            body = json.loads(request.http.body)
+        except (ValueError, RecursionError) as error:
+            return self.reject(kind=ErrorCode.MALFORMED, why=f"the body is not JSON: {error}")
+        if not isinstance(body, dict):
+            return self.reject(kind=ErrorCode.MALFORMED, why="the body is not an object")
+        request.body = body
+        return None
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -0,0 +1,113 @@
+"""Answers the platform, the backends' beats and the operators."""
+
+from ...config.configuration_store import CONFIGURATION_KEY, ConfigurationStore
+from ...consensus.succession import Succession
+from ...failover.database_failover import DatabaseFailover
+from ...membership.heartbeat import heartbeat_from_json
+from ...membership.heartbeat_table import HeartbeatTable
+from ...runtime.context import Context
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse, json_response
+from ..reject_mixin import RejectMixin
+from ..request import Request
+from ..status_page import StatusPage
+from ..view import View
+from .ready_filter import ReadyFilter
+
+
+class ControlFilter(RejectMixin):
+    def __init__(
+        self,
+        *,
+        ctx: Context,
+        view: View,
+        heartbeat_table: HeartbeatTable,
+        configuration_store: ConfigurationStore,
+        ready: ReadyFilter,
+        status: StatusPage,
+        leads: DatabaseFailover,
+        foundingVaults: int,
+    ) -> None:
+        self.foundingVaults = foundingVaults
+        self.ctx = ctx
+        self.view = view
+        self.heartbeat_table = heartbeat_table
+        self.configuration_store = configuration_store
+        self.ready = ready
+        self.status = status
+        self.leads = leads
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        if request.verb == "ready":
+            return self._ready()
+        if request.verb == "drain":
+            self.ready.draining = True
+            return self.done(value={"sessions": self.status.value()["sessions"]})
+        if request.verb == "counters":
+            return json_response(status=200, value=self.ctx.counters.snapshot())
+        if request.verb == "status":
+            return json_response(status=200, value=self.status.value())
+        if request.verb == "beat":
+            return self._heartbeat(request=request)
+        if request.verb == "submit":
+            return await self._submit(request=request)
+        if request.verb == "fetch":
+            return await self._fetch()
+        if request.verb == "replaceVault":
+            return await self._replace_register_replica(request=request)
+        if request.verb == "override":
+            return await self._override(request=request)
+        return None
+
+    def _ready(self) -> HttpResponse:
+        reason = self.ready.unready()
+        if reason is not None:
+            return self.reject(kind=reason[0], why=reason[1])
+        return self.done(value={"stall": self.ctx.name})
+
+    def _heartbeat(self, *, request: Request) -> HttpResponse:
+        try:
+            heartbeat = heartbeat_from_json(value=request.body)
+        except ValueError as error:
+            return self.reject(kind=ErrorCode.MALFORMED, why=str(error))
+        self.heartbeat_table.receive(heartbeat=heartbeat)
+        return self.done()
+
+    async def _submit(self, *, request: Request) -> HttpResponse:
+        result = await self.configuration_store.submit(raw=request.http.body)
+        if result.is_error():
+            return self.reject_with(fault=result.error)
+        configuration, found = result.ok
+        self.view.take_own(key=CONFIGURATION_KEY, result=type(result).Ok(found))
+        return self.done(value={"version": configuration.version, "warnings": list(configuration.warnings)})
+
+    async def _fetch(self) -> HttpResponse:
+        result = await self.configuration_store.fetch()
+        if result.is_error():
+            return self.reject_with(fault=result.error)
+        # why: read back to the byte, so it leaves as it came and not as we would write it
+        return HttpResponse(status=200, body=result.ok)
+
+    async def _replace_register_replica(self, *, request: Request) -> HttpResponse:
+        leaves, enters = str(request.body.get("leaves")), str(request.body.get("enters"))
+        candidates = await self.configuration_store.register.candidates()
+        voter = candidates.get(enters)
+        if voter is None:
+            return self.reject(kind=ErrorCode.MALFORMED, why=f"no register replica '{enters}' has greeted the seeds")
+        roster = self.configuration_store.register.roster
+        most = 0 if roster is None else max(len(roster.voters), self.foundingVaults)
+        succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
+        result = await succession.succeed(leaves=leaves, enters=voter, most=most)
+        if result.is_error():
+            return self.reject_with(fault=result.error)
+        names = [each.name for each in result.ok.voters]
+        return self.done(value={"epoch": result.ok.epoch, "vaults": names})
+
+    async def _override(self, *, request: Request) -> HttpResponse:
+        database, backend = str(request.body.get("database")), str(request.body.get("backend"))
+        if request.body.get("iAcceptLoss") is not True:
+            return self.reject(kind=ErrorCode.MALFORMED, why="iAcceptLoss: must be true; commits may be lost by this")
+        result = await self.leads.override(database=database, backend=backend)
+        if result.is_error():
+            return self.reject_with(fault=result.error)
+        return self.done(value={"term": result.ok.term})
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -0,0 +1,29 @@
+"""Every job of a client says how much time it has left."""
+
+from ...runtime.context import Context
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..reject_mixin import RejectMixin
+from ..request import MOST_TIME_LEFT_US, Request
+
+TIMED = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
+
+
+class DeadlineFilter(RejectMixin):
+    def __init__(self, *, ctx: Context) -> None:
+        self.ctx = ctx
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        if request.verb not in TIMED:
+            return None
+        left = request.body.get("timeLeftUs")
+        if left is None:
+            return self.reject(kind=ErrorCode.TIME_LEFT_MISSING, why="timeLeftUs is needed: whole microseconds")
+        if not isinstance(left, int) or isinstance(left, bool) or left > MOST_TIME_LEFT_US:
+            return self.reject(
+                kind=ErrorCode.MALFORMED, why="timeLeftUs: whole microseconds, ten minutes at the most"
+            )
+        if left <= 0:
+            return self.reject(kind=ErrorCode.TIME_LEFT_SPENT, why="no time was left when the job came in")
+        request.until_us = request.start_us + left
+        return None
--- a/src/cinderstair/http_frontend/filters/pathfilter.py
+++ b/src/cinderstair/http_frontend/filters/path_filter.py
@@ -3,10 +3,10 @@
 import re
 
 from ...runtime.context import Context
-from ...runtime.httpresponse import HttpResponse
-from ...runtime.kind import Kind
-from ..denymixin import DenyMixin
-from ..job import Job
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..reject_mixin import RejectMixin
+from ..request import Request
 
 SESSION = r"/v1/sessions/(?P<session>[A-Za-z0-9._-]+)"
 PATHS = (
@@ -32,20 +32,20 @@
 )
 
 
-class PathFilter(DenyMixin):
+class PathFilter(RejectMixin):
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
-    async def answer(self, *, job: Job) -> HttpResponse | None:
+    async def answer(self, *, request: Request) -> HttpResponse | None:
         for pattern, methods in PATHS:
-            match = pattern.match(job.http.path)
+            match = pattern.match(request.http.path)
             if match is None:
                 continue
-            verb = methods.get(job.http.method)
+            verb = methods.get(request.http.method)
             if verb is None:
-                return self.deny(kind=Kind.wrongMethod, why=f"{job.http.path} takes {', '.join(methods)}")
-            job.verb = verb
+                return self.reject(kind=ErrorCode.WRONG_METHOD, why=f"{request.http.path} takes {', '.join(methods)}")
+            request.verb = verb
             found = match.groupdict()
-            job.session_id, job.name = found.get("session", ""), found.get("name", "")
+            request.session_id, request.name = found.get("session", ""), found.get("name", "")
             return None
-        return self.deny(kind=Kind.unknownPath, why=f"nothing at {job.http.path}")
+        return self.reject(kind=ErrorCode.UNKNOWN_PATH, why=f"nothing at {request.http.path}")
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -0,0 +1,86 @@
+"""Finds the session that a job is for; one job of a session at a time."""
+
+from ...runtime.context import Context
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..handover import Handover
+from ..reject_mixin import RejectMixin
+from ..request import Request
+from ..session import Session
+from ..session_token import SessionToken, parse_session_token
+from ..sessions import Sessions
+from .ready_filter import ReadyFilter
+
+
+class SessionFilter(RejectMixin):
+    def __init__(self, *, ctx: Context, sessions: Sessions, ready: ReadyFilter, handover: Handover) -> None:
+        self.ctx = ctx
+        self.sessions = sessions
+        self.ready = ready
+        self.handover = handover
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        if not request.session_id:
+            return None
+        handle = parse_session_token(text=request.session_id)
+        session = self.sessions.find(ident=handle.ident)
+        # why: the client was promised a later state than the one here, so this HTTP proxy was away for too long
+        if session is not None and handle.tag.edition >= session.tag.edition and not session.known(tag=handle.tag):
+            self.sessions.close(session=session)
+            session = None
+        if session is None:
+            return await self._elsewhere(request=request, handle=handle)
+        if handle.tag != session.tag:
+            return self._older(request=request, handle=handle, session=session)
+        if session.busy:
+            return self.reject(kind=ErrorCode.SESSION_BUSY, why="another job of this session is under way")
+        reason = self.ready.unready()
+        if reason is not None and session.transaction is None and request.verb != "close":
+            return self.reject(kind=reason[0], why=reason[1], details=self.ready.elsewhere())
+        request.session = session
+        session.busy = True
+        session.used_us = self.ctx.now_us()
+        return None
+
+    async def _elsewhere(self, *, request: Request, handle: SessionToken) -> HttpResponse:
+        """The session is not here: where it is, or what became of it."""
+        sought = await self.handover.find(handle=handle)
+        if sought.where:
+            why = "the session is at another HTTP proxy"
+            return self.reject(kind=ErrorCode.SESSION_ELSEWHERE, why=why, details={"elsewhere": [sought.where]})
+        if sought.session is not None:
+            return self._renamed(
+                request=request, session=sought.session, why="its HTTP proxy was lost; it was taken over here"
+            )
+        # why: final only when everyone who might have it has said no
+        if sought.unsure:
+            return self.reject(
+                kind=ErrorCode.SESSION_SOUGHT, why="not found yet; some HTTP proxies have not answered"
+            )
+        # why: a session is never quietly opened anew; its values and transaction would be gone unnoticed
+        return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="no such session here; it is gone, open a new one")
+
+    def _older(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
+        """A handle that is not the newest one."""
+        if handle.tag != session.was:
+            return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="a handle from before; the session has gone on")
+        # why: nobody may go on in the middle of what it does not know to be over
+        if not session.busy:
+            self.sessions.abandon(session=session)
+            session.lost = False
+        return self._renamed(
+            request=request, session=session, why="the answer that told of its newest handle was lost"
+        )
+
+    def _renamed(self, *, request: Request, session: Session, why: str) -> HttpResponse:
+        """Nothing is run before the client knows the handle, so it can't mistake what is gone for what is here."""
+        if request.verb == "close":
+            self.sessions.close(session=session)
+            return self.done()
+        details = {"session": session.handle}
+        # why: a commit may have been sent before, by the HTTP proxy that was lost, and nobody here can know
+        if request.verb == "commit":
+            why = f"{why}; its commit may have been kept, or not"
+            return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why, details=details)
+        why = f"{why}; an open transaction is gone, and nothing of it was kept unless its commit was sent"
+        return self.reject(kind=ErrorCode.HANDLE_OLD, why=why, details=details)
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -0,0 +1,97 @@
+"""What a session keeps at its HTTP proxy: opening, closing, values and prepared texts."""
+
+from dataclasses import replace
+from typing import Any
+
+from ...runtime.context import Context
+from ...runtime.errors import ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..reject_mixin import RejectMixin
+from ..request import Request
+from ..session_replicator import SessionReplicator
+from ..sessions import Sessions
+from ..view import View
+
+MOST_KEPT = 256
+KEEP_WAIT_US = 1_000_000
+
+
+class SessionStateFilter(RejectMixin):
+    def __init__(
+        self, *, ctx: Context, sessions: Sessions, view: View, session_replicator: SessionReplicator
+    ) -> None:
+        self.session_replicator = session_replicator
+        self.ctx = ctx
+        self.sessions = sessions
+        self.view = view
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        if request.verb == "open":
+            return await self._open(request=request)
+        if request.verb == "close":
+            self.sessions.close(session=request.bound)
+            return self.done()
+        if request.verb == "values":
+            return await self._values(request=request)
+        if request.verb == "prepare":
+            return await self._prepare(request=request)
+        if request.verb == "unprepare":
+            prepared = {name: text for name, text in request.bound.prepared.items() if name != request.name}
+            return await self._change(request=request, values=request.bound.values, prepared=prepared)
+        return None
+
+    async def _open(self, *, request: Request) -> HttpResponse:
+        database = request.body.get("database")
+        configuration = self.view.configuration
+        if configuration is None or not isinstance(database, str) or database not in configuration.databases:
+            return self.reject(kind=ErrorCode.UNKNOWN_DATABASE, why=f"no database '{database}'")
+        session = self.sessions.add(database=str(database))
+        if session is None:
+            return self.reject(kind=ErrorCode.OVERLOADED, why="as many sessions as this HTTP proxy takes")
+        session.busy = True
+        try:
+            stands = await self.session_replicator.keep(session=session, until_us=request.until_us)
+        finally:
+            session.busy = False
+        value = {"session": session.handle, "stall": self.ctx.name, "stands": 1 + stands}
+        return self.done(value=value, status=201)
+
+    async def _change(self, *, request: Request, values: dict[str, Any], prepared: dict[str, str]) -> HttpResponse:
+        """A change is answered when it stands at a second HTTP proxy too, or when none can be had."""
+        session = request.bound
+        changed = replace(
+            session,
+            values=values,
+            prepared=prepared,
+            tag=session.next(rng=self.ctx.rng),
+            was=session.tag,
+            transaction=None,
+        )
+        stands = await self.session_replicator.keep(
+            session=changed, until_us=request.until_us or self.ctx.now_us() + KEEP_WAIT_US
+        )
+        session.values, session.prepared = values, prepared
+        session.tag, session.was, session.second = changed.tag, changed.was, changed.second
+        return self.done(value={"session": session.handle, "stands": 1 + stands})
+
+    async def _values(self, *, request: Request) -> HttpResponse:
+        values = request.body.get("values")
+        if not isinstance(values, dict):
+            return self.reject(kind=ErrorCode.MALFORMED, why="values: an object is needed")
+        if len(request.bound.values | values) > MOST_KEPT:
+            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MOST_KEPT} values at the most")
+        # why: setting a value to null is how it is taken away
+        kept = {key: value for key, value in (request.bound.values | values).items() if value is not None}
+        return await self._change(request=request, values=kept, prepared=request.bound.prepared)
+
+    async def _prepare(self, *, request: Request) -> HttpResponse:
+        text = request.body.get("text")
+        if not isinstance(text, str):
+            return self.reject(kind=ErrorCode.MALFORMED, why="text: a text is needed")
+        if len(request.bound.prepared) >= MOST_KEPT and request.name not in request.bound.prepared:
+            return self.reject(
+                kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MOST_KEPT} prepared texts at the most"
+            )
+        return await self._change(
+            request=request, values=request.bound.values, prepared={**request.bound.prepared, request.name: text}
+        )
--- a/src/cinderstair/http_frontend/passmixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -6,11 +6,10 @@
 
 from expression import Error, Ok, Result
 
-from ..runtime.fault import Fault
-from ..runtime.httpjob import HttpJob
-from ..runtime.kind import Kind
-from ..runtime.net import Channel
-from .job import Job
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.http_request import HttpRequest
+from ..runtime.net import Connection
+from .request import Request
 
 # why: these words of a backend say that it has not run the job, so that it may be sent again elsewhere
 NOT_RUN = frozenset(["term", "notLeading", "emptying", "full"])
@@ -41,28 +40,28 @@
     )
 
 
-class PassMixin:
+class ForwardMixin:
     """Gives the text of a job to a backend unchanged, with the session's values beside it."""
 
     async def pass_to(
-        self, *, channel: Channel, job: Job, step: str, term: int, wait_us: int
-    ) -> Result[Reply, Fault]:
-        prepared = job.body.get("prepared")
+        self, *, connection: Connection, request: Request, step: str, term: int, wait_us: int
+    ) -> Result[Reply, CinderstairError]:
+        prepared = request.body.get("prepared")
         body: dict[str, Any] = {
             "step": step,
-            "kind": job.kind,
+            "kind": request.kind,
             "term": term,
-            "database": job.bound.database,
-            "values": job.bound.values,
+            "database": request.bound.database,
+            "values": request.bound.values,
         }
-        if job.verb == "statement":
-            body["text"] = job.bound.prepared[prepared] if prepared is not None else job.body["text"]
-            body["params"] = job.body.get("params", [])
-        http = HttpJob(method="POST", path="/run", body=json.dumps(body, separators=(",", ":")).encode())
-        result = await channel.pass_job(job=http, wait_us=max(1, wait_us))
+        if request.verb == "statement":
+            body["text"] = request.bound.prepared[prepared] if prepared is not None else request.body["text"]
+            body["params"] = request.body.get("params", [])
+        http = HttpRequest(method="POST", path="/run", body=json.dumps(body, separators=(",", ":")).encode())
+        result = await connection.send_request(request=http, wait_us=max(1, wait_us))
         if result.is_error():
             return Error(result.error)
         try:
             return Ok(read_reply(value=result.ok.json()))
         except (ValueError, KeyError, TypeError, AttributeError):
-            return Error(Fault(kind=Kind.wireUnsure, why="the backend's answer can't be read"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend's answer can't be read"))
