--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -1,21 +1,21 @@
-"""Hands sessions to another stall when this one stops or has to stand empty, and finds those handed on."""
+"""Hands sessions to another HTTP proxy when this one stops or has to stand empty, and finds those handed on."""
 
 import asyncio
 from dataclasses import dataclass, replace
 
-from ..membership.crowd import Crowd
 from ..membership.member import Member
+from ..membership.membership import Membership
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import HANDOVER, SEEK
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import HANDOVER, SEEK
 from ..runtime.packer import Packer
-from ..runtime.parley import Body
+from ..runtime.peer_client import Body
 from ..runtime.unpacker import Unpacker
-from .copies import Copies
-from .filters.readyfilter import ReadyFilter
-from .handle import UNMARKED, Handle, Tag, read_handle
-from .keeper import Keeper
+from .filters.ready_filter import ReadyFilter
 from .session import Session, read_session
+from .session_replicas import SessionReplicas
+from .session_replicator import SessionReplicator
+from .session_token import UNMARKED, SessionToken, Tag, parse_session_token
 from .sessions import Sessions
 
 HAND_WAIT_US = 600_000
@@ -24,7 +24,7 @@
 AT_ONCE = 16
 NO, YES, COPIED = 0, 1, 2
 MOST_GONE = 60_000
-TOLD_US = 3_000_000
+REPORTED_US = 3_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -43,24 +43,24 @@
         self,
         *,
         ctx: Context,
-        desk: Desk,
-        crowd: Crowd,
+        dispatcher: Dispatcher,
+        membership: Membership,
         sessions: Sessions,
         ready: ReadyFilter,
-        copies: Copies,
-        keeper: Keeper,
+        session_replicas: SessionReplicas,
+        session_replicator: SessionReplicator,
     ) -> None:
         self.ctx = ctx
-        self.copies = copies
-        self.keeper = keeper
-        self.crowd = crowd
+        self.session_replicas = session_replicas
+        self.session_replicator = session_replicator
+        self.membership = membership
         self.sessions = sessions
         self.ready = ready
-        # why: a client that comes back to its old stall is told where its session is now
+        # why: a client that comes back to its old HTTP proxy is told where its session is now
         self.gone: dict[str, str] = {}
-        self.told_us: dict[str, int] = {}
-        desk.open(kind=HANDOVER, answer=self._offered)
-        desk.open(kind=SEEK, answer=self._sought)
+        self.reported_us: dict[str, int] = {}
+        dispatcher.add_handler(message_type=HANDOVER, handler=self._offered)
+        dispatcher.add_handler(message_type=SEEK, handler=self._sought)
 
     async def _offered(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
@@ -73,35 +73,35 @@
             return Packer().u8(value=NO).bytes()
         # why: a daemon of the first version changes what a session keeps without changing the handle
         if unpacker.version == 1 and session.tag != UNMARKED:
-            session.was, session.tag = session.tag, session.next(luck=self.ctx.luck)
+            session.was, session.tag = session.tag, session.next(rng=self.ctx.rng)
         self.gone.pop(session.ident, None)
-        self.copies.take(ident=session.ident)
+        self.session_replicas.take(ident=session.ident)
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
         # why: whoever hands it on may end as soon as it hears that it stands here
-        await self.keeper.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
+        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
     async def _sought(self, unpacker: Unpacker) -> bytes:
         if unpacker.version == 1:
-            handle = read_handle(text=unpacker.text())
+            handle = parse_session_token(text=unpacker.text())
         else:
-            handle = Handle(unpacker.text(), Tag(unpacker.u64(), unpacker.text()))
+            handle = SessionToken(unpacker.text(), Tag(unpacker.u64(), unpacker.text()))
         unpacker.done()
-        return Packer().u8(value=self._fits(handle=handle, copies=unpacker.version > 1)).bytes()
+        return Packer().u8(value=self._fits(handle=handle, session_replicas=unpacker.version > 1)).bytes()
 
-    def _fits(self, *, handle: Handle, copies: bool = True) -> int:
+    def _fits(self, *, handle: SessionToken, session_replicas: bool = True) -> int:
         """Whether what is here, alive or as a copy, is what the client was promised."""
         live = self.sessions.find(ident=handle.ident)
         if live is not None and live.known(tag=handle.tag):
             return YES
-        held = self.copies.held.get(handle.ident)
-        return COPIED if copies and held is not None and held.session.known(tag=handle.tag) else NO
+        held = self.session_replicas.held.get(handle.ident)
+        return COPIED if session_replicas and held is not None and held.session.known(tag=handle.tag) else NO
 
     def _targets(self) -> list[Member]:
-        """Other stalls, those of the same site first."""
-        others = self.crowd.alive(role="stall")
-        self.ctx.luck.shuffle(others)
+        """Other HTTP proxies, those of the same site first."""
+        others = self.membership.alive(role="stall")
+        self.ctx.rng.shuffle(others)
         return sorted(others, key=lambda member: member.site != self.ctx.site)
 
     async def hand_all(self) -> int:
@@ -127,34 +127,34 @@
                 self.sessions.open.pop(session.ident, None)
                 self._remember(ident=session.ident, http=target.http)
                 seconds = [m for m in self._targets() if m.name == session.second and m.name != target.name]
-                self.keeper.forget(session=session, members=seconds, mine=True)
+                self.session_replicator.forget(session=session, members=seconds, mine=True)
                 self.ctx.counters.add(name="sessions.handed")
                 return
         session.busy = False
 
     async def _offer(self, *, target: Member, body: Body) -> bool:
         for _ in range(TRIES):
-            result = await self.ctx.parley.ask(address=target.records, body=body, wait_us=HAND_WAIT_US)
+            result = await self.ctx.peer_client.request(address=target.records, body=body, wait_us=HAND_WAIT_US)
             if result.is_ok():
                 return result.ok == bytes([YES])
         return False
 
     def _remember(self, *, ident: str, http: str) -> None:
         self.gone[ident] = http
-        # why: a stall that runs for long hands on more sessions than it needs to remember
+        # why: an HTTP proxy that runs for long hands on more sessions than it needs to remember
         if len(self.gone) > MOST_GONE:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
-            self.told_us.pop(oldest, None)
+            self.reported_us.pop(oldest, None)
 
-    async def find(self, *, handle: Handle) -> Sought:
+    async def find(self, *, handle: SessionToken) -> Sought:
         """A session that isn't alive here: where it is, or taken over from its copy, or not found."""
-        members = self.crowd.alive(role="stall")
+        members = self.membership.alive(role="stall")
         known = self.gone.get(handle.ident)
-        told_us = self.told_us.pop(handle.ident, -TOLD_US)
+        reported_us = self.reported_us.pop(handle.ident, -REPORTED_US)
         # why: whoever is back so soon has not found it there, so everyone is asked and not remembered
-        if known in [member.http for member in members] and self.ctx.now_us() - told_us > TOLD_US:
-            self.told_us[handle.ident] = self.ctx.now_us()
+        if known in [member.http for member in members] and self.ctx.now_us() - reported_us > REPORTED_US:
+            self.reported_us[handle.ident] = self.ctx.now_us()
             return Sought(where=str(known))
 
         def body(version: int) -> bytes:
@@ -163,7 +163,10 @@
                 return packer.text(value=str(handle)).bytes()
             return packer.text(value=handle.ident).u64(value=handle.tag.edition).text(value=handle.tag.mark).bytes()
 
-        asks = [self.ctx.parley.ask(address=member.records, body=body, wait_us=SEEK_WAIT_US) for member in members]
+        asks = [
+            self.ctx.peer_client.request(address=member.records, body=body, wait_us=SEEK_WAIT_US)
+            for member in members
+        ]
         answers = dict(zip(members, await asyncio.gather(*asks), strict=True))
         # why: another job of the same session may have taken it over while this one was asking
         live = self.sessions.find(ident=handle.ident)
@@ -179,21 +182,23 @@
         # why: asked in the first version nobody tells of copies
         return Sought(
             unsure=any(
-                result.is_error() or self.ctx.parley.doubtful(address=member.records)
+                result.is_error() or self.ctx.peer_client.doubtful(address=member.records)
                 for member, result in answers.items()
             )
         )
 
-    async def _take_over(self, *, handle: Handle) -> Session:
-        session = self.copies.take(ident=handle.ident)
+    async def _take_over(self, *, handle: SessionToken) -> Session:
+        session = self.session_replicas.take(ident=handle.ident)
         assert session is not None
         older = session.tag
-        # why: a stall that was only frozen or cut off has the state that the client came with; under a new tag
+        # why: an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
         # nothing that either does can be taken for the other's
-        session.was, session.tag = handle.tag, session.next(luck=self.ctx.luck)
+        session.was, session.tag = handle.tag, session.next(rng=self.ctx.rng)
         session.second, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.takenOver")
-        self.keeper.forget(session=replace(session, tag=older), members=self.crowd.alive(role="stall"))
-        await self.keeper.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
+        self.session_replicator.forget(
+            session=replace(session, tag=older), members=self.membership.alive(role="stall")
+        )
+        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
         return session
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -1,4 +1,4 @@
-"""One stall's channels to one backend."""
+"""One HTTP proxy's channels to one backend."""
 
 import asyncio
 from collections import deque
@@ -6,9 +6,8 @@
 from expression import Error, Ok, Result
 
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
-from ..runtime.net import Channel
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.net import Connection
 
 DIAL_WAIT_US = 400_000
 IDLE_US = 45_000_000
@@ -26,14 +25,14 @@
         self.address = address
         self.queueMost = queueMost
         self.limit = 0
-        self.idle: deque[tuple[Channel, int]] = deque()
+        self.idle: deque[tuple[Connection, int]] = deque()
         self.taken = 0
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.errors: deque[int] = deque()
         self.opened = 0
         self.closed = 0
         self.shun_until_us = 0
-        self.out: dict[int, tuple[Channel, int]] = {}
+        self.out: dict[int, tuple[Connection, int]] = {}
         self.held_us = 0
 
     @property
@@ -60,10 +59,12 @@
         spare = 0 if gauge or self.limit < 2 else 1
         return self.taken < self.limit - spare
 
-    async def take(self, *, wait_us: int, gauge: bool = False) -> Result[Channel, Fault]:
+    async def take(self, *, wait_us: int, gauge: bool = False) -> Result[Connection, CinderstairError]:
         """A channel for one job or one transaction; the taker gives it back."""
         if self.limit == 0:
-            return Error(Fault(kind=Kind.noBackend, why=f"{self.name}: not in this stall's share"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.name}: not in this HTTP proxy's share")
+            )
         entered_us = self.ctx.now_us()
         if not self._room(gauge=gauge):
             expected_us = self._expected_us(gauge=gauge)
@@ -71,7 +72,11 @@
             # late; twice the expected wait, since jobs differ widely
             if len(self.waiting) >= self.queueMost or wait_us <= 2 * (expected_us + self._hold_us()):
                 details = {"retryAfterUs": max(100_000, expected_us)}
-                return Error(Fault(kind=Kind.crowded, why=f"{self.name}: too many wait already", details=details))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: too many wait already", details=details
+                    )
+                )
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             if gauge:
                 self.waiting.appendleft(turn)
@@ -83,26 +88,36 @@
             except TimeoutError:
                 if turn.done() and not turn.cancelled():
                     self._wake()
-                return Error(Fault(kind=Kind.crowded, why=f"{self.name}: no channel within the time left"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: no channel within the time left"
+                    )
+                )
             finally:
                 if turn in self.waiting:
                     self.waiting.remove(turn)
             if self.limit == 0:
-                return Error(Fault(kind=Kind.noBackend, why=f"{self.name}: left this stall's share"))
+                return Error(
+                    CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.name}: left this HTTP proxy's share")
+                )
             # why: what would most likely run out of time at the backend is better not sent, while nothing is kept
             if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
                 self._wake()
-                return Error(Fault(kind=Kind.crowded, why=f"{self.name}: too little time is left after the wait"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: too little time is left after the wait"
+                    )
+                )
         self.taken += 1
         while self.idle:
-            channel, since_us = self.idle.pop()
-            if channel.open and self.ctx.now_us() - since_us < IDLE_US:
-                return self._out(channel=channel)
-            self._shut(channel=channel)
+            connection, since_us = self.idle.pop()
+            if connection.open and self.ctx.now_us() - since_us < IDLE_US:
+                return self._out(connection=connection)
+            self._shut(connection=connection)
         return await self._dial(wait_us=wait_us)
 
     def _expected_us(self, *, gauge: bool) -> int:
-        """How long a newcomer would wait, by how long channels were held of late."""
+        """How long a joining replica would wait, by how long channels were held of late."""
         ahead = 0 if gauge else len(self.waiting)
         return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if gauge else 1))
 
@@ -112,11 +127,11 @@
         ages = [now_us - since_us for _, since_us in self.out.values()]
         return max(self.held_us, sum(ages) // len(ages) if ages else 0)
 
-    def _out(self, *, channel: Channel) -> Result[Channel, Fault]:
-        self.out[id(channel)] = channel, self.ctx.now_us()
-        return Ok(channel)
+    def _out(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
+        self.out[id(connection)] = connection, self.ctx.now_us()
+        return Ok(connection)
 
-    async def _dial(self, *, wait_us: int) -> Result[Channel, Fault]:
+    async def _dial(self, *, wait_us: int) -> Result[Connection, CinderstairError]:
         try:
             dialled = await self.ctx.net.dial(address=self.address, wait_us=min(wait_us, DIAL_WAIT_US))
         except BaseException:
@@ -129,18 +144,18 @@
             return dialled
         self.opened += 1
         self.ctx.counters.add(name="channels.opened")
-        return self._out(channel=dialled.ok)
+        return self._out(connection=dialled.ok)
 
-    def give(self, *, channel: Channel, keep: bool = True) -> None:
+    def give(self, *, connection: Connection, keep: bool = True) -> None:
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
-        _, since_us = self.out.pop(id(channel), (None, 0))
+        _, since_us = self.out.pop(id(connection), (None, 0))
         if since_us:
-            # why: a sliding mean, in which one long transaction does not count for a crowd
+            # why: a sliding mean, in which one long transaction does not count for a membership
             self.held_us += (self.ctx.now_us() - since_us - self.held_us) // 4
-        if keep and channel.open and self.open <= self.limit:
-            self.idle.append((channel, self.ctx.now_us()))
+        if keep and connection.open and self.open <= self.limit:
+            self.idle.append((connection, self.ctx.now_us()))
         else:
-            self._shut(channel=channel)
+            self._shut(connection=connection)
         self._leave()
 
     def _leave(self) -> None:
@@ -154,8 +169,8 @@
                 turn.set_result(None)
                 return
 
-    def _shut(self, *, channel: Channel) -> None:
-        channel.close()
+    def _shut(self, *, connection: Connection) -> None:
+        connection.close()
         self.closed += 1
         self.ctx.counters.add(name="channels.closed")
 
@@ -163,12 +178,12 @@
         self.limit = limit
         # why: idle channels go at once; those at work go when they are given back
         while self.idle and self.open > limit:
-            self._shut(channel=self.idle.popleft()[0])
+            self._shut(connection=self.idle.popleft()[0])
         self._wake()
 
     def shut_idle(self) -> None:
         while self.idle:
-            self._shut(channel=self.idle.popleft()[0])
+            self._shut(connection=self.idle.popleft()[0])
 
     @property
     def oldest_us(self) -> int:
@@ -177,5 +192,5 @@
 
     def give_up(self) -> None:
         """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
-        for channel, _ in list(self.out.values()):
-            channel.give_up()
+        for connection, _ in list(self.out.values()):
+            connection.give_up()
--- /dev/null
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -0,0 +1,82 @@
+"""Asks backends how far they are."""
+
+import json
+from dataclasses import dataclass
+
+from expression import Error, Ok, Result
+
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.http_request import HttpRequest
+from ..runtime.http_response import HttpResponse
+from .connection_pools import ConnectionPools
+
+POSITION_QUERY_WAIT_US = 500_000
+
+
+@dataclass(frozen=True, kw_only=True)
+class BackendPosition:
+    """A backend's own word on its term and how far it has received and applied the log."""
+
+    term: int
+    received: int
+    applied: int
+    leads: bool
+    incarnation: int
+
+
+async def query_position(
+    *, connection_pools: ConnectionPools, name: str, at_least: int = 0, hold_us: int = 0, direct: bool = False
+) -> Result[BackendPosition, CinderstairError]:
+    """One question to one backend, over its pool's spare channel; the backend may hold it for a while.
+
+    The steward asks `direct`: also where its own HTTP proxy's share has no channels, or the news call it unfit.
+    """
+    pool = connection_pools.pool(name=name)
+    if pool is None or not (direct or connection_pools.reachable(name=name)):
+        return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name}: not to be asked"))
+    if direct and pool.limit == 0:
+        return await query_position_directly(connection_pools=connection_pools, address=pool.address, name=name)
+    taken = await pool.take(wait_us=POSITION_QUERY_WAIT_US, gauge=True)
+    if taken.is_error():
+        return Error(taken.error)
+    body = json.dumps({"atLeast": at_least, "holdUs": hold_us}).encode()
+    result = await taken.ok.send_request(
+        request=HttpRequest(method="POST", path="/position", body=body), wait_us=POSITION_QUERY_WAIT_US + hold_us
+    )
+    pool.give(connection=taken.ok, keep=result.is_ok())
+    if result.is_error():
+        pool.blame()
+        return Error(result.error)
+    return read_answer(name=name, response=result.ok)
+
+
+async def query_position_directly(
+    *, connection_pools: ConnectionPools, address: str, name: str
+) -> Result[BackendPosition, CinderstairError]:
+    """The same question over a channel opened for it alone."""
+    dialled = await connection_pools.ctx.net.dial(address=address, wait_us=POSITION_QUERY_WAIT_US)
+    if dialled.is_error():
+        return Error(dialled.error)
+    body = json.dumps({"atLeast": 0, "holdUs": 0}).encode()
+    result = await dialled.ok.send_request(
+        request=HttpRequest(method="POST", path="/position", body=body), wait_us=POSITION_QUERY_WAIT_US
+    )
+    dialled.ok.close()
+    if result.is_error():
+        return Error(result.error)
+    return read_answer(name=name, response=result.ok)
+
+
+def read_answer(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
+    try:
+        value = response.json()
+        reading = BackendPosition(
+            term=int(value["term"]),
+            received=int(value["received"]),
+            applied=int(value["applied"]),
+            leads=bool(value["leads"]),
+            incarnation=int(value["incarnation"]),
+        )
+    except (ValueError, KeyError, TypeError):
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{name}: no position in its answer"))
+    return Ok(reading)
--- a/src/cinderstair/http_frontend/denymixin.py
+++ b/src/cinderstair/http_frontend/reject_mixin.py
@@ -2,20 +2,19 @@
 
 from typing import Any
 
-from ..runtime.answers import ANSWERS
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.httpresponse import HttpResponse, json_response
-from ..runtime.kind import Kind
+from ..runtime.error_responses import ERROR_RESPONSES
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.http_response import HttpResponse, json_response
 
 
-class DenyMixin:
+class RejectMixin:
     """Gives a filter the words for everything that is not done."""
 
     ctx: Context
 
-    def deny(self, *, kind: Kind, why: str, details: dict[str, Any] | None = None) -> HttpResponse:
-        answer = ANSWERS[kind]
+    def reject(self, *, kind: ErrorCode, why: str, details: dict[str, Any] | None = None) -> HttpResponse:
+        answer = ERROR_RESPONSES[kind]
         self.ctx.counters.add(name=f"answers.{kind.value}")
         value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": why}
         headers = {}
@@ -26,8 +25,8 @@
             headers["Retry-After"] = str(max(1, -(-retry_us // 1_000_000)))
         return json_response(status=answer.status, value={**value, **(details or {})}, headers=headers)
 
-    def deny_fault(self, *, fault: Fault) -> HttpResponse:
-        return self.deny(kind=fault.kind, why=fault.why, details=fault.details)
+    def reject_with(self, *, fault: CinderstairError) -> HttpResponse:
+        return self.reject(kind=fault.code, why=fault.reason, details=fault.details)
 
     def done(self, *, value: dict[str, Any] | None = None, status: int = 200) -> HttpResponse:
         self.ctx.counters.add(name="answers.done")
--- a/src/cinderstair/http_frontend/waterline.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -3,19 +3,19 @@
 import asyncio
 
 from ..runtime.context import Context
-from .gauge import read_gauge
-from .yard import Yard
+from .connection_pools import ConnectionPools
+from .position_query import query_position
 
 HOLD_US = 200_000
 AGAIN_US = 20_000
 
 
-class Waterline:
+class ReplicaWatermark:
     """One question at a time to a replica serves all the commits that wait on it."""
 
-    def __init__(self, *, ctx: Context, yard: Yard, name: str) -> None:
+    def __init__(self, *, ctx: Context, connection_pools: ConnectionPools, name: str) -> None:
         self.ctx = ctx
-        self.yard = yard
+        self.connection_pools = connection_pools
         self.name = name
         self.term = 0
         self.received = 0
@@ -41,7 +41,9 @@
         try:
             # why: a replica that does not answer is the steward's to drop; the commits have their own limits
             while (position := self._still_wanted()) and misses < 20:
-                reading = await read_gauge(yard=self.yard, name=self.name, at_least=position, hold_us=HOLD_US)
+                reading = await query_position(
+                    connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
+                )
                 if reading.is_ok():
                     # why: a position counts only within its own term, so both are replaced together
                     self.term, self.received = reading.ok.term, reading.ok.received
@@ -49,8 +51,10 @@
                     self.changed = asyncio.Event()
                 else:
                     misses += 1
-                    await self.ctx.rest(wait_us=AGAIN_US * 2)
-                await self.ctx.rest(wait_us=0 if reading.is_ok() and reading.ok.received >= position else AGAIN_US)
+                    await self.ctx.sleep(duration_us=AGAIN_US * 2)
+                await self.ctx.sleep(
+                    duration_us=0 if reading.is_ok() and reading.ok.received >= position else AGAIN_US
+                )
         finally:
             self.wanted = []
             self.asking = False
--- a/src/cinderstair/http_frontend/job.py
+++ b/src/cinderstair/http_frontend/request.py
@@ -3,17 +3,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..runtime.httpjob import HttpJob
+from ..runtime.http_request import HttpRequest
 from .session import Session
 
 MOST_TIME_LEFT_US = 600_000_000
 
 
 @dataclass(kw_only=True)
-class Job:
+class Request:
     """Filters fill it in as it passes; each may answer instead."""
 
-    http: HttpJob
+    http: HttpRequest
     start_us: int
     verb: str = ""
     session_id: str = ""
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -3,13 +3,13 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..failover.lead import Lead
+from ..failover.database_primary import DatabasePrimary
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.ownermixin import OwnerMixin
-from .gauge import read_gauge
-from .sight import Sight
+from .backend_reachability import BackendReachability
+from .connection_pools import ConnectionPools
+from .position_query import query_position
 from .view import View
-from .yard import Yard
 
 SAMPLE_EVERY_US = 250_000
 KEEP_US = 3_000_000
@@ -24,19 +24,21 @@
     position: int
 
 
-class Samples(OwnerMixin):
+class Samples(CommandQueueMixin):
     """Owns the samples of all databases."""
 
-    def __init__(self, *, ctx: Context, view: View, yard: Yard, sight: Sight) -> None:
-        self.sight = sight
+    def __init__(
+        self, *, ctx: Context, view: View, connection_pools: ConnectionPools, reachability: BackendReachability
+    ) -> None:
+        self.reachability = reachability
         self.ctx = ctx
         self.view = view
-        self.yard = yard
+        self.connection_pools = connection_pools
         self.taken: dict[str, deque[Sample]] = {}
         self.open_queue()
-        self.every(every_us=SAMPLE_EVERY_US, command=self._tick, name="sample")
+        self.every(every_us=SAMPLE_EVERY_US, command=self._on_timer, name="sample")
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         for database in self.view.leads:
             self.ctx.spawn(work=self.sample(database=database), name="sample")
 
@@ -45,19 +47,19 @@
         if lead is None or not lead.serves:
             return
         began_us = self.ctx.now_us()
-        reading = await read_gauge(yard=self.yard, name=lead.primary)
+        reading = await query_position(connection_pools=self.connection_pools, name=lead.primary)
         if reading.is_error() or not reading.ok.leads or reading.ok.term != lead.term:
             return
         # why: only while nobody else can have been made to lead is the primary's position the newest
         if not self.view.current or not self._same(database=database, lead=lead):
             return
-        self.sight.seen()
+        self.reachability.seen()
         taken = self.taken.setdefault(database, deque())
         taken.append(Sample(began_us=began_us, term=lead.term, position=reading.ok.received))
         while taken and taken[0].began_us < self.ctx.now_us() - KEEP_US:
             taken.popleft()
 
-    def _same(self, *, database: str, lead: Lead) -> bool:
+    def _same(self, *, database: str, lead: DatabasePrimary) -> bool:
         now = self.view.lead(database=database)
         return now is not None and now.term == lead.term and now.serves
 
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -1,15 +1,15 @@
-"""A client's session, as its stall keeps it."""
+"""A client's session, as its HTTP proxy keeps it."""
 
 import json
 import random
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..runtime.net import Channel
+from ..runtime.net import Connection
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .handle import UNMARKED, Handle, Tag, read_handle
 from .pool import Pool
+from .session_token import UNMARKED, SessionToken, Tag, parse_session_token
 
 
 @dataclass(kw_only=True)
@@ -17,7 +17,7 @@
     """An open transaction and the channel that is its own until it ends."""
 
     pool: Pool
-    channel: Channel
+    connection: Connection
     term: int
     database: str
     used_us: int
@@ -44,11 +44,11 @@
 
     @property
     def handle(self) -> str:
-        return str(Handle(self.ident, self.tag))
+        return str(SessionToken(self.ident, self.tag))
 
-    def next(self, *, luck: random.Random) -> Tag:
+    def next(self, *, rng: random.Random) -> Tag:
         """The tag of a state that follows this one."""
-        return Tag(self.tag.edition + 1, f"{luck.getrandbits(32):08x}")
+        return Tag(self.tag.edition + 1, f"{rng.getrandbits(32):08x}")
 
     def known(self, *, tag: Tag) -> bool:
         """Whether a client that was promised this state may go on with what is here."""
@@ -74,7 +74,7 @@
     session = Session(ident=ident, database=database, values=values, prepared=prepared, floor=unpacker.u64())
     session.used_us = now_us
     if unpacker.version == 1:
-        session.ident, session.tag = read_handle(text=ident)
+        session.ident, session.tag = parse_session_token(text=ident)
         return session
     session.used_us -= unpacker.u64()
     session.tag, session.was = (Tag(unpacker.u64(), unpacker.text()) for _ in range(2))
--- a/src/cinderstair/http_frontend/copies.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -1,14 +1,14 @@
-"""Copies of other stalls' sessions, held here in case those stalls are lost."""
+"""Copies of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
 
 from dataclasses import dataclass
 
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import COPY, FORGET, TOUCH
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import FORGET, REPLICA, TOUCH
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .filters.readyfilter import ReadyFilter
+from .filters.ready_filter import ReadyFilter
 from .session import Session, read_session
 from .sessions import Sessions
 
@@ -16,11 +16,11 @@
 ANYONE = 0
 SWEEP_US = 5_000_000
 ORPHAN_US = 2_500_000
-MOST_COPIES = 60_000
+MAX_SESSION_REPLICAS = 60_000
 
 
 @dataclass(kw_only=True)
-class Copy:
+class SessionReplica:
     """A session as its owner, in one run of it, last sent it."""
 
     owner: int
@@ -28,18 +28,18 @@
     session: Session
 
 
-class Copies(OwnerMixin):
+class SessionReplicas(CommandQueueMixin):
     """Owns the copies. A copy becomes a session only when its client comes with a handle that fits it."""
 
-    def __init__(self, *, ctx: Context, desk: Desk, sessions: Sessions, ready: ReadyFilter) -> None:
+    def __init__(self, *, ctx: Context, dispatcher: Dispatcher, sessions: Sessions, ready: ReadyFilter) -> None:
         self.ctx = ctx
         self.sessions = sessions
         self.ready = ready
-        self.held: dict[str, Copy] = {}
+        self.held: dict[str, SessionReplica] = {}
         self.seen_us: dict[int, int] = {}
-        desk.open(kind=COPY, answer=self._copied)
-        desk.open(kind=TOUCH, answer=self._touched)
-        desk.open(kind=FORGET, answer=self._forgot)
+        dispatcher.add_handler(message_type=REPLICA, handler=self._copied)
+        dispatcher.add_handler(message_type=TOUCH, handler=self._touched)
+        dispatcher.add_handler(message_type=FORGET, handler=self._forgot)
         self.open_queue()
         self.every(every_us=SWEEP_US, command=self._sweep, name="copies")
 
@@ -48,13 +48,13 @@
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
         known = self.held.get(session.ident)
-        full = known is None and len(self.held) >= MOST_COPIES
+        full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
         # why: what leaves or has the session itself is no second place, and a late copy must not undo a newer one
         older = known is not None and known.session.tag.edition > session.tag.edition
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
-        self.held[session.ident] = Copy(owner=owner, number=number, session=session)
+        self.held[session.ident] = SessionReplica(owner=owner, number=number, session=session)
         self.seen_us[owner] = self.ctx.now_us()
         return Packer().u8(value=YES).bytes()
 
@@ -65,9 +65,9 @@
         unpacker.done()
         now_us = self.ctx.now_us()
         self.seen_us[owner] = now_us
-        for ident, copy in list(self.held.items()):
+        for ident, replica in list(self.held.items()):
             # why: a copy that was sent after the list was written is not on it
-            if copy.owner == owner and ident not in named and copy.number <= up_to:
+            if replica.owner == owner and ident not in named and replica.number <= up_to:
                 del self.held[ident]
         lacking = []
         for ident, edition in named.items():
@@ -94,30 +94,30 @@
         return Packer().u8(value=YES).bytes()
 
     def take(self, *, ident: str) -> Session | None:
-        """The copy, which from now on is a session of this stall's own."""
-        copy = self.held.pop(ident, None)
-        return None if copy is None else copy.session
+        """The copy, which from now on is a session of this HTTP proxy's own."""
+        replica = self.held.pop(ident, None)
+        return None if replica is None else replica.session
 
     def adopt(self) -> None:
-        """Makes sessions of those copies whose owners are gone, so that a stall that leaves can hand them on.
+        """Makes sessions of those copies whose owners are gone, so that an HTTP proxy that leaves can hand them on.
 
         Should such an owner only be cut off, both have the same state under the same tag, and the first change of
         either is one that the other can't be taken for.
         """
         now_us = self.ctx.now_us()
-        for ident, copy in list(self.held.items()):
-            if now_us - self.seen_us.get(copy.owner, 0) > ORPHAN_US:
+        for ident, replica in list(self.held.items()):
+            if now_us - self.seen_us.get(replica.owner, 0) > ORPHAN_US:
                 del self.held[ident]
-                copy.session.second = ""
-                self.sessions.open.setdefault(ident, copy.session)
+                replica.session.second = ""
+                self.sessions.open.setdefault(ident, replica.session)
                 self.ctx.counters.add(name="sessions.adopted")
 
     def _sweep(self) -> None:
         now_us = self.ctx.now_us()
-        for ident, copy in list(self.held.items()):
+        for ident, replica in list(self.held.items()):
             # why: its owner may be long gone, and its client as well
-            if now_us - copy.session.used_us > self.sessions.idleSessionUs:
+            if now_us - replica.session.used_us > self.sessions.idleSessionUs:
                 del self.held[ident]
-        owners = {copy.owner for copy in self.held.values()}
+        owners = {replica.owner for replica in self.held.values()}
         self.seen_us = {owner: at_us for owner, at_us in self.seen_us.items() if owner in owners}
         self.ctx.counters.gauge(name="copies.held", value=len(self.held))
--- a/src/cinderstair/http_frontend/keeper.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -1,23 +1,24 @@
-"""Sees to it that what this stall's sessions keep stands at a second stall as well."""
+"""Sees to it that what this HTTP proxy's sessions keep stands at a second HTTP proxy as well."""
 
 import asyncio
 import zlib
 
-from ..membership.crowd import Crowd
 from ..membership.member import Member, Standing
+from ..membership.membership import Membership
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.desks import COPY, FORGET, TOUCH
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.message_types import FORGET, REPLICA, TOUCH
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .copies import ANYONE
 from .session import Session
+from .session_replicas import ANYONE
 from .sessions import Sessions
 
-COPY_WAIT_US = 300_000
+REPLICA_WAIT_US = 300_000
 TOUCH_EVERY_US = 1_000_000
 TOUCH_WAIT_US = 500_000
-# why: few enough that a stall's touches don't grow with the fleet, enough that a lost stall's clients spread
+# why: few enough that an HTTP proxy's touches don't grow with the fleet, enough that a lost HTTP proxy's clients
+# spread
 SECONDS = 3
 MEND_MOST = 64
 REFUSED_US = 3_000_000
@@ -25,15 +26,19 @@
 YES = 1
 
 
-class Keeper(OwnerMixin):
-    """A change is answered when its copy stands; with no second stall to be had, it says that it stands on one."""
+class SessionReplicator(CommandQueueMixin):
+    """A change is answered when its copy stands.
 
-    def __init__(self, *, ctx: Context, crowd: Crowd, sessions: Sessions) -> None:
+    With no second HTTP proxy to be had, it says that it stands on one.
+    """
+
+    def __init__(self, *, ctx: Context, membership: Membership, sessions: Sessions) -> None:
         self.ctx = ctx
-        self.crowd = crowd
+        self.membership = membership
         self.sessions = sessions
-        # why: a stall that was started again has none of its sessions, and must not be taken for its former self
-        self.run = ctx.luck.getrandbits(62) | 1
+        # why: an HTTP proxy that was started again has none of its sessions, and must not be taken for its former
+        # self
+        self.run = ctx.rng.getrandbits(62) | 1
         self.touched: set[str] = set()
         self.refused_us: dict[str, int] = {}
         self.number = 0
@@ -43,11 +48,11 @@
         self.every(every_us=TOUCH_EVERY_US, command=self._touch, name="touch")
 
     def _seconds(self) -> list[Member]:
-        """Those that may hold copies, other sites first, each stall's own order of them."""
+        """Those that may hold copies, other sites first, each HTTP proxy's own order of them."""
         speaking = [
             member
-            for member in self.crowd.alive(role="stall")
-            if self.ctx.parley.version(address=member.records) >= VERSION
+            for member in self.membership.alive(role="stall")
+            if self.ctx.peer_client.version(address=member.records) >= VERSION
         ]
 
         now_us = self.ctx.now_us()
@@ -60,7 +65,7 @@
         return sorted(speaking, key=order)
 
     def _places(self, *, session: Session) -> list[Member]:
-        """The second stalls to try for a session: the one it has, then those that follow by its own name."""
+        """The second HTTP proxies to try for a session: the one it has, then those that follow by its own name."""
         members = self._seconds()
         first = members[:SECONDS]
         if first:
@@ -69,25 +74,25 @@
         return sorted(members, key=lambda member: member.name != session.second)
 
     async def keep(self, *, session: Session, until_us: int) -> bool:
-        """Copies the session; whether it now stands at a second stall."""
+        """Copies the session; whether it now stands at a second HTTP proxy."""
         for member in self._places(session=session)[:2]:
-            wait_us = min(COPY_WAIT_US, (until_us - self.ctx.now_us()) // 3)
+            wait_us = min(REPLICA_WAIT_US, (until_us - self.ctx.now_us()) // 3)
             if wait_us <= 0:
                 break
-            if await self._copy(session=session, member=member, wait_us=wait_us):
+            if await self._replica(session=session, member=member, wait_us=wait_us):
                 session.second = member.name
                 return True
         session.second = ""
         return False
 
-    async def _copy(self, *, session: Session, member: Member, wait_us: int) -> bool:
+    async def _replica(self, *, session: Session, member: Member, wait_us: int) -> bool:
         self.number += 1
         number = self.number
         self.under_way.add(number)
-        packer = Packer().u8(value=COPY).u64(value=self.run).u64(value=number)
+        packer = Packer().u8(value=REPLICA).u64(value=self.run).u64(value=number)
         body = session.write(packer=packer, version=VERSION, now_us=self.ctx.now_us()).bytes()
         try:
-            result = await self.ctx.parley.ask(address=member.records, body=body, wait_us=wait_us)
+            result = await self.ctx.peer_client.request(address=member.records, body=body, wait_us=wait_us)
         finally:
             self.under_way.discard(number)
         stands = result.is_ok() and result.ok == bytes([YES])
@@ -109,20 +114,22 @@
             .bytes()
         )
         for member in members:
-            if self.ctx.parley.version(address=member.records) >= VERSION:
-                work = self.ctx.parley.ask(address=member.records, body=body, wait_us=TOUCH_WAIT_US)
+            if self.ctx.peer_client.version(address=member.records) >= VERSION:
+                work = self.ctx.peer_client.request(address=member.records, body=body, wait_us=TOUCH_WAIT_US)
                 self.ctx.spawn(work=work, name="forget")
 
     def _gone(self, *, session: Session) -> None:
-        self.forget(session=session, members=[m for m in self.crowd.alive(role="stall") if m.name == session.second])
+        self.forget(
+            session=session, members=[m for m in self.membership.alive(role="stall") if m.name == session.second]
+        )
 
     @property
     def alone(self) -> int:
-        """How many sessions stand on this stall only."""
+        """How many sessions stand on this HTTP proxy only."""
         return sum(not session.second for session in self.sessions.open.values())
 
     async def _touch(self) -> None:
-        """Asks each second stall whether it still has what it should, and copies anew what is nowhere else."""
+        """Asks each second HTTP proxy whether it still has what it should, and copies anew what is nowhere else."""
         members = {member.name: member for member in self._seconds()}
         by: dict[str, list[Session]] = {name: [] for name in members}
         for session in self.sessions.open.values():
@@ -132,11 +139,11 @@
                 session.second = ""
         # why: one that has no session of ours any more must hear that once, or it would keep its copies
         self.touched &= set(members)
-        asked = [name for name, sessions in by.items() if sessions or name in self.touched]
-        await asyncio.gather(*(self._ask(member=members[name], sessions=by[name]) for name in asked))
+        requested = [name for name, sessions in by.items() if sessions or name in self.touched]
+        await asyncio.gather(*(self._ask(member=members[name], sessions=by[name]) for name in requested))
         alone = [session for session in self.sessions.open.values() if not session.second and not session.busy]
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
-        # why: at a bounded pace, since all sessions of a lost stall's neighbours want a new place at once
+        # why: at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
         if members:
             await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MEND_MOST]))
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.alone)
@@ -145,7 +152,9 @@
         up_to = min(self.under_way, default=self.number + 1) - 1
         packer = Packer().u8(value=TOUCH).u64(value=self.run).u64(value=up_to)
         packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.edition))
-        result = await self.ctx.parley.ask(address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US)
+        result = await self.ctx.peer_client.request(
+            address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US
+        )
         # why: silence proves nothing; when it lasts the member is removed, and its sessions get another place
         if result.is_error():
             return
--- a/src/cinderstair/http_frontend/handle.py
+++ b/src/cinderstair/http_frontend/session_token.py
@@ -9,7 +9,7 @@
 class Tag(NamedTuple):
     """The edition counts the changes of what a session keeps; the mark is drawn anew at each.
 
-    Two stalls that each go on from the same state make two marks, so neither's later state can be taken for
+    Two HTTP proxies that each go on from the same state make two marks, so neither's later state can be taken for
     the other's.
     """
 
@@ -24,7 +24,7 @@
 UNMARKED = Tag(0, "")
 
 
-class Handle(NamedTuple):
+class SessionToken(NamedTuple):
     ident: str
     tag: Tag
 
@@ -32,8 +32,8 @@
         return self.ident if self.tag == UNMARKED else f"{self.ident}.{self.tag}"
 
 
-def read_handle(*, text: str) -> Handle:
+def parse_session_token(*, text: str) -> SessionToken:
     match = SHAPE.match(text)
     if match is None:
-        return Handle(text, UNMARKED)
-    return Handle(match["ident"], Tag(int(match["edition"]), match["mark"]))
+        return SessionToken(text, UNMARKED)
+    return SessionToken(match["ident"], Tag(int(match["edition"]), match["mark"]))
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -2,15 +2,15 @@
 
 from reactivex.subject import Subject
 
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.ownermixin import OwnerMixin
 from .session import Session
 
 SWEEP_US = 500_000
 MOST_SESSIONS = 20_000
 
 
-class Sessions(OwnerMixin):
+class Sessions(CommandQueueMixin):
     """Owns the sessions. An abandoned transaction is ended by closing its channel, so the backend rolls back."""
 
     def __init__(self, *, ctx: Context, idleTransactionUs: int, idleSessionUs: int) -> None:
@@ -26,9 +26,9 @@
         if len(self.open) >= MOST_SESSIONS:
             return None
         # why: a session's name is its key; nobody may guess another's
-        ident = f"{self.ctx.name}.{self.ctx.luck.getrandbits(96):024x}"
+        ident = f"{self.ctx.name}.{self.ctx.rng.getrandbits(96):024x}"
         session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
-        session.tag = session.next(luck=self.ctx.luck)
+        session.tag = session.next(rng=self.ctx.rng)
         self.open[ident] = session
         return session
 
@@ -46,7 +46,7 @@
         if transaction is not None:
             session.transaction = None
             session.lost = True
-            transaction.pool.give(channel=transaction.channel, keep=False)
+            transaction.pool.give(connection=transaction.connection, keep=False)
             self.ctx.counters.add(name="transactions.abandoned")
 
     def _sweep(self) -> None:
--- a/src/cinderstair/http_frontend/share.py
+++ b/src/cinderstair/http_frontend/subsetting.py
@@ -1,4 +1,4 @@
-"""The share: which backends one stall keeps channels to. Pure functions, computed by each stall alone."""
+"""The share: which backends one HTTP proxy keeps channels to. Pure functions, computed by each HTTP proxy alone."""
 
 import hashlib
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 @lru_cache(maxsize=4096)
-def dealt(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
+def allocated(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
     # why: drawing a rank for each name shuffles as well as swapping does, and leaves all other names in
     # their order when one is listed or struck off, so that a change of the list moves few channels
     return tuple(sorted(names, key=lambda name: (rank(seed=seed, name=name), name)))
@@ -19,7 +19,7 @@
 
 def shuffled(*, names: Sequence[str], seed: int) -> tuple[str, ...]:
     """The list in one round's order, whatever order it arrives in."""
-    return dealt(tuple(names), seed)
+    return allocated(tuple(names), seed)
 
 
 def subset_count(*, listed: int, subset_size: int) -> int:
@@ -34,46 +34,46 @@
     return start, start + base + (1 if index < over else 0)
 
 
-def subset(*, names: Sequence[str], stall_id: int, subset_size: int) -> tuple[str, ...]:
-    """The design's deterministic subset of one stall."""
+def subset(*, names: Sequence[str], http_proxy_id: int, subset_size: int) -> tuple[str, ...]:
+    """The design's deterministic subset of one HTTP proxy."""
     if not names or subset_size <= 0:
         return ()
     count = subset_count(listed=len(names), subset_size=subset_size)
-    order = shuffled(names=names, seed=stall_id // count)
-    start, end = bounds(listed=len(names), count=count, index=stall_id % count)
+    order = shuffled(names=names, seed=http_proxy_id // count)
+    start, end = bounds(listed=len(names), count=count, index=http_proxy_id % count)
     return tuple(order[start:end])
 
 
 def with_replacements(
-    *, names: Sequence[str], stall_id: int, subset_size: int, unfit: frozenset[str]
+    *, names: Sequence[str], http_proxy_id: int, subset_size: int, unfit: frozenset[str]
 ) -> tuple[str, ...]:
     """The subset with each unfit member's place taken by the next fit one in the round's own order.
 
     The list itself stays as it was, so a loss moves one channel set and a return moves it back.
     """
-    own = subset(names=names, stall_id=stall_id, subset_size=subset_size)
+    own = subset(names=names, http_proxy_id=http_proxy_id, subset_size=subset_size)
     if not any(name in unfit for name in own):
         return own
     count = subset_count(listed=len(names), subset_size=subset_size)
-    order = shuffled(names=names, seed=stall_id // count)
-    _, end = bounds(listed=len(names), count=count, index=stall_id % count)
+    order = shuffled(names=names, seed=http_proxy_id // count)
+    _, end = bounds(listed=len(names), count=count, index=http_proxy_id % count)
     # why: going on from the subset's own end gives each subset of a round another replacement first
     spare = [name for name in (*order[end:], *order[:end]) if name not in own and name not in unfit]
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
 
 
-def users(*, names: Sequence[str], stall_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
-    """The stalls, by id, in whose subset a backend is."""
+def users(*, names: Sequence[str], http_proxy_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
+    """The HTTP proxies, by id, in whose subset a backend is."""
     return [
-        stall_id
-        for stall_id in sorted(stall_ids)
-        if name in subset(names=names, stall_id=stall_id, subset_size=subset_size)
+        http_proxy_id
+        for http_proxy_id in sorted(http_proxy_ids)
+        if name in subset(names=names, http_proxy_id=http_proxy_id, subset_size=subset_size)
     ]
 
 
-def allotment(*, cap: int, user_ids: Sequence[int], stall_id: int) -> int:
-    """One stall's part of a backend's cap: even, with the remainder dealt by id. The sum is the cap."""
-    if stall_id not in user_ids:
+def allotment(*, cap: int, user_ids: Sequence[int], http_proxy_id: int) -> int:
+    """One HTTP proxy's part of a backend's cap: even, with the remainder dealt by id. The sum is the cap."""
+    if http_proxy_id not in user_ids:
         return 0
     base, over = divmod(cap, len(user_ids))
-    return base + (1 if sorted(user_ids).index(stall_id) < over else 0)
+    return base + (1 if sorted(user_ids).index(http_proxy_id) < over else 0)
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -1,44 +1,44 @@
-"""A stall's view of the register: the configuration, the slots, the windows and the leads."""
+"""An HTTP proxy's view of the register: the configuration, the slots, the windows and the leads."""
 
-from ..config.chancery import CHARTER_KEY
-from ..config.charter import Charter
-from ..config.check import check_charter
+from ..config.check import check_configuration
+from ..config.configuration import Configuration
+from ..config.configuration_store import CONFIGURATION_KEY
 from ..consensus.register import Register
 from ..consensus.register_view import LEASE_US, RegisterView
-from ..failover.lead import Lead, read_lead
-from ..failover.slots import SLOTS_KEY, Slots, read_slots
+from ..failover.database_primary import DatabasePrimary, read_database_primary
+from ..failover.proxy_ids import PROXY_IDS_KEY, ProxyIds, read_proxy_ids
 from ..maintenance.leaving import Leaving, leaving
-from ..maintenance.windowstates import WINDOWS_KEY, WindowStates, read_window_states
+from ..maintenance.window_states import WINDOWS_KEY, WindowStates, read_window_states
 from ..runtime.context import Context
 
 __all__ = ["LEASE_US", "View"]
 
 
 class View(RegisterView):
-    """Owns what the stall knows of the register. What it says counts only while it is current."""
+    """Owns what the HTTP proxy knows of the register. What it says counts only while it is current."""
 
     def __init__(self, *, ctx: Context, register: Register) -> None:
-        self.charter: Charter | None = None
-        self.slots = Slots()
+        self.configuration: Configuration | None = None
+        self.proxy_ids = ProxyIds()
         self.window_states = WindowStates()
         self.leaving = Leaving()
-        self.leads: dict[str, Lead] = {}
+        self.leads: dict[str, DatabasePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.planned_since_us: dict[str, int] = {}
         super().__init__(ctx=ctx, register=register)
 
     def _apply(self, *, key: str, value: bytes) -> bool:
-        if key == CHARTER_KEY:
-            return self._apply_charter(raw=value)
-        if key == SLOTS_KEY:
-            self.slots = read_slots(data=value)
+        if key == CONFIGURATION_KEY:
+            return self._apply_configuration(raw=value)
+        if key == PROXY_IDS_KEY:
+            self.proxy_ids = read_proxy_ids(data=value)
         elif key == WINDOWS_KEY:
             self.window_states = read_window_states(data=value)
             self.ctx.log.info("windows: %s", ", ".join(f"{n} {s.name}" for n, _, _, s in self.window_states.stages))
             self._reckon()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
-            before, lead = self.leads.get(database), read_lead(data=value)
+            before, lead = self.leads.get(database), read_database_primary(data=value)
             if lead.planned and (before is None or not before.planned):
                 self.planned_since_us[database] = self.ctx.now_us()
             self.leads[database] = lead
@@ -47,23 +47,23 @@
             return super()._apply(key=key, value=value)
         return True
 
-    def _apply_charter(self, *, raw: bytes) -> bool:
-        checked = check_charter(raw=raw)
+    def _apply_configuration(self, *, raw: bytes) -> bool:
+        checked = check_configuration(raw=raw)
         # why: a configuration that this version can't read is not in force here, so the view can't be current
         if checked.is_error():
             self.ctx.counters.add(name="view.unreadable")
-            self.ctx.log.error("accepted configuration can't be read here: %s", checked.error.why)
+            self.ctx.log.error("accepted configuration can't be read here: %s", checked.error.reason)
             return False
-        if self.charter is not None and checked.ok.version < self.charter.version:
+        if self.configuration is not None and checked.ok.version < self.configuration.version:
             self.ctx.counters.add(name="view.backwards")
             return False
-        self.charter = checked.ok
+        self.configuration = checked.ok
         self._reckon()
         self.ctx.log.info("configuration %d in force", checked.ok.version)
         return True
 
     def _reckon(self) -> None:
-        self.leaving = leaving(charter=self.charter, states=self.window_states)
+        self.leaving = leaving(configuration=self.configuration, states=self.window_states)
 
-    def lead(self, *, database: str) -> Lead | None:
+    def lead(self, *, database: str) -> DatabasePrimary | None:
         return self.leads.get(database)
--- a/src/cinderstair/maintenance/leaving.py
+++ b/src/cinderstair/maintenance/leaving.py
@@ -1,9 +1,9 @@
-"""What open windows select: the backends and stalls that are to stand empty. Pure, and the same everywhere."""
+"""What open windows select: the backends and HTTP proxies that are to stand empty. Pure, and the same everywhere."""
 
 from dataclasses import dataclass, field
 
-from ..config.charter import Charter
-from .windowstates import Stage, WindowStates
+from ..config.configuration import Configuration
+from .window_states import Stage, WindowStates
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -11,27 +11,27 @@
     """Names by what they are, with the windows that want each empty."""
 
     backends: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    stalls: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    http_proxies: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def why(self, *, name: str) -> str:
-        windows = self.backends.get(name) or self.stalls.get(name) or ()
+        windows = self.backends.get(name) or self.http_proxies.get(name) or ()
         return f"window {', '.join(windows)}" if windows else ""
 
 
-def leaving(*, charter: Charter | None, states: WindowStates) -> Leaving:
+def leaving(*, configuration: Configuration | None, states: WindowStates) -> Leaving:
     """Overlapping windows count together: a thing stands empty while any of them wants it."""
-    if charter is None:
+    if configuration is None:
         return Leaving()
-    opened = [window for window in charter.windows if states.stage(window=window) == Stage.open]
+    opened = [window for window in configuration.windows if states.stage(window=window) == Stage.open]
     backends = {
         name: tuple(w.name for w in opened if w.empties.picks(labels=backend.labels))
-        for name, backend in charter.backends.items()
+        for name, backend in configuration.backends.items()
     }
-    stalls = {
+    http_proxies = {
         name: tuple(w.name for w in opened if w.empties.picks(labels=labels))
-        for name, labels in charter.stall_labels.items()
+        for name, labels in configuration.http_proxy_labels.items()
     }
     return Leaving(
         backends={name: windows for name, windows in backends.items() if windows},
-        stalls={name: windows for name, windows in stalls.items() if windows},
+        http_proxies={name: windows for name, windows in http_proxies.items() if windows},
     )
--- a/src/cinderstair/maintenance/scenario.py
+++ b/src/cinderstair/maintenance/scenario.py
@@ -7,9 +7,8 @@
 from expression import Error, Ok, Result
 from marshmallow import Schema, ValidationError, fields, validate
 
-from ..config.charter import Charter
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..config.configuration import Configuration
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.settings import NAME
 
 
@@ -20,7 +19,9 @@
 
 class ScenarioSchema(Schema):
     stalls = fields.List(
-        fields.String(validate=NAME), required=True, validate=validate.Length(min=1, max=500, error="1 to 500 stalls")
+        fields.String(validate=NAME),
+        required=True,
+        validate=validate.Length(min=1, max=500, error="1 to 500 HTTP proxies"),
     )
     joins = fields.List(fields.String(validate=NAME), load_default=list)
     lost = fields.List(fields.String(validate=NAME), load_default=list)
@@ -31,22 +32,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """Stalls hold their slots in the order given; `joins` and `lost` say what happens to them and to backends."""
+    """HTTP proxies hold their slots in the order given.
 
-    stalls: tuple[str, ...]
+    `joins` and `lost` say what happens to them and to backends.
+    """
+
+    http_proxies: tuple[str, ...]
     joins: tuple[str, ...] = ()
     lost: tuple[str, ...] = ()
     windows: tuple[str, ...] = ()
     primaries: dict[str, str] = field(default_factory=dict)
-    inSync: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    in_sync: dict[str, tuple[str, ...]] = field(default_factory=dict)
     seed: int = 1
 
 
-def broken(*, why: str) -> Result[Scenario, Fault]:
-    return Error(Fault(kind=Kind.malformed, why=why))
+def broken(*, why: str) -> Result[Scenario, CinderstairError]:
+    return Error(CinderstairError(code=ErrorCode.MALFORMED, reason=why))
 
 
-def read_scenario(*, raw: bytes, charter: Charter) -> Result[Scenario, Fault]:
+def read_scenario(*, raw: bytes, configuration: Configuration) -> Result[Scenario, CinderstairError]:
     """A scenario that fits a configuration, or the place where it doesn't."""
     try:
         value = json.loads(raw)
@@ -62,39 +66,41 @@
             step, reason = next(iter(reason.items()))
             key = f"{key}/{step}"
         return broken(why=f"/{key}: {reason[0]}")
-    known = {*loaded["stalls"], *charter.backends}
-    windows = {window.name for window in charter.windows}
+    known = {*loaded["stalls"], *configuration.backends}
+    windows = {window.name for window in configuration.windows}
     for path, names, among in (
         ("lost", loaded["lost"], known),
         ("windows", loaded["windows"], windows),
-        ("leads", list(loaded["leads"]), set(charter.databases)),
+        ("leads", list(loaded["leads"]), set(configuration.databases)),
     ):
         for index, name in enumerate(names):
             if name not in among:
                 return broken(why=f"/{path}/{index}: '{name}' is not known")
     for database, lead in loaded["leads"].items():
         for name in (lead["primary"], *lead["inSync"]):
-            if name not in charter.databases[database]:
+            if name not in configuration.databases[database]:
                 return broken(why=f"/leads/{database}: '{name}' is no backend of it")
     every = [*loaded["stalls"], *loaded["joins"]]
     if len(set(every)) != len(every):
         return broken(why="/stalls: a name stands twice")
-    primaries = {d: loaded["leads"].get(d, {}).get("primary", names[0]) for d, names in charter.databases.items()}
-    inSync = {
+    primaries = {
+        d: loaded["leads"].get(d, {}).get("primary", names[0]) for d, names in configuration.databases.items()
+    }
+    in_sync = {
         d: tuple(loaded["leads"][d]["inSync"])
         if d in loaded["leads"]
         # why: said nothing else, the usual state is assumed: as many in sync as the policy wants
-        else tuple(n for n in names if n != primaries[d])[: charter.amount(name="inSync", database=d)]
-        for d, names in charter.databases.items()
+        else tuple(n for n in names if n != primaries[d])[: configuration.amount(name="inSync", database=d)]
+        for d, names in configuration.databases.items()
     }
     return Ok(
         Scenario(
-            stalls=tuple(loaded["stalls"]),
+            http_proxies=tuple(loaded["stalls"]),
             joins=tuple(loaded["joins"]),
             lost=tuple(loaded["lost"]),
             windows=tuple(loaded["windows"]),
             primaries=primaries,
-            inSync=inSync,
+            in_sync=in_sync,
             seed=loaded["seed"],
         )
     )
--- a/src/cinderstair/maintenance/whatif.py
+++ b/src/cinderstair/maintenance/whatif.py
@@ -3,77 +3,90 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..config.charter import Charter
-from ..http_frontend.share import allotment, with_replacements
+from ..config.configuration import Configuration
+from ..http_frontend.subsetting import allotment, with_replacements
 from .leaving import Leaving, leaving
 from .scenario import Scenario
-from .windowstates import Stage, WindowStates
+from .window_states import Stage, WindowStates
 
 
 @dataclass(frozen=True, kw_only=True)
 class Layout:
-    """Every stall's channels to every backend, and its share of every database."""
+    """Every HTTP proxy's channels to every backend, and its share of every database."""
 
-    channels: dict[tuple[str, str], int]
+    connections: dict[tuple[str, str], int]
     shares: dict[tuple[str, str], tuple[str, ...]]
 
 
-def open_states(*, charter: Charter, names: tuple[str, ...]) -> WindowStates:
+def open_states(*, configuration: Configuration, names: tuple[str, ...]) -> WindowStates:
     return WindowStates(
-        stages=tuple((w.name, w.starts_us, w.ends_us, Stage.open) for w in charter.windows if w.name in names)
+        stages=tuple((w.name, w.starts_us, w.ends_us, Stage.open) for w in configuration.windows if w.name in names)
     )
 
 
 def layout(
-    *, charter: Charter, stalls: tuple[str, ...], unfit: frozenset[str], held: dict[str, tuple[str, ...]]
+    *,
+    configuration: Configuration,
+    http_proxies: tuple[str, ...],
+    unfit: frozenset[str],
+    held: dict[str, tuple[str, ...]],
 ) -> Layout:
-    """As each stall would compute it for itself; ids are the places in the list of stalls."""
-    channels: dict[tuple[str, str], int] = {}
+    """As each HTTP proxy would compute it for itself; ids are the places in the list of HTTP proxies."""
+    connections: dict[tuple[str, str], int] = {}
     shares: dict[tuple[str, str], tuple[str, ...]] = {}
-    ids = {number: name for number, name in enumerate(stalls) if name}
-    for database, names in charter.databases.items():
-        size = charter.amount(name="subsetSize", database=database)
+    ids = {number: name for number, name in enumerate(http_proxies) if name}
+    for database, names in configuration.databases.items():
+        size = configuration.amount(name="subsetSize", database=database)
         subsets = {
-            number: with_replacements(names=names, stall_id=number, subset_size=size, unfit=unfit) for number in ids
+            number: with_replacements(names=names, http_proxy_id=number, subset_size=size, unfit=unfit)
+            for number in ids
         }
-        for number, stall in ids.items():
-            shares[stall, database] = subsets[number]
+        for number, http_proxy in ids.items():
+            shares[http_proxy, database] = subsets[number]
         for name in names:
             user_ids = [n for n, found in subsets.items() if name in found or name in held[database]]
-            for number, stall in ids.items():
+            for number, http_proxy in ids.items():
                 part = (
-                    allotment(cap=charter.backends[name].cap, user_ids=user_ids, stall_id=number) if user_ids else 0
+                    allotment(cap=configuration.backends[name].cap, user_ids=user_ids, http_proxy_id=number)
+                    if user_ids
+                    else 0
                 )
-                channels[stall, name] = part
-    return Layout(channels=channels, shares=shares)
+                connections[http_proxy, name] = part
+    return Layout(connections=connections, shares=shares)
 
 
-def what_if(*, charter: Charter, scenario: Scenario) -> dict[str, Any]:
+def what_if(*, configuration: Configuration, scenario: Scenario) -> dict[str, Any]:
     """Before and after, what moves between them, and what each window can do."""
-    away = leaving(charter=charter, states=open_states(charter=charter, names=scenario.windows))
-    held_before = {d: (scenario.primaries[d], *scenario.inSync[d]) for d in charter.databases}
-    before = layout(charter=charter, stalls=scenario.stalls, unfit=frozenset(), held=held_before)
-    # why: a lost stall keeps its slot through a time of grace, so the others' ids stay; its place is left empty
-    left = tuple("" if name in scenario.lost else name for name in scenario.stalls)
+    away = leaving(
+        configuration=configuration, states=open_states(configuration=configuration, names=scenario.windows)
+    )
+    held_before = {d: (scenario.primaries[d], *scenario.in_sync[d]) for d in configuration.databases}
+    before = layout(
+        configuration=configuration, http_proxies=scenario.http_proxies, unfit=frozenset(), held=held_before
+    )
+    # why: a lost HTTP proxy keeps its slot through a time of grace, so the others' ids stay; its place is left empty
+    left = tuple("" if name in scenario.lost else name for name in scenario.http_proxies)
     after = tuple(left) + scenario.joins
-    lost_backends = frozenset(name for name in scenario.lost if name in charter.backends)
-    steps, held_after = window_steps(charter=charter, scenario=scenario, away=away, lost=lost_backends, stalls=after)
+    lost_backends = frozenset(name for name in scenario.lost if name in configuration.backends)
+    steps, held_after = window_steps(
+        configuration=configuration, scenario=scenario, away=away, lost=lost_backends, http_proxies=after
+    )
     unfit = lost_backends | frozenset(away.backends)
-    then = layout(charter=charter, stalls=after, unfit=unfit, held=held_after)
+    then = layout(configuration=configuration, http_proxies=after, unfit=unfit, held=held_after)
     return {
-        "configuration": charter.version,
-        "before": described(layout=before, charter=charter),
-        "after": described(layout=then, charter=charter),
+        "configuration": configuration.version,
+        "before": described(layout=before, configuration=configuration),
+        "after": described(layout=then, configuration=configuration),
         "moves": moves(before=before, after=then),
         "windows": steps,
-        "warnings": list(charter.warnings),
+        "warnings": list(configuration.warnings),
     }
 
 
-def described(*, layout: Layout, charter: Charter) -> dict[str, Any]:
+def described(*, layout: Layout, configuration: Configuration) -> dict[str, Any]:
     backends = {}
-    for name, backend in sorted(charter.backends.items()):
-        parts = [count for (_, each), count in layout.channels.items() if each == name and count]
+    for name, backend in sorted(configuration.backends.items()):
+        parts = [count for (_, each), count in layout.connections.items() if each == name and count]
         backends[name] = {
             "cap": backend.cap,
             "stalls": len(parts),
@@ -83,8 +96,8 @@
             "most": max(parts, default=0),
         }
     shares: dict[str, dict[str, list[str]]] = {}
-    for (stall, database), names in layout.shares.items():
-        shares.setdefault(stall, {})[database] = list(names)
+    for (http_proxy, database), names in layout.shares.items():
+        shares.setdefault(http_proxy, {})[database] = list(names)
     return {"backends": backends, "shares": shares}
 
 
@@ -92,8 +105,8 @@
     """Channels opened and closed, by backend and in all; and how many places of subsets changed."""
     opened: dict[str, int] = {}
     closed: dict[str, int] = {}
-    for key in sorted({*before.channels, *after.channels}):
-        change = after.channels.get(key, 0) - before.channels.get(key, 0)
+    for key in sorted({*before.connections, *after.connections}):
+        change = after.connections.get(key, 0) - before.connections.get(key, 0)
         if change > 0:
             opened[key[1]] = opened.get(key[1], 0) + change
         elif change < 0:
@@ -109,19 +122,24 @@
 
 
 def window_steps(
-    *, charter: Charter, scenario: Scenario, away: Leaving, lost: frozenset[str], stalls: tuple[str, ...]
+    *,
+    configuration: Configuration,
+    scenario: Scenario,
+    away: Leaving,
+    lost: frozenset[str],
+    http_proxies: tuple[str, ...],
 ) -> tuple[dict[str, Any], dict[str, tuple[str, ...]]]:
     """Database by database, what the open windows do and where they hold back; and who is held to after."""
     held: dict[str, tuple[str, ...]] = {}
     steps: dict[str, Any] = {}
-    for database, names in charter.databases.items():
-        most = charter.amount(name="inSync", database=database)
+    for database, names in configuration.databases.items():
+        most = configuration.amount(name="inSync", database=database)
         staying = [n for n in names if n not in away.backends and n not in lost]
         primary, notes = scenario.primaries[database], []
         finishes = True
         if primary in away.backends or primary in lost:
-            able = [n for n in staying if n in scenario.inSync[database]]
-            joining = [n for n in staying if n not in scenario.inSync[database]]
+            able = [n for n in staying if n in scenario.in_sync[database]]
+            joining = [n for n in staying if n not in scenario.in_sync[database]]
             if able:
                 notes.append(f"the lead moves from {primary} to one of {', '.join(able)}")
                 primary = able[0]
@@ -133,7 +151,7 @@
                 notes.append(f"held back: nobody outside could lead instead of {primary}")
         followers = [n for n in staying if n != primary][:most]
         if not followers:
-            kept = next((n for n in scenario.inSync[database] if n != primary and n not in lost), "")
+            kept = next((n for n in scenario.in_sync[database] if n != primary and n not in lost), "")
             if kept:
                 notes.append(f"held back: {kept} stays in sync, since nobody outside can")
                 followers = [kept]
@@ -143,9 +161,13 @@
                 finishes = False
         held[database] = (primary, *followers)
         steps[database] = {"finishes": finishes, "steps": notes, "primary": primary, "inSync": followers}
-    stay = [n for n in stalls if n and n not in away.stalls and n not in scenario.lost]
-    gone = [n for n in stalls if n in away.stalls]
+    stay = [n for n in http_proxies if n and n not in away.http_proxies and n not in scenario.lost]
+    gone = [n for n in http_proxies if n in away.http_proxies]
     if gone:
-        note = f"{', '.join(gone)} hand their sessions to {', '.join(stay)}" if stay else "held back: no stall stays"
+        note = (
+            f"{', '.join(gone)} hand their sessions to {', '.join(stay)}"
+            if stay
+            else "held back: no HTTP proxy stays"
+        )
         steps["stalls"] = {"finishes": bool(stay), "steps": [note]}
     return steps, held
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -4,7 +4,7 @@
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .beat import EMPTYING, READY
+from .heartbeat import EMPTYING, READY
 
 GONE = "gone"
 STATES = (READY, EMPTYING, GONE)
@@ -25,7 +25,7 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        # why: a backend that has gone for good says nothing more, so a late beat must not bring it back
+        # why: a backend that has gone for good says nothing more, so a late heartbeat must not bring it back
         return int(self.state == GONE), self.number
 
     def write(self, *, packer: Packer) -> None:
--- a/src/cinderstair/membership/beat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Beat:
+class Heartbeat:
     """Beats of one backend are ordered by its incarnation, then by their own number."""
 
     name: str
@@ -32,12 +32,12 @@
         packer.u64(value=self.term).u64(value=self.position)
 
 
-def read_beat(*, unpacker: Unpacker) -> Beat:
+def read_heartbeat(*, unpacker: Unpacker) -> Heartbeat:
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
     site, state, leads = unpacker.text(), unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or leads > 1:
         raise ValueError("no such state")
-    return Beat(
+    return Heartbeat(
         name=name,
         incarnation=incarnation,
         number=number,
@@ -49,10 +49,10 @@
     )
 
 
-def beat_from_json(*, value: object) -> Beat:
-    """A beat from a backend's JSON; ValueError names the field that is wrong."""
+def heartbeat_from_json(*, value: object) -> Heartbeat:
+    """A heartbeat from a backend's JSON; ValueError names the field that is wrong."""
     if not isinstance(value, dict):
-        raise ValueError("a beat is an object")
+        raise ValueError("a heartbeat is an object")
     texts = {"name": "", "site": "", "state": ""}
     numbers = {"incarnation": 0, "number": 0, "term": 0, "position": 0}
     for field in texts:
@@ -68,7 +68,7 @@
         raise ValueError(f"state: one of {', '.join(STATES)}")
     if not isinstance(value.get("leads", False), bool):
         raise ValueError("leads: true or false is needed")
-    return Beat(
+    return Heartbeat(
         name=texts["name"],
         site=texts["site"],
         state=texts["state"],
--- a/src/cinderstair/membership/news.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import NEWS
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import HEARTBEATS
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .beat import READY, read_beat
-from .crowd import Crowd
+from .heartbeat import READY, read_heartbeat
+from .membership import Membership
 
 PULL_EVERY_US = 250_000
 PULL_WAIT_US = 400_000
@@ -24,7 +24,7 @@
 MOST_ENTRIES = 20_000
 
 
-class Said(Protocol):
+class BackendHeartbeat(Protocol):
     """What a backend says of itself, in whatever form."""
 
     @property
@@ -42,44 +42,44 @@
     def write(self, *, packer: Packer) -> None: ...
 
 
-B = TypeVar("B", bound=Said)
+B = TypeVar("B", bound=BackendHeartbeat)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Heard(Generic[B]):
-    """A beat as one source heard it; `born_us` is by the local clock, and never later than the truth."""
+class ReceivedHeartbeat(Generic[B]):
+    """A heartbeat as one source heard it; `born_us` is by the local clock, and never later than the truth."""
 
     source: int
     version: int
-    beat: B
+    heartbeat: B
     born_us: int
 
 
-class News(OwnerMixin, Generic[B]):
-    """Owns the table of beats. Every daemon that hears a beat is a source; they pull from one another."""
+class HeartbeatTable(CommandQueueMixin, Generic[B]):
+    """Owns the table of heartbeats. Every daemon that hears a heartbeat is a source; they pull from one another."""
 
     def __init__(
         self,
         *,
         ctx: Context,
-        desk: Desk,
-        crowd: Crowd,
-        read: Callable[[Unpacker], Any] = lambda unpacker: read_beat(unpacker=unpacker),
+        dispatcher: Dispatcher,
+        membership: Membership,
+        read: Callable[[Unpacker], Any] = lambda unpacker: read_heartbeat(unpacker=unpacker),
         peers: Callable[[], list[str]] | None = None,
         every_us: int = PULL_EVERY_US,
         quiet_us: int = QUIET_US,
         pull_from: int = PULL_FROM,
     ) -> None:
         self.ctx = ctx
-        self.crowd = crowd
+        self.membership = membership
         self.read = read
-        self.peers = peers or self._stalls
+        self.peers = peers or self._http_proxies
         self.quiet_us = quiet_us
         self.pull_from = pull_from
-        self.source = ctx.luck.getrandbits(62) | 1
+        self.source = ctx.rng.getrandbits(62) | 1
         self.version = 0
-        self.heard: dict[tuple[int, str], Heard[B]] = {}
-        self.best: dict[str, Heard[B]] = {}
+        self.heard: dict[tuple[int, str], ReceivedHeartbeat[B]] = {}
+        self.best: dict[str, ReceivedHeartbeat[B]] = {}
         self.started_us = ctx.now_us()
         self.pulled_us = 0
         self.ticked_us = ctx.now_us()
@@ -87,48 +87,60 @@
         self.stalled_until_us = 0
         self.alone = True
         self.open_queue()
-        desk.open(kind=NEWS, answer=self._asked)
-        self.every(every_us=every_us, command=self._tick, name="pull")
+        dispatcher.add_handler(message_type=HEARTBEATS, handler=self._asked)
+        self.every(every_us=every_us, command=self._on_timer, name="pull")
 
-    def _stalls(self) -> list[str]:
-        return [member.records for member in self.crowd.alive(role="stall")]
+    def _http_proxies(self) -> list[str]:
+        return [member.records for member in self.membership.alive(role="stall")]
 
     def begin(self) -> None:
         """Pulls at once, not only at the next turn, since whoever begins lacks everything."""
-        self.post(command=self._tick, once="pull")
+        self.post(command=self._on_timer, once="pull")
 
-    def hear(self, *, beat: B) -> None:
-        """A beat came in at our own edge."""
-        known = self.best.get(beat.name)
-        # why: a beat that was held up on its way must not bring an older state back
-        if known is not None and beat.order <= known.beat.order:
+    def receive(self, *, heartbeat: B) -> None:
+        """A heartbeat came in at our own edge."""
+        known = self.best.get(heartbeat.name)
+        # why: a heartbeat that was held up on its way must not bring an older state back
+        if known is not None and heartbeat.order <= known.heartbeat.order:
             return
         self.version += 1
-        self._take(heard=Heard(source=self.source, version=self.version, beat=beat, born_us=self._arrived_us()))
+        self._take(
+            heard=ReceivedHeartbeat(
+                source=self.source, version=self.version, heartbeat=heartbeat, born_us=self._arrived_us()
+            )
+        )
         self.ctx.counters.add(name="beats.heard")
 
     def _arrived_us(self) -> int:
         """When, at the earliest, what is read now can have come in."""
         now_us = self.ctx.now_us()
-        # why: a process that stood still finds beats that have lain there since; they are as old as its standstill
+        # why: a process that stood still finds heartbeats that have lain there since; they are as old as its
+        # standstill
         if now_us - self.ticked_us > STALLED_US:
             return self.ticked_us
         return self.stalled_from_us if now_us < self.stalled_until_us else now_us
 
-    def _take(self, *, heard: Heard[B]) -> None:
-        key = (heard.source, heard.beat.name)
+    def _take(self, *, heard: ReceivedHeartbeat[B]) -> None:
+        key = (heard.source, heard.heartbeat.name)
         known = self.heard.get(key)
         if known is None or heard.version > known.version:
             self.heard[key] = heard
-        best = self.best.get(heard.beat.name)
-        if best is None or (heard.beat.order, heard.born_us) > (best.beat.order, best.born_us):
-            self.best[heard.beat.name] = heard
-            if best is None or best.beat.state != heard.beat.state or best.beat.leads != heard.beat.leads:
+        best = self.best.get(heard.heartbeat.name)
+        if best is None or (heard.heartbeat.order, heard.born_us) > (best.heartbeat.order, best.born_us):
+            self.best[heard.heartbeat.name] = heard
+            if (
+                best is None
+                or best.heartbeat.state != heard.heartbeat.state
+                or best.heartbeat.leads != heard.heartbeat.leads
+            ):
                 self.ctx.log.info(
-                    "backend %s is %s%s", heard.beat.name, heard.beat.state, " and leads" * heard.beat.leads
+                    "backend %s is %s%s",
+                    heard.heartbeat.name,
+                    heard.heartbeat.state,
+                    " and leads" * heard.heartbeat.leads,
                 )
 
-    def latest(self, *, name: str) -> Heard[B] | None:
+    def latest(self, *, name: str) -> ReceivedHeartbeat[B] | None:
         return self.best.get(name)
 
     def age_us(self, *, name: str) -> int:
@@ -138,7 +150,7 @@
 
     @property
     def hearing(self) -> bool:
-        """Whether other stalls' news come through here, or there are no other stalls."""
+        """Whether other HTTP proxies' news come through here, or there are no other HTTP proxies."""
         return self.alone or self.ctx.now_us() - self.pulled_us < HEARING_US
 
     def quiet(self, *, name: str) -> bool:
@@ -147,7 +159,7 @@
     def fit(self, *, name: str) -> bool:
         """Ready by its own word, and heard from lately."""
         heard = self.best.get(name)
-        return heard is not None and heard.beat.state == READY and not self.quiet(name=name)
+        return heard is not None and heard.heartbeat.state == READY and not self.quiet(name=name)
 
     def _vector(self) -> dict[int, int]:
         vector: dict[int, int] = {}
@@ -161,13 +173,13 @@
         now_us = self.ctx.now_us()
         lacking = [heard for heard in self.heard.values() if heard.version > vector.get(heard.source, 0)]
 
-        def each(packer: Packer, heard: Heard[B]) -> None:
+        def each(packer: Packer, heard: ReceivedHeartbeat[B]) -> None:
             packer.u64(value=heard.source).u64(value=heard.version).u64(value=now_us - heard.born_us)
-            heard.beat.write(packer=packer)
+            heard.heartbeat.write(packer=packer)
 
         return Packer().many(values=lacking[:MOST_ENTRIES], each=each).bytes()
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         now_us = self.ctx.now_us()
         if now_us - self.ticked_us > STALLED_US:
             self.stalled_from_us, self.stalled_until_us = self.ticked_us, now_us + STALLED_US
@@ -177,7 +189,7 @@
                 del self.heard[key]
         peers = self.peers()
         self.alone = not peers
-        self.ctx.luck.shuffle(peers)
+        self.ctx.rng.shuffle(peers)
         for address in peers[: self.pull_from]:
             self.ctx.spawn(work=self._pull(address=address), name="news.pull")
 
@@ -186,10 +198,10 @@
         await asyncio.gather(*(self._pull(address=address) for address in peers))
 
     async def _pull(self, *, address: str) -> None:
-        asked_us = self.ctx.now_us()
-        packer = Packer().u8(value=NEWS)
+        requested_us = self.ctx.now_us()
+        packer = Packer().u8(value=HEARTBEATS)
         packer.many(values=self._vector().items(), each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
-        result = await self.ctx.parley.ask(address=address, body=packer.bytes(), wait_us=PULL_WAIT_US)
+        result = await self.ctx.peer_client.request(address=address, body=packer.bytes(), wait_us=PULL_WAIT_US)
         if result.is_error():
             return
         try:
@@ -200,6 +212,10 @@
             self.ctx.counters.add(name="records.malformed")
             return
         self.pulled_us = self.ctx.now_us()
-        for source, version, age_us, beat in entries:
+        for source, version, age_us, heartbeat in entries:
             # why: the answer may have lain anywhere since we asked, so its age counts from the asking
-            self._take(heard=Heard(source=source, version=version, beat=beat, born_us=asked_us - age_us))
+            self._take(
+                heard=ReceivedHeartbeat(
+                    source=source, version=version, heartbeat=heartbeat, born_us=requested_us - age_us
+                )
+            )
--- a/src/cinderstair/membership/crowd.py
+++ b/src/cinderstair/membership/membership.py
@@ -2,10 +2,10 @@
 
 from dataclasses import replace
 
+from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.desks import PROBE, PROBE_FOR
-from ..runtime.ownermixin import OwnerMixin
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import PROBE, PROBE_FOR
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .member import Member, Standing, read_member
@@ -20,14 +20,14 @@
 MOST_MEMBERS = 512
 
 
-class Crowd(OwnerMixin):
+class Membership(CommandQueueMixin):
     """Owns the table of members. Each daemon has its own; they agree in time, and nothing rests on more."""
 
     def __init__(
         self,
         *,
         ctx: Context,
-        desk: Desk,
+        dispatcher: Dispatcher,
         me: Member,
         seeds: tuple[str, ...],
         every_us: int = PROBE_EVERY_US,
@@ -42,10 +42,10 @@
         self.turn: list[str] = []
         self.heard_us = ctx.now_us()
         self.open_queue()
-        desk.open(kind=PROBE, answer=self._probed)
-        desk.open(kind=PROBE_FOR, answer=self._probed_for)
-        self.post(command=self._tick, once="probe")
-        self.every(every_us=every_us, command=self._tick, name="probe")
+        dispatcher.add_handler(message_type=PROBE, handler=self._probed)
+        dispatcher.add_handler(message_type=PROBE_FOR, handler=self._probed_for)
+        self.post(command=self._on_timer, once="probe")
+        self.every(every_us=every_us, command=self._on_timer, name="probe")
 
     def alive(self, *, role: str = "") -> list[Member]:
         """The others that are not known to be gone; suspects count as here until they are removed."""
@@ -105,7 +105,7 @@
 
     async def _probe(self, *, address: str, wait_us: int) -> bool:
         body = Packer().u8(value=PROBE).bytes() + self._news()
-        result = await self.ctx.parley.ask(address=address, body=body, wait_us=wait_us)
+        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=wait_us)
         if result.is_error():
             return False
         self.heard_us = self.ctx.now_us()
@@ -116,7 +116,7 @@
             return False
         return True
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._sweep()
         self.ctx.spawn(work=self._round(), name="probe.round")
 
@@ -136,10 +136,10 @@
 
     async def _round(self) -> None:
         # why: seeds are asked whenever nobody is known, and now and then, so that two halves find each other
-        if not self.alive() or self.ctx.luck.random() < 0.05:
+        if not self.alive() or self.ctx.rng.random() < 0.05:
             others = [seed for seed in self.seeds if seed != self.me.records]
             if others:
-                await self._probe(address=self.ctx.luck.choice(others), wait_us=PROBE_WAIT_US)
+                await self._probe(address=self.ctx.rng.choice(others), wait_us=PROBE_WAIT_US)
         member = self._next()
         if member is not None:
             await self._check(member=member)
@@ -166,16 +166,16 @@
         self.turn = [name for name in self.turn if name in here]
         if not self.turn:
             self.turn = list(here)
-            self.ctx.luck.shuffle(self.turn)
+            self.ctx.rng.shuffle(self.turn)
         return here[self.turn.pop()] if self.turn else None
 
     async def _second_opinion(self, *, member: Member) -> bool:
         others = [other for other in self.alive() if other.name != member.name]
-        self.ctx.luck.shuffle(others)
+        self.ctx.rng.shuffle(others)
         body = Packer().u8(value=PROBE_FOR).text(value=member.records).bytes()
         asks = [
             self.ctx.spawn(
-                work=self.ctx.parley.ask(address=other.records, body=body, wait_us=SECOND_WAIT_US),
+                work=self.ctx.peer_client.request(address=other.records, body=body, wait_us=SECOND_WAIT_US),
                 name="second.opinion",
             )
             for other in others[:SECOND_OPINIONS]
@@ -186,7 +186,7 @@
         return reached
 
     async def leave(self) -> None:
-        """Says goodbye to a few, so that a planned stop is never taken for a crash."""
+        """Says deregistration to a few, so that a planned stop is never taken for a crash."""
         self.me = replace(self.me, standing=Standing.left, incarnation=self.me.incarnation + 1)
         for member in self.alive()[:4]:
             await self._probe(address=member.records, wait_us=PROBE_WAIT_US)
--- a/src/cinderstair/membership/pooled_sample.py
+++ b/src/cinderstair/membership/pooled_sample.py
@@ -1,4 +1,4 @@
-"""Samples of primaries' positions on their way from one booth to another, by way of a guildhall."""
+"""Samples of primaries' positions on their way from one proxy to another, by way of a controller."""
 
 from dataclasses import dataclass
 
@@ -18,8 +18,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ToldSample:
-    """What a booth tells. `moment_us` is by the guildhall's clock, and never later than the asking was."""
+class ReportedSample:
+    """What a proxy tells. `moment_us` is by the controller's clock, and never later than the asking was."""
 
     service: str
     term: int
@@ -31,8 +31,8 @@
         packer.u64(value=self.position.term).u64(value=self.position.number)
 
 
-def read_told_sample(unpacker: Unpacker) -> ToldSample:
-    return ToldSample(
+def read_reported_sample(unpacker: Unpacker) -> ReportedSample:
+    return ReportedSample(
         service=unpacker.text(),
         term=unpacker.u64(),
         moment_us=unpacker.u64(),
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedSample:
-    """A service of which the asker reads, and the guildhall's edition of the sample that it was given last."""
+    """A service of which the asker reads, and the controller's edition of the sample that it was given last."""
 
     service: str
     edition: int = 0
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PooledSample:
-    """What a booth is told. `age_us` is how long before the answer it was asked for, or longer.
+    """What a proxy is told. `age_us` is how long before the answer it was asked for, or longer.
 
     `term` is the term of the lead under which it was asked for; it counts under no other.
     """
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -1,4 +1,4 @@
-"""What a booth asks of a guildhall, and what it is told: all that changed since it last asked."""
+"""What a proxy asks of a controller, and what it is told: all that changed since it last asked."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 from .announcement import Announcement, read_announcement
 from .pooled_sample import (
     PooledSample,
-    ToldSample,
+    ReportedSample,
     WantedSample,
     read_pooled_sample,
-    read_told_sample,
+    read_reported_sample,
     read_wanted_sample,
 )
 
@@ -21,24 +21,24 @@
 class RelayQuestion:
     """`source` and `edition` say what the asker has; a source of 0 asks for everything.
 
-    `vote` is what the booth says of the shard map that was proposed in that turn. `samples` are told to this source
-    alone, by whose clock their moments are; `wanted` are those that the booth would be told. A `brief` question is
+    `vote` is what the proxy says of the shard map that was proposed in that turn. `samples` are told to this source
+    alone, by whose clock their moments are; `wanted` are those that the proxy would be told. A `brief` question is
     about the age and the source alone.
     """
 
-    booth: str
+    proxy: str
     site: str
     source: int = 0
     edition: int = 0
     troubled: tuple[str, ...] = ()
     turn: int = 0
     vote: Vote = Vote.silent
-    samples: tuple[ToldSample, ...] = ()
+    samples: tuple[ReportedSample, ...] = ()
     wanted: tuple[WantedSample, ...] = ()
     brief: bool = False
 
     def write(self, *, packer: Packer) -> Packer:
-        packer.text(value=self.booth).text(value=self.site).u64(value=self.source).u64(value=self.edition)
+        packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.edition)
         packer.many(values=self.troubled, each=lambda p, name: p.text(value=name))
         packer.u64(value=self.turn).u8(value=self.vote)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
@@ -48,14 +48,14 @@
 
 def read_relay_question(*, unpacker: Unpacker) -> RelayQuestion:
     question = RelayQuestion(
-        booth=unpacker.text(),
+        proxy=unpacker.text(),
         site=unpacker.text(),
         source=unpacker.u64(),
         edition=unpacker.u64(),
         troubled=tuple(unpacker.many(each=lambda u: u.text())),
         turn=unpacker.u64(),
         vote=Vote(unpacker.u8()),
-        samples=tuple(unpacker.many(each=read_told_sample)),
+        samples=tuple(unpacker.many(each=read_reported_sample)),
         wanted=tuple(unpacker.many(each=read_wanted_sample)),
         brief=bool(unpacker.u8()),
     )
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayAnswer:
-    """`age_us` is how old the guildhall's own knowledge of the register is, by its own clock.
+    """`age_us` is how old the controller's own knowledge of the register is, by its own clock.
 
     `answered_us` is what that clock says at the answer. `ask` names the services whose primaries the asker is to ask
     for their positions. `site` is told to brief questions alone.
@@ -90,7 +90,7 @@
     whole: bool
     values: tuple[RelayedValue, ...] = ()
     backends: tuple[RelayedBackend, ...] = ()
-    guildhalls: tuple[str, ...] = ()
+    controllers: tuple[str, ...] = ()
     answered_us: int = 0
     samples: tuple[PooledSample, ...] = ()
     ask: tuple[str, ...] = ()
@@ -109,7 +109,7 @@
             p.u8(value=int(entry.quiet))
 
         packer.many(values=self.values, each=write_value).many(values=self.backends, each=write_backend)
-        packer.many(values=self.guildhalls, each=lambda p, a: p.text(value=a)).u64(value=self.answered_us)
+        packer.many(values=self.controllers, each=lambda p, a: p.text(value=a)).u64(value=self.answered_us)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
         return packer.many(values=self.ask, each=lambda p, name: p.text(value=name)).text(value=self.site).bytes()
 
@@ -122,7 +122,7 @@
     backends = unpacker.many(
         each=lambda u: RelayedBackend(announcement=read_announcement(unpacker=u), quiet=bool(u.u8()))
     )
-    guildhalls = unpacker.many(each=lambda u: u.text())
+    controllers = unpacker.many(each=lambda u: u.text())
     answered_us, samples = unpacker.u64(), unpacker.many(each=read_pooled_sample)
     ask, site = unpacker.many(each=lambda u: u.text()), unpacker.text()
     unpacker.done()
@@ -133,7 +133,7 @@
         whole=whole,
         values=tuple(values),
         backends=tuple(backends),
-        guildhalls=tuple(guildhalls),
+        controllers=tuple(controllers),
         answered_us=answered_us,
         samples=tuple(samples),
         ask=tuple(ask),
--- a/src/cinderstair/pooler/detours.py
+++ b/src/cinderstair/pooler/detours.py
@@ -1,4 +1,4 @@
-"""Ways round: a primary that this booth can't reach, and another booth can, is reached by way of that booth."""
+"""Ways round: a primary that this proxy can't reach, and another proxy can, is reached by way of that proxy."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 # why: a little over two tries, so that one answer that is late ends no way that is good
 PROVEN_FOR_US = 900_000
 PROBE_WAIT_US = 500_000
-# why: a cut may part most booths from a primary, and each turn that finds nobody costs clients a third of a second
+# why: a cut may part most proxies from a primary, and each turn that finds nobody costs clients a third of a second
 ASKED_AT_ONCE = 3
 
 
 class Detours:
     """Owns the ways round, one a backend. No client's statement is the first to go on one.
 
-    A way is proven by the primary's own position, asked for by way of the other booth, and proven anew for as long as
-    it is needed; what may be sent is decided by that booth, by its own view, as for all that is passed on.
+    A way is proven by the primary's own position, asked for by way of the other proxy, and proven anew for as long as
+    it is needed; what may be sent is decided by that proxy, by its own view, as for all that is passed on.
     """
 
     def __init__(self, *, ctx: Context, others: Callable[[LinkPool], tuple[Holder, ...]]) -> None:
@@ -54,7 +54,10 @@
             table.pop(name, None)
 
     def _next(self, *, pool: LinkPool) -> list[Holder]:
-        """The one that serves as the way now; else some not asked yet, of the nearest and of all in turn, by luck."""
+        """The one that serves as the way now.
+
+        Else some not asked yet, of the nearest and of all in turn, at random.
+        """
         name = pool.backend.name
         found = self.ways.get(name)
         if found is not None:
@@ -65,8 +68,8 @@
             refused.clear()
             return []
         near = min(holder.near for holder in others)
-        self.ctx.luck.shuffle(others)
-        # why: a cut may part whole zones as well as single booths, so that the nearest may all be of no use
+        self.ctx.rng.shuffle(others)
+        # why: a cut may part whole zones as well as single proxies, so that the nearest may all be of no use
         others.sort(key=lambda holder: holder.near > near)
         return [*others[: ASKED_AT_ONCE - 1], *others[ASKED_AT_ONCE - 1 :][-1:]]
 
@@ -85,7 +88,7 @@
         proven = False
         if taken.is_ok():
             # why: counted from the asking, since the way may be closed by the time that the answer is here
-            asked_us = self.ctx.now_us()
+            requested_us = self.ctx.now_us()
             try:
                 reply = await taken.ok.ask_position()
                 proven = reply.fault is None and reply.position is not None
@@ -96,20 +99,22 @@
         if proven and pool.unreachable:
             # why: of several that answer the first is the way
             if found is None or found[0].holders[0] == holder:
-                self._keep(pool=pool, holder=holder, asked_us=asked_us)
+                self._keep(pool=pool, holder=holder, requested_us=requested_us)
             return
         self.refused.setdefault(name, set()).add(holder.name)
         if found is not None and found[0].holders[0] == holder:
             del self.ways[name]
 
-    def _keep(self, *, pool: LinkPool, holder: Holder, asked_us: int) -> None:
+    def _keep(self, *, pool: LinkPool, holder: Holder, requested_us: int) -> None:
         name = pool.backend.name
         found = self.ways.get(name)
         if found is None or found[0].holders[0] != holder:
             self.ctx.counters.add(name="detours.found")
             self.ctx.log.info("%s is reached by way of %s", name, holder.name)
-            way = LinkPool(ctx=self.ctx, backend=pool.backend, dialer=pool.dialer, on_trouble=pool.on_trouble)
+            way = LinkPool(
+                ctx=self.ctx, backend=pool.backend, dialer=pool.dialer, on_link_failure=pool.on_link_failure
+            )
             way.limit, way.forwarder, way.holders = 0, self.forwarder, (holder,)
         else:
             way = found[0]
-        self.ways[name] = (way, asked_us)
+        self.ways[name] = (way, requested_us)
--- a/src/cinderstair/pooler/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -1,9 +1,9 @@
-"""What a booth without links to a backend asks of one that has some, and what it is told."""
+"""What a proxy without links to a backend asks of one that has some, and what it is told."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from ..runtime.kind import Kind
+from ..runtime.errors import ErrorCode
 from ..runtime.packer import Packer
 from ..runtime.position import Position
 from ..runtime.unpacker import Unpacker
@@ -39,14 +39,14 @@
 class ForwardQuestion:
     """`life` is the answerer's, and `until_us` a moment by the answerer's clock; from then on nothing is sent.
 
-    `channel` numbers the asker's transactions. `values` are the session's; `shape` is what an execute rests on.
+    `connection` numbers the asker's transactions. `values` are the session's; `shape` is what an execute rests on.
     """
 
     asker: str
     step: ForwardStep
     life: int = 0
     until_us: int = 0
-    channel: int = 0
+    connection: int = 0
     backend: str = ""
     service: str = ""
     database: str = ""
@@ -56,11 +56,11 @@
     values: dict[bytes, bytes] = field(default_factory=dict)
     statement: Statement = NO_STATEMENT
     shape: bytes = b""
-    channels: tuple[int, ...] = ()
+    connections: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
         packer = Packer().text(value=self.asker).u8(value=self.step).u64(value=self.life).u64(value=self.until_us)
-        packer.u64(value=self.channel).text(value=self.backend).text(value=self.service).text(value=self.database)
+        packer.u64(value=self.connection).text(value=self.backend).text(value=self.service).text(value=self.database)
         packer.u32(value=self.rank).u8(value=int(self.read_only))
         _write_position(packer=packer, position=self.at_least)
         packer.many(values=self.values.items(), each=lambda p, e: p.blob(value=e[0]).blob(value=e[1]))
@@ -68,7 +68,7 @@
         packer.blob(value=statement.ident).u8(value=statement.verb).blob(value=statement.text)
         packer.blob(value=statement.name).blob(value=statement.content).u8(value=int(statement.writes))
         packer.blob(value=self.shape)
-        return packer.many(values=self.channels, each=lambda p, n: p.u64(value=n)).bytes()
+        return packer.many(values=self.connections, each=lambda p, n: p.u64(value=n)).bytes()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -112,7 +112,7 @@
         step=ForwardStep(unpacker.u8()),
         life=unpacker.u64(),
         until_us=unpacker.u64(),
-        channel=unpacker.u64(),
+        connection=unpacker.u64(),
         backend=unpacker.text(),
         service=unpacker.text(),
         database=unpacker.text(),
@@ -129,7 +129,7 @@
             writes=bool(unpacker.u8()),
         ),
         shape=unpacker.blob(),
-        channels=tuple(unpacker.many(each=lambda u: u.u64())),
+        connections=tuple(unpacker.many(each=lambda u: u.u64())),
     )
     unpacker.done()
     return question
@@ -144,7 +144,7 @@
     reply = Reply(
         rows=rows,
         stamp=stamp,
-        fault=Kind(fault) if fault else None,
+        fault=ErrorCode(fault) if fault else None,
         native=native,
         not_run=bool(unpacker.u8()),
         retriable=bool(unpacker.u8()),
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -1,11 +1,11 @@
-"""A link that stands in for one that another booth holds."""
+"""A link that stands in for one that another proxy holds."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..runtime.kind import Kind
+from ..runtime.errors import ErrorCode
 from ..runtime.position import Position
 from .forward_record import ForwardQuestion, ForwardStep, Outcome
 from .reply import Reply, State
@@ -70,7 +70,7 @@
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         self.begun = True
         self.base = replace(self.base, read_only=read_only)
-        self.forwarder.channels[self.base.channel] = self
+        self.forwarder.connections[self.base.connection] = self
         question = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
         return self._ask(question=question)
 
@@ -96,8 +96,8 @@
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
             reply = result.ok.reply
-        elif result.is_error() and result.error.kind == Kind.wireUnsent:
-            reply = Reply(rows=[], fault=Kind.noBackend, not_run=True, state=self.state)
+        elif result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
+            reply = Reply(rows=[], fault=ErrorCode.NO_BACKEND, not_run=True, state=self.state)
         if reply is None or (self.begun and reply.not_run and result.is_error()):
             self._fail(future=future)
             return
@@ -117,7 +117,7 @@
 
     def _ended(self) -> None:
         self.begun = False
-        self.forwarder.channels.pop(self.base.channel, None)
+        self.forwarder.connections.pop(self.base.connection, None)
 
     def lose(self) -> None:
         """The holder knows nothing of it any more."""
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -1,4 +1,4 @@
-"""Passes statements on to booths that hold links to a backend, where this one holds none."""
+"""Passes statements on to proxies that hold links to a backend, where this one holds none."""
 
 from dataclasses import dataclass, replace
 from typing import NamedTuple
@@ -6,14 +6,13 @@
 from expression import Error, Ok, Result
 
 from ..runtime.context import Context
-from ..runtime.desks import FORWARD
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.message_types import FORWARD
 from ..runtime.packer import Packer
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
 from .forwarded_link import ForwardedLink
 
-HELLO_WAIT_US = 250_000
+JOIN_REQUEST_WAIT_US = 250_000
 # why: what is in the answerer's clock may have drifted from ours since; so little that this is far more
 CLOCK_FOR_US = 10_000_000
 CLOCK_MARGIN_US = 3_000
@@ -26,7 +25,7 @@
 
 
 class Holder(NamedTuple):
-    """A booth that holds links, and how near it is."""
+    """A proxy that holds links, and how near it is."""
 
     near: int
     name: str
@@ -56,7 +55,7 @@
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
         self.peers: dict[str, Peer] = {}
-        self.channels: dict[int, ForwardedLink] = {}
+        self.connections: dict[int, ForwardedLink] = {}
         self.number = 0
         self.kept_us = 0
 
@@ -69,24 +68,24 @@
 
         def cost(holder: Holder) -> tuple[bool, int, int, float]:
             peer = self.peer(address=holder.address)
-            return peer.away(now_us=now_us), holder.near, peer.under_way, self.ctx.luck.random()
+            return peer.away(now_us=now_us), holder.near, peer.under_way, self.ctx.rng.random()
 
         return sorted(holders, key=cost)
 
     async def link(
         self, *, holders: tuple[Holder, ...], backend: str, service: str, database: str, rank: int, until_us: int
-    ) -> Result[ForwardedLink, Fault]:
+    ) -> Result[ForwardedLink, CinderstairError]:
         """A link that stands in for one of a holder's; nothing is asked of the holder for it yet."""
         for holder in self._order(holders=holders)[:3]:
             peer = self.peer(address=holder.address)
             if not peer.life or self.ctx.now_us() - peer.heard_us > CLOCK_FOR_US:
-                await self._greet(holder=holder, until_us=until_us)
+                await self._handshake(holder=holder, until_us=until_us)
             if peer.life and not peer.away(now_us=self.ctx.now_us()):
                 self.number += 1
                 base = ForwardQuestion(
                     asker=self.ctx.name,
                     step=ForwardStep.single,
-                    channel=self.number,
+                    connection=self.number,
                     backend=backend,
                     service=service,
                     database=database,
@@ -94,31 +93,37 @@
                 )
                 limit_us = max(1, until_us - self.ctx.now_us())
                 return Ok(ForwardedLink(forwarder=self, address=holder.address, base=base, limit_us=limit_us))
-        return Error(Fault(kind=Kind.noBackend, why=f"no booth that holds links to {backend} answers"))
+        return Error(
+            CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"no proxy that holds links to {backend} answers")
+        )
 
-    async def _greet(self, *, holder: Holder, until_us: int) -> None:
-        wait_us = min(HELLO_WAIT_US, until_us - self.ctx.now_us())
+    async def _handshake(self, *, holder: Holder, until_us: int) -> None:
+        wait_us = min(JOIN_REQUEST_WAIT_US, until_us - self.ctx.now_us())
         question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
         await self._ask(address=holder.address, question=question, wait_us=max(1, wait_us))
 
-    async def ask(self, *, address: str, question: ForwardQuestion, limit_us: int) -> Result[ForwardAnswer, Fault]:
+    async def ask(
+        self, *, address: str, question: ForwardQuestion, limit_us: int
+    ) -> Result[ForwardAnswer, CinderstairError]:
         """Errors: wireUnsent where nothing was sent at all, wireUnsure where nobody knows."""
         peer = self.peer(address=address)
         if not peer.life:
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: not in touch"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
         # why: its clock was ahead by this at the least, so by its clock the time is up no later than by ours
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(question, life=peer.life, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
         return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_US)
 
-    async def _ask(self, *, address: str, question: ForwardQuestion, wait_us: int) -> Result[ForwardAnswer, Fault]:
-        peer, asked_us = self.peer(address=address), self.ctx.now_us()
+    async def _ask(
+        self, *, address: str, question: ForwardQuestion, wait_us: int
+    ) -> Result[ForwardAnswer, CinderstairError]:
+        peer, requested_us = self.peer(address=address), self.ctx.now_us()
         body = Packer().u8(value=FORWARD).bytes() + question.bytes()
-        peer.silent_since_us = peer.silent_since_us or asked_us
+        peer.silent_since_us = peer.silent_since_us or requested_us
         peer.under_way += 1
         try:
-            result = await self.ctx.net.ask(address=address, body=body, wait_us=wait_us)
+            result = await self.ctx.net.request(address=address, body=body, wait_us=wait_us)
         finally:
             peer.under_way -= 1
             if not peer.under_way:
@@ -131,7 +136,7 @@
             answer = read_forward_answer(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: no answer of a forward"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
         self._heard(peer=peer, answer=answer)
         return Ok(answer)
 
@@ -143,7 +148,7 @@
         if answer.life != peer.life or now_us - peer.heard_us > CLOCK_FOR_US // 2 or ahead_us > peer.ahead_us:
             peer.life, peer.ahead_us, peer.heard_us = answer.life, ahead_us, now_us
         peer.failures, peer.away_until_us = 0, 0
-        if answer.reply.fault == Kind.draining:
+        if answer.reply.fault == ErrorCode.DRAINING:
             peer.leaving_until_us = now_us + LEAVING_US
 
     def lost(self, *, address: str) -> None:
@@ -160,21 +165,21 @@
         for peer in self.peers.values():
             if peer.under_way and peer.silent_since_us and now_us - peer.silent_since_us > SILENT_US:
                 peer.away_until_us = max(peer.away_until_us, now_us + AWAY_US)
-        if now_us - self.kept_us < KEEP_EVERY_US or not self.channels:
+        if now_us - self.kept_us < KEEP_EVERY_US or not self.connections:
             return
         self.kept_us = now_us
         by_address: dict[str, list[int]] = {}
-        for number, link in self.channels.items():
+        for number, link in self.connections.items():
             by_address.setdefault(link.address, []).append(number)
         for address, numbers in by_address.items():
             self.ctx.spawn(work=self._keep(address=address, numbers=tuple(numbers)), name="forward.keep")
 
     async def _keep(self, *, address: str, numbers: tuple[int, ...]) -> None:
-        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.keep, channels=numbers)
+        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.keep, connections=numbers)
         result = await self.ask(address=address, question=question, limit_us=KEEP_WAIT_US)
         if result.is_ok():
             for number in result.ok.unknown:
-                link = self.channels.get(number)
+                link = self.connections.get(number)
                 # why: one that is just being opened is not known there yet
                 if link is not None and not link.waiting:
                     link.lose()
--- a/src/cinderstair/pooler/freshness.py
+++ b/src/cinderstair/pooler/freshness.py
@@ -24,9 +24,9 @@
         self.wanted_us = -(1 << 62)
         self.wanted_age_us = 0
 
-    def note(self, *, asked_us: int, position: Position) -> None:
+    def note(self, *, requested_us: int, position: Position) -> None:
         """Takes a sample from a primary that was known to lead when it was asked."""
-        place = bisect_left(self.samples, asked_us, key=_asked_us)
+        place = bisect_left(self.samples, requested_us, key=_asked_us)
         # why: one that was asked for later and shows no more covers all that this one does
         if any(sample[1] <= position for sample in self.samples[place:]):
             return
@@ -34,9 +34,9 @@
         while place and self.samples[place - 1][1] >= position:
             place -= 1
             del self.samples[place]
-        if place > 1 and asked_us - self.samples[place - 2][0] < APART_US:
+        if place > 1 and requested_us - self.samples[place - 2][0] < APART_US:
             del self.samples[place - 1]
-        insort(self.samples, (asked_us, position), key=_asked_us)
+        insort(self.samples, (requested_us, position), key=_asked_us)
         del self.samples[:-MOST]
 
     def fence(self, *, as_of_us: int, position: Position) -> None:
--- a/src/cinderstair/pooler/under_way.py
+++ b/src/cinderstair/pooler/in_flight_writes.py
@@ -7,7 +7,7 @@
 from .reply import Reply
 
 
-class UnderWay:
+class InFlightWrites:
     """An answer says that a write has landed, or never will; a link that is lost says neither."""
 
     def __init__(self, *, ctx: Context) -> None:
--- a/src/cinderstair/pooler/link.py
+++ b/src/cinderstair/pooler/link.py
@@ -1,4 +1,4 @@
-"""What a booth may ask of one lasting connection to a backend."""
+"""What a proxy may ask of one lasting connection to a backend."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from expression import Result
 
 from ..membership.announcement import Announcement
-from ..runtime.fault import Fault
+from ..runtime.errors import CinderstairError
 from ..runtime.position import Position
 from .reply import Reply
 from .statement import Statement
@@ -66,4 +66,4 @@
 class Dialer(Protocol):
     """Opens a link, and sees to it that it is this backend that answers, and no other at its address."""
 
-    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[Link, Fault]: ...
+    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]: ...
--- a/src/cinderstair/pooler/link_pool.py
+++ b/src/cinderstair/pooler/link_pool.py
@@ -1,4 +1,4 @@
-"""One booth's links to one backend."""
+"""One proxy's links to one backend."""
 
 import asyncio
 import heapq
@@ -8,8 +8,7 @@
 
 from ..membership.announcement import Announcement
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
 from .forwarder import Forwarder, Holder
 from .link import Dialer, Link
 from .reply import Reply
@@ -29,12 +28,12 @@
     """Owns the links. Whoever waits is served by rank, then in order of coming."""
 
     def __init__(
-        self, *, ctx: Context, backend: Announcement, dialer: Dialer, on_trouble: Callable[[], None]
+        self, *, ctx: Context, backend: Announcement, dialer: Dialer, on_link_failure: Callable[[], None]
     ) -> None:
         self.ctx = ctx
         self.backend = backend
         self.dialer = dialer
-        self.on_trouble = on_trouble
+        self.on_link_failure = on_link_failure
         self.limit = 1
         self.lent = False
         self.full_us = -SCARCE_US
@@ -48,9 +47,9 @@
         self.dial_from_us = 0
         self.heard_us = 0
         self.hold_us = 20_000
-        self.trouble = False
+        self.problem = False
         self.silent = False
-        # why: where this booth may hold no link, those that hold some are asked to send in its stead
+        # why: where this proxy may hold no link, those that hold some are asked to send in its stead
         self.forwarder: Forwarder | None = None
         self.holders: tuple[Holder, ...] = ()
         self.forwarded: set[int] = set()
@@ -71,15 +70,15 @@
     def heard(self) -> None:
         """An answer came, so the backend is there."""
         self.heard_us = self.ctx.now_us()
-        self.trouble = self.silent = False
+        self.problem = self.silent = False
         self.failures = 0
 
     def blame(self) -> None:
         """Something went wrong that a dead backend would explain."""
-        if not self.trouble and not self.closed:
-            self.trouble = True
+        if not self.problem and not self.closed:
+            self.problem = True
             self.ctx.counters.add(name="links.trouble")
-            self.on_trouble()
+            self.on_link_failure()
 
     def check_silence(self) -> None:
         """Blames a backend that owes answers for long and has given none to anybody meanwhile."""
@@ -114,7 +113,7 @@
 
     async def acquire(
         self, *, values: dict[bytes, bytes], rank: int, until_us: int, database: str = ""
-    ) -> Result[Link, Fault]:
+    ) -> Result[Link, CinderstairError]:
         """A link for one statement or transaction: of our own, or else one that stands in for a holder's."""
         if self.limit or self.forwarder is None or self.closed:
             return await self.acquire_own(values=values, rank=rank, until_us=until_us)
@@ -132,7 +131,7 @@
         return Ok(self._take(link=taken.ok))
 
     def allow(self, *, limit: int) -> None:
-        """How many links this booth may hold. What lies idle beyond that is closed at once."""
+        """How many links this proxy may hold. What lies idle beyond that is closed at once."""
         self.limit = limit
         while self.idle and len(self.idle) + len(self.taken) - len(self.forwarded) > limit:
             self.idle.pop(0).close()
@@ -140,10 +139,12 @@
             # why: who waits here would wait in vain, and may be sent elsewhere
             self._fail_waiting()
 
-    async def acquire_own(self, *, values: dict[bytes, bytes], rank: int, until_us: int) -> Result[Link, Fault]:
+    async def acquire_own(
+        self, *, values: dict[bytes, bytes], rank: int, until_us: int
+    ) -> Result[Link, CinderstairError]:
         """A link of our own; crowded at once where none can come in time."""
         if self.closed:
-            return Error(Fault(kind=Kind.noBackend, why=f"{self.backend.name} is leaving"))
+            return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} is leaving"))
         link = self._pick(values=values)
         self.turn += 1
         if link is not None:
@@ -153,9 +154,9 @@
         # why: who can't be served in time is told so now, and not when the time is up
         wait_us = self.hold_us * ahead // max(1, self.limit)
         if ahead >= WAITING_PER_LINK * self.limit or now_us + wait_us >= until_us:
-            return Error(Fault(kind=Kind.crowded, why=f"{ahead} wait for {self.backend.name}"))
+            return Error(CinderstairError(code=ErrorCode.OVERLOADED, reason=f"{ahead} wait for {self.backend.name}"))
         if self.failures and not self.idle and not self.taken and not self.dialing and now_us < self.dial_from_us:
-            return Error(Fault(kind=Kind.noBackend, why=f"{self.backend.name} does not answer"))
+            return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} does not answer"))
         future: asyncio.Future[Link] = asyncio.get_running_loop().create_future()
         heapq.heappush(self.waiting, (rank, self.turn, future))
         self.grow()
@@ -166,9 +167,11 @@
                 given = True
                 return Ok(link)
         except TimeoutError:
-            return Error(Fault(kind=Kind.crowded, why=f"no link to {self.backend.name} in time"))
+            return Error(
+                CinderstairError(code=ErrorCode.OVERLOADED, reason=f"no link to {self.backend.name} in time")
+            )
         except ConnectionError:
-            return Error(Fault(kind=Kind.noBackend, why=f"{self.backend.name} does not answer"))
+            return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} does not answer"))
         finally:
             # why: a link that was handed over at the very moment of giving up must not be lost to the others
             if not future.done():
@@ -197,19 +200,19 @@
             result = await self.dialer(backend=self.backend, wait_us=DIAL_WAIT_US)
         finally:
             self.dialing -= 1
-        if result.is_error() and result.error.kind == Kind.crowded:
+        if result.is_error() and result.error.code == ErrorCode.OVERLOADED:
             # why: a backend that is full is there; others give their links back, so it is asked again soon
             self.ctx.counters.add(name="links.full")
             self.heard_us = self.full_us = self.ctx.now_us()
-            wait_us = self.ctx.luck.randrange(FULL_US, 2 * FULL_US)
+            wait_us = self.ctx.rng.randrange(FULL_US, 2 * FULL_US)
             self.dial_from_us = self.ctx.now_us() + wait_us
-            await self.ctx.rest(wait_us=wait_us)
+            await self.ctx.sleep(duration_us=wait_us)
             self.grow()
             return
         if result.is_error():
             self.failures += 1
             wait_us = min(BACK_OFF_MOST_US, BACK_OFF_US << min(self.failures, 5))
-            self.dial_from_us = self.ctx.now_us() + self.ctx.luck.randrange(wait_us // 2, wait_us)
+            self.dial_from_us = self.ctx.now_us() + self.ctx.rng.randrange(wait_us // 2, wait_us)
             self.blame()
             if not self.taken and not self.idle and not self.dialing:
                 self._fail_waiting()
@@ -258,7 +261,7 @@
             asyncio.get_running_loop().call_later(linger_us / 1_000_000, self._give_back, link, self.turn)
 
     def _give_back(self, link: Link, turn: int) -> None:
-        # why: where there are fewer links than booths, one that nobody has used since must go to another booth
+        # why: where there are fewer links than proxies, one that nobody has used since must go to another proxy
         if self.lent and turn == self.turn and any(each is link for each in self.idle):
             self.idle = [each for each in self.idle if each is not link]
             self.ctx.counters.add(name="links.given_back")
--- a/src/cinderstair/pooler/booth.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -1,17 +1,17 @@
-"""The booth daemon: sessions that are connections, links to the backends of its share."""
+"""The proxy daemon: sessions that are connections, links to the backends of its share."""
 
 from collections.abc import Callable
 
 from expression import Ok, Result
 
-from ..failover.booth_places import BoothPlace
+from ..failover.proxy_addresses import ProxyAddress
 from ..runtime.context import Context
-from ..runtime.desk import Desk
-from ..runtime.fault import Fault
-from .forward_desk import ForwardDesk
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.errors import CinderstairError
+from .address_announcer import AddressAnnouncer
+from .forward_server import ForwardServer
 from .forwarder import Forwarder
 from .link import Dialer
-from .place_teller import PlaceTeller
 from .relayed_view import RelayedView
 from .router import DRAIN_US, Router
 from .session import Session
@@ -20,7 +20,7 @@
 READY_AGE_US = 5_000_000
 
 
-class Booth:
+class Proxy:
     """Wires the view, the router and the sessions together. Adapters bring the connections."""
 
     def __init__(
@@ -47,21 +47,21 @@
             region=region,
             drain_us=drain_us,
         )
-        self.place = PlaceTeller(ctx=ctx, view=self.view, place=BoothPlace(site=site, records=records))
+        self.place = AddressAnnouncer(ctx=ctx, view=self.view, place=ProxyAddress(site=site, records=records))
         self.records = records
         self.forwarder = Forwarder(ctx=ctx)
-        self.desk = Desk(ctx=ctx)
-        self.forwards = ForwardDesk(ctx=ctx, router=self.router, desk=self.desk)
+        self.dispatcher = Dispatcher(ctx=ctx)
+        self.forwards = ForwardServer(ctx=ctx, router=self.router, dispatcher=self.dispatcher)
         if records:
             self.router.forwarder = self.router.detours.forwarder = self.forwarder
         self.draining = False
-        self.told_ready = False
+        self.reported_ready = False
 
-    async def start(self) -> Result[None, Fault]:
+    async def start(self) -> Result[None, CinderstairError]:
         if self.records:
-            await self.ctx.net.listen(address=self.records, answer=self.desk.answer)
+            await self.ctx.net.listen(address=self.records, answer=self.dispatcher.answer)
         self.ctx.spawn(work=self._keep(), name="view.keep")
-        self.ctx.ticks(every_us=TEND_US).subscribe(lambda _: self._tend())
+        self.ctx.timer(every_us=TEND_US).subscribe(lambda _: self._tend())
         return Ok(None)
 
     async def _keep(self) -> None:
@@ -77,9 +77,9 @@
     def ready(self) -> bool:
         """Whether new clients should come here."""
         known = self.view.plan is not None and self.ctx.now_us() - self.view.as_of_us < READY_AGE_US
-        # why: before any ids are dealt nobody knows its part of any cap, and so a booth may hold no link
-        known = known and (not self.records or bool(self.view.slots.names))
-        # why: where guildhalls answer and know nothing, no other booth would serve any better
+        # why: before any ids are dealt nobody knows its part of any cap, and so a proxy may hold no link
+        known = known and (not self.records or bool(self.view.proxy_ids.names))
+        # why: where controllers answer and know nothing, no other proxy would serve any better
         return known and not self.draining and not self.view.alone_us
 
     def _tend(self) -> None:
@@ -87,8 +87,8 @@
         self.place.tend()
         self.forwarder.tend()
         self.forwards.tend()
-        if self.ready != self.told_ready:
-            self.told_ready = self.ready
+        if self.ready != self.reported_ready:
+            self.reported_ready = self.ready
             self.ctx.log.info("ready" if self.ready else "not ready")
         plan = self.view.plan
         if plan is None or not plan.rest_limit_us:
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -1,4 +1,4 @@
-"""What a booth knows of the register and of the backends, pulled from one guildhall at a time."""
+"""What a proxy knows of the register and of the backends, pulled from one controller at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 
 from ..config.service_plan import PLAN_KEY, ServicePlan, read_service_plan
 from ..consensus.ballot import Ballot
-from ..failover.booth_places import PLACES_KEY, BoothPlace, read_booth_places
-from ..failover.service_lead import PREFIX, LeadState, ServiceLead, read_service_lead
+from ..failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, read_proxy_addresses
+from ..failover.proxy_ids import PROXY_IDS_KEY, ProxyIds, read_proxy_ids
+from ..failover.service_primary import PREFIX, PrimaryState, ServicePrimary, read_service_primary
 from ..failover.shard_state import SHARDS_KEY, ShardPhase, ShardState, Vote, read_shard_state
-from ..failover.slots import SLOTS_KEY, Slots, read_slots
 from ..membership.announcement import GONE
 from ..membership.relay_record import (
     RelayAnswer,
@@ -22,9 +22,8 @@
     read_relay_answer,
 )
 from ..runtime.context import Context
-from ..runtime.desks import RELAY
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.message_types import RELAY
 from ..runtime.packer import Packer
 from .sample_pool import SamplePool
 
@@ -60,19 +59,19 @@
         self.site = site
         self.seeds = seeds
         self.distance = distance
-        self.guildhalls: tuple[str, ...] = ()
-        self.asked = ""
+        self.controllers: tuple[str, ...] = ()
+        self.requested = ""
         self.source = 0
         self.edition = 0
         self.as_of_us = -LEASE_US
         self.answered_us = ctx.now_us()
         self.ballots: dict[str, Ballot] = {}
         self.plan: ServicePlan | None = None
-        self.slots = Slots()
-        self.places: dict[str, BoothPlace] = {}
+        self.proxy_ids = ProxyIds()
+        self.places: dict[str, ProxyAddress] = {}
         self.shards = ShardState()
         self.vote: Callable[[], tuple[int, Vote]] = lambda: (0, Vote.silent)
-        self.leads: dict[str, ServiceLead] = {}
+        self.leads: dict[str, ServicePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.backends: dict[str, RelayedBackend] = {}
         self.samples = SamplePool(ctx=ctx, lead=self.leads.get)
@@ -92,7 +91,7 @@
 
     @property
     def alone_us(self) -> int:
-        """For how long no guildhall at all has answered, past the time in which that may be chance."""
+        """For how long no controller at all has answered, past the time in which that may be chance."""
         return max(0, self.ctx.now_us() - self.answered_us - ALONE_US)
 
     def hurry(self) -> None:
@@ -103,12 +102,12 @@
         """Pulls for as long as the process runs."""
         while True:
             if self.ctx.now_us() >= self._choose_us:
-                # why: a guildhall that is silent holds the choice up, and must not hold up the asking
+                # why: a controller that is silent holds the choice up, and must not hold up the asking
                 self.ctx.spawn(work=self.choose(), name="view.choose")
             if self._nearest:
-                self.asked, self._nearest = self._nearest, ""
+                self.requested, self._nearest = self._nearest, ""
             pulled = await self.pull()
-            moving = any(lead.state != LeadState.settled for lead in self.leads.values())
+            moving = any(lead.state != PrimaryState.settled for lead in self.leads.values())
             moving = moving or self.shards.phase != ShardPhase.steady
             wait_us = HASTE_EVERY_US if moving or not pulled else PULL_EVERY_US
             try:
@@ -120,32 +119,35 @@
 
     def _order(self) -> list[str]:
         """The one asked last, while it answers; then those that have not failed of late."""
-        addresses = list(dict.fromkeys((*self.guildhalls, *self.seeds())))
+        addresses = list(dict.fromkeys((*self.controllers, *self.seeds())))
         now_us = self.ctx.now_us()
-        self.ctx.luck.shuffle(addresses)
-        return sorted(addresses, key=lambda a: (self._away.get(a, 0) > now_us, a != self.asked))
+        self.ctx.rng.shuffle(addresses)
+        return sorted(addresses, key=lambda a: (self._away.get(a, 0) > now_us, a != self.requested))
 
     async def choose(self) -> None:
         """Asks all that are known once, and goes to the nearest that is current; of those as near to the quickest."""
         # why: the nearest may be just beginning, so it is looked for again, ever more seldom
         self._choose_us = self.ctx.now_us() + self._choose_pause_us
         self._choose_pause_us = min(2 * self._choose_pause_us, CHOOSE_SELDOM_US)
-        question = RelayQuestion(booth=self.ctx.name, site=self.site, brief=True)
+        question = RelayQuestion(proxy=self.ctx.name, site=self.site, brief=True)
         tasks = {
             self.ctx.spawn(work=self._ask(address=address, question=question)): address
-            for address in dict.fromkeys((*self.guildhalls, *self.seeds()))
+            for address in dict.fromkeys((*self.controllers, *self.seeds()))
         }
         pending, best, found = set(tasks), (1 << 30, True), ""
         while pending and best != (0, False):
-            # why: a booth that begins must not wait for a guildhall that is silent once another has answered
-            wait_s = OTHERS_WAIT_US / 1_000_000 if found and not self.asked else None
+            # why: a proxy that begins must not wait for a controller that is silent once another has answered
+            wait_s = OTHERS_WAIT_US / 1_000_000 if found and not self.requested else None
             done, pending = await asyncio.wait(pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
             if not done:
                 break
             for task in done:
                 if task.result().is_ok() and task.result().ok[1].age_us < LEASE_US:
                     # why: among those as near the one asked stays, since another has to tell everything anew
-                    cost = self.distance(task.result().ok[1].site), bool(self.asked) and tasks[task] != self.asked
+                    cost = (
+                        self.distance(task.result().ok[1].site),
+                        bool(self.requested) and tasks[task] != self.requested,
+                    )
                     if cost < best:
                         best, found = cost, tasks[task]
         self._nearest = found
@@ -153,52 +155,55 @@
     def _question(self, *, whole: bool) -> RelayQuestion:
         turn, vote = self.vote()
         return RelayQuestion(
-            booth=self.ctx.name,
+            proxy=self.ctx.name,
             site=self.site,
             source=0 if whole else self.source,
             edition=0 if whole else self.edition,
             troubled=self.troubled(),
             turn=turn,
             vote=vote,
-            samples=() if whole else self.samples.told(source=self.source),
+            samples=() if whole else self.samples.reported(source=self.source),
             wanted=() if whole else self.samples.wants(),
         )
 
-    async def _ask(self, *, address: str, question: RelayQuestion) -> Result[tuple[int, RelayAnswer], Fault]:
-        asked_us = self.ctx.now_us()
+    async def _ask(
+        self, *, address: str, question: RelayQuestion
+    ) -> Result[tuple[int, RelayAnswer], CinderstairError]:
+        requested_us = self.ctx.now_us()
         body = question.write(packer=Packer().u8(value=RELAY)).bytes()
-        result = await self.ctx.net.ask(address=address, body=body, wait_us=PULL_WAIT_US)
+        result = await self.ctx.net.request(address=address, body=body, wait_us=PULL_WAIT_US)
         if result.is_error():
             return Error(result.error)
         try:
-            return Ok((asked_us, read_relay_answer(data=result.ok)))
+            return Ok((requested_us, read_relay_answer(data=result.ok)))
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(Fault(kind=Kind.malformed, why=f"{address}: no relayed news"))
+            return Error(CinderstairError(code=ErrorCode.MALFORMED, reason=f"{address}: no relayed news"))
 
     async def pull(self) -> bool:
-        """One question to one guildhall; True where what it said is current."""
+        """One question to one controller; True where what it said is current."""
         address = self._order()[0]
-        if address != self.asked:
+        if address != self.requested:
             # why: whoever is taken in haste may be far away
             self._choose_pause_us = CHOOSE_AGAIN_US
             self._choose_us = self.ctx.now_us() + CHOOSE_AGAIN_US
-        # why: editions are counted by each guildhall for itself, so another one is asked for everything
-        result = await self._ask(address=address, question=self._question(whole=address != self.asked))
+        # why: editions are counted by each controller for itself, so another one is asked for everything
+        result = await self._ask(address=address, question=self._question(whole=address != self.requested))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
             self._away[address] = self.ctx.now_us() + 2_000_000
             return False
-        asked_us, answer = result.ok
+        requested_us, answer = result.ok
         self.answered_us = self.ctx.now_us()
         if answer.age_us >= LEASE_US:
-            # why: a guildhall that is cut off from the other vaults knows nothing current; another one may
+            # why: a controller that is cut off from the other register replicas knows nothing current; another one
+            # may
             self._away[address] = self.ctx.now_us() + 500_000
             self.ctx.counters.add(name="view.outOfTouch")
             self._take_backends(entries=answer.backends)
             self._wake()
             return False
-        self.asked = address
+        self.requested = address
         try:
             self._take(answer=answer)
         except ValueError as error:
@@ -208,10 +213,10 @@
             self._away[address] = self.ctx.now_us() + 500_000
             return False
         # why: counted from our asking less the age that it had there, so it is never taken for younger than it is
-        self.as_of_us = max(self.as_of_us, asked_us - answer.age_us)
+        self.as_of_us = max(self.as_of_us, requested_us - answer.age_us)
         # why: after what the answer says of leads, since a sample counts under the lead that it was asked under
         self.samples.answered(
-            source=answer.source, answered_us=answer.answered_us, asked_us=asked_us, samples=answer.samples
+            source=answer.source, answered_us=answer.answered_us, requested_us=requested_us, samples=answer.samples
         )
         for service in answer.ask:
             self.ask(service)
@@ -219,11 +224,11 @@
         return self.current
 
     def _take(self, *, answer: RelayAnswer) -> None:
-        if answer.guildhalls:
-            self.guildhalls = answer.guildhalls
+        if answer.controllers:
+            self.controllers = answer.controllers
         if answer.whole:
             named = {entry.announcement.name for entry in answer.backends}
-            # why: a guildhall that has just begun knows few of those that are there; who is not heard goes
+            # why: a controller that has just begun knows few of those that are there; who is not heard goes
             lost = [name for name, entry in self.backends.items() if name not in named and gone(entry=entry)]
             for name in lost:
                 del self.backends[name]
@@ -237,10 +242,10 @@
     def _take_backends(self, *, entries: tuple[RelayedBackend, ...]) -> None:
         for entry in entries:
             known = self.backends.get(entry.announcement.name)
-            # why: another guildhall may not have heard yet what this one has
+            # why: another controller may not have heard yet what this one has
             if known is not None and entry.announcement.order < known.announcement.order:
                 continue
-            # why: a goodbye that reached daemons that knew nothing of the backend says no more than its name
+            # why: a deregistration that reached daemons that knew nothing of the backend says no more than its name
             if entry.announcement.state == GONE and not entry.announcement.service:
                 if known is None:
                     continue
@@ -263,14 +268,14 @@
             if self.plan is None or plan.version > self.plan.version:
                 self.plan = plan
                 self.ctx.log.info("configuration %d in force", plan.version)
-        elif key == SLOTS_KEY:
-            self.slots = read_slots(data=value)
-        elif key == PLACES_KEY:
-            self.places = read_booth_places(data=value).places
+        elif key == PROXY_IDS_KEY:
+            self.proxy_ids = read_proxy_ids(data=value)
+        elif key == PROXY_ADDRESSES_KEY:
+            self.places = read_proxy_addresses(data=value).places
         elif key == SHARDS_KEY:
             self.shards = read_shard_state(data=value)
         elif key.startswith(PREFIX):
-            lead = read_service_lead(data=value)
+            lead = read_service_primary(data=value)
             service = key.removeprefix(PREFIX)
             self.leads[service] = lead
             self.lead_since_us[service] = self.ctx.now_us()
@@ -283,7 +288,7 @@
                 future.set_result(None)
 
     async def change(self, *, until_us: int) -> None:
-        """Waits for the next answer of a guildhall, whatever it says, or until the moment given."""
+        """Waits for the next answer of a controller, whatever it says, or until the moment given."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         try:
--- a/src/cinderstair/pooler/reply.py
+++ b/src/cinderstair/pooler/reply.py
@@ -1,9 +1,9 @@
-"""What a backend, or the booth in its stead, answers to one statement."""
+"""What a backend, or the proxy in its stead, answers to one statement."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-from ..runtime.kind import Kind
+from ..runtime.errors import ErrorCode
 from ..runtime.position import Position
 
 
@@ -25,7 +25,7 @@
 
     rows: list[bytes]
     stamp: bytes = b""
-    fault: Kind | None = None
+    fault: ErrorCode | None = None
     native: bytes = b""
     not_run: bool = False
     retriable: bool = False
@@ -34,6 +34,6 @@
     come_back_us: int = 0
 
 
-def refusal(*, kind: Kind, state: State = State.idle, come_back_us: int = 0) -> Reply:
-    """The booth's own word that nothing was done, or that nobody knows."""
+def refusal(*, kind: ErrorCode, state: State = State.idle, come_back_us: int = 0) -> Reply:
+    """The proxy's own word that nothing was done, or that nobody knows."""
     return Reply(rows=[], fault=kind, state=state, come_back_us=come_back_us)
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -1,4 +1,4 @@
-"""Picks the backend for a statement: the primary, or a copy of the booth's share that is fresh enough."""
+"""Picks the backend for a statement: the primary, or a copy of the proxy's share that is fresh enough."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -6,23 +6,22 @@
 from expression import Error, Ok, Result
 
 from ..config.service_plan import PLAN_KEY, DatabaseRoute
-from ..failover.booth_places import PLACES_KEY
-from ..failover.service_lead import PREFIX, LeadState, ServiceLead
-from ..failover.slots import SLOTS_KEY
-from ..http_frontend.share import allotment, subset
+from ..failover.proxy_addresses import PROXY_ADDRESSES_KEY
+from ..failover.proxy_ids import PROXY_IDS_KEY
+from ..failover.service_primary import PREFIX, PrimaryState, ServicePrimary
+from ..http_frontend.subsetting import allotment, subset
 from ..membership.announcement import GONE
-from ..membership.beat import READY
+from ..membership.heartbeat import READY
 from ..membership.pooled_sample import ASK_AFTER_US
-from ..runtime.answers import ANSWERS
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.error_responses import ERROR_RESPONSES
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.position import Position
-from .dealing import Spot, dealt_copies, dealt_links
 from .detours import Detours
 from .forwarder import Forwarder, Holder
 from .freshness import Freshness
 from .link import Dialer
+from .link_allocation import Location, allocate_links, allocate_replicas
 from .link_pool import LinkPool
 from .relayed_view import LEASE_US, RelayedView
 from .reply import Reply
@@ -47,12 +46,12 @@
 UNPLACED_US = 10_000_000
 TENDED_AT_ONCE = 50
 UNHEARD_US, LOOKED_AT_ONCE = 300_000, 64
-TABLES = (SLOTS_KEY, PLACES_KEY)
-RECKONED = (PLAN_KEY, SLOTS_KEY, PLACES_KEY, "backends")
+TABLES = (PROXY_IDS_KEY, PROXY_ADDRESSES_KEY)
+RECKONED = (PLAN_KEY, PROXY_IDS_KEY, PROXY_ADDRESSES_KEY, "backends")
 
 
 class Router:
-    """Owns the pools. Everything is reckoned from the view, by this booth alone."""
+    """Owns the pools. Everything is reckoned from the view, by this proxy alone."""
 
     def __init__(
         self,
@@ -70,7 +69,7 @@
         self.dialer = dialer
         self.distance = distance
         self.region = region
-        # why: set where this booth can be reached by others; without it links are lent
+        # why: set where this proxy can be reached by others; without it links are lent
         self.forwarder: Forwarder | None = None
         self.detours = Detours(ctx=ctx, others=self._others)
         self.links: dict[tuple[str, int], dict[int, int]] = {}
@@ -86,7 +85,7 @@
         self.aliases: dict[tuple[bytes, bool], int] = {}
         self.members: dict[str, list[str]] = {}
         self.parts: dict[int, int] = {}
-        self.deals: dict[tuple[tuple[Spot, ...], int], dict[int, int]] = {}
+        self.allocations: dict[tuple[tuple[Location, ...], int], dict[int, int]] = {}
         self.turn = 0
         self.shards = Shards(ctx=ctx, view=view, open_=open_)
         view.troubled = self.troubled
@@ -97,26 +96,26 @@
 
     def troubled(self) -> tuple[str, ...]:
         """Backends that look dead from here."""
-        return tuple(name for name, pool in self.pools.items() if pool.trouble and not pool.closed)
+        return tuple(name for name, pool in self.pools.items() if pool.problem and not pool.closed)
 
     def _changed(self, key: str) -> None:
         if key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
             lead = self.view.leads[service]
-            if lead.state == LeadState.moving:
+            if lead.state == PrimaryState.moving:
                 self.freshness(service=service).fence(as_of_us=-(1 << 60), position=lead.fence)
             # why: with thousands of services a lead that moves must not cost the reckoning of all others
             if service in self.members:
                 self._reckon_service(service=service)
         elif key in RECKONED:
             if key in TABLES:
-                # why: what is known when this booth begins was dealt before, and nobody else holds it
+                # why: what is known when this proxy begins was dealt before, and nobody else holds it
                 self.table_us = self.ctx.now_us() if self.links else self.table_us
                 self.links = {}
             self.reckon()
 
     def alias(self, *, shape: bytes, writes: bool) -> bytes:
-        """The name under which a shape is prepared on this booth's links, whatever its clients call it."""
+        """The name under which a shape is prepared on this proxy's links, whatever its clients call it."""
         number = self.aliases.setdefault((shape, writes), len(self.aliases) % MOST_ALIASES)
         return b"p%d" % number
 
@@ -139,7 +138,7 @@
                 pool = self.pools.get(name)
                 if pool is None:
                     pool = LinkPool(
-                        ctx=self.ctx, backend=announcement, dialer=self.dialer, on_trouble=self.view.hurry
+                        ctx=self.ctx, backend=announcement, dialer=self.dialer, on_link_failure=self.view.hurry
                     )
                     pool.limit = 0
                     self.pools[name] = pool
@@ -149,17 +148,21 @@
             self.pools.pop(name).shut()
             self.detours.forget(name=name)
             self.leaving_us.pop(name, None)
-        self.members, self.parts, self.deals = names, {}, {}
+        self.members, self.parts, self.allocations = names, {}, {}
         for service in names:
             self._reckon_service(service=service)
 
     def _part(self, *, cap: int) -> int:
-        """This booth's part of a cap; the same for all services that have the same one."""
+        """This proxy's part of a cap; the same for all services that have the same one."""
         part = self.parts.get(cap)
         if part is None:
-            ids, booth_id = self.view.slots.ids, self.view.slots.id_of(name=self.ctx.name)
-            # why: a booth that has no number yet must not take what the others were dealt
-            part = cap // (len(ids) + 1) if booth_id is None else allotment(cap=cap, user_ids=ids, stall_id=booth_id)
+            ids, proxy_id = self.view.proxy_ids.ids, self.view.proxy_ids.id_of(name=self.ctx.name)
+            # why: a proxy that has no number yet must not take what the others were dealt
+            part = (
+                cap // (len(ids) + 1)
+                if proxy_id is None
+                else allotment(cap=cap, user_ids=ids, http_proxy_id=proxy_id)
+            )
             self.parts[cap] = part
         return part
 
@@ -168,40 +171,40 @@
         if plan is None or service not in plan.services:
             return
         listed, lead = self.members[service], self.view.leads.get(service)
-        copies = sorted(name for name in listed if lead is None or name != lead.primary)
-        booth_id = self.view.slots.id_of(name=self.ctx.name)
-        self.shares[service] = subset(names=copies, stall_id=booth_id or 0, subset_size=SUBSET_SIZE)
+        replicas = sorted(name for name in listed if lead is None or name != lead.primary)
+        proxy_id = self.view.proxy_ids.id_of(name=self.ctx.name)
+        self.shares[service] = subset(names=replicas, http_proxy_id=proxy_id or 0, subset_size=SUBSET_SIZE)
         cap = max(1, plan.services[service].link_cap - CONTROL_LINKS)
         part = self._part(cap=cap)
-        scarce = cap < len(self.view.slots.names)
+        scarce = cap < len(self.view.proxy_ids.names)
         forwards = scarce and self.forwarder is not None and (bool(self.view.places) or not self.unplaced)
         # why: before any ids are dealt nobody knows how many there are to share with
-        unknown = self.forwarder is not None and not self.view.slots.names
-        kept = self._kept_copy(copies=copies, room=cap, booth_id=booth_id) if scarce and not forwards else ""
+        unknown = self.forwarder is not None and not self.view.proxy_ids.names
+        kept = self._kept_replica(replicas=replicas, room=cap, proxy_id=proxy_id) if scarce and not forwards else ""
         for name in listed:
             pool = self.pools[name]
             if forwards:
-                self._deal(pool=pool, room=cap, booth_id=booth_id)
+                self._allocate(pool=pool, room=cap, proxy_id=proxy_id)
             else:
                 pool.forwarder, pool.holders = None, ()
                 self._allow(pool=pool, limit=0 if unknown else max(1, part))
-            # why: with fewer links than booths each keeps one to one copy, and to others only while it uses it
+            # why: with fewer links than proxies each keeps one to one copy, and to others only while it uses it
             pool.lend(lent=scarce and not forwards and name != kept)
             self._obey(name=name, leads=lead is not None and lead.primary == name)
 
-    def _deal(self, *, pool: LinkPool, room: int, booth_id: int | None) -> None:
-        """Which booths hold links to a backend: this one its part, or else those that send in its stead."""
+    def _allocate(self, *, pool: LinkPool, room: int, proxy_id: int | None) -> None:
+        """Which proxies hold links to a backend: this one its part, or else those that send in its stead."""
         places, announcement = self.view.places, pool.backend
-        named = [(n, name) for n, name in self.view.slots.names if name in places and places[name].records]
-        dealt = self.links.get((announcement.name, room))
-        if dealt is None:
-            dealt = self.links[(announcement.name, room)] = dealt_links(
-                booths=[(n, self._spot(site=places[name].site)) for n, name in named],
+        named = [(n, name) for n, name in self.view.proxy_ids.names if name in places and places[name].records]
+        allocated = self.links.get((announcement.name, room))
+        if allocated is None:
+            allocated = self.links[(announcement.name, room)] = allocate_links(
+                proxies=[(n, self._location(site=places[name].site)) for n, name in named],
                 backend=announcement.name,
-                spot=self._spot(site=announcement.site),
+                location=self._location(site=announcement.site),
                 room=room,
             )
-        limit = 0 if booth_id is None else dealt.get(booth_id, 0)
+        limit = 0 if proxy_id is None else allocated.get(proxy_id, 0)
         if pool.forwarder is None and pool.limit:
             # why: till now each had its even part, and the others may not have given theirs back
             self.table_us = self.ctx.now_us()
@@ -209,7 +212,7 @@
         pool.holders = tuple(
             Holder(self.distance(places[name].site), name, places[name].records)
             for n, name in named
-            if n in dealt and name != self.ctx.name
+            if n in allocated and name != self.ctx.name
         )
         self._allow(pool=pool, limit=limit)
 
@@ -221,38 +224,40 @@
         pool.allow(limit=limit)
 
     def _others(self, pool: LinkPool) -> tuple[Holder, ...]:
-        """The booths that may have links to a backend."""
+        """The proxies that may have links to a backend."""
         if pool.forwarder is not None:
             return pool.holders
         places = self.view.places
         return tuple(
             Holder(self.distance(places[name].site), name, places[name].records)
-            for _, name in self.view.slots.names
+            for _, name in self.view.proxy_ids.names
             if name in places and places[name].records and name != self.ctx.name
         )
 
-    def _spot(self, *, site: str) -> Spot:
-        return Spot(site, self.region(site))
+    def _location(self, *, site: str) -> Location:
+        return Location(site, self.region(site))
 
-    def _kept_copy(self, *, copies: list[str], room: int, booth_id: int | None) -> str:
-        """The copy to which this booth keeps a lasting link; none without an id, or while a place is not known."""
-        if booth_id is None:
+    def _kept_replica(self, *, replicas: list[str], room: int, proxy_id: int | None) -> str:
+        """The copy to which this proxy keeps a lasting link; none without an id, or while a place is not known."""
+        if proxy_id is None:
             return ""
-        spots = tuple(self._spot(site=self.view.backends[name].announcement.site) for name in copies)
-        dealt = self.deals.get((spots, room))
-        if dealt is None:
+        locations = tuple(self._location(site=self.view.backends[name].announcement.site) for name in replicas)
+        allocated = self.allocations.get((locations, room))
+        if allocated is None:
             # why: services whose copies stand alike are dealt alike, and reckoned once
             places = self.view.places
-            sites = ((n, places[name].site if name in places else "") for n, name in self.view.slots.names)
-            booths = [(n, self._spot(site=site)) for n, site in sites]
-            dealt = self.deals[(spots, room)] = dealt_copies(booths=booths, copies=spots, room=room)
-        number = dealt.get(booth_id)
-        return "" if number is None else copies[number]
+            sites = ((n, places[name].site if name in places else "") for n, name in self.view.proxy_ids.names)
+            proxies = [(n, self._location(site=site)) for n, site in sites]
+            allocated = self.allocations[(locations, room)] = allocate_replicas(
+                proxies=proxies, replicas=locations, room=room
+            )
+        number = allocated.get(proxy_id)
+        return "" if number is None else replicas[number]
 
     @property
     def leave_us(self) -> int:
-        """How long an emptying primary is served after this booth heard of it."""
-        # why: the time that it has began when the first guildhall heard, and what was sent in time must arrive in it
+        """How long an emptying primary is served after this proxy heard of it."""
+        # why: the time that it has began when the first controller heard, and what was sent in time must arrive in it
         return max(self.drain_us // 2, self.drain_us - HEARSAY_US)
 
     def _obey(self, *, name: str, leads: bool) -> None:
@@ -280,7 +285,7 @@
         """Now and then: links that should stand ready, silent backends, samples that will be wanted."""
         self.shards.look()
         if not self.unplaced and not self.view.places and self.ctx.now_us() - self.began_us > UNPLACED_US:
-            # why: guildhalls of an earlier version keep no table of places, and links are lent as they were then
+            # why: controllers of an earlier version keep no table of places, and links are lent as they were then
             self.unplaced = True
             self.reckon()
         if self.rising and self.ctx.now_us() - self.table_us >= RISE_US:
@@ -307,11 +312,11 @@
             if lead is None:
                 continue
             primary = self.pools.get(lead.primary)
-            if primary is not None and lead.state == LeadState.settled and not primary.lent:
+            if primary is not None and lead.state == PrimaryState.settled and not primary.lent:
                 primary.warm(count=1)
-            copies = self.copies(service=service)
-            if copies and not copies[0].lent:
-                copies[0].warm(count=1)
+            replicas = self.replicas(service=service)
+            if replicas and not replicas[0].lent:
+                replicas[0].warm(count=1)
             self._sample(service=service, lead=lead)
 
     def _look_at_others(self) -> None:
@@ -328,9 +333,9 @@
                 return
 
     def _go_round(self, *, pool: LinkPool) -> None:
-        """A primary that can't be reached from here may be by way of another booth; of copies there are others."""
+        """A primary that can't be reached from here may be by way of another proxy; of copies there are others."""
         lead = self.view.leads.get(pool.backend.service)
-        if lead is not None and lead.state == LeadState.settled and lead.primary == pool.backend.name:
+        if lead is not None and lead.state == PrimaryState.settled and lead.primary == pool.backend.name:
             self.detours.tend(pool=pool, service=pool.backend.service)
         else:
             self.detours.forget(name=pool.backend.name)
@@ -343,11 +348,11 @@
             *dict.fromkeys(name for name in (*self._wanted(), *names[self.turn :: turns]) if name in self.members)
         ]
 
-    def _sample(self, *, service: str, lead: ServiceLead) -> None:
+    def _sample(self, *, service: str, lead: ServicePrimary) -> None:
         """Asks the primary for its position where reads will want one and no statement has shown it lately."""
         fresh = self.freshness(service=service)
         now_us = self.ctx.now_us()
-        if lead.state == LeadState.moving and lead.fence.term:
+        if lead.state == PrimaryState.moving and lead.fence.term:
             fresh.fence(as_of_us=self.view.as_of_us, position=lead.fence)
         ahead_us = max(SAMPLE_AHEAD_US, fresh.wanted_age_us - AGE_MARGIN_US - ASK_SPAN_US)
         if now_us - fresh.wanted_us > WANTED_FOR_US or now_us - fresh.newest_us < ahead_us:
@@ -360,11 +365,11 @@
         now_us = self.ctx.now_us()
         return [name for name, fresh in self.fresh.items() if now_us - fresh.wanted_us <= WANTED_FOR_US]
 
-    def _pooled(self, service: str, asked_us: int, position: Position) -> None:
-        self.freshness(service=service).note(asked_us=asked_us, position=position)
+    def _pooled(self, service: str, requested_us: int, position: Position) -> None:
+        self.freshness(service=service).note(requested_us=requested_us, position=position)
 
     def _asked_for(self, service: str) -> None:
-        """The guildhall has this booth ask for all of its booths, unless it has seen what will do already."""
+        """The controller has this proxy ask for all of its proxies, unless it has seen what will do already."""
         lately = self.ctx.now_us() - self.freshness(service=service).newest_us < ASK_AFTER_US
         if not lately and self.may_lead(service=service).is_ok():
             self.ctx.spawn(work=self._sample_for_all(service=service), name="sample")
@@ -380,7 +385,7 @@
         taken = await led.ok.acquire(values={}, rank=0, until_us=self.ctx.now_us() + 400_000)
         if taken.is_error():
             return
-        link, asked_us = taken.ok, self.ctx.now_us()
+        link, requested_us = taken.ok, self.ctx.now_us()
         # why: a link may have been waited for, and the lead may have moved meanwhile
         if self.may_lead(service=service).is_error():
             led.ok.release(link=link)
@@ -392,54 +397,66 @@
             led.ok.release(link=link)
             return
         led.ok.release(link=link)
-        self.heard(pool=led.ok, service=service, asked_us=asked_us, reply=reply)
+        self.heard(pool=led.ok, service=service, requested_us=requested_us, reply=reply)
 
-    def heard(self, *, pool: LinkPool, service: str, asked_us: int, reply: Reply) -> None:
+    def heard(self, *, pool: LinkPool, service: str, requested_us: int, reply: Reply) -> None:
         """Every answer of the primary shows its position; it counts if it led when it was asked."""
         pool.heard()
         lead = self.view.leads.get(service)
         if reply.position is None or lead is None or lead.primary != pool.backend.name:
             return
         # why: the view's currency at the asking was checked then; here the lead must still be the same
-        if lead.state != LeadState.moving and reply.position.term <= lead.term:
-            self.freshness(service=service).note(asked_us=asked_us, position=reply.position)
+        if lead.state != PrimaryState.moving and reply.position.term <= lead.term:
+            self.freshness(service=service).note(requested_us=requested_us, position=reply.position)
             # why: what was asked for before this word on the lead may lie past the fence that came between
-            if asked_us >= self.view.lead_since_us[service]:
-                self.view.samples.saw(service=service, term=lead.term, asked_us=asked_us, position=reply.position)
+            if requested_us >= self.view.lead_since_us[service]:
+                self.view.samples.saw(
+                    service=service, term=lead.term, requested_us=requested_us, position=reply.position
+                )
 
-    def may_lead(self, *, service: str) -> Result[LinkPool, Fault]:
+    def may_lead(self, *, service: str) -> Result[LinkPool, CinderstairError]:
         """The primary's pool, while the view says surely that it leads."""
         lead = self.view.leads.get(service)
         if lead is None:
             details = {"left_us": LAPSE_US}
-            return Error(Fault(kind=Kind.noLead, why=f"{service}: nobody leads yet", details=details))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: nobody leads yet", details=details)
+            )
         if not self.view.current:
             lapsed_us = self.ctx.now_us() - self.view.as_of_us - LEASE_US
             # why: a question or two may be lost; who is out of touch for longer can't say when that will end
-            # why: a booth that has just begun is about to hear
+            # why: a proxy that has just begun is about to hear
             begins = self.ctx.now_us() - self.began_us < BEGIN_US
             hopes = begins or lapsed_us < LAPSE_US
-            left_us = LAPSE_US if hopes else ANSWERS[Kind.notCurrent].retry_after_us * 2
+            left_us = LAPSE_US if hopes else ERROR_RESPONSES[ErrorCode.NOT_CURRENT].retry_after_us * 2
             details = {"left_us": left_us}
-            return Error(Fault(kind=Kind.notCurrent, why="out of touch with the register", details=details))
-        if lead.state != LeadState.settled:
+            return Error(
+                CinderstairError(code=ErrorCode.NOT_CURRENT, reason="out of touch with the register", details=details)
+            )
+        if lead.state != PrimaryState.settled:
             left_us = self.view.lead_since_us[service] + lead.ready_in_us - self.ctx.now_us()
             # why: a move that is overdue may take as long again; who hopes on until its time is up is only held
             details = {"left_us": max(50_000, abs(left_us))}
-            return Error(Fault(kind=Kind.moving, why=f"{service}: its lead moves", details=details))
+            return Error(
+                CinderstairError(code=ErrorCode.MOVING, reason=f"{service}: its lead moves", details=details)
+            )
         pool = self.pools.get(lead.primary)
         if pool is None or pool.closed:
-            return Error(Fault(kind=Kind.noLead, why=f"{service}: {lead.primary} is not there"))
+            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: {lead.primary} is not there"))
         way = self.detours.way(pool=pool) if pool.unreachable else None
         if way is not None:
             return Ok(way)
         if pool.silent:
             # why: what is sent into silence may have been run for all that anybody can say, and is lost to its client
             details = {"left_us": SILENT_LEFT_US}
-            return Error(Fault(kind=Kind.noBackend, why=f"{service}: {lead.primary} is silent", details=details))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.NO_BACKEND, reason=f"{service}: {lead.primary} is silent", details=details
+                )
+            )
         return Ok(pool)
 
-    async def primary(self, *, service: str, until_us: int) -> Result[LinkPool, Fault]:
+    async def primary(self, *, service: str, until_us: int) -> Result[LinkPool, CinderstairError]:
         """The primary's pool; waits for a move only where its end is expected in time."""
         while True:
             led = self.may_lead(service=service)
@@ -451,7 +468,7 @@
                 return led
             await self.view.change(until_us=until_us)
 
-    def copies(self, *, service: str) -> list[LinkPool]:
+    def replicas(self, *, service: str) -> list[LinkPool]:
         """The share's copies that may be read from, nearest first, those in trouble last."""
         pools = [self.pools[name] for name in self.shares.get(service, ()) if name in self.pools]
         usable = [pool for pool in pools if not pool.closed and not self._quiet(name=pool.backend.name)]
@@ -462,20 +479,22 @@
         return entry is None or entry.quiet
 
     def _cost(self, pool: LinkPool) -> tuple[bool, int, int]:
-        return pool.trouble, self.distance(pool.backend.site) + pool.load // 4, pool.load
+        return pool.problem, self.distance(pool.backend.site) + pool.load // 4, pool.load
 
     def readers(self, *, service: str) -> list[LinkPool]:
         """Where a guarded read may go, best first; the primary in its turn by nearness while it has little to do."""
-        copies = self.copies(service=service)
+        replicas = self.replicas(service=service)
         led = self.may_lead(service=service)
         if led.is_error():
-            return copies
-        if led.ok.load < PRIMARY_READS and not led.ok.trouble:
-            return sorted([*copies, led.ok], key=self._cost)
-        # why: copies that all lag must not send a whole crowd to the primary
-        return [*copies, led.ok] if led.ok.load < 2 * max(1, led.ok.limit) else copies
-
-    def guard(self, *, route: DatabaseRoute, arrived_us: int, own: Position | None) -> Result[Position, Fault]:
+            return replicas
+        if led.ok.load < PRIMARY_READS and not led.ok.problem:
+            return sorted([*replicas, led.ok], key=self._cost)
+        # why: copies that all lag must not send a whole membership to the primary
+        return [*replicas, led.ok] if led.ok.load < 2 * max(1, led.ok.limit) else replicas
+
+    def guard(
+        self, *, route: DatabaseRoute, arrived_us: int, own: Position | None
+    ) -> Result[Position, CinderstairError]:
         """The position that a copy must have for this read."""
         fresh = self.freshness(service=route.service)
         now_us = self.ctx.now_us()
@@ -487,5 +506,5 @@
         )
         needed = None if since_us is None else fresh.needed(since_us=since_us)
         if needed is None:
-            return Error(Fault(kind=Kind.tooStale, why="nobody has asked the primary lately"))
+            return Error(CinderstairError(code=ErrorCode.TOO_STALE, reason="nobody has asked the primary lately"))
         return Ok(needed if own is None else max(needed, own))
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -1,10 +1,10 @@
-"""One booth's part in the samples that booths share by way of their guildhall."""
+"""One proxy's part in the samples that proxies share by way of their controller."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ..failover.service_lead import LeadState, ServiceLead
-from ..membership.pooled_sample import PooledSample, ToldSample, WantedSample, drift_us
+from ..failover.service_primary import PrimaryState, ServicePrimary
+from ..membership.pooled_sample import PooledSample, ReportedSample, WantedSample, drift_us
 from ..runtime.context import Context
 from ..runtime.position import Position
 
@@ -15,13 +15,13 @@
 @dataclass(frozen=True, kw_only=True)
 class OwnSample:
     term: int
-    asked_us: int
+    requested_us: int
     position: Position
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reference:
-    """An answer of one life of a guildhall: what its clock said at sending, and ours at receiving."""
+    """An answer of one life of a controller: what its clock said at sending, and ours at receiving."""
 
     source: int
     answered_us: int
@@ -31,58 +31,62 @@
 class SamplePool:
     """Spans alone go from one machine's clock to another's, and each is reckoned so no sample is too young."""
 
-    def __init__(self, *, ctx: Context, lead: Callable[[str], ServiceLead | None]) -> None:
+    def __init__(self, *, ctx: Context, lead: Callable[[str], ServicePrimary | None]) -> None:
         self.ctx = ctx
         self.lead = lead
         self.wanted: Callable[[], Iterable[str]] = tuple
-        self.note: Callable[[str, int, Position], None] = lambda service, asked_us, position: None
+        self.note: Callable[[str, int, Position], None] = lambda service, requested_us, position: None
         self.own: dict[str, OwnSample] = {}
         self.sending_us: dict[str, int] = {}
         self.known_us: dict[str, int] = {}
         self.editions: dict[str, int] = {}
         self.reference: Reference | None = None
 
-    def saw(self, *, service: str, term: int, asked_us: int, position: Position) -> None:
+    def saw(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
         """Takes a sample that counts here, asked for under the lead of this term."""
         known = self.own.get(service)
-        if known is None or (known.term, known.asked_us) < (term, asked_us):
-            self.own[service] = OwnSample(term=term, asked_us=asked_us, position=position)
+        if known is None or (known.term, known.requested_us) < (term, requested_us):
+            self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
     def _counts(self, *, service: str, term: int) -> bool:
         lead = self.lead(service)
         # why: what was shown under another lead may lie past a fence that has cut it off
-        return lead is not None and lead.state == LeadState.settled and lead.term == term
+        return lead is not None and lead.state == PrimaryState.settled and lead.term == term
 
-    def told(self, *, source: int) -> tuple[ToldSample, ...]:
-        """What that guildhall does not know yet, by its own clock."""
+    def reported(self, *, source: int) -> tuple[ReportedSample, ...]:
+        """What that controller does not know yet, by its own clock."""
         reference, self.sending_us = self.reference, {}
         if reference is None or reference.source != source:
             return ()
         found = []
         for service, own in list(self.own.items()):
-            if self.ctx.now_us() - own.asked_us > KEEP_US:
+            if self.ctx.now_us() - own.requested_us > KEEP_US:
                 del self.own[service]
                 continue
-            if own.asked_us <= self.known_us.get(service, UNTOLD_US):
+            if own.requested_us <= self.known_us.get(service, UNTOLD_US):
                 continue
-            moment_us = self._moment_us(reference=reference, asked_us=own.asked_us)
+            moment_us = self._moment_us(reference=reference, requested_us=own.requested_us)
             if moment_us >= 0 and self._counts(service=service, term=own.term):
-                self.sending_us[service] = own.asked_us
-                found.append(ToldSample(service=service, term=own.term, moment_us=moment_us, position=own.position))
+                self.sending_us[service] = own.requested_us
+                found.append(
+                    ReportedSample(service=service, term=own.term, moment_us=moment_us, position=own.position)
+                )
         return tuple(found)
 
-    def _moment_us(self, *, reference: Reference, asked_us: int) -> int:
-        """The guildhall's clock at our asking, or earlier: its answer was sent before we had it."""
-        span_us = asked_us - reference.received_us
+    def _moment_us(self, *, reference: Reference, requested_us: int) -> int:
+        """The controller's clock at our asking, or earlier: its answer was sent before we had it."""
+        span_us = requested_us - reference.received_us
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
     def wants(self) -> tuple[WantedSample, ...]:
         return tuple(WantedSample(service=name, edition=self.editions.get(name, 0)) for name in self.wanted())
 
-    def answered(self, *, source: int, answered_us: int, asked_us: int, samples: tuple[PooledSample, ...]) -> None:
+    def answered(
+        self, *, source: int, answered_us: int, requested_us: int, samples: tuple[PooledSample, ...]
+    ) -> None:
         """Takes an answer: what was told has arrived, and what others saw counts here if the lead is the same."""
         if self.reference is None or source != self.reference.source:
-            # why: another guildhall, or another life of this one, knows nothing of what was told
+            # why: another controller, or another life of this one, knows nothing of what was told
             self.editions, self.known_us, self.sending_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
         self.known_us.update(self.sending_us)
@@ -91,11 +95,11 @@
             self.editions[sample.service] = sample.edition
             if not self._counts(service=sample.service, term=sample.term):
                 continue
-            at_us = self._at_us(asked_us=asked_us, age_us=sample.age_us)
+            at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
             self.known_us[sample.service] = max(self.known_us.get(sample.service, UNTOLD_US), at_us)
             self.ctx.counters.add(name="samples.pooled")
             self.note(sample.service, at_us, sample.position)
 
-    def _at_us(self, *, asked_us: int, age_us: int) -> int:
+    def _at_us(self, *, requested_us: int, age_us: int) -> int:
         """Our clock when it was asked for, or earlier: the age is of the answer, and we asked before it."""
-        return asked_us - age_us - drift_us(span_us=age_us)
+        return requested_us - age_us - drift_us(span_us=age_us)
