--- a/src/cinderstair/pooler/session.py
+++ b/src/cinderstair/pooler/session.py
@@ -5,16 +5,15 @@
 from expression import Error, Ok, Result
 
 from ..config.service_plan import Consistency, DatabaseRoute
-from ..runtime.answers import ANSWERS
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.error_responses import ERROR_RESPONSES
+from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.position import Position
-from .levelling import level
 from .link import Link
 from .link_pool import LinkPool
 from .reply import Reply, State, refusal
 from .router import Router
+from .session_replay import replay_values
 from .statement import Statement, Verb
 
 HEDGE_US = 260_000
@@ -34,8 +33,8 @@
         self.arrived_us = arrived_us
         self.link: Link | None = None
         self.pool: LinkPool | None = None
-        self.begun: asyncio.Task[Result[Link, Fault]] | None = None
-        self.asked = False
+        self.begun: asyncio.Task[Result[Link, CinderstairError]] | None = None
+        self.requested = False
         self.used = False
         self.wrote = False
         self.touched_us = arrived_us
@@ -62,7 +61,7 @@
     @property
     def holds_open(self) -> bool:
         """Whether a backend was asked to begin a transaction that may write, and none has ended it yet."""
-        return self.transaction is not None and not self.transaction.read_only and self.transaction.asked
+        return self.transaction is not None and not self.transaction.read_only and self.transaction.requested
 
     async def run(self, *, statement: Statement) -> Reply:
         """The answer to one statement. Its state is the session's from then on."""
@@ -81,7 +80,7 @@
     async def _run(self, *, statement: Statement) -> Reply:
         verb = statement.verb
         if self.state == State.failed and verb not in ENDS:
-            return refusal(kind=Kind.transactionFailed, state=State.failed)
+            return refusal(kind=ErrorCode.TRANSACTION_FAILED, state=State.failed)
         if verb in (Verb.set_value, Verb.prepare, Verb.forget):
             return self._remember(statement=statement)
         if verb in (Verb.begin, Verb.begin_read):
@@ -89,12 +88,12 @@
         if verb in ENDS:
             return await self._end(statement=statement)
         if verb == Verb.execute and statement.name not in self.shapes:
-            return self._failed(kind=Kind.unknownPrepared)
+            return self._failed(kind=ErrorCode.UNKNOWN_PREPARED)
         if self.transaction is not None:
             return await self._inside(statement=statement)
         return await self._single(statement=statement)
 
-    def _failed(self, *, kind: Kind, come_back_us: int = 0) -> Reply:
+    def _failed(self, *, kind: ErrorCode, come_back_us: int = 0) -> Reply:
         """Nothing was done; inside a transaction that fails it."""
         state = State.idle if self.transaction is None else State.failed
         return refusal(kind=kind, state=state, come_back_us=come_back_us)
@@ -106,7 +105,7 @@
         elif statement.verb == Verb.prepare:
             self.shapes[statement.name] = (statement.content, statement.writes)
         elif self.shapes.pop(statement.name, None) is None:
-            return self._failed(kind=Kind.unknownPrepared)
+            return self._failed(kind=ErrorCode.UNKNOWN_PREPARED)
         return Reply(rows=[], state=self.state)
 
     def _writes(self, *, statement: Statement) -> bool:
@@ -116,7 +115,7 @@
 
     def _level(self, *, link: Link) -> None:
         """Brings a link that nobody else uses to this session's values."""
-        level(link=link, values=self.values)
+        replay_values(link=link, values=self.values)
 
     def _send(self, *, link: Link, statement: Statement, at_least: Position | None) -> asyncio.Future[Reply]:
         self._level(link=link)
@@ -144,20 +143,20 @@
     async def _single(self, *, statement: Statement) -> Reply:
         route = self.route()
         if route is None:
-            return refusal(kind=Kind.unknownDatabase)
+            return refusal(kind=ErrorCode.UNKNOWN_DATABASE)
         arrived_us = self.ctx.now_us()
         until_us = arrived_us + route.time_limit_us - ANSWER_US
         if self._writes(statement=statement):
             return await self._write(statement=statement, route=route, until_us=until_us)
         return await self._read(statement=statement, route=route, arrived_us=arrived_us, until_us=until_us)
 
-    def _refused(self, *, fault: Fault) -> Reply:
+    def _refused(self, *, fault: CinderstairError) -> Reply:
         """What nothing was done about, with the time to come back where one is known."""
-        come_back_us = int(fault.details.get("left_us", ANSWERS[fault.kind].retry_after_us))
-        return self._failed(kind=fault.kind, come_back_us=come_back_us)
+        come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[fault.code].retry_after_us))
+        return self._failed(kind=fault.code, come_back_us=come_back_us)
 
     async def _write(self, *, statement: Statement, route: DatabaseRoute, until_us: int) -> Reply:
-        fault = Fault(kind=Kind.noBackend, why="not tried")
+        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="not tried")
         for number in range(TRIES):
             route = await self._placed(route=route, until_us=until_us)
             moving = self.router.shards.fault(database=route.database)
@@ -170,7 +169,7 @@
             taken = await pool.acquire(values=self.values, rank=route.rank, until_us=until_us, database=self.database)
             if taken.is_error():
                 fault = taken.error
-                if fault.kind == Kind.crowded:
+                if fault.code == ErrorCode.OVERLOADED:
                     break
                 await self._pause(number=number, until_us=until_us)
                 continue
@@ -179,26 +178,26 @@
             if self.router.may_lead(service=route.service) != led or not self._still(route=route):
                 pool.release(link=link)
                 continue
-            asked_us = self.ctx.now_us()
+            requested_us = self.ctx.now_us()
             future = self._send(link=link, statement=statement, at_least=None)
             try:
                 reply = await self._answer(future=future, until_us=until_us)
             except ConnectionError:
                 pool.release(link=link)
-                return refusal(kind=Kind.outcomeUnknown)
+                return refusal(kind=ErrorCode.OUTCOME_UNKNOWN)
             except asyncio.CancelledError:
                 pool.release(link=link, keep=False)
                 raise
             if reply is None:
                 pool.release_answered(link=link, answer=future)
-                return refusal(kind=Kind.outcomeUnknown)
+                return refusal(kind=ErrorCode.OUTCOME_UNKNOWN)
             pool.release(link=link)
-            self.router.heard(pool=pool, service=route.service, asked_us=asked_us, reply=reply)
+            self.router.heard(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
             if not reply.not_run:
                 if reply.fault is None and reply.position is not None:
                     self.own = (route.service, reply.position)
                 return self._idle(reply=reply)
-            fault = Fault(kind=Kind.crowded, why="the backend did not run it")
+            fault = CinderstairError(code=ErrorCode.OVERLOADED, reason="the backend did not run it")
             if number + 1 < TRIES and self.ctx.now_us() + PAUSE_US < until_us:
                 self.router.view.hurry()
                 await self._pause(number=number, until_us=until_us)
@@ -228,12 +227,12 @@
         return reply
 
     async def _pause(self, *, number: int, until_us: int) -> None:
-        wait_us = self.ctx.luck.randrange(PAUSE_US, PAUSE_US << (number + 1))
-        await self.ctx.rest(wait_us=max(0, min(wait_us, until_us - self.ctx.now_us())))
+        wait_us = self.ctx.rng.randrange(PAUSE_US, PAUSE_US << (number + 1))
+        await self.ctx.sleep(duration_us=max(0, min(wait_us, until_us - self.ctx.now_us())))
 
     def _places(
         self, *, route: DatabaseRoute, arrived_us: int
-    ) -> tuple[list[tuple[LinkPool, Position | None]], Fault | None]:
+    ) -> tuple[list[tuple[LinkPool, Position | None]], CinderstairError | None]:
         """Where a read may go, best first, each with the position that its log must have."""
         if route.consistency != Consistency.primary:
             own = self.own[1] if self.own is not None and self.own[0] == route.service else None
@@ -251,8 +250,8 @@
 
     async def _read(self, *, statement: Statement, route: DatabaseRoute, arrived_us: int, until_us: int) -> Reply:
         """Offers a read to one place after another; the first success counts, a silent place is not waited for."""
-        under_way: set[asyncio.Task[Reply | Fault]] = set()
-        fault: Fault | None = None
+        under_way: set[asyncio.Task[Reply | CinderstairError]] = set()
+        fault: CinderstairError | None = None
         refused: Reply | None = None
         tried: set[str] = set()
         failures = 0
@@ -266,7 +265,9 @@
                     work = self._read_at(statement=statement, route=route, place=place, until_us=until_us)
                     under_way.add(self.ctx.spawn(work=work, name="read"))
                 elif not under_way:
-                    fault = fault or none or Fault(kind=Kind.noBackend, why="no backend to read from")
+                    fault = (
+                        fault or none or CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend to read from")
+                    )
                     left_us = int(fault.details.get("left_us", 50_000))
                     if failures >= 2 * TRIES or now_us + left_us >= until_us:
                         return refused or self._refused(fault=fault)
@@ -287,7 +288,7 @@
                         fault = result
                     failures += 1
                 if self.ctx.now_us() >= until_us:
-                    return refusal(kind=Kind.timeLeftSpent)
+                    return refusal(kind=ErrorCode.TIME_LEFT_SPENT)
                 if done and not under_way:
                     await self._pause(number=min(failures, TRIES) - 1, until_us=until_us)
         finally:
@@ -312,7 +313,7 @@
         route: DatabaseRoute,
         place: tuple[LinkPool, Position | None],
         until_us: int,
-    ) -> Reply | Fault:
+    ) -> Reply | CinderstairError:
         pool, at_least = place
         taken = await pool.acquire(values=self.values, rank=route.rank, until_us=until_us, database=self.database)
         if taken.is_error():
@@ -323,21 +324,21 @@
         # why: without a guard only the surely leading primary will do, and that may have changed meanwhile
         if at_least is None and not (leads and self._still(route=route)):
             pool.release(link=link)
-            return Fault(kind=Kind.noLead, why="the lead moved meanwhile")
-        asked_us = self.ctx.now_us()
+            return CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile")
+        requested_us = self.ctx.now_us()
         future = self._send(link=link, statement=statement, at_least=at_least)
         try:
             reply = await asyncio.shield(future)
         except ConnectionError:
             pool.release(link=link)
-            return Fault(kind=Kind.wireUnsure, why="the link was lost")
+            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the link was lost")
         except asyncio.CancelledError:
             # why: to close it would break off a backend at work, and cost a new link besides
             pool.release_answered(link=link, answer=future)
             raise
         pool.release(link=link)
         if leads:
-            self.router.heard(pool=pool, service=route.service, asked_us=asked_us, reply=reply)
+            self.router.heard(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
         else:
             pool.heard()
         return reply
@@ -346,20 +347,20 @@
 
     def _begin(self, *, read_only: bool) -> Reply:
         if self.transaction is not None:
-            return self._failed(kind=Kind.inTransaction)
+            return self._failed(kind=ErrorCode.IN_TRANSACTION)
         route = self.route()
         if route is None:
-            return refusal(kind=Kind.unknownDatabase)
+            return refusal(kind=ErrorCode.UNKNOWN_DATABASE)
         transaction = Transaction(route=route, read_only=read_only, arrived_us=self.ctx.now_us())
         self.transaction = transaction
         transaction.begun = self.ctx.spawn(work=self._open(transaction=transaction), name="begin")
         return Reply(rows=[], state=State.open)
 
-    async def _open(self, *, transaction: Transaction) -> Result[Link, Fault]:
+    async def _open(self, *, transaction: Transaction) -> Result[Link, CinderstairError]:
         """Begins it at a backend, at another one where the first does not take it."""
         route = transaction.route
         until_us = self.ctx.now_us() + route.time_limit_us
-        fault = Fault(kind=Kind.noBackend, why="no backend for a transaction")
+        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend for a transaction")
         tried: set[str] = set()
         for number in range(2 * TRIES):
             if self.ctx.now_us() >= until_us:
@@ -386,14 +387,14 @@
             if result.is_ok():
                 return result
             fault = result.error
-            if fault.kind == Kind.crowded:
+            if fault.code == ErrorCode.OVERLOADED:
                 break
             await self._pause(number=min(number, TRIES), until_us=until_us)
         return Error(fault)
 
     async def _open_at(
         self, *, transaction: Transaction, place: tuple[LinkPool, Position | None], until_us: int
-    ) -> Result[Link, Fault]:
+    ) -> Result[Link, CinderstairError]:
         pool, at_least = place
         route = transaction.route
         taken = await pool.acquire(values=self.values, rank=route.rank, until_us=until_us, database=self.database)
@@ -404,45 +405,47 @@
         leads = led.is_ok() and led.ok is pool
         if at_least is None and not (leads and self._still(route=route)):
             pool.release(link=link)
-            return Error(Fault(kind=Kind.noLead, why="the lead moved meanwhile"))
-        asked_us = self.ctx.now_us()
+            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile"))
+        requested_us = self.ctx.now_us()
         kept = False
         try:
             self._level(link=link)
-            transaction.asked = True
+            transaction.requested = True
             future = link.begin(read_only=transaction.read_only, at_least=at_least)
-            reply = await self._answer(future=future, until_us=min(until_us, asked_us + 2 * HEDGE_US))
+            reply = await self._answer(future=future, until_us=min(until_us, requested_us + 2 * HEDGE_US))
             if reply is None:
-                return Error(Fault(kind=Kind.wireUnsure, why="no answer to a begin"))
+                return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer to a begin"))
             if leads:
-                self.router.heard(pool=pool, service=route.service, asked_us=asked_us, reply=reply)
+                self.router.heard(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
             else:
                 pool.heard()
             if reply.fault is not None or reply.state != State.open:
                 self.router.view.hurry()
-                return Error(Fault(kind=Kind.statementDenied, why="the backend did not begin"))
+                return Error(CinderstairError(code=ErrorCode.STATEMENT_DENIED, reason="the backend did not begin"))
             kept = True
             transaction.link, transaction.pool = link, pool
             return Ok(link)
         except ConnectionError:
-            return Error(Fault(kind=Kind.wireUnsent, why="the link was lost before the first statement"))
+            return Error(
+                CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the link was lost before the first statement")
+            )
         finally:
             if not kept:
                 pool.release(link=link, keep=False)
 
-    async def _ready(self, *, transaction: Transaction, until_us: int) -> Result[Link, Fault]:
+    async def _ready(self, *, transaction: Transaction, until_us: int) -> Result[Link, CinderstairError]:
         """The transaction's link; one that was lost before anything ran on it is replaced by another."""
         again = not transaction.used
         while True:
             # why: the client may have gone meanwhile, and nothing is begun for nobody
             if self.transaction is not transaction or transaction.begun is None or transaction.begun.cancelled():
-                return Error(Fault(kind=Kind.transactionLost, why="given up"))
+                return Error(CinderstairError(code=ErrorCode.TRANSACTION_LOST, reason="given up"))
             # why: one that could not be begun while the client paused has the whole of this statement's time left
             tried_before = transaction.begun.done()
             wait_us = max(0, until_us - self.ctx.now_us())
             done, _ = await asyncio.wait([transaction.begun], timeout=wait_us / 1_000_000)
             if not done:
-                return Error(Fault(kind=Kind.timeLeftSpent, why="no backend began it in time"))
+                return Error(CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="no backend began it in time"))
             if self.transaction is not transaction or transaction.begun.cancelled():
                 continue
             result = transaction.begun.result()
@@ -460,21 +463,21 @@
         ready = await self._ready(transaction=transaction, until_us=until_us)
         if ready.is_error():
             self._forsake(transaction=transaction)
-            kind = Kind.transactionLost if ready.error.kind == Kind.timeLeftSpent else ready.error.kind
-            come_back_us = int(ready.error.details.get("left_us", ANSWERS[kind].retry_after_us))
+            kind = ErrorCode.TRANSACTION_LOST if ready.error.code == ErrorCode.TIME_LEFT_SPENT else ready.error.code
+            come_back_us = int(ready.error.details.get("left_us", ERROR_RESPONSES[kind].retry_after_us))
             return refusal(kind=kind, state=State.failed, come_back_us=come_back_us)
         link, pool = ready.ok, transaction.pool
         assert pool is not None
         commits = statement.verb == Verb.commit
         # why: a transaction whose commit was never sent is kept nowhere once its link is closed
-        lost = Kind.outcomeUnknown if commits else Kind.transactionLost
+        lost = ErrorCode.OUTCOME_UNKNOWN if commits else ErrorCode.TRANSACTION_LOST
         state = State.idle if commits else State.failed
         moved = not transaction.read_only and not self._may_end(transaction=transaction)
         if not link.open or moved:
             self._forsake(transaction=transaction)
-            return refusal(kind=Kind.transactionLost, state=state)
+            return refusal(kind=ErrorCode.TRANSACTION_LOST, state=state)
         transaction.used = True
-        asked_us = self.ctx.now_us()
+        requested_us = self.ctx.now_us()
         leads = self.router.may_lead(service=transaction.route.service)
         future = self._send(link=link, statement=statement, at_least=None)
         try:
@@ -486,7 +489,7 @@
             self._forsake(transaction=transaction)
             return refusal(kind=lost, state=state)
         if leads.is_ok() and leads.ok is pool:
-            self.router.heard(pool=pool, service=transaction.route.service, asked_us=asked_us, reply=reply)
+            self.router.heard(pool=pool, service=transaction.route.service, requested_us=requested_us, reply=reply)
         else:
             pool.heard()
         transaction.wrote |= reply.fault is None and self._writes(statement=statement)
@@ -501,14 +504,14 @@
         if transaction is None:
             # why: a failed transaction that was given up is ended by whatever ends it
             if self.state == State.failed:
-                return Reply(rows=[]) if statement.verb == Verb.rollback else refusal(kind=Kind.transactionLost)
-            return refusal(kind=Kind.noTransaction)
+                return Reply(rows=[]) if statement.verb == Verb.rollback else refusal(kind=ErrorCode.TRANSACTION_LOST)
+            return refusal(kind=ErrorCode.NO_TRANSACTION)
         if self.state == State.failed or statement.verb == Verb.rollback:
             self.transaction = None
             self.ctx.spawn(work=self._roll_back(transaction=transaction), name="rollback")
             if statement.verb == Verb.rollback:
                 return Reply(rows=[])
-            return refusal(kind=Kind.transactionLost)
+            return refusal(kind=ErrorCode.TRANSACTION_LOST)
         for number in range(TRIES):
             reply = await self._inside(statement=statement)
             # why: a commit that the backend says it did not run may be asked for again in the same transaction
--- a/src/cinderstair/pooler/levelling.py
+++ b/src/cinderstair/pooler/session_replay.py
@@ -3,7 +3,7 @@
 from .link import Link
 
 
-def level(*, link: Link, values: dict[bytes, bytes]) -> None:
+def replay_values(*, link: Link, values: dict[bytes, bytes]) -> None:
     """Sends the session's values ahead, where the link has others."""
     if link.values != values:
         if any(name not in values for name in link.values):
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -1,15 +1,14 @@
-"""One booth's part in a change of the shard map."""
+"""One proxy's part in a change of the shard map."""
 
 from collections.abc import Callable
 
 from ..config.service_plan import DatabaseRoute
-from ..failover.service_lead import LeadState
+from ..failover.service_primary import PrimaryState
 from ..failover.shard_state import GIVE_UP_US, SHARDS_KEY, UNTOLD_US, ShardPhase, ShardState, Vote
 from ..runtime.context import Context
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
+from ..runtime.errors import CinderstairError, ErrorCode
+from .in_flight_writes import InFlightWrites
 from .relayed_view import LEASE_US, RelayedView
-from .under_way import UnderWay
 
 DRAIN_US = 250_000
 UNKNOWN_US = 1_000_000
@@ -27,7 +26,7 @@
         self.ctx = ctx
         self.view = view
         self.open_ = open_
-        self.under_way = UnderWay(ctx=ctx)
+        self.under_way = InFlightWrites(ctx=ctx)
         self.held = ShardState()
         self.heard_us = 0
         self.moved_us: dict[str, int] = {}
@@ -44,7 +43,7 @@
 
     async def _give_up(self, *, turn: int) -> None:
         """What is not answered by then is not waited for, since it may lie in a cut."""
-        await self.ctx.rest(wait_us=GIVE_UP_US)
+        await self.ctx.sleep(duration_us=GIVE_UP_US)
         word = self.view.shards
         if word.turn == turn and word.phase == ShardPhase.closing:
             self.under_way.give_up(databases=self._moving(), owed_us=GIVE_UP_US)
@@ -70,20 +69,20 @@
         self.ctx.log.info("shard map %d taken over", word.current.version)
 
     def _fits(self, *, state: ShardState) -> bool:
-        """Whether this booth knows every place of a map, and who leads there."""
+        """Whether this proxy knows every place of a map, and who leads there."""
         places = state.following if state.phase != ShardPhase.steady else state.current
         plan = self.view.plan
         if plan is None:
             return False
         for database, service in places.places.items():
             lead = self.view.leads.get(service)
-            known = service in plan.services and lead is not None and lead.state == LeadState.settled
+            known = service in plan.services and lead is not None and lead.state == PrimaryState.settled
             if database not in plan.routes or not known:
                 return False
         return True
 
     def vote(self) -> tuple[int, Vote]:
-        """What this booth tells its guildhall of the map that is to follow."""
+        """What this proxy tells its controller of the map that is to follow."""
         word = self.view.shards
         if word.phase == ShardPhase.steady:
             return 0, Vote.silent
@@ -111,16 +110,18 @@
         word = self.view.shards.current
         return word.places.get(database) != self.held.current.places.get(database)
 
-    def fault(self, *, database: str) -> Fault | None:
+    def fault(self, *, database: str) -> CinderstairError | None:
         """Why nothing may be written or read in full here now; None where it may."""
         if self._behind(database=database):
-            return Fault(
-                kind=Kind.moving, why="its place has moved, and is not known here", details={"left_us": UNKNOWN_US}
+            return CinderstairError(
+                code=ErrorCode.MOVING,
+                reason="its place has moved, and is not known here",
+                details={"left_us": UNKNOWN_US},
             )
         word = self.view.shards
         if word.phase == ShardPhase.closing and word.moving(database=database):
             left_us = max(50_000, self.heard_us + word.ready_in_us - self.ctx.now_us())
-            return Fault(kind=Kind.moving, why="its place moves", details={"left_us": left_us})
+            return CinderstairError(code=ErrorCode.MOVING, reason="its place moves", details={"left_us": left_us})
         return None
 
     def may_end(self, *, database: str, since_us: int) -> bool:
--- a/src/cinderstair/runtime/ownermixin.py
+++ b/src/cinderstair/runtime/command_queue.py
@@ -7,7 +7,7 @@
 from .context import Context
 
 
-class OwnerMixin:
+class CommandQueueMixin:
     """Gives a table's owner its queue. Commands run one at a time, in the order in which they came."""
 
     ctx: Context
@@ -34,7 +34,7 @@
 
     def every(self, *, every_us: int, command: Callable[[], Any], name: str) -> None:
         """Queues a command at each tick."""
-        self.ctx.ticks(every_us=every_us).subscribe(lambda _: self.post(command=command, once=name))
+        self.ctx.timer(every_us=every_us).subscribe(lambda _: self.post(command=command, once=name))
 
     async def _work_queue(self) -> None:
         while True:
--- a/src/cinderstair/runtime/context.py
+++ b/src/cinderstair/runtime/context.py
@@ -14,8 +14,8 @@
 from .counters import Counters
 from .disk import Disk
 from .net import Net
-from .parley import Parley
-from .speech import SPEECH, Speech
+from .peer_client import PeerClient
+from .protocol_versions import PROTOCOL_VERSIONS, ProtocolVersions
 
 if TYPE_CHECKING:
     # why: most daemons write no traces and must not load the library for them
@@ -28,7 +28,7 @@
 
     name: str
     site: str
-    luck: random.Random
+    rng: random.Random
     clock: Callable[[], int]
     wall: Callable[[], int]
     net: Net
@@ -36,11 +36,11 @@
     log: logging.Logger
     counters: Counters = field(default_factory=Counters)
     traces: "Traces | None" = None
-    speech: Speech = SPEECH
+    protocol_versions: ProtocolVersions = PROTOCOL_VERSIONS
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.parley = Parley(ctx=self)
+        self.peer_client = PeerClient(ctx=self)
 
     def now_us(self) -> int:
         """Monotonic microseconds; says nothing about any other machine's clock."""
@@ -50,8 +50,8 @@
         """Microseconds since 1970 by this machine's calendar clock; for move windows and traces alone."""
         return self.wall()
 
-    async def rest(self, *, wait_us: int) -> None:
-        await asyncio.sleep(wait_us / 1_000_000)
+    async def sleep(self, *, duration_us: int) -> None:
+        await asyncio.sleep(duration_us / 1_000_000)
 
     def spawn(self, *, work: Coroutine[Any, Any, Any], name: str = "") -> asyncio.Task[Any]:
         """Starts a task and keeps hold of it until it ends."""
@@ -70,7 +70,7 @@
         self.counters.add(name="internal.crashes")
         self.log.error("crash in %s: %r", where, error, exc_info=error)
 
-    def ticks(self, *, every_us: int) -> reactivex.Observable[int]:
+    def timer(self, *, every_us: int) -> reactivex.Observable[int]:
         """A stream of ticks on the process's one loop."""
         scheduler = AsyncIOScheduler(asyncio.get_running_loop())
         return reactivex.interval(timedelta(microseconds=every_us), scheduler=scheduler)
--- a/src/cinderstair/runtime/desk.py
+++ b/src/cinderstair/runtime/dispatcher.py
@@ -3,38 +3,38 @@
 from collections.abc import Awaitable, Callable
 
 from .context import Context
-from .desks import NAMES, PARLEY
-from .speech import denial, unwrapped, wrapped
+from .message_types import HANDSHAKE, NAMES
+from .protocol_versions import denial, unwrapped, wrapped
 from .unpacker import Unpacker
 
-DeskAnswer = Callable[[Unpacker], Awaitable[bytes]]
+RequestHandler = Callable[[Unpacker], Awaitable[bytes]]
 
 
-class Desk:
+class Dispatcher:
     """Hands each record to the table owner that answers for its kind, in the version in which it came."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
-        self.answers: dict[int, DeskAnswer] = {}
+        self.handlers: dict[int, RequestHandler] = {}
 
-    def open(self, *, kind: int, answer: DeskAnswer) -> None:
-        self.answers[kind] = answer
+    def add_handler(self, *, message_type: int, handler: RequestHandler) -> None:
+        self.handlers[message_type] = handler
 
     async def answer(self, body: bytes) -> bytes:
-        speech = self.ctx.speech
+        protocol_versions = self.ctx.protocol_versions
         # why: a daemon of the first version knows no versions at all, and takes their mark for a kind
-        version, body = unwrapped(data=body) if speech.highest > 1 else (1, body)
-        if body and body[0] == PARLEY and speech.knows(kind=PARLEY):
-            return await self.ctx.parley.asked(Unpacker(data=body[1:]))
-        if not speech.reads(version=version):
+        version, body = unwrapped(data=body) if protocol_versions.highest > 1 else (1, body)
+        if body and body[0] == HANDSHAKE and protocol_versions.knows(kind=HANDSHAKE):
+            return await self.ctx.peer_client.answer_handshake(Unpacker(data=body[1:]))
+        if not protocol_versions.reads(version=version):
             self.ctx.counters.add(name="records.otherVersion")
             # why: the first version has no words for a denial; what it can't understand it must not be sent
             if version == 1:
                 raise ValueError("records of the first version are not spoken here any more")
-            return denial(speech=speech)
+            return denial(protocol_versions=protocol_versions)
         unpacker = Unpacker(data=body, version=version)
         kind = unpacker.u8()
-        answer = self.answers.get(kind) if speech.knows(kind=kind) else None
+        answer = self.handlers.get(kind) if protocol_versions.knows(kind=kind) else None
         # why: a newer daemon may ask what an older one does not know; it must get silence, not a crash
         if answer is None:
             raise ValueError("no such desk")
--- /dev/null
+++ b/src/cinderstair/runtime/errors.py
@@ -0,0 +1,68 @@
+"""The closed list of error codes, and the error that every failing Result carries."""
+
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import Any
+
+
+class ErrorCode(Enum):
+    """Every way in which cinderstair can fail to do what it was asked. Nothing fails outside this list.
+
+    The value is the spelling that clients and operators receive; it never changes.
+    """
+
+    MALFORMED = "malformed"
+    TOO_LARGE = "tooLarge"
+    UNKNOWN_PATH = "unknownPath"
+    WRONG_METHOD = "wrongMethod"
+    UNKNOWN_SESSION = "unknownSession"
+    SESSION_ELSEWHERE = "sessionElsewhere"
+    SESSION_SOUGHT = "sessionSought"
+    HANDLE_OLD = "handleOld"
+    UNKNOWN_DATABASE = "unknownDatabase"
+    UNKNOWN_KIND = "unknownKind"
+    UNKNOWN_PREPARED = "unknownPrepared"
+    TIME_LEFT_MISSING = "timeLeftMissing"
+    TIME_LEFT_SPENT = "timeLeftSpent"
+    NOT_CURRENT = "notCurrent"
+    DRAINING = "draining"
+    NO_LEAD = "noLead"
+    MOVING = "moving"
+    NOT_IN_SYNC = "notInSync"
+    NO_BACKEND = "noBackend"
+    OVERLOADED = "crowded"
+    TOO_STALE = "tooStale"
+    SESSION_BUSY = "sessionBusy"
+    NO_TRANSACTION = "noTransaction"
+    IN_TRANSACTION = "inTransaction"
+    TRANSACTION_LOST = "transactionLost"
+    TRANSACTION_FAILED = "transactionFailed"
+    BACKEND_FAULT = "backendFault"
+    STATEMENT_DENIED = "statementDenied"
+    OUTCOME_UNKNOWN = "outcomeUnknown"
+    ROUTE_DENIED = "routeDenied"
+    VERSION_OLD = "versionOld"
+    VERSION_TAKEN = "versionTaken"
+    BROKEN_CONFIGURATION = "brokenConfiguration"
+    NO_CONFIGURATION = "noConfiguration"
+    REGISTER_UNREACHABLE = "registerUnreachable"
+    REGISTER_UNSURE = "registerUnsure"
+    WIRE_UNSENT = "wireUnsent"
+    WIRE_UNSURE = "wireUnsure"
+    OTHER_VERSION = "otherVersion"
+    BAD_SETTINGS = "badSettings"
+    DISK_DAMAGED = "diskDamaged"
+    INTERNAL = "internal"
+
+
+@dataclass(frozen=True, kw_only=True)
+class CinderstairError:
+    """The error side of every Result.
+
+    `code` is one of the closed list, `reason` says for people what went wrong, and `details` carries what a caller
+    needs to act on it (for example the address to go to instead).
+    """
+
+    code: ErrorCode
+    reason: str
+    details: dict[str, Any] = field(default_factory=dict)
--- a/src/cinderstair/runtime/realchannel.py
+++ b/src/cinderstair/runtime/http_connection.py
@@ -7,13 +7,12 @@
 import httpcore
 from expression import Error, Ok, Result
 
-from .fault import Fault
-from .httpjob import HttpJob
-from .httpresponse import HttpResponse
-from .kind import Kind
+from .errors import CinderstairError, ErrorCode
+from .http_request import HttpRequest
+from .http_response import HttpResponse
 
 
-class RealChannel:
+class HttpConnection:
     """A connection that we open, use for one job at a time, and close; it never sends anything twice."""
 
     def __init__(
@@ -30,24 +29,24 @@
     def open(self) -> bool:
         return not self.broken and not self.connection.is_closed() and not self.connection.has_expired()
 
-    async def pass_job(self, *, job: HttpJob, wait_us: int) -> Result[HttpResponse, Fault]:
+    async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
         # why: a channel known dead before anything was written proves that the backend saw nothing
         if not self.open:
             self.close()
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{self.address}: channel closed"))
-        request = httpcore.Request(
-            job.method,
-            f"http://{self.address}{job.path}",
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.address}: channel closed"))
+        outgoing = httpcore.Request(
+            request.method,
+            f"http://{self.address}{request.path}",
             headers=[
                 ("Host", self.address),
                 ("Content-Type", "application/json"),
-                ("Content-Length", str(len(job.body))),
+                ("Content-Length", str(len(request.body))),
             ],
-            content=job.body,
+            content=request.body,
         )
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
-                response = await self.connection.handle_async_request(request)
+                response = await self.connection.handle_async_request(outgoing)
                 body = await response.aread()
                 await response.aclose()
         except (TimeoutError, OSError, RuntimeError, httpcore.ConnectError) as error:
@@ -56,7 +55,7 @@
             return self._lost(error=error)
         except httpcore.ConnectionNotAvailable as error:
             self.close()
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{self.address}: {error!r}"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.address}: {error!r}"))
         except asyncio.CancelledError:
             self.close()
             raise
@@ -66,14 +65,14 @@
         headers = {} if response.status < 400 else {k.decode().title(): v.decode() for k, v in response.headers}
         return Ok(HttpResponse(status=response.status, body=body, headers=headers))
 
-    def _lost(self, *, error: Exception) -> Result[HttpResponse, Fault]:
+    def _lost(self, *, error: Exception) -> Result[HttpResponse, CinderstairError]:
         sock = self.stream.get_extra_info("socket")
         # why: what a cut holds up must not reach the backend long after the job was given up
         if sock is not None and sock.fileno() >= 0:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
         # why: once bytes may have left, only an answer tells what happened to the job
-        return Error(Fault(kind=Kind.wireUnsure, why=f"{self.address}: {type(error).__name__}"))
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{self.address}: {type(error).__name__}"))
 
     def give_up(self) -> None:
         # why: between jobs there is no wait to end
--- a/src/cinderstair/runtime/httpjob.py
+++ b/src/cinderstair/runtime/http_request.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HttpJob:
+class HttpRequest:
     method: str
     path: str
     body: bytes = b""
--- a/src/cinderstair/runtime/speech.py
+++ b/src/cinderstair/runtime/protocol_versions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from .desks import KINDS
+from .message_types import KINDS
 
 # why: no kind of record reaches this bit, so a daemon of the first version takes a wrapped record for an
 # unknown kind and drops it, as it drops everything that it does not know
@@ -10,13 +10,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Speech:
+class ProtocolVersions:
     """From the lowest to the highest version; a daemon speaks its own and the one before."""
 
     lowest: int
     highest: int
 
-    def agreed(self, *, other: "Speech") -> int:
+    def agreed(self, *, other: "ProtocolVersions") -> int:
         """The highest version that both speak; 0 where there is none."""
         version = min(self.highest, other.highest)
         return version if version >= max(self.lowest, other.lowest) else 0
@@ -32,7 +32,7 @@
         return f"{self.lowest} to {self.highest}"
 
 
-SPEECH = Speech(lowest=1, highest=2)
+PROTOCOL_VERSIONS = ProtocolVersions(lowest=1, highest=2)
 
 
 def wrapped(*, version: int, body: bytes) -> bytes:
@@ -46,6 +46,6 @@
     return 1, data
 
 
-def denial(*, speech: Speech) -> bytes:
+def denial(*, protocol_versions: ProtocolVersions) -> bytes:
     """What is said to a record of a version that is not spoken here. Version 0 is never anything else."""
-    return bytes([WRAPPED, speech.lowest, speech.highest])
+    return bytes([WRAPPED, protocol_versions.lowest, protocol_versions.highest])
--- a/src/cinderstair/runtime/realnet.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -7,12 +7,11 @@
 from expression import Error, Ok, Result
 
 from .counters import Counters
-from .fault import Fault
-from .httpjob import HttpJob, Line
-from .kind import Kind
-from .net import Channel, HttpAnswer, RecordAnswer
-from .realchannel import RealChannel
-from .recordwire import RecordWire, split_address
+from .errors import CinderstairError, ErrorCode
+from .http_connection import HttpConnection
+from .http_request import HttpRequest, Line
+from .net import Connection, HttpAnswer, RecordAnswer
+from .record_transport import RecordTransport, split_address
 
 MOST_BODY_BYTES = 4 * 1024 * 1024
 
@@ -37,25 +36,25 @@
 class RealNet:
     def __init__(self, *, counters: Counters) -> None:
         self.counters = counters
-        self.wire = RecordWire(counters=counters)
+        self.wire = RecordTransport(counters=counters)
         self.runners: list[web.AppRunner] = []
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
-        return await self.wire.ask(address=address, body=body, wait_us=wait_us)
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        return await self.wire.request(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         await self.wire.listen(address=address, answer=answer)
 
-    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         host, port = split_address(address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 stream = await httpcore.AnyIOBackend().connect_tcp(host, port)
         except (TimeoutError, OSError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: {type(error).__name__}"))
         origin = httpcore.Origin(scheme=b"http", host=host.encode(), port=port)
         connection = httpcore.AsyncHTTP11Connection(origin=origin, stream=stream)
-        return Ok(RealChannel(address=address, connection=connection, stream=stream))
+        return Ok(HttpConnection(address=address, connection=connection, stream=stream))
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
         host, port = split_address(address=address)
@@ -68,8 +67,10 @@
                 body = b"\0" * (MOST_BODY_BYTES + 1)
             # why: a request whose connection is already gone still needs a line, one that counts as closed
             line = Line() if request.transport is None else RealLine(transport=request.transport)
-            job = HttpJob(method=request.method, path=request.path, body=body, query=dict(request.query), line=line)
-            response = await answer(job)
+            http_request = HttpRequest(
+                method=request.method, path=request.path, body=body, query=dict(request.query), line=line
+            )
+            response = await answer(http_request)
             headers = {"Content-Type": "application/json", **response.headers}
             answered = web.Response(status=response.status, body=response.body, headers=headers)
             if headers.get("Connection") == "close":
--- a/src/cinderstair/runtime/lean_net.py
+++ b/src/cinderstair/runtime/record_net.py
@@ -3,24 +3,24 @@
 from expression import Result
 
 from .counters import Counters
-from .fault import Fault
-from .net import Channel, HttpAnswer, RecordAnswer
-from .recordwire import RecordWire
+from .errors import CinderstairError
+from .net import Connection, HttpAnswer, RecordAnswer
+from .record_transport import RecordTransport
 
 
-class LeanNet:
+class RecordNet:
     """A Net without HTTP, so that neither of its libraries is loaded."""
 
     def __init__(self, *, counters: Counters) -> None:
-        self.wire = RecordWire(counters=counters)
+        self.wire = RecordTransport(counters=counters)
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
-        return await self.wire.ask(address=address, body=body, wait_us=wait_us)
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        return await self.wire.request(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         await self.wire.listen(address=address, answer=answer)
 
-    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         raise NotImplementedError("a lean daemon has no HTTP channels")
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
--- a/src/cinderstair/runtime/recordwire.py
+++ b/src/cinderstair/runtime/record_transport.py
@@ -7,8 +7,7 @@
 from expression import Error, Ok, Result
 
 from .counters import Counters
-from .fault import Fault
-from .kind import Kind
+from .errors import CinderstairError, ErrorCode
 from .net import RecordAnswer
 
 MAGIC = 0xC15D
@@ -34,7 +33,7 @@
     return number, await reader.readexactly(size)
 
 
-class RecordWire:
+class RecordTransport:
     """Both ends of the records' transport."""
 
     def __init__(self, *, counters: Counters) -> None:
@@ -109,11 +108,11 @@
                 if not future.done():
                     future.set_exception(ConnectionResetError())
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 if address not in self.writers:
-                    # why: askers that come together share one dialling, or a crowd would open many
+                    # why: askers that come together share one dialling, or a membership would open many
                     dialing = self.dialing.get(address)
                     if dialing is None:
                         dialing = asyncio.create_task(self._dial(address=address))
@@ -133,7 +132,7 @@
         except (TimeoutError, OSError, KeyError) as error:
             self.counters.add(name="records.unanswered")
             self._doubt(address=address)
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
     def _doubt(self, *, address: str) -> None:
         """Gives up a connection over which nothing has come for a while though something was asked."""
--- a/src/cinderstair/runtime/settings.py
+++ b/src/cinderstair/runtime/settings.py
@@ -8,18 +8,17 @@
 from expression import Error, Ok, Result
 from marshmallow import Schema, ValidationError, fields, validate
 
-from .fault import Fault
-from .file_place import address_trouble, line_of
-from .kind import Kind
+from .errors import CinderstairError, ErrorCode
+from .settings_validation import address_error, line_of
 
 NAME = validate.Regexp(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$", error="not a name (letters, digits, . _ -)")
 LIVE = ("logLevel", "drainWaitUs", "queueMost", "idleTransactionUs", "idleSessionUs")
 
 
 def check_address(value: str) -> None:
-    trouble = address_trouble(value=value)
-    if trouble:
-        raise ValidationError(trouble)
+    problem = address_error(value=value)
+    if problem:
+        raise ValidationError(problem)
 
 
 class SettingsSchema(Schema):
@@ -59,8 +58,9 @@
     """What a process was told when it started, and what it may be told again while it runs.
 
     mostVaults: how many may vote in the end (0: as many as found the system). mayFound: whether a blank disk may
-    take part in founding; a machine that has lost its disk may not. catchUpUs: how long after a vault's start another
-    loss has to be borne. leaveWithinUs: for how long a vault that stops votes on until its place is taken.
+    take part in founding; a machine that has lost its disk may not. catchUpUs: how long after a register replica's
+    start another
+    loss has to be borne. leaveWithinUs: for how long a register replica that stops votes on until its place is taken.
     underWayUs: for how long what has left for a backend may still take effect after its link was lost; a closing
     shard map waits as long for who is not heard.
     """
@@ -87,11 +87,11 @@
     underWayUs: int = 3_000_000
 
 
-def badSettings(*, where: str, why: str) -> Result[Settings, Fault]:
-    return Error(Fault(kind=Kind.badSettings, why=f"{where}: {why}"))
+def bad_settings(*, where: str, why: str) -> Result[Settings, CinderstairError]:
+    return Error(CinderstairError(code=ErrorCode.BAD_SETTINGS, reason=f"{where}: {why}"))
 
 
-def check_settings(*, values: dict[str, Any], text: str, where: str) -> Result[Settings, Fault]:
+def check_settings(*, values: dict[str, Any], text: str, where: str) -> Result[Settings, CinderstairError]:
     try:
         loaded = SettingsSchema().load(values)
     except ValidationError as error:
@@ -100,11 +100,11 @@
             reason = next(iter(reason.values()))
         line = line_of(text=text, key=key)
         place = f"{where}:{line}" if line else where
-        return badSettings(where=place, why=f"{key}: {reason[0]}")
+        return bad_settings(where=place, why=f"{key}: {reason[0]}")
     return Ok(Settings(**{**loaded, "seeds": tuple(loaded["seeds"])}))
 
 
-def read_settings(*, path: str, flags: dict[str, Any]) -> Result[Settings, Fault]:
+def read_settings(*, path: str, flags: dict[str, Any]) -> Result[Settings, CinderstairError]:
     """The file's values, overridden by flags; everything is checked before anything is used."""
     text, values = "", {}
     if path:
@@ -112,9 +112,9 @@
             text = Path(path).read_text()
             values = tomllib.loads(text)
         except OSError as error:
-            return badSettings(where=path, why=f"can't be read: {error.strerror}")
+            return bad_settings(where=path, why=f"can't be read: {error.strerror}")
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-            return badSettings(where=path, why=f"not TOML: {error}")
+            return bad_settings(where=path, why=f"not TOML: {error}")
     return check_settings(values={**values, **flags}, text=text, where=path or "flags")
 
 
--- a/src/cinderstair/runtime/file_place.py
+++ b/src/cinderstair/runtime/settings_validation.py
@@ -6,7 +6,7 @@
 ADDRESS = re.compile(r"^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$")
 
 
-def address_trouble(*, value: str) -> str:
+def address_error(*, value: str) -> str:
     """Why a text is no address; empty where it is one."""
     match = ADDRESS.match(value)
     if match is None or any(int(part) > 255 for part in match.groups()[:4]):
--- a/src/cinderstair/runtime/traces.py
+++ b/src/cinderstair/runtime/traces.py
@@ -35,9 +35,9 @@
 class Traces:
     """Keeps spans until they are flushed; what is too much is counted and dropped, never waited for."""
 
-    def __init__(self, *, service: str, luck: random.Random, sink: Sink | None = None) -> None:
+    def __init__(self, *, service: str, rng: random.Random, sink: Sink | None = None) -> None:
         self.service = service
-        self.luck = luck
+        self.rng = rng
         self.sink = sink
         self.spans: list[Span] = []
         self.dropped = 0
@@ -51,8 +51,8 @@
             return
         self.spans.append(
             Span(
-                trace_id=self.luck.getrandbits(128).to_bytes(16, "big"),
-                span_id=self.luck.getrandbits(64).to_bytes(8, "big"),
+                trace_id=self.rng.getrandbits(128).to_bytes(16, "big"),
+                span_id=self.rng.getrandbits(64).to_bytes(8, "big"),
                 name=name,
                 kind=Span.SPAN_KIND_SERVER,
                 start_time_unix_nano=wall_us * 1_000,
--- a/src/cinderstair/simulation/__main__.py
+++ b/src/cinderstair/simulation/__main__.py
@@ -7,21 +7,21 @@
 import signal
 import sys
 
-from ..cli.market import Market
+from ..cli.container import Container
 from ..runtime.context import Context
 from .fleet import Fleet
-from .fleetday import FleetDay
-from .standin import StandIn
-from .standinplatform import StandInPlatform
+from .fleet_day import FleetDay
+from .stand_in import StandIn
+from .stand_in_platform import StandInPlatform
 
 
 def context(*, name: str, site: str, folder: str) -> Context:
-    market = Market()
-    market.config.from_dict({"name": name, "site": site, "folder": folder, "diskKind": "real" if folder else "none"})
+    market = Container()
+    market.config.from_dict({"name": name, "site": site, "folder": folder, "disk_kind": "real" if folder else "none"})
     return market.context()
 
 
-async def until_told() -> None:
+async def until_reported() -> None:
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     await stop.wait()
@@ -34,21 +34,23 @@
         address=options.http,
         database=options.database,
         cap=options.cap,
-        stalls=tuple(options.stalls.split(",")),
+        http_proxies=tuple(options.http_proxies.split(",")),
     )
     await stand_in.start()
-    await until_told()
+    await until_reported()
 
 
 async def platform(*, options: argparse.Namespace) -> None:
     ctx = context(name="platform", site="", folder="")
     stand_in = StandInPlatform(ctx=ctx, address=options.http, backends=json.loads(options.backends))
     await stand_in.start()
-    await until_told()
+    await until_reported()
 
 
 async def fleet(*, options: argparse.Namespace) -> int:
-    world = Fleet(stalls=options.stalls, vaults=options.vaults, databases=options.databases)
+    world = Fleet(
+        http_proxies=options.http_proxies, register_replicas=options.register_replicas, databases=options.databases
+    )
     try:
         await world.begin()
         print(f"ready; operators may use --at {world.http(name='stall-0')}", flush=True)
@@ -67,15 +69,15 @@
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation", description=__doc__)
     roles = parser.add_subparsers(dest="role", required=True)
     one = roles.add_parser("backend", help="a stand-in backend")
-    for name in ("name", "site", "folder", "http", "database", "stalls"):
+    for name in ("name", "site", "folder", "http", "database", "http-proxies"):
         one.add_argument(f"--{name}", required=True)
     one.add_argument("--cap", type=int, default=60)
     two = roles.add_parser("platform", help="a stand-in platform")
     two.add_argument("--http", required=True)
     two.add_argument("--backends", required=True)
     three = roles.add_parser("fleet", help="the whole fleet of the brief's size, with callers, checked")
-    three.add_argument("--stalls", type=int, default=9)
-    three.add_argument("--vaults", type=int, default=5)
+    three.add_argument("--http-proxies", type=int, default=9)
+    three.add_argument("--register-replicas", type=int, default=5)
     three.add_argument("--databases", type=int, default=3)
     three.add_argument("--callers", type=int, default=150)
     three.add_argument("--seconds", type=int, default=20)
--- a/src/cinderstair/simulation/backendtrials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -26,7 +26,7 @@
 def backend_empties(*, trial: Trial) -> None:
     """A primary says that it is emptying, and later is there again; then a replica does."""
     world = trial.world
-    for name in (trial.primary, trial.inSync[-1]):
+    for name in (trial.primary, trial.in_sync[-1]):
         trial.fault()
         world.run(work=said(world=world, name=name, path="/empty"))
         trial.go(for_us=11_000_000)
@@ -38,13 +38,13 @@
     await world._ask(name=name, method="POST", path=path, body=b"{}")
 
 
-def beats_lost(*, trial: Trial) -> None:
-    """The stall that heard a backend's word of emptying dies before it has told anyone."""
-    world, name = trial.world, trial.inSync[0]
+def heartbeats_lost(*, trial: Trial) -> None:
+    """The HTTP proxy that heard a backend's word of emptying dies before it has told anyone."""
+    world, name = trial.world, trial.in_sync[0]
     trial.fault()
     world.run(work=said(world=world, name=name, path="/empty"))
-    trial.go(for_us=world.luck.randrange(100_000, 1_500_000))
-    heard = [n for n in world.stall_names if not world.stall(name=n).news.fit(name=name)]
+    trial.go(for_us=world.rng.randrange(100_000, 1_500_000))
+    heard = [n for n in world.http_proxy_names if not world.http_proxy(name=n).heartbeat_table.fit(name=name)]
     if heard:
         world.kill(name=heard[0])
     trial.go(for_us=10_000_000)
@@ -53,10 +53,13 @@
     trial.go(for_us=6_000_000)
 
 
-def late_beats(*, trial: Trial) -> None:
-    """A stall freezes with a backend's last beats on their way to it; the backend goes quiet; the stall thaws."""
-    world, name = trial.world, trial.inSync[0]
-    frozen = [n for n in world.stall_names if n != trial.holder]
+def late_heartbeats(*, trial: Trial) -> None:
+    """An HTTP proxy freezes with a backend's last beats on their way to it; the backend goes quiet.
+
+    The HTTP proxy thaws.
+    """
+    world, name = trial.world, trial.in_sync[0]
+    frozen = [n for n in world.http_proxy_names if n != trial.holder]
     for each in frozen:
         world.freeze(name=each)
     trial.go(for_us=2_500_000)
@@ -71,7 +74,7 @@
 def lagging_replica(*, trial: Trial) -> None:
     """One replica receives at once and applies late; then the other does too."""
     world = trial.world
-    replicas = list(trial.inSync)
+    replicas = list(trial.in_sync)
     for name in replicas:
         world.backend(name=name).apply_us = 3_500_000
         trial.go(for_us=6_000_000)
@@ -83,7 +86,7 @@
 def slow_backend(*, trial: Trial) -> None:
     """A replica, then the primary, turns a hundred times slower."""
     world = trial.world
-    for name in (trial.inSync[0], trial.primary):
+    for name in (trial.in_sync[0], trial.primary):
         world.backend(name=name).service_us = 200_000
         trial.go(for_us=6_000_000)
         world.backend(name=name).service_us = 2_000
@@ -99,12 +102,12 @@
         gone, comes = f"db0-{old}", f"db0-{new}"
         world.listed["db0"] = [comes if name == gone else name for name in world.listed["db0"]]
         trial.submit(version=version)
-        trial.go(for_us=world.luck.randrange(100_000, 2_000_000))
+        trial.go(for_us=world.rng.randrange(100_000, 2_000_000))
         world.kill(name=gone)
 
         def in_place(comes: str = comes) -> bool:
-            leads = [world.stall(name=name).view.leads["db0"] for name in world.ups()]
-            return all(comes in (lead.primary, *lead.inSync) and lead.state == "settled" for lead in leads)
+            leads = [world.http_proxy(name=name).view.leads["db0"] for name in world.ups()]
+            return all(comes in (lead.primary, *lead.in_sync) and lead.state == "settled" for lead in leads)
 
         world.await_that(test=in_place, within_us=25_000_000, what=f"{comes} is in sync")
         trial.go(for_us=2_000_000)
--- a/src/cinderstair/simulation/caller.py
+++ b/src/cinderstair/simulation/caller.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from ..runtime.context import Context
-from ..runtime.httpjob import HttpJob
-from ..runtime.httpresponse import HttpResponse
-from ..runtime.net import Channel
+from ..runtime.http_request import HttpRequest
+from ..runtime.http_response import HttpResponse
+from ..runtime.net import Connection
 from .event import Event
 from .sent import Sent, sent_as
 
@@ -25,13 +25,13 @@
 
 
 class Caller:
-    """With `once` it is one of those who open a session at one stall, do a single job, and close."""
+    """With `once` it is one of those who open a session at one HTTP proxy, do a single job, and close."""
 
     def __init__(
         self,
         *,
         ctx: Context,
-        stalls: list[str],
+        http_proxies: list[str],
         database: str,
         history: list[Event],
         think_us: int = 300_000,
@@ -42,7 +42,7 @@
         mix: dict[str, float] | None = None,
     ) -> None:
         self.ctx = ctx
-        self.stalls = stalls
+        self.http_proxies = http_proxies
         self.database = database
         self.history = history
         self.think_us = think_us
@@ -51,16 +51,16 @@
         self.once = once
         self.time_left_us = time_left_us
         self.mix = mix or MIX
-        self.channel: Channel | None = None
+        self.connection: Connection | None = None
         self.session = ""
         self.life = ""
         self.lives = 0
-        self.stall = ""
+        self.http_proxy = ""
         self.values: dict[str, str] = {}
         self.looks_at = ""
         self.step = 0
         self.sessions_lost = 0
-        # why: each with its time, its handle, and whether it had been told that it stands on one stall
+        # why: each with its time, its handle, and whether it had been told that it stands on one HTTP proxy
         self.losses: list[tuple[str, int, str, bool]] = []
         self.stands = 0
         self.closes = False
@@ -72,27 +72,31 @@
         self.sent: Counter[Sent] = Counter()
 
     def move_on(self) -> None:
-        """Goes to the next stall, as a client does that has changed its site, and asks there for its session."""
-        following = (self.stalls.index(self.stall) + 1) % len(self.stalls) if self.stall in self.stalls else 0
-        self._go_to(stall=self.stalls[following])
+        """Goes to the next HTTP proxy, as a client does that has changed its site, and asks there for its session."""
+        following = (
+            (self.http_proxies.index(self.http_proxy) + 1) % len(self.http_proxies)
+            if self.http_proxy in self.http_proxies
+            else 0
+        )
+        self._go_to(http_proxy=self.http_proxies[following])
 
-    def _go_to(self, *, stall: str) -> None:
-        # why: the channel goes to the stall that it was opened to, wherever the client goes
-        if stall != self.stall and self.channel is not None and not self.sending:
-            self.channel.close()
-        if stall != self.stall:
-            self.channel = None
-        self.stall = stall
+    def _go_to(self, *, http_proxy: str) -> None:
+        # why: the channel goes to the HTTP proxy that it was opened to, wherever the client goes
+        if http_proxy != self.http_proxy and self.connection is not None and not self.sending:
+            self.connection.close()
+        if http_proxy != self.http_proxy:
+            self.connection = None
+        self.http_proxy = http_proxy
 
     async def run(self) -> None:
         while not self.stopped and self.ctx.now_us() < self.until_us:
             if not self.session and not await self._open():
-                await self.ctx.rest(wait_us=150_000 + self.ctx.luck.randrange(150_000))
+                await self.ctx.sleep(duration_us=150_000 + self.ctx.rng.randrange(150_000))
                 continue
             await self._one()
             if self.once and self.session:
                 await self._close()
-            await self.ctx.rest(wait_us=self.ctx.luck.randrange(self.think_us // 2, self.think_us * 3 // 2))
+            await self.ctx.sleep(duration_us=self.ctx.rng.randrange(self.think_us // 2, self.think_us * 3 // 2))
         if self.closes and self.session:
             await self._close()
 
@@ -101,24 +105,24 @@
     async def _send(self, *, event: Event, method: str, path: str, body: dict[str, Any]) -> HttpResponse | None:
         """One try and no more: a client that sends again by itself would break the rules it checks."""
         event.last_us = self.ctx.now_us()
-        if self.channel is None or not self.channel.open:
-            self.channel = None
-            dialled = await self.ctx.net.dial(address=self.stall, wait_us=DIAL_WAIT_US)
-            # why: a stall that isn't there has dropped nothing
+        if self.connection is None or not self.connection.open:
+            self.connection = None
+            dialled = await self.ctx.net.dial(address=self.http_proxy, wait_us=DIAL_WAIT_US)
+            # why: an HTTP proxy that isn't there has dropped nothing
             self.unreached = dialled.is_error()
             if dialled.is_error():
                 return None
-            self.channel = dialled.ok
+            self.connection = dialled.ok
             event.last_us = self.ctx.now_us()
         self.unreached = False
         data = json.dumps({**body, "timeLeftUs": self.time_left_us}).encode()
-        self.sending, event.stall = True, self.stall
-        result = await self.channel.pass_job(
-            job=HttpJob(method=method, path=path, body=data), wait_us=self.time_left_us + 1_000_000
+        self.sending, event.http_proxy = True, self.http_proxy
+        result = await self.connection.send_request(
+            request=HttpRequest(method=method, path=path, body=data), wait_us=self.time_left_us + 1_000_000
         )
         self.sending = False
         if result.is_error():
-            self.channel = None
+            self.connection = None
             return None
         return result.ok
 
@@ -132,7 +136,7 @@
             tokens=tokens,
             start_us=self.ctx.now_us(),
             time_left_us=self.time_left_us,
-            stall=self.stall,
+            http_proxy=self.http_proxy,
         )
         self.history.append(event)
         return event
@@ -151,17 +155,17 @@
             self.session = value.get("session", self.session)
             self.stands = value.get("stands", self.stands)
         if event.kind == "sessionElsewhere" and response is not None:
-            self._go_to(stall=response.json()["elsewhere"][0])
+            self._go_to(http_proxy=response.json()["elsewhere"][0])
             return event.outcome
-        # why: its stall may be gone, or have handed the session on; any other stall knows where to
-        if response is None and self.looked_for < len(self.stalls):
+        # why: its HTTP proxy may be gone, or have handed the session on; any other HTTP proxy knows where to
+        if response is None and self.looked_for < len(self.http_proxies):
             self.looked_for += 1
             self.move_on()
             return event.outcome
         self.looked_for = 0
-        # why: a session is gone only when its stall says so, or can't be asked any more
+        # why: a session is gone only when its HTTP proxy says so, or can't be asked any more
         if self.session and response is None and self.once:
-            # why: it knows one stall only, so that it can't reach it says nothing of its session
+            # why: it knows one HTTP proxy only, so that it can't reach it says nothing of its session
             self.session = ""
         elif self.session and (response is None or event.kind == "unknownSession"):
             self._lose()
@@ -177,7 +181,7 @@
     async def _open(self) -> bool:
         self.lives += 1
         self.life = f"{self.ctx.name}/{self.lives}"
-        self._go_to(stall=self.ctx.luck.choice(self.stalls))
+        self._go_to(http_proxy=self.ctx.rng.choice(self.http_proxies))
         event = self._event(verb="open")
         response = await self._send(event=event, method="POST", path="/v1/sessions", body={"database": self.database})
         self._note(event=event, response=response)
@@ -202,13 +206,13 @@
             unsure = unsure or outcome in ("unknown", "unanswered")
             if not unsure and event.kind not in AGAIN:
                 return False
-            await self.ctx.rest(wait_us=150_000)
+            await self.ctx.sleep(duration_us=150_000)
         # why: a client that does not know what its session keeps can't go on with it
         self.session = ""
         return False
 
     async def _set_value(self) -> bool:
-        value = f"{self.life}/{self.ctx.luck.getrandbits(32):08x}"
+        value = f"{self.life}/{self.ctx.rng.getrandbits(32):08x}"
         kept = await self._keep(verb="values", path="values", body={"values": {"mine": value}})
         if kept:
             self.values = {"mine": value}
@@ -230,7 +234,7 @@
             self._note(event=event, response=response)
             if not self.session or event.kind not in AGAIN:
                 break
-            await self.ctx.rest(wait_us=event.retry_after_us or 0)
+            await self.ctx.sleep(duration_us=event.retry_after_us or 0)
         # why: who closes does not miss a session that is gone already
         if self.sessions_lost > lost:
             self.sessions_lost = lost
@@ -253,10 +257,10 @@
         return await self._send(event=event, method="POST", path=path, body=body)
 
     def _key(self) -> str:
-        return f"k{self.ctx.now_us() // KEY_EVERY_US}.{self.ctx.luck.randrange(self.keys)}"
+        return f"k{self.ctx.now_us() // KEY_EVERY_US}.{self.ctx.rng.randrange(self.keys)}"
 
     async def _one(self) -> None:
-        key, drawn, verb = self._key(), self.ctx.luck.random(), ""
+        key, drawn, verb = self._key(), self.ctx.rng.random(), ""
         for each, share in self.mix.items():
             drawn -= share
             if drawn < 0:
@@ -287,7 +291,7 @@
         self._note(event=event, response=response)
 
     async def _read(self, *, kind: str, key: str) -> None:
-        prepared = bool(self.looks_at) and self.ctx.luck.random() < 0.3
+        prepared = bool(self.looks_at) and self.ctx.rng.random() < 0.3
         key = self.looks_at if prepared else key
         event = self._event(verb=kind, key=key)
         response = await self._statement(
@@ -306,7 +310,7 @@
             self._note(event=event, response=response)
             if event.kind not in ("sessionElsewhere", "sessionSought"):
                 break
-            await self.ctx.rest(wait_us=event.retry_after_us or 0)
+            await self.ctx.sleep(duration_us=event.retry_after_us or 0)
         if event.outcome != "done" and event.kind not in ENDED:
             # why: a client that can't tell whether its transaction is over must not use the session again
             self.session = ""
@@ -327,13 +331,13 @@
                 await self._ended(event=event, response=response)
                 return
         if self.abandons:
-            # why: a client that died says nothing more, and its stall has to notice by itself
-            event.outcome, event.end_us, self.session, self.channel = "denied", self.ctx.now_us(), "", None
+            # why: a client that died says nothing more, and its HTTP proxy has to notice by itself
+            event.outcome, event.end_us, self.session, self.connection = "denied", self.ctx.now_us(), "", None
             return
         path = f"/v1/sessions/{self.session}/commit"
         response = await self._send(event=event, method="POST", path=path, body={})
         self._note(event=event, response=response)
-        # why: a commit that was sent to a stall that does not have the session has ended nothing
+        # why: a commit that was sent to an HTTP proxy that does not have the session has ended nothing
         if event.kind in ("sessionElsewhere", "sessionSought"):
             await self._rollback()
 
--- a/src/cinderstair/simulation/capacity/__init__.py
+++ b/src/cinderstair/simulation/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: hollow booths and databases before real guildhalls, and the slopes of what each role costs."""
+"""Capacity: hollow proxies and databases before real controllers, and the slopes of what each role costs."""
--- a/src/cinderstair/simulation/capacity/__main__.py
+++ b/src/cinderstair/simulation/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measures what each role costs by the numbers of booths and databases: hollow ones before real guildhalls.
+"""Measures what each role costs by the numbers of proxies and databases: hollow ones before real controllers.
 
 Starts processes on loopback, takes a few minutes, stops by itself and leaves nothing behind. Progress goes to
 standard error, results as lines of JSON to --out, and what follows from them to standard output.
@@ -28,7 +28,7 @@
     made.add_argument(
         "--steps",
         default=STEPS,
-        help="guildhalls:booths:databases[:voters], with spaces between (default: %(default)s)",
+        help="controllers:proxies:databases[:voters], with spaces between (default: %(default)s)",
     )
     made.add_argument("--seconds", type=float, default=540, help="the whole run ends after these (%(default)s)")
     made.add_argument("--cores", type=float, default=3, help="steps that idle above so many end early (%(default)s)")
@@ -95,9 +95,9 @@
     if options.plot:
         from .plot import plot
 
-        trouble = plot(lines=lines, path=options.plot)
-        if trouble:
-            print(trouble, file=sys.stderr)
+        problem = plot(lines=lines, path=options.plot)
+        if problem:
+            print(problem, file=sys.stderr)
             return 1
     return 0
 
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -1,4 +1,4 @@
-"""One booth, or one guildhall's relay, alone in a process: what single turns of its work cost at any size."""
+"""One proxy, or one controller's relay, alone in a process: what single turns of its work cost at any size."""
 
 import asyncio
 import gc
@@ -9,27 +9,27 @@
 from ...consensus.register import Found, Register
 from ...consensus.register_view import RegisterView
 from ...control_plane.relay import Relay
-from ...failover.service_lead import read_service_lead
+from ...failover.service_primary import read_service_primary
 from ...membership.announcement import Announcement
-from ...membership.crowd import Crowd
+from ...membership.heartbeat_table import HeartbeatTable, ReceivedHeartbeat
 from ...membership.member import Member
-from ...membership.news import Heard, News
+from ...membership.membership import Membership
 from ...membership.relay_record import RelayedBackend, RelayQuestion
-from ...pooler.booth import Booth
+from ...pooler.proxy import Proxy
 from ...pooler.relayed_view import RelayedView
 from ...pooler.router import Router
 from ...pooler.session import Session
 from ...pooler.statement import Statement, Verb
 from ...runtime.context import Context
-from ...runtime.desk import Desk
-from ...runtime.nodisk import NoDisk
+from ...runtime.dispatcher import Dispatcher
+from ...runtime.no_disk import NoDisk
 from ...runtime.packer import Packer
 from ...runtime.unpacker import Unpacker
 from .child import Child, metered_context, rss_bytes, use_adapter
 from .hollow_link import hollow_dialer
 from .made_up import BALLOT, announcements_of, lead_value, plan_of, slots_of, whole_answer
 from .memory_transport import MemoryTransport
-from .naming import booth_name
+from .naming import proxy_name
 
 LEAST_S = 0.15
 MOST_TURNS = 200
@@ -59,27 +59,27 @@
         self.number += 1
         return metered_context(name=name, site="e1", disk=NoDisk(), seed=self.number)
 
-    def _router(self, *, booths: int, databases: int) -> Router:
+    def _router(self, *, proxies: int, databases: int) -> Router:
         """A router whose view holds everything, put there at once rather than value by value."""
-        ctx = self._context(name=booth_name(number=min(1, booths - 1)))
+        ctx = self._context(name=proxy_name(number=min(1, proxies - 1)))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
         router = Router(ctx=ctx, view=view, dialer=hollow_dialer, distance=distance)
         view.plan = plan_of(version=1, databases=databases)
-        view.slots = slots_of(booths=booths)
+        view.proxy_ids = slots_of(proxies=proxies)
         for each in announcements_of(databases=databases):
             view.backends[each.name] = RelayedBackend(announcement=each, quiet=False)
         for database in range(databases):
             value = lead_value(database=database)
-            view.leads[value.key.partition("/")[2]] = read_service_lead(data=value.value)
+            view.leads[value.key.partition("/")[2]] = read_service_primary(data=value.value)
             view.lead_since_us[value.key.partition("/")[2]] = 0
             view.ballots[value.key] = value.ballot
         return router
 
-    async def do_booth(self, *, booths: int, databases: int) -> dict[str, Any]:
-        """One turn of each thing that a booth does, and the memory of all that it holds."""
+    async def do_booth(self, *, proxies: int, databases: int) -> dict[str, Any]:
+        """One turn of each thing that a proxy does, and the memory of all that it holds."""
         gc.collect()
         before = rss_bytes()
-        router = self._router(booths=booths, databases=databases)
+        router = self._router(proxies=proxies, databases=databases)
         began = time.process_time()
         router.reckon()
         first_us = (time.process_time() - began) * 1_000_000
@@ -105,10 +105,10 @@
             "most_links": most,
         }
 
-    async def do_whole(self, *, booths: int, databases: int) -> dict[str, Any]:
-        """What it costs a booth to take everything in, value by value, as it does when it begins."""
-        answer = whole_answer(booths=booths, databases=databases, guildhalls=21)
-        ctx = self._context(name=booth_name(number=0))
+    async def do_whole(self, *, proxies: int, databases: int) -> dict[str, Any]:
+        """What it costs a proxy to take everything in, value by value, as it does when it begins."""
+        answer = whole_answer(proxies=proxies, databases=databases, controllers=21)
+        ctx = self._context(name=proxy_name(number=0))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
         Router(ctx=ctx, view=view, dialer=hollow_dialer, distance=distance)
         data = answer.bytes()
@@ -116,40 +116,40 @@
         view._take(answer=answer)
         return {"take_us": (time.process_time() - began) * 1_000_000, "answer_bytes": len(data)}
 
-    async def do_guildhall(self, *, booths: int, databases: int, sources: int) -> dict[str, Any]:
-        """One turn of each thing that a guildhall does for booths, backends and its like."""
+    async def do_guildhall(self, *, proxies: int, databases: int, sources: int) -> dict[str, Any]:
+        """One turn of each thing that a controller does for proxies, backends and its like."""
         gc.collect()
         before = rss_bytes()
         ctx = self._context(name="guildhall-0")
-        desk = Desk(ctx=ctx)
+        dispatcher = Dispatcher(ctx=ctx)
         me = Member(name=ctx.name, role="vault", site="e1", records="127.0.0.1:1", http="", incarnation=1)
-        crowd = Crowd(ctx=ctx, desk=desk, me=me, seeds=("127.0.0.1:1",), every_us=3_600_000_000)
-        news: News[Announcement] = News(
-            ctx=ctx, desk=desk, crowd=crowd, every_us=3_600_000_000, quiet_us=3_600_000_000
+        membership = Membership(ctx=ctx, dispatcher=dispatcher, me=me, seeds=("127.0.0.1:1",), every_us=3_600_000_000)
+        heartbeat_table: HeartbeatTable[Announcement] = HeartbeatTable(
+            ctx=ctx, dispatcher=dispatcher, membership=membership, every_us=3_600_000_000, quiet_us=3_600_000_000
         )
         view = RegisterView(ctx=ctx, register=Register(ctx=ctx, seeds=()), every_us=3_600_000_000)
         relay = Relay(
             ctx=ctx,
-            desk=desk,
+            dispatcher=dispatcher,
             view=view,
-            news=news,
-            guildhalls=lambda: ("127.0.0.1:1",),
-            on_trouble=lambda name, booth: None,
+            heartbeat_table=heartbeat_table,
+            controllers=lambda: ("127.0.0.1:1",),
+            on_link_failure=lambda name, proxy: None,
             shorten=lambda key, value: value,
         )
         now_us = ctx.now_us()
         announcements = announcements_of(databases=databases)
         for number, each in enumerate(announcements):
-            heard = Heard(source=number % sources + 1, version=number + 1, beat=each, born_us=now_us)
-            news._take(heard=heard)
-        for entry in whole_answer(booths=booths, databases=databases, guildhalls=1).values:
+            heard = ReceivedHeartbeat(source=number % sources + 1, version=number + 1, heartbeat=each, born_us=now_us)
+            heartbeat_table._take(heard=heard)
+        for entry in whole_answer(proxies=proxies, databases=databases, controllers=1).values:
             view.known[entry.key] = Found(ballot=entry.ballot, value=entry.value)
         relay.look()
         gc.collect()
         held_bytes = rss_bytes() - before
 
         async def answered(source: int, edition: int) -> bytes:
-            question = RelayQuestion(booth="booth-0001", site="e1", source=source, edition=edition)
+            question = RelayQuestion(proxy="booth-0001", site="e1", source=source, edition=edition)
             return await relay.answer(Unpacker(data=question.write(packer=Packer()).bytes()))
 
         whole = await answered(0, 0)
@@ -157,7 +157,7 @@
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
-        news_answer = await news._asked(Unpacker(data=asked))
+        news_answer = await heartbeat_table._asked(Unpacker(data=asked))
         return {
             "held_bytes": held_bytes,
             "look_us": cost_us(relay.look),
@@ -166,9 +166,9 @@
             "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.edition)),
             "nothing_bytes": len(nothing),
             "vector_bytes": len(vector.bytes()),
-            "news_vector_us": cost_us(news._vector),
+            "news_vector_us": cost_us(heartbeat_table._vector),
             "news_entry_bytes": len(news_answer) / max(1, len(announcements)),
-            "news_answer_us": await self._cost_us(lambda: news._asked(Unpacker(data=asked))),
+            "news_answer_us": await self._cost_us(lambda: heartbeat_table._asked(Unpacker(data=asked))),
         }
 
     async def _cost_us(self, work: Callable[[], Awaitable[Any]]) -> float:
@@ -181,22 +181,22 @@
 
     # -- the data plane --
 
-    def _booth(self, *, databases: int) -> Booth:
-        booth = Booth(
-            ctx=self._context(name=booth_name(number=0)),
+    def _proxy(self, *, databases: int) -> Proxy:
+        proxy = Proxy(
+            ctx=self._context(name=proxy_name(number=0)),
             site="e1",
             seeds=tuple,
             dialer=hollow_dialer,
             distance=distance,
         )
-        booth.view._take(answer=whole_answer(booths=2, databases=databases, guildhalls=3))
-        return booth
+        proxy.view._take(answer=whole_answer(proxies=2, databases=databases, controllers=3))
+        return proxy
 
     async def do_statements(self, *, databases: int, sessions: int, rounds: int) -> dict[str, Any]:
         """Processor time of a statement: sessions side by side over links in memory."""
-        booth = self._booth(databases=databases)
-        ctx, view = booth.ctx, booth.view
-        opened = [booth.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
+        proxy = self._proxy(databases=databases)
+        ctx, view = proxy.ctx, proxy.view
+        opened = [proxy.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
         read = Statement(ident=b"1", verb=Verb.read, text=b"FETCH price ticker=ACME")
         write = Statement(ident=b"2", verb=Verb.write, text=b"PUT price ticker=ACME value=10.49")
         shape = Statement(ident=b"3", verb=Verb.prepare, name=b"q", content=b"price ticker=?")
@@ -229,36 +229,36 @@
             spent = time.process_time() - began
             found[f"{name}_us"] = spent / (len(opened) * rounds * len(statements)) * 1_000_000
         found["refused"] = refused
-        booth.stop()
+        proxy.stop()
         return found
 
     async def do_sessions(self, *, count: int) -> dict[str, Any]:
         """Memory of a session at rest, and what it costs to look whether it rests too long."""
-        booth = self._booth(databases=3)
+        proxy = self._proxy(databases=3)
         gc.collect()
         before = rss_bytes()
         for number in range(count):
-            session = booth.open(database=f"ledger-{number % 3:04}.pool.example")
+            session = proxy.open(database=f"ledger-{number % 3:04}.pool.example")
             name, content = b"tz", b"UTC"
             await session.run(statement=Statement(ident=b"1", verb=Verb.set_value, name=name, content=content))
             shape = b"price ticker=? day=?"
             await session.run(statement=Statement(ident=b"2", verb=Verb.prepare, name=b"q%d" % number, content=shape))
         gc.collect()
         held = rss_bytes() - before
-        return {"session_bytes": held / count, "tend_us": cost_us(booth._tend) / count}
+        return {"session_bytes": held / count, "tend_us": cost_us(proxy._tend) / count}
 
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
         """The adapter's door with a session behind it, over a transport in memory."""
         use_adapter()
         from adapter.client_door import ClientDoor
 
-        booth = self._booth(databases=3)
+        proxy = self._proxy(databases=3)
         doors: set[Any] = set()
         transports: list[MemoryTransport] = []
         gc.collect()
         before = rss_bytes()
         for number in range(sessions):
-            door = ClientDoor(booth=booth, doors=doors, count=lambda name: None)
+            door = ClientDoor(proxy=proxy, doors=doors, count=lambda name: None)
             transport = MemoryTransport(door=door)
             transports.append(transport)
             door.connection_made(transport)
@@ -267,15 +267,15 @@
         gc.collect()
         held = rss_bytes() - before
         found: dict[str, Any] = {"connection_bytes": held / sessions}
-        crowd = transports[:50]
+        membership = transports[:50]
         for name, text in (("read", b"FETCH price ticker=ACME"), ("write", b"PUT price ticker=ACME value=10.49")):
             began = time.process_time()
             for number in range(rounds):
-                booth.view.as_of_us = booth.ctx.now_us()
+                proxy.view.as_of_us = proxy.ctx.now_us()
                 await asyncio.gather(
-                    *(each.ask(b"ASK %d-%d %s\r\n" % (number, at, text)) for at, each in enumerate(crowd))
+                    *(each.ask(b"ASK %d-%d %s\r\n" % (number, at, text)) for at, each in enumerate(membership))
                 )
-            found[f"door_{name}_us"] = (time.process_time() - began) / rounds / len(crowd) * 1_000_000
+            found[f"door_{name}_us"] = (time.process_time() - began) / rounds / len(membership) * 1_000_000
         found["garbled"] = sum(b"ERROR" in each.last for each in transports)
-        booth.stop()
+        proxy.stop()
         return found
--- a/src/cinderstair/simulation/capacity/child.py
+++ b/src/cinderstair/simulation/capacity/child.py
@@ -48,7 +48,7 @@
     return Context(
         name=name,
         site=site,
-        luck=random.Random(seed),
+        rng=random.Random(seed),
         clock=now_us,
         wall=lambda: time.time_ns() // 1_000,
         net=MeteredNet(counters=counters),
--- a/src/cinderstair/simulation/capacity/children.py
+++ b/src/cinderstair/simulation/capacity/children.py
@@ -12,17 +12,17 @@
 def made(*, role: str, options: dict[str, Any]) -> Child:
     # why: each child loads only what its role needs, since its memory is what is measured
     if role == "guildhall":
-        from .guildhall_child import GuildhallChild
+        from .controller_child import ControllerChild
 
-        return GuildhallChild(options=options)
+        return ControllerChild(options=options)
     if role == "booths":
-        from .booth_child import BoothChild
+        from .proxy_child import ProxyChild
 
-        return BoothChild(options=options)
+        return ProxyChild(options=options)
     if role == "beats":
-        from .beat_child import BeatChild
+        from .heartbeat_child import HeartbeatChild
 
-        return BeatChild(options=options)
+        return HeartbeatChild(options=options)
     if role == "alone":
         from .alone_child import AloneChild
 
--- a/src/cinderstair/simulation/capacity/guildhall_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -1,19 +1,19 @@
-"""A real guildhall in a process of its own, before backends that are not there."""
+"""A real controller in a process of its own, before backends that are not there."""
 
 from pathlib import Path
 from typing import Any
 
-from ...runtime.realdisk import RealDisk
+from ...runtime.real_disk import RealDisk
 from .child import Child, metered_context, reading_of, use_adapter
 from .hollow_control import HollowControl
 from .metered_protocol import MeteredProtocol
 from .naming import REGIONS
 
 
-class GuildhallChild(Child):
+class ControllerChild(Child):
     def __init__(self, *, options: dict[str, Any]) -> None:
         use_adapter()
-        from adapter.guildhall_role import GuildhallRole
+        from adapter.controller_role import ControllerRole
         from adapter.settings_file import Machine
         from adapter.streams import RealStreams
 
@@ -40,16 +40,16 @@
         self.ctx = metered_context(
             name=machine.name, site=machine.site, disk=RealDisk(folder=machine.folder), seed=options["seed"]
         )
-        self.role = GuildhallRole(self.ctx, machine, MeteredStreams(), self._halt)
-        guildhall = self.role.guildhall
+        self.role = ControllerRole(self.ctx, machine, MeteredStreams(), self._halt)
+        controller = self.role.controller
         # why: on one loopback address each has ports of its own, which the platform's settings have no words for
-        guildhall.settings = _placed(settings=guildhall.settings, options=options)
-        guildhall.vault.settings = guildhall.settings
-        guildhall.vault.register.seeds = guildhall.settings.seeds
-        guildhall.vault.register.own = guildhall.settings.records
-        hollow = HollowControl(lead=lambda service: guildhall.duty.leads.get(service))
-        guildhall.control = guildhall.promoter = hollow
-        self.guildhall = guildhall
+        controller.settings = _placed(settings=controller.settings, options=options)
+        controller.register_replica.settings = controller.settings
+        controller.register_replica.register.seeds = controller.settings.seeds
+        controller.register_replica.register.own = controller.settings.records
+        hollow = HollowControl(lead=lambda service: controller.duty.leads.get(service))
+        controller.control = controller.promoter = hollow
+        self.controller = controller
         self.net = self.ctx.net
 
     def _count(self, came: int, went: int) -> None:
@@ -63,7 +63,7 @@
         Path(self.ctx.disk.folder).mkdir(parents=True, exist_ok=True)  # type: ignore[attr-defined]
         started = await self.role.start()
         if started.is_error():
-            raise SystemExit(started.error.why)
+            raise SystemExit(started.error.reason)
 
     async def do_read(self) -> dict[str, Any]:
         syncs = self.ctx.counters.counts["vault.syncs"]
@@ -71,17 +71,17 @@
         return reading_of(nets=[net], http=(self.http[0], self.http[1]), syncs=syncs).value()
 
     async def do_status(self) -> dict[str, Any]:
-        guildhall = self.guildhall
-        roster = guildhall.vault.roster
+        controller = self.controller
+        roster = controller.register_replica.roster
         return {
             "epoch": 0 if roster is None else roster.epoch,
             "voters": 0 if roster is None else len(roster.voters),
-            "leads": len(guildhall.duty.leads),
-            "plan": 0 if guildhall.duty.plan is None else guildhall.duty.plan.version,
-            "backends": len(guildhall.news.best),
-            "quiet": sum(guildhall.news.quiet(name=name) for name in guildhall.news.best),
-            "current": guildhall.view.current,
-            "holds": guildhall.duty.lease.held,
+            "leads": len(controller.duty.leads),
+            "plan": 0 if controller.duty.plan is None else controller.duty.plan.version,
+            "backends": len(controller.heartbeat_table.best),
+            "quiet": sum(controller.heartbeat_table.quiet(name=name) for name in controller.heartbeat_table.best),
+            "current": controller.view.current,
+            "holds": controller.duty.lease.held,
             "crashes": self.ctx.counters.counts["internal.crashes"],
             "counters": self.ctx.counters.snapshot(),
         }
--- a/src/cinderstair/simulation/capacity/fit.py
+++ b/src/cinderstair/simulation/capacity/fit.py
@@ -12,25 +12,25 @@
 TERMS: Mapping[str, Term] = MappingProxyType(
     {
         "1": lambda step: 1.0,
-        "N": lambda step: float(step.booths),
+        "N": lambda step: float(step.proxies),
         "D": lambda step: float(step.databases),
-        "G": lambda step: float(step.guildhalls),
-        "ND": lambda step: float(step.booths * step.databases),
+        "G": lambda step: float(step.controllers),
+        "ND": lambda step: float(step.proxies * step.databases),
         "DD": lambda step: float(step.databases**2),
         "DDD": lambda step: float(step.databases**3),
-        "N/G": lambda step: step.booths / step.guildhalls,
-        "ND/G": lambda step: step.booths * step.databases / step.guildhalls,
-        "D/G": lambda step: step.databases / step.guildhalls,
-        "GD": lambda step: float(step.guildhalls * step.databases),
-        "GN": lambda step: float(step.guildhalls * step.booths),
-        "GD/N": lambda step: step.guildhalls * step.databases / max(1, step.booths),
+        "N/G": lambda step: step.proxies / step.controllers,
+        "ND/G": lambda step: step.proxies * step.databases / step.controllers,
+        "D/G": lambda step: step.databases / step.controllers,
+        "GD": lambda step: float(step.controllers * step.databases),
+        "GN": lambda step: float(step.controllers * step.proxies),
+        "GD/N": lambda step: step.controllers * step.databases / max(1, step.proxies),
         # what every vote carries, and what is asked of the others of a majority
         "VD": lambda step: float(step.voting * step.databases),
         "MD": lambda step: float(step.voting // 2 * step.databases),
-        # what the other guildhalls hear of backends
-        "RD": lambda step: (step.guildhalls - 1) / step.guildhalls * step.databases,
-        # guildhalls without a vote read every key again and again, and those with one answer them
-        "X": lambda step: (step.guildhalls - step.voting) * step.databases / step.guildhalls,
+        # what the other controllers hear of backends
+        "RD": lambda step: (step.controllers - 1) / step.controllers * step.databases,
+        # controllers without a vote read every key again and again, and those with one answer them
+        "X": lambda step: (step.controllers - step.voting) * step.databases / step.controllers,
     }
 )
 # why: below it a coefficient may as well be nothing; three standard errors are seldom passed by chance
--- a/src/cinderstair/simulation/capacity/beat_child.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_child.py
@@ -4,21 +4,21 @@
 import json
 from typing import Any
 
-from .beat_line import BeatLine
 from .child import Child, now_us, reading_of
-from .naming import COPIES, backend_name, service_name, zone_of
+from .heartbeat_line import HeartbeatLine
+from .naming import REPLICAS, backend_name, service_name, zone_of
 
-# how many requests one guildhall is asked at a time
+# how many requests one controller is asked at a time
 LINES = 6
 AGAIN_S = 0.2
 
 
-class BeatChild(Child):
+class HeartbeatChild(Child):
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.controls: list[str] = options["controls"]
         self.every_us: int = options["every_us"]
         self.databases: int = options["databases"]
-        self.primaries = {n: backend_name(service=n, copy=COPIES[0]) for n in range(self.databases)}
+        self.primaries = {n: backend_name(service=n, replica=REPLICAS[0]) for n in range(self.databases)}
         self.number = 1
         self.sent = 0
         self.failed = 0
@@ -29,33 +29,33 @@
         places: dict[int, list[tuple[int, str]]] = {}
         lines = len(self.controls) * LINES
         for database in range(self.databases):
-            for number, copy in enumerate(COPIES):
-                places.setdefault((database * 3 + number) % lines, []).append((database, copy))
+            for number, replica in enumerate(REPLICAS):
+                places.setdefault((database * 3 + number) % lines, []).append((database, replica))
         for line, backends in places.items():
-            self.tasks.append(asyncio.create_task(self._beat(line=line, backends=backends)))
+            self.tasks.append(asyncio.create_task(self._heartbeat(line=line, backends=backends)))
 
-    async def _beat(self, *, line: int, backends: list[tuple[int, str]]) -> None:
+    async def _heartbeat(self, *, line: int, backends: list[tuple[int, str]]) -> None:
         """Every backend of this line once in each round, evenly spread over it."""
         pace_us = self.every_us // len(backends)
         due_us = now_us() + pace_us * line // (len(self.controls) * LINES)
         at = line % len(self.controls)
-        wire: BeatLine | None = None
+        wire: HeartbeatLine | None = None
         turn = 0
         while True:
             await asyncio.sleep(max(0, due_us - now_us()) / 1_000_000)
             due_us += pace_us
-            # why: a line that fell behind goes on at its pace; to catch up would be a crowd of its own making
+            # why: a line that fell behind goes on at its pace; to catch up would be a membership of its own making
             if due_us < now_us():
                 self.late += 1
                 due_us = now_us()
-            database, copy = backends[turn % len(backends)]
+            database, replica = backends[turn % len(backends)]
             turn += 1
             try:
                 if wire is None or wire.transport is None:
                     host, _, port = self.controls[at].rpartition(":")
                     loop = asyncio.get_running_loop()
-                    _, wire = await loop.create_connection(BeatLine, host, int(port))
-                name, body = self._body(database=database, copy=copy)
+                    _, wire = await loop.create_connection(HeartbeatLine, host, int(port))
+                name, body = self._body(database=database, replica=replica)
                 async with asyncio.timeout(2):
                     status = await wire.put(host=self.controls[at], path=f"/cinderstair/servers/{name}", body=body)
                 self.sent += 1
@@ -63,18 +63,18 @@
             except (OSError, TimeoutError):
                 self.failed += 1
                 wire = None
-                # why: a guildhall that is gone is left for the next one, as a backend does
+                # why: a controller that is gone is left for the next one, as a backend does
                 at = (at + 1) % len(self.controls)
                 await asyncio.sleep(AGAIN_S)
 
-    def _body(self, *, database: int, copy: str) -> tuple[str, bytes]:
-        name = backend_name(service=database, copy=copy)
+    def _body(self, *, database: int, replica: str) -> tuple[str, bytes]:
+        name = backend_name(service=database, replica=replica)
         self.number += 1
         value = {
             "call_count": self.number,
             "target": service_name(number=database),
-            "address": f"10.{database // 250}.{database % 250}.{COPIES.index(copy) + 1}:6000",
-            "zone": zone_of(number=database + COPIES.index(copy) * 3),
+            "address": f"10.{database // 250}.{database % 250}.{REPLICAS.index(replica) + 1}:6000",
+            "zone": zone_of(number=database + REPLICAS.index(replica) * 3),
             "standing": "ready",
             "db_role": "primary" if self.primaries[database] == name else "copy",
             "call_room": 100,
--- a/src/cinderstair/simulation/capacity/beat_line.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_line.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class BeatLine(asyncio.Protocol):
+class HeartbeatLine(asyncio.Protocol):
     """Knows only as much of HTTP as a control edge's short answers need."""
 
     def __init__(self) -> None:
--- a/src/cinderstair/simulation/capacity/hollow_control.py
+++ b/src/cinderstair/simulation/capacity/hollow_control.py
@@ -5,37 +5,41 @@
 from expression import Ok, Result
 
 from ...failover.backend_control import BackendState
-from ...failover.service_lead import ServiceLead
+from ...failover.service_primary import ServicePrimary
 from ...membership.announcement import Announcement
-from ...runtime.fault import Fault
+from ...runtime.errors import CinderstairError
 from ...runtime.position import Position
 
 
 class HollowControl:
-    """Whoever the register names leads; before it names anybody, the backend that says so in its beats."""
+    """Whoever the register names leads; before it names anybody, the backend that says so in its heartbeats."""
 
-    def __init__(self, *, lead: Callable[[str], ServiceLead | None]) -> None:
+    def __init__(self, *, lead: Callable[[str], ServicePrimary | None]) -> None:
         self.lead = lead
 
-    def _state(self, *, backend: Announcement, term: int = 0) -> Result[BackendState, Fault]:
+    def _state(self, *, backend: Announcement, term: int = 0) -> Result[BackendState, CinderstairError]:
         lead = self.lead(backend.service)
         leads = backend.leads if lead is None else lead.primary == backend.name
         own = 1 if lead is None else lead.term
         return Ok(BackendState(leads=leads, term=own, received=Position(own, 1), term_held=max(own, term)))
 
-    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
         return self._state(backend=backend)
 
-    async def pause(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+    async def pause(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
         return self._state(backend=backend, term=term)
 
-    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, Fault]:
+    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
         return self._state(backend=backend)
 
-    async def step_down(self, *, backend: Announcement, term: int, wait_us: int) -> Result[BackendState, Fault]:
+    async def step_down(
+        self, *, backend: Announcement, term: int, wait_us: int
+    ) -> Result[BackendState, CinderstairError]:
         return self._state(backend=backend, term=term)
 
     async def promote(
         self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
-    ) -> Result[None, Fault]:
+    ) -> Result[None, CinderstairError]:
         return Ok(None)
--- a/src/cinderstair/simulation/capacity/hollow_link.py
+++ b/src/cinderstair/simulation/capacity/hollow_link.py
@@ -9,7 +9,7 @@
 from ...pooler.link import Link
 from ...pooler.reply import Reply, State
 from ...pooler.statement import Statement, Verb
-from ...runtime.fault import Fault
+from ...runtime.errors import CinderstairError
 from ...runtime.position import Position
 
 ROW = b"1 Bolt 10.49"
@@ -87,6 +87,6 @@
         future.set_result(reply)
 
 
-async def hollow_dialer(*, backend: Announcement, wait_us: int) -> Result[Link, Fault]:
+async def hollow_dialer(*, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
     """Opens nothing."""
     return Ok(HollowLink())
--- a/src/cinderstair/simulation/capacity/hollow_booth.py
+++ b/src/cinderstair/simulation/capacity/hollow_proxy.py
@@ -1,19 +1,19 @@
-"""A real booth without clients and without links, and the moments at which it knew things."""
+"""A real proxy without clients and without links, and the moments at which it knew things."""
 
 from collections.abc import Callable
 from typing import Any
 
 from ...config.service_plan import PLAN_KEY
-from ...failover.service_lead import PREFIX
-from ...failover.slots import SLOTS_KEY
-from ...pooler.booth import Booth
-from ...runtime.nodisk import NoDisk
+from ...failover.proxy_ids import PROXY_IDS_KEY
+from ...failover.service_primary import PREFIX
+from ...pooler.proxy import Proxy
+from ...runtime.no_disk import NoDisk
 from .child import metered_context, now_us
 from .hollow_link import hollow_dialer
 from .naming import REGIONS
 
 
-class HollowBooth:
+class HollowProxy:
     def __init__(
         self, *, name: str, site: str, seeds: tuple[str, ...], seed: int, watched: Callable[[], str]
     ) -> None:
@@ -29,22 +29,22 @@
                 return 0
             return 1 if REGIONS.get(other) == REGIONS.get(site) else 3
 
-        self.booth = Booth(ctx=self.ctx, site=site, seeds=lambda: seeds, dialer=hollow_dialer, distance=distance)
+        self.proxy = Proxy(ctx=self.ctx, site=site, seeds=lambda: seeds, dialer=hollow_dialer, distance=distance)
         # why: the router listens first, so what is marked here has been reckoned with already
-        self.booth.view.changes.subscribe(self._changed)
+        self.proxy.view.changes.subscribe(self._changed)
 
     @property
     def net(self) -> Any:
         return self.ctx.net
 
     def _changed(self, key: str) -> None:
-        view = self.booth.view
+        view = self.proxy.view
         if key == PLAN_KEY and view.plan is not None:
             self._mark(key=f"plan {view.plan.version}")
         elif key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
             self._mark(key=f"lead {service} {view.leads[service].term}")
-        elif key == SLOTS_KEY and self.watched() and view.slots.id_of(name=self.watched()) is not None:
+        elif key == PROXY_IDS_KEY and self.watched() and view.proxy_ids.id_of(name=self.watched()) is not None:
             self._mark(key=f"slot {self.watched()}")
 
     def _mark(self, *, key: str) -> None:
@@ -52,25 +52,25 @@
 
     def knows(self, *, databases: int) -> bool:
         """Whether it has all that it needs to serve."""
-        view = self.booth.view
+        view = self.proxy.view
         return (
             view.plan is not None
             and len(view.leads) >= databases
             and len(view.backends) >= 3 * databases
-            and view.slots.id_of(name=self.name) is not None
+            and view.proxy_ids.id_of(name=self.name) is not None
         )
 
     def look(self) -> None:
         """Takes note of how old the view has come to be."""
-        self.oldest_us = max(self.oldest_us, now_us() - self.booth.view.as_of_us)
+        self.oldest_us = max(self.oldest_us, now_us() - self.proxy.view.as_of_us)
 
     async def start(self) -> None:
-        await self.booth.start()
+        await self.proxy.start()
 
     async def stop(self) -> None:
-        self.booth.stop()
-        # why: ticks of reactivex outlive the booth that asked for them, and without a plan they do nothing
-        self.booth.view.plan = None
-        self.booth.router.pools.clear()
+        self.proxy.stop()
+        # why: ticks of reactivex outlive the proxy that asked for them, and without a plan they do nothing
+        self.proxy.view.plan = None
+        self.proxy.router.pools.clear()
         await self.ctx.net.close()
         self.ctx.close()
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -1,12 +1,12 @@
-"""Views of any size, made up in memory: what a booth and a guildhall would hold."""
+"""Views of any size, made up in memory: what a proxy and a controller would hold."""
 
 from ...config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
 from ...consensus.ballot import Ballot
-from ...failover.service_lead import LeadState, ServiceLead, service_lead_key
-from ...failover.slots import SLOTS_KEY, Slots
+from ...failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from ...failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from ...membership.announcement import Announcement
 from ...membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
-from .naming import COPIES, LINK_CAP, backend_name, booth_name, service_name, zone_of
+from .naming import LINK_CAP, REPLICAS, backend_name, proxy_name, service_name, zone_of
 
 BALLOT = Ballot(7, 1 << 60)
 
@@ -32,19 +32,19 @@
     )
 
 
-def slots_of(*, booths: int) -> Slots:
-    return Slots(names=tuple((number, booth_name(number=number)) for number in range(booths)))
+def slots_of(*, proxies: int) -> ProxyIds:
+    return ProxyIds(names=tuple((number, proxy_name(number=number)) for number in range(proxies)))
 
 
-def lead_of(*, database: int, term: int = 1) -> ServiceLead:
-    primary = backend_name(service=database, copy=COPIES[0])
-    return ServiceLead(term=term, primary=primary, state=LeadState.settled)
+def lead_of(*, database: int, term: int = 1) -> ServicePrimary:
+    primary = backend_name(service=database, replica=REPLICAS[0])
+    return ServicePrimary(term=term, primary=primary, state=PrimaryState.settled)
 
 
 def announcements_of(*, databases: int) -> list[Announcement]:
     return [
         Announcement(
-            name=backend_name(service=database, copy=copy),
+            name=backend_name(service=database, replica=replica),
             number=1,
             service=service_name(number=database),
             address=f"10.{database // 250}.{database % 250}.{number + 1}:6000",
@@ -54,24 +54,24 @@
             room=100,
         )
         for database in range(databases)
-        for number, copy in enumerate(COPIES)
+        for number, replica in enumerate(REPLICAS)
     ]
 
 
 def lead_value(*, database: int, term: int = 1) -> RelayedValue:
     return RelayedValue(
-        key=service_lead_key(service=service_name(number=database)),
+        key=service_primary_key(service=service_name(number=database)),
         ballot=Ballot(BALLOT.turn + term, BALLOT.proposer),
         value=lead_of(database=database, term=term).bytes(),
     )
 
 
-def whole_answer(*, booths: int, databases: int, guildhalls: int) -> RelayAnswer:
-    """All that a booth is told when it begins, in the order in which a guildhall may give it."""
+def whole_answer(*, proxies: int, databases: int, controllers: int) -> RelayAnswer:
+    """All that a proxy is told when it begins, in the order in which a controller may give it."""
     plan = RelayedValue(
         key=PLAN_KEY, ballot=BALLOT, value=plan_of(version=1, databases=databases).bytes(with_document=False)
     )
-    slots = RelayedValue(key=SLOTS_KEY, ballot=BALLOT, value=slots_of(booths=booths).bytes())
+    slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=slots_of(proxies=proxies).bytes())
     leads = [lead_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
@@ -82,5 +82,5 @@
         backends=tuple(
             RelayedBackend(announcement=each, quiet=False) for each in announcements_of(databases=databases)
         ),
-        guildhalls=tuple(f"10.255.0.{number}:7000" for number in range(guildhalls)),
+        controllers=tuple(f"10.255.0.{number}:7000" for number in range(controllers)),
     )
--- a/src/cinderstair/simulation/capacity/measurement.py
+++ b/src/cinderstair/simulation/capacity/measurement.py
@@ -8,8 +8,8 @@
 from expression import Ok
 
 from ...consensus.register import Decide
-from ...failover.service_lead import LeadState, ServiceLead, read_service_lead, service_lead_key
-from .naming import COPIES, backend_name, booth_name, service_name, zone_of
+from ...failover.service_primary import PrimaryState, ServicePrimary, read_service_primary, service_primary_key
+from .naming import REPLICAS, backend_name, proxy_name, service_name, zone_of
 from .part import Part
 from .reading import Reading
 from .sample import Sample, gathered
@@ -21,12 +21,12 @@
 IDLE_S = 5.0
 EVENTS = 3
 LOST_S, HOLDER_S = 3.0, 7.0
-HOLDER_MOST_BOOTHS = 10
+HOLDER_MOST_PROXIES = 10
 APART_S = 1.0
 KNOWN_S = 12.0
 WRITES_S = 2.0
-CROWD = 32
-WRITES_MOST_BOOTHS, WRITES_MOST_DATABASES = 10, 10
+MEMBERSHIP = 32
+WRITES_MOST_PROXIES, WRITES_MOST_DATABASES = 10, 10
 Say = Callable[[str], None]
 Record = Callable[[dict[str, Any]], None]
 ROLES = {"guildhall": "guildhall", "booths": "booth", "beats": "backend"}
@@ -53,7 +53,7 @@
 
     def _things(self, *, role: str) -> int:
         if role == "booths":
-            return self.step.booths
+            return self.step.proxies
         return self.step.backends if role == "beats" else len(self.system.running(role="guildhall"))
 
     def _note(self, *, phase: str, events: int, before: dict[str, Reading], after: dict[str, Reading]) -> None:
@@ -84,23 +84,26 @@
             await self._written(what="first configuration")
             took = await system.lead_all(within_s=40)
             self._tell(what="leads of all databases", seconds=round(took, 3))
-            took = await system.open_booths(within_s=40)
-            self._tell(what="booths opened", seconds=round(took, 3))
+            took = await system.open_proxies(within_s=40)
+            self._tell(what="proxies opened", seconds=round(took, 3))
             await asyncio.sleep(SETTLE_S)
             await self._idle()
             await self._phase(name="configuration", act=self._configurations, events=EVENTS)
             await self._phase(name="primary", act=self._primaries, events=EVENTS)
-            if self.step.booths:
-                restarted = max(1, min(10, self.step.booths // 5))
+            if self.step.proxies:
+                restarted = max(1, min(10, self.step.proxies // 5))
                 await self._phase(name="restart", act=lambda: self._restarts(count=restarted), events=restarted)
                 await self._phase(name="replacement", act=self._replacement, events=1)
-            # why: booths are told of every key, so with many of them it is not the vaults that would be measured
-            if self.step.booths <= WRITES_MOST_BOOTHS and self.step.databases <= WRITES_MOST_DATABASES:
+            # why: proxies are told of every key, so with many of them it is not the register replicas that would
+            # be measured
+            if self.step.proxies <= WRITES_MOST_PROXIES and self.step.databases <= WRITES_MOST_DATABASES:
                 await self._phase(name="writes alone", act=lambda: self._writes(at_once=1), events=0)
-                await self._phase(name="writes in a crowd", act=lambda: self._writes(at_once=CROWD), events=0)
+                await self._phase(
+                    name="writes in a membership", act=lambda: self._writes(at_once=MEMBERSHIP), events=0
+                )
             if self.step.voting >= 3:
-                await self._phase(name="guildhall lost", act=lambda: self._loss(holder=False), events=1)
-            if self.step.voting >= 5 and self.step.booths <= HOLDER_MOST_BOOTHS:
+                await self._phase(name="controller lost", act=lambda: self._loss(holder=False), events=1)
+            if self.step.voting >= 5 and self.step.proxies <= HOLDER_MOST_PROXIES:
                 await self._phase(name="holder lost", act=lambda: self._loss(holder=True), events=1)
             await self._crashes()
         except Unsettled as error:
@@ -122,14 +125,14 @@
         spent = {name: (after[name].cpu_us - before[name].cpu_us) / 1_000_000 / IDLE_S for name in after}
         memory = sum(reading.rss_bytes for reading in after.values())
         states = await system.states()
-        beats = await system.beats.ask(do="status")
+        heartbeats = await system.heartbeats.ask(do="status")
         quiet = max(state["quiet"] for state in states)
         self._tell(
             what="whole",
             cores=round(sum(spent.values()), 3),
             memory=memory,
             processes=len(after),
-            beats=beats,
+            heartbeats=heartbeats,
             quiet=quiet,
         )
         self.say(f"{self.step}: idle {sum(spent.values()):.2f} cores, {memory / 1e6:.0f} MB, quiet {quiet}")
@@ -146,8 +149,8 @@
         self._note(phase=name, events=events, before=before, after=after)
 
     async def _known(self, *, keys: list[str], began_us: list[int], what: str) -> None:
-        """Waits until every booth has marked every key, and tells how long after the acknowledgement it did."""
-        if not self.step.booths:
+        """Waits until every proxy has marked every key, and tells how long after the acknowledgement it did."""
+        if not self.step.proxies:
             return
         until = time.monotonic() + KNOWN_S
         while True:
@@ -193,33 +196,33 @@
     async def _move(self, *, database: int) -> tuple[int, int]:
         """Writes another primary into the register, by the register's own client."""
         register = self.system.register
-        key = service_lead_key(service=service_name(number=database))
+        key = service_primary_key(service=service_name(number=database))
         found = await register.read(key=key)
         if found.is_error() or not found.ok.value:
             raise Unsettled(f"{key}: not read")
-        old = read_service_lead(data=found.ok.value)
-        names = [backend_name(service=database, copy=copy) for copy in COPIES]
+        old = read_service_primary(data=found.ok.value)
+        names = [backend_name(service=database, replica=replica) for replica in REPLICAS]
         primary = names[(names.index(old.primary) + 1) % len(names)]
-        lead = ServiceLead(term=old.term + 1, primary=primary, state=LeadState.settled)
-        await self.system.beats.ask(do="lead", database=database, name=primary)
+        lead = ServicePrimary(term=old.term + 1, primary=primary, state=PrimaryState.settled)
+        await self.system.heartbeats.ask(do="lead", database=database, name=primary)
         written = await register.change(key=key, decide=always(value=lead.bytes()))
         if written.is_error():
-            raise Unsettled(f"{key}: {written.error.why}")
+            raise Unsettled(f"{key}: {written.error.reason}")
         return lead.term, self.system.ctx.now_us()
 
     async def _restarts(self, *, count: int) -> None:
-        """Booths end without a word and begin anew under their names."""
-        names = [booth_name(number=n * self.step.booths // count) for n in range(count)]
+        """Proxies end without a word and begin anew under their names."""
+        names = [proxy_name(number=n * self.step.proxies // count) for n in range(count)]
         for name in names:
             host = self.system.places[name]
             await host.ask(do="close", names=[name])
-            await host.ask(do="open", booths=[[name, zone_of(number=int(name[-4:]))]])
+            await host.ask(do="open", proxies=[[name, zone_of(number=int(name[-4:]))]])
             await asyncio.sleep(0.1)
         began: dict[str, int] = {}
         for host in self.system.hosts:
             began |= await host.ask(do="began", names=names)
         until = time.monotonic() + KNOWN_S
-        # why: the first thing a booth marks is the first configuration that it takes in
+        # why: the first thing a proxy marks is the first configuration that it takes in
         key = f"plan {self.system.revision}"
         while time.monotonic() < until:
             marks = await self.system.marks(key=key)
@@ -227,20 +230,20 @@
                 break
             await asyncio.sleep(0.1)
         times = [(marks[name] - began[name]) / 1_000_000 for name in names if marks.get(name)]
-        self._tell(what="restarted booth", **spread_of(times=times, missing=count - len(times)).value())
+        self._tell(what="restarted proxy", **spread_of(times=times, missing=count - len(times)).value())
 
     async def _replacement(self) -> None:
-        """A booth that nobody has seen begins, and all others learn its number."""
+        """A proxy that nobody has seen begins, and all others learn its number."""
         name = "booth-new"
         for host in self.system.hosts:
             await host.ask(do="watch", name=name)
         began_us = self.system.ctx.now_us()
-        await self.system.hosts[0].ask(do="open", booths=[[name, zone_of(number=3)]])
+        await self.system.hosts[0].ask(do="open", proxies=[[name, zone_of(number=3)]])
         self.system.places[name] = self.system.hosts[0]
-        await self._known(keys=[f"slot {name}"], began_us=[began_us], what="new booth known")
+        await self._known(keys=[f"slot {name}"], began_us=[began_us], what="new proxy known")
 
     async def _writes(self, *, at_once: int) -> None:
-        """As many changes as the vaults bear, each of a key of its own."""
+        """As many changes as the register replicas bear, each of a key of its own."""
         until = time.monotonic() + WRITES_S
         times: list[float] = []
         failed = 0
@@ -274,7 +277,7 @@
         )
 
     async def _loss(self, *, holder: bool) -> None:
-        """A guildhall ends without a word: the holder of the duty of promotions, or another that many booths ask."""
+        """A controller ends without a word: the one that promotes backends, or another that many proxies ask."""
         system = self.system
         parts = system.running(role="guildhall")
         states = [await part.ask(do="status") for part in parts]
@@ -295,7 +298,7 @@
             lapsed += sum(age >= answer["lease_us"] for age in answer["oldest_us"].values())
             left += sum(asked == victim.options["records"] for asked in answer["asked"].values())
         self._tell(
-            what=f"oldest view after {'the holder' if holder else 'a guildhall'} is lost",
+            what=f"oldest view after {'the holder' if holder else 'a controller'} is lost",
             concerned=concerned,
             lapsed=lapsed,
             still_there=left,
--- a/src/cinderstair/simulation/capacity/metered_net.py
+++ b/src/cinderstair/simulation/capacity/metered_net.py
@@ -3,13 +3,13 @@
 from expression import Result
 
 from ...runtime.counters import Counters
-from ...runtime.fault import Fault
-from ...runtime.lean_net import LeanNet
+from ...runtime.errors import CinderstairError
 from ...runtime.net import RecordAnswer
-from ...runtime.recordwire import HEAD
+from ...runtime.record_net import RecordNet
+from ...runtime.record_transport import HEAD
 
 
-class MeteredNet(LeanNet):
+class MeteredNet(RecordNet):
     """Records that are never answered count as sent alone."""
 
     def __init__(self, *, counters: Counters) -> None:
@@ -24,9 +24,9 @@
         self.records_in += 1
         self.bytes_in += len(body) + HEAD.size
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         self._sent(body=body)
-        result = await super().ask(address=address, body=body, wait_us=wait_us)
+        result = await super().request(address=address, body=body, wait_us=wait_us)
         if result.is_ok():
             self._came(body=result.ok)
         return result
--- a/src/cinderstair/simulation/capacity/naming.py
+++ b/src/cinderstair/simulation/capacity/naming.py
@@ -5,7 +5,7 @@
 # three regions with seven zones between them
 ZONES = ("e1", "e2", "e3", "w1", "w2", "s1", "s2")
 REGIONS = {zone: zone[0] for zone in ZONES}
-COPIES = "abc"
+REPLICAS = "abc"
 LINK_CAP = 400
 
 
@@ -17,11 +17,11 @@
     return f"ledger-{number:04}"
 
 
-def backend_name(*, service: int, copy: str) -> str:
-    return f"{service_name(number=service)}-{copy}"
+def backend_name(*, service: int, replica: str) -> str:
+    return f"{service_name(number=service)}-{replica}"
 
 
-def booth_name(*, number: int) -> str:
+def proxy_name(*, number: int) -> str:
     return f"booth-{number:04}"
 
 
--- a/src/cinderstair/simulation/capacity/plot.py
+++ b/src/cinderstair/simulation/capacity/plot.py
@@ -7,12 +7,12 @@
 from .slopes import SLOPES
 
 SHOWN = (
-    "booth idle processor",
-    "booth idle bytes",
-    "guildhall idle processor",
-    "guildhall idle bytes",
-    "booth bytes a configuration",
-    "guildhall bytes a configuration",
+    "proxy idle processor",
+    "proxy idle bytes",
+    "controller idle processor",
+    "controller idle bytes",
+    "proxy bytes a configuration",
+    "controller bytes a configuration",
 )
 
 
@@ -38,7 +38,7 @@
         axis.loglog(fitted, values, "o")
         axis.loglog([min(fitted), max(fitted)], [min(fitted), max(fitted)], "-")
         for step, x, y in zip(steps, fitted, values, strict=True):
-            axis.annotate(f"N{step.booths} D{step.databases}", (x, y), fontsize=7)
+            axis.annotate(f"N{step.proxies} D{step.databases}", (x, y), fontsize=7)
         axis.set(title=f"{name} ({slope.unit})", xlabel="fitted", ylabel="measured")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
--- a/src/cinderstair/simulation/capacity/reckoning.py
+++ b/src/cinderstair/simulation/capacity/reckoning.py
@@ -9,11 +9,11 @@
 from .step import Step
 from .users_size import UsersSize
 
-# of the product: how often a booth tends, a guildhall looks over the news, a view and a booth ask
+# of the product: how often a proxy tends, a controller looks over the news, a view and a proxy ask
 TENDS_S, LOOKS_S, ASKS_S = 5.0, 10.0, 4.0
 # a planned change of primary is written as closing, moving and settled, and two backends then say another role
-WRITES_A_MOVE, BEATS_A_MOVE = 3, 2
-BOOTH_LEASE_S, PULL_WAIT_S = 1.2, 0.45
+WRITES_A_MOVE, HEARTBEATS_A_MOVE = 3, 2
+PROXY_LEASE_S, PULL_WAIT_S = 1.2, 0.45
 MICRO = 1_000_000.0
 
 
@@ -25,9 +25,9 @@
         self.size = size
         self.step: Step = size.step
         self.rows: list[Row] = []
-        for part in (self._booth_bytes, self._booth_processor, self._booth_memory, self._booth_start):
+        for part in (self._proxy_bytes, self._proxy_processor, self._proxy_memory, self._proxy_start):
             part()
-        for part in (self._guildhall_wire, self._guildhall_processor, self._guildhall_crowd, self._register):
+        for part in (self._controller_wire, self._controller_processor, self._controller_membership, self._register):
             part()
         self._data_plane()
 
@@ -43,8 +43,8 @@
 
     def turn(self, what: str, quantity: str) -> float:
         """A single turn as measured at the users' size, else as its slope says."""
-        booths, databases = self.size.booths, self.size.databases
-        direct = self.results.direct(what=what, quantity=quantity, booths=booths, databases=databases)
+        proxies, databases = self.size.proxies, self.size.databases
+        direct = self.results.direct(what=what, quantity=quantity, proxies=proxies, databases=databases)
         return self.at(f"{what} turn {quantity}") if direct is None else direct
 
     def _row(
@@ -82,38 +82,38 @@
         found = [float(line[quantity]) for line in self.results.time(what=what) if quantity in line]
         return best(found) if found else math.nan
 
-    # -- booths --
+    # -- proxies --
 
-    def _booth_bytes(self) -> None:
+    def _proxy_bytes(self) -> None:
         size = self.size
         # why: the users' day says how many are restarted or replaced; the dear case is that all are replaced
         parts = (
-            ("bytes, idle", "booth idle bytes", 1.0),
-            ("bytes for configurations", "booth bytes a configuration", size.configurations_s),
-            ("bytes for primaries", "booth bytes a primary", size.primaries_s * WRITES_A_MOVE),
-            ("bytes for replaced booths", "booth bytes a new booth", size.restarts_s),
+            ("bytes, idle", "proxy idle bytes", 1.0),
+            ("bytes for configurations", "proxy bytes a configuration", size.configurations_s),
+            ("bytes for primaries", "proxy bytes a primary", size.primaries_s * WRITES_A_MOVE),
+            ("bytes for replaced proxies", "proxy bytes a new proxy", size.restarts_s),
         )
         limit = size.most_bytes_s
         total = [self._sloped("booth", what, name, "B/s", scale=scale, limit=limit) for what, name, scale in parts]
         self._row("booth", "bytes, all", sum(total), "B/s", limit=limit)
 
-    def _booth_processor(self) -> None:
+    def _proxy_processor(self) -> None:
         size = self.size
-        fit = self.slope("booth idle processor")
+        fit = self.slope("proxy idle processor")
         base = math.nan if fit is None else fit.coefficients.get("1", 0.0) / MICRO
         tending = self.turn("booth", "tend_us") * TENDS_S / MICRO
         reckon_s = self.turn("booth", "reckon_us") / MICRO
-        changes = size.configurations_s + size.primaries_s * (WRITES_A_MOVE + BEATS_A_MOVE) + size.restarts_s * 2
+        changes = size.configurations_s + size.primaries_s * (WRITES_A_MOVE + HEARTBEATS_A_MOVE) + size.restarts_s * 2
         limit = size.most_share
-        self._row("booth", "processor, asking", base, "of a core", limit=limit, source="booth idle processor")
-        self._row("booth", "processor, tending", tending, "of a core", limit=limit, source="booth turn tend_us")
+        self._row("booth", "processor, asking", base, "of a core", limit=limit, source="proxy idle processor")
+        self._row("booth", "processor, tending", tending, "of a core", limit=limit, source="proxy turn tend_us")
         self._row(
             "booth",
             "processor, reckoning",
             reckon_s * changes,
             "of a core",
             limit=limit,
-            source="booth turn reckon_us",
+            source="proxy turn reckon_us",
         )
         self._row("booth", "processor, all", base + tending + reckon_s * changes, "of a core", limit=limit)
         self._row(
@@ -121,13 +121,13 @@
             "one reckoning, its loop stands still",
             reckon_s,
             "s",
-            limit=BOOTH_LEASE_S,
-            source="booth turn reckon_us",
+            limit=PROXY_LEASE_S,
+            source="proxy turn reckon_us",
         )
 
-    def _booth_memory(self) -> None:
+    def _proxy_memory(self) -> None:
         size = self.size
-        fit = self.slope("booths' process memory")
+        fit = self.slope("proxies' process memory")
         base = math.nan if fit is None else fit.coefficients.get("1", math.nan)
         held = self.turn("booth", "held_bytes")
         self._row(
@@ -136,12 +136,12 @@
             base + held,
             "B",
             limit=size.most_bytes,
-            source="booths' process memory, booth turn held_bytes",
+            source="proxies' process memory, proxy turn held_bytes",
         )
-        self._row("booth", "links it keeps open", self.turn("booth", "links"), "", source="booth turn links")
-        self._row("backend", "links to one primary", float(size.booths), "", source="one a booth at the least")
+        self._row("booth", "links it keeps open", self.turn("booth", "links"), "", source="proxy turn links")
+        self._row("backend", "links to one primary", float(size.proxies), "", source="one a proxy at the least")
 
-    def _booth_start(self) -> None:
+    def _proxy_start(self) -> None:
         size = self.size
         take_s = self.at("whole turn take_us") / MICRO
         self._row(
@@ -153,67 +153,67 @@
             source="whole turn take_us",
         )
         answer = self.turn("guildhall", "whole_bytes")
-        self._row("booth", "start: bytes", answer * size.guildhalls, "B", source="guildhall turn whole_bytes")
+        self._row("booth", "start: bytes", answer * size.controllers, "B", source="controller turn whole_bytes")
 
-    # -- guildhalls --
+    # -- controllers --
 
-    def _guildhall_wire(self) -> None:
+    def _controller_wire(self) -> None:
         size = self.size
-        self._sloped("guildhall", "records, idle", "guildhall idle records", "/s")
-        self._sloped("guildhall", "bytes of records, idle", "guildhall idle bytes", "B/s")
-        self._sloped("guildhall", "bytes of beats", "guildhall idle http", "B/s")
-        name = "guildhall bytes a configuration"
+        self._sloped("guildhall", "records, idle", "controller idle records", "/s")
+        self._sloped("guildhall", "bytes of records, idle", "controller idle bytes", "B/s")
+        self._sloped("guildhall", "bytes of beats", "controller idle http", "B/s")
+        name = "controller bytes a configuration"
         self._sloped("guildhall", "bytes for configurations", name, "B/s", scale=size.configurations_s)
         for term, label in (
-            ("RD", "beats that others heard"),
+            ("RD", "heartbeats that others heard"),
             ("MD", "vectors"),
-            ("X", "guildhalls without a vote that read every key"),
-            ("N/G", "booths that ask"),
+            ("X", "controllers without a vote that read every key"),
+            ("N/G", "proxies that ask"),
         ):
-            fit = self.slope("guildhall idle bytes")
+            fit = self.slope("controller idle bytes")
             part = math.nan if fit is None else fit.coefficients.get(term, math.nan) * TERMS[term](self.step)
             spread = math.nan if fit is None else fit.errors.get(term, math.nan) * TERMS[term](self.step)
             self._row("guildhall", f"of the idle: {label}", part, "B/s", source=term, spread=spread)
-        # why: told whole once to each asker in each life of a vault; from then on only what came since
+        # why: told whole once to each asker in each life of a register replica; from then on only what came since
         vector = self.turn("guildhall", "vector_bytes")
-        self._row("guildhall", "a whole vector, at a start", vector, "B", source="guildhall turn vector_bytes")
+        self._row("guildhall", "a whole vector, at a start", vector, "B", source="controller turn vector_bytes")
 
-    def _guildhall_processor(self) -> None:
+    def _controller_processor(self) -> None:
         size = self.size
         scale = 1 / MICRO
-        name = "guildhall idle processor"
+        name = "controller idle processor"
         self._sloped("guildhall", "processor, idle", name, "cores", scale=scale, limit=1.0)
-        name = "busiest guildhall idle"
+        name = "busiest controller idle"
         self._sloped("guildhall", "processor of the busiest, idle", name, "cores", scale=scale, limit=1.0)
         looks = self.turn("guildhall", "look_us") * LOOKS_S / MICRO
-        source = "guildhall turn look_us"
+        source = "controller turn look_us"
         self._row("guildhall", "of these: looking over the news", looks, "cores", limit=1.0, source=source)
-        asks = self.turn("guildhall", "nothing_us") * ASKS_S * size.booths / size.guildhalls / MICRO
-        source = "guildhall turn nothing_us"
-        self._row("guildhall", "of these: booths that ask", asks, "cores", limit=1.0, source=source)
-        self._sloped("guildhall", "memory", "guildhall memory", "B")
+        asks = self.turn("guildhall", "nothing_us") * ASKS_S * size.proxies / size.controllers / MICRO
+        source = "controller turn nothing_us"
+        self._row("guildhall", "of these: proxies that ask", asks, "cores", limit=1.0, source=source)
+        self._sloped("guildhall", "memory", "controller memory", "B")
 
-    def _guildhall_crowd(self) -> None:
-        """Booths that begin together ask every guildhall for everything."""
+    def _controller_membership(self) -> None:
+        """Proxies that begin together ask every controller for everything."""
         size = self.size
         whole_s = self.turn("guildhall", "whole_us") / MICRO
-        zone = size.booths / size.zones
+        zone = size.proxies / size.zones
         self._row(
             "guildhall",
-            "a zone's booths begin: queue of whole answers",
+            "a zone's proxies begin: queue of whole answers",
             whole_s * zone,
             "s",
             limit=PULL_WAIT_S,
-            source="guildhall turn whole_us",
+            source="controller turn whole_us",
         )
-        lost = whole_s * size.booths / size.guildhalls / (size.guildhalls - 1)
+        lost = whole_s * size.proxies / size.controllers / (size.controllers - 1)
         self._row(
             "guildhall",
-            "a guildhall lost: queue of whole answers",
+            "a controller lost: queue of whole answers",
             lost,
             "s",
             limit=PULL_WAIT_S,
-            source="guildhall turn whole_us",
+            source="controller turn whole_us",
         )
 
     def _register(self) -> None:
@@ -233,22 +233,22 @@
 
         self._sloped("register", "first leads of all databases", "leads of all databases, seconds", "s")
         holder = "oldest view after the holder is lost, max"
-        self._sloped("booth", "oldest view after the holder is lost", holder, "s", limit=BOOTH_LEASE_S)
+        self._sloped("booth", "oldest view after the holder is lost", holder, "s", limit=PROXY_LEASE_S)
         accepted = "configuration accepted, median"
         self._sloped("guildhall", "configuration accepted (median)", accepted, "s", limit=size.configuration_s)
         known = self.at("configuration known, p99")
         # why: the steps have too few databases for the loop to stand still, and at this size it does
         reckon_s = self.turn("booth", "reckon_us") / MICRO
         limit = size.configuration_s
-        source = "configuration known, p99, and booth turn reckon_us"
+        source = "configuration known, p99, and proxy turn reckon_us"
         self._row("booth", "configuration in force (p99)", known + reckon_s, "s", limit=limit, source=source)
 
     # -- the data plane --
 
     def _data_plane(self) -> None:
         size = self.size
-        statements = size.statements / size.booths
-        sessions = size.connections / size.booths
+        statements = size.statements / size.proxies
+        sessions = size.connections / size.proxies
         read_us = self._each("statements", "read_us")
         door_us = self._each("door", "door_read_us")
         self._row(
--- a/src/cinderstair/simulation/capacity/results.py
+++ b/src/cinderstair/simulation/capacity/results.py
@@ -33,13 +33,13 @@
     ("configuration accepted", "median", ("1", "D", "DD")),
     ("configuration known", "p99", ("1", "N", "D")),
     ("primary known", "p99", ("1", "N", "D")),
-    ("new booth known", "p99", ("1", "N", "D")),
+    ("new proxy known", "p99", ("1", "N", "D")),
     ("oldest view after the holder is lost", "max", ("1", "D")),
-    ("oldest view after a guildhall is lost", "max", ("1", "N", "D")),
+    ("oldest view after a controller is lost", "max", ("1", "N", "D")),
 )
 
 
-# why: a hundredth of late beats is the machine's own unrest; more is a system that sheds what it can't carry
+# why: a hundredth of late heartbeats is the machine's own unrest; more is a system that sheds what it can't carry
 MOST_LATE = 0.01
 
 
--- a/src/cinderstair/simulation/capacity/run.py
+++ b/src/cinderstair/simulation/capacity/run.py
@@ -21,8 +21,8 @@
 )
 ALONE: dict[str, Sequence[dict[str, Any]]] = {
     "booth": [
-        {"booths": booths, "databases": databases}
-        for booths, databases in (
+        {"booths": proxies, "databases": databases}
+        for proxies, databases in (
             (10, 10),
             (10, 30),
             (10, 100),
@@ -103,8 +103,8 @@
         self.say = say
         self.record = record
         self.over: list[Step] = []
-        # what one idle booth was seen to take
-        self.booth_cores: list[tuple[Step, float]] = []
+        # what one idle proxy was seen to take
+        self.proxy_cores: list[tuple[Step, float]] = []
 
     @property
     def left_s(self) -> float:
@@ -130,11 +130,11 @@
     def unfit(self, *, step: Step) -> str:
         if self.left_s < STEP_S:
             return f"{self.left_s:.0f} s are left"
-        each = [cores for other, cores in self.booth_cores if other.databases <= step.databases]
-        if each and min(each) * step.booths > self.cores:
-            return f"its booths alone would idle at {min(each) * step.booths:.1f} cores"
+        each = [cores for other, cores in self.proxy_cores if other.databases <= step.databases]
+        if each and min(each) * step.proxies > self.cores:
+            return f"its proxies alone would idle at {min(each) * step.proxies:.1f} cores"
         for other in self.over:
-            if step.booths >= other.booths and step.databases >= other.databases:
+            if step.proxies >= other.proxies and step.databases >= other.databases:
                 return f"{other} took too much already"
         return ""
 
@@ -157,7 +157,7 @@
                         await measurement.run()
                     idle = measurement.idle.get("booth")
                     if idle is not None:
-                        self.booth_cores.append((step, idle.rate(name="cpu_us") / 1_000_000))
+                        self.proxy_cores.append((step, idle.rate(name="cpu_us") / 1_000_000))
                 except OverAllowance as error:
                     self.over.append(step)
                     why = f"over the allowance: {error}"
--- a/src/cinderstair/simulation/capacity/sample.py
+++ b/src/cinderstair/simulation/capacity/sample.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """Sums over the processes of a role. `things` is how many booths, guildhalls or backends they stand for.
+    """Sums over the processes of a role. `things` is how many proxies, controllers or backends they stand for.
 
     `events` is how often what the phase is named for happened; a phase without events is idle.
     """
--- a/src/cinderstair/simulation/capacity/slope.py
+++ b/src/cinderstair/simulation/capacity/slope.py
@@ -20,7 +20,7 @@
     unit: str
     terms: tuple[str, ...]
     value: Value
-    # memory is of a process, so booths that share one are counted by the process
+    # memory is of a process, so proxies that share one are counted by the process
     shared: bool = False
 
     def points(self, *, samples: Sequence[Sample]) -> tuple[list[Step], list[float]]:
@@ -41,8 +41,8 @@
             step = sample.step
             if self.shared:
                 step = Step(
-                    guildhalls=step.guildhalls,
-                    booths=round(sample.things / sample.processes),
+                    controllers=step.controllers,
+                    proxies=round(sample.things / sample.processes),
                     databases=step.databases,
                     voters=step.voting,
                 )
--- a/src/cinderstair/simulation/capacity/step.py
+++ b/src/cinderstair/simulation/capacity/step.py
@@ -6,16 +6,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Step:
-    """`voters` of the guildhalls vote in the register, the others follow it; 0 means all of them."""
+    """`voters` of the controllers vote in the register, the others follow it; 0 means all of them."""
 
-    guildhalls: int
-    booths: int
+    controllers: int
+    proxies: int
     databases: int
     voters: int = 0
 
     @property
     def voting(self) -> int:
-        return self.voters or self.guildhalls
+        return self.voters or self.controllers
 
     @property
     def backends(self) -> int:
@@ -25,15 +25,15 @@
         return asdict(self)
 
     def __str__(self) -> str:
-        return f"G={self.guildhalls} voters={self.voting} N={self.booths} D={self.databases}"
+        return f"G={self.controllers} voters={self.voting} N={self.proxies} D={self.databases}"
 
 
 def read_step(*, text: str) -> Step:
     """From G:N:D or G:N:D:voters; ValueError where the text is neither."""
     parts = [int(part) for part in text.split(":")]
     if len(parts) not in (3, 4) or min(parts) < 0 or parts[0] < 1 or parts[2] < 1:
-        raise ValueError(f"{text}: not guildhalls:booths:databases or guildhalls:booths:databases:voters")
-    step = Step(guildhalls=parts[0], booths=parts[1], databases=parts[2], voters=parts[3] if len(parts) == 4 else 0)
-    if step.voting > step.guildhalls or step.voting % 2 == 0:
-        raise ValueError(f"{text}: an odd number of the guildhalls votes")
+        raise ValueError(f"{text}: not controllers:proxies:databases or controllers:proxies:databases:voters")
+    step = Step(controllers=parts[0], proxies=parts[1], databases=parts[2], voters=parts[3] if len(parts) == 4 else 0)
+    if step.voting > step.controllers or step.voting % 2 == 0:
+        raise ValueError(f"{text}: an odd number of the controllers votes")
     return step
--- a/src/cinderstair/simulation/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from ...consensus.register import Register
-from ...runtime.nodisk import NoDisk
+from ...runtime.no_disk import NoDisk
 from ..fleet import free_ports
-from .beat_line import BeatLine
 from .child import metered_context
-from .naming import booth_name, operator_document, zone_of
+from .heartbeat_line import HeartbeatLine
+from .naming import operator_document, proxy_name, zone_of
 from .part import Part
 from .reading import Reading
 from .step import Step
 
-BEAT_EVERY_US = 1_200_000
+HEARTBEAT_EVERY_US = 1_200_000
 POLL_S = 0.05
 MOST_HOSTS = 12
-BOOTHS_A_HOST = 40
+PROXIES_A_HOST = 40
 
 
 class Unsettled(Exception):
@@ -29,10 +29,10 @@
 
 
 def hosts_for(*, step: Step) -> int:
-    """How many processes share the booths."""
-    if not step.booths:
+    """How many processes share the proxies."""
+    if not step.proxies:
         return 0
-    return max(min(2, step.booths), min(MOST_HOSTS, step.booths // BOOTHS_A_HOST))
+    return max(min(2, step.proxies), min(MOST_HOSTS, step.proxies // PROXIES_A_HOST))
 
 
 class System:
@@ -40,10 +40,10 @@
         self.step = step
         self.seed = seed
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-capacity-"))
-        ports = free_ports(count=2 * step.guildhalls)
-        self.records = [f"127.0.0.1:{port}" for port in ports[: step.guildhalls]]
-        self.controls = [f"127.0.0.1:{port}" for port in ports[step.guildhalls :]]
-        self.guildhalls = [self._guildhall(number=n, first_run=True) for n in range(step.guildhalls)]
+        ports = free_ports(count=2 * step.controllers)
+        self.records = [f"127.0.0.1:{port}" for port in ports[: step.controllers]]
+        self.controls = [f"127.0.0.1:{port}" for port in ports[step.controllers :]]
+        self.controllers = [self._controller(number=n, first_run=True) for n in range(step.controllers)]
         self.hosts = [
             Part(
                 role="booths",
@@ -53,14 +53,14 @@
             )
             for n in range(hosts_for(step=step))
         ]
-        beats = {"controls": self.controls, "every_us": BEAT_EVERY_US, "databases": step.databases}
-        self.beats = Part(role="beats", name="beats", options=beats, folder=self.folder)
+        heartbeats = {"controls": self.controls, "every_us": HEARTBEAT_EVERY_US, "databases": step.databases}
+        self.heartbeats = Part(role="beats", name="beats", options=heartbeats, folder=self.folder)
         self.ctx = metered_context(name="driver", site="e1", disk=NoDisk(), seed=seed)
         self.register = Register(ctx=self.ctx, seeds=tuple(self.records))
         self.revision = 0
         self.places: dict[str, Part] = {}
 
-    def _guildhall(self, *, number: int, first_run: bool) -> Part:
+    def _controller(self, *, number: int, first_run: bool) -> Part:
         options = {
             "name": f"guildhall-{number}",
             "site": zone_of(number=number),
@@ -70,14 +70,14 @@
             "voters": self.step.voting,
             "folder": str(self.folder / f"guildhall-{number}"),
             "first_run": first_run,
-            "beat_every_us": BEAT_EVERY_US,
+            "beat_every_us": HEARTBEAT_EVERY_US,
             "seed": self.seed * 100 + number + 1,
         }
         return Part(role="guildhall", name=f"guildhall-{number}", options=options, folder=self.folder)
 
     @property
     def parts(self) -> list[Part]:
-        return [*self.guildhalls, *self.hosts, self.beats]
+        return [*self.controllers, *self.hosts, self.heartbeats]
 
     def running(self, *, role: str) -> list[Part]:
         return [part for part in self.parts if part.role == role and part.running]
@@ -94,7 +94,7 @@
     # -- the beginning --
 
     async def found(self) -> float:
-        await asyncio.gather(*(part.start() for part in self.guildhalls))
+        await asyncio.gather(*(part.start() for part in self.controllers))
 
         async def lacking() -> str:
             states = await self.states()
@@ -112,7 +112,7 @@
         body = operator_document(revision=self.revision, databases=self.step.databases)
         address = self.controls[0]
         host, _, port = address.rpartition(":")
-        _, line = await asyncio.get_running_loop().create_connection(BeatLine, host, int(port))
+        _, line = await asyncio.get_running_loop().create_connection(HeartbeatLine, host, int(port))
         began_us = self.ctx.now_us()
         try:
             async with asyncio.timeout(20):
@@ -126,7 +126,7 @@
 
     async def lead_all(self, *, within_s: float) -> float:
         """Backends begin to beat, and the holder of the duty finds out who leads."""
-        await self.beats.start()
+        await self.heartbeats.start()
 
         async def lacking() -> str:
             states = await self.states()
@@ -138,24 +138,24 @@
 
         return await self.until(test=lacking, within_s=within_s, what="leads")
 
-    async def open_booths(self, *, within_s: float) -> float:
+    async def open_proxies(self, *, within_s: float) -> float:
         if not self.hosts:
             return 0.0
         await asyncio.gather(*(part.start() for part in self.hosts))
-        names = [(booth_name(number=n), zone_of(number=n)) for n in range(self.step.booths)]
+        names = [(proxy_name(number=n), zone_of(number=n)) for n in range(self.step.proxies)]
         lists = [names[n :: len(self.hosts)] for n in range(len(self.hosts))]
         for host, own in zip(self.hosts, lists, strict=True):
             self.places |= {name: host for name, _ in own}
         await asyncio.gather(
-            *(host.ask(do="open", booths=own, wait_s=120) for host, own in zip(self.hosts, lists, strict=True))
+            *(host.ask(do="open", proxies=own, wait_s=120) for host, own in zip(self.hosts, lists, strict=True))
         )
-        return await self.until(test=self.unknowing, within_s=within_s, what="booths that know everything")
+        return await self.until(test=self.unknowing, within_s=within_s, what="proxies that know everything")
 
     async def unknowing(self) -> str:
         asks = [host.ask(do="status", databases=self.step.databases, wait_s=120) for host in self.hosts]
         states = await asyncio.gather(*asks)
         knowing = sum(min(state["knowing"], state["current"]) for state in states)
-        return "" if knowing >= self.step.booths else f"{knowing} of {self.step.booths}"
+        return "" if knowing >= self.step.proxies else f"{knowing} of {self.step.proxies}"
 
     # -- looking --
 
--- a/src/cinderstair/simulation/capacity/users_size.py
+++ b/src/cinderstair/simulation/capacity/users_size.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UsersSize:
-    booths: int = 2_000
+    proxies: int = 2_000
     databases: int = 3_500
     # the machines that are set aside for control
-    guildhalls: int = 21
+    controllers: int = 21
     voters: int = 5
     zones: int = 7
     connections: int = 5_300_000
@@ -30,7 +30,7 @@
 
     @property
     def step(self) -> Step:
-        return Step(guildhalls=self.guildhalls, booths=self.booths, databases=self.databases, voters=self.voters)
+        return Step(controllers=self.controllers, proxies=self.proxies, databases=self.databases, voters=self.voters)
 
     @property
     def configurations_s(self) -> float:
@@ -45,5 +45,5 @@
         return self.restarts_a_day / DAY_S
 
     @property
-    def beats_s(self) -> float:
+    def heartbeats_s(self) -> float:
         return 3 * self.databases / self.beat_every_s
--- a/src/cinderstair/simulation/checks.py
+++ b/src/cinderstair/simulation/checks.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..runtime.answers import ANSWERS
-from ..runtime.kind import Kind
+from ..runtime.error_responses import ERROR_RESPONSES
+from ..runtime.errors import ErrorCode
 from .event import Event
 from .sent import Sent
 
@@ -120,13 +120,13 @@
 
 def late(*, history: list[Event], slack_us: int = 500_000) -> Found:
     """Every answer came within the job's time left."""
-    told = [event for event in history if event.outcome not in ("unanswered", "unreached", "cutOff")]
+    reported = [event for event in history if event.outcome not in ("unanswered", "unreached", "cutOff")]
     wrong = [
         f"{event.verb} of {event.caller} took {event.waited_us} us"
-        for event in told
+        for event in reported
         if event.waited_us > event.time_left_us + slack_us
     ]
-    return wrong, Counter({"answers timed": len(told)})
+    return wrong, Counter({"answers timed": len(reported)})
 
 
 def denials(*, history: list[Event], slack_us: int = 0) -> Found:
@@ -136,7 +136,7 @@
     for event in history:
         if not event.kind:
             continue
-        promised = ANSWERS[Kind(event.kind)].retry_after_us
+        promised = ERROR_RESPONSES[ErrorCode(event.kind)].retry_after_us
         chances["denials timed"] += event.kind in KNOWN_AT_ONCE or event.kind in KNOWN_IN_TIME
         if promised:
             chances["denials with when to come back"] += 1
--- a/src/cinderstair/simulation/day.py
+++ b/src/cinderstair/simulation/day.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .blow import Blow
+from .injected_fault import InjectedFault
 from .trial import Trial, begun
 
-MOST_STALLS, MOST_VAULTS = 3, 2
+MOST_HTTP_PROXIES, MOST_REGISTER_REPLICAS = 3, 2
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -23,7 +23,7 @@
     once_us: int = 2_000_000
 
 
-PLACES = {
+PROXY_ADDRESSES = {
     "jamaica": Place(
         promotion_us=1_000_000,
         mix={"append": 0.25, "transaction": 0.12, "primary": 0.12, "live": 0.3, "fresh": 0.13},
@@ -55,11 +55,11 @@
         self.version += 1
         return self.version
 
-    def submit(self, *, luck: random.Random) -> None:
+    def submit(self, *, rng: random.Random) -> None:
         """An operator sends a whole configuration, and sends the same again where the outcome is not known."""
         version = self.next()
         for _ in range(6):
-            at = luck.choice(self.world.ups())
+            at = rng.choice(self.world.ups())
             status = self.trial.submit(version=version, at=at, old=self.old, windows=self.windows)
             if status in (200, 409):
                 return
@@ -68,53 +68,53 @@
     def _hurt(self, *, names: list[str]) -> list[str]:
         return [name for name in names if self.harmed.get(name, 0) > self.world.now_us]
 
-    def backend(self, *, luck: random.Random, for_us: int, primary: bool | None = None) -> str:
+    def backend(self, *, rng: random.Random, for_us: int, primary: bool | None = None) -> str:
         """One to strike, a primary by preference; empty while each database has one that is not itself again."""
         whole = [database for database in self.world.databases if self._whole(database=database)]
         if not whole:
             return ""
-        database = luck.choice(whole)
+        database = rng.choice(whole)
         leader = self.trial.primary_of(database=database)
         others = [name for name in self.world.listed[database] if name != leader]
-        name = leader if primary is not False and luck.random() < 0.6 else luck.choice(others)
+        name = leader if primary is not False and rng.random() < 0.6 else rng.choice(others)
         self.harmed[name] = self.world.now_us + for_us
         return name
 
     def _whole(self, *, database: str) -> bool:
         if self._hurt(names=self.world.databases[database]):
             return False
-        views = [self.world.stall(name=name).view for name in self.world.ups()]
+        views = [self.world.http_proxy(name=name).view for name in self.world.ups()]
         leads = [view.lead(database=database) for view in views if view.lead(database=database) is not None]
         lead = max(leads, key=lambda each: each.term, default=None)
-        return lead is not None and lead.state == "settled" and len(lead.inSync) >= 2
+        return lead is not None and lead.state == "settled" and len(lead.in_sync) >= 2
 
-    def stall(self, *, luck: random.Random, for_us: int) -> str:
+    def http_proxy(self, *, rng: random.Random, for_us: int) -> str:
         """One to strike, the holder of the duty of leads by preference."""
         fit = [name for name in self.world.ups() if not self._hurt(names=[name])]
-        if len(self._hurt(names=self.world.stall_names)) >= MOST_STALLS or not fit:
+        if len(self._hurt(names=self.world.http_proxy_names)) >= MOST_HTTP_PROXIES or not fit:
             return ""
-        name = self.trial.holder if luck.random() < 0.4 and self.trial.holder in fit else luck.choice(fit)
+        name = self.trial.holder if rng.random() < 0.4 and self.trial.holder in fit else rng.choice(fit)
         self.harmed[name] = self.world.now_us + for_us
         return name
 
-    def vault(self, *, luck: random.Random, for_us: int) -> str:
-        hurt = self._hurt(names=self.world.vault_names)
-        if len(hurt) >= MOST_VAULTS:
+    def register_replica(self, *, rng: random.Random, for_us: int) -> str:
+        hurt = self._hurt(names=self.world.register_replica_names)
+        if len(hurt) >= MOST_REGISTER_REPLICAS:
             return ""
-        name = luck.choice([name for name in self.world.vault_names if name not in hurt])
+        name = rng.choice([name for name in self.world.register_replica_names if name not in hurt])
         self.harmed[name] = self.world.now_us + for_us
         return name
 
 
 def opened(*, place: str, seed: int) -> Day:
-    """The day's world, at work: 9 stalls, 5 vaults, 3 sites, 3 databases of 3 backends, 150 sessions."""
-    usual = PLACES[place]
+    """The day's world at work: 9 HTTP proxies, 5 register replicas, 3 sites, 3 databases, 150 sessions."""
+    usual = PROXY_ADDRESSES[place]
     trial = begun(
         seed=seed,
         callers=usual.callers,
         think_us=usual.think_us,
         once_us=usual.once_us,
-        stalls=9,
+        http_proxies=9,
         databases=3,
         cap=64,
         spares=3,
@@ -126,21 +126,26 @@
     for database in world.databases:
         day.used |= set(world.listed[database])
     # why: one machine is slow from morning to night
-    world.wires.lags_us[random.Random(f"slow/{seed}").choice(world.stall_names)] = 15_000
+    world.wires.lags_us[random.Random(f"slow/{seed}").choice(world.http_proxy_names)] = 15_000
     return day
 
 
-def planned(*, place: str, seed: int, kinds: list[str], for_us: int, every_us: int) -> list[Blow]:
+def planned(*, place: str, seed: int, kinds: list[str], for_us: int, every_us: int) -> list[InjectedFault]:
     """The day's failures: each kind once before any twice, in an order drawn by the seed, overlapping."""
-    luck = random.Random(f"day/{place}/{seed}")
-    blows: list[Blow] = []
+    rng = random.Random(f"day/{place}/{seed}")
+    injected_faults: list[InjectedFault] = []
     turn: list[str] = []
     at_us = 0
     while at_us < for_us:
         if not turn:
-            turn = luck.sample(kinds, len(kinds))
-        blows.append(
-            Blow(number=len(blows), kind=turn.pop(), at_us=at_us, length_us=luck.randrange(500_000, 12_000_000))
+            turn = rng.sample(kinds, len(kinds))
+        injected_faults.append(
+            InjectedFault(
+                number=len(injected_faults),
+                kind=turn.pop(),
+                at_us=at_us,
+                length_us=rng.randrange(500_000, 12_000_000),
+            )
         )
-        at_us += luck.randrange(every_us // 3, every_us * 5 // 3)
-    return blows
+        at_us += rng.randrange(every_us // 3, every_us * 5 // 3)
+    return injected_faults
--- a/src/cinderstair/simulation/rehearsal.py
+++ b/src/cinderstair/simulation/dry_run.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from ..config.charter import Charter
+from ..config.configuration import Configuration
 from ..maintenance.scenario import Scenario
-from ..maintenance.windowstates import Stage
+from ..maintenance.window_states import Stage
 from . import checks
 from .world import World
 
@@ -14,23 +14,25 @@
 WORK = ("append", "transaction")
 
 
-def rehearse(*, charter: Charter, scenario: Scenario) -> dict[str, Any]:
+def run_dry(*, configuration: Configuration, scenario: Scenario) -> dict[str, Any]:
     """Opens the scenario's windows, loses what it loses, and says what a client would have seen."""
     world = World(
         seed=scenario.seed,
-        stall_names=[*scenario.stalls, *scenario.joins],
-        database_names={name: list(names) for name, names in charter.databases.items()},
-        sites={name: backend.site for name, backend in charter.backends.items()},
+        http_proxy_names=[*scenario.http_proxies, *scenario.joins],
+        database_names={name: list(names) for name, names in configuration.databases.items()},
+        sites={name: backend.site for name, backend in configuration.backends.items()},
     )
     try:
         for name in scenario.joins:
             world.late.add(name)
-        world.begin(raw=document(world=world, charter=charter, scenario=scenario, version=1, opened=False))
-        world.callers_begin(count=3 * len(charter.databases), think_us=150_000)
+        world.begin(
+            raw=document(world=world, configuration=configuration, scenario=scenario, version=1, opened=False)
+        )
+        world.callers_begin(count=3 * len(configuration.databases), think_us=150_000)
         world.advance(for_us=WARM_US)
         start_us = world.now_us
-        body = document(world=world, charter=charter, scenario=scenario, version=2, opened=True)
-        world.ask(name=scenario.stalls[0], method="PUT", path="/v1/configuration", body=body)
+        body = document(world=world, configuration=configuration, scenario=scenario, version=2, opened=True)
+        world.ask(name=scenario.http_proxies[0], method="PUT", path="/v1/configuration", body=body)
         for name in scenario.joins:
             world.start(name=name)
         for name in scenario.lost:
@@ -41,7 +43,7 @@
             if not empty_us and world.now_us - start_us > 1_000_000 and emptied(world=world):
                 empty_us = world.now_us - start_us
         end_us = world.now_us
-        held = sorted({text for n in world.ups() for text in world.stall(name=n).status.held().values()})
+        held = sorted({text for n in world.ups() for text in world.http_proxy(name=n).status.held().values()})
         lost = sum(caller.sessions_lost for caller in world.callers)
         world.callers_end()
         return {
@@ -58,9 +60,9 @@
         world.close()
 
 
-def document(*, world: World, charter: Charter, scenario: Scenario, version: int, opened: bool) -> bytes:
+def document(*, world: World, configuration: Configuration, scenario: Scenario, version: int, opened: bool) -> bytes:
     """The operator's own configuration, at the rehearsal's addresses and times."""
-    value = json.loads(charter.raw)
+    value = json.loads(configuration.raw)
     value["version"] = version
     for database in value["databases"].values():
         for backend in database["backends"]:
@@ -75,13 +77,13 @@
 def emptied(*, world: World) -> bool:
     """Whether nothing that an open window selects is led from, waited for, or holds a session."""
     for name in world.ups():
-        stall = world.stall(name=name)
-        stages = [stage for *_, stage in stall.view.window_states.stages]
+        http_proxy = world.http_proxy(name=name)
+        stages = [stage for *_, stage in http_proxy.view.window_states.stages]
         if Stage.open not in stages:
             return False
-        if name in stall.view.leaving.stalls and stall.sessions.open:
+        if name in http_proxy.view.leaving.http_proxies and http_proxy.sessions.open:
             return False
-        for lead in stall.view.leads.values():
-            if any(each in stall.view.leaving.backends for each in (lead.primary, *lead.confirmers)):
+        for lead in http_proxy.view.leads.values():
+            if any(each in http_proxy.view.leaving.backends for each in (lead.primary, *lead.confirmers)):
                 return False
     return True
--- a/src/cinderstair/simulation/event.py
+++ b/src/cinderstair/simulation/event.py
@@ -20,7 +20,7 @@
     outcome: str = "unanswered"
     kind: str = ""
     rows: list[Any] = field(default_factory=list)
-    stall: str = ""
+    http_proxy: str = ""
     time_left_us: int = 0
     # why: when to come back, as the body and the header say it; None where it was not said
     retry_after_us: int | None = None
--- a/src/cinderstair/simulation/explorer/__main__.py
+++ b/src/cinderstair/simulation/explorer/__main__.py
@@ -11,16 +11,16 @@
 from dataclasses import asdict
 
 from .exploration import Exploration
-from .explorer_faults import FAULTS
 from .models import MODELS
 from .search_report import SearchReport
+from .seeded_bugs import FAULTS
 
 BUDGET_WORDS = {
     "losses": "messages may be lost",
     "late": "questions may arrive after they were given up",
     "doubles": "questions may arrive twice",
-    "restarts": "vaults may lose their power",
-    "wipes": "vaults may lose their disks",
+    "restarts": "register replicas may lose their power",
+    "wipes": "register replicas may lose their disks",
     "passes": "times a second may pass",
     "timers": "timers may fire",
 }
@@ -69,10 +69,10 @@
     )
     if options.replay is not None:
         try:
-            told, wrong = exploration.replay(choices=options.replay)
+            reported, wrong = exploration.replay(choices=options.replay)
         except IndexError:
             parser().error("--replay: there is no such choice")
-        print(json.dumps({"model": options.model, "wrong": wrong, "told": told}, indent=1))
+        print(json.dumps({"model": options.model, "wrong": wrong, "told": reported}, indent=1))
         return 1 if wrong else 0
     began = time.monotonic()
 
--- a/src/cinderstair/simulation/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -5,15 +5,15 @@
 from collections.abc import Hashable
 
 from ...runtime.context import Context
-from ...runtime.speech import Speech
+from ...runtime.protocol_versions import ProtocolVersions
 from .choice_disk import ChoiceDisk
 from .choice_net import ChoiceNet
 from .event import Event, Output
 from .recipe import Recipe
 from .stepped_loop import SteppedLoop
 
-# why: records of the first version are sent without a parley, whose messages would only multiply the states
-FIRST = Speech(lowest=1, highest=1)
+# why: records of the first version are sent without a handshake, whose messages would only multiply the states
+FIRST = ProtocolVersions(lowest=1, highest=1)
 LOG = logging.getLogger("explorer")
 LOG.setLevel(logging.ERROR)
 
@@ -31,14 +31,14 @@
         self.ctx = Context(
             name=name,
             site="hall",
-            luck=random.Random(f"{name}/{recipe.run}"),
+            rng=random.Random(f"{name}/{recipe.run}"),
             clock=self.loop.now_us,
             wall=self.loop.now_us,
             net=self.net,
             disk=self.disk,
             log=LOG,
         )
-        self.ctx.speech = FIRST
+        self.ctx.protocol_versions = FIRST
 
     def start(self) -> tuple[Output, ...]:
         self.loop.call_soon(self.begin)
--- a/src/cinderstair/simulation/explorer/choice_disk.py
+++ b/src/cinderstair/simulation/explorer/choice_disk.py
@@ -4,21 +4,21 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from ..simdisk import SimDisk
+from ..sim_disk import SimDisk
 
 
 class ChoiceDisk(SimDisk):
     """What was not synced when its process ends is lost; nothing is torn here (store.feature tears every byte)."""
 
     def __init__(self, *, files: dict[str, bytes]) -> None:
-        super().__init__(luck=random.Random(0))
+        super().__init__(rng=random.Random(0))
         self.files = files
         self.syncing: asyncio.Future[None] | None = None
 
     def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
-        return self._when_told(work)
+        return self._when_reported(work)
 
-    async def _when_told(self, work: Callable[[], None]) -> None:
+    async def _when_reported(self, work: Callable[[], None]) -> None:
         self.syncing = asyncio.get_running_loop().create_future()
         await self.syncing
         work()
--- a/src/cinderstair/simulation/explorer/choice_net.py
+++ b/src/cinderstair/simulation/explorer/choice_net.py
@@ -5,9 +5,8 @@
 
 from expression import Error, Ok, Result
 
-from ...runtime.fault import Fault
-from ...runtime.kind import Kind
-from ...runtime.net import Channel, HttpAnswer, RecordAnswer
+from ...runtime.errors import CinderstairError, ErrorCode
+from ...runtime.net import Connection, HttpAnswer, RecordAnswer
 from .event import Answered, Asked, Output, Token
 
 
@@ -17,11 +16,11 @@
     def __init__(self, *, outputs: list[Output]) -> None:
         self.outputs = outputs
         self.number = 0
-        self.waiting: dict[int, asyncio.Future[Result[bytes, Fault]]] = {}
+        self.waiting: dict[int, asyncio.Future[Result[bytes, CinderstairError]]] = {}
         self.answer: RecordAnswer | None = None
         self.serving: set[asyncio.Task[Any]] = set()
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         self.number += 1
         number = self.number
         self.waiting[number] = asyncio.get_running_loop().create_future()
@@ -33,7 +32,7 @@
 
     def lose(self, *, number: int) -> None:
         """The asker's wait runs out, whatever became of its question."""
-        fault = Fault(kind=Kind.wireUnsure, why="not answered")
+        fault = CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="not answered")
         self.waiting.pop(number).set_result(Error(fault))
 
     def serve_record(self, *, loop: asyncio.AbstractEventLoop, token: Token, body: bytes) -> None:
@@ -52,7 +51,7 @@
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         self.answer = answer
 
-    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         raise NotImplementedError
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
--- a/src/cinderstair/simulation/explorer/client_actor.py
+++ b/src/cinderstair/simulation/explorer/client_actor.py
@@ -5,7 +5,7 @@
 from ...consensus.register import Register
 from ...consensus.roster import Roster
 from .actor import Actor
-from .event import Said
+from .event import BackendHeartbeat
 from .recipe import Recipe
 
 Outcome = tuple[str | int, ...]
@@ -38,14 +38,14 @@
 
     def go(self, *, name: str) -> None:
         self.busy = True
-        self.outputs.append(Said("begin", name))
+        self.outputs.append(BackendHeartbeat("begin", name))
         self.ctx.spawn(work=self._run(name=name, operation=dict(self.todo)[name]), name=name)
 
     async def _run(self, *, name: str, operation: Operation) -> None:
         outcome = await operation(self)
         self.busy = False
         self.done += 1
-        self.outputs.append(Said("end", name, outcome))
+        self.outputs.append(BackendHeartbeat("end", name, outcome))
 
     @property
     def operations(self) -> tuple[str, ...]:
@@ -65,8 +65,8 @@
             return None
         register = self.register
         roster = b"" if register.roster is None else register.roster.bytes()
-        luck = hash(self.ctx.luck.getstate())
-        return self.done, register.count, roster, tuple(sorted(register.failed)), luck, self.more()
+        rng = hash(self.ctx.rng.getstate())
+        return self.done, register.count, roster, tuple(sorted(register.failed)), rng, self.more()
 
     def more(self) -> Hashable:
         """What else an idle client's further doings depend on."""
--- a/src/cinderstair/simulation/explorer/event.py
+++ b/src/cinderstair/simulation/explorer/event.py
@@ -32,7 +32,7 @@
     body: bytes
 
 
-class Said(NamedTuple):
+class BackendHeartbeat(NamedTuple):
     """What a client began or learned: the invariants are judged by it."""
 
     word: str
@@ -40,4 +40,4 @@
     outcome: tuple[str | int, ...] = ()
 
 
-Output = Asked | Answered | Said
+Output = Asked | Answered | BackendHeartbeat
--- a/src/cinderstair/simulation/explorer/exploration.py
+++ b/src/cinderstair/simulation/explorer/exploration.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, field
 
 from .explored_world import ExploredWorld
-from .explorer_faults import switched_in
 from .models import MODELS
 from .search import Search, replay
 from .search_report import SearchReport
+from .seeded_bugs import switched_in
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cinderstair/simulation/explorer/explored_world.py
+++ b/src/cinderstair/simulation/explorer/explored_world.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .choice import Choice
-from .event import Answered, Asked, Event, Output, Said, Token
+from .event import Answered, Asked, BackendHeartbeat, Event, Output, Token
 from .flight import ANSWER, INSIDE, ORPHAN, QUESTION, UNANSWERED, Flight
 from .local_states import LocalState, LocalStates
 from .model import Model
@@ -66,7 +66,7 @@
 
     def host(self, *, state: WorldState, address: str) -> int:
         """Which process listens there now; -1 where none does."""
-        for process in range(self.model.vaults):
+        for process in range(self.model.register_replicas):
             if self.local(state=state, process=process).recipe.address == address:
                 return process
         return -1
@@ -104,9 +104,9 @@
         if budget.doubles:
             found += [Choice("double", host, f) for f, host in lossy if f.phase == QUESTION and host >= 0]
         if budget.restarts:
-            found += [Choice("restart", process) for process in range(self.model.vaults)]
+            found += [Choice("restart", process) for process in range(self.model.register_replicas)]
         if budget.wipes and self.model.may_fail(watch=state.watch):
-            found += [Choice("wipe", process) for process in range(self.model.vaults)]
+            found += [Choice("wipe", process) for process in range(self.model.register_replicas)]
         return found
 
     def step(self, *, state: WorldState, choice: Choice) -> WorldState:
@@ -148,7 +148,7 @@
         states = [self.local(state=state, process=process) for process in range(len(state.places))]
         return self.model.wrong(locals_=states, watch=state.watch)
 
-    def told(self, *, state: WorldState, choice: Choice) -> str:
+    def reported(self, *, state: WorldState, choice: Choice) -> str:
         names = self.model.names
         if choice.flight is not None:
             flight = choice.flight
@@ -275,7 +275,7 @@
                 self.flights.append(Flight(QUESTION, token, output.address, output.body))
             elif isinstance(output, Answered):
                 self._answer(answered=output)
-            elif isinstance(output, Said) and not isinstance(self.watch, str):
+            elif isinstance(output, BackendHeartbeat) and not isinstance(self.watch, str):
                 self.watch = self.world.model.watch(watch=self.watch, process=process, said=output)
 
     def _answer(self, *, answered: Answered) -> None:
--- a/src/cinderstair/simulation/explorer/lease_roster_model.py
+++ b/src/cinderstair/simulation/explorer/lease_roster_model.py
@@ -7,9 +7,9 @@
 from .lease_model import FAST, SLOW, LeaseModel
 from .recipe import Recipe
 from .register_model import founded, voter_of
+from .replica_actor import ReplicaActor, files_of
 from .roster_model import leave, replace
 from .seeker_actor import SeekerActor, seek
-from .vault_actor import VaultActor, files_of
 from .world_state import Budget
 
 
@@ -20,7 +20,7 @@
     """
 
     names = ("a", "b", "c", "d", "seeker-0", "changer-0", "changer-1", "seeker-1")
-    vaults = 4
+    register_replicas = 4
     budget = Budget(passes=7)
     depth = 400
     turns = 2
@@ -35,7 +35,7 @@
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
-            if process < self.vaults:
+            if process < self.register_replicas:
                 roster = founded(names="abc") if name in "abc" else None
                 files = files_of(ident=voter_of(name=name).ident, roster=roster)
             found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
@@ -43,11 +43,11 @@
 
     def make(self, recipe: Recipe) -> Actor:
         name = self.names[recipe.process]
-        if recipe.process < self.vaults:
-            actor = VaultActor(recipe=recipe, name=name, seeds=self.seeds, rate=FAST)
+        if recipe.process < self.register_replicas:
+            actor = ReplicaActor(recipe=recipe, name=name, seeds=self.seeds, rate=FAST)
             actor.up_for_long = recipe.run == 0
             return actor
-        todo, roster = self.ops[recipe.process - self.vaults], founded(names="abc")
+        todo, roster = self.ops[recipe.process - self.register_replicas], founded(names="abc")
         if "seeker" in name:
             return SeekerActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=SLOW)
         changer = ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=FAST)
--- a/src/cinderstair/simulation/explorer/model.py
+++ b/src/cinderstair/simulation/explorer/model.py
@@ -3,17 +3,17 @@
 from collections.abc import Hashable, Sequence
 
 from .actor import Actor
-from .event import Said
+from .event import BackendHeartbeat
 from .local_states import LocalState
 from .recipe import Recipe
 from .world_state import Budget
 
 
 class Model:
-    """`names` are the processes, `vaults` of which come first; the others are clients and never fail."""
+    """`names` are the processes, `register replicas` of which come first; the others are clients and never fail."""
 
     names: tuple[str, ...] = ()
-    vaults = 3
+    register_replicas = 3
     budget = Budget()
     # how much time passes at once where the model has passes
     pass_us = 1_000_000
@@ -31,12 +31,12 @@
     def first_watch(self) -> Hashable:
         return None
 
-    def watch(self, *, watch: Hashable, process: int, said: Said) -> Hashable:
+    def watch(self, *, watch: Hashable, process: int, said: BackendHeartbeat) -> Hashable:
         """What is kept in mind once a client has said something."""
         return watch
 
     def wipe_address(self, *, process: int, address: str) -> str:
-        """Where a vault comes back that has lost its disk."""
+        """Where a register replica comes back that has lost its disk."""
         return address
 
     def may_fail(self, *, watch: Hashable) -> bool:
--- a/src/cinderstair/simulation/explorer/register_model.py
+++ b/src/cinderstair/simulation/explorer/register_model.py
@@ -8,16 +8,15 @@
 from ...consensus.ballot import Ballot
 from ...consensus.cell import Cell
 from ...consensus.roster import Roster, Voter
-from ...runtime.fault import Fault
-from ...runtime.kind import Kind
+from ...runtime.errors import CinderstairError, ErrorCode
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
-from .event import Said
+from .event import BackendHeartbeat
 from .guard import apart, missing
 from .local_states import LocalState
 from .model import Model
 from .recipe import Recipe
-from .vault_actor import VaultActor, files_of
+from .replica_actor import ReplicaActor, files_of
 from .world_state import Budget
 
 KEY = "key"
@@ -51,19 +50,19 @@
     async def operation(actor: ClientActor) -> Outcome:
         seen = [0]
 
-        def decide(data: bytes) -> Result[bytes, Fault]:
+        def decide(data: bytes) -> Result[bytes, CinderstairError]:
             seen[0] = version_of(data)
             if seen[0] >= version:
-                return Error(Fault(kind=Kind.versionTaken, why="taken"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="taken"))
             return Ok(f"{version}:{actor.ctx.name}".encode())
 
         result = await actor.register.change(key=KEY, decide=decide)
         if result.is_ok():
             return "done", version, result.ok.value.decode()
         mine = f"{version}:{actor.ctx.name}"
-        if result.error.kind == Kind.versionTaken:
+        if result.error.code == ErrorCode.VERSION_TAKEN:
             return "taken", seen[0], mine
-        return ("unsure" if result.error.kind == Kind.registerUnsure else "nothing written"), 0, mine
+        return ("unsure" if result.error.code == ErrorCode.REGISTER_UNSURE else "nothing written"), 0, mine
 
     return operation
 
@@ -75,7 +74,7 @@
     return "read", version_of(result.ok.value), result.ok.value.decode()
 
 
-def heed(*, watch: Watch, client: int, said: Said) -> Watch | str:
+def heed(*, watch: Watch, client: int, said: BackendHeartbeat) -> Watch | str:
     """What a client said, checked against all that was said before; a text says what it breaks."""
     floors = list(watch.floors)
     if said.word == "begin":
@@ -100,7 +99,7 @@
 
 
 class RegisterModel(Model):
-    """Three vaults, two writers of version 2, a reader that reads twice."""
+    """Three register replicas, two writers of version 2, a reader that reads twice."""
 
     names: tuple[str, ...] = ("a", "b", "c", "writer-0", "writer-1", "reader")
     budget = Budget(losses=1, late=1, doubles=1, restarts=1, timers=2)
@@ -120,7 +119,7 @@
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
-            if process < self.vaults:
+            if process < self.register_replicas:
                 ident = voter_of(name=name).ident
                 files = files_of(ident=ident, roster=founded(names="abc"), cells=self.cells(name=name))
             found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
@@ -128,18 +127,18 @@
 
     def make(self, recipe: Recipe) -> Actor:
         name = self.names[recipe.process]
-        if recipe.process < self.vaults:
-            return VaultActor(recipe=recipe, name=name, seeds=self.seeds)
-        todo = self.ops[recipe.process - self.vaults]
+        if recipe.process < self.register_replicas:
+            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds)
+        todo = self.ops[recipe.process - self.register_replicas]
         return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
 
     def first_watch(self) -> Hashable:
         return Watch(1, (0,) * len(self.ops), ((1, "1:first"),), ())
 
-    def watch(self, *, watch: Any, process: int, said: Said) -> Hashable:
-        return heed(watch=watch, client=process - self.vaults, said=said)
+    def watch(self, *, watch: Any, process: int, said: BackendHeartbeat) -> Hashable:
+        return heed(watch=watch, client=process - self.register_replicas, said=said)
 
     def wrong(self, *, locals_: Sequence[LocalState], watch: Any) -> str:
-        vaults: Any = tuple(local.facts for local in locals_[: self.vaults])
-        lacking = missing(vaults=vaults, key=KEY, version=watch.top, version_of=version_of)
-        return lacking or apart(vaults=vaults)
+        register_replicas: Any = tuple(local.facts for local in locals_[: self.register_replicas])
+        lacking = missing(register_replicas=register_replicas, key=KEY, version=watch.top, version_of=version_of)
+        return lacking or apart(register_replicas=register_replicas)
--- a/src/cinderstair/simulation/explorer/vault_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -1,4 +1,4 @@
-"""A vault, on its own loop."""
+"""A register replica, on its own loop."""
 
 import random
 from collections.abc import Hashable
@@ -6,28 +6,28 @@
 
 from ...consensus.ballot import Ballot
 from ...consensus.cell import Cell
+from ...consensus.register_replica import RegisterReplica
 from ...consensus.roster import Roster
 from ...consensus.store import Store, cell_entry, ident_entry, roster_entry
-from ...consensus.vault import Vault
 from ...membership.member import Standing
 from ...runtime.settings import Settings
-from ..simdisk import SimDisk
+from ..sim_disk import SimDisk
 from .actor import Actor
 from .recipe import Recipe
 
 Files = tuple[tuple[str, bytes], ...]
 
 
-class VaultFacts(NamedTuple):
-    """What a vault would still know if it lost its power now."""
+class ReplicaFacts(NamedTuple):
+    """What a register replica would still know if it lost its power now."""
 
     ident: int
     roster: bytes
     cells: tuple[tuple[str, Ballot, bytes], ...]
 
 
-class EmptyCrowd:
-    """Nobody is known to be lost: whose place a vault takes is said by its name or by the model."""
+class EmptyMembership:
+    """Nobody is known to be lost: whose place a register replica takes is said by its name or by the model."""
 
     def alive(self, *, role: str) -> list[Any]:
         return []
@@ -40,8 +40,8 @@
 
 
 def files_of(*, ident: int, roster: Roster | None = None, cells: dict[str, Cell] | None = None) -> Files:
-    """The disk of a vault that holds this."""
-    disk = SimDisk(luck=random.Random(0))
+    """The disk of a register replica that holds this."""
+    disk = SimDisk(rng=random.Random(0))
     store = Store(disk=disk).open().ok
     entries = [ident_entry(ident=ident)]
     if roster is not None:
@@ -51,7 +51,7 @@
     return tuple(sorted(disk.files.items()))
 
 
-class VaultActor(Actor):
+class ReplicaActor(Actor):
     """Answers as the daemon does; a blank one also meets the others and takes its place again, if it `enters`."""
 
     def __init__(
@@ -64,21 +64,21 @@
         self.enters = enters
         self.up_for_long = False
         self.halts: list[str] = []
-        self.vault = Vault(ctx=self.ctx, settings=settings, halt=self.halts.append)
+        self.register_replica = RegisterReplica(ctx=self.ctx, settings=settings, halt=self.halts.append)
 
     def begin(self) -> None:
-        opened = self.vault.open()
+        opened = self.register_replica.open()
         assert opened.is_ok(), opened
-        assert self.vault.acceptor is not None
+        assert self.register_replica.acceptor is not None
         if self.up_for_long:
-            self.vault.acceptor.grants_from_us = 0
-        self.vault.crowd = EmptyCrowd()  # type: ignore[assignment]
-        self.net.answer = self.vault.desk.answer
+            self.register_replica.acceptor.grants_from_us = 0
+        self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
+        self.net.answer = self.register_replica.dispatcher.answer
         if self.enters:
-            self.ctx.spawn(work=self.vault._meet(), name="vault.meet")
+            self.ctx.spawn(work=self.register_replica._meet(), name="vault.meet")
 
     def digest(self) -> Hashable | None:
-        acceptor = self.vault.acceptor
+        acceptor = self.register_replica.acceptor
         assert acceptor is not None
         # why: while it asks or syncs, how far its tasks have come is known by its history alone
         if self.enters or self.disk.syncing is not None or self.net.serving or self.net.waiting:
@@ -97,12 +97,12 @@
             tuple(leases),
             max(0, acceptor.grants_from_us - now_us),
             acceptor.halted,
-            tuple(sorted((voter.name, voter.ident) for voter in self.vault.strangers.values())),
+            tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.values())),
         )
 
-    def facts(self) -> VaultFacts:
-        disk = SimDisk(luck=random.Random(0))
+    def facts(self) -> ReplicaFacts:
+        disk = SimDisk(rng=random.Random(0))
         disk.files = dict(self.disk.files)
         held = Store(disk=disk).open().ok.held
         cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(held.cells.items()))
-        return VaultFacts(held.ident, held.roster, cells)
+        return ReplicaFacts(held.ident, held.roster, cells)
--- a/src/cinderstair/simulation/explorer/returning_model.py
+++ b/src/cinderstair/simulation/explorer/returning_model.py
@@ -21,7 +21,7 @@
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "d", "changer-0", "reader", "writer")
-    vaults = 4
+    register_replicas = 4
     budget = Budget(restarts=1, timers=6)
     ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("replace d by c", replace(leaves="d", enters=voter_of(name="c"))),),
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -7,10 +7,10 @@
 from ...consensus.succession import Succession, without
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
-from .event import Said
+from .event import BackendHeartbeat
 from .recipe import Recipe
 from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterModel, Watch, founded, read, voter_of, write
-from .vault_actor import VaultActor, files_of
+from .replica_actor import ReplicaActor, files_of
 from .world_state import Budget
 
 
@@ -18,7 +18,7 @@
     async def operation(actor: ClientActor) -> Outcome:
         succession = Succession(ctx=actor.ctx, register=actor.register)
         result = await succession.succeed(leaves=leaves, enters=enters, most=3)
-        return ("replaced" if result.is_ok() else str(result.error.kind), 0, "")
+        return ("replaced" if result.is_ok() else str(result.error.code), 0, "")
 
     return operation
 
@@ -29,13 +29,14 @@
     async def operation(actor: ClientActor) -> Outcome:
         ident = voter_of(name=name).ident
         result = await actor.register.change_roster(alter=lambda current: without(roster=current, ident=ident))
-        return ("left" if result.is_ok() else str(result.error.kind), 0, "")
+        return ("left" if result.is_ok() else str(result.error.code), 0, "")
 
     return operation
 
 
 class RosterModel(RegisterModel):
-    """Three voters; d and e are empty vaults at other addresses, and each is to take a place. b and c know version 2
+    """Three voters; d and e are empty register replicas at other addresses, and each is to take a place. b and c
+    know version 2
     of the key, and a missed it.
 
     Operators name who leaves, so that the empty ones come without a snapshot, which is more than the daemon asks of
@@ -43,7 +44,7 @@
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "d", "e", "changer-0", "changer-1", "writer")
-    vaults = 5
+    register_replicas = 5
     budget = Budget(timers=6)
     depth = 400
     turns = 2
@@ -62,14 +63,17 @@
         return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
 
     def roster_of(self, *, name: str) -> Roster | None:
-        """The roster on a vault's disk; None for an empty one. Of any other process: the one that it knows."""
+        """The roster on a register replica's disk; None for an empty one.
+
+        Of any other process: the one that it knows.
+        """
         return None if name in "de" else founded(names="abc")
 
     def recipes(self) -> Sequence[Recipe]:
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
-            if process < self.vaults:
+            if process < self.register_replicas:
                 roster = self.roster_of(name=name)
                 cells = None if roster is None else self.cells(name=name)
                 files = files_of(ident=voter_of(name=name).ident, roster=roster, cells=cells)
@@ -78,13 +82,13 @@
 
     def make(self, recipe: Recipe) -> Actor:
         name = self.names[recipe.process]
-        if recipe.process < self.vaults:
-            return VaultActor(recipe=recipe, name=name, seeds=self.seeds)
-        todo = self.ops[recipe.process - self.vaults]
+        if recipe.process < self.register_replicas:
+            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds)
+        todo = self.ops[recipe.process - self.register_replicas]
         return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=self.roster_of(name=name), todo=todo)
 
-    def watch(self, *, watch: object, process: int, said: Said) -> object:  # type: ignore[override]
-        # why: what a changer says of its own work binds nobody; what the vaults hold is judged
+    def watch(self, *, watch: object, process: int, said: BackendHeartbeat) -> object:  # type: ignore[override]
+        # why: what a changer says of its own work binds nobody; what the register replicas hold is judged
         if "changer" in self.names[process]:
             return watch
         return super().watch(watch=watch, process=process, said=said)
@@ -94,7 +98,7 @@
     """Only the first halves: two voters are struck off at once, and nobody takes their places."""
 
     names: tuple[str, ...] = ("a", "b", "c", "changer-0", "changer-1", "reader")
-    vaults = 3
+    register_replicas = 3
     ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("strike off b", leave(name="b")),),
         (("strike off c", leave(name="c")),),
--- a/src/cinderstair/simulation/explorer/search.py
+++ b/src/cinderstair/simulation/explorer/search.py
@@ -106,7 +106,7 @@
             choices.append(index)
         self.report.wrong = wrong
         self.report.choices = choices[::-1]
-        self.report.told, _ = replay(space=self.space, choices=self.report.choices)
+        self.report.reported, _ = replay(space=self.space, choices=self.report.choices)
 
 
 def replay(*, space: Space, choices: list[int]) -> tuple[list[str], str]:
@@ -115,9 +115,9 @@
     IndexError where there is no such choice.
     """
     state: Any = space.initial()
-    told = []
+    reported = []
     for index in choices:
         choice = space.choices(state=state)[index]
-        told.append(space.told(state=state, choice=choice))
+        reported.append(space.reported(state=state, choice=choice))
         state = space.step(state=state, choice=choice)
-    return told, space.wrong(state=state)
+    return reported, space.wrong(state=state)
--- a/src/cinderstair/simulation/explorer/search_report.py
+++ b/src/cinderstair/simulation/explorer/search_report.py
@@ -18,7 +18,7 @@
     left: int = 0
     wrong: str = ""
     choices: list[int] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    reported: list[str] = field(default_factory=list)
 
     @property
     def exhausted(self) -> bool:
