--- a/src/cinderstair/simulation/explorer/explorer_faults.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the vaults' code, each against one model, to see that the explorer sees."""
+"""Faults switched into the register replicas' code, each against one model, to see that the explorer sees."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -16,14 +16,13 @@
 from ...consensus.roster import Roster, Voter, read_roster
 from ...consensus.store import cell_entry
 from ...consensus.succession import Succession
-from ...runtime.fault import Fault
-from ...runtime.kind import Kind
+from ...runtime.errors import CinderstairError, ErrorCode
 
 Patches = list[Any]
 
 
 def answers_before_sync() -> Patches:
-    """A vault answers first and syncs then."""
+    """A register replica answers first and syncs then."""
 
     async def work(self: Any) -> None:
         while True:
@@ -37,7 +36,7 @@
 
 
 def accepts_any_ballot() -> Patches:
-    """A vault accepts a value whatever it has promised."""
+    """A register replica accepts a value whatever it has promised."""
 
     def accept(self: Any, *, epoch: int, key: str, ballot: Any, value: bytes) -> Any:
         barred = self._barred(epoch=epoch, key=key)
@@ -50,7 +49,7 @@
 
 
 def blank_votes() -> Patches:
-    """A blank vault votes in the place of the one that lost its disk."""
+    """A blank register replica votes in the place of the one that lost its disk."""
     barred = Acceptor._barred
 
     def never(self: Any, *, epoch: int, key: str) -> Any:
@@ -67,7 +66,7 @@
 
 
 def grants_at_once() -> Patches:
-    """A vault that starts again grants what it may have granted before."""
+    """A register replica that starts again grants what it may have granted before."""
     init = Acceptor.__init__
 
     def fresh(self: Any, **given: Any) -> None:
@@ -88,13 +87,13 @@
 def second_leaves_at_once() -> Patches:
     """A second voter is taken off without waiting for leases."""
 
-    async def outwait(self: Any, *, roster: Roster) -> Result[None, Fault]:
+    async def outwait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
 
     return [patch.object(Succession, "_outwait", outwait)]
 
 
-async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, Fault]:
+async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
     """As Register.change_roster, without a look at how much changes and whether another change came first."""
     highest = await self.vector()
     for key in highest.ok if highest.is_ok() else ():
@@ -104,9 +103,9 @@
     current = self.roster
     wanted = alter(current)
 
-    def decide(data: bytes) -> Result[bytes, Fault]:
+    def decide(data: bytes) -> Result[bytes, CinderstairError]:
         if data and read_roster(data=data).epoch != current.epoch:
-            return Error(Fault(kind=Kind.versionTaken, why="another change of roster came first"))
+            return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="another change of roster came first"))
         return Ok(wanted.bytes())
 
     chosen = await self.change(key=ROSTER_KEY, decide=decide)
@@ -123,18 +122,18 @@
 
 
 def old_cells_kept() -> Patches:
-    """A vault that is no voter any more keeps what it accepted as one."""
+    """A register replica that is no voter any more keeps what it accepted as one."""
     return [patch.object(Acceptor, "_clear_cells", lambda self: [])]
 
 
 def enters_untold() -> Patches:
-    """A vault is made a voter again without having adopted a roster that lacks it."""
+    """A register replica is made a voter again without having adopted a roster that lacks it."""
 
-    told = Register.tell
+    reported = Register.tell
 
     async def tell(self: Any, *, address: str, roster: Roster) -> bool:
         voting = any(voter.address == address for voter in roster.voters)
-        return await told(self, address=address, roster=roster) if voting else True
+        return await reported(self, address=address, roster=roster) if voting else True
 
     return [patch.object(Register, "tell", tell)]
 
@@ -142,7 +141,7 @@
 def two_at_once() -> Patches:
     """A replacement is one change of two voters."""
 
-    async def succeed(self: Any, *, leaves: str, enters: Voter, most: int) -> Result[Roster, Fault]:
+    async def succeed(self: Any, *, leaves: str, enters: Voter, most: int) -> Result[Roster, CinderstairError]:
         def alter(current: Roster) -> Roster:
             stay = tuple(voter for voter in current.voters if voter.name != leaves)
             return Roster(epoch=current.epoch + 1, voters=(*stay, enters))
--- a/src/cinderstair/simulation/explorer/space.py
+++ b/src/cinderstair/simulation/explorer/space.py
@@ -23,6 +23,6 @@
         """Which invariant the state breaks; empty where none."""
         ...
 
-    def told(self, *, state: Any, choice: Any) -> str:
+    def reported(self, *, state: Any, choice: Any) -> str:
         """The choice in words."""
         ...
--- a/src/cinderstair/simulation/explorer/stepped_loop.py
+++ b/src/cinderstair/simulation/explorer/stepped_loop.py
@@ -4,7 +4,7 @@
 import contextvars
 from typing import Any
 
-from ..virtualloop import VirtualLoop
+from ..virtual_loop import VirtualLoop
 
 
 class SteppedLoop(VirtualLoop):
--- a/src/cinderstair/simulation/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -1,4 +1,4 @@
-"""A vault loses its disk right after an acknowledgement and comes back blank."""
+"""A register replica loses its disk right after an acknowledgement and comes back blank."""
 
 from collections.abc import Hashable
 
@@ -7,14 +7,15 @@
 from .client_actor import ClientActor, Operation
 from .recipe import Recipe
 from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterModel, Watch, founded, read, write
-from .vault_actor import VaultActor
+from .replica_actor import ReplicaActor
 from .world_state import Budget
 
 
 class WipeModel(RegisterModel):
     """Version 2 was acknowledged by a and b, and c missed it: every way to go on from there.
 
-    Any one disk is lost at any moment. Its vault comes back at its old address, blank, and takes its place again as
+    Any one disk is lost at any moment. Its register replica comes back at its old address, blank, and takes its
+    place again as
     the daemon does: it meets the others, takes a snapshot, and enters by two changes of the roster.
     """
 
@@ -34,9 +35,9 @@
 
     def make(self, recipe: Recipe) -> Actor:
         name = self.names[recipe.process]
-        if recipe.process < self.vaults:
-            return VaultActor(recipe=recipe, name=name, seeds=self.seeds, enters=recipe.blank)
-        todo = self.ops[recipe.process - self.vaults]
+        if recipe.process < self.register_replicas:
+            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds, enters=recipe.blank)
+        todo = self.ops[recipe.process - self.register_replicas]
         return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
 
     def first_watch(self) -> Hashable:
@@ -44,7 +45,7 @@
 
 
 class MovedWipeModel(WipeModel):
-    """The same, and the vault comes back at another address under its name."""
+    """The same, and the register replica comes back at another address under its name."""
 
     def wipe_address(self, *, process: int, address: str) -> str:
         return f"{self.names[process]}:2"
--- a/src/cinderstair/simulation/leadtrials.py
+++ b/src/cinderstair/simulation/failover_trials.py
@@ -27,9 +27,9 @@
 
 
 def primary_cut(*, trial: Trial) -> None:
-    """A primary is cut off from all but one stall, which goes on reaching it and can't reach the vaults."""
+    """A primary is cut off from all but one HTTP proxy, which reaches it but not the register replicas."""
     world, name = trial.world, trial.primary
-    near = next(n for n in world.stall_names if n != trial.holder)
+    near = next(n for n in world.http_proxy_names if n != trial.holder)
     others = [n for n in world.addresses if n not in (name, near)]
     trial.fault()
     world.cut(ones=[name, near], others=others)
@@ -39,15 +39,15 @@
 
 
 def override_under_cut(*, trial: Trial) -> None:
-    """An operator moves a lead by hand just as the old primary and one stall are cut off together."""
+    """An operator moves a lead by hand just as the old primary and one HTTP proxy are cut off together."""
     world, name = trial.world, trial.primary
-    near = next(n for n in world.stall_names if n != trial.holder)
+    near = next(n for n in world.http_proxy_names if n != trial.holder)
     others = [n for n in world.addresses if n not in (name, near)]
-    holder, replica = trial.holder, trial.inSync[0]
+    holder, replica = trial.holder, trial.in_sync[0]
     world.things["platform"].promotion_us = 100_000
-    for each in world.stall_names:
-        # why: the longer all views last, the longer the cut stall goes on reading by its old one
-        world.stall(name=each).view.lease_us = 2_500_000
+    for each in world.http_proxy_names:
+        # why: the longer all views last, the longer the cut HTTP proxy goes on reading by its old one
+        world.http_proxy(name=each).view.lease_us = 2_500_000
     for caller in world.callers:
         caller.think_us = 60_000
     trial.go(for_us=500_000)
@@ -73,11 +73,11 @@
 
 
 def holder_killed_too(*, trial: Trial) -> None:
-    """A primary crashes, and so does the stall that moves the lead, at some moment of the move."""
+    """A primary crashes, and so does the HTTP proxy that moves the lead, at some moment of the move."""
     world, name, holder = trial.world, trial.primary, trial.holder
     trial.fault()
     world.kill(name=name)
-    trial.go(for_us=world.luck.randrange(2_500_000, 6_000_000))
+    trial.go(for_us=world.rng.randrange(2_500_000, 6_000_000))
     world.kill(name=holder)
     trial.go(for_us=SETTLE_US)
     world.start(name=holder)
@@ -86,10 +86,10 @@
 
 
 def holder_blind(*, trial: Trial) -> None:
-    """The stall that moves leads is cut off from all backends alone, for good, and then the primary dies."""
+    """The HTTP proxy that moves leads is cut off from all backends alone, for good, and then the primary dies."""
     world, holder = trial.world, trial.holder
     world.cut(ones=[holder], others=world.backend_names())
-    trial.go(for_us=world.luck.randrange(0, 3_000_000))
+    trial.go(for_us=world.rng.randrange(0, 3_000_000))
     world.kill(name=trial.primary)
     trial.fault()
     trial.go(for_us=SETTLE_US + 4_000_000)
@@ -101,7 +101,7 @@
     """A primary crashes, and then the one that was placed to follow it."""
     world, name = trial.world, trial.primary
     world.kill(name=name)
-    trial.go(for_us=world.luck.randrange(3_000_000, 6_500_000))
+    trial.go(for_us=world.rng.randrange(3_000_000, 6_500_000))
     second = trial.primary
     trial.fault()
     if second != name:
@@ -117,9 +117,9 @@
 def deaf_replica(*, trial: Trial) -> None:
     """One replica stops receiving; a while later the primary dies."""
     world, name = trial.world, trial.primary
-    deaf = trial.inSync[0]
+    deaf = trial.in_sync[0]
     world.backend(name=deaf).deaf = True
-    trial.go(for_us=world.luck.randrange(200_000, 4_000_000))
+    trial.go(for_us=world.rng.randrange(200_000, 4_000_000))
     killed_us = world.now_us
     world.kill(name=name)
     trial.go(for_us=9_000_000)
@@ -148,7 +148,7 @@
 def primary_and_replica_lost(*, trial: Trial) -> None:
     """The primary and one in-sync replica vanish at once; the other holds everything, and one comes back."""
     world, name = trial.world, trial.primary
-    replica = world.luck.choice(trial.inSync)
+    replica = world.rng.choice(trial.in_sync)
     killed_us = world.now_us
     world.kill(name=name)
     world.kill(name=replica)
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
+from ..cli.container import Container
 from ..cli.edge import ask
-from ..cli.market import Market
 from ..runtime.context import Context
 from . import checks
 from .caller import Caller
@@ -43,12 +43,12 @@
 
 
 class Fleet:
-    def __init__(self, *, stalls: int = 9, vaults: int = 5, databases: int = 3) -> None:
+    def __init__(self, *, http_proxies: int = 9, register_replicas: int = 5, databases: int = 3) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-fleet-"))
-        self.stall_names = [f"stall-{n}" for n in range(stalls)]
-        self.vault_names = [f"vault-{n}" for n in range(vaults)]
+        self.http_proxy_names = [f"stall-{n}" for n in range(http_proxies)]
+        self.register_replica_names = [f"vault-{n}" for n in range(register_replicas)]
         self.databases = {f"db{d}": [f"db{d}-{c}" for c in "abc"] for d in range(databases)}
-        names = [*self.stall_names, *self.vault_names, *self.backend_names(), "platform"]
+        names = [*self.http_proxy_names, *self.register_replica_names, *self.backend_names(), "platform"]
         ports = free_ports(count=2 * len(names))
         self.ports = {name: (ports[2 * n], ports[2 * n + 1]) for n, name in enumerate(names)}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -78,8 +78,8 @@
             "site": self.site(name=name),
             "records": self.records(name=name),
             "http": self.http(name=name),
-            "seeds": [self.records(name=vault) for vault in self.vault_names[:3]],
-            "foundingVaults": len(self.vault_names),
+            "seeds": [self.records(name=register_replica) for register_replica in self.register_replica_names[:3]],
+            "foundingVaults": len(self.register_replica_names),
             "platform": self.http(name="platform"),
             **changes,
         }
@@ -109,14 +109,17 @@
                 name.partition("-")[0],
                 "--cap",
                 str(CAP),
-                "--stalls",
-                ",".join(self.http(name=stall) for stall in self.stall_names),
+                "--http-proxies",
+                ",".join(self.http(name=http_proxy) for http_proxy in self.http_proxy_names),
             ]
         role = name.partition("-")[0]
         return [sys.executable, "-m", "cinderstair", role, "-s", str(self.settings_path(name=name))]
 
     def start(self, *, name: str) -> None:
-        if name in (*self.stall_names, *self.vault_names) and not self.settings_path(name=name).exists():
+        if (
+            name in (*self.http_proxy_names, *self.register_replica_names)
+            and not self.settings_path(name=name).exists()
+        ):
             self.write_settings(name=name)
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -162,7 +165,7 @@
         return process is not None and process.poll() is None
 
     async def all_serve(self) -> bool:
-        for name in self.stall_names:
+        for name in self.http_proxy_names:
             if not self.running(name=name):
                 continue
             status = await self.status(name=name)
@@ -178,7 +181,7 @@
         return True
 
     def configuration(self, *, version: int, old: tuple[str, ...] = (), **extra: Any) -> bytes:
-        def hall(name: str) -> dict[str, str]:
+        def labels_of(name: str) -> dict[str, str]:
             return {"hall": "old" if name in old else "new"}
 
         document = {
@@ -191,14 +194,14 @@
                             "address": self.http(name=n),
                             "site": self.site(name=n),
                             "cap": CAP,
-                            "labels": hall(n),
+                            "labels": labels_of(n),
                         }
                         for n in names
                     ]
                 }
                 for database, names in self.databases.items()
             },
-            "stalls": {name: hall(name) for name in self.stall_names},
+            "stalls": {name: labels_of(name) for name in self.http_proxy_names},
             **extra,
         }
         return json.dumps(document).encode()
@@ -218,20 +221,20 @@
             self.start(name=name)
 
         async def current() -> bool:
-            results = [await self.status(name=name) for name in self.stall_names]
+            results = [await self.status(name=name) for name in self.http_proxy_names]
             return all(result.get("viewCurrent") for result in results)
 
         await self.await_that(test=current, within_us=90_000_000, what="views current")
         submitted = await self.submit(version=1)
         if submitted.returncode != 0:
             raise AssertionError(f"submit: {submitted.stderr}")
-        await self.await_that(test=self.all_serve, within_us=90_000_000, what="every stall serves")
+        await self.await_that(test=self.all_serve, within_us=90_000_000, what="every HTTP proxy serves")
 
     def _context(self, *, name: str) -> Context:
-        market = Market()
-        market.config.from_dict({"name": name, "site": "", "folder": "", "diskKind": "none"})
+        market = Container()
+        market.config.from_dict({"name": name, "site": "", "folder": "", "disk_kind": "none"})
         ctx = market.context()
-        ctx.luck = random.Random(f"{name}")
+        ctx.rng = random.Random(f"{name}")
         return ctx
 
     def callers_begin(self, *, count: int, think_us: int = 670_000) -> None:
@@ -239,10 +242,10 @@
             ctx = self._context(name=f"caller-{number}")
             database = list(self.databases)[number % len(self.databases)]
             site = SITES[number % len(SITES)]
-            near = [n for n in self.stall_names if self.site(name=n) == site] or self.stall_names
+            near = [n for n in self.http_proxy_names if self.site(name=n) == site] or self.http_proxy_names
             caller = Caller(
                 ctx=ctx,
-                stalls=[self.http(name=name) for name in near],
+                http_proxies=[self.http(name=name) for name in near],
                 database=database,
                 history=self.history,
                 think_us=think_us,
@@ -266,8 +269,8 @@
 
     async def verdict(self) -> Verdict:
         """Every checker that real time allows, over the whole history."""
-        verdict = Verdict(jobs=len(self.history))
-        status = await self.status(name=next(n for n in self.stall_names if self.running(name=n)))
+        verdict = Verdict(requests=len(self.history))
+        status = await self.status(name=next(n for n in self.http_proxy_names if self.running(name=n)))
         dumps = await self.dumps()
         for database in self.databases:
             final = dumps[status["leads"][database]["primary"]]["state"]
--- a/src/cinderstair/simulation/fleetday.py
+++ b/src/cinderstair/simulation/fleet_day.py
@@ -16,7 +16,7 @@
 
     def __init__(self, *, fleet: Fleet, seed: int) -> None:
         self.fleet = fleet
-        self.luck = random.Random(f"fleetday/{seed}")
+        self.rng = random.Random(f"fleetday/{seed}")
         self.version = 1
         self.fallen: Counter[str] = Counter()
 
@@ -26,37 +26,40 @@
         until_s = loop.time() + for_us / 1_000_000
         kinds = [self._killed, self._frozen, self._stopped, self._configured, self._resettled, self._emptied]
         while loop.time() < until_s:
-            kind = self.luck.choice(kinds)
+            kind = self.rng.choice(kinds)
             await kind()
             self.fallen[kind.__name__.strip("_")] += 1
             # why: the next falls on a system that is itself again, since one at a time is what a day here gives
             await self.fleet.await_that(
                 test=self.fleet.all_serve, within_us=LONG_US, what=f"served after {kind.__name__}"
             )
-            await asyncio.sleep(self.luck.uniform(0.2, EVERY_S))
+            await asyncio.sleep(self.rng.uniform(0.2, EVERY_S))
         await self._killed()
         await self.fleet.await_that(test=self.fleet.all_serve, within_us=LONG_US, what="served after the last fault")
 
     def _any(self) -> str:
         fleet = self.fleet
-        return self.luck.choice(
-            [self.luck.choice(names) for names in (fleet.stall_names, fleet.vault_names, fleet.backend_names())]
+        return self.rng.choice(
+            [
+                self.rng.choice(names)
+                for names in (fleet.http_proxy_names, fleet.register_replica_names, fleet.backend_names())
+            ]
         )
 
     async def _killed(self) -> None:
         name = self._any()
         self.fleet.kill(name=name)
-        await asyncio.sleep(self.luck.uniform(0.0, EVERY_S))
+        await asyncio.sleep(self.rng.uniform(0.0, EVERY_S))
         self.fleet.start(name=name)
 
     async def _frozen(self) -> None:
         name = self._any()
         self.fleet.signal(name=name, number=signal.SIGSTOP)
-        await asyncio.sleep(self.luck.uniform(0.2, EVERY_S))
+        await asyncio.sleep(self.rng.uniform(0.2, EVERY_S))
         self.fleet.signal(name=name, number=signal.SIGCONT)
 
     async def _stopped(self) -> None:
-        name = self.luck.choice(self.fleet.stall_names)
+        name = self.rng.choice(self.fleet.http_proxy_names)
         self.fleet.signal(name=name, number=signal.SIGTERM)
         process = self.fleet.processes[name]
         await self.fleet.await_that(
@@ -71,13 +74,13 @@
             raise AssertionError(f"submit: {result.stderr}")
 
     async def _resettled(self) -> None:
-        name = self.luck.choice(self.fleet.stall_names)
-        self.fleet.write_settings(name=name, queueMost=self.luck.randrange(100, 300))
-        if self.luck.random() < 0.5:
+        name = self.rng.choice(self.fleet.http_proxy_names)
+        self.fleet.write_settings(name=name, queueMost=self.rng.randrange(100, 300))
+        if self.rng.random() < 0.5:
             self.fleet.signal(name=name, number=signal.SIGHUP)
 
     async def _emptied(self) -> None:
-        name = self.luck.choice(self.fleet.backend_names())
+        name = self.rng.choice(self.fleet.backend_names())
         await self.fleet.say(name=name, path="/empty")
-        await asyncio.sleep(self.luck.uniform(1.0, EVERY_S))
+        await asyncio.sleep(self.rng.uniform(1.0, EVERY_S))
         await self.fleet.say(name=name, path="/refill")
--- a/src/cinderstair/simulation/stalltrials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -1,4 +1,4 @@
-"""Stalls and their clients: kills, freezes, planned stops, crowds, and clients that move or vanish."""
+"""HTTP proxies and their clients: kills, freezes, planned stops, crowds, and clients that move or vanish."""
 
 from collections import Counter
 
@@ -7,9 +7,9 @@
 from .world import World
 
 
-def stall_killed(*, trial: Trial) -> None:
-    """A stall is killed under work and started again."""
-    name = trial.world.luck.choice(trial.world.stall_names)
+def http_proxy_killed(*, trial: Trial) -> None:
+    """An HTTP proxy is killed under work and started again."""
+    name = trial.world.rng.choice(trial.world.http_proxy_names)
     trial.fault()
     trial.world.kill(name=name)
     trial.go(for_us=6_000_000)
@@ -17,10 +17,10 @@
     trial.go(for_us=8_000_000)
 
 
-def stall_frozen(*, trial: Trial) -> None:
-    """A stall stops for longer than its view's lease, while the primary is replaced, and goes on."""
+def http_proxy_frozen(*, trial: Trial) -> None:
+    """An HTTP proxy stops for longer than its view's lease, while the primary is replaced, and goes on."""
     world, name = trial.world, trial.primary
-    frozen = next(n for n in world.stall_names if n != trial.holder)
+    frozen = next(n for n in world.http_proxy_names if n != trial.holder)
     trial.fault()
     world.freeze(name=frozen)
     world.kill(name=name)
@@ -36,15 +36,15 @@
 
 def await_ready(*, world: World, name: str) -> None:
     def ready() -> bool:
-        return name in world.things and world.stall(name=name).ready.unready() is None
+        return name in world.things and world.http_proxy(name=name).ready.unready() is None
 
     world.await_that(test=ready, within_us=20_000_000, what=f"{name} is ready")
 
 
-def stall_blind(*, trial: Trial) -> None:
-    """A stall is cut off from all backends, and from them alone: the others' news call them fit."""
+def http_proxy_blind(*, trial: Trial) -> None:
+    """An HTTP proxy is cut off from all backends, and from them alone: the others' news call them fit."""
     world = trial.world
-    name = world.luck.choice(world.stall_names)
+    name = world.rng.choice(world.http_proxy_names)
     trial.fault()
     world.cut(ones=[name], others=world.backend_names())
     trial.go(for_us=9_000_000)
@@ -52,12 +52,12 @@
     trial.go(for_us=SETTLE_US)
 
 
-def stalls_stopped(*, trial: Trial) -> None:
-    """Every stall in turn is stopped in order and started again; no client loses its session."""
+def http_proxies_stopped(*, trial: Trial) -> None:
+    """Every HTTP proxy in turn is stopped in order and started again; no client loses its session."""
     world = trial.world
     trial.fault()
     lost_before = sum(caller.sessions_lost for caller in world.callers)
-    for name in world.stall_names:
+    for name in world.http_proxy_names:
         world.stop(name=name)
         await_end(world=world, name=name)
         trial.go(for_us=2_000_000)
@@ -69,15 +69,15 @@
         trial.verdict.wrong.append(f"{lost} sessions lost in planned stops")
 
 
-def stalls_drained(*, trial: Trial) -> None:
-    """The platform drains each stall in turn by its own word, waits until it is empty, and only then ends it."""
+def http_proxies_drained(*, trial: Trial) -> None:
+    """The platform drains each HTTP proxy in turn by its own word, waits until it is empty, and only then ends it."""
     world = trial.world
     trial.fault()
-    for name in world.stall_names:
+    for name in world.http_proxy_names:
         status, _ = world.ask(name=name, method="POST", path="/drain")
         if status != 200:
             trial.verdict.wrong.append(f"drain: {status}")
-        empty = world.stall(name=name).sessions.open
+        empty = world.http_proxy(name=name).sessions.open
         empty_us = world.await_that(test=lambda: not empty, within_us=8_000_000, what=f"{name} is empty")  # noqa: B023
         trial.verdict.note(name="drained", value_us=empty_us)
         trial.go(for_us=500_000)
@@ -101,7 +101,7 @@
 
 
 def kickoff(*, trial: Trial) -> None:
-    """A crowd of several times what one database can take; another database has its few usual clients."""
+    """A membership of several times what one database can take; another database has its few usual clients."""
     world = trial.world
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 600_000
@@ -110,26 +110,30 @@
         caller.stopped = True
     start_us = world.now_us
     trial.go(for_us=12_000_000)
-    crowd = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db0"]
+    membership = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db0"]
     calm = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db1"]
-    denied = sorted(e.waited_us for e in crowd if e.kind == "crowded")
-    served = sum(e.outcome == "done" and e.verb in checks.SERVICES[1:] for e in crowd)
-    if len(denied) < 300 or served < 100:
-        trial.verdict.wrong.append(f"no crowd: {served} served, {len(denied)} denied")
-    trial.verdict.note(name="denied after, p90", value_us=denied[len(denied) * 90 // 100] if denied else 0)
+    rejected = sorted(e.waited_us for e in membership if e.kind == "crowded")
+    served = sum(e.outcome == "done" and e.verb in checks.SERVICES[1:] for e in membership)
+    if len(rejected) < 300 or served < 100:
+        trial.verdict.wrong.append(f"no membership: {served} served, {len(rejected)} denied")
+    trial.verdict.note(name="denied after, p90", value_us=rejected[len(rejected) * 90 // 100] if rejected else 0)
     # why: a job given up on is told at once; only one that might still have been served may have waited
-    if denied and denied[len(denied) * 90 // 100] > 100_000:
-        trial.verdict.wrong.append(f"denials were held back: p90 {denied[len(denied) * 90 // 100]} us")
-    shares = Counter(e.caller for e in crowd if e.outcome == "done" and e.verb in checks.SERVICES[1:])
-    # why: nobody in the crowd may live at the others' cost
+    if rejected and rejected[len(rejected) * 90 // 100] > 100_000:
+        trial.verdict.wrong.append(f"denials were held back: p90 {rejected[len(rejected) * 90 // 100]} us")
+    shares = Counter(e.caller for e in membership if e.outcome == "done" and e.verb in checks.SERVICES[1:])
+    # why: nobody in the membership may live at the others' cost
     if shares and max(shares.values()) > 4 * shares.total() // len(shares) + 4:
-        trial.verdict.wrong.append(f"one of the crowd was served {max(shares.values())} times of {served}")
+        trial.verdict.wrong.append(f"one of the membership was served {max(shares.values())} times of {served}")
     calm_spans = sorted(e.end_us - e.start_us for e in calm if e.outcome == "done")
     trial.verdict.note(name="the calm database, p99", value_us=calm_spans[len(calm_spans) * 99 // 100])
     if any(e.kind == "crowded" for e in calm) or calm_spans[len(calm_spans) * 99 // 100] > 200_000:
-        trial.verdict.wrong.append("the calm database suffers from the other's crowd")
-    waiting = max(len(p.waiting) for n in world.stall_names for p in world.stall(name=n).yard.pools.values())
-    if waiting > world.stall(name="stall-0").yard.queueMost:
+        trial.verdict.wrong.append("the calm database suffers from the other's membership")
+    waiting = max(
+        len(p.waiting)
+        for n in world.http_proxy_names
+        for p in world.http_proxy(name=n).connection_pools.pools.values()
+    )
+    if waiting > world.http_proxy(name="stall-0").connection_pools.queueMost:
         trial.verdict.wrong.append(f"{waiting} jobs wait in one queue")
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 2_000
@@ -138,20 +142,30 @@
 
 
 def cap_held(*, trial: Trial) -> None:
-    """A stall goes, its slot is freed, it comes back; backends that would take any number count their channels."""
+    """An HTTP proxy goes, its slot is freed, it comes back.
+
+    Backends that would take any number count their channels.
+    """
     world = trial.world
     for name in world.backend_names():
         world.backend(name=name).cap = 10_000
         world.backend(name=name).most_lines = 0
-    for name in world.stall_names:
-        world.stall(name=name).slot_duty.grace_us = 2_000_000
-    name = world.luck.choice([n for n in world.stall_names if n != trial.holder])
-    limits = {n: world.stall(name=n).yard.pools[trial.primary].limit for n in world.stall_names if n != name}
+    for name in world.http_proxy_names:
+        world.http_proxy(name=name).proxy_id_reclaimer.grace_us = 2_000_000
+    name = world.rng.choice([n for n in world.http_proxy_names if n != trial.holder])
+    limits = {
+        n: world.http_proxy(name=n).connection_pools.pools[trial.primary].limit
+        for n in world.http_proxy_names
+        if n != name
+    }
     world.kill(name=name)
     trial.fault()
 
     def grown() -> bool:
-        return all(world.stall(name=n).yard.pools[trial.primary].limit > limit for n, limit in limits.items())
+        return all(
+            world.http_proxy(name=n).connection_pools.pools[trial.primary].limit > limit
+            for n, limit in limits.items()
+        )
 
     world.await_that(test=grown, within_us=30_000_000, what="the others have the lost one's part")
     trial.go(for_us=3_000_000)
@@ -162,12 +176,12 @@
         trial.verdict.count(name="channels at once", value=found)
         if found > world.cap:
             trial.verdict.wrong.append(f"{each} had {found} channels at once, cap {world.cap}")
-    if world.stall(name=name).yard.pools[trial.primary].limit == 0:
+    if world.http_proxy(name=name).connection_pools.pools[trial.primary].limit == 0:
         trial.verdict.wrong.append(f"{name} got no part of the cap back")
 
 
 def sites_changed(*, trial: Trial) -> None:
-    """Clients go over to another site's stalls with their sessions, again and again."""
+    """Clients go over to another site's HTTP proxies with their sessions, again and again."""
     world = trial.world
     lost = sum(caller.sessions_lost for caller in world.callers)
     for _ in range(6):
--- a/src/cinderstair/simulation/blow.py
+++ b/src/cinderstair/simulation/injected_fault.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Blow:
+class InjectedFault:
     """Whom it strikes is drawn when it falls, by its own number, so that leaving others out changes little."""
 
     number: int
--- a/src/cinderstair/simulation/blows.py
+++ b/src/cinderstair/simulation/injected_faults.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from .day import Day
-from .windowtrials import window
+from .window_trials import window
 
 Undo = Callable[[], None]
 Strike = Callable[..., Undo | None]
 RESYNC_US = 9_000_000
-HALL_US = 14_000_000
+CONTROLLER_US = 14_000_000
 
 
 def nothing() -> None:
@@ -21,57 +21,57 @@
 # ---- backends
 
 
-def backend_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
+def backend_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def backend_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
+def backend_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def backend_cut(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
+def backend_cut(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
     others = [other for other in day.world.addresses if other != name]
-    day.world.cut(ones=[name], others=others, both=luck.random() < 0.5)
+    day.world.cut(ones=[name], others=others, both=rng.random() < 0.5)
     return lambda: day.world.mend(name=name)
 
 
-def backend_slow(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
+def backend_slow(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
     day.world.backend(name=name).service_us = 100_000
     return lambda: setattr(day.world.backend(name=name), "service_us", 2_000)
 
 
-def replica_deaf(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US, primary=False)
+def replica_deaf(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US, primary=False)
     if not name:
         return None
     day.world.backend(name=name).deaf = True
     return lambda: setattr(day.world.backend(name=name), "deaf", False)
 
 
-def replica_lags(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us, primary=False)
+def replica_lags(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us, primary=False)
     if not name:
         return None
     day.world.backend(name=name).apply_us = 3_000_000
     return lambda: setattr(day.world.backend(name=name), "apply_us", 5_000)
 
 
-def backend_empties(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.backend(luck=luck, for_us=length_us + RESYNC_US)
+def backend_empties(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
 
@@ -82,9 +82,9 @@
     return lambda: say("/refill")
 
 
-def backend_replaced(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def backend_replaced(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     """In order, or because it is gone for good; either way a blank one takes its place."""
-    name = day.backend(luck=luck, for_us=length_us + 3 * RESYNC_US)
+    name = day.backend(rng=rng, for_us=length_us + 3 * RESYNC_US)
     if not name:
         return None
     database = day.world.database_of(name=name)
@@ -92,59 +92,61 @@
     if not spare:
         return None
     day.used.add(spare)
-    if luck.random() < 0.5:
+    if rng.random() < 0.5:
         day.world.kill(name=name)
     day.world.listed[database] = [spare if each == name else each for each in day.world.listed[database]]
-    day.submit(luck=luck)
+    day.submit(rng=rng)
     return lambda: day.world.kill(name=name)
 
 
-def answers_lost(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.trial.primary_of(database=luck.choice(list(day.world.databases)))
+def answers_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.trial.primary_of(database=rng.choice(list(day.world.databases)))
     day.world.wires.lose_answers[name] = 0.1
     return lambda: day.world.wires.lose_answers.__setitem__(name, 0.0)
 
 
-def promotions_lost(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def promotions_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     day.world.wires.lose_answers["platform"] = 0.7
     return lambda: day.world.wires.lose_answers.__setitem__("platform", 0.0)
 
 
-# ---- stalls and clients
+# ---- HTTP proxies and clients
 
 
-def stall_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
+def http_proxy_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def stall_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
+def http_proxy_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def stall_cut(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    """Cut off from all vaults, from all backends, or from everyone; its clients still reach it."""
-    name = day.stall(luck=luck, for_us=length_us + 3_000_000)
+def http_proxy_cut(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Cut off from all register replicas, from all backends, or from everyone; its clients still reach it."""
+    name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
     everyone = [other for other in day.world.addresses if other != name]
-    day.world.cut(ones=[name], others=luck.choice([everyone, day.world.vault_names, day.world.backend_names()]))
+    day.world.cut(
+        ones=[name], others=rng.choice([everyone, day.world.register_replica_names, day.world.backend_names()])
+    )
     return lambda: day.world.mend(name=name)
 
 
-def stall_stopped(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def http_proxy_stopped(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     """A planned stop, by signal or by the platform's word; the machine comes back later."""
-    name = day.stall(luck=luck, for_us=length_us + 12_000_000)
+    name = day.http_proxy(rng=rng, for_us=length_us + 12_000_000)
     if not name:
         return None
-    if luck.random() < 0.5:
+    if rng.random() < 0.5:
         day.world.ask(name=name, method="POST", path="/drain")
     day.world.stop(name=name)
 
@@ -156,30 +158,30 @@
     return again
 
 
-def settings_changed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def settings_changed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     for name in day.world.ups():
-        stall = day.world.stall(name=name)
-        stall.resettle(settings=replace(stall.settings, queueMost=luck.randrange(100, 300)))
+        http_proxy = day.world.http_proxy(name=name)
+        http_proxy.resettle(settings=replace(http_proxy.settings, queueMost=rng.randrange(100, 300)))
     return nothing
 
 
-def clients_move(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    for caller in luck.sample(day.world.callers, len(day.world.callers) // 5):
+def clients_move(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    for caller in rng.sample(day.world.callers, len(day.world.callers) // 5):
         if not caller.once:
             caller.move_on()
     return nothing
 
 
-def channels_reset(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def channels_reset(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     backends = set(day.world.backend_names())
-    channels = [channel for channel in day.world.wires.channels if channel.server.name in backends]
-    for channel in luck.sample(channels, len(channels) // 4):
-        channel.reset()
+    connections = [connection for connection in day.world.wires.connections if connection.server.name in backends]
+    for connection in rng.sample(connections, len(connections) // 4):
+        connection.reset()
     return nothing
 
 
-def crowd(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    database = luck.choice(list(day.world.databases))
+def membership(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    database = rng.choice(list(day.world.databases))
     mine = [caller for caller in day.world.callers if caller.database == database and not caller.once]
     for caller in mine:
         caller.think_us //= 6
@@ -191,31 +193,31 @@
     return calm
 
 
-# ---- vaults and operators
+# ---- register replicas and operators
 
 
-def vault_killed(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
+def register_replica_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.kill(name=name)
     return lambda: day.world.start(name=name)
 
 
-def vault_frozen(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
+def register_replica_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.freeze(name=name)
     return lambda: day.world.thaw(name=name)
 
 
-def vault_torn(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    name = day.vault(luck=luck, for_us=length_us + 5_000_000)
+def register_replica_torn(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.disks[name].tear_next = True
-    day.submit(luck=luck)
+    day.submit(rng=rng)
 
     def again() -> None:
         day.world.disks[name].tear_next = False
@@ -226,9 +228,9 @@
     return again
 
 
-def vault_blank(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def register_replica_blank(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     """The disk of a machine is lost; it comes back blank."""
-    name = day.vault(luck=luck, for_us=length_us + 15_000_000)
+    name = day.register_replica(rng=rng, for_us=length_us + 15_000_000)
     if not name:
         return None
     day.world.kill(name=name)
@@ -236,13 +238,13 @@
     return lambda: day.world.start(name=name)
 
 
-def operators(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
+def operators(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     """Two at once with the same version, an old one again, and a broken one."""
     world, version = day.world, day.next()
     bodies = [world.configuration(version=version, stalls={"stall-0": {"hall": each}}) for each in ("old", "new")]
 
     async def both() -> list[tuple[int, bytes]]:
-        names = luck.sample(world.ups(), 2)
+        names = rng.sample(world.ups(), 2)
         asks = [
             world._ask(name=name, method="PUT", path="/v1/configuration", body=body)
             for name, body in zip(names, bodies, strict=True)
@@ -251,35 +253,35 @@
 
     answers = world.run(work=both())
     for body, (status, answer) in zip(bodies, answers, strict=True):
-        day.trial.told(version=version, body=body, status=status, answer=answer)
+        day.trial.reported(version=version, body=body, status=status, answer=answer)
     if [status for status, _ in answers].count(200) == 2:
         day.trial.verdict.wrong.append(f"two operators were both told that version {version} stands")
     if day.trial.accepted:
         older = max(day.trial.accepted) - 1
         for body in (world.configuration(version=max(1, older), stalls={"x": {"y": "z"}}), b'{"version": 99999, "da'):
-            status, _ = world.ask(name=luck.choice(world.ups()), method="PUT", path="/v1/configuration", body=body)
+            status, _ = world.ask(name=rng.choice(world.ups()), method="PUT", path="/v1/configuration", body=body)
             if status == 200:
                 day.trial.verdict.wrong.append(f"accepted: {body[:40]!r}")
     return nothing
 
 
-def hall_moved(*, day: Day, luck: random.Random, length_us: int) -> Undo | None:
-    """A booked window over one backend of each database, leads among them, and two stalls."""
+def data_centre_moved(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """A booked window over one backend of each database, leads among them, and two HTTP proxies."""
     world = day.world
     # why: one window a day, since its hall keeps its labels
     if day.windows:
         return None
-    hall = [luck.choice(world.listed[database]) for database in world.databases]
-    day.old = (*hall, *luck.sample(world.stall_names, 2))
-    booked = [window(world=world, in_us=1_500_000, for_us=HALL_US + length_us)]
+    data_centre = [rng.choice(world.listed[database]) for database in world.databases]
+    day.old = (*data_centre, *rng.sample(world.http_proxy_names, 2))
+    booked = [window(world=world, in_us=1_500_000, for_us=CONTROLLER_US + length_us)]
     day.windows = booked
-    day.submit(luck=luck)
+    day.submit(rng=rng)
 
     # why: the window ends by itself, in the middle of whatever else falls then
     return nothing
 
 
-BLOWS: dict[str, Strike] = {
+INJECTED_FAULTS: dict[str, Strike] = {
     each.__name__: each
     for each in (
         backend_killed,
@@ -292,32 +294,32 @@
         backend_replaced,
         answers_lost,
         promotions_lost,
-        stall_killed,
-        stall_frozen,
-        stall_cut,
-        stall_stopped,
+        http_proxy_killed,
+        http_proxy_frozen,
+        http_proxy_cut,
+        http_proxy_stopped,
         settings_changed,
         clients_move,
         channels_reset,
-        crowd,
-        vault_killed,
-        vault_frozen,
-        vault_torn,
-        vault_blank,
+        membership,
+        register_replica_killed,
+        register_replica_frozen,
+        register_replica_torn,
+        register_replica_blank,
         operators,
-        hall_moved,
+        data_centre_moved,
     )
 }
 
 
-def last_blow(*, day: Day, luck: random.Random) -> None:
-    """The day's last fault: a primary and the holder of its duty, two vaults, or every machine at once."""
-    world, kind = day.world, luck.choice(["leads", "vaults", "power"])
+def last_injected_fault(*, day: Day, rng: random.Random) -> None:
+    """The day's last fault: a primary and the holder of its duty, two register replicas, or every machine at once."""
+    world, kind = day.world, rng.choice(["leads", "vaults", "power"])
     if kind == "leads":
-        world.kill(name=day.trial.primary_of(database=luck.choice(list(world.databases))))
+        world.kill(name=day.trial.primary_of(database=rng.choice(list(world.databases))))
         world.kill(name=day.trial.holder)
     elif kind == "vaults":
-        for name in luck.sample(world.vault_names, 2):
+        for name in rng.sample(world.register_replica_names, 2):
             world.kill(name=name)
     else:
         names = [name for name in world.addresses if name != "platform" and not world.boots[name].dead]
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -1,4 +1,4 @@
-"""Counts work by the number of stalls: records, HTTP questions and syncs a second, idle and for each job."""
+"""Counts work by the number of HTTP proxies: records, HTTP questions and syncs a second, idle and for each job."""
 
 import argparse
 import json
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from ..runtime.desks import NAMES
+from ..runtime.message_types import NAMES
 from .world import World
 
 SPAN_US = 10_000_000
@@ -18,7 +18,7 @@
     for name, count in world.wires.work.items():
         kind = name.removeprefix("record ")
         counts[f"record {NAMES[int(kind)].upper()}" if kind.isdecimal() else name] += count
-    counts["syncs"] = sum(world.disks[name].syncs for name in world.vault_names)
+    counts["syncs"] = sum(world.disks[name].syncs for name in world.register_replica_names)
     counts["jobs done"] = sum(event.outcome == "done" for event in world.history)
     return counts
 
@@ -32,8 +32,8 @@
     return after
 
 
-def measured(*, stalls: int, callers: int, seed: int = 1) -> dict[str, Any]:
-    world = World(seed=seed, stalls=stalls, databases=3, cap=max(64, 4 * stalls))
+def measured(*, http_proxies: int, callers: int, seed: int = 1) -> dict[str, Any]:
+    world = World(seed=seed, http_proxies=http_proxies, databases=3, cap=max(64, 4 * http_proxies))
     try:
         world.begin()
         world.advance(for_us=3_000_000)
@@ -44,9 +44,9 @@
         seconds = SPAN_US / 1_000_000
         done = busy.pop("jobs done")
         return {
-            "stalls": stalls,
+            "stalls": http_proxies,
             "idleASecond": {name: round(count / seconds, 1) for name, count in sorted(idle.items()) if count},
-            "idleASecondAStall": round(sum(idle.values()) / seconds / stalls, 1),
+            "idleASecondAStall": round(sum(idle.values()) / seconds / http_proxies, 1),
             "jobsASecond": round(done / seconds, 1),
             "moreAJob": {
                 name: round((count - idle[name]) / done, 2)
@@ -60,11 +60,11 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.loads", description=__doc__)
-    parser.add_argument("--stalls", default="3,9,30", help="numbers of stalls, with commas between")
+    parser.add_argument("--http-proxies", default="3,9,30", help="numbers of HTTP proxies, with commas between")
     parser.add_argument("--callers", type=int, default=120)
     options = parser.parse_args()
-    for each in options.stalls.split(","):
-        print(json.dumps(measured(stalls=int(each), callers=options.callers)), flush=True)
+    for each in options.http_proxies.split(","):
+        print(json.dumps(measured(http_proxies=int(each), callers=options.callers)), flush=True)
     return 0
 
 
--- a/src/cinderstair/simulation/mixedtrials.py
+++ b/src/cinderstair/simulation/mixed_trials.py
@@ -7,7 +7,7 @@
     """Every machine is stopped and started, one after another."""
     world = trial.world
     names = [n for n in world.addresses if n != "platform"]
-    world.luck.shuffle(names)
+    world.rng.shuffle(names)
     trial.fault()
     for name in names:
         world.kill(name=name)
@@ -33,9 +33,9 @@
 
 
 def stuttering(*, trial: Trial) -> None:
-    """A stall, the primary and a vault each run only half of the time, in fits of 300 ms."""
+    """An HTTP proxy, the primary and a register replica each run only half of the time, in fits of 300 ms."""
     world = trial.world
-    names = (world.luck.choice(world.stall_names), trial.primary, world.luck.choice(world.vault_names))
+    names = (world.rng.choice(world.http_proxy_names), trial.primary, world.rng.choice(world.register_replica_names))
     for step in range(24):
         name = names[step % 3]
         world.freeze(name=name)
@@ -48,10 +48,10 @@
 
 def chaos(*, trial: Trial) -> None:
     """One thing after another, drawn by the seed; never more than the system must survive at once."""
-    world, luck = trial.world, trial.world.luck
+    world, rng = trial.world, trial.world.rng
     for _ in range(4):
-        name = luck.choice([*world.backend_names(), *world.stall_names, *world.vault_names])
-        how = luck.choice(["kill", "freeze", "isolate", "mute"])
+        name = rng.choice([*world.backend_names(), *world.http_proxy_names, *world.register_replica_names])
+        how = rng.choice(["kill", "freeze", "isolate", "mute"])
         if how == "kill":
             world.kill(name=name)
         elif how == "freeze":
@@ -60,13 +60,13 @@
             world.isolate(name=name)
         else:
             others = [other for other in world.addresses if other != name]
-            world.cut(ones=[name], others=others, both=luck.random() < 0.5)
-        trial.go(for_us=luck.randrange(500_000, 9_000_000))
+            world.cut(ones=[name], others=others, both=rng.random() < 0.5)
+        trial.go(for_us=rng.randrange(500_000, 9_000_000))
         if how == "kill":
             world.start(name=name)
         elif how == "freeze":
             world.thaw(name=name)
         world.heal()
-        trial.go(for_us=luck.randrange(1_000_000, 9_000_000))
+        trial.go(for_us=rng.randrange(1_000_000, 9_000_000))
     trial.fault()
     trial.go(for_us=SETTLE_US)
--- a/src/cinderstair/simulation/platformsim/__init__.py
+++ b/src/cinderstair/simulation/platformsim/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated platform around booths and guildhalls: clients, backends, operators and streams on virtual time."""
+"""A simulated platform around proxies and controllers: clients, backends, operators and streams on virtual time."""
--- a/src/cinderstair/simulation/platformsim/answer.py
+++ b/src/cinderstair/simulation/platformsim/answer.py
@@ -1,10 +1,10 @@
-"""A booth's answer to one message."""
+"""A proxy's answer to one message."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(kw_only=True)
-class Answer:
+class ClientAnswer:
     """`code` is empty on success. `ready` is the state and the position behind it."""
 
     rows: list[bytes] = field(default_factory=list)
--- a/src/cinderstair/simulation/platformsim/attempt.py
+++ b/src/cinderstair/simulation/platformsim/attempt.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from .asked import Asked
+from .client_statement import ClientStatement
 
 
 @dataclass(eq=False, kw_only=True)
@@ -14,7 +14,7 @@
     database: str
     in_transaction: bool
     read_only: bool
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[ClientStatement] = field(default_factory=list)
     promises: list[str] = field(default_factory=list)
     outcome: str = ""
     commit_sent: bool = False
--- a/src/cinderstair/simulation/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 from ...pooler.router import CONTROL_LINKS
-from .asked import Asked
 from .attempt import Attempt
+from .client_statement import ClientStatement
 from .log_entry import LogEntry
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self.state = b"I"
         self.plain = False
         self.lead_life = 0
-        self.writes: list[Asked] = []
+        self.writes: list[ClientStatement] = []
         self.owner: Attempt | None = None
         self.values: dict[bytes, bytes] = {}
         self.prepared: dict[bytes, tuple[bytes, bool]] = {}
@@ -86,7 +86,7 @@
         self.backend.referee.wire.chance()
         word, _, rest = line.partition(b" ")
         if word == b"GREET" and not self.greeted:
-            self._greet(rest)
+            self._handshake(rest)
         elif word == b"ASK" and self.greeted and b" " in rest:
             ident, _, text = rest.partition(b" ")
             if ident == OWN:
@@ -129,7 +129,7 @@
             self.state = b"E"
         self._ready(b"ERROR " + words + b"\r\n")
 
-    def _greet(self, rest: bytes) -> None:
+    def _handshake(self, rest: bytes) -> None:
         backend = self.backend
         fields = rest.split(b" ")
         if len(fields) not in (2, 3) or not all(fields):
@@ -151,7 +151,7 @@
             self._error(b"BUSY " + own, close=True)
 
     def _count(self) -> None:
-        """Booths' connections here; one whose far end is dead, or has closed it, is not theirs any more."""
+        """Proxies' connections here; one whose far end is dead, or has closed it, is not theirs any more."""
         backend = self.backend
         if not self.far_end.startswith("booth-"):
             return
@@ -161,7 +161,7 @@
             for end in ends
         )
         max_links = backend.service.max_links
-        scarce = backend.referee.booths > max_links - CONTROL_LINKS
+        scarce = backend.referee.proxies > max_links - CONTROL_LINKS
         backend.referee.cap.greeted(backend=backend.name, held=held, max_links=max_links, scarce=scarce)
 
     def _work(self, *, cost_us: int, then: Any) -> bool:
@@ -295,9 +295,9 @@
 
     def _lose(self) -> bool:
         """Whether this answer is lost, in one of the ways in which answers get lost."""
-        if self.backend.luck.random() >= self.backend.lose_share:
+        if self.backend.rng.random() >= self.backend.lose_share:
             return False
-        way = self.backend.luck.randrange(3)
+        way = self.backend.rng.randrange(3)
         if way == 0:
             self.break_off()
         elif way == 1:
@@ -308,22 +308,22 @@
             self.stuck = True
         return True
 
-    def _done(self, *, asked: Asked, rows: tuple[bytes, ...]) -> None:
+    def _done(self, *, asked: ClientStatement, rows: tuple[bytes, ...]) -> None:
         stamp = self.backend.stamp()
         asked.stamps[stamp] = rows
         if not self._lose():
             self._ready(b"".join(b"ROW " + row + b"\r\n" for row in rows) + b"DONE " + stamp + b"\r\n")
 
-    def _read(self, asked: Asked) -> None:
+    def _read(self, asked: ClientStatement) -> None:
         backend = self.backend
         backend.referee.ran(asked=asked, door=self)
-        if backend.luck.random() < backend.fail_share:
+        if backend.rng.random() < backend.fail_share:
             self._error(b"FAILED " + backend.name.encode(), fails=True)
             return
-        count = 1 + backend.luck.randrange(2)
-        self._done(asked=asked, rows=tuple(b"%x" % backend.luck.getrandbits(48) for _ in range(count)))
+        count = 1 + backend.rng.randrange(2)
+        self._done(asked=asked, rows=tuple(b"%x" % backend.rng.getrandbits(48) for _ in range(count)))
 
-    def _write(self, asked: Asked) -> None:
+    def _write(self, asked: ClientStatement) -> None:
         backend = self.backend
         if self.state == b"I":
             if not backend.leads:
@@ -339,14 +339,14 @@
         self.writes.append(asked)
         self._done(asked=asked, rows=())
 
-    def _append(self, *, asked: Asked, writes: tuple[Asked, ...]) -> None:
+    def _append(self, *, asked: ClientStatement, writes: tuple[ClientStatement, ...]) -> None:
         def done(entry: LogEntry) -> None:
             if self.transport is not None:
                 self._done(asked=asked, rows=())
 
         self.committing = self.backend.commit(writes=writes, done=done)
 
-    def _commit(self, *, asked: Asked, lost: bool) -> None:
+    def _commit(self, *, asked: ClientStatement, lost: bool) -> None:
         own = self.backend.name.encode()
         if self.state == b"I":
             self._error(b"GARBLED no transaction")
@@ -361,7 +361,7 @@
         ):
             self._error(b"BUSY " + own)
 
-    def _commit_now(self, asked: Asked) -> None:
+    def _commit_now(self, asked: ClientStatement) -> None:
         if self.writes and self.lead_life != self.backend.lead_life:
             self.state = b"E"
             self._error(b"READONLY " + self.backend.name.encode())
--- a/src/cinderstair/simulation/platformsim/cap_checker.py
+++ b/src/cinderstair/simulation/platformsim/cap_checker.py
@@ -1,11 +1,11 @@
-"""What all booths together hold at a backend stays within its cap, less what is left for control."""
+"""What all proxies together hold at a backend stays within its cap, less what is left for control."""
 
 from ...pooler.router import CONTROL_LINKS
 from .checker import Checker
 
 
 class CapChecker(Checker):
-    """Judged where links are fewer than booths; else each booth's part is its own affair."""
+    """Judged where links are fewer than proxies; else each proxy's part is its own affair."""
 
     rule = "CAP"
 
@@ -16,13 +16,13 @@
         self.most = 0
 
     def greeted(self, *, backend: str, held: int, max_links: int, scarce: bool) -> None:
-        """A booth's connection is taken in; `held` are those of booths that live, this one included."""
+        """A proxy's connection is taken in; `held` are those of proxies that live, this one included."""
         self.opened += 1
         self.most = max(self.most, held)
         if scarce:
             self.judge(
                 fine=held <= max_links - CONTROL_LINKS,
-                what=f"booths hold {held} of {max_links} connections at {backend}",
+                what=f"proxies hold {held} of {max_links} connections at {backend}",
             )
 
     def refused(self) -> None:
--- a/src/cinderstair/simulation/platformsim/asked.py
+++ b/src/cinderstair/simulation/platformsim/client_statement.py
@@ -8,11 +8,12 @@
 
 
 @dataclass(eq=False, kw_only=True)
-class Asked:
+class ClientStatement:
     """Kinds: read, write, begin, begin_read, commit, undo.
 
     `first_us` is when the first byte of it, or of its transaction, left. `values` are the session values that were
-    acknowledged by then; `shape` is what the client prepared, where it runs a name. `told_us` is the moment of its
+    acknowledged by then; `shape` is what the client prepared, where it runs a name. `reported_us` is the moment of
+    its
     answer.
     """
 
@@ -23,7 +24,7 @@
     sent_us: int
     first_us: int
     alone: bool
-    booth: str
+    proxy: str
     values: dict[bytes, bytes] = field(default_factory=dict)
     shape: tuple[bytes, bool] | None = None
     rest: bytes = b""
--- a/src/cinderstair/simulation/platformsim/client_wire.py
+++ b/src/cinderstair/simulation/platformsim/client_wire.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from .answer import Answer
+from .answer import ClientAnswer
 from .referee import Referee
 
 CODES = frozenset(
@@ -19,8 +19,8 @@
         self.referee = referee
         self.transport: Any = None
         self.rest = b""
-        self.waiting: asyncio.Future[Answer] | None = None
-        self.answer = Answer()
+        self.waiting: asyncio.Future[ClientAnswer] | None = None
+        self.answer = ClientAnswer()
         self.greeting = False
         self.ended = False
 
@@ -73,9 +73,9 @@
         else:
             self._wrong(line)
 
-    def ask(self, *, line: bytes, greeting: bool = False) -> asyncio.Future[Answer]:
+    def request(self, *, line: bytes, greeting: bool = False) -> asyncio.Future[ClientAnswer]:
         self.waiting = asyncio.get_running_loop().create_future()
-        self.answer, self.greeting = Answer(), greeting
+        self.answer, self.greeting = ClientAnswer(), greeting
         if self.open:
             self.transport.write(line + b"\r\n")
         else:
--- a/src/cinderstair/simulation/platformsim/config_checker.py
+++ b/src/cinderstair/simulation/platformsim/config_checker.py
@@ -57,9 +57,9 @@
         self.judge(fine=not 200 <= status < 300, what=f"something invalid got {status}: {body[:80]!r}")
 
     def looked(
-        self, *, booth: str, life: int, database: str, there: bool, sent_us: int, now_us: int, in_touch: bool
+        self, *, proxy: str, life: int, database: str, there: bool, sent_us: int, now_us: int, in_touch: bool
     ) -> None:
-        """A booth treated a database as there, or as not there."""
+        """A proxy treated a database as there, or as not there."""
         allows = [
             version
             for version, contents in self.databases.items()
@@ -67,14 +67,14 @@
         ]
         acked = [version for version, at_us in self.acked_us.items() if at_us + self.apply_us <= sent_us]
         newest = max(acked, default=0)
-        words = f"{booth} takes {database} as {'there' if there else 'not there'}"
+        words = f"{proxy} takes {database} as {'there' if there else 'not there'}"
         if newest and in_touch:
             self.applied += 1
             self.judge(
                 fine=any(version >= newest for version in allows),
                 what=f"{words} {(sent_us - self.acked_us[newest]) // 1_000} ms after {newest} was acknowledged",
             )
-        floors = self.floors.setdefault((booth, life), [])
+        floors = self.floors.setdefault((proxy, life), [])
         floor = max((version for at_us, version in floors if at_us + self.step_back_us < sent_us), default=0)
         self.judge(fine=not allows or max(allows) >= floor, what=f"{words} after {floor} was seen there")
         if allows:
--- a/src/cinderstair/simulation/platformsim/config_trials.py
+++ b/src/cinderstair/simulation/platformsim/config_trials.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from .lead_trials import BACK_MS
+from .failover_trials import BACK_MS
 from .platform_world import PlatformWorld
 
 
@@ -11,10 +11,10 @@
     """Something invalid that looks like a configuration of a high version."""
     document: dict[str, Any] = json.loads(body)
     routes = document["routes"]
-    route = world.luck.choice(routes)
-    way = world.luck.randrange(7)
+    route = world.rng.choice(routes)
+    way = world.rng.randrange(7)
     if way == 0:
-        return body[: world.luck.randrange(1, len(body))]
+        return body[: world.rng.randrange(1, len(body))]
     if way == 1:
         route["target"] = "nobody"
     elif way == 2:
@@ -38,20 +38,20 @@
     world.prober.pause_s = 0.1
     bodies: list[bytes] = [world.configuration(version=3)]
     for _ in range(5):
-        for _ in range(world.luck.choice((1, 1, 2))):
-            extra ^= {world.luck.choice(("extra-0", "extra-1", "extra-2"))}
+        for _ in range(world.rng.choice((1, 1, 2))):
+            extra ^= {world.rng.choice(("extra-0", "extra-1", "extra-2"))}
             body = world.configuration(
-                version=next(versions), extra=tuple(sorted(extra)), give_up_ms=world.luck.randrange(700, 1_200)
+                version=next(versions), extra=tuple(sorted(extra)), give_up_ms=world.rng.randrange(700, 1_200)
             )
             bodies.append(body)
             world.put(body=body)
-            if world.luck.random() < 0.5:
+            if world.rng.random() < 0.5:
                 world.put(body=body)
-        if world.luck.random() < 0.6:
+        if world.rng.random() < 0.6:
             world.put(body=spoiled(world=world, body=world.configuration(version=5_000)), valid=False)
-        if world.luck.random() < 0.6:
-            world.put(body=world.luck.choice(bodies))
-        world.advance(for_ms=world.luck.choice((50, 400, 3_400)))
+        if world.rng.random() < 0.6:
+            world.put(body=world.rng.choice(bodies))
+        world.advance(for_ms=world.rng.choice((50, 400, 3_400)))
     # why: the oldest of all arrives once more, when everything else has been answered
     world.advance(for_ms=1_000)
     world.put(body=bodies[0])
@@ -59,13 +59,13 @@
 
 
 def configurations_under_kills(world: PlatformWorld) -> None:
-    """As routes come and go, guildhalls are killed right after they have acknowledged something."""
+    """As routes come and go, controllers are killed right after they have acknowledged something."""
     world.prober.databases.extend(["extra-0", "extra-1"])
     extra: set[str] = set()
     for version in (11, 12, 20):
-        extra ^= {world.luck.choice(("extra-0", "extra-1"))}
+        extra ^= {world.rng.choice(("extra-0", "extra-1"))}
         task = world.put(body=world.configuration(version=version, extra=tuple(sorted(extra))))
         world.await_that(test=task.done, within_ms=BACK_MS, what=f"version {version} is answered")
-        world.kill(name=world.luck.choice(world.guildhalls), again_us=world.luck.choice((300_000, 1_500_000)))
-        world.advance(for_ms=world.luck.choice((100, 3_000)))
+        world.kill(name=world.rng.choice(world.controllers), again_us=world.rng.choice((300_000, 1_500_000)))
+        world.advance(for_ms=world.rng.choice((100, 3_000)))
     world.advance(for_ms=5_000)
--- a/src/cinderstair/simulation/platformsim/control_mix.py
+++ b/src/cinderstair/simulation/platformsim/control_mix.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from .lead_trials import BACK_MS
+from .failover_trials import BACK_MS
 from .platform_world import CATCH_UP_US, PlatformWorld
 
 DAY_MS = 30_000
@@ -14,11 +14,11 @@
 
 
 class ControlMix:
-    """One day's troubles. A guildhall is lost only when the one before has been back for `catch_up_s`."""
+    """One day's troubles. A controller is lost only when the one before has been back for `catch_up_s`."""
 
     def __init__(self, *, world: PlatformWorld) -> None:
         self.world = world
-        self.luck = world.luck
+        self.rng = world.rng
         self.may_lose_us = 0
         self.later: list[tuple[int, Over]] = []
         self.version = 10
@@ -42,17 +42,17 @@
         for call in due:
             call()
 
-    def _guildhall(self) -> str:
+    def _controller(self) -> str:
         """Often the one whose disk has lasted longest."""
         world = self.world
-        return world.guildhalls[0] if self.luck.random() < 0.4 else self.luck.choice(world.guildhalls)
+        return world.controllers[0] if self.rng.random() < 0.4 else self.rng.choice(world.controllers)
 
-    # -- losses of a guildhall --
+    # -- losses of a controller --
 
     def kill(self) -> None:
-        down_ms = self.luck.randrange(100, 3_000)
+        down_ms = self.rng.randrange(100, 3_000)
         self._lost_for(ms=down_ms)
-        self.world.kill(name=self._guildhall(), again_us=down_ms * 1_000)
+        self.world.kill(name=self._controller(), again_us=down_ms * 1_000)
 
     def power(self) -> None:
         self._dark(wipe=False)
@@ -61,28 +61,28 @@
         self._dark(wipe=True)
 
     def _dark(self, *, wipe: bool) -> None:
-        name, down_ms = self._guildhall(), self.luck.randrange(300, 4_000)
+        name, down_ms = self._controller(), self.rng.randrange(300, 4_000)
         self._lost_for(ms=down_ms)
         self.world.power_off(name=name, wipe=wipe)
         self._at(in_ms=down_ms, call=lambda: self.world.power_on(name=name))
 
     def freeze(self) -> None:
-        name, for_ms = self._guildhall(), self.luck.randrange(300, 5_000)
+        name, for_ms = self._controller(), self.rng.randrange(300, 5_000)
         self._lost_for(ms=for_ms)
         self.world.freeze(name=name)
         self._at(in_ms=for_ms, call=lambda: self.world.thaw(name=name))
 
     def cut(self) -> None:
-        name, for_ms = self._guildhall(), self.luck.randrange(500, CUT_MOST_MS)
+        name, for_ms = self._controller(), self.rng.randrange(500, CUT_MOST_MS)
         self._lost_for(ms=for_ms)
-        self.world.cut_off_guildhall(name=name, both=self.luck.random() < 0.6)
+        self.world.cut_off_controller(name=name, both=self.rng.random() < 0.6)
         self._at(in_ms=for_ms, call=self.world.heal)
 
-    def stall_disk(self) -> None:
-        name, for_ms = self._guildhall(), self.luck.randrange(500, 4_000)
+    def http_proxy_disk(self) -> None:
+        name, for_ms = self._controller(), self.rng.randrange(500, 4_000)
         self._lost_for(ms=for_ms)
         disk = self.world.disks[name]
-        disk.hangs = self.luck.choice((0.05, 0.4, 2.0))
+        disk.hangs = self.rng.choice((0.05, 0.4, 2.0))
         self.world.note(name=name, for_us=for_ms * 1_000)
 
         def over() -> None:
@@ -92,51 +92,51 @@
 
     def replace(self) -> None:
         """Gone without a word; an empty one comes a while later at another address."""
-        name, gone_ms = self._guildhall(), self.luck.randrange(200, 2_500)
+        name, gone_ms = self._controller(), self.rng.randrange(200, 2_500)
         zone = self.world.zones[name]
         self._lost_for(ms=gone_ms)
-        self.world.remove_guildhall(name=name)
-        self._at(in_ms=gone_ms, call=lambda: self._newcomer(zone=zone))
+        self.world.remove_controller(name=name)
+        self._at(in_ms=gone_ms, call=lambda: self._joiner(zone=zone))
 
     def replace_planned(self) -> None:
         """The new one first, then the old one's planned end."""
-        world, name = self.world, self._guildhall()
-        self._newcomer(zone=world.zones[name])
-        wait_ms = self.luck.randrange(1_000, 5_000)
+        world, name = self.world, self._controller()
+        self._joiner(zone=world.zones[name])
+        wait_ms = self.rng.randrange(1_000, 5_000)
         self._lost_for(ms=wait_ms + 6_000)
 
         def leave() -> None:
-            if name in world.roles and name in world.guildhalls:
+            if name in world.roles and name in world.controllers:
                 gone = world.leave_for_good(name=name)
-                gone.add_done_callback(lambda _: world.remove_guildhall(name=name))
+                gone.add_done_callback(lambda _: world.remove_controller(name=name))
 
         self._at(in_ms=wait_ms, call=leave)
 
-    def _newcomer(self, *, zone: str) -> None:
+    def _joiner(self, *, zone: str) -> None:
         self.newcomers += 1
-        self.world.add_guildhall(name=f"guildhall-n{self.newcomers}", zone=zone)
+        self.world.add_controller(name=f"guildhall-n{self.newcomers}", zone=zone)
 
     def stop(self) -> None:
         self._lost_for(ms=6_500)
-        self.world.stop(name=self._guildhall())
+        self.world.stop(name=self._controller())
 
     def herd(self) -> None:
         """All at once, whatever may be lost; their disks stay."""
-        down_ms = self.luck.randrange(200, 1_000)
+        down_ms = self.rng.randrange(200, 1_000)
         self._lost_for(ms=down_ms)
-        for name in self.world.guildhalls:
+        for name in self.world.controllers:
             self.world.kill(name=name, again_us=down_ms * 1_000)
 
     # -- anything else, at any moment --
 
     def order(self) -> None:
-        self.version += self.luck.randrange(1, 4)
+        self.version += self.rng.randrange(1, 4)
         body = self.world.configuration(version=self.version, extra=(f"extra-{self.version}",))
         self.bodies.append(body)
         self.world.put(body=body)
 
     def orders(self) -> None:
-        for _ in range(self.luck.randrange(2, ORDERS_MOST)):
+        for _ in range(self.rng.randrange(2, ORDERS_MOST)):
             self.order()
 
     def race(self) -> None:
@@ -147,33 +147,33 @@
 
     def order_again(self) -> None:
         if self.bodies:
-            self.world.put(body=self.luck.choice(self.bodies))
+            self.world.put(body=self.rng.choice(self.bodies))
 
-    def booth(self) -> None:
-        self.world.kill(name=self.luck.choice(self.world.booths), again_us=self.luck.randrange(100_000, 2_000_000))
+    def proxy(self) -> None:
+        self.world.kill(name=self.rng.choice(self.world.proxies), again_us=self.rng.randrange(100_000, 2_000_000))
 
     def reset(self) -> None:
-        self.world.reset(name=self.luck.choice([*self.world.guildhalls, *self.world.booths]))
+        self.world.reset(name=self.rng.choice([*self.world.controllers, *self.world.proxies]))
 
     def seeds(self) -> None:
         """Settings name other machines, some of which may be out of reach."""
         world = self.world
-        self.luck.shuffle(world.controls)
+        self.rng.shuffle(world.controls)
         for name, role in world.roles.items():
             role.resettle(machine=world.machine(name=name))
 
     def crash(self) -> None:
         ready = [each for each in self.world.backends.values() if each.up and not each.emptying]
         if ready:
-            again_us = self.luck.randrange(500_000, 5_000_000)
-            self.world.crash(backend=self.luck.choice(ready), again_us=again_us, dark=self.luck.random() < 0.4)
+            again_us = self.rng.randrange(500_000, 5_000_000)
+            self.world.crash(backend=self.rng.choice(ready), again_us=again_us, dark=self.rng.random() < 0.4)
 
     def release(self) -> None:
         ready = [each for each in self.world.backends.values() if each.up and not each.emptying]
         # why: a service of which all leave at once has nobody left, whatever control does
         apart = [each for each in ready if all(o.up and not o.emptying for o in each.service.backends.values())]
         if apart:
-            self.world.release(backend=self.luck.choice(apart), goodbye_first=self.luck.random() < 0.4)
+            self.world.release(backend=self.rng.choice(apart), deregister_first=self.rng.random() < 0.4)
 
     @property
     def losses(self) -> tuple[Over, ...]:
@@ -185,7 +185,7 @@
             self.freeze,
             self.cut,
             self.cut,
-            self.stall_disk,
+            self.http_proxy_disk,
             self.replace,
             self.replace,
             self.replace_planned,
@@ -200,7 +200,7 @@
             self.orders,
             self.race,
             self.order_again,
-            self.booth,
+            self.proxy,
             self.reset,
             self.seeds,
             self.crash,
@@ -209,18 +209,18 @@
 
     def play(self) -> None:
         """Losses as soon as they may come, and others at any moment."""
-        self.world.operator.lost_answers = self.luck.choice((0.0, 0.3, 0.7))
-        moments = sorted(self.luck.randrange(DAY_MS) for _ in range(DRAWS))
+        self.world.operator.lost_answers = self.rng.choice((0.0, 0.3, 0.7))
+        moments = sorted(self.rng.randrange(DAY_MS) for _ in range(DRAWS))
         until_us = self.world.now_us + DAY_MS * 1_000
         began_us = self.world.now_us
         while self.world.now_us < until_us or self.later:
             self._run_due()
             # why: at the shortest spacing that is allowed half of the time
-            if self.world.now_us < until_us and self._may_lose() and self.luck.random() < 0.15:
-                self.luck.choice(self.losses)()
+            if self.world.now_us < until_us and self._may_lose() and self.rng.random() < 0.15:
+                self.rng.choice(self.losses)()
             while moments and began_us + moments[0] * 1_000 <= self.world.now_us:
                 moments.pop(0)
-                self.luck.choice(self.others)()
+                self.rng.choice(self.others)()
             self.world.advance(for_ms=STEP_MS)
         self.world.operator.lost_answers = 0.0
 
@@ -248,11 +248,11 @@
     mix.version += 1
     task = world.put(body=world.configuration(version=mix.version, extra=("late",)))
     world.await_that(test=task.done, within_ms=BACK_MS, what="a configuration is answered")
-    machines = [*world.guildhalls, *world.booths]
-    wiped = world.guildhalls[0] if world.luck.random() < 0.7 else ""
+    machines = [*world.controllers, *world.proxies]
+    wiped = world.controllers[0] if world.rng.random() < 0.7 else ""
     for name in machines:
         world.power_off(name=name, wipe=name == wiped)
-    world.advance(for_ms=world.luck.randrange(500, 2_000))
+    world.advance(for_ms=world.rng.randrange(500, 2_000))
     for name in machines:
         world.power_on(name=name)
     world.referee.recover.back_us = world.now_us
--- a/src/cinderstair/simulation/platformsim/control_trials.py
+++ b/src/cinderstair/simulation/platformsim/control_trials.py
@@ -23,17 +23,17 @@
 def cut_off_for_long(world: PlatformWorld) -> None:
     """A daemon of control is cut off from the others for twenty seconds; operators and backends still reach it.
 
-    Backends that leave report there first. Booths are restarted meanwhile, and know it as their first seed.
+    Backends that leave report there first. Proxies are restarted meanwhile, and know it as their first seed.
     """
     world.advance(for_ms=1_000)
-    alone = world.luck.choice(world.guildhalls)
+    alone = world.rng.choice(world.controllers)
     address = world.address(name=alone, door="control")
-    world.cut_off_guildhall(name=alone, both=world.luck.random() < 0.7)
+    world.cut_off_controller(name=alone, both=world.rng.random() < 0.7)
     world.controls.remove(address)
     world.controls.insert(0, address)
     for sender in world.senders.values():
-        sender.beat_to = address
-    leaver = world.luck.choice([world.primary(), *world.copies()])
+        sender.heartbeat_to = address
+    leaver = world.rng.choice([world.primary(), *world.replicas()])
     world.advance(for_ms=2_500)
     version = 10
     for turn in range(CUT_MS // ASK_EVERY_MS):
@@ -47,7 +47,7 @@
         if turn == 4:
             world.release(backend=leaver)
         if turn in (8, 20):
-            world.kill(name=world.luck.choice(world.booths))
+            world.kill(name=world.rng.choice(world.proxies))
         if turn % 10 == 5:
             world.put(body=body)
             version += 1
@@ -67,13 +67,13 @@
         ]
         bodies += pair
         tasks = [world.put(body=body) for body in pair]
-        if world.luck.random() < 0.5:
-            world.advance(for_ms=world.luck.randrange(400))
-            world.kill(name=world.luck.choice(world.guildhalls), again_us=300_000)
+        if world.rng.random() < 0.5:
+            world.advance(for_ms=world.rng.randrange(400))
+            world.kill(name=world.rng.choice(world.controllers), again_us=300_000)
         answered(world=world, tasks=tasks)
         if all(200 <= task.result() < 300 for task in tasks):
             world.referee.config.breach(what=f"both orders under {version} are confirmed")
-        world.advance(for_ms=world.luck.choice((100, 2_500)))
+        world.advance(for_ms=world.rng.choice((100, 2_500)))
     # why: long after they were overtaken each comes once more, to each daemon
     tasks = [world.put(body=body) for body in bodies for _ in range(2)]
     answered(world=world, tasks=tasks)
@@ -87,12 +87,12 @@
     version = 20
     for _ in range(3):
         tasks: list[asyncio.Task[int]] = []
-        for step in world.luck.sample(range(1, 30), 8):
+        for step in world.rng.sample(range(1, 30), 8):
             body = world.configuration(version=version + step, extra=(f"extra-{version + step}",))
             tasks.append(world.put(body=body))
         world.run(work=asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED))
-        name = world.luck.choice(world.guildhalls)
-        world.power_off(name=name, wipe=world.luck.random() < 0.5)
+        name = world.rng.choice(world.controllers)
+        world.power_off(name=name, wipe=world.rng.random() < 0.5)
         world.advance(for_ms=1_500)
         world.power_on(name=name)
         answered(world=world, tasks=tasks)
--- a/src/cinderstair/simulation/platformsim/trouble.py
+++ b/src/cinderstair/simulation/platformsim/disruption.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(kw_only=True)
-class Trouble:
+class Disruption:
     """`scope` is a machine's name, or `core`. Planned ones excuse less than others."""
 
     scope: str
--- a/src/cinderstair/simulation/platformsim/forward_faults.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -1,15 +1,14 @@
-"""Faults switched into what is passed on between booths."""
+"""Faults switched into what is passed on between proxies."""
 
 from typing import Any
 from unittest.mock import patch
 
 from expression import Error, Ok
 
-from ...pooler import forward_desk, router
-from ...pooler.forward_desk import ForwardDesk
+from ...pooler import forward_server, router
 from ...pooler.forward_record import Outcome
-from ...runtime.fault import Fault
-from ...runtime.kind import Kind
+from ...pooler.forward_server import ForwardServer
+from ...runtime.errors import CinderstairError, ErrorCode
 
 Patches = list[Any]
 
@@ -19,25 +18,29 @@
 
     def anyway(self: Any, *, question: Any) -> Any:
         pool = self.router.pools.get(question.backend)
-        return Ok(pool) if pool is not None else Error(Fault(kind=Kind.noBackend, why="unknown"))
+        return Ok(pool) if pool is not None else Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="unknown"))
 
-    return [patch.object(ForwardDesk, "may_send", anyway)]
+    return [patch.object(ForwardServer, "may_send", anyway)]
 
 
 def forwards_promised() -> Patches:
     """A holder that does not know what became of a statement says that it was not sent."""
-    single = ForwardDesk._single_now
+    single = ForwardServer._single_now
 
     async def promised(self: Any, *, question: Any) -> Any:
         outcome, reply = await single(self, question=question)
-        return self._refused(fault=Fault(kind=Kind.crowded, why="")) if outcome == Outcome.lost else (outcome, reply)
+        return (
+            self._refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
+            if outcome == Outcome.lost
+            else (outcome, reply)
+        )
 
-    return [patch.object(ForwardDesk, "_single_now", promised)]
+    return [patch.object(ForwardServer, "_single_now", promised)]
 
 
 def forwards_any_values() -> Patches:
     """A holder's link is not brought up to the values of the session that it serves."""
-    return [patch.object(forward_desk, "level", lambda *, link, values: None)]
+    return [patch.object(forward_server, "replay_values", lambda *, link, values: None)]
 
 
 def links_at_once() -> Patches:
--- a/src/cinderstair/simulation/platformsim/beat_sender.py
+++ b/src/cinderstair/simulation/platformsim/heartbeat_sender.py
@@ -9,13 +9,13 @@
 from .sim_streams import SimStreams
 from .stand_in_backend import StandInBackend
 
-BEAT_US = 1_000_000
+HEARTBEAT_US = 1_000_000
 MOST_ANSWER = 4_096
 LINGER_US = 1_200_000
 UNHEARD_US = 6_000_000
 
 
-class BeatSender:
+class HeartbeatSender:
     """Says what its backend is about once a second, and any change at once."""
 
     def __init__(
@@ -25,15 +25,15 @@
         streams: SimStreams,
         controls: list[str],
         referee: Referee,
-        luck: random.Random,
+        rng: random.Random,
     ) -> None:
         self.backend = backend
         self.streams = streams
         self.controls = controls
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.count = 0
-        self.beat_to = ""
+        self.heartbeat_to = ""
         self.changed = asyncio.Event()
         self.silent = False
         self.said = 0
@@ -59,8 +59,8 @@
     async def _call(self, *, method: str, body: bytes) -> bool:
         """True once one of the daemons has acknowledged it."""
         backend = self.backend
-        others = self.luck.sample(self.controls, len(self.controls))
-        for address in [self.beat_to, *others] if self.beat_to else others:
+        others = self.rng.sample(self.controls, len(self.controls))
+        for address in [self.heartbeat_to, *others] if self.heartbeat_to else others:
             answer = await http_call(
                 streams=self.streams,
                 address=address,
@@ -71,19 +71,19 @@
             if answer is not None and 200 <= answer[0] < 300 and len(answer[2]) <= MOST_ANSWER:
                 self._obey(answer[2])
                 return True
-            if address == self.beat_to:
-                self.beat_to = ""
+            if address == self.heartbeat_to:
+                self.heartbeat_to = ""
         return False
 
     def _obey(self, body: bytes) -> None:
         try:
             value = json.loads(body or b"{}")
         except ValueError:
-            self.referee.wire.breach(what=f"a beat is answered with {body[:60]!r}")
+            self.referee.wire.breach(what=f"a heartbeat is answered with {body[:60]!r}")
             return
         place = value.get("beat_to") if isinstance(value, dict) else None
         if isinstance(place, str) and place:
-            self.beat_to = place
+            self.heartbeat_to = place
 
     async def run(self) -> None:
         """For as long as this run of the backend lasts."""
@@ -95,23 +95,23 @@
                 self.said += 1
                 if leaving:
                     self.referee.drain.left(backend=self.backend.name, now_us=self.backend.now_us)
-            wait_us = BEAT_US - self.luck.randrange(BEAT_US // 10)
+            wait_us = HEARTBEAT_US - self.rng.randrange(HEARTBEAT_US // 10)
             try:
                 async with asyncio.timeout(wait_us / 1_000_000):
                     await self.changed.wait()
             except TimeoutError:
                 pass
 
-    async def leave(self, *, goodbye_first: bool = False) -> None:
-        """A planned end: says so, serves on for the time that it promised, says goodbye, and ends.
+    async def leave(self, *, deregister_first: bool = False) -> None:
+        """A planned end: says so, serves on for the time that it promised, deregisters, and ends.
 
-        Some say goodbye first and no more after it, and serve on as long.
+        Some deregister first and no more after it, and serve on as long.
         """
         backend, drain = self.backend, self.referee.drain
         backend.emptying = True
-        if goodbye_first:
+        if deregister_first:
             self.silent = True
-            await self._goodbye()
+            await self._deregister()
         else:
             self.changed.set()
         began_us = backend.now_us
@@ -123,11 +123,11 @@
             left_us = acked_us + drain.drain_us + LINGER_US - backend.now_us
             await asyncio.sleep(max(0, left_us) / 1_000_000)
         if backend.up:
-            if not goodbye_first:
+            if not deregister_first:
                 await self._call(method="DELETE", body=b"")
             drain.gone_us[backend.name] = backend.now_us
             backend.crash()
 
-    async def _goodbye(self) -> None:
+    async def _deregister(self) -> None:
         if await self._call(method="DELETE", body=b""):
             self.referee.drain.left(backend=self.backend.name, now_us=self.backend.now_us)
--- a/src/cinderstair/simulation/platformsim/http_listener.py
+++ b/src/cinderstair/simulation/platformsim/http_listener.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import Any
 
-Answer = Callable[[int, bytes], None]
-Handle = Callable[[str, str, dict[str, str], bytes, Answer], None]
+ClientAnswer = Callable[[int, bytes], None]
+SessionToken = Callable[[str, str, dict[str, str], bytes, ClientAnswer], None]
 
 
 class HttpListener(asyncio.Protocol):
     """Reads requests with a stated length and hands each on with a way to answer it."""
 
-    def __init__(self, *, handle: Handle) -> None:
+    def __init__(self, *, handle: SessionToken) -> None:
         self.handle = handle
         self.data = b""
         self.transport: Any = None
--- a/src/cinderstair/simulation/platformsim/late_checker.py
+++ b/src/cinderstair/simulation/platformsim/late_checker.py
@@ -1,7 +1,7 @@
 """Nothing is written for a client that was told long ago how it ended."""
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 
 LATE_US = 1_000_000
 
@@ -15,7 +15,7 @@
         super().__init__()
         self.cut_us = -10_000_000
 
-    def arrived(self, *, asked: Asked, now_us: int, backend: str) -> None:
+    def arrived(self, *, asked: ClientStatement, now_us: int, backend: str) -> None:
         if asked.kind not in ("write", "commit") or now_us - self.cut_us < 5 * LATE_US:
             return
         late_us = 0 if asked.told_us is None else now_us - asked.told_us
--- a/src/cinderstair/simulation/platformsim/listener.py
+++ b/src/cinderstair/simulation/platformsim/listener.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..virtualloop import Boot
+from ..virtual_loop import Boot
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cinderstair/simulation/platformsim/log_entry.py
+++ b/src/cinderstair/simulation/platformsim/log_entry.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from .asked import Asked
+from .client_statement import ClientStatement
 
 
 @dataclass(eq=False, kw_only=True)
@@ -11,11 +11,11 @@
 
     term: int
     number: int
-    writes: tuple[Asked, ...]
+    writes: tuple[ClientStatement, ...]
     backend: str
     service: str = ""
     # why: writes that were brought from another service's log stand here too, and are nobody's second effect
-    brought: tuple[Asked, ...] = ()
+    brought: tuple[ClientStatement, ...] = ()
     at_us: int
     # why: what the client saw, which is what promises rest on
     acked_us: int | None = None
--- a/src/cinderstair/simulation/platformsim/machine_trials.py
+++ b/src/cinderstair/simulation/platformsim/machine_trials.py
@@ -1,27 +1,27 @@
 """Trials in which machines of the system, or what lies between them, are troubled."""
 
-from .lead_trials import BACK_MS
+from .failover_trials import BACK_MS
 from .platform_world import PlatformWorld
 
 
 def back(*, world: PlatformWorld) -> None:
-    world.await_that(test=world.serves, within_ms=BACK_MS, what="every booth serves")
+    world.await_that(test=world.serves, within_ms=BACK_MS, what="every proxy serves")
 
 
-def guildhall_killed(world: PlatformWorld) -> None:
+def controller_killed(world: PlatformWorld) -> None:
     world.advance(for_ms=1_000)
-    for name in world.luck.sample(world.guildhalls, len(world.guildhalls)):
-        world.kill(name=name, again_us=world.luck.choice((300_000, 2_000_000)))
+    for name in world.rng.sample(world.controllers, len(world.controllers)):
+        world.kill(name=name, again_us=world.rng.choice((300_000, 2_000_000)))
         world.advance(for_ms=2_800)
     back(world=world)
     world.advance(for_ms=1_000)
 
 
 def backends_unheard(world: PlatformWorld) -> None:
-    """All guildhalls begin anew while no beat reaches them; booths reach backends as before."""
+    """All controllers begin anew while no beat reaches them; proxies reach backends as before."""
     world.advance(for_ms=800)
-    world.cut(ones=list(world.backends), others=world.guildhalls)
-    for name in world.guildhalls:
+    world.cut(ones=list(world.backends), others=world.controllers)
+    for name in world.controllers:
         world.kill(name=name, again_us=300_000)
     world.advance(for_ms=4_000)
     world.heal()
@@ -29,15 +29,15 @@
     world.advance(for_ms=2_000)
 
 
-def guildhall_wiped(world: PlatformWorld) -> None:
+def controller_wiped(world: PlatformWorld) -> None:
     """A machine with a disk loses power and its disk, and starts again at its old address."""
     world.advance(for_ms=800)
-    name = world.luck.choice(world.guildhalls)
+    name = world.rng.choice(world.controllers)
     world.power_off(name=name, wipe=True)
     world.advance(for_ms=3_000)
     world.power_on(name=name)
     world.advance(for_ms=4_000)
-    other = next(each for each in world.guildhalls if each != name)
+    other = next(each for each in world.controllers if each != name)
     world.power_off(name=other)
     world.advance(for_ms=1_500)
     world.power_on(name=other)
@@ -46,82 +46,82 @@
 
 
 def newest_on_one(world: PlatformWorld) -> None:
-    """All guildhalls lose power, and one its disk, which held the newest configuration beside one other's."""
+    """All controllers lose power, and one its disk, which held the newest configuration beside one other's."""
     world.advance(for_ms=1_500)
-    wiped, other, behind = world.luck.sample(world.guildhalls, 3)
+    wiped, other, behind = world.rng.sample(world.controllers, 3)
     world.cut(ones=[behind], others=[wiped, other])
     task = world.put(body=world.configuration(version=9, extra=("late",)))
     world.await_that(test=task.done, within_ms=8_000, what="a configuration is acknowledged")
-    for name in world.guildhalls:
+    for name in world.controllers:
         world.power_off(name=name, wipe=name == wiped)
     world.heal()
     world.advance(for_ms=1_600)
-    for name in world.guildhalls:
+    for name in world.controllers:
         world.power_on(name=name)
-    world.await_that(test=world.serves, within_ms=650, what="every booth serves")
+    world.await_that(test=world.serves, within_ms=650, what="every proxy serves")
     world.advance(for_ms=3_000)
 
 
-def booths_killed(world: PlatformWorld) -> None:
+def proxies_killed(world: PlatformWorld) -> None:
     world.advance(for_ms=1_000)
-    for name in world.luck.sample(world.booths, 2):
+    for name in world.rng.sample(world.proxies, 2):
         world.kill(name=name)
         world.advance(for_ms=2_500)
     back(world=world)
     world.advance(for_ms=1_500)
 
 
-def booths_frozen(world: PlatformWorld) -> None:
+def proxies_frozen(world: PlatformWorld) -> None:
     world.advance(for_ms=1_000)
-    for name in world.luck.sample(world.booths, 2):
+    for name in world.rng.sample(world.proxies, 2):
         world.freeze(name=name)
-        world.advance(for_ms=world.luck.randrange(300, 4_000))
+        world.advance(for_ms=world.rng.randrange(300, 4_000))
         world.thaw(name=name)
         world.advance(for_ms=1_500)
     back(world=world)
     world.advance(for_ms=1_000)
 
 
-def booth_alone(world: PlatformWorld) -> None:
-    """A booth reaches clients and backends, but no guildhall, for far longer than what it knows may count."""
+def proxy_alone(world: PlatformWorld) -> None:
+    """A proxy reaches clients and backends, but no controller, for far longer than what it knows may count."""
     world.advance(for_ms=1_000)
-    world.cut(ones=[world.luck.choice(world.booths)], others=world.guildhalls)
+    world.cut(ones=[world.rng.choice(world.proxies)], others=world.controllers)
     world.advance(for_ms=20_000)
     world.heal()
     back(world=world)
     world.advance(for_ms=2_000)
 
 
-def booth_frozen_in_move(world: PlatformWorld) -> None:
-    """A booth stands still while a lead moves, and goes on where it was."""
+def proxy_frozen_in_move(world: PlatformWorld) -> None:
+    """A proxy stands still while a lead moves, and goes on where it was."""
     world.advance(for_ms=1_000)
-    name = world.luck.choice(world.booths)
+    name = world.rng.choice(world.proxies)
     old = world.primary()
     world.crash(backend=old, again_us=500_000)
-    if world.luck.random() < 0.5:
-        world.advance(for_ms=world.luck.randrange(1_000))
+    if world.rng.random() < 0.5:
+        world.advance(for_ms=world.rng.randrange(1_000))
     world.freeze(name=name)
-    world.advance(for_ms=world.luck.randrange(1_500, 5_000))
+    world.advance(for_ms=world.rng.randrange(1_500, 5_000))
     world.thaw(name=name)
     back(world=world)
     world.advance(for_ms=3_000)
 
 
-def booths_stopped(world: PlatformWorld) -> None:
-    """SIGTERM to one booth after another, with much under way at each."""
+def proxies_stopped(world: PlatformWorld) -> None:
+    """SIGTERM to one proxy after another, with much under way at each."""
     for backend in world.backends.values():
         backend.slow = 30
     world.advance(for_ms=1_000)
-    for name in world.luck.sample(world.booths, 2):
+    for name in world.rng.sample(world.proxies, 2):
         world.stop(name=name)
         world.advance(for_ms=6_600)
     back(world=world)
     world.advance(for_ms=1_000)
 
 
-def guildhalls_stopped(world: PlatformWorld) -> None:
+def controllers_stopped(world: PlatformWorld) -> None:
     world.advance(for_ms=1_000)
-    for name in world.guildhalls[:2]:
+    for name in world.controllers[:2]:
         world.stop(name=name)
         world.advance(for_ms=4_500)
     back(world=world)
@@ -133,14 +133,14 @@
     world.advance(for_ms=2_500)
     task = world.put(body=world.configuration(version=9, extra=("late",)))
     world.await_that(test=task.done, within_ms=8_000, what="a configuration is acknowledged")
-    machines = [*world.guildhalls, *world.booths]
+    machines = [*world.controllers, *world.proxies]
     for name in machines:
         if dark:
             world.power_off(name=name)
         else:
-            world.kill(name=name, again_us=world.luck.randrange(300_000, 900_000))
+            world.kill(name=name, again_us=world.rng.randrange(300_000, 900_000))
     if dark:
-        world.advance(for_ms=world.luck.randrange(500, 3_000))
+        world.advance(for_ms=world.rng.randrange(500, 3_000))
         for name in machines:
             world.power_on(name=name)
     else:
@@ -174,8 +174,8 @@
     """A primary and a copy take many times as long, and some reads fail."""
     world.advance(for_ms=500)
     world.primary().slow = 25
-    copy = world.luck.choice(world.copies(service="ledger1"))
-    copy.slow, copy.fail_share = 60, 0.2
+    replica = world.rng.choice(world.replicas(service="ledger1"))
+    replica.slow, replica.fail_share = 60, 0.2
     world.advance(for_ms=6_000)
     for backend in world.backends.values():
         backend.slow, backend.fail_share = 1, 0.0
@@ -184,13 +184,13 @@
 
 
 def connections_refused(world: PlatformWorld) -> None:
-    """Two booths can't open connections to a primary and to a copy, which are there for the others."""
+    """Two proxies can't open connections to a primary and to a copy, which are there for the others."""
     world.advance(for_ms=800)
-    primary, copy = world.primary(), world.luck.choice(world.copies(service="ledger1"))
-    for booth in world.luck.sample(world.booths, 2):
-        world.note(name=booth, for_us=4_000_000)
-        world.fabric.refusing |= {(booth, primary.name), (booth, copy.name)}
-        world.fabric.reset(host=booth)
+    primary, replica = world.primary(), world.rng.choice(world.replicas(service="ledger1"))
+    for proxy in world.rng.sample(world.proxies, 2):
+        world.note(name=proxy, for_us=4_000_000)
+        world.fabric.refusing |= {(proxy, primary.name), (proxy, replica.name)}
+        world.fabric.reset(host=proxy)
     world.advance(for_ms=4_000)
     world.fabric.refusing.clear()
     world.advance(for_ms=2_500)
@@ -200,7 +200,7 @@
 def connections_reset(world: PlatformWorld) -> None:
     world.advance(for_ms=800)
     for _ in range(8):
-        world.reset(name=world.luck.choice([*world.booths, *world.guildhalls, *world.backends]))
-        world.advance(for_ms=world.luck.randrange(200, 1_200))
+        world.reset(name=world.rng.choice([*world.proxies, *world.controllers, *world.backends]))
+        world.advance(for_ms=world.rng.randrange(200, 1_200))
     back(world=world)
     world.advance(for_ms=800)
--- a/src/cinderstair/simulation/platformsim/mixed_checker.py
+++ b/src/cinderstair/simulation/platformsim/mixed_checker.py
@@ -1,13 +1,13 @@
 """A success comes with the backend's own stamp and rows."""
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 
 
 class MixedChecker(Checker):
     rule = "MIXED"
 
-    def succeeded(self, *, asked: Asked, stamp: bytes, rows: tuple[bytes, ...]) -> None:
+    def succeeded(self, *, asked: ClientStatement, stamp: bytes, rows: tuple[bytes, ...]) -> None:
         given = asked.stamps.get(stamp)
         fine = given is not None and given == rows
         self.judge(fine=fine, what=f"{asked.ident!r} {asked.text[:40]!r} was told {stamp!r} {rows!r}, not {given!r}")
--- a/src/cinderstair/simulation/platformsim/pinned_checker.py
+++ b/src/cinderstair/simulation/platformsim/pinned_checker.py
@@ -2,8 +2,8 @@
 
 from typing import TYPE_CHECKING
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 
 if TYPE_CHECKING:
     from .backend_door import BackendDoor
@@ -12,7 +12,7 @@
 class PinnedChecker(Checker):
     rule = "PINNED"
 
-    def ran(self, *, asked: Asked, door: "BackendDoor") -> None:
+    def ran(self, *, asked: ClientStatement, door: "BackendDoor") -> None:
         where = f"{asked.attempt.client} {asked.ident!r} at {door.backend.name}"
         attempt = asked.attempt
         if asked.alone:
--- a/src/cinderstair/simulation/platformsim/platform_client.py
+++ b/src/cinderstair/simulation/platformsim/platform_client.py
@@ -4,9 +4,9 @@
 import random
 from collections.abc import Callable
 
-from .answer import Answer
-from .asked import Asked
+from .answer import ClientAnswer
 from .attempt import Attempt
+from .client_statement import ClientStatement
 from .client_wire import ClientWire
 from .referee import PROMISES, Referee
 from .sim_streams import SimStreams
@@ -15,7 +15,7 @@
 from .stream_fabric import StreamFabric
 
 DEADLINE_US = 2_500_000
-GREET_US = 2_000_000
+HANDSHAKE_US = 2_000_000
 TRIES = 3
 IDENTS = 1 << 62
 LEFT, UNOPENED, CUT, SILENT, DONE = "left", "unopened", "cut", "silent", "done"
@@ -36,7 +36,7 @@
         streams: SimStreams,
         platform: StandInPlatform,
         referee: Referee,
-        luck: random.Random,
+        rng: random.Random,
         think_us: int,
         long: bool,
         write_share: float,
@@ -53,7 +53,7 @@
         self.streams = streams
         self.platform = platform
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.think_us = think_us
         self.long = long
         self.write_share = write_share
@@ -63,7 +63,7 @@
         self.dropped = dropped
         self.stopped = False
         self.wire: ClientWire | None = None
-        self.booth = ""
+        self.proxy = ""
         self.sessions = 0
         self.session = 0
         self.values: dict[bytes, bytes] = {}
@@ -77,12 +77,12 @@
         return self.fabric.now_us
 
     async def run(self) -> None:
-        await asyncio.sleep(self.luck.randrange(self.think_us) / 1_000_000)
+        await asyncio.sleep(self.rng.randrange(self.think_us) / 1_000_000)
         while not self.stopped:
             await self._operate()
-            if not self.long or self.luck.random() < 0.02:
+            if not self.long or self.rng.random() < 0.02:
                 self._hang_up()
-            await asyncio.sleep(self.luck.randrange(self.think_us // 2, self.think_us * 3 // 2) / 1_000_000)
+            await asyncio.sleep(self.rng.randrange(self.think_us // 2, self.think_us * 3 // 2) / 1_000_000)
         self._hang_up()
 
     def _hang_up(self) -> None:
@@ -94,31 +94,31 @@
 
     def _statement(self, *, writes: bool) -> Step:
         """A read or write, at times under a prepared name."""
-        thing = b"k%d" % self.luck.randrange(40)
+        thing = b"k%d" % self.rng.randrange(40)
         if writes:
-            thing += b" %x" % self.luck.getrandbits(32)
+            thing += b" %x" % self.rng.getrandbits(32)
         names = sorted(name for name, (_, changes) in self.shapes.items() if changes == writes)
-        if names and self.luck.random() < 0.4:
-            return "write" if writes else "read", b"RUN " + self.luck.choice(names) + b" " + thing, 0
+        if names and self.rng.random() < 0.4:
+            return "write" if writes else "read", b"RUN " + self.rng.choice(names) + b" " + thing, 0
         return "write" if writes else "read", (b"PUT " if writes else b"FETCH ") + thing, 0
 
     def _draw(self) -> list[Step]:
         """The steps of an operation, each with the pause before it."""
-        writes = self.luck.random() < self.write_share
-        if self.luck.random() >= self.transaction_share:
+        writes = self.rng.random() < self.write_share
+        if self.rng.random() >= self.transaction_share:
             return [self._statement(writes=writes)]
         steps: list[Step] = [("begin" if writes else "begin_read", b"BEGIN" if writes else b"BEGIN FETCH", 0)]
-        count = self.luck.randrange(1, 5)
+        count = self.rng.randrange(1, 5)
         for number in range(count):
-            kind, text, _ = self._statement(writes=writes and (number == 0 or self.luck.random() < 0.5))
-            steps.append((kind, text, self.luck.choice(self.pauses_us)))
-        fate = self.luck.random()
+            kind, text, _ = self._statement(writes=writes and (number == 0 or self.rng.random() < 0.5))
+            steps.append((kind, text, self.rng.choice(self.pauses_us)))
+        fate = self.rng.random()
         if fate < 0.03:
             steps.append(("leave", b"", 30_000))
         elif fate < 0.13:
             steps.append(("undo", b"UNDO", 10_000))
         else:
-            steps.append(("commit", b"COMMIT", self.luck.choice((0, 20_000))))
+            steps.append(("commit", b"COMMIT", self.rng.choice((0, 20_000))))
         return steps
 
     async def _operate(self) -> None:
@@ -143,7 +143,7 @@
                 self.owed -= 1
                 return
             served = attempt.outcome == DONE
-            wait_us = self.luck.randrange(40_000, 120_000) << number
+            wait_us = self.rng.randrange(40_000, 120_000) << number
             if served or not self._again(attempt=attempt) or self.now_us + wait_us >= until_us:
                 break
             await asyncio.sleep(wait_us / 1_000_000)
@@ -165,53 +165,53 @@
     async def _open(self, *, until_us: int) -> bool:
         """A session, with its values and names; False where none came to be."""
         self.sessions += 1
-        self.booth = self.platform.assign(client=self.name, zone=self.zone, number=self.sessions)
+        self.proxy = self.platform.assign(client=self.name, zone=self.zone, number=self.sessions)
         opened = await self.streams.connect(
-            address=self.platform.fronts[self.booth],
+            address=self.platform.fronts[self.proxy],
             protocol=lambda: ClientWire(client=self.name, referee=self.referee),
-            wait_us=min(GREET_US, max(1, until_us - self.now_us)),
+            wait_us=min(HANDSHAKE_US, max(1, until_us - self.now_us)),
         )
         if opened.is_error():
             return False
         self.wire = opened.ok
-        self.session = self.luck.getrandbits(60)
+        self.session = self.rng.getrandbits(60)
         self.values, self.shapes = {}, {}
         line = b"GREET " + self.database.encode() + b" " + self.name.encode()
-        answer = await self._answer(line=line, until_us=self.now_us + GREET_US, greeting=True)
+        answer = await self._answer(line=line, until_us=self.now_us + HANDSHAKE_US, greeting=True)
         if answer is None or answer.code or answer.state != b"I":
             if answer is not None and answer.code:
                 self.referee.answers[f"greet {answer.code}"] += 1
             self._hang_up()
             return False
-        for number in range(self.luck.randrange(1, 3) if self.long else self.luck.randrange(2)):
+        for number in range(self.rng.randrange(1, 3) if self.long else self.rng.randrange(2)):
             if not await self._set(name=b"v%d" % number):
                 return False
-        for number in range(self.luck.randrange(1, 4) if self.long else 0):
+        for number in range(self.rng.randrange(1, 4) if self.long else 0):
             if not await self._name(name=b"s%d" % number):
                 return False
         return True
 
     async def _dress(self) -> bool:
         """Now and then a long session changes what it keeps."""
-        fate = self.luck.random()
+        fate = self.rng.random()
         if fate < 0.04:
-            return await self._set(name=b"v%d" % self.luck.randrange(3))
+            return await self._set(name=b"v%d" % self.rng.randrange(3))
         if fate < 0.07:
-            return await self._name(name=b"s%d" % self.luck.randrange(3))
+            return await self._name(name=b"s%d" % self.rng.randrange(3))
         if fate < 0.08 and self.shapes:
-            name = self.luck.choice(sorted(self.shapes))
+            name = self.rng.choice(sorted(self.shapes))
             answer = await self._plain(text=b"FORGET " + name)
             if answer is not None and not answer.code:
                 del self.shapes[name]
             return answer is not None and not answer.code
         return True
 
-    async def _plain(self, *, text: bytes) -> Answer | None:
-        ident = b"%016x" % self.luck.randrange(IDENTS)
-        return await self._answer(line=b"ASK " + ident + b" " + text, until_us=self.now_us + GREET_US)
+    async def _plain(self, *, text: bytes) -> ClientAnswer | None:
+        ident = b"%016x" % self.rng.randrange(IDENTS)
+        return await self._answer(line=b"ASK " + ident + b" " + text, until_us=self.now_us + HANDSHAKE_US)
 
     async def _set(self, *, name: bytes) -> bool:
-        value = b"%x" % self.luck.randrange(1 << 16)
+        value = b"%x" % self.rng.randrange(1 << 16)
         answer = await self._plain(text=b"SET " + name + b" " + value)
         if answer is None or answer.code or answer.state != b"I":
             self._hang_up()
@@ -220,8 +220,8 @@
         return True
 
     async def _name(self, *, name: bytes) -> bool:
-        writes = self.luck.random() < 0.4
-        shape = b"q%d" % self.luck.randrange(6)
+        writes = self.rng.random() < 0.4
+        shape = b"q%d" % self.rng.randrange(6)
         answer = await self._plain(text=b"NAME " + name + (b" PUT " if writes else b" FETCH ") + shape)
         if answer is None or answer.code or answer.state != b"I":
             self._hang_up()
@@ -229,20 +229,20 @@
         self.shapes = {**self.shapes, name: (shape, writes)}
         return True
 
-    async def _answer(self, *, line: bytes, until_us: int, greeting: bool = False) -> Answer | None:
+    async def _answer(self, *, line: bytes, until_us: int, greeting: bool = False) -> ClientAnswer | None:
         """None after silence or a cut, after which the session is closed."""
         wire, asked_us = self.wire, self.now_us
         assert wire is not None
         try:
             async with asyncio.timeout(max(0.001, (until_us - asked_us) / 1_000_000)):
-                answer = await wire.ask(line=line, greeting=greeting)
-            self.answered(self.booth, asked_us, line[:40].decode())
+                answer = await wire.request(line=line, greeting=greeting)
+            self.answered(self.proxy, asked_us, line[:40].decode())
             return answer
         except TimeoutError:
             wire.close()
             return None
         except ConnectionError:
-            self.dropped(self.booth, asked_us, line[:40].decode())
+            self.dropped(self.proxy, asked_us, line[:40].decode())
             return None
 
     # -- one try --
@@ -267,7 +267,7 @@
                 until_us += pause_us
             if kind == "leave":
                 assert self.wire is not None
-                self.wire.close(farewell=self.luck.random() < 0.5)
+                self.wire.close(farewell=self.rng.random() < 0.5)
                 return LEFT
             first_us = first_us or self.now_us
             outcome = await self._send(attempt=attempt, kind=kind, text=text, first_us=first_us, until_us=until_us)
@@ -283,9 +283,9 @@
         return kind, (b"PUT " if kind == "write" else b"FETCH ") + rest, pause_us
 
     async def _send(self, *, attempt: Attempt, kind: str, text: bytes, first_us: int, until_us: int) -> str:
-        ident = b"%016x" % self.luck.randrange(IDENTS)
+        ident = b"%016x" % self.rng.randrange(IDENTS)
         runs = text.startswith(b"RUN")
-        asked = Asked(
+        asked = ClientStatement(
             ident=ident,
             text=text,
             kind=kind,
@@ -293,7 +293,7 @@
             sent_us=self.now_us,
             first_us=first_us,
             alone=not attempt.in_transaction,
-            booth=self.booth,
+            proxy=self.proxy,
             values=self.values,
             shape=self.shapes[text.split(b" ")[1]] if runs else None,
             rest=text.split(b" ", 2)[2] if runs else b"",
@@ -320,7 +320,7 @@
             self._hang_up()
         return DONE
 
-    async def _failed(self, *, attempt: Attempt, asked: Asked, answer: Answer) -> str:
+    async def _failed(self, *, attempt: Attempt, asked: ClientStatement, answer: ClientAnswer) -> str:
         self.referee.told(attempt=attempt, code=answer.code)
         if answer.code == "UNNAMED" and asked.shape is not None:
             self.referee.pinned.unnamed(client=self.name, name=asked.text.split(b" ")[1])
--- a/src/cinderstair/simulation/platformsim/platform_trials.py
+++ b/src/cinderstair/simulation/platformsim/platform_trials.py
@@ -8,8 +8,8 @@
     config_trials,
     control_mix,
     control_trials,
+    failover_trials,
     few_links_trials,
-    lead_trials,
     machine_trials,
     mixed_trials,
     shard_trials,
@@ -34,7 +34,7 @@
     clients: int = 9
     think_us: int = 280_000
     transaction_share: float = 0.3
-    booths: int = 3
+    proxies: int = 3
     services: int = 2
     max_links: int = 60
     region_us: int = REGION_US
@@ -54,41 +54,41 @@
 TRIALS: dict[str, Trial] = {
     trial.play.__name__ + trial.shape: trial
     for trial in (
-        Trial(lead_trials.calm_day),
-        Trial(lead_trials.primary_crash),
-        Trial(lead_trials.dark_primary, MOVE),
-        Trial(lead_trials.primary_crash_copy_deaf, MOVE),
-        Trial(lead_trials.copies_lag, MOVE),
-        Trial(lead_trials.copy_crash),
-        Trial(lead_trials.release_primary, ("LOST", "ONE", "DRAIN")),
-        Trial(lead_trials.leaving_primary_crash, ("LOST",)),
-        Trial(lead_trials.release_primary_copies_deaf, ("LOST",)),
-        Trial(lead_trials.release_primary_soon, drain_us=2_500_000),
-        Trial(lead_trials.release_primary_alone),
-        Trial(lead_trials.release_both, ("LOST", "DRAIN")),
-        Trial(lead_trials.release_both_far, ("LOST", "DRAIN"), region_us=40_000),
-        Trial(lead_trials.release_copies, ("DRAIN",)),
-        Trial(lead_trials.holder_killed, MOVE),
-        Trial(lead_trials.two_holders, MOVE),
-        Trial(lead_trials.booth_cut_off, MOVE),
-        Trial(lead_trials.booth_cut_off_unconfirmed, ("ONE", "REFUSED"), waits_for=0),
-        Trial(lead_trials.primary_cut),
-        Trial(lead_trials.primary_cut_from_booths, clients=18, booths=6),
-        Trial(lead_trials.silence_looked_at, clients=24, booths=4, services=5, think_us=700_000),
-        Trial(lead_trials.primary_dies_behind_detours, MOVE, clients=18, booths=6),
-        Trial(lead_trials.platform_troubled, (*MOVE, "REFUSED")),
-        Trial(lead_trials.far_regions, region_us=75_000),
-        Trial(lead_trials.candidate_crash, (*MOVE, "REFUSED")),
-        Trial(machine_trials.guildhall_killed),
+        Trial(failover_trials.calm_day),
+        Trial(failover_trials.primary_crash),
+        Trial(failover_trials.dark_primary, MOVE),
+        Trial(failover_trials.primary_crash_replica_deaf, MOVE),
+        Trial(failover_trials.replicas_lag, MOVE),
+        Trial(failover_trials.replica_crash),
+        Trial(failover_trials.release_primary, ("LOST", "ONE", "DRAIN")),
+        Trial(failover_trials.leaving_primary_crash, ("LOST",)),
+        Trial(failover_trials.release_primary_replicas_deaf, ("LOST",)),
+        Trial(failover_trials.release_primary_soon, drain_us=2_500_000),
+        Trial(failover_trials.release_primary_alone),
+        Trial(failover_trials.release_both, ("LOST", "DRAIN")),
+        Trial(failover_trials.release_both_far, ("LOST", "DRAIN"), region_us=40_000),
+        Trial(failover_trials.release_replicas, ("DRAIN",)),
+        Trial(failover_trials.holder_killed, MOVE),
+        Trial(failover_trials.two_holders, MOVE),
+        Trial(failover_trials.proxy_cut_off, MOVE),
+        Trial(failover_trials.proxy_cut_off_unconfirmed, ("ONE", "REFUSED"), waits_for=0),
+        Trial(failover_trials.primary_cut),
+        Trial(failover_trials.primary_cut_from_proxies, clients=18, proxies=6),
+        Trial(failover_trials.silence_looked_at, clients=24, proxies=4, services=5, think_us=700_000),
+        Trial(failover_trials.primary_dies_behind_detours, MOVE, clients=18, proxies=6),
+        Trial(failover_trials.platform_troubled, (*MOVE, "REFUSED")),
+        Trial(failover_trials.far_regions, region_us=75_000),
+        Trial(failover_trials.candidate_crash, (*MOVE, "REFUSED")),
+        Trial(machine_trials.controller_killed),
         Trial(machine_trials.backends_unheard),
-        Trial(machine_trials.guildhall_wiped),
+        Trial(machine_trials.controller_wiped),
         Trial(machine_trials.newest_on_one),
-        Trial(machine_trials.booths_killed),
-        Trial(machine_trials.booths_frozen),
-        Trial(machine_trials.booth_alone, clients=18),
-        Trial(machine_trials.booth_frozen_in_move),
-        Trial(machine_trials.booths_stopped, ("LOST",)),
-        Trial(machine_trials.guildhalls_stopped, ("LOST",)),
+        Trial(machine_trials.proxies_killed),
+        Trial(machine_trials.proxies_frozen),
+        Trial(machine_trials.proxy_alone, clients=18),
+        Trial(machine_trials.proxy_frozen_in_move),
+        Trial(machine_trials.proxies_stopped, ("LOST",)),
+        Trial(machine_trials.controllers_stopped, ("LOST",)),
         Trial(machine_trials.all_killed, ("RECOVER",)),
         Trial(machine_trials.all_powered_off, ("RECOVER",)),
         Trial(machine_trials.answers_lost),
@@ -109,7 +109,7 @@
         Trial(control_mix.control_mixed_closing, ("RECOVER",)),
         Trial(mixed_trials.mixed),
         *(
-            Trial(play, needs, clients=18, booths=6, max_links=9)
+            Trial(play, needs, clients=18, proxies=6, max_links=9)
             for play, needs in (
                 (few_links_trials.few_links_calm, ("CAP",)),
                 (few_links_trials.few_links_killed, ("CAP",)),
@@ -130,14 +130,14 @@
             ("SHARD", "CAP"),
             clients=24,
             think_us=90_000,
-            booths=6,
+            proxies=6,
             max_links=9,
         ),
         Trial(shard_trials.shards_in_a_match, ("SHARD",), clients=24, think_us=90_000),
         Trial(shard_trials.shards_in_a_rush, ("SHARD",), clients=18, transaction_share=0.7),
-        Trial(shard_trials.shards_booth_deaf, ("SHARD",)),
-        Trial(shard_trials.shards_booth_frozen, ("SHARD",)),
-        Trial(shard_trials.shards_booth_disagrees, ("SHARD",)),
+        Trial(shard_trials.shards_proxy_deaf, ("SHARD",)),
+        Trial(shard_trials.shards_proxy_frozen, ("SHARD",)),
+        Trial(shard_trials.shards_proxy_disagrees, ("SHARD",)),
         Trial(shard_trials.shards_too_few, ("SHARD",)),
         Trial(shard_trials.shards_not_brought, ("SHARD",)),
         Trial(shard_trials.shards_holder_killed, ("SHARD",)),
@@ -224,7 +224,7 @@
     world = PlatformWorld(
         seed=seed,
         waits_for=trial.waits_for,
-        booths=trial.booths,
+        proxies=trial.proxies,
         services=trial.services,
         max_links=trial.max_links,
         region_us=trial.region_us,
@@ -233,8 +233,8 @@
     )
     try:
         world.begin()
-        # why: what is dealt for the first time is taken a while after the last booth has its id and its place
-        world.advance(for_ms=3_000 if trial.booths > trial.max_links - CONTROL_LINKS else 0)
+        # why: what is dealt for the first time is taken a while after the last proxy has its id and its place
+        world.advance(for_ms=3_000 if trial.proxies > trial.max_links - CONTROL_LINKS else 0)
         count = trial.clients if clients is None else clients
         world.clients_begin(
             count=count,
--- a/src/cinderstair/simulation/platformsim/platform_wires.py
+++ b/src/cinderstair/simulation/platformsim/platform_wires.py
@@ -2,8 +2,8 @@
 
 import random
 
-from ..simnet import Wires
-from ..virtualloop import VirtualLoop
+from ..sim_net import Wires
+from ..virtual_loop import VirtualLoop
 
 FAST_US, SLOW_US = 300, 5_000
 
@@ -11,8 +11,8 @@
 class PlatformWires(Wires):
     """A dark machine neither says nor hears anything, and nobody is told so."""
 
-    def __init__(self, *, loop: VirtualLoop, luck: random.Random) -> None:
-        super().__init__(loop=loop, luck=luck)
+    def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
+        super().__init__(loop=loop, rng=rng)
         self.fast_us, self.slow_us = FAST_US, SLOW_US
         self.dark: set[str] = set()
 
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -9,11 +9,12 @@
 
 from ...runtime.context import Context
 from ...runtime.counters import Counters
-from ...runtime.nodisk import NoDisk
-from ..simdisk import SimDisk
-from ..simnet import SimNet
-from ..virtualloop import Boot, VirtualLoop
-from .beat_sender import BeatSender
+from ...runtime.no_disk import NoDisk
+from ..sim_disk import SimDisk
+from ..sim_net import SimNet
+from ..virtual_loop import Boot, VirtualLoop
+from .disruption import Disruption
+from .heartbeat_sender import HeartbeatSender
 from .platform_client import PlatformClient
 from .platform_wires import PlatformWires
 from .referee import APPLY_US, DRAIN_US, Referee
@@ -25,7 +26,6 @@
 from .stand_in_platform import StandInPlatform
 from .stand_in_service import StandInService
 from .stream_fabric import REGION_US, StreamFabric
-from .trouble import Trouble
 
 REGIONS = {"north-1": "north", "north-2": "north", "south-1": "south"}
 ZONES = tuple(REGIONS)
@@ -33,7 +33,7 @@
 GRACE_US = 5_000_000
 AGAIN_US = 600_000
 CATCH_UP_US = 4_000_000
-TICK_S = 0.1
+TIMER_PERIOD_S = 0.1
 SLACK_US = 200_000
 PAUSES_US = (0, 0, 20_000, 60_000, 150_000)
 PORTS = {"front": 9001, "ready": 9002, "control": 9003, "records": 9100, "backend": 9200, "platform": 9300}
@@ -47,8 +47,8 @@
         self,
         *,
         seed: int,
-        booths: int = 3,
-        guildhalls: int = 3,
+        proxies: int = 3,
+        controllers: int = 3,
         services: int = 2,
         backends: int = 3,
         waits_for: int = 1,
@@ -61,16 +61,16 @@
         self.seed = seed
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._wrong)
-        self.wires = PlatformWires(loop=self.loop, luck=self.luck_for(name="wires"))
-        self.fabric = StreamFabric(loop=self.loop, wires=self.wires, luck=self.luck_for(name="fabric"))
+        self.wires = PlatformWires(loop=self.loop, rng=self.rng_for(name="wires"))
+        self.fabric = StreamFabric(loop=self.loop, wires=self.wires, rng=self.rng_for(name="fabric"))
         self.fabric.region_us = self.wires.slow_us = region_us
-        self.luck = self.luck_for(name="world")
+        self.rng = self.rng_for(name="world")
         self.log_level = log_level
-        self.booths = [f"booth-{n}" for n in range(booths)]
-        self.guildhalls = [f"guildhall-{n}" for n in range(guildhalls)]
+        self.proxies = [f"booth-{n}" for n in range(proxies)]
+        self.controllers = [f"guildhall-{n}" for n in range(controllers)]
         self.errors: list[str] = []
         self.halted: dict[str, str] = {}
-        self.troubles: list[Trouble] = []
+        self.disruptions: list[Disruption] = []
         self.boots: dict[str, Boot] = {}
         self.roles: dict[str, Any] = {}
         self.contexts: dict[str, Context] = {}
@@ -80,17 +80,17 @@
         self.addresses: dict[str, str] = {}
         self.zones: dict[str, str] = {}
         self.retired: dict[str, StandInBackend] = {}
-        self.senders: dict[str, BeatSender] = {}
+        self.senders: dict[str, HeartbeatSender] = {}
         self.clients: list[PlatformClient] = []
         self.expected: set[str] = set()
         self.replaced = 0
-        # guildhalls that are cut off from a majority which has settled without them
+        # controllers that are cut off from a majority which has settled without them
         self.minority: set[str] = set()
         # how long after each loss in a row all voters were there again
         self.entered_us: list[int] = []
         self.referee = Referee(in_touch=lambda name: self.in_touch(name=name), drain_us=drain_us)
-        self.referee.booths = len(self.booths)
-        for number, name in enumerate([*self.guildhalls, *self.booths]):
+        self.referee.proxies = len(self.proxies)
+        for number, name in enumerate([*self.controllers, *self.proxies]):
             self._place(name=name, zone=ZONES[number % len(ZONES)])
         for name in ("platform", "operator", "prober"):
             self._place(name=name, zone=ZONES[0])
@@ -105,16 +105,16 @@
             for index in range(backends):
                 self._backend(service=service, index=index, leads=index == 0)
         self.handover = StandInHandover(services=self.services, referee=self.referee)
-        self.controls = [self.address(name=name, door="control") for name in self.guildhalls]
+        self.controls = [self.address(name=name, door="control") for name in self.controllers]
         self.platform = StandInPlatform(
             fabric=self.fabric,
             streams=self.streams(name="platform"),
             address=self.address(name="platform", door="platform"),
             services=self.services,
             referee=self.referee,
-            luck=self.luck_for(name="platform"),
-            fronts={name: self.address(name=name, door="front") for name in self.booths},
-            ready={name: self.address(name=name, door="ready") for name in self.booths},
+            rng=self.rng_for(name="platform"),
+            fronts={name: self.address(name=name, door="front") for name in self.proxies},
+            ready={name: self.address(name=name, door="ready") for name in self.proxies},
             zones=self.zones,
         )
         self.operator = StandInOperator(
@@ -122,14 +122,14 @@
             streams=self.streams(name="operator"),
             controls=self.controls,
             referee=self.referee,
-            luck=self.luck_for(name="operator"),
+            rng=self.rng_for(name="operator"),
         )
         self.prober = RouteProber(
             fabric=self.fabric,
             streams=self.streams(name="prober"),
             platform=self.platform,
             referee=self.referee,
-            luck=self.luck_for(name="prober"),
+            rng=self.rng_for(name="prober"),
             lives=lambda name: self.lives[name],
             databases=[],
         )
@@ -138,7 +138,7 @@
             for sort, _ in SORTS:
                 self.databases[f"{service_name}-{sort.partition('_')[0]}"] = service_name
 
-    def luck_for(self, *, name: str) -> random.Random:
+    def rng_for(self, *, name: str) -> random.Random:
         return random.Random(f"platform/{self.seed}/{name}")
 
     def _wrong(self, loop: Any, context: dict[str, Any]) -> None:
@@ -177,7 +177,7 @@
             zone=zone,
             fabric=self.fabric,
             referee=self.referee,
-            luck=self.luck_for(name=name),
+            rng=self.rng_for(name=name),
             leads=leads,
             # why: a primary's log passes to whoever comes to its address; a copy takes its own along
             log=old.log if old is not None and old.leads else None,
@@ -194,18 +194,18 @@
     def _context(self, *, name: str, boot: Boot) -> Context:
         life = self.lives[name]
         # why: no two machines' steady clocks agree, nor do one machine's before and after a restart
-        skew_us = self.luck_for(name=f"skew/{name}/{life}").randrange(10**12)
+        skew_us = self.rng_for(name=f"skew/{name}/{life}").randrange(10**12)
         log = logging.getLogger(f"platform.{name}")
         log.setLevel(self.log_level)
-        disk = self.disks.setdefault(name, SimDisk(luck=self.luck_for(name=f"disk/{name}")))
+        disk = self.disks.setdefault(name, SimDisk(rng=self.rng_for(name=f"disk/{name}")))
         return Context(
             name=name,
             site=self.zones[name],
-            luck=self.luck_for(name=f"luck/{name}/{life}"),
+            rng=self.rng_for(name=f"luck/{name}/{life}"),
             clock=lambda: self.now_us + skew_us,
             wall=lambda: self.now_us,
             net=SimNet(wires=self.wires, boot=boot),
-            disk=disk if name in self.guildhalls else NoDisk(),
+            disk=disk if name in self.controllers else NoDisk(),
             log=log,
             counters=Counters(),
         )
@@ -214,7 +214,7 @@
         """What the settings file of a machine says now."""
         from adapter.settings_file import Machine
 
-        booth = name in self.booths
+        proxy = name in self.proxies
         return Machine(
             name=name,
             site=self.zones[name],
@@ -222,12 +222,12 @@
             seeds=tuple(self.controls[:3]),
             regions=REGIONS,
             spare_port=PORTS["records"],
-            folder="" if booth else "data",
-            front=self.address(name=name, door="front") if booth else "",
-            ready=self.address(name=name, door="ready") if booth else "",
-            control="" if booth else self.address(name=name, door="control"),
+            folder="" if proxy else "data",
+            front=self.address(name=name, door="front") if proxy else "",
+            ready=self.address(name=name, door="ready") if proxy else "",
+            control="" if proxy else self.address(name=name, door="control"),
             provider=self.address(name="platform", door="platform"),
-            first_run=self.first_run and not booth,
+            first_run=self.first_run and not proxy,
             losses=1,
             beat_every_us=1_000_000,
             grace_us=GRACE_US,
@@ -237,26 +237,26 @@
 
     def start(self, *, name: str) -> None:
         """One run of a machine's process."""
-        from adapter.booth_role import BoothRole
-        from adapter.guildhall_role import GuildhallRole
+        from adapter.controller_role import ControllerRole
+        from adapter.proxy_role import ProxyRole
 
         self.wires.dark.discard(name)
         boot = Boot(name=name)
         self.lives[name] = self.lives.get(name, 0) + 1
         ctx = self._context(name=name, boot=boot)
         self.boots[name], self.contexts[name] = boot, ctx
-        make = BoothRole if name in self.booths else GuildhallRole
+        make = ProxyRole if name in self.proxies else ControllerRole
         machine = self.machine(name=name)
         streams = self.streams(name=name, boot=boot)
 
         async def run() -> None:
             role = make(ctx, machine, streams, lambda why: self._halt(name=name, why=why))
-            if name in self.guildhalls:
-                role.guildhall.handover = self.handover
+            if name in self.controllers:
+                role.controller.handover = self.handover
             self.roles[name] = role
             result = await role.start()
             if result.is_error():
-                self._halt(name=name, why=result.error.why)
+                self._halt(name=name, why=result.error.reason)
 
         self.wires.run_at(boot=boot, work=run())
 
@@ -279,7 +279,7 @@
 
     async def _start_later(self, *, name: str, wait_us: int) -> None:
         await asyncio.sleep(wait_us / 1_000_000)
-        if self.boots[name].dead and (name in self.guildhalls or name in self.booths):
+        if self.boots[name].dead and (name in self.controllers or name in self.proxies):
             self.start(name=name)
 
     def power_off(self, *, name: str, wipe: bool = False) -> None:
@@ -293,25 +293,25 @@
     def power_on(self, *, name: str) -> None:
         self.past(name=name)
         # why: a machine that is gone for good meanwhile has no power to come back to
-        if name in self.guildhalls or name in self.booths:
+        if name in self.controllers or name in self.proxies:
             self.start(name=name)
 
-    def add_guildhall(self, *, name: str, zone: str) -> None:
+    def add_controller(self, *, name: str, zone: str) -> None:
         """A new machine of control with an empty disk, at an address of its own."""
         self._place(name=name, zone=zone)
-        self.guildhalls.append(name)
+        self.controllers.append(name)
         self.note(name=name, for_us=CATCH_UP_US)
         self.start(name=name)
         self.controls.append(self.address(name=name, door="control"))
 
-    def remove_guildhall(self, *, name: str) -> None:
+    def remove_controller(self, *, name: str) -> None:
         """A machine of control is gone for good, without a word; one that left by plan has said it."""
-        if name not in self.guildhalls:
+        if name not in self.controllers:
             return
         if name in self.roles:
             self.power_off(name=name)
         self.past(name=name)
-        self.guildhalls.remove(name)
+        self.controllers.remove(name)
         self.controls.remove(self.address(name=name, door="control"))
 
     def leave_for_good(self, *, name: str) -> asyncio.Task[Any]:
@@ -363,9 +363,9 @@
                 if both:
                     self.wires.cuts.add((other, one))
 
-    def cut_off_guildhall(self, *, name: str, both: bool = True) -> None:
-        """Cuts one guildhall off from the others, which are a majority and settle without it."""
-        others = [other for other in self.guildhalls if other != name]
+    def cut_off_controller(self, *, name: str, both: bool = True) -> None:
+        """Cuts one controller off from the others, which are a majority and settle without it."""
+        others = [other for other in self.controllers if other != name]
         self.cut(ones=[name], others=others, both=both)
         for other in others:
             self.past(name=other)
@@ -383,55 +383,57 @@
 
     def note(self, *, name: str, for_us: int | None, planned: bool = False) -> None:
         until_us = None if for_us is None else self.now_us + for_us
-        self.troubles.append(Trouble(scope=name, from_us=self.now_us, until_us=until_us, planned=planned))
+        self.disruptions.append(Disruption(scope=name, from_us=self.now_us, until_us=until_us, planned=planned))
 
     def past(self, *, name: str) -> None:
-        for each in self.troubles:
+        for each in self.disruptions:
             if each.scope == name and each.until_us is None:
                 each.until_us = self.now_us
 
     def in_touch(self, *, name: str) -> bool:
-        """Whether a machine of ours was untroubled for a while, and all guildhalls with it."""
+        """Whether a machine of ours was untroubled for a while, and all controllers with it."""
         now_us = self.now_us
         return not any(
             each.touches(from_us=now_us - QUIET_US, until_us=now_us)
-            for each in self.troubles
-            if each.scope == name or (each.scope in self.guildhalls and each.scope not in self.minority)
+            for each in self.disruptions
+            if each.scope == name or (each.scope in self.controllers and each.scope not in self.minority)
         )
 
     def _excused(self, *, asked_us: int) -> bool:
         """Whether anything unplanned befell anybody at about that time."""
         return any(
             not each.planned and each.touches(from_us=asked_us - QUIET_US, until_us=self.now_us)
-            for each in self.troubles
+            for each in self.disruptions
         )
 
-    def answered(self, booth: str, asked_us: int, what: str) -> None:
+    def answered(self, proxy: str, asked_us: int, what: str) -> None:
         """A client got its answer; it counts where a planned stop might have cost it."""
-        planned = any(each.planned and each.touches(from_us=asked_us, until_us=self.now_us) for each in self.troubles)
+        planned = any(
+            each.planned and each.touches(from_us=asked_us, until_us=self.now_us) for each in self.disruptions
+        )
         if planned and not self._excused(asked_us=asked_us):
             self.referee.lost.answered(whole=True, what=what)
 
-    def dropped(self, booth: str, asked_us: int, what: str) -> None:
+    def dropped(self, proxy: str, asked_us: int, what: str) -> None:
         """A connection closed while a client waited for an answer."""
         now_us = self.now_us
         excused = self._excused(asked_us=asked_us)
         ident = what.split(" ")[1].encode() if what.startswith("ASK") else b""
         if excused or (now_us - asked_us <= SLACK_US and ident not in self.referee.handed):
             return
-        self.referee.lost.answered(whole=False, what=f"{booth} closed on {what} of {asked_us} at {now_us}")
+        self.referee.lost.answered(whole=False, what=f"{proxy} closed on {what} of {asked_us} at {now_us}")
 
     # -- backends --
 
-    def beat(self, *, backend: StandInBackend) -> None:
-        """Starts a backend and its beats."""
+    def heartbeat(self, *, backend: StandInBackend) -> None:
+        """Starts a backend and its heartbeats."""
         backend.start()
-        sender = BeatSender(
+        sender = HeartbeatSender(
             backend=backend,
             streams=self.streams(name=backend.name),
             controls=self.controls,
             referee=self.referee,
-            luck=self.luck_for(name=f"beat/{backend.name}/{backend.life}"),
+            rng=self.rng_for(name=f"beat/{backend.name}/{backend.life}"),
         )
         old = self.senders.get(backend.name)
         sender.count = 0 if old is None else old.count + 100
@@ -444,7 +446,7 @@
         assert found is not None
         return found
 
-    def copies(self, *, service: str = "ledger0") -> list[StandInBackend]:
+    def replicas(self, *, service: str = "ledger0") -> list[StandInBackend]:
         lead = self.services[service].last
         return [each for each in self.services[service].backends.values() if each is not lead and each.up]
 
@@ -458,20 +460,20 @@
         await asyncio.sleep(wait_us / 1_000_000)
         backend.light()
         if not backend.up:
-            self.beat(backend=backend)
+            self.heartbeat(backend=backend)
 
-    def release(self, *, backend: StandInBackend, again_us: int = 800_000, goodbye_first: bool = False) -> None:
+    def release(self, *, backend: StandInBackend, again_us: int = 800_000, deregister_first: bool = False) -> None:
         """A planned end, and a new backend at its address, which gets the log of a primary."""
 
         async def replaced() -> None:
-            await self.senders[backend.name].leave(goodbye_first=goodbye_first)
+            await self.senders[backend.name].leave(deregister_first=deregister_first)
             await asyncio.sleep(again_us / 1_000_000)
             service = backend.service
             del service.backends[backend.name]
             index = int(backend.name.partition("-b")[2].partition("r")[0])
             # why: where nobody took its place, whoever gets the log of a primary leads with it
             leads = backend.leads and backend.term == service.term
-            self.beat(backend=self._backend(service=service, index=index, leads=leads, old=backend))
+            self.heartbeat(backend=self._backend(service=service, index=index, leads=leads, old=backend))
 
         self.fabric.call(replaced())
 
@@ -534,30 +536,30 @@
                 raise AssertionError(f"seed {self.seed}: not within {within_ms} ms: {what}")
             self.advance(for_ms=50)
 
-    async def _tick(self) -> None:
+    async def _on_timer(self) -> None:
         while True:
             for service in self.services.values():
                 service.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TIMER_PERIOD_S)
 
     def serves(self) -> bool:
-        """Whether every booth is ready and knows who leads everything."""
-        booths = [self.roles[name].booth for name in self.booths if name in self.roles]
-        return len(booths) == len(self.booths) and all(
-            booth.ready and all(booth.router.may_lead(service=service).is_ok() for service in self.services)
-            for booth in booths
+        """Whether every proxy is ready and knows who leads everything."""
+        proxies = [self.roles[name].proxy for name in self.proxies if name in self.roles]
+        return len(proxies) == len(self.proxies) and all(
+            proxy.ready and all(proxy.router.may_lead(service=service).is_ok() for service in self.services)
+            for proxy in proxies
         )
 
     def begin(self) -> None:
         """From nothing to a platform that serves."""
-        for name in [*self.guildhalls, *self.booths]:
+        for name in [*self.controllers, *self.proxies]:
             self.start(name=name)
-        self.fabric.call(self._tick())
+        self.fabric.call(self._on_timer())
         self.platform.start()
         for backend in list(self.backends.values()):
-            self.beat(backend=backend)
+            self.heartbeat(backend=backend)
         self.put(body=self.configuration(version=3))
-        self.await_that(test=self.serves, within_ms=25_000, what="every booth serves")
+        self.await_that(test=self.serves, within_ms=25_000, what="every proxy serves")
         self.first_run = False
         self.advance(for_ms=1_200)
 
@@ -587,7 +589,7 @@
                 streams=self.streams(name=name),
                 platform=self.platform,
                 referee=self.referee,
-                luck=self.luck_for(name=name),
+                rng=self.rng_for(name=name),
                 think_us=think_us,
                 long=number // len(ZONES) % 3 != 2,
                 write_share=0.0 if reads_only else write_share,
--- a/src/cinderstair/simulation/platformsim/referee.py
+++ b/src/cinderstair/simulation/platformsim/referee.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from .asked import Asked
 from .attempt import Attempt
 from .cap_checker import CapChecker
 from .checker import Checker
+from .client_statement import ClientStatement
 from .config_checker import ConfigChecker
 from .drain_checker import DrainChecker
 from .late_checker import LateChecker
@@ -55,12 +55,12 @@
         self.cap = CapChecker()
         self.late = LateChecker()
         self.recover = RecoverChecker(recovery_us=RECOVERY_US)
-        self.asked: dict[bytes, Asked] = {}
+        self.asked: dict[bytes, ClientStatement] = {}
         self.entries_by_commit: dict[bytes, LogEntry] = {}
         self.handed: set[bytes] = set()
         self.misled = 0
         self.full = 0
-        self.booths = 0
+        self.proxies = 0
         self.answers: Counter[str] = Counter()
 
     @property
@@ -69,7 +69,7 @@
 
     # -- at backends --
 
-    def arrived(self, *, ident: bytes, text: bytes, guarded: bool, door: "BackendDoor") -> Asked | None:
+    def arrived(self, *, ident: bytes, text: bytes, guarded: bool, door: "BackendDoor") -> ClientStatement | None:
         """A statement under a client's id reaches a backend."""
         asked = self.asked.get(ident)
         if not self.unasked.known(asked=asked, ident=ident, text=text) or asked is None:
@@ -92,7 +92,7 @@
             )
         return asked
 
-    def ran(self, *, asked: Asked, door: "BackendDoor") -> None:
+    def ran(self, *, asked: ClientStatement, door: "BackendDoor") -> None:
         """A backend runs it."""
         backend = door.backend
         self.pinned.ran(asked=asked, door=door)
@@ -117,10 +117,12 @@
 
     # -- at clients --
 
-    def asks(self, *, asked: Asked) -> None:
+    def asks(self, *, asked: ClientStatement) -> None:
         self.asked[asked.ident] = asked
 
-    def acknowledged(self, *, writes: list[Asked], services: dict[str, "StandInService"], now_us: int) -> None:
+    def acknowledged(
+        self, *, writes: list[ClientStatement], services: dict[str, "StandInService"], now_us: int
+    ) -> None:
         """A client is told that its writes are committed."""
         entry = self.entries_by_commit.get(writes[0].ident)
         if entry is None:
--- a/src/cinderstair/simulation/platformsim/route_checker.py
+++ b/src/cinderstair/simulation/platformsim/route_checker.py
@@ -1,7 +1,7 @@
 """No service runs what no configuration allows to go to it."""
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 
 
 class RouteChecker(Checker):
@@ -14,7 +14,7 @@
     def allow(self, *, database: str, service: str) -> None:
         self.allowed.setdefault(database, set()).add(service)
 
-    def ran(self, *, asked: Asked, service: str) -> None:
+    def ran(self, *, asked: ClientStatement, service: str) -> None:
         database = asked.attempt.database
         fine = service in self.allowed.get(database, ())
         self.judge(fine=fine, what=f"{asked.ident!r} for {database} ran on {service}")
--- a/src/cinderstair/simulation/platformsim/route_prober.py
+++ b/src/cinderstair/simulation/platformsim/route_prober.py
@@ -1,10 +1,10 @@
-"""Sessions that go to each ready booth, for databases just added or removed, or never there."""
+"""Sessions that go to each ready proxy, for databases just added or removed, or never there."""
 
 import asyncio
 import random
 from collections.abc import Callable
 
-from .answer import Answer
+from .answer import ClientAnswer
 from .client_wire import ClientWire
 from .referee import Referee
 from .sim_streams import SimStreams
@@ -22,7 +22,7 @@
         streams: SimStreams,
         platform: StandInPlatform,
         referee: Referee,
-        luck: random.Random,
+        rng: random.Random,
         lives: Callable[[str], int],
         databases: list[str],
     ) -> None:
@@ -30,7 +30,7 @@
         self.streams = streams
         self.platform = platform
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.lives = lives
         self.databases = databases
         self.stopped = False
@@ -38,38 +38,38 @@
 
     async def run(self) -> None:
         while not self.stopped:
-            for booth in sorted(self.platform.fronts):
-                if self.platform.is_in(name=booth):
-                    await self._look(booth=booth, database=self.luck.choice(self.databases))
+            for proxy in sorted(self.platform.fronts):
+                if self.platform.is_in(name=proxy):
+                    await self._look(proxy=proxy, database=self.rng.choice(self.databases))
             await asyncio.sleep(self.pause_s)
 
-    async def _look(self, *, booth: str, database: str) -> None:
-        life, sent_us = self.lives(booth), self.fabric.now_us
-        in_touch = self.referee.in_touch(booth)
+    async def _look(self, *, proxy: str, database: str) -> None:
+        life, sent_us = self.lives(proxy), self.fabric.now_us
+        in_touch = self.referee.in_touch(proxy)
         opened = await self.streams.connect(
-            address=self.platform.fronts[booth],
+            address=self.platform.fronts[proxy],
             protocol=lambda: ClientWire(client="prober", referee=self.referee),
             wait_us=300_000,
         )
         if opened.is_error():
             return
         wire: ClientWire = opened.ok
-        answer: Answer | None = None
+        answer: ClientAnswer | None = None
         try:
             async with asyncio.timeout(1.0):
-                answer = await wire.ask(line=b"GREET " + database.encode() + b" prober", greeting=True)
+                answer = await wire.request(line=b"GREET " + database.encode() + b" prober", greeting=True)
         except (TimeoutError, ConnectionError):
             pass
         finally:
             wire.close(farewell=True)
-        if answer is None or answer.code not in ("", "NODB") or self.lives(booth) != life:
+        if answer is None or answer.code not in ("", "NODB") or self.lives(proxy) != life:
             return
         self.referee.config.looked(
-            booth=booth,
+            proxy=proxy,
             life=life,
             database=database,
             there=not answer.code,
             sent_us=sent_us,
             now_us=self.fabric.now_us,
-            in_touch=in_touch and self.referee.in_touch(booth),
+            in_touch=in_touch and self.referee.in_touch(proxy),
         )
--- a/src/cinderstair/simulation/platformsim/platform_faults.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -15,15 +15,15 @@
 from ...control_plane.announcer import Announcer
 from ...control_plane.orders import Orders
 from ...control_plane.sample_board import SampleBoard
-from ...failover.promotion_duty import PromotionDuty
+from ...failover.service_failover import ServiceFailover
 from ...pooler.link_pool import LinkPool
 from ...pooler.relayed_view import RelayedView
 from ...pooler.router import Router
 from ...pooler.sample_pool import SamplePool
 from ...pooler.session import Session
-from ...runtime.kind import Kind
-from ..simdisk import SimDisk
-from . import forward_faults, shard_faults
+from ...runtime.errors import ErrorCode
+from ..sim_disk import SimDisk
+from . import forward_bugs, shard_bugs
 from .repository import see_adapter
 
 Patches = list[Any]
@@ -63,9 +63,9 @@
     def wrong(self: Any) -> Any:
         found = route(self)
         plan = self.router.view.plan
-        if found is None or self.router.ctx.luck.random() > 0.2:
+        if found is None or self.router.ctx.rng.random() > 0.2:
             return found
-        return replace(found, service=self.router.ctx.luck.choice(sorted(plan.services)))
+        return replace(found, service=self.router.ctx.rng.choice(sorted(plan.services)))
 
     return [patch.object(Session, "route", wrong)]
 
@@ -104,7 +104,7 @@
 
     async def twice(self: Any, **named: Any) -> Any:
         reply = await write(self, **named)
-        return await write(self, **named) if reply.fault == Kind.outcomeUnknown else reply
+        return await write(self, **named) if reply.fault == ErrorCode.OUTCOME_UNKNOWN else reply
 
     return [patch.object(Session, "_write", twice)]
 
@@ -113,12 +113,12 @@
     """Where nobody knows the outcome, the client is promised that nothing is kept."""
     from adapter import words
 
-    mild = MappingProxyType({**words.WORDS, Kind.outcomeUnknown: b"ABORTED"})
+    mild = MappingProxyType({**words.WORDS, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
     return [patch.object(words, "WORDS", mild)]
 
 
 def view_forever() -> Patches:
-    """What a booth knows of leads counts for ever."""
+    """What a proxy knows of leads counts for ever."""
     return [patch.object(RelayedView, "current", property(lambda self: True))]
 
 
@@ -138,7 +138,7 @@
 
 
 def pooled_for_new() -> Patches:
-    """What another booth has seen is given again and again, and taken for seen when the guildhall's answer came."""
+    """What another proxy has seen is given again and again, and taken for seen when the controller's answer came."""
     given = SampleBoard.given
 
     def again(self: Any, *, wanted: Any, known: bool) -> Any:
@@ -146,7 +146,7 @@
 
     return [
         patch.object(SampleBoard, "given", again),
-        patch.object(SamplePool, "_at_us", lambda self, *, asked_us, age_us: self.ctx.now_us()),
+        patch.object(SamplePool, "_at_us", lambda self, *, requested_us, age_us: self.ctx.now_us()),
     ]
 
 
@@ -160,9 +160,9 @@
     return [patch.object(Router, "guard", without)]
 
 
-def worst_copy() -> Patches:
+def worst_replica() -> Patches:
     """The copy that has received least is put in a primary's place."""
-    fence = PromotionDuty._fence
+    fence = ServiceFailover._fence
 
     async def least(self: Any, **named: Any) -> Any:
         fenced = await fence(self, **named)
@@ -172,7 +172,7 @@
         worst = min(states, key=lambda name: states[name].received)
         return fenced._replace(best=worst, position=states[worst].received)
 
-    return [patch.object(PromotionDuty, "_fence", least)]
+    return [patch.object(ServiceFailover, "_fence", least)]
 
 
 def drop_at_stop() -> Patches:
@@ -188,7 +188,7 @@
 
 
 def first_plan_forever() -> Patches:
-    """A booth stays with the first configuration that it heard of."""
+    """A proxy stays with the first configuration that it heard of."""
     apply = RelayedView._apply
 
     def once(self: Any, *, key: str, value: bytes) -> None:
@@ -199,10 +199,10 @@
 
 
 def plan_back_and_forth() -> Patches:
-    """A booth falls back now and then to the configuration before."""
-    from cinderstair.pooler.booth import Booth
+    """A proxy falls back now and then to the configuration before."""
+    from cinderstair.pooler.proxy import Proxy
 
-    tend = Booth._tend
+    tend = Proxy._tend
 
     def back(self: Any) -> None:
         tend(self)
@@ -210,9 +210,9 @@
         if self.view.plan is not None and self.view.plan not in older:
             older.append(self.view.plan)
         if len(older) > 1:
-            self.view.plan = self.ctx.luck.choice(older[-2:])
+            self.view.plan = self.ctx.rng.choice(older[-2:])
 
-    return [patch.object(Booth, "_tend", back)]
+    return [patch.object(Proxy, "_tend", back)]
 
 
 def take_anything() -> Patches:
@@ -252,7 +252,7 @@
     """A daemon acknowledges what backends say of their leaving by its own memory."""
 
     async def alone(self: Any, *, announcement: Any) -> bool:
-        self.news.hear(beat=announcement)
+        self.heartbeat_table.receive(heartbeat=announcement)
         return True
 
     return [patch.object(Announcer, "spread", alone)]
@@ -299,7 +299,7 @@
         no_guard,
         own_forgotten,
         pooled_for_new,
-        worst_copy,
+        worst_replica,
         drop_at_stop,
         deaf_to_emptying,
         first_plan_forever,
@@ -312,16 +312,16 @@
         confirms_alone,
         serves_alone,
         disks_forget,
-        forward_faults.forwards_unchecked,
-        forward_faults.forwards_promised,
-        forward_faults.forwards_any_values,
-        forward_faults.links_at_once,
-        shard_faults.old_map_writes_on,
-        shard_faults.moves_unclosed,
-        shard_faults.samples_from_before,
-        shard_faults.brought_twice,
-        shard_faults.unanswered_forgotten,
-        shard_faults.untold_ends,
+        forward_bugs.forwards_unchecked,
+        forward_bugs.forwards_promised,
+        forward_bugs.forwards_any_values,
+        forward_bugs.links_at_once,
+        shard_bugs.old_map_writes_on,
+        shard_bugs.moves_unclosed,
+        shard_bugs.samples_from_before,
+        shard_bugs.brought_twice,
+        shard_bugs.unanswered_forgotten,
+        shard_bugs.untold_ends,
     )
 }
 
--- a/src/cinderstair/simulation/platformsim/shard_faults.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -3,14 +3,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...failover.shard_duty import ShardDuty
+from ...failover.shard_map_coordinator import ShardMapCoordinator
+from ...pooler.in_flight_writes import InFlightWrites
 from ...pooler.shards import Shards
-from ...pooler.under_way import UnderWay
 from .stand_in_handover import StandInHandover
 
 
 def old_map_writes_on() -> list[Any]:
-    """A booth that has taken no new map goes on writing at the old place, as if nothing had changed."""
+    """A proxy that has taken no new map goes on writing at the old place, as if nothing had changed."""
 
     def look(self: Any) -> None:
         return None
@@ -24,14 +24,14 @@
 
 
 def moves_unclosed() -> list[Any]:
-    """The map changes while booths still write at the old place: nothing is closed, nobody is outwaited."""
+    """The map changes while proxies still write at the old place: nothing is closed, nobody is outwaited."""
 
-    async def move(self: Any, *, state: Any, booths: Any) -> None:
+    async def move(self: Any, *, state: Any, proxies: Any) -> None:
         if await self._complete(state=state):
             await self._put(old=state, new=type(state)(current=state.following, turn=state.turn))
 
     return [
-        patch.object(ShardDuty, "_move", move),
+        patch.object(ShardMapCoordinator, "_move", move),
         patch.object(Shards, "fault", lambda self, *, database: None),
         patch.object(Shards, "may_end", lambda self, *, database, since_us: True),
     ]
@@ -40,14 +40,14 @@
 def unanswered_forgotten() -> list[Any]:
     """What has left and is not answered is waited for by no more than a route's time limit, and its link kept."""
     return [
-        patch.object(UnderWay, "may_land", lambda self, *, database, within_us: False),
-        patch.object(UnderWay, "give_up", lambda self, *, databases, owed_us: None),
-        patch.object(ShardDuty, "outwait_us", property(lambda self: 2_600_000)),
+        patch.object(InFlightWrites, "may_land", lambda self, *, database, within_us: False),
+        patch.object(InFlightWrites, "give_up", lambda self, *, databases, owed_us: None),
+        patch.object(ShardMapCoordinator, "outwait_us", property(lambda self: 2_600_000)),
     ]
 
 
 def untold_ends() -> list[Any]:
-    """A booth ends what it has begun, however long it has been out of touch."""
+    """A proxy ends what it has begun, however long it has been out of touch."""
     return [patch.object(Shards, "may_end", lambda self, *, database, since_us: True)]
 
 
--- a/src/cinderstair/simulation/platformsim/shard_checker.py
+++ b/src/cinderstair/simulation/platformsim/shard_checker.py
@@ -3,8 +3,8 @@
 from bisect import bisect_left
 from typing import TYPE_CHECKING
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 from .log_entry import LogEntry
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
         other = self.brought.get((backend.service.name, ident))
         return other is not None and backend.holds(entry=other)
 
-    def acknowledged(self, *, writes: list[Asked], entry: LogEntry, now_us: int) -> None:
+    def acknowledged(self, *, writes: list[ClientStatement], entry: LogEntry, now_us: int) -> None:
         database = writes[0].attempt.database
         acked = [(now_us, asked.ident, entry) for asked in writes]
         self.acked.setdefault(database, []).extend(acked)
@@ -85,7 +85,7 @@
             fine = moved_us is None or entry.service != self.places[database][0] or entry.at_us <= moved_us
             self.judge(fine=fine, what=f"{asked.ident!r} of {database} lands at {entry.service} after it has left")
 
-    def ran(self, *, asked: Asked, backend: "StandInBackend", sort: str, age_us: int) -> None:
+    def ran(self, *, asked: ClientStatement, backend: "StandInBackend", sort: str, age_us: int) -> None:
         """A read of a database that moves, or has moved."""
         database = asked.attempt.database
         if database not in self.places:
--- a/src/cinderstair/simulation/platformsim/shard_growth.py
+++ b/src/cinderstair/simulation/platformsim/shard_growth.py
@@ -1,4 +1,4 @@
-"""How the pause and the messages of a shard map's change grow with the booths; real ones, on virtual time."""
+"""How the pause and the messages of a shard map's change grow with the proxies; real ones, on virtual time."""
 
 import argparse
 import sys
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Growth:
-    """`closing_us`: from the word that closes to the word that stands. `pause_us`: of the booth that took longest."""
+    """`closing_us`: from the word that closes to the word that stands. `pause_us`: of the proxy that took longest."""
 
-    booths: int
+    proxies: int
     closing_us: int
     pause_us: int
     calm_a_second: int
@@ -28,16 +28,16 @@
 
 
 def asked(*, world: PlatformWorld) -> int:
-    """How many questions of booths all guildhalls have answered."""
+    """How many questions of proxies all controllers have answered."""
     counts: Counter[str] = Counter()
-    for name in world.guildhalls:
+    for name in world.controllers:
         counts += world.contexts[name].counters.counts
     return counts["relay.whole"] + counts["relay.changes"]
 
 
-def measure(*, booths: int, seed: int = 1) -> Growth:
+def measure(*, proxies: int, seed: int = 1) -> Growth:
     began_s = time.process_time()
-    world = PlatformWorld(seed=seed, booths=booths)
+    world = PlatformWorld(seed=seed, proxies=proxies)
     try:
         world.begin()
         before = asked(world=world)
@@ -50,9 +50,9 @@
         moved(world=world, within_ms=30_000)
         over_us = world.now_us
         change = (asked(world=world) - before) * 1_000_000 // (over_us - from_us)
-        duties = [world.roles[name].guildhall.shards for name in world.guildhalls]
+        duties = [world.roles[name].controller.shards for name in world.controllers]
         return Growth(
-            booths=booths,
+            proxies=proxies,
             closing_us=max(duty.closing_us or 0 for duty in duties),
             pause_us=over_us - closes_us,
             calm_a_second=calm,
@@ -66,15 +66,15 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.platformsim.shard_growth")
-    parser.add_argument("--booths", default="9,27,81")
+    parser.add_argument("--proxies", default="9,27,81")
     options = parser.parse_args()
     see_adapter()
-    print("| Booths | Closing, ms | All hold it after, ms | Questions a second, calm | while it changes | Core, s |")
+    print("| Proxies | Closing, ms | All hold it after, ms | Questions a second, calm | while it changes | Core, s |")
     print("| ---: | ---: | ---: | ---: | ---: | ---: |")
-    for count in options.booths.split(","):
-        found = measure(booths=int(count))
+    for count in options.proxies.split(","):
+        found = measure(proxies=int(count))
         print(
-            f"| {found.booths} | {found.closing_us // 1_000} | {found.pause_us // 1_000} | {found.calm_a_second} "
+            f"| {found.proxies} | {found.closing_us // 1_000} | {found.pause_us // 1_000} | {found.calm_a_second} "
             f"| {found.change_a_second} | {found.took_s:.1f} |",
             flush=True,
         )
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -5,10 +5,10 @@
 from unittest.mock import AsyncMock, patch
 
 from ...config.shard_map import ShardMap
-from ...failover.shard_duty import ShardDuty
+from ...failover.shard_map_coordinator import ShardMapCoordinator
 from ...failover.shard_state import SHARDS_KEY, ShardPhase
 from ...pooler.relayed_view import LEASE_US, RelayedView
-from ...runtime.kind import Kind
+from ...runtime.errors import ErrorCode
 from .platform_world import PlatformWorld
 
 MOVING = ("ledger0-self", "ledger0-primary")
@@ -17,30 +17,30 @@
 
 
 def propose(*, world: PlatformWorld, version: int = 1, percent: int = 51, at: int = 0) -> str:
-    """Puts a map to the booths by one guildhall; an empty text where it was taken."""
+    """Puts a map to the proxies by one controller; an empty text where it was taken."""
     for database in MOVING:
         world.referee.shard.watch(database=database, source="ledger0", target=TARGET, now_us=world.now_us)
         world.referee.route.allow(database=database, service=TARGET)
     wanted = ShardMap(version=version, places=dict.fromkeys(MOVING, TARGET), agree_percent=percent)
-    duty = world.roles[world.guildhalls[at]].guildhall.shards
+    duty = world.roles[world.controllers[at]].controller.shards
     result = world.run(work=duty.propose(wanted=wanted))
-    return "" if result.is_ok() else str(result.error.kind.value)
+    return "" if result.is_ok() else str(result.error.code.value)
 
 
 def held(*, world: PlatformWorld, name: str) -> int:
-    """The version of the map that a booth acts on."""
-    return int(world.roles[name].booth.router.shards.held.current.version)
+    """The version of the map that a proxy acts on."""
+    return int(world.roles[name].proxy.router.shards.held.current.version)
 
 
 def all_hold(*, world: PlatformWorld, version: int, names: list[str] | None = None) -> bool:
-    return all(held(world=world, name=name) == version for name in names or world.booths if name in world.roles)
+    return all(held(world=world, name=name) == version for name in names or world.proxies if name in world.roles)
 
 
 def moved(*, world: PlatformWorld, version: int = 1, within_ms: int = MOVED_MS) -> None:
     world.await_that(
         test=lambda: all_hold(world=world, version=version),
         within_ms=within_ms,
-        what=f"all booths hold map {version}",
+        what=f"all proxies hold map {version}",
     )
 
 
@@ -62,48 +62,48 @@
     assert world.referee.shard.at_target, "nothing was written at the new place"
 
 
-def shards_booth_deaf(world: PlatformWorld) -> None:
-    """A booth that hears no guildhall while the map changes; it holds the old one, and may not write."""
+def shards_proxy_deaf(world: PlatformWorld) -> None:
+    """A proxy that hears no controller while the map changes; it holds the old one, and may not write."""
     world.advance(for_ms=1_000)
-    deaf = world.booths[0]
-    world.cut(ones=[deaf], others=world.guildhalls)
-    world.advance(for_ms=world.luck.randrange(0, 800))
+    deaf = world.proxies[0]
+    world.cut(ones=[deaf], others=world.controllers)
+    world.advance(for_ms=world.rng.randrange(0, 800))
     assert not propose(world=world)
-    others = [name for name in world.booths if name != deaf]
+    others = [name for name in world.proxies if name != deaf]
     world.await_that(
         test=lambda: all_hold(world=world, version=1, names=others), within_ms=12_000, what="the others hold map 1"
     )
-    assert held(world=world, name=deaf) == 0, "a booth that has not heard moved"
+    assert held(world=world, name=deaf) == 0, "a proxy that has not heard moved"
     world.advance(for_ms=1_500)
     world.heal()
     moved(world=world, within_ms=10_000)
     world.advance(for_ms=1_500)
 
 
-def shards_booth_frozen(world: PlatformWorld) -> None:
-    """A booth stands still across the change and wakes with statements in its hands."""
+def shards_proxy_frozen(world: PlatformWorld) -> None:
+    """A proxy stands still across the change and wakes with statements in its hands."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
-    world.advance(for_ms=world.luck.randrange(0, 900))
-    world.freeze(name=world.booths[1])
-    world.advance(for_ms=world.luck.randrange(3_000, 5_000))
-    world.thaw(name=world.booths[1])
+    world.advance(for_ms=world.rng.randrange(0, 900))
+    world.freeze(name=world.proxies[1])
+    world.advance(for_ms=world.rng.randrange(3_000, 5_000))
+    world.thaw(name=world.proxies[1])
     moved(world=world, within_ms=10_000)
     world.advance(for_ms=1_500)
 
 
-def shards_booth_disagrees(world: PlatformWorld) -> None:
-    """One booth does not agree; the others move, it holds the old map, and moves once it agrees."""
+def shards_proxy_disagrees(world: PlatformWorld) -> None:
+    """One proxy does not agree; the others move, it holds the old map, and moves once it agrees."""
     world.advance(for_ms=1_000)
-    other = world.roles[world.booths[2]].booth.router.shards
+    other = world.roles[world.proxies[2]].proxy.router.shards
     fits, other._fits = other._fits, lambda *, state: False
     assert not propose(world=world)
-    names = [name for name in world.booths if name != world.booths[2]]
+    names = [name for name in world.proxies if name != world.proxies[2]]
     world.await_that(
         test=lambda: all_hold(world=world, version=1, names=names), within_ms=MOVED_MS, what="the others hold map 1"
     )
     world.advance(for_ms=2_000)
-    assert held(world=world, name=world.booths[2]) == 0, "a booth that disagrees moved"
+    assert held(world=world, name=world.proxies[2]) == 0, "a proxy that disagrees moved"
     other._fits = fits
     moved(world=world)
     world.advance(for_ms=1_000)
@@ -112,7 +112,7 @@
 def shards_too_few(world: PlatformWorld) -> None:
     """All must agree and one does not: nobody moves, and writes go on where they were."""
     world.advance(for_ms=1_000)
-    other = world.roles[world.booths[2]].booth.router.shards
+    other = world.roles[world.proxies[2]].proxy.router.shards
     other._fits = lambda *, state: False
     assert not propose(world=world, percent=100)
     world.advance(for_ms=6_000)
@@ -125,7 +125,7 @@
     world.advance(for_ms=1_000)
     world.handover.stuck = True
     assert not propose(world=world)
-    duty = world.roles[world.guildhalls[0]].guildhall.shards
+    duty = world.roles[world.controllers[0]].controller.shards
     world.await_that(test=lambda: duty.state.phase == ShardPhase.closing, within_ms=4_000, what="the map closes")
     world.await_that(test=lambda: duty.state.phase == ShardPhase.steady, within_ms=15_000, what="the map goes back")
     assert all_hold(world=world, version=0)
@@ -136,9 +136,9 @@
     """Whoever brings the map in dies in the middle of it; another goes on."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
-    world.advance(for_ms=world.luck.randrange(100, 1_200))
-    for name in world.guildhalls:
-        if name in world.roles and world.roles[name].guildhall.shards.lease.held:
+    world.advance(for_ms=world.rng.randrange(100, 1_200))
+    for name in world.controllers:
+        if name in world.roles and world.roles[name].controller.shards.lease.held:
             world.kill(name=name)
             break
     moved(world=world, within_ms=20_000)
@@ -160,8 +160,8 @@
     """The old place's primary crashes while the map changes."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
-    world.advance(for_ms=world.luck.randrange(0, 1_500))
-    world.crash(backend=world.primary(service=world.luck.choice(("ledger0", TARGET))), again_us=3_000_000)
+    world.advance(for_ms=world.rng.randrange(0, 1_500))
+    world.crash(backend=world.primary(service=world.rng.choice(("ledger0", TARGET))), again_us=3_000_000)
     world.advance(for_ms=6_000)
     world.await_that(test=world.serves, within_ms=20_000, what="the service is back")
     world.advance(for_ms=3_000)
@@ -170,52 +170,54 @@
 def shards_slow_handover(world: PlatformWorld) -> None:
     """Whoever brings the data takes its time to answer, so that another may hold the duty by then."""
     world.advance(for_ms=500)
-    world.handover.takes_us = world.luck.randrange(50_000, 150_000)
+    world.handover.takes_us = world.rng.randrange(50_000, 150_000)
     assert not propose(world=world)
     moved(world=world)
     world.advance(for_ms=2_500)
     assert all_hold(world=world, version=1), "a map that was taken over went back by itself"
 
 
-def duty_of(*, world: PlatformWorld) -> ShardDuty:
-    """The duty of a guildhall that runs; its view tells how far the change has come."""
-    duty: ShardDuty = world.roles[next(name for name in world.guildhalls if name in world.roles)].guildhall.shards
+def duty_of(*, world: PlatformWorld) -> ShardMapCoordinator:
+    """The duty of a controller that runs; its view tells how far the change has come."""
+    duty: ShardMapCoordinator = world.roles[
+        next(name for name in world.controllers if name in world.roles)
+    ].controller.shards
     return duty
 
 
 def await_phase(*, world: PlatformWorld, phase: ShardPhase) -> None:
-    """Until some guildhall knows of this phase of the change, or that it is over."""
+    """Until some controller knows of this phase of the change, or that it is over."""
 
     def come() -> bool:
-        states = [world.roles[name].guildhall.shards.state for name in world.guildhalls if name in world.roles]
+        states = [world.roles[name].controller.shards.state for name in world.controllers if name in world.roles]
         return any(state.phase == phase and state.turn for state in states)
 
     world.await_that(test=come, within_ms=6_000, what=f"the map is {phase.name}")
 
 
 def holder(*, world: PlatformWorld) -> str:
-    names = [name for name in world.guildhalls if name in world.roles]
-    return next((name for name in names if world.roles[name].guildhall.shards.lease.held), names[0])
+    names = [name for name in world.controllers if name in world.roles]
+    return next((name for name in names if world.roles[name].controller.shards.lease.held), names[0])
 
 
-def shards_booth_killed(world: PlatformWorld) -> None:
-    """A booth is killed in the middle, in whatever phase, and starts again from nothing."""
+def shards_proxy_killed(world: PlatformWorld) -> None:
+    """A proxy is killed in the middle, in whatever phase, and starts again from nothing."""
     world.advance(for_ms=500)
     assert not propose(world=world)
-    await_phase(world=world, phase=world.luck.choice((ShardPhase.proposed, ShardPhase.closing)))
-    world.advance(for_ms=world.luck.randrange(0, 300))
-    world.kill(name=world.booths[0], again_us=world.luck.choice((100_000, 600_000, 2_500_000)))
+    await_phase(world=world, phase=world.rng.choice((ShardPhase.proposed, ShardPhase.closing)))
+    world.advance(for_ms=world.rng.randrange(0, 300))
+    world.kill(name=world.proxies[0], again_us=world.rng.choice((100_000, 600_000, 2_500_000)))
     moved(world=world, within_ms=14_000)
     world.advance(for_ms=1_500)
 
 
-def shards_booth_cut_one_way(world: PlatformWorld) -> None:
-    """What a booth asks reaches the guildhalls and no answer comes back, or it hears of nothing it asked for."""
+def shards_proxy_cut_one_way(world: PlatformWorld) -> None:
+    """What a proxy asks reaches the controllers and no answer comes back, or it hears of nothing it asked for."""
     world.advance(for_ms=500)
     assert not propose(world=world)
-    await_phase(world=world, phase=world.luck.choice((ShardPhase.proposed, ShardPhase.closing)))
-    ones, others = [world.booths[0]], world.guildhalls
-    if world.luck.random() < 0.5:
+    await_phase(world=world, phase=world.rng.choice((ShardPhase.proposed, ShardPhase.closing)))
+    ones, others = [world.proxies[0]], world.controllers
+    if world.rng.random() < 0.5:
         ones, others = others, ones
     world.cut(ones=ones, others=others, both=False)
     world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=12_000, what="all is brought over")
@@ -225,21 +227,21 @@
     world.advance(for_ms=1_000)
 
 
-def shards_booth_late(world: PlatformWorld) -> None:
-    """All that a booth sends and hears is late by as much as a question may be."""
+def shards_proxy_late(world: PlatformWorld) -> None:
+    """All that a proxy sends and hears is late by as much as a question may be."""
     world.advance(for_ms=500)
-    world.note(name=world.booths[0], for_us=None)
-    world.wires.lags_us[world.booths[0]] = world.luck.randrange(100_000, 180_000)
+    world.note(name=world.proxies[0], for_us=None)
+    world.wires.lags_us[world.proxies[0]] = world.rng.randrange(100_000, 180_000)
     assert not propose(world=world)
     moved(world=world, within_ms=14_000)
     world.advance(for_ms=1_000)
 
 
-def shards_booth_old(world: PlatformWorld) -> None:
-    """A booth that can't read the word, as of an older version or for a broken map: it holds the old one."""
+def shards_proxy_old(world: PlatformWorld) -> None:
+    """A proxy that can't read the word, as of an older version or for a broken map: it holds the old one."""
     world.advance(for_ms=500)
-    old = world.booths[1]
-    view = world.roles[old].booth.view
+    old = world.proxies[1]
+    view = world.roles[old].proxy.view
     world.note(name=old, for_us=None)
 
     def apply(*, key: str, value: bytes) -> None:
@@ -249,34 +251,34 @@
 
     with patch.object(view, "_apply", apply):
         assert not propose(world=world)
-        others = [name for name in world.booths if name != old]
+        others = [name for name in world.proxies if name != old]
         world.await_that(
             test=lambda: all_hold(world=world, version=1, names=others), within_ms=14_000, what="the others move"
         )
         world.advance(for_ms=1_500)
-        assert held(world=world, name=old) == 0, "a booth that could not read the map moved"
+        assert held(world=world, name=old) == 0, "a proxy that could not read the map moved"
     moved(world=world, within_ms=6_000)
     world.advance(for_ms=1_000)
 
 
-def shards_vault_lost(world: PlatformWorld) -> None:
-    """One vault of three is gone with its disk while the map closes."""
+def shards_register_replica_lost(world: PlatformWorld) -> None:
+    """One register replica of three is gone with its disk while the map closes."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=ShardPhase.closing)
-    world.power_off(name=world.luck.choice(world.guildhalls), wipe=True)
+    world.power_off(name=world.rng.choice(world.controllers), wipe=True)
     moved(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
-def shards_vault_restarted(world: PlatformWorld) -> None:
-    """One vault ends while the map closes, and comes back with its disk."""
+def shards_register_replica_restarted(world: PlatformWorld) -> None:
+    """One register replica ends while the map closes, and comes back with its disk."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=ShardPhase.closing)
-    name = world.luck.choice(world.guildhalls)
+    name = world.rng.choice(world.controllers)
     world.power_off(name=name)
-    world.advance(for_ms=world.luck.randrange(50, 1_500))
+    world.advance(for_ms=world.rng.randrange(50, 1_500))
     world.power_on(name=name)
     moved(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
@@ -286,14 +288,14 @@
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=phase)
-    world.advance(for_ms=world.luck.randrange(0, 200))
+    world.advance(for_ms=world.rng.randrange(0, 200))
     world.kill(name=holder(world=world))
     moved(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
 def shards_holder_killed_proposed(world: PlatformWorld) -> None:
-    """The duty's holder dies while booths are asked."""
+    """The duty's holder dies while proxies are asked."""
     holder_killed_in(world=world, phase=ShardPhase.proposed)
 
 
@@ -331,25 +333,25 @@
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=phase)
-    world.advance(for_ms=world.luck.randrange(0, 250))
+    world.advance(for_ms=world.rng.randrange(0, 250))
     duty = duty_of(world=world)
     result = world.run(work=duty.abandon(version=1))
     if result.is_error():
         # why: it may have been taken over just before, and then nobody can give it up any more
-        assert phase == ShardPhase.closing and result.error.kind == Kind.versionOld, result.error
+        assert phase == ShardPhase.closing and result.error.code == ErrorCode.VERSION_OLD, result.error
         moved(world=world)
         return
     world.referee.shard.withdrawn()
     assert all_hold(world=world, version=0), "a map that was given up was taken over"
-    world.advance(for_ms=world.luck.randrange(0, 600))
+    world.advance(for_ms=world.rng.randrange(0, 600))
     assert not propose(world=world, at=1)
     moved(world=world, within_ms=14_000)
-    assert world.run(work=duty.abandon(version=1)).error.kind == Kind.versionOld
+    assert world.run(work=duty.abandon(version=1)).error.code == ErrorCode.VERSION_OLD
     world.advance(for_ms=1_000)
 
 
 def shards_abandoned_proposed(world: PlatformWorld) -> None:
-    """An operator gives a change up while booths are asked."""
+    """An operator gives a change up while proxies are asked."""
     abandoned_in(world=world, phase=ShardPhase.proposed)
 
 
@@ -359,7 +361,7 @@
 
 
 def shards_new_place_crash(world: PlatformWorld) -> None:
-    """The new place's primary crashes when it holds everything, right before the booths may write there."""
+    """The new place's primary crashes when it holds everything, right before the proxies may write there."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     world.await_that(
@@ -372,12 +374,12 @@
     world.advance(for_ms=1_500)
 
 
-def lies_held_up(*, world: PlatformWorld, booth: str, backend: str) -> bool:
+def lies_held_up(*, world: PlatformWorld, proxy: str, backend: str) -> bool:
     """Whether a write or commit of a database that moves lies unsent, or unheard, on the way to a backend."""
     referee = world.referee
     lines = [
         line.split(b" ")
-        for end in world.fabric.ends.get(booth, {})
+        for end in world.fabric.ends.get(proxy, {})
         if end.peer.host == backend
         for segment in end.outbox
         for line in segment.data.split(b"\r\n")
@@ -392,9 +394,9 @@
     )
 
 
-def await_held_up(*, world: PlatformWorld, booth: str, backend: str) -> None:
+def await_held_up(*, world: PlatformWorld, proxy: str, backend: str) -> None:
     world.await_that(
-        test=lambda: lies_held_up(world=world, booth=booth, backend=backend),
+        test=lambda: lies_held_up(world=world, proxy=proxy, backend=backend),
         within_ms=1_000,
         what="a write lies held up",
     )
@@ -403,10 +405,10 @@
 def held_up(
     *, world: PlatformWorld, also_deaf: bool = False, then: Callable[[str], None] = lambda name: None
 ) -> None:
-    """What one booth sends to the old place just before it closes lies in a cut until after the switch."""
+    """What one proxy sends to the old place just before it closes lies in a cut until after the switch."""
     world.advance(for_ms=1_000)
-    booth, old = world.booths[0], world.primary(service="ledger0").name
-    duties = [world.roles[name].guildhall.shards for name in world.guildhalls]
+    proxy, old = world.proxies[0], world.primary(service="ledger0").name
+    duties = [world.roles[name].controller.shards for name in world.controllers]
     assert not propose(world=world)
     with ExitStack() as stack:
         # why: what is to lie held up must leave right before the closing, so the closing waits for it
@@ -414,35 +416,35 @@
             stack.enter_context(patch.object(duty, "_count", AsyncMock()))
         world.advance(for_ms=2_300)
         if not also_deaf:
-            world.cut(ones=[booth], others=[old])
-            await_held_up(world=world, booth=booth, backend=old)
+            world.cut(ones=[proxy], others=[old])
+            await_held_up(world=world, proxy=proxy, backend=old)
     if also_deaf:
-        world.cut(ones=[booth], others=world.guildhalls)
-        view = world.roles[booth].booth.view
-        lapses_us = LEASE_US - world.luck.randrange(150_000, 250_000)
+        world.cut(ones=[proxy], others=world.controllers)
+        view = world.roles[proxy].proxy.view
+        lapses_us = LEASE_US - world.rng.randrange(150_000, 250_000)
         world.await_that(
             test=lambda: view.ctx.now_us() >= view.as_of_us + lapses_us,
             within_ms=2_000,
             what="its view nearly lapses",
         )
-        world.cut(ones=[booth], others=[old])
-        await_held_up(world=world, booth=booth, backend=old)
+        world.cut(ones=[proxy], others=[old])
+        await_held_up(world=world, proxy=proxy, backend=old)
     world.await_that(test=lambda: duties[0].state.phase == ShardPhase.closing, within_ms=4_000, what="it closes")
-    then(booth)
+    then(proxy)
     world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=9_000, what="all is brought over")
-    world.advance(for_ms=world.luck.randrange(50, 400))
+    world.advance(for_ms=world.rng.randrange(50, 400))
     world.heal()
     world.advance(for_ms=3_000)
 
 
 def shards_commit_held_up(world: PlatformWorld) -> None:
-    """A booth in touch whose way to the old place is cut, and only that."""
+    """A proxy in touch whose way to the old place is cut, and only that."""
     held_up(world=world)
     moved(world=world)
 
 
 def shards_commit_held_up_deaf(world: PlatformWorld) -> None:
-    """The same at a booth that hears of no closing, and whose clients wait for long."""
+    """The same at a proxy that hears of no closing, and whose clients wait for long."""
     world.put(body=world.configuration(version=9, give_up_ms=2_400))
     world.advance(for_ms=1_500)
     held_up(world=world, also_deaf=True)
@@ -450,11 +452,11 @@
 
 
 def shards_long_transaction(world: PlatformWorld) -> None:
-    """A booth that hears of nothing, with transactions that began long before the change and end after it."""
+    """A proxy that hears of nothing, with transactions that began long before the change and end after it."""
     world.advance(for_ms=2_000)
-    deaf = world.booths[0]
-    world.cut(ones=[deaf], others=world.guildhalls)
-    world.advance(for_ms=world.luck.randrange(0, 300))
+    deaf = world.proxies[0]
+    world.cut(ones=[deaf], others=world.controllers)
+    world.advance(for_ms=world.rng.randrange(0, 300))
     assert not propose(world=world)
     world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=15_000, what="all is brought over")
     world.advance(for_ms=3_000)
@@ -463,25 +465,25 @@
 
 
 def shards_commit_held_up_frozen(world: PlatformWorld) -> None:
-    """The same at a booth that then stands still, so that only its machine can give the bytes up."""
+    """The same at a proxy that then stands still, so that only its machine can give the bytes up."""
     held_up(world=world, then=lambda name: world.freeze(name=name))
-    world.thaw(name=world.booths[0])
+    world.thaw(name=world.proxies[0])
     moved(world=world, within_ms=10_000)
 
 
 def shards_commit_held_up_killed(world: PlatformWorld) -> None:
-    """The same at a booth that is then killed, so that its machine alone is left to send them."""
+    """The same at a proxy that is then killed, so that its machine alone is left to send them."""
     held_up(world=world, then=lambda name: world.kill(name=name))
     moved(world=world, within_ms=10_000)
 
 
 SHAPED = (
-    shards_booth_killed,
-    shards_booth_cut_one_way,
-    shards_booth_late,
-    shards_booth_old,
-    shards_vault_lost,
-    shards_vault_restarted,
+    shards_proxy_killed,
+    shards_proxy_cut_one_way,
+    shards_proxy_late,
+    shards_proxy_old,
+    shards_register_replica_lost,
+    shards_register_replica_restarted,
     shards_holder_killed_proposed,
     shards_holder_killed_closing,
     shards_holder_killed_steady,
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -7,9 +7,8 @@
 
 from expression import Error, Ok, Result
 
-from ...runtime.fault import Fault
-from ...runtime.kind import Kind
-from ..virtualloop import BOOT, Boot
+from ...runtime.errors import CinderstairError, ErrorCode
+from ..virtual_loop import BOOT, Boot
 from .listener import Listener
 from .stream_fabric import StreamFabric
 
@@ -25,14 +24,20 @@
         if boot is not None:
             self.context.run(BOOT.set, boot)
 
-    async def connect(self, *, address: str, protocol: Callable[[], Any], wait_us: int) -> Result[Any, Fault]:
+    async def connect(
+        self, *, address: str, protocol: Callable[[], Any], wait_us: int
+    ) -> Result[Any, CinderstairError]:
         opened = self.fabric.dial(host=self.host, boot=self.boot, context=self.context, address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 end = await opened
         except (TimeoutError, OSError) as error:
             details = {"ended": int(isinstance(error, ConnectionRefusedError))}
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: {type(error).__name__}", details=details))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.WIRE_UNSENT, reason=f"{address}: {type(error).__name__}", details=details
+                )
+            )
         made = protocol()
         end.attach(protocol=made)
         return Ok(made)
--- a/src/cinderstair/simulation/platformsim/sim_transport.py
+++ b/src/cinderstair/simulation/platformsim/sim_transport.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..virtualloop import Boot
+from ..virtual_loop import Boot
 from .sim_socket import SimSocket
 
 if TYPE_CHECKING:
--- a/src/cinderstair/simulation/platformsim/slots.py
+++ b/src/cinderstair/simulation/platformsim/slots.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from ..virtualloop import VirtualLoop
+from ..virtual_loop import VirtualLoop
 
 MOST_WAITING = 24
 
--- a/src/cinderstair/simulation/platformsim/stale_checker.py
+++ b/src/cinderstair/simulation/platformsim/stale_checker.py
@@ -3,8 +3,8 @@
 from bisect import bisect_left
 from typing import TYPE_CHECKING
 
-from .asked import Asked
 from .checker import Checker
+from .client_statement import ClientStatement
 from .log_entry import LogEntry
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
         self.sorts: dict[str, tuple[str, int]] = {}
         self.own: dict[int, list[LogEntry]] = {}
         self.by_sort: dict[str, int] = {}
-        self.doubts: list[tuple[list[LogEntry], str]] = []
+        self.silent_backend_probe: list[tuple[list[LogEntry], str]] = []
 
     def _missing(self, *, before_us: int, backend: "StandInBackend") -> list[LogEntry]:
         """Commits that were acknowledged before that moment and stand not in the log that is read."""
@@ -33,7 +33,7 @@
         late = [entry for _, entry in acked[max(0, end - LOOK_BACK) : end]]
         return [entry for entry in late if not entry.cut and not backend.holds(entry=entry)]
 
-    def ran(self, *, asked: Asked, backend: "StandInBackend") -> None:
+    def ran(self, *, asked: ClientStatement, backend: "StandInBackend") -> None:
         sort, age_us = self.sorts[asked.attempt.database]
         self.chance()
         self.by_sort[sort] = self.by_sort.get(sort, 0) + 1
@@ -49,11 +49,11 @@
                     missing.append(entry)
         if missing:
             what = f"{sort} read {asked.ident!r} of {asked.first_us} on {backend.name} at {backend.position}"
-            self.doubts.append((missing, what))
+            self.silent_backend_probe.append((missing, what))
 
     def end(self) -> None:
         """What a promotion has cut back does not count, also where it was cut back only after the read."""
-        for missing, what in self.doubts:
+        for missing, what in self.silent_backend_probe:
             left = [entry for entry in missing if not entry.cut]
             if left:
                 words = ", ".join(f"{entry.term}.{entry.number} of {entry.acked_us}" for entry in left[-3:])
