--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .asked import Asked
 from .backend_door import BackendDoor
+from .client_statement import ClientStatement
 from .listener import Listener
 from .log_entry import LogEntry
 from .referee import Referee
@@ -40,7 +40,7 @@
         zone: str,
         fabric: StreamFabric,
         referee: Referee,
-        luck: random.Random,
+        rng: random.Random,
         leads: bool,
         log: list[LogEntry] | None = None,
         slots: int = 4,
@@ -51,7 +51,7 @@
         self.zone = zone
         self.fabric = fabric
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.costs = Costs()
         self.leads = leads
         self.term = service.term
@@ -136,9 +136,9 @@
 
     def stamp(self) -> bytes:
         self.stamped += 1
-        return b"%s.%x.%x" % (self.name.encode(), self.stamped, self.luck.getrandbits(32))
+        return b"%s.%x.%x" % (self.name.encode(), self.stamped, self.rng.getrandbits(32))
 
-    def commit(self, *, writes: tuple[Asked, ...], done: Callable[[LogEntry], None]) -> LogEntry:
+    def commit(self, *, writes: tuple[ClientStatement, ...], done: Callable[[LogEntry], None]) -> LogEntry:
         """Appends; the answer waits for the copies that have to confirm."""
         entry = LogEntry(
             term=self.term,
@@ -161,17 +161,17 @@
             self.pending.append((entry, done))
         for each in self.service.backends.values():
             if each is not self and each.up and each.term <= self.term:
-                self._ship(copy=each)
+                self._ship(replica=each)
         return entry
 
-    def _ship(self, *, copy: "StandInBackend") -> None:
+    def _ship(self, *, replica: "StandInBackend") -> None:
         upto, term = len(self.log), self.term
 
         def arrive() -> None:
             if self.up and self.leads and self.term == term:
-                copy.receive(leader=self, upto=upto)
+                replica.receive(leader=self, upto=upto)
 
-        self.fabric.later(call=arrive, source=self.name, target=copy.name)
+        self.fabric.later(call=arrive, source=self.name, target=replica.name)
 
     def receive(self, *, leader: "StandInBackend", upto: int) -> None:
         if not self.up or self.leads or self.paused or self.deaf or leader.term < self.service.term:
@@ -181,13 +181,13 @@
         if upto > len(self.log):
             self.log.extend(leader.log[len(self.log) : upto])
             life, at = self.life, len(self.log)
-            delay_us = self.costs.apply_us + self.lag_us + self.luck.randrange(self.costs.apply_us)
+            delay_us = self.costs.apply_us + self.lag_us + self.rng.randrange(self.costs.apply_us)
             self.fabric.loop.call_later(delay_us / 1_000_000, self._apply, at, life, context=contextvars.Context())
         has = len(self.log)
 
         def confirm() -> None:
             if leader.up:
-                leader.confirmed(copy=self.name, upto=has)
+                leader.confirmed(replica=self.name, upto=has)
 
         self.fabric.later(call=confirm, source=self.name, target=leader.name)
 
@@ -195,13 +195,13 @@
         if life == self.life and self.up:
             self.applied = max(self.applied, min(upto, len(self.log)))
 
-    def confirmed(self, *, copy: str, upto: int) -> None:
+    def confirmed(self, *, replica: str, upto: int) -> None:
         if not self.leads:
             return
         left = []
         for entry, done in self.pending:
             if entry.number <= upto:
-                entry.confirmers.add(copy)
+                entry.confirmers.add(replica)
             if len(entry.confirmers) >= self.service.waits_for:
                 done(entry)
             else:
@@ -253,7 +253,7 @@
         if not self.leads:
             leader = self.service.leader_for(backend=self)
             if leader is not None and (self.term < leader.term or len(self.log) < len(leader.log) or leader.pending):
-                leader._ship(copy=self)
+                leader._ship(replica=self)
 
     def state_row(self) -> bytes:
         role = b"primary" if self.leads else b"copy"
--- a/src/cinderstair/simulation/platformsim/stand_in_operator.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_operator.py
@@ -18,13 +18,13 @@
     """`controls` lags behind the truth, as lists do."""
 
     def __init__(
-        self, *, fabric: StreamFabric, streams: SimStreams, controls: list[str], referee: Referee, luck: random.Random
+        self, *, fabric: StreamFabric, streams: SimStreams, controls: list[str], referee: Referee, rng: random.Random
     ) -> None:
         self.fabric = fabric
         self.streams = streams
         self.controls = controls
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.took_us: list[int] = []
         self.lost_answers = 0.0
 
@@ -49,8 +49,8 @@
             self.referee.config.sent(body=body, now_us=began_us)
         pause_s, bad = 0.1, 0
         for _ in range(TRIES):
-            answer = await self._call(address=self.luck.choice(self.controls), method="PUT", body=body)
-            if valid and self.luck.random() < self.lost_answers:
+            answer = await self._call(address=self.rng.choice(self.controls), method="PUT", body=body)
+            if valid and self.rng.random() < self.lost_answers:
                 # why: the answer is lost on its way, so that the same order is sent again
                 answer = None
             status = 0 if answer is None else answer[0]
@@ -68,7 +68,7 @@
                 else:
                     self.referee.config.invalid(body=body, status=status)
                 return status
-            await asyncio.sleep(pause_s + self.luck.random() * 0.05)
+            await asyncio.sleep(pause_s + self.rng.random() * 0.05)
             pause_s = min(2.0, pause_s * 2)
         return 0
 
@@ -77,7 +77,7 @@
         until_us = self.fabric.now_us + for_us
         newest: bytes | None = None
         while self.fabric.now_us < until_us:
-            answer = await self._call(address=self.luck.choice(self.controls), method="GET", body=b"")
+            answer = await self._call(address=self.rng.choice(self.controls), method="GET", body=b"")
             if answer is not None and answer[0] == 200:
                 newest = answer[1]
                 break
--- a/src/cinderstair/simulation/platformsim/stand_in_platform.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_platform.py
@@ -1,4 +1,4 @@
-"""The platform: it promotes, asks booths whether they are ready, and hands connections out."""
+"""The platform: it promotes, asks proxies whether they are ready, and hands connections out."""
 
 import asyncio
 import contextvars
@@ -7,7 +7,7 @@
 import random
 
 from .http_caller import http_call
-from .http_listener import Answer, HttpListener
+from .http_listener import ClientAnswer, HttpListener
 from .listener import Listener
 from .referee import Referee
 from .sim_streams import SimStreams
@@ -20,7 +20,7 @@
 
 
 class StandInPlatform:
-    """`ready` and `fronts` are the booths' addresses by name. `modes`: up, slow, down."""
+    """`ready` and `fronts` are the proxies' addresses by name. `modes`: up, slow, down."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         address: str,
         services: dict[str, StandInService],
         referee: Referee,
-        luck: random.Random,
+        rng: random.Random,
         fronts: dict[str, str],
         ready: dict[str, str],
         zones: dict[str, str],
@@ -40,7 +40,7 @@
         self.address = address
         self.services = services
         self.referee = referee
-        self.luck = luck
+        self.rng = rng
         self.fronts = fronts
         self.ready = ready
         self.zones = zones
@@ -62,7 +62,7 @@
 
     # -- promotions --
 
-    def _handle(self, method: str, path: str, headers: dict[str, str], body: bytes, answer: Answer) -> None:
+    def _handle(self, method: str, path: str, headers: dict[str, str], body: bytes, answer: ClientAnswer) -> None:
         if self.mode == "down":
             answer(503, b"")
             return
@@ -83,7 +83,7 @@
             status = self._promote(service=str(value["target"]), name=str(value["server_id"]))
         self.calls.append((now_us, str(value["target"]), str(value["server_id"]), status))
         if self.mode == "slow":
-            self.fabric.loop.call_later(0.8 + self.luck.random(), answer, status, b"")
+            self.fabric.loop.call_later(0.8 + self.rng.random(), answer, status, b"")
         else:
             answer(status, b"")
 
@@ -118,11 +118,11 @@
         return self.misses[name] < MISSES
 
     def assign(self, *, client: str, zone: str, number: int) -> str:
-        """The booth that a client's next connection goes to."""
+        """The proxy that a client's next connection goes to."""
         own = sorted(name for name in self.fronts if self.zones[name] == zone)
         ready = [name for name in own if self.is_in(name=name)]
         names = own if ready and 2 * len(ready) < len(own) else ready
         if not names:
             names = [name for name in sorted(self.fronts) if self.is_in(name=name)] or own or sorted(self.fronts)
-        spot = int.from_bytes(hashlib.sha256(f"{client}/{number}".encode()).digest()[:4], "big")
-        return names[spot % len(names)]
+        location = int.from_bytes(hashlib.sha256(f"{client}/{number}".encode()).digest()[:4], "big")
+        return names[location % len(names)]
--- a/src/cinderstair/simulation/platformsim/stream_fabric.py
+++ b/src/cinderstair/simulation/platformsim/stream_fabric.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..virtualloop import Boot, VirtualLoop
+from ..virtual_loop import Boot, VirtualLoop
 from .listener import Listener
 from .platform_wires import PlatformWires
 from .sim_transport import SimTransport
@@ -18,10 +18,10 @@
 class StreamFabric:
     """Hosts are known by name; addresses lead to hosts, also when nobody listens there."""
 
-    def __init__(self, *, loop: VirtualLoop, wires: PlatformWires, luck: random.Random) -> None:
+    def __init__(self, *, loop: VirtualLoop, wires: PlatformWires, rng: random.Random) -> None:
         self.loop = loop
         self.wires = wires
-        self.luck = luck
+        self.rng = rng
         self.context = contextvars.Context()
         self.hosts: dict[str, str] = {}
         self.zones: dict[str, str] = {}
@@ -57,7 +57,7 @@
         elif self.zones.get(source) != self.zones.get(target):
             base_us = ZONE_US
         lag_us = self.wires.lags_us.get(source, 0) + self.wires.lags_us.get(target, 0)
-        return (base_us + self.luck.randrange(base_us // 2) + lag_us) / 1_000_000
+        return (base_us + self.rng.randrange(base_us // 2) + lag_us) / 1_000_000
 
     def later(self, *, call: Callable[[], None], source: str, target: str) -> None:
         """Something that crosses the network once, or is lost in a cut."""
--- a/src/cinderstair/simulation/platformsim/succession_trials.py
+++ b/src/cinderstair/simulation/platformsim/succession_trials.py
@@ -20,15 +20,21 @@
 
 def newest_roster(*, world: PlatformWorld) -> Roster:
     """The newest roster that any running machine knows."""
-    rosters = [world.roles[name].guildhall.vault.roster for name in world.guildhalls if name in world.roles]
+    rosters = [
+        world.roles[name].controller.register_replica.roster for name in world.controllers if name in world.roles
+    ]
     return max((roster for roster in rosters if roster is not None), key=lambda roster: roster.epoch)
 
 
 def all_vote(*, world: PlatformWorld) -> bool:
     """Whether every voter runs, with the disk that it votes by, and has made the newest roster its own."""
     roster = newest_roster(world=world)
-    running = [world.roles[name].guildhall.vault for name in world.guildhalls if name in world.roles]
-    idents = {vault.me.ident for vault in running if vault.me is not None and vault.roster == roster}
+    running = [world.roles[name].controller.register_replica for name in world.controllers if name in world.roles]
+    idents = {
+        register_replica.me.ident
+        for register_replica in running
+        if register_replica.me is not None and register_replica.roster == roster
+    }
     return all(voter.ident in idents for voter in roster.voters)
 
 
@@ -42,28 +48,28 @@
 def lose(world: PlatformWorld, name: str) -> None:
     """A machine is gone for good, and an empty one takes its place at another address."""
     zone = world.zones[name]
-    world.remove_guildhall(name=name)
+    world.remove_controller(name=name)
     world.advance(for_ms=1_000)
-    world.add_guildhall(name=f"{name}x", zone=zone)
+    world.add_controller(name=f"{name}x", zone=zone)
 
 
 def leave(world: PlatformWorld, name: str) -> None:
     """The new machine first, then the old one's planned end; losses count from its end on."""
     zone = world.zones[name]
-    world.add_guildhall(name=f"{name}y", zone=zone)
+    world.add_controller(name=f"{name}y", zone=zone)
     world.advance(for_ms=CATCH_UP_US // 1_000)
     gone = world.leave_for_good(name=name)
     world.await_that(test=gone.done, within_ms=8_000, what=f"{name} has ended")
     if any(voter.name == name for voter in newest_roster(world=world).voters):
         raise AssertionError(f"{name} ended with its vote")
-    world.remove_guildhall(name=name)
+    world.remove_controller(name=name)
 
 
 def cut_off(world: PlatformWorld, name: str) -> None:
     """A machine is cut off from all others of control for longer than they wait for it, and comes back."""
-    others = [other for other in world.guildhalls if other != name]
+    others = [other for other in world.controllers if other != name]
     world.cut(ones=[name], others=others)
-    world.advance(for_ms=world.luck.randrange(500, 8_000))
+    world.advance(for_ms=world.rng.randrange(500, 8_000))
     world.heal()
 
 
@@ -71,7 +77,7 @@
     """Each loss takes the machine whose disk has lasted longest, at the shortest spacing that is allowed."""
     world.advance(for_ms=800)
     version = 10
-    oldest = list(world.guildhalls)
+    oldest = list(world.controllers)
     for loss in losses:
         name = oldest.pop(0)
         loss(world, name)
@@ -84,8 +90,8 @@
         )
         world.entered_us.append(world.now_us - since_us)
         world.advance(for_ms=(CATCH_UP_US - (world.now_us - since_us)) // 1_000)
-        oldest = [each for each in oldest if each in world.guildhalls]
-        oldest += [each for each in world.guildhalls if each not in oldest]
+        oldest = [each for each in oldest if each in world.controllers]
+        oldest += [each for each in world.controllers if each not in oldest]
         version += 1
         acknowledged(world=world, version=version)
     back(world=world)
@@ -106,11 +112,11 @@
 
 def returned_then_lost(world: PlatformWorld) -> None:
     """The place of a machine that is cut off is taken; it comes back, and the others are lost one by one."""
-    world.add_guildhall(name="guildhall-9", zone=world.zones["guildhall-0"])
+    world.add_controller(name="guildhall-9", zone=world.zones["guildhall-0"])
     world.advance(for_ms=CATCH_UP_US // 1_000)
     in_succession(world=world, losses=[cut_off, wipe, lose])
 
 
 def drawn_at_random(world: PlatformWorld) -> None:
     ways = [lose, leave, wipe, cut_off]
-    in_succession(world=world, losses=[world.luck.choice(ways) for _ in range(4)])
+    in_succession(world=world, losses=[world.rng.choice(ways) for _ in range(4)])
--- a/src/cinderstair/simulation/platformsim/sweep.py
+++ b/src/cinderstair/simulation/platformsim/sweep.py
@@ -8,10 +8,10 @@
 import time
 from collections import Counter, defaultdict
 
-from .platform_faults import FAULTS, switched_in
 from .platform_trials import TRIALS, run_trial
 from .platform_verdict import PlatformVerdict
 from .repository import see_adapter
+from .seeded_bugs import FAULTS, switched_in
 
 
 def one(task: tuple[str, int, str]) -> tuple[str, int, float, PlatformVerdict]:
@@ -43,7 +43,7 @@
         return 1 if verdict.wrong else 0
     see_adapter()
     # why: loaded before the processes part, so that a tree which is being worked on is the same to all of them
-    for module in ("booth_role", "guildhall_role"):
+    for module in ("proxy_role", "controller_role"):
         importlib.import_module(f"adapter.{module}")
     tasks = [
         (name, seed, options.fault)
--- a/src/cinderstair/simulation/vaulttrials.py
+++ b/src/cinderstair/simulation/register_trials.py
@@ -1,4 +1,4 @@
-"""Vaults and configurations: lost machines and disks, and operators that race."""
+"""Register replicas and configurations: lost machines and disks, and operators that race."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from .world import World
 
 
-def vaults_turned(*, trial: Trial) -> None:
-    """Two vaults are killed, come back, and then two others."""
+def register_replicas_turned(*, trial: Trial) -> None:
+    """Two register replicas are killed, come back, and then two others."""
     world = trial.world
     trial.fault()
-    for pair in (world.vault_names[:2], world.vault_names[2:4]):
+    for pair in (world.register_replica_names[:2], world.register_replica_names[2:4]):
         for name in pair:
             world.kill(name=name)
         trial.go(for_us=5_000_000)
@@ -21,27 +21,27 @@
     trial.go(for_us=5_000_000)
 
 
-def vaults_gone(*, trial: Trial) -> None:
-    """A majority of vaults is gone for a while: nothing is served by an old view, and all comes back."""
+def register_replicas_gone(*, trial: Trial) -> None:
+    """A majority of register replicas is gone for a while: nothing is served by an old view, and all comes back."""
     world = trial.world
-    for name in world.vault_names[:3]:
+    for name in world.register_replica_names[:3]:
         world.kill(name=name)
     trial.go(for_us=6_000_000)
-    if any(world.stall(name=n).ready.unready() is None for n in world.stall_names):
-        trial.verdict.wrong.append("a stall is ready without a view that can be current")
+    if any(world.http_proxy(name=n).ready.unready() is None for n in world.http_proxy_names):
+        trial.verdict.wrong.append("an HTTP proxy is ready without a view that can be current")
     trial.fault()
-    for name in world.vault_names[:3]:
+    for name in world.register_replica_names[:3]:
         world.start(name=name)
     trial.go(for_us=SETTLE_US)
 
 
-def vault_disks(*, trial: Trial) -> None:
-    """One vault's sync fails, another's write is torn; both restart."""
+def register_replica_disks(*, trial: Trial) -> None:
+    """One register replica's sync fails, another's write is torn; both restart."""
     world = trial.world
     trial.fault()
-    for number, name in enumerate(world.vault_names[:2]):
+    for number, name in enumerate(world.register_replica_names[:2]):
         setattr(world.disks[name], "fail_next" if number else "tear_next", True)
-        trial.submit(version=2 + number, at=world.stall_names[number % len(world.stall_names)])
+        trial.submit(version=2 + number, at=world.http_proxy_names[number % len(world.http_proxy_names)])
         trial.go(for_us=1_000_000)
         if name in world.halted:
             world.start(name=name)
@@ -49,32 +49,36 @@
     trial.go(for_us=3_000_000)
 
 
-def vault_wiped(*, trial: Trial) -> None:
-    """A vault loses its disk and comes back blank; then others go, so that its vote is needed."""
+def register_replica_wiped(*, trial: Trial) -> None:
+    """A register replica loses its disk and comes back blank; then others go, so that its vote is needed."""
     world = trial.world
-    name = world.luck.choice(world.vault_names)
-    old = world.vault(name=name).me
+    name = world.rng.choice(world.register_replica_names)
+    old = world.register_replica(name=name).me
     trial.fault()
     world.kill(name=name)
     trial.submit(version=2)
     world.disks[name].wipe()
-    trial.go(for_us=world.luck.randrange(100_000, 2_000_000))
+    trial.go(for_us=world.rng.randrange(100_000, 2_000_000))
     world.start(name=name)
 
     def entered() -> bool:
-        vault = world.things.get(name)
-        if vault is None:
+        register_replica = world.things.get(name)
+        if register_replica is None:
             return False
-        return vault.me is not None and vault.roster is not None and vault.roster.has(ident=vault.me.ident)
+        return (
+            register_replica.me is not None
+            and register_replica.roster is not None
+            and register_replica.roster.has(ident=register_replica.me.ident)
+        )
 
     trial.verdict.note(
-        name="blank vault in the roster",
-        value_us=world.await_that(test=entered, within_us=20_000_000, what="the blank vault votes"),
+        name="blank register replica in the roster",
+        value_us=world.await_that(test=entered, within_us=20_000_000, what="the blank register replica votes"),
     )
-    if old == world.vault(name=name).me:
-        trial.verdict.wrong.append("a blank vault came back under its old identity")
+    if old == world.register_replica(name=name).me:
+        trial.verdict.wrong.append("a blank register replica came back under its old identity")
     trial.go(for_us=5_000_000)
-    for other in [each for each in world.vault_names if each != name][:2]:
+    for other in [each for each in world.register_replica_names if each != name][:2]:
         world.kill(name=other)
     trial.submit(version=3)
     trial.go(for_us=8_000_000)
@@ -91,7 +95,7 @@
     if sorted(statuses) != [200, 409]:
         trial.verdict.wrong.append(f"two operators at once were told {statuses}")
     for body, status in zip(bodies, statuses, strict=True):
-        trial.told(version=2, body=body, status=status)
+        trial.reported(version=2, body=body, status=status)
     trial.go(for_us=1_000_000)
     if trial.submit(version=1) != 409:
         trial.verdict.wrong.append("an old version was accepted")
@@ -101,16 +105,16 @@
         trial.verdict.wrong.append("a broken configuration was accepted")
     trial.go(for_us=2_000_000)
     for version in range(3, 8):
-        trial.submit(version=version, at=world.luck.choice(world.stall_names))
-        trial.go(for_us=world.luck.randrange(100_000, 900_000))
+        trial.submit(version=version, at=world.rng.choice(world.http_proxy_names))
+        trial.go(for_us=world.rng.randrange(100_000, 900_000))
     trial.fault()
-    for name in (world.vault_names[0], world.vault_names[3], trial.holder):
+    for name in (world.register_replica_names[0], world.register_replica_names[3], trial.holder):
         world.kill(name=name)
     trial.go(for_us=SETTLE_US)
 
 
 async def at_once(*, world: World, bodies: tuple[bytes, bytes]) -> list[int]:
-    names = world.stall_names
+    names = world.http_proxy_names
     results = await asyncio.gather(
         *(
             world._ask(name=names[n % len(names)], method="PUT", path="/v1/configuration", body=body)
--- a/src/cinderstair/simulation/faults.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -10,30 +10,29 @@
 
 from expression import Ok
 
-from ..config import chancery
+from ..config import configuration_store
 from ..consensus.store import Store
-from ..failover import leadduty
-from ..http_frontend import view, yard
-from ..http_frontend.denymixin import DenyMixin
-from ..http_frontend.filters import sessionfilter
-from ..http_frontend.filters.keepfilter import KeepFilter
-from ..http_frontend.filters.passfilter import PassFilter
-from ..http_frontend.handle import Handle, Tag, read_handle
+from ..failover import database_failover
+from ..http_frontend import connection_pools, view
+from ..http_frontend.commit_watermarks import CommitWatermarks
+from ..http_frontend.filters import session_filter
+from ..http_frontend.filters.forward_filter import ForwardFilter
+from ..http_frontend.filters.session_state_filter import SessionStateFilter
+from ..http_frontend.forward_mixin import ForwardMixin
 from ..http_frontend.handover import Handover
-from ..http_frontend.keeper import Keeper
-from ..http_frontend.ledgerbook import LedgerBook
-from ..http_frontend.passmixin import PassMixin
+from ..http_frontend.http_proxy import HttpProxy
 from ..http_frontend.pool import Pool
+from ..http_frontend.reject_mixin import RejectMixin
 from ..http_frontend.samples import Samples
 from ..http_frontend.session import Session
+from ..http_frontend.session_replicator import SessionReplicator
+from ..http_frontend.session_token import SessionToken, Tag, parse_session_token
 from ..http_frontend.sessions import Sessions
-from ..http_frontend.stall import Stall
 from ..http_frontend.view import View
 from ..maintenance.leaving import Leaving
-from ..membership.news import News
-from ..runtime.fault import Fault
-from ..runtime.kind import Kind
-from ..runtime.parley import Parley
+from ..membership.heartbeat_table import HeartbeatTable
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.peer_client import PeerClient
 
 Patches = list[Any]
 
@@ -44,7 +43,7 @@
     async def durable(self: Any, **_: Any) -> bool:
         return True
 
-    return [patch.object(LedgerBook, "durable", durable)]
+    return [patch.object(CommitWatermarks, "durable", durable)]
 
 
 def view_forever() -> Patches:
@@ -54,25 +53,25 @@
 
 def promote_at_once() -> Patches:
     """A new lead is settled without outwaiting older views."""
-    return [patch.object(leadduty, "VIEW_MARGIN_US", -60_000_000)]
+    return [patch.object(database_failover, "VIEW_MARGIN_US", -60_000_000)]
 
 
 def send_again() -> Patches:
     """A write whose answer was lost is sent again."""
 
     def unknown(self: Any, *, why: str) -> Any:
-        return Fault(kind=Kind.noBackend, why=why)
+        return CinderstairError(code=ErrorCode.NO_BACKEND, reason=why)
 
-    return [patch.object(PassFilter, "_unknown", unknown)]
+    return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
 def say_nothing_kept() -> Patches:
     """An unknown outcome is told as if nothing had been kept."""
 
     def unknown(self: Any, *, why: str) -> Any:
-        return self.deny(kind=Kind.transactionLost, why=why)
+        return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=why)
 
-    return [patch.object(PassFilter, "_unknown", unknown)]
+    return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
 def any_age() -> Patches:
@@ -82,23 +81,23 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend's word that it is emptying is not heeded."""
-    return [patch.object(News, "fit", lambda self, *, name: not self.quiet(name=name))]
+    return [patch.object(HeartbeatTable, "fit", lambda self, *, name: not self.quiet(name=name))]
 
 
 def no_versions() -> Patches:
     """A configuration is written whatever stands."""
 
-    class Anything(chancery.Chancery):
+    class Anything(configuration_store.ConfigurationStore):
         async def submit(self, *, raw: bytes) -> Any:
-            checked = chancery.check_charter(raw=raw)
-            found = await self.register.change(key=chancery.CHARTER_KEY, decide=lambda _: Ok(raw))
+            checked = configuration_store.check_configuration(raw=raw)
+            found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
             return Ok((checked.ok, found.ok)) if checked.is_ok() and found.is_ok() else checked
 
-    return [patch.object(chancery.Chancery, "submit", Anything.submit)]
+    return [patch.object(configuration_store.ConfigurationStore, "submit", Anything.submit)]
 
 
-def forgetful_vault() -> Patches:
-    """A vault answers without having saved anything."""
+def forgetful_register_replica() -> Patches:
+    """A register replica answers without having saved anything."""
     return [patch.object(Store, "save", lambda self, *, entries: None)]
 
 
@@ -108,33 +107,33 @@
     def abandon(self: Any, *, session: Any) -> None:
         transaction, session.transaction = session.transaction, None
         if transaction is not None:
-            transaction.pool.give(channel=transaction.channel, keep=True)
+            transaction.pool.give(connection=transaction.connection, keep=True)
 
     return [patch.object(Sessions, "abandon", abandon)]
 
 
 def other_text() -> Patches:
     """The text of a statement is changed on its way."""
-    original = PassMixin.pass_to
+    original = ForwardMixin.pass_to
 
-    async def pass_to(self: Any, *, job: Any, **rest: Any) -> Any:
-        if job.body.get("text", "").startswith("list"):
-            job.body["text"] = job.body["text"] + " "
-        return await original(self, job=job, **rest)
+    async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
+        if request.body.get("text", "").startswith("list"):
+            request.body["text"] = request.body["text"] + " "
+        return await original(self, request=request, **rest)
 
-    return [patch.object(PassMixin, "pass_to", pass_to)]
+    return [patch.object(ForwardMixin, "pass_to", pass_to)]
 
 
 def mixed_values() -> Patches:
     """Sessions share one set of values."""
     shared: dict[str, Any] = {}
-    original = KeepFilter._change
+    original = SessionStateFilter._change
 
-    async def change(self: Any, *, job: Any, values: Any, prepared: Any) -> Any:
+    async def change(self: Any, *, request: Any, values: Any, prepared: Any) -> Any:
         shared.update(values)
-        return await original(self, job=job, values=shared, prepared=prepared)
+        return await original(self, request=request, values=shared, prepared=prepared)
 
-    return [patch.object(KeepFilter, "_change", change)]
+    return [patch.object(SessionStateFilter, "_change", change)]
 
 
 def deaf_to_windows() -> Patches:
@@ -143,19 +142,19 @@
 
 
 def lose_sessions() -> Patches:
-    """A stall that must stand empty forgets its sessions instead of handing them on."""
+    """An HTTP proxy that must stand empty forgets its sessions instead of handing them on."""
 
     async def hand_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
     # why: their copies would bring them back
-    return [*no_copies(), patch.object(Handover, "hand_all", hand_all)]
+    return [*no_replicas(), patch.object(Handover, "hand_all", hand_all)]
 
 
 def newest_always() -> Patches:
     """The newest version of the records is spoken with everyone, whatever they understand."""
-    return [patch.object(Parley, "version", lambda self, *, address: self.ctx.speech.highest)]
+    return [patch.object(PeerClient, "version", lambda self, *, address: self.ctx.protocol_versions.highest)]
 
 
 def never_move() -> Patches:
@@ -164,7 +163,7 @@
     async def must_move(self: Any, **_: Any) -> str:
         return ""
 
-    return [patch.object(leadduty.LeadDuty, "_must_move", must_move)]
+    return [patch.object(database_failover.DatabaseFailover, "_must_move", must_move)]
 
 
 def forget_floor() -> Patches:
@@ -176,85 +175,85 @@
     """A configuration is accepted whatever it says."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
-        found = await self.register.change(key=chancery.CHARTER_KEY, decide=lambda _: Ok(raw))
+        found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
         return Ok((SimpleNamespace(version=0, warnings=()), found.ok)) if found.is_ok() else found
 
-    return [patch.object(chancery.Chancery, "submit", submit)]
+    return [patch.object(configuration_store.ConfigurationStore, "submit", submit)]
 
 
 def older_again() -> Patches:
     """An older configuration is written over a newer one, and comes into force."""
-    original = View._apply_charter
+    original = View._apply_configuration
 
     def apply(self: Any, *, raw: bytes) -> bool:
-        self.charter = None
+        self.configuration = None
         return original(self, raw=raw)
 
-    return [*no_versions(), patch.object(View, "_apply_charter", apply)]
+    return [*no_versions(), patch.object(View, "_apply_configuration", apply)]
 
 
 def altered_read_back() -> Patches:
     """A configuration is given back as this code would write it, and not as it came."""
-    original = chancery.Chancery.fetch
+    original = configuration_store.ConfigurationStore.fetch
 
     async def fetch(self: Any) -> Any:
         found = await original(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(chancery.Chancery, "fetch", fetch)]
+    return [patch.object(configuration_store.ConfigurationStore, "fetch", fetch)]
 
 
 def deaf_to_quiet() -> Patches:
     """Nobody is ever held to have fallen silent."""
     return [
-        patch.object(News, "quiet", lambda self, *, name: False),
-        patch.object(News, "age_us", lambda self, *, name: 0),
+        patch.object(HeartbeatTable, "quiet", lambda self, *, name: False),
+        patch.object(HeartbeatTable, "age_us", lambda self, *, name: 0),
     ]
 
 
 def held_denials() -> Patches:
     """A denial is held back until the job's time is nearly up."""
-    original = Stall.answer
+    original = HttpProxy.answer
 
     async def answer(self: Any, http: Any) -> Any:
         response = await original(self, http)
         if response.status >= 400 and http.body:
-            await self.ctx.rest(wait_us=json.loads(http.body).get("timeLeftUs", 0) * 9 // 10)
+            await self.ctx.sleep(duration_us=json.loads(http.body).get("timeLeftUs", 0) * 9 // 10)
         return response
 
-    return [patch.object(Stall, "answer", answer)]
+    return [patch.object(HttpProxy, "answer", answer)]
 
 
 def no_retry_after() -> Patches:
     """A denial does not say when to come back."""
-    original = DenyMixin.deny
+    original = RejectMixin.reject
 
-    def deny(self: Any, **rest: Any) -> Any:
+    def reject(self: Any, **rest: Any) -> Any:
         response = original(self, **rest)
         return replace(response, headers={})
 
-    return [patch.object(DenyMixin, "deny", deny)]
+    return [patch.object(RejectMixin, "reject", reject)]
 
 
 def drop_at_stop() -> Patches:
-    """A stall that is told to stop just ends."""
+    """An HTTP proxy that is told to stop just ends."""
 
     async def drain(self: Any) -> None:
         self.ready.draining = True
 
-    return [patch.object(Stall, "drain", drain)]
+    return [patch.object(HttpProxy, "drain", drain)]
 
 
 def other_params() -> Patches:
     """The parameters of a statement are changed on their way."""
-    original = PassMixin.pass_to
+    original = ForwardMixin.pass_to
 
-    async def pass_to(self: Any, *, job: Any, **rest: Any) -> Any:
-        if job.body.get("params"):
-            job.body["params"] = [str(each).upper() for each in job.body["params"]]
-        return await original(self, job=job, **rest)
+    async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
+        if request.body.get("params"):
+            request.body["params"] = [str(each).upper() for each in request.body["params"]]
+        return await original(self, request=request, **rest)
 
-    return [patch.object(PassMixin, "pass_to", pass_to)]
+    return [patch.object(ForwardMixin, "pass_to", pass_to)]
 
 
 def lose_prepared() -> Patches:
@@ -274,18 +273,18 @@
 
 
 def whole_cap() -> Patches:
-    """Every stall takes the whole of a backend's cap for itself."""
-    return [patch.object(yard, "allotment", lambda *, cap, user_ids, stall_id: cap)]
+    """Every HTTP proxy takes the whole of a backend's cap for itself."""
+    return [patch.object(connection_pools, "allotment", lambda *, cap, user_ids, http_proxy_id: cap)]
 
 
-def no_copies() -> Patches:
-    """A change is answered as if it stood at a second stall, and stands at none."""
+def no_replicas() -> Patches:
+    """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
 
     async def keep(self: Any, *, session: Any, until_us: int) -> bool:
         session.second = "nobody"
         return True
 
-    return [patch.object(Keeper, "keep", keep)]
+    return [patch.object(SessionReplicator, "keep", keep)]
 
 
 class AnyTag(Tag):
@@ -303,19 +302,22 @@
 def any_handle() -> Patches:
     """A session or a copy is served to whoever knows its name, however old it is."""
 
-    def read(*, text: str) -> Handle:
-        return Handle(read_handle(text=text).ident, AnyTag(0, ""))
+    def read(*, text: str) -> SessionToken:
+        return SessionToken(parse_session_token(text=text).ident, AnyTag(0, ""))
 
-    return [patch.object(sessionfilter, "read_handle", read)]
+    return [patch.object(session_filter, "parse_session_token", read)]
 
 
-def keep_copies() -> Patches:
+def keep_replicas() -> Patches:
     """Nobody is told that a copy can be forgotten."""
 
     async def ask(self: Any, **_: Any) -> None:
         return None
 
-    return [patch.object(Keeper, "forget", lambda self, **_: None), patch.object(Keeper, "_ask", ask)]
+    return [
+        patch.object(SessionReplicator, "forget", lambda self, **_: None),
+        patch.object(SessionReplicator, "_ask", ask),
+    ]
 
 
 def open_all() -> Patches:
@@ -325,7 +327,7 @@
     async def fill(*, pool: Pool) -> None:
         for taken in [await pool.take(wait_us=1_000_000, gauge=True) for _ in range(pool.limit - pool.open)]:
             if taken.is_ok():
-                pool.give(channel=taken.ok)
+                pool.give(connection=taken.ok)
 
     def resize(self: Any, *, limit: int) -> None:
         original(self, limit=limit)
@@ -346,7 +348,7 @@
         any_age,
         deaf_to_emptying,
         no_versions,
-        forgetful_vault,
+        forgetful_register_replica,
         leave_transactions,
         other_text,
         mixed_values,
@@ -366,9 +368,9 @@
         lose_prepared,
         never_give_up,
         whole_cap,
-        no_copies,
+        no_replicas,
         any_handle,
-        keep_copies,
+        keep_replicas,
         open_all,
     )
 }
--- a/src/cinderstair/simulation/simdisk.py
+++ b/src/cinderstair/simulation/sim_disk.py
@@ -8,8 +8,8 @@
 class SimDisk:
     """Whatever a call returned from is synced; a fault makes the call raise OSError instead."""
 
-    def __init__(self, *, luck: random.Random) -> None:
-        self.luck = luck
+    def __init__(self, *, rng: random.Random) -> None:
+        self.rng = rng
         self.files: dict[str, bytes] = {}
         self.fail_next = False
         self.tear_next = False
@@ -30,7 +30,7 @@
         if self.tear_next:
             self.tear_next = False
             # why: power may go at any byte of what was being written
-            self.files[name] = old + new[: self.luck.randrange(len(new))]
+            self.files[name] = old + new[: self.rng.randrange(len(new))]
             raise OSError("torn")
         if self.fail_next:
             self.fail_next = False
--- a/src/cinderstair/simulation/simnet.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -10,13 +10,12 @@
 
 from expression import Error, Ok, Result
 
-from ..runtime.fault import Fault
-from ..runtime.httpjob import HttpJob, Line
-from ..runtime.httpresponse import HttpResponse
-from ..runtime.kind import Kind
-from ..runtime.net import Channel, HttpAnswer, RecordAnswer
-from ..runtime.speech import unwrapped
-from .virtualloop import BOOT, Boot, VirtualLoop
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.http_request import HttpRequest, Line
+from ..runtime.http_response import HttpResponse
+from ..runtime.net import Connection, HttpAnswer, RecordAnswer
+from ..runtime.protocol_versions import unwrapped
+from .virtual_loop import BOOT, Boot, VirtualLoop
 
 PATHS = frozenset(["/run", "/position", "/pull", "/v1/beats", "/promote"])
 RESEND_US, RESEND_MOST_US = 200_000, 10_000_000
@@ -37,11 +36,11 @@
     state: str
 
 
-def garbled(*, response: HttpResponse, luck: random.Random) -> HttpResponse:
+def garbled(*, response: HttpResponse, rng: random.Random) -> HttpResponse:
     """An answer that is none: cut short, of another shape, without what it has to say, or of odd types."""
     body = response.body
     ways = [
-        body[: luck.randrange(len(body))],
+        body[: rng.randrange(len(body))],
         b"[]",
         b"null",
         b"\xff\xfe",
@@ -49,7 +48,7 @@
         b'{"ok": true, "term": "x"}',
     ]
     ways.append(body.replace(b'"position":', b'"place":').replace(b'"received":', b'"got":'))
-    return HttpResponse(status=response.status, body=luck.choice(ways), headers=response.headers)
+    return HttpResponse(status=response.status, body=rng.choice(ways), headers=response.headers)
 
 
 class SimLine(Line):
@@ -66,14 +65,14 @@
 class Wires:
     """What lies between all machines."""
 
-    def __init__(self, *, loop: VirtualLoop, luck: random.Random) -> None:
+    def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
-        self.luck = luck
+        self.rng = rng
         self.records: dict[str, tuple[Boot, RecordAnswer]] = {}
         self.https: dict[str, tuple[Boot, HttpAnswer]] = {}
         self.hosts: dict[str, str] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self.channels: list[SimChannel] = []
+        self.connections: list[SimConnection] = []
         self.lose_answers: dict[str, float] = {}
         self.garble_answers: dict[str, float] = {}
         self.fast_us, self.slow_us = 200, 1_500
@@ -90,21 +89,21 @@
     def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
-    def arrived(self, *, source: str, target: str, job: HttpJob) -> None:
+    def arrived(self, *, source: str, target: str, request: HttpRequest) -> None:
         """Notes what reaches a backend, and what backends have said that reached anyone."""
-        if job.path in ("/run", "/position"):
-            self.arrivals[target].append(Arrival(self.now_us, job.path, source))
-        elif job.path == "/v1/beats":
+        if request.path in ("/run", "/position"):
+            self.arrivals[target].append(Arrival(self.now_us, request.path, source))
+        elif request.path == "/v1/beats":
             try:
-                self.words[source].append(Word(self.now_us, str(json.loads(job.body)["state"])))
+                self.words[source].append(Word(self.now_us, str(json.loads(request.body)["state"])))
             except (ValueError, KeyError, TypeError):
-                # why: what can't be read is no word of a backend's; what becomes of it is the stall's affair
+                # why: what can't be read is no word of a backend's; what becomes of it is the HTTP proxy's affair
                 return
 
     def delay_s(self, *names: str) -> float:
         """How long something takes on its way between these; a slow machine makes it longer."""
         lag_us = sum(self.lags_us.get(name, 0) for name in names)
-        return (self.luck.randrange(self.fast_us, self.slow_us) + lag_us) / 1_000_000
+        return (self.rng.randrange(self.fast_us, self.slow_us) + lag_us) / 1_000_000
 
     def passes(self, *, source: str, target: str) -> bool:
         return (source, target) not in self.cuts
@@ -122,15 +121,15 @@
         """A machine's end: its listeners are gone and its channels are reset."""
         self.records = {a: entry for a, entry in self.records.items() if entry[0] is not boot}
         self.https = {a: entry for a, entry in self.https.items() if entry[0] is not boot}
-        for channel in list(self.channels):
-            if channel.client is boot:
-                channel.hang_up()
-            elif channel.server is boot:
-                channel.later(call=channel.reset)
-        self.channels = [c for c in self.channels if c.client is not boot and not c.broken]
+        for connection in list(self.connections):
+            if connection.client is boot:
+                connection.hang_up()
+            elif connection.server is boot:
+                connection.later(call=connection.reset)
+        self.connections = [c for c in self.connections if c.client is not boot and not c.broken]
 
 
-class SimChannel:
+class SimConnection:
     """A client's end of a channel."""
 
     def __init__(self, *, wires: Wires, client: Boot, server: Boot, answer: HttpAnswer) -> None:
@@ -166,19 +165,21 @@
     def _end(self) -> None:
         self.line.ended = True
 
-    async def pass_job(self, *, job: HttpJob, wait_us: int) -> Result[HttpResponse, Fault]:
+    async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
         if self.broken:
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{self.server.name}: channel closed"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: channel closed"))
         self.waiting = asyncio.get_running_loop().create_future()
         self.wires.sent += 1
-        self.wires.work[f"http {job.path if job.path in PATHS else 'other'}"] += 1
-        self.later(call=lambda: self._arrive(job=job))
+        self.wires.work[f"http {request.path if request.path in PATHS else 'other'}"] += 1
+        self.later(call=lambda: self._arrive(request=request))
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
                 return Ok(await self.waiting)
         except (TimeoutError, ConnectionResetError) as error:
             self.close()
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{self.server.name}: {type(error).__name__}"))
+            return Error(
+                CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{self.server.name}: {type(error).__name__}")
+            )
         except asyncio.CancelledError:
             self.close()
             raise
@@ -194,19 +195,21 @@
         if wait_us < RESEND_MOST_US:
             self.wires.later(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
 
-    def _arrive(self, *, job: HttpJob, wait_us: int = RESEND_US) -> None:
+    def _arrive(self, *, request: HttpRequest, wait_us: int = RESEND_US) -> None:
         # why: who gives up a channel takes back what the system still holds to be sent again
         if wait_us > RESEND_US and self.broken:
             return
         if not self.wires.passes(source=self.client.name, target=self.server.name):
-            self._again(call=lambda next_us: self._arrive(job=job, wait_us=next_us), wait_us=wait_us)
+            self._again(call=lambda next_us: self._arrive(request=request, wait_us=next_us), wait_us=wait_us)
             return
         if self.server.dead or self.line.ended:
             self.reset()
             return
-        self.path = job.path
-        self.wires.arrived(source=self.client.name, target=self.server.name, job=job)
-        served = HttpJob(method=job.method, path=job.path, body=job.body, query=job.query, line=self.line)
+        self.path = request.path
+        self.wires.arrived(source=self.client.name, target=self.server.name, request=request)
+        served = HttpRequest(
+            method=request.method, path=request.path, body=request.body, query=request.query, line=self.line
+        )
         task = self.wires.run_at(boot=self.server, work=self.answer(served))  # type: ignore[arg-type]
         task.add_done_callback(self._answered, context=contextvars.Context())
 
@@ -215,13 +218,13 @@
             return
         response = task.result()
         # why: the brief's own failure, in which a backend runs a job and its answer never arrives
-        if self.wires.luck.random() < self.wires.lose_answers.get(self.server.name, 0):
+        if self.wires.rng.random() < self.wires.lose_answers.get(self.server.name, 0):
             self.later(call=self.reset)
             return
         # why: what backends say to one another is their own affair
         share = self.wires.garble_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
-        if share and self.wires.luck.random() < share:
-            response = garbled(response=response, luck=self.wires.luck)
+        if share and self.wires.rng.random() < share:
+            response = garbled(response=response, rng=self.wires.rng)
         self.later(call=lambda: self._deliver(response=response))
 
     def _deliver(self, *, response: HttpResponse, wait_us: int = RESEND_US) -> None:
@@ -236,8 +239,8 @@
     def close(self) -> None:
         if not self.broken:
             self.hang_up()
-        if self in self.wires.channels:
-            self.wires.channels.remove(self)
+        if self in self.wires.connections:
+            self.wires.connections.remove(self)
 
 
 class SimNet:
@@ -247,7 +250,7 @@
         self.wires = wires
         self.boot = boot
 
-    async def ask(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, Fault]:
+    async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         waiting: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         wires, me = self.wires, self.boot
         wires.sent += 1
@@ -285,42 +288,42 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await waiting)
         except (TimeoutError, ConnectionRefusedError) as error:
-            return Error(Fault(kind=Kind.wireUnsure, why=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
     async def listen(self, *, address: str, answer: RecordAnswer) -> None:
         self.wires.records[address] = (self.boot, answer)
         self.wires.hosts[address] = self.boot.name
 
-    async def dial(self, *, address: str, wait_us: int) -> Result[Channel, Fault]:
+    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         wires, me = self.wires, self.boot
         wires.dials.append((wires.now_us, me.name, wires.hosts.get(address, "")))
-        waiting: asyncio.Future[SimChannel | None] = asyncio.get_running_loop().create_future()
+        waiting: asyncio.Future[SimConnection | None] = asyncio.get_running_loop().create_future()
 
-        def settle(channel: SimChannel | None) -> None:
+        def settle(connection: SimConnection | None) -> None:
             if not waiting.done():
-                waiting.set_result(channel)
+                waiting.set_result(connection)
 
         def arrive() -> None:
             host = wires.hosts.get(address, "")
             if not wires.passes(source=me.name, target=host):
                 return
             entry = wires.https.get(address)
-            channel = None
+            connection = None
             if entry is not None:
-                channel = SimChannel(wires=wires, client=me, server=entry[0], answer=entry[1])
-                wires.channels.append(channel)
+                connection = SimConnection(wires=wires, client=me, server=entry[0], answer=entry[1])
+                wires.connections.append(connection)
             if wires.passes(source=host, target=me.name):
-                wires.later(call=lambda: settle(channel))
+                wires.later(call=lambda: settle(connection))
 
         wires.later(call=arrive)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
-                channel = await waiting
+                connection = await waiting
         except TimeoutError:
-            channel = None
-        if channel is None:
-            return Error(Fault(kind=Kind.wireUnsent, why=f"{address}: not reached"))
-        return Ok(channel)
+            connection = None
+        if connection is None:
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not reached"))
+        return Ok(connection)
 
     async def serve(self, *, address: str, answer: HttpAnswer) -> None:
         self.wires.https[address] = (self.boot, answer)
--- a/src/cinderstair/simulation/standin.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in for a database server: a durable log, replicas that pull it, promotion by term, and beats."""
+"""A stand-in for a database server: a durable log, replicas that pull it, promotion by term, and heartbeats."""
 
 import asyncio
 import json
@@ -7,14 +7,14 @@
 from typing import Any
 
 from ..runtime.context import Context
-from ..runtime.httpjob import HttpJob, Line
-from ..runtime.httpresponse import HttpResponse, json_response
-from ..runtime.net import Channel
+from ..runtime.http_request import HttpRequest, Line
+from ..runtime.http_response import HttpResponse, json_response
+from ..runtime.net import Connection
 from .sent import Sent, sent_as
 
 WAL = "wal"
 PULL_HOLD_US = 300_000
-BEAT_US = 1_000_000
+HEARTBEAT_US = 1_000_000
 
 
 @dataclass(kw_only=True)
@@ -55,7 +55,7 @@
         address: str,
         database: str,
         cap: int,
-        stalls: tuple[str, ...],
+        http_proxies: tuple[str, ...],
         service_us: int = 2_000,
         apply_us: int = 5_000,
     ) -> None:
@@ -63,7 +63,7 @@
         self.address = address
         self.database = database
         self.cap = cap
-        self.stalls = stalls
+        self.http_proxies = http_proxies
         self.service_us = service_us
         self.apply_us = apply_us
         self.term = 0
@@ -87,7 +87,7 @@
         self.ran: Counter[Sent] = Counter()
         self.most_lines = 0
         self.mixed = 0
-        self.beat_channel: Channel | None = None
+        self.heartbeat_channel: Connection | None = None
 
     @property
     def received(self) -> int:
@@ -121,8 +121,8 @@
         self._apply_all()
         await self.ctx.net.serve(address=self.address, answer=self.answer)
         self.ctx.spawn(work=self._follow(), name="follow")
-        self.ctx.spawn(work=self._beats(), name="beats")
-        self.ctx.ticks(every_us=50_000).subscribe(lambda _: self._sweep())
+        self.ctx.spawn(work=self._heartbeats(), name="beats")
+        self.ctx.timer(every_us=50_000).subscribe(lambda _: self._sweep())
 
     def _apply_all(self, *, up_to: int | None = None) -> None:
         target = self.received if up_to is None else min(up_to, self.received)
@@ -152,33 +152,33 @@
 
     # ---- what others ask
 
-    async def answer(self, job: HttpJob) -> HttpResponse:
-        body = json.loads(job.body) if job.body else {}
-        if job.path in ("/run", "/position"):
+    async def answer(self, request: HttpRequest) -> HttpResponse:
+        body = json.loads(request.body) if request.body else {}
+        if request.path in ("/run", "/position"):
             self._sweep()
-            if job.line not in self.lines:
+            if request.line not in self.lines:
                 # why: a server takes so many connections and no more
                 if len(self.lines) >= self.cap:
                     return self._no(reason="full", why="no connection left")
-                self.lines.add(job.line)
+                self.lines.add(request.line)
                 self.most_lines = max(self.most_lines, len(self.lines))
-        if job.path == "/run":
-            return await self._run(body=body, line=job.line)
-        if job.path == "/position":
+        if request.path == "/run":
+            return await self._run(body=body, line=request.line)
+        if request.path == "/position":
             return await self._position(body=body)
-        if job.path == "/pull":
+        if request.path == "/pull":
             return await self._pull(body=body)
-        if job.path == "/promote":
+        if request.path == "/promote":
             return self._promote(term=body["term"])
-        if job.path == "/follow":
-            return self._told(term=body["term"], leader=body["leader"])
-        if job.path == "/empty":
+        if request.path == "/follow":
+            return self._reported(term=body["term"], leader=body["leader"])
+        if request.path == "/empty":
             self.state, self.emptied_us = "emptying", self.ctx.now_us()
             return json_response(status=200, value={"ok": True})
-        if job.path == "/refill":
+        if request.path == "/refill":
             self.state, self.emptied_us = "ready", None
             return json_response(status=200, value={"ok": True})
-        if job.path == "/dump":
+        if request.path == "/dump":
             value = {"state": self.current, "term": self.term, "leads": self.leads, "received": self.received}
             value["ran"] = [[*each, count] for each, count in self.ran.items()]
             return json_response(status=200, value=value)
@@ -217,7 +217,7 @@
             return self._no(reason="notLeading", why="does not lead in this term")
         if not primary and body["term"] != self.matched_term:
             return self._no(reason="term", why="follows another term")
-        await self.ctx.rest(wait_us=self.ctx.luck.randrange(self.service_us // 2, self.service_us * 2))
+        await self.ctx.sleep(duration_us=self.ctx.rng.randrange(self.service_us // 2, self.service_us * 2))
         if not primary and body["term"] != self.matched_term:
             return self._no(reason="term", why="follows another term")
         # why: much may have changed while the statement waited for its turn on the processor
@@ -301,7 +301,7 @@
             self._apply_all()
         return json_response(status=200, value={"ok": True, "term": self.term})
 
-    def _told(self, *, term: int, leader: str) -> HttpResponse:
+    def _reported(self, *, term: int, leader: str) -> HttpResponse:
         if term < self.term:
             return self._no(reason="term", why="has seen a later term")
         if term > self.term:
@@ -330,31 +330,31 @@
         return json_response(status=200, value={"ok": True, "term": self.term, "entries": entries})
 
     async def _follow(self) -> None:
-        channel: Channel | None = None
+        connection: Connection | None = None
         at = ""
         while True:
             leader, term = self.leader, self.term
             if self.leads or not leader or self.deaf:
-                await self.ctx.rest(wait_us=50_000)
+                await self.ctx.sleep(duration_us=50_000)
                 continue
-            if channel is None or not channel.open or at != leader:
+            if connection is None or not connection.open or at != leader:
                 dialled = await self.ctx.net.dial(address=leader, wait_us=300_000)
                 if dialled.is_error():
-                    await self.ctx.rest(wait_us=100_000)
+                    await self.ctx.sleep(duration_us=100_000)
                     continue
-                channel, at = dialled.ok, leader
+                connection, at = dialled.ok, leader
             body = {
                 "after": self.received,
                 "afterTerm": self.entries[-1].term if self.entries else 0,
                 "term": term,
             }
-            result = await channel.pass_job(
-                job=HttpJob(method="POST", path="/pull", body=json.dumps(body).encode()), wait_us=1_000_000
+            result = await connection.send_request(
+                request=HttpRequest(method="POST", path="/pull", body=json.dumps(body).encode()), wait_us=1_000_000
             )
             if result.is_error() or result.ok.status != 200:
-                channel.close()
-                channel = None
-                await self.ctx.rest(wait_us=50_000)
+                connection.close()
+                connection = None
+                await self.ctx.sleep(duration_us=50_000)
                 continue
             self._take(value=result.ok.json(), term=term, after=body["after"])
 
@@ -379,13 +379,13 @@
             self.ctx.spawn(work=self._apply_later(position=self.received, term=term), name="apply")
 
     async def _apply_later(self, *, position: int, term: int) -> None:
-        await self.ctx.rest(wait_us=self.apply_us)
+        await self.ctx.sleep(duration_us=self.apply_us)
         if self.term == term:
             self._apply_all(up_to=position)
 
     # ---- beats
 
-    def beat(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.number += 1
         return {
             "name": self.ctx.name,
@@ -398,24 +398,24 @@
             "position": self.received,
         }
 
-    async def _beats(self) -> None:
+    async def _heartbeats(self) -> None:
         while True:
             if self.beating:
-                await self._beat_once()
-            await self.ctx.rest(wait_us=BEAT_US - self.ctx.luck.randrange(100_000))
+                await self._heartbeat_once()
+            await self.ctx.sleep(duration_us=HEARTBEAT_US - self.ctx.rng.randrange(100_000))
 
-    async def _beat_once(self) -> None:
+    async def _heartbeat_once(self) -> None:
         """One beat to any one daemon; if that one can't be reached, to another."""
-        body = json.dumps(self.beat()).encode()
+        body = json.dumps(self.heartbeat()).encode()
         for _ in range(3):
-            if self.beat_channel is None or not self.beat_channel.open:
-                dialled = await self.ctx.net.dial(address=self.ctx.luck.choice(self.stalls), wait_us=250_000)
+            if self.heartbeat_channel is None or not self.heartbeat_channel.open:
+                dialled = await self.ctx.net.dial(address=self.ctx.rng.choice(self.http_proxies), wait_us=250_000)
                 if dialled.is_error():
                     continue
-                self.beat_channel = dialled.ok
-            result = await self.beat_channel.pass_job(
-                job=HttpJob(method="POST", path="/v1/beats", body=body), wait_us=400_000
+                self.heartbeat_channel = dialled.ok
+            result = await self.heartbeat_channel.send_request(
+                request=HttpRequest(method="POST", path="/v1/beats", body=body), wait_us=400_000
             )
             if result.is_ok():
                 return
-            self.beat_channel.close()
+            self.heartbeat_channel.close()
--- a/src/cinderstair/simulation/standinplatform.py
+++ b/src/cinderstair/simulation/stand_in_platform.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from ..runtime.context import Context
-from ..runtime.httpjob import HttpJob
-from ..runtime.httpresponse import HttpResponse, json_response
+from ..runtime.http_request import HttpRequest
+from ..runtime.http_response import HttpResponse, json_response
 
 RECONCILE_US = 200_000
 
@@ -31,22 +31,22 @@
         dialled = await self.ctx.net.dial(address=address, wait_us=300_000)
         if dialled.is_error():
             return False
-        job = HttpJob(method="POST", path=path, body=json.dumps(body).encode())
-        result = await dialled.ok.pass_job(job=job, wait_us=500_000)
+        request = HttpRequest(method="POST", path=path, body=json.dumps(body).encode())
+        result = await dialled.ok.send_request(request=request, wait_us=500_000)
         dialled.ok.close()
         return result.is_ok() and result.ok.status == 200
 
-    async def answer(self, job: HttpJob) -> HttpResponse:
-        if job.path != "/promote":
+    async def answer(self, request: HttpRequest) -> HttpResponse:
+        if request.path != "/promote":
             return json_response(status=404, value={"ok": False})
-        body = json.loads(job.body)
+        body = json.loads(request.body)
         database, backend, term = body["database"], body["backend"], body["term"]
         known = self.wanted.get(database, (0, ""))
         if term < known[0] or (term == known[0] and backend != known[1]):
             return json_response(status=409, value={"ok": False, "why": "a later request stands"})
         if term > known[0]:
             self.wanted[database] = (term, backend)
-            await self.ctx.rest(wait_us=self.promotion_us)
+            await self.ctx.sleep(duration_us=self.promotion_us)
         if self.wanted[database] != (term, backend):
             return json_response(status=409, value={"ok": False, "why": "a later request stands"})
         address = self.backends[database][backend]
@@ -63,4 +63,4 @@
                     if name != leader:
                         work = self._say(address=each, path="/follow", body={"term": term, "leader": address})
                         self.ctx.spawn(work=work, name="follow")
-            await self.ctx.rest(wait_us=RECONCILE_US)
+            await self.ctx.sleep(duration_us=RECONCILE_US)
--- a/src/cinderstair/simulation/sweep.py
+++ b/src/cinderstair/simulation/sweep.py
@@ -44,16 +44,16 @@
                 most[name][key] = max(most[name].get(key, 0), count)
             chances[name] += verdict.chances
             total = totals[name]
-            total[0] += verdict.jobs
+            total[0] += verdict.requests
             total[1] += verdict.done
             total[2] += verdict.unknown
             runs[name] += 1
             if verdict.wrong:
                 total[3] += 1
                 print(f"{name} seed {seed}: {len(verdict.wrong)} wrong: {verdict.wrong[:3]}", flush=True)
-    for name, (jobs, done, unknown, failed) in totals.items():
+    for name, (requests, done, unknown, failed) in totals.items():
         figures = {key: round(us / 1_000_000, 2) for key, us in sorted(worst[name].items())}
-        print(f"{name}: {failed} of {runs[name]} seeds failed; {jobs} jobs, {done} done, {unknown} unknown; "
+        print(f"{name}: {failed} of {runs[name]} seeds failed; {requests} jobs, {done} done, {unknown} unknown; "
               f"worst seconds {json.dumps(figures)}; most {json.dumps(most[name])}")  # fmt: skip
     everything: Counter[str] = Counter()
     for each in chances.values():
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..http_frontend.handle import read_handle
+from ..http_frontend.session_token import parse_session_token
 from . import checks
 from .event import Event
 from .sent import Sent
-from .simnet import Word
-from .standin import StandIn
+from .sim_net import Word
+from .stand_in import StandIn
 from .world import World
 
 SETTLE_US = 14_000_000
@@ -18,7 +18,7 @@
 FORCE_BOUND_US = 3_000_000
 # why: word that a machine has ended takes this long at the most to reach its clients
 REACH_US = 100_000
-# why: a client may be away for a while and find out late that both its stalls were lost
+# why: a client may be away for a while and find out late that both its HTTP proxies were lost
 BOTH_US = 30_000_000
 SERVICE_BOUND_US = 12_000_000
 
@@ -31,7 +31,7 @@
     worst_us: dict[str, int] = field(default_factory=dict)
     most: dict[str, int] = field(default_factory=dict)
     chances: Counter[str] = field(default_factory=Counter)
-    jobs: int = 0
+    requests: int = 0
     done: int = 0
     unknown: int = 0
 
@@ -71,31 +71,31 @@
 
     @property
     def primary(self) -> str:
-        """Who leads the first database, as the stall that knows the highest term has it."""
+        """Who leads the first database, as the HTTP proxy that knows the highest term has it."""
         return self.primary_of(database="db0")
 
     def primary_of(self, *, database: str) -> str:
         leads = [
             lead
             for name in self.world.ups()
-            if (lead := self.world.stall(name=name).view.lead(database=database)) is not None
+            if (lead := self.world.http_proxy(name=name).view.lead(database=database)) is not None
         ]
         return max(leads, key=lambda lead: lead.term).primary
 
     @property
-    def inSync(self) -> tuple[str, ...]:
+    def in_sync(self) -> tuple[str, ...]:
         for name in self.world.ups():
-            lead = self.world.stall(name=name).view.lead(database="db0")
-            return () if lead is None else lead.inSync
+            lead = self.world.http_proxy(name=name).view.lead(database="db0")
+            return () if lead is None else lead.in_sync
         return ()
 
     @property
     def holder(self) -> str:
-        """The stall that holds the duty of leads."""
+        """The HTTP proxy that holds the duty of leads."""
         for name in self.world.ups():
-            if self.world.stall(name=name).lead_duty.lease.held:
+            if self.world.http_proxy(name=name).database_failover.lease.held:
                 return name
-        return self.world.stall_names[0]
+        return self.world.http_proxy_names[0]
 
     def fault(self) -> None:
         """Marks the moment from which the service has to come back."""
@@ -109,14 +109,14 @@
     def watch(self) -> None:
         world, verdict = self.world, self.verdict
         newest = max((v for v, at_us in self.accepted.items() if world.now_us - at_us > FORCE_BOUND_US), default=0)
-        for name in world.stall_names:
-            stall = world.stall(name=name) if world.up(name=name) else None
-            if stall is None or stall.ready.unready() is not None:
+        for name in world.http_proxy_names:
+            http_proxy = world.http_proxy(name=name) if world.up(name=name) else None
+            if http_proxy is None or http_proxy.ready.unready() is not None:
                 self._unready(name=name)
                 continue
             self.ready_since_us.setdefault(name, world.now_us)
-            charter = stall.view.charter
-            version = 0 if charter is None else charter.version
+            configuration = http_proxy.view.configuration
+            version = 0 if configuration is None else configuration.version
             verdict.chances["configuration in force"] += bool(newest)
             verdict.chances["newer configuration in force"] += newest > 1
             if version < newest:
@@ -138,10 +138,10 @@
     def submit(self, *, version: int, at: str = "stall-0", **extra: Any) -> int:
         body = self.world.configuration(version=version, **extra)
         status, answer = self.world.ask(name=at, method="PUT", path="/v1/configuration", body=body)
-        self.told(version=version, body=body, status=status, answer=answer)
+        self.reported(version=version, body=body, status=status, answer=answer)
         return status
 
-    def told(self, *, version: int, body: bytes, status: int, answer: bytes = b"") -> None:
+    def reported(self, *, version: int, body: bytes, status: int, answer: bytes = b"") -> None:
         """Keeps what an operator was told of a configuration."""
         if status == 200:
             self.accepted.setdefault(version, self.world.now_us)
@@ -157,7 +157,7 @@
         world, verdict = self.world, self.verdict
         until_us = world.now_us
         world.callers_end()
-        for name in world.stall_names:
+        for name in world.http_proxy_names:
             self._unready(name=name)
         if self.fault_us:
             self._service(until_us=until_us)
@@ -190,7 +190,7 @@
                 verdict.wrong.append(f"{name} had an error of its own")
         self._read_back(after="the work")
         self._last_crash()
-        verdict.jobs = len(world.history)
+        verdict.requests = len(world.history)
         verdict.done = sum(event.outcome == "done" for event in world.history)
         verdict.unknown = sum(event.outcome in ("unknown", "unanswered") for event in world.history)
         return verdict
@@ -225,10 +225,10 @@
             from_us, to_us = max(since_us, self.fault_us), min(end_us, until_us)
             if to_us - from_us < SERVICE_BOUND_US:
                 continue
-            verdict.chances["stalls called ready that had to serve"] += 1
-            mine = [event for event in world.history if event.stall == world.http(name=name)]
+            verdict.chances["HTTP proxies called ready that had to serve"] += 1
+            mine = [event for event in world.history if event.http_proxy == world.http(name=name)]
             gap_us = checks.gap_us(history=mine, from_us=from_us, until_us=to_us, verbs=checks.SERVICES)
-            verdict.note(name="ready stall without a job", value_us=gap_us)
+            verdict.note(name="ready HTTP proxy without a job", value_us=gap_us)
             if gap_us > SERVICE_BOUND_US:
                 verdict.wrong.append(f"service not back: {name} is called ready and did nothing for {gap_us} us")
 
@@ -248,10 +248,10 @@
         verdict.take(found=checks.statements(ran=ran, sent=sent))
 
     def _struck(self, *, event: Event, killed: bool = True) -> bool:
-        """Whether the stall that was asked was frozen meanwhile, or killed."""
+        """Whether the HTTP proxy that was asked was frozen meanwhile, or killed."""
         end_us = event.end_us or self.world.now_us
         return any(
-            self.world.http(name=name) == event.stall
+            self.world.http(name=name) == event.http_proxy
             and (event.last_us or event.start_us) <= until_us + REACH_US
             and end_us >= from_us
             and (killed or from_us < until_us)
@@ -265,14 +265,15 @@
             verdict.chances["answers that had to come"] += 1
             if event.end_us and event.outcome in ("unanswered", "cutOff") and not self._struck(event=event):
                 verdict.wrong.append(
-                    f"{event.verb} of {event.caller} at {event.start_us} was dropped by {event.stall}"
+                    f"{event.verb} of {event.caller} at {event.start_us} was dropped by {event.http_proxy}"
                 )
-        kills = [(name, from_us) for name, from_us, _ in world.strikes if name in world.stall_names]
+        kills = [(name, from_us) for name, from_us, _ in world.strikes if name in world.http_proxy_names]
         for caller in world.callers:
-            for life, at_us, handle, told in caller.losses:
-                # why: a session stands at two stalls, so one alone can't take it along, unless it was told otherwise
+            for life, at_us, handle, reported in caller.losses:
+                # why: a session stands at two HTTP proxies, so one alone can't take it along, unless it was told
+                # otherwise
                 struck = {name for name, from_us in kills if at_us - BOTH_US < from_us < at_us}
-                alone = told or read_handle(text=handle).ident in world.alone
+                alone = reported or parse_session_token(text=handle).ident in world.alone
                 if len(struck) < 2 - alone:
                     verdict.wrong.append(f"sessions were lost: {life} at {at_us}, struck {sorted(struck)}")
         counts = [ctx.counters.counts for ctx in world.contexts.values()]
@@ -335,7 +336,9 @@
         """Everything loses its power at once; what was acknowledged is asked for again."""
         world = self.world
         world.heal()
-        daemons = [name for name in (*world.vault_names, *world.stall_names) if name not in world.late]
+        daemons = [
+            name for name in (*world.register_replica_names, *world.http_proxy_names) if name not in world.late
+        ]
         for name in daemons:
             world.kill(name=name)
         world.advance(for_us=500_000)
@@ -343,8 +346,8 @@
             world.start(name=name)
 
         def back() -> bool:
-            return len(world.ups()) == len(world.stall_names) and all(
-                world.stall(name=name).view.current for name in world.ups()
+            return len(world.ups()) == len(world.http_proxy_names) and all(
+                world.http_proxy(name=name).view.current for name in world.ups()
             )
 
         world.await_that(test=back, within_us=SERVICE_BOUND_US, what="views are current after the last crash")
@@ -357,17 +360,17 @@
     callers: int = 8,
     think_us: int = 200_000,
     once_us: int = 600_000,
-    stalls: int = 3,
+    http_proxies: int = 3,
     databases: int = 1,
     mix: dict[str, float] | None = None,
     **options: Any,
 ) -> Trial:
     """A world at work."""
     changes = {"idleTransactionUs": 2_000_000, **options.pop("changes", {})}
-    world = World(seed=seed, stalls=stalls, databases=databases, changes=changes, **options)
+    world = World(seed=seed, http_proxies=http_proxies, databases=databases, changes=changes, **options)
     world.begin()
     trial = Trial(world=world)
-    trial.told(version=1, body=world.configuration(version=1), status=200)
+    trial.reported(version=1, body=world.configuration(version=1), status=200)
     world.callers_begin(count=callers, think_us=think_us, mix=mix)
     world.once_begin(think_us=once_us, mix=mix)
     trial.go(for_us=3_000_000)
--- a/src/cinderstair/simulation/trials.py
+++ b/src/cinderstair/simulation/trials.py
@@ -3,25 +3,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from .backendtrials import (
+from .backend_trials import (
     answers_garbled,
     answers_lost,
     backend_empties,
     backends_replaced,
-    beats_lost,
+    heartbeats_lost,
     lagging_replica,
-    late_beats,
+    late_heartbeats,
     slow_backend,
 )
-from .copytrials import (
-    copies_forgotten,
-    owner_and_second,
-    owners_cut,
-    owners_frozen,
-    owners_killed,
-    owners_stopped_and_killed,
-)
-from .leadtrials import (
+from .failover_trials import (
     candidate_killed_too,
     deaf_replica,
     holder_blind,
@@ -34,26 +26,40 @@
     primary_muted,
     promotion_lost,
 )
-from .mixedtrials import chaos, everything_killed, restarts_in_turn, stuttering
-from .stalltrials import (
+from .http_proxy_trials import (
     cap_held,
     clients_vanish,
+    http_proxies_drained,
+    http_proxies_stopped,
+    http_proxy_blind,
+    http_proxy_frozen,
+    http_proxy_killed,
     kickoff,
     sites_changed,
-    stall_blind,
-    stall_frozen,
-    stall_killed,
-    stalls_drained,
-    stalls_stopped,
+)
+from .mixed_trials import chaos, everything_killed, restarts_in_turn, stuttering
+from .register_trials import (
+    configurations,
+    register_replica_disks,
+    register_replica_wiped,
+    register_replicas_gone,
+    register_replicas_turned,
+)
+from .session_replica_trials import (
+    owner_and_second,
+    owners_cut,
+    owners_frozen,
+    owners_killed,
+    owners_stopped_and_killed,
+    replicas_forgotten,
 )
 from .trial import Verdict, begun
-from .upgradetrials import BEFORE, strange_version, upgraded_in_turn
-from .vaulttrials import configurations, vault_disks, vault_wiped, vaults_gone, vaults_turned
-from .windowtrials import (
-    hall_moved,
-    hall_moved_amid_crashes,
+from .upgrade_trials import BEFORE, strange_version, upgraded_in_turn
+from .window_trials import (
+    data_centre_moved,
+    data_centre_moved_amid_crashes,
     move_cancelled,
-    whole_hall_held_back,
+    whole_data_centre_held_back,
 )
 
 TRIALS: dict[str, Callable[..., None]] = {
@@ -71,9 +77,9 @@
         cap_held,
         kickoff,
         sites_changed,
-        hall_moved,
-        hall_moved_amid_crashes,
-        whole_hall_held_back,
+        data_centre_moved,
+        data_centre_moved_amid_crashes,
+        whole_data_centre_held_back,
         move_cancelled,
         backends_replaced,
         everything_killed,
@@ -81,22 +87,22 @@
         lagging_replica,
         slow_backend,
         primary_and_replica_lost,
-        stall_killed,
-        stall_frozen,
-        stall_blind,
+        http_proxy_killed,
+        http_proxy_frozen,
+        http_proxy_blind,
         clients_vanish,
-        stalls_stopped,
-        stalls_drained,
-        vaults_turned,
-        vaults_gone,
-        vault_disks,
-        vault_wiped,
+        http_proxies_stopped,
+        http_proxies_drained,
+        register_replicas_turned,
+        register_replicas_gone,
+        register_replica_disks,
+        register_replica_wiped,
         answers_lost,
         answers_garbled,
         promotion_lost,
         backend_empties,
-        beats_lost,
-        late_beats,
+        heartbeats_lost,
+        late_heartbeats,
         restarts_in_turn,
         configurations,
         upgraded_in_turn,
@@ -106,7 +112,7 @@
         owners_cut,
         owner_and_second,
         owners_stopped_and_killed,
-        copies_forgotten,
+        replicas_forgotten,
         chaos,
     )
 }
@@ -114,17 +120,19 @@
 
 # why: these look at what sessions keep, so much of that has to change
 CHANGING = {"append": 0.15, "transaction": 0.1, "primary": 0.1, "live": 0.1, "fresh": 0.15}
-# why: what this trial looks for shows in a short span at one stall, so that stall needs enough clients
+# why: what this trial looks for shows in a short span at one HTTP proxy, so that HTTP proxy needs enough clients
 OPTIONS: dict[str, dict[str, Any]] = {
     "override_under_cut": {"callers": 24},
-    "cap_held": {"callers": 24, "think_us": 40_000, "cap": 12, "stalls": 4},
+    "cap_held": {"callers": 24, "think_us": 40_000, "cap": 12, "http_proxies": 4},
     "backends_replaced": {"spares": 3},
-    "upgraded_in_turn": {"speeches": {f"{role}-{n}": BEFORE for role in ("stall", "vault") for n in range(5)}},
+    "upgraded_in_turn": {
+        "versions_by_address": {f"{role}-{n}": BEFORE for role in ("stall", "vault") for n in range(5)}
+    },
     **dict.fromkeys(
         ("owners_killed", "owners_frozen", "owners_cut", "owner_and_second", "owners_stopped_and_killed"),
         {"callers": 16, "mix": CHANGING},
     ),
-    "copies_forgotten": {"callers": 16, "mix": CHANGING, "changes": {"idleSessionUs": 6_000_000}},
+    "replicas_forgotten": {"callers": 16, "mix": CHANGING, "changes": {"idleSessionUs": 6_000_000}},
     "kickoff": {"callers": 150, "think_us": 100_000, "cap": 12, "databases": 2},
 }
 
@@ -147,7 +155,7 @@
 IN_FLIGHT = (*MOVED, "writes while a lead moved")
 SILENT = ("backends silent or emptying for long",)
 NEWER = ("newer configuration in force",)
-SERVED = ("services that had to come back", "stalls called ready that had to serve")
+SERVED = ("services that had to come back", "HTTP proxies called ready that had to serve")
 NEEDS: dict[str, tuple[str, ...]] = {
     "primary_killed": MOVED,
     "primary_frozen": (*IN_FLIGHT, *SILENT),
@@ -160,31 +168,31 @@
     "deaf_replica": MOVED,
     "primary_and_replica_lost": MOVED,
     "promotion_lost": MOVED,
-    "stall_frozen": MOVED,
-    "stall_killed": (*SERVED, "sessions taken over"),
+    "http_proxy_frozen": MOVED,
+    "http_proxy_killed": (*SERVED, "sessions taken over"),
     "owners_killed": (*SERVED, "sessions taken over"),
     "owners_frozen": (*SERVED, "sessions taken over"),
     "owners_cut": (*SERVED, "sessions taken over"),
     "owners_stopped_and_killed": (*SERVED, "sessions taken over"),
-    "copies_forgotten": ("copies held before the end",),
-    "stall_blind": (*SERVED, "denials timed"),
-    "stalls_stopped": ("denials with when to come back",),
-    "stalls_drained": ("denials with when to come back",),
+    "replicas_forgotten": ("copies held before the end",),
+    "http_proxy_blind": (*SERVED, "denials timed"),
+    "http_proxies_stopped": ("denials with when to come back",),
+    "http_proxies_drained": ("denials with when to come back",),
     "clients_vanish": ("denied writes",),
-    "vaults_turned": NEWER,
-    "vaults_gone": (*SERVED, "denials with when to come back"),
-    "vault_disks": NEWER,
-    "vault_wiped": NEWER,
+    "register_replicas_turned": NEWER,
+    "register_replicas_gone": (*SERVED, "denials with when to come back"),
+    "register_replica_disks": NEWER,
+    "register_replica_wiped": NEWER,
     "configurations": (*NEWER, *SERVED),
     "everything_killed": (*SERVED, *NEWER),
     "answers_lost": ("unsure writes",),
     "answers_garbled": ("unsure writes", *SERVED),
     "backend_empties": (*MOVED, *SILENT),
-    "beats_lost": SILENT,
-    "late_beats": SILENT,
-    "hall_moved": (*MOVED, *NEWER, "channels opened again after a window"),
+    "heartbeats_lost": SILENT,
+    "late_heartbeats": SILENT,
+    "data_centre_moved": (*MOVED, *NEWER, "channels opened again after a window"),
     "move_cancelled": (*SERVED, *NEWER),
-    "whole_hall_held_back": (*SERVED, *NEWER),
+    "whole_data_centre_held_back": (*SERVED, *NEWER),
     "backends_replaced": (*MOVED, *NEWER),
     "upgraded_in_turn": (*MOVED, *NEWER),
     "kickoff": ("denials with when to come back",),
--- a/src/cinderstair/simulation/upgradetrials.py
+++ b/src/cinderstair/simulation/upgrade_trials.py
@@ -1,89 +1,89 @@
 """Upgrades daemon by daemon: two versions of the records side by side, forward and back, under work."""
 
-from ..runtime.speech import SPEECH, Speech
-from .stalltrials import await_end, await_ready
+from ..runtime.protocol_versions import PROTOCOL_VERSIONS, ProtocolVersions
+from .http_proxy_trials import await_end, await_ready
 from .trial import SETTLE_US, Trial
 
 # why: a daemon of the version before is the same code with the older table of kinds and the older shapes
-BEFORE = Speech(lowest=SPEECH.highest - 1, highest=SPEECH.highest - 1)
-STRANGE = Speech(lowest=SPEECH.highest + 1, highest=SPEECH.highest + 2)
+BEFORE = ProtocolVersions(lowest=PROTOCOL_VERSIONS.highest - 1, highest=PROTOCOL_VERSIONS.highest - 1)
+STRANGE = ProtocolVersions(lowest=PROTOCOL_VERSIONS.highest + 1, highest=PROTOCOL_VERSIONS.highest + 2)
 
 
-def turned(*, trial: Trial, name: str, speech: Speech) -> None:
+def turned(*, trial: Trial, name: str, protocol_versions: ProtocolVersions) -> None:
     """One daemon is stopped as its page for operators says, and started in another version."""
     world = trial.world
     world.stop(name=name)
     await_end(world=world, name=name)
-    world.speeches[name] = speech
+    world.versions_by_address[name] = protocol_versions
     world.start(name=name)
-    if name in world.stall_names:
+    if name in world.http_proxy_names:
         await_ready(world=world, name=name)
     trial.go(for_us=1_500_000)
 
 
 def spoken(*, trial: Trial) -> set[int]:
-    """The versions that the stalls speak with the daemons that they have asked of late."""
+    """The versions that the HTTP proxies speak with the daemons that they have asked of late."""
     world = trial.world
     return {
-        context.parley.version(address=world.records(name=other))
+        context.peer_client.version(address=world.records(name=other))
         for name in world.ups()
         for context in [world.contexts[name]]
-        for other in (*world.stall_names, *world.vault_names)
+        for other in (*world.http_proxy_names, *world.register_replica_names)
         if other != name and world.up(name=other)
     }
 
 
 def upgraded_in_turn(*, trial: Trial) -> None:
     """From the version before to this one in any order, some back again, and a crash in the middle of it."""
-    world, luck = trial.world, trial.world.luck
-    names = [*world.stall_names, *world.vault_names]
-    luck.shuffle(names)
+    world, rng = trial.world, trial.world.rng
+    names = [*world.http_proxy_names, *world.register_replica_names]
+    rng.shuffle(names)
     lost = sum(caller.sessions_lost for caller in world.callers)
     if spoken(trial=trial) != {BEFORE.highest}:
         trial.verdict.wrong.append(f"before any upgrade the versions {spoken(trial=trial)} are spoken")
-    struck = luck.randrange(2, len(names) - 1)
+    struck = rng.randrange(2, len(names) - 1)
     for step, name in enumerate(names):
-        turned(trial=trial, name=name, speech=SPEECH)
+        turned(trial=trial, name=name, protocol_versions=PROTOCOL_VERSIONS)
         if step == struck:
             victim = trial.primary
             trial.fault()
             world.kill(name=victim)
-            back = luck.choice(names[:step])
-            turned(trial=trial, name=back, speech=BEFORE)
+            back = rng.choice(names[:step])
+            turned(trial=trial, name=back, protocol_versions=BEFORE)
             trial.go(for_us=SETTLE_US)
             world.start(name=victim)
             trial.go(for_us=4_000_000)
             names.append(back)
     trial.submit(version=2)
     trial.go(for_us=4_000_000)
-    if spoken(trial=trial) != {SPEECH.highest}:
+    if spoken(trial=trial) != {PROTOCOL_VERSIONS.highest}:
         trial.verdict.wrong.append(f"after the upgrade the versions {spoken(trial=trial)} are spoken")
     if sum(caller.sessions_lost for caller in world.callers) != lost:
         trial.verdict.wrong.append("sessions were lost in an upgrade")
 
 
 def strange_version(*, trial: Trial) -> None:
-    """A stall that comes back in a version that nobody here has ever heard of is denied, and named once each."""
+    """An HTTP proxy that comes back in a version that nobody here knows is denied, and named once each."""
     world = trial.world
-    name = world.luck.choice(world.stall_names)
+    name = world.rng.choice(world.http_proxy_names)
     trial.fault()
     world.stop(name=name)
     await_end(world=world, name=name)
-    world.speeches[name] = STRANGE
+    world.versions_by_address[name] = STRANGE
     world.start(name=name)
     trial.go(for_us=8_000_000)
-    stall = world.stall(name=name)
-    if stall.ready.unready() is None:
+    http_proxy = world.http_proxy(name=name)
+    if http_proxy.ready.unready() is None:
         trial.verdict.wrong.append(f"{name} serves though nobody understands it")
-    logged = {address for address, other in world.contexts[name].parley.logged if other == SPEECH}
+    logged = {address for address, other in world.contexts[name].peer_client.logged if other == PROTOCOL_VERSIONS}
     seeds = set(world.settings(name=name).seeds)
     if not seeds <= logged or not world.contexts[name].counters.counts.get("records.otherVersion"):
         trial.verdict.wrong.append(f"{name} does not say whom it can't understand: {logged}")
-    heard = [n for n in world.vault_names if (name, STRANGE) in world.contexts[n].parley.logged]
+    heard = [n for n in world.register_replica_names if (name, STRANGE) in world.contexts[n].peer_client.logged]
     if not heard:
         trial.verdict.wrong.append(f"nobody says that {name} can't be understood")
     world.kill(name=name)
-    world.speeches[name] = SPEECH
+    world.versions_by_address[name] = PROTOCOL_VERSIONS
     world.start(name=name)
     await_ready(world=world, name=name)
     trial.go(for_us=4_000_000)
--- a/src/cinderstair/simulation/windowtrials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -27,7 +27,7 @@
     world = trial.world
     wrong = []
     for name in old:
-        if name in world.stall_names and world.up(name=name) and world.stall(name=name).sessions.open:
+        if name in world.http_proxy_names and world.up(name=name) and world.http_proxy(name=name).sessions.open:
             wrong.append(f"{name} still has sessions")
         if name in world.backend_names() and asked_since(trial=trial, name=name, since_us=world.now_us - 2_000_000):
             wrong.append(f"{name} is still asked")
@@ -40,15 +40,15 @@
 
 def skew_calendars(*, world: World) -> None:
     """No two machines' calendars agree; some are seconds apart."""
-    for name in world.stall_names:
-        world.contexts[name].wall = calendar(world=world, skew_us=world.luck.randrange(-2_000_000, 2_000_000))
+    for name in world.http_proxy_names:
+        world.contexts[name].wall = calendar(world=world, skew_us=world.rng.randrange(-2_000_000, 2_000_000))
 
 
-def hall_moved(*, trial: Trial) -> None:
-    """A hall with the primary and a stall in it is emptied by a booked window, and filled again after."""
+def data_centre_moved(*, trial: Trial) -> None:
+    """A hall with the primary and an HTTP proxy in it is emptied by a booked window, and filled again after."""
     world = trial.world
     skew_calendars(world=world)
-    old = (trial.primary, world.luck.choice(world.stall_names))
+    old = (trial.primary, world.rng.choice(world.http_proxy_names))
     trial.submit(version=2, old=old, windows=[window(world=world, in_us=4_000_000, for_us=22_000_000)])
     trial.fault()
     lost = sum(caller.sessions_lost for caller in world.callers)
@@ -69,48 +69,48 @@
     world = trial.world
     dials: Counter[int] = Counter()
     for at_us, source, target in world.wires.dials:
-        if target in names and source in world.stall_names and at_us > since_us:
+        if target in names and source in world.http_proxy_names and at_us > since_us:
             dials[at_us // STORM_SPAN_US] += 1
     trial.verdict.chances["channels opened again after a window"] += dials.total()
     most = max(dials.values(), default=0)
     trial.verdict.count(name="channels opened at once after a window", value=most)
-    # why: a few a stall come at once with the jobs that need them; a storm would be all that its cap allows
-    if most > STORM_MOST * len(world.stall_names):
+    # why: a few an HTTP proxy come at once with the jobs that need them; a storm would be all that its cap allows
+    if most > STORM_MOST * len(world.http_proxy_names):
         trial.verdict.wrong.append(f"a storm after the window: {most} channels within {STORM_SPAN_US} us")
 
 
 def used_again(*, trial: Trial, name: str) -> bool:
     world = trial.world
-    if name in world.stall_names:
-        return world.stall(name=name).ready.unready() is None
+    if name in world.http_proxy_names:
+        return world.http_proxy(name=name).ready.unready() is None
     return asked_since(trial=trial, name=name, since_us=world.now_us - 3_000_000)
 
 
-def hall_moved_amid_crashes(*, trial: Trial) -> None:
+def data_centre_moved_amid_crashes(*, trial: Trial) -> None:
     """Any hall, with something crashing in the middle of its move; what can't be emptied is held back."""
-    world, luck = trial.world, trial.world.luck
+    world, rng = trial.world, trial.world.rng
     skew_calendars(world=world)
-    backends = luck.sample(world.backend_names(), luck.choice([1, 2]))
-    old = (*backends, *luck.sample(world.stall_names, luck.choice([1, 2])))
+    backends = rng.sample(world.backend_names(), rng.choice([1, 2]))
+    old = (*backends, *rng.sample(world.http_proxy_names, rng.choice([1, 2])))
     trial.submit(version=2, old=old, windows=[window(world=world, in_us=2_000_000, for_us=18_000_000)])
-    trial.go(for_us=luck.randrange(1_500_000, 8_000_000))
-    name = luck.choice([*world.backend_names(), *world.stall_names, *world.vault_names])
+    trial.go(for_us=rng.randrange(1_500_000, 8_000_000))
+    name = rng.choice([*world.backend_names(), *world.http_proxy_names, *world.register_replica_names])
     trial.fault()
     world.kill(name=name)
-    trial.go(for_us=luck.randrange(2_000_000, 9_000_000))
+    trial.go(for_us=rng.randrange(2_000_000, 9_000_000))
     world.start(name=name)
     trial.go(for_us=18_000_000)
 
 
-def whole_hall_held_back(*, trial: Trial) -> None:
+def whole_data_centre_held_back(*, trial: Trial) -> None:
     """A window selects everything: it holds back, says so, and nothing stands still."""
     world = trial.world
-    old = (*world.backend_names(), *world.stall_names)
+    old = (*world.backend_names(), *world.http_proxy_names)
     trial.submit(version=2, old=old, windows=[window(world=world, in_us=1_000_000, for_us=12_000_000)])
     trial.fault()
     trial.go(for_us=8_000_000)
-    held = [world.stall(name=name).window_held for name in world.stall_names]
-    leads = [text for name in world.stall_names for text in world.stall(name=name).status.held().values()]
+    held = [world.http_proxy(name=name).window_held for name in world.http_proxy_names]
+    leads = [text for name in world.http_proxy_names for text in world.http_proxy(name=name).status.held().values()]
     if not all(held) or not any("holds back" in text for text in leads):
         trial.verdict.wrong.append(f"nobody says what holds back: {held} {leads}")
     trial.go(for_us=8_000_000)
@@ -119,14 +119,14 @@
 def move_cancelled(*, trial: Trial) -> None:
     """A window is cancelled by the next configuration at some moment of its move."""
     world = trial.world
-    old = (trial.primary, world.stall_names[0])
+    old = (trial.primary, world.http_proxy_names[0])
     trial.submit(version=2, old=old, windows=[window(world=world, in_us=1_000_000, for_us=60_000_000)])
     trial.fault()
-    trial.go(for_us=world.luck.randrange(1_000_000, 6_000_000))
+    trial.go(for_us=world.rng.randrange(1_000_000, 6_000_000))
     trial.submit(version=3, old=old)
     trial.go(for_us=13_000_000)
-    for name in world.stall_names:
-        if world.stall(name=name).ready.unready() is not None:
+    for name in world.http_proxy_names:
+        if world.http_proxy(name=name).ready.unready() is not None:
             trial.verdict.wrong.append(f"{name} is not ready after the window was cancelled")
-    if not any(world.stall(name=n).view.leads["db0"].state == "settled" for n in world.stall_names):
+    if not any(world.http_proxy(name=n).view.leads["db0"].state == "settled" for n in world.http_proxy_names):
         trial.verdict.wrong.append("the lead is not settled after the window was cancelled")
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -8,21 +8,21 @@
 from datetime import datetime, timedelta, timezone
 from typing import Any
 
-from ..consensus.vault import Vault
-from ..http_frontend.stall import Stall
+from ..consensus.register_replica import RegisterReplica
+from ..http_frontend.http_proxy import HttpProxy
 from ..runtime.context import Context
 from ..runtime.counters import Counters
-from ..runtime.httpjob import HttpJob
-from ..runtime.nodisk import NoDisk
+from ..runtime.http_request import HttpRequest
+from ..runtime.no_disk import NoDisk
+from ..runtime.protocol_versions import PROTOCOL_VERSIONS, ProtocolVersions
 from ..runtime.settings import Settings
-from ..runtime.speech import SPEECH, Speech
 from .caller import PATIENT_US, Caller
 from .event import Event
-from .simdisk import SimDisk
-from .simnet import SimNet, Wires
-from .standin import StandIn
-from .standinplatform import StandInPlatform
-from .virtualloop import Boot, VirtualLoop
+from .sim_disk import SimDisk
+from .sim_net import SimNet, Wires
+from .stand_in import StandIn
+from .stand_in_platform import StandInPlatform
+from .virtual_loop import Boot, VirtualLoop
 
 SITES = ("kingston", "mandeville", "montego")
 WATCH_US = 100_000
@@ -36,25 +36,27 @@
         self,
         *,
         seed: int,
-        stalls: int = 3,
-        vaults: int = 5,
+        http_proxies: int = 3,
+        register_replicas: int = 5,
         databases: int = 1,
         changes: dict[str, Any] | None = None,
         cap: int = 60,
         logLevel: int = logging.CRITICAL,
-        stall_names: list[str] | None = None,
+        http_proxy_names: list[str] | None = None,
         database_names: dict[str, list[str]] | None = None,
         sites: dict[str, str] | None = None,
         spares: int = 0,
-        speeches: dict[str, Speech] | None = None,
+        versions_by_address: dict[str, ProtocolVersions] | None = None,
     ) -> None:
-        self.speeches = dict(speeches or {})
+        self.versions_by_address = dict(versions_by_address or {})
         self.seed = seed
-        self.luck = random.Random(f"world/{seed}")
+        self.rng = random.Random(f"world/{seed}")
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._wrong)
-        self.wires = Wires(loop=self.loop, luck=random.Random(f"wires/{seed}"))
-        self.stall_names = stall_names if stall_names is not None else [f"stall-{n}" for n in range(stalls)]
+        self.wires = Wires(loop=self.loop, rng=random.Random(f"wires/{seed}"))
+        self.http_proxy_names = (
+            http_proxy_names if http_proxy_names is not None else [f"stall-{n}" for n in range(http_proxies)]
+        )
         self.sites = sites or {}
         # why: some scenarios bring machines in later
         self.late: set[str] = set()
@@ -62,11 +64,11 @@
         self.frozen_spans: list[tuple[str, int, int]] = []
         # why: every kill and freeze with its time; only these excuse an answer that never came
         self.strikes: list[tuple[str, int, int]] = []
-        # why: sessions that stood on one stall, as its status said, when that stall was lost
+        # why: sessions that stood on one HTTP proxy, as its status said, when that HTTP proxy was lost
         self.alone: set[str] = set()
         self.watchers: list[Callable[[], None]] = []
         self.stopping: set[str] = set()
-        self.vault_names = [f"vault-{n}" for n in range(vaults)]
+        self.register_replica_names = [f"vault-{n}" for n in range(register_replicas)]
         made = {f"db{d}": [f"db{d}-{c}" for c in "abc"] for d in range(databases)}
         self.databases = database_names if database_names is not None else made
         # why: replacements stand ready from the start, and are declared only when a trial puts them in
@@ -95,7 +97,7 @@
             self.errors.append(f"{context.get('message')}: {error!r}")
 
     def _addresses(self) -> dict[str, str]:
-        names = [*self.vault_names, *self.stall_names, "platform", *self.backend_names()]
+        names = [*self.register_replica_names, *self.http_proxy_names, "platform", *self.backend_names()]
         return {name: f"10.0.{n // 250}.{n % 250 + 1}" for n, name in enumerate(names)}
 
     def backend_names(self) -> list[str]:
@@ -123,8 +125,8 @@
             site=self.site_of(name=name),
             records=self.records(name=name),
             http=self.http(name=name),
-            seeds=tuple(self.records(name=vault) for vault in self.vault_names[:3]),
-            foundingVaults=len(self.vault_names),
+            seeds=tuple(self.records(name=register_replica) for register_replica in self.register_replica_names[:3]),
+            foundingVaults=len(self.register_replica_names),
             platform=self.http(name="platform"),
             **self.changes,
         )
@@ -138,20 +140,20 @@
         self.skews_us[run] = random.Random(f"skew/{self.seed}/{run}").randrange(0, 10**12)
         skew_us = self.skews_us[run]
         wall_skew_us = self.wall_skews_us.get(name, 0)
-        disk = self.disks.setdefault(name, SimDisk(luck=random.Random(f"disk/{self.seed}/{name}")))
+        disk = self.disks.setdefault(name, SimDisk(rng=random.Random(f"disk/{self.seed}/{name}")))
         log = logging.getLogger(f"sim.{name}")
         log.setLevel(self.logLevel)
         return Context(
             name=name,
             site=self.site_of(name=name),
-            luck=random.Random(f"luck/{self.seed}/{run}"),
+            rng=random.Random(f"luck/{self.seed}/{run}"),
             clock=lambda: self.now_us + skew_us,
             wall=lambda: WALL_START_US + self.now_us + wall_skew_us,
             net=SimNet(wires=self.wires, boot=boot),
-            disk=disk if name not in self.stall_names else NoDisk(),
+            disk=disk if name not in self.http_proxy_names else NoDisk(),
             log=log,
             counters=Counters(),
-            speech=self.speeches.get(name, SPEECH),
+            protocol_versions=self.versions_by_address.get(name, PROTOCOL_VERSIONS),
         )
 
     def start(self, *, name: str) -> None:
@@ -162,10 +164,10 @@
         self.wires.run_at(boot=boot, work=self._run(name=name, ctx=ctx))
 
     async def _run(self, *, name: str, ctx: Context) -> None:
-        if name in self.vault_names:
-            thing: Any = Vault(ctx=ctx, settings=self.settings(name=name), halt=self._halter(name=name))
-        elif name in self.stall_names:
-            thing = Stall(ctx=ctx, settings=self.settings(name=name))
+        if name in self.register_replica_names:
+            thing: Any = RegisterReplica(ctx=ctx, settings=self.settings(name=name), halt=self._halter(name=name))
+        elif name in self.http_proxy_names:
+            thing = HttpProxy(ctx=ctx, settings=self.settings(name=name))
         elif name == "platform":
             backends = {
                 database: {each: self.http(name=each) for each in names} for database, names in self.databases.items()
@@ -177,12 +179,12 @@
                 address=self.http(name=name),
                 database=self.database_of(name=name),
                 cap=self.cap,
-                stalls=tuple(self.http(name=stall) for stall in self.stall_names),
+                http_proxies=tuple(self.http(name=http_proxy) for http_proxy in self.http_proxy_names),
             )
         self.things[name] = thing
         result = await thing.start()
         if result is not None and result.is_error():
-            self.halted[name] = result.error.why
+            self.halted[name] = result.error.reason
             self.kill(name=name)
 
     def _halter(self, *, name: str) -> Callable[[str], None]:
@@ -201,7 +203,7 @@
         boot = self.boots[name]
         thing = self.things.get(name)
         # why: a planned stop ends in a kill as well, after which nobody may miss anything
-        if isinstance(thing, Stall):
+        if isinstance(thing, HttpProxy):
             self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.second}
         if not boot.dead and name not in self.stopping:
             self.strikes.append((name, self.now_us, self.now_us))
@@ -248,9 +250,9 @@
     def heal(self) -> None:
         self.wires.cuts.clear()
 
-    def stall(self, *, name: str) -> Stall:
+    def http_proxy(self, *, name: str) -> HttpProxy:
         thing = self.things[name]
-        assert isinstance(thing, Stall)
+        assert isinstance(thing, HttpProxy)
         return thing
 
     def backend(self, *, name: str) -> StandIn:
@@ -258,9 +260,9 @@
         assert isinstance(thing, StandIn)
         return thing
 
-    def vault(self, *, name: str) -> Vault:
+    def register_replica(self, *, name: str) -> RegisterReplica:
         thing = self.things[name]
-        assert isinstance(thing, Vault)
+        assert isinstance(thing, RegisterReplica)
         return thing
 
     def up(self, *, name: str) -> bool:
@@ -297,7 +299,9 @@
         dialled = await net.dial(address=self.http(name=name), wait_us=500_000)
         if dialled.is_error():
             return 0, b""
-        result = await dialled.ok.pass_job(job=HttpJob(method=method, path=path, body=body), wait_us=8_000_000)
+        result = await dialled.ok.send_request(
+            request=HttpRequest(method=method, path=path, body=body), wait_us=8_000_000
+        )
         dialled.ok.close()
         return (0, b"") if result.is_error() else (result.ok.status, result.ok.body)
 
@@ -328,37 +332,37 @@
                 }
                 for database, names in self.listed.items()
             },
-            "stalls": {name: {"hall": "old" if name in old else "new"} for name in self.stall_names},
+            "stalls": {name: {"hall": "old" if name in old else "new"} for name in self.http_proxy_names},
             **extra,
         }
         return json.dumps(document).encode()
 
     def ups(self) -> list[str]:
-        """The stalls that are up."""
-        return [name for name in self.stall_names if self.up(name=name)]
+        """The HTTP proxies that are up."""
+        return [name for name in self.http_proxy_names if self.up(name=name)]
 
     def ready(self) -> bool:
-        """Every stall that is up is ready, and every database is led with somebody in sync."""
-        ups = [self.stall(name=name) for name in self.ups()]
+        """Every HTTP proxy that is up is ready, and every database is led with somebody in sync."""
+        ups = [self.http_proxy(name=name) for name in self.ups()]
         return bool(ups) and all(
-            stall.ready.unready() is None
+            http_proxy.ready.unready() is None
             and all(
-                (lead := stall.view.lead(database=database)) is not None
+                (lead := http_proxy.view.lead(database=database)) is not None
                 and lead.state == "settled"
-                and lead.inSync
-                and stall.yard.usable(name=lead.primary)
-                and all(stall.yard.open(name=name) for name in lead.confirmers)
+                and lead.in_sync
+                and http_proxy.connection_pools.usable(name=lead.primary)
+                and all(http_proxy.connection_pools.open(name=name) for name in lead.confirmers)
                 for database in self.databases
             )
-            for stall in ups
+            for http_proxy in ups
         )
 
     def begin(self, *, raw: bytes = b"") -> None:
         """From nothing to a system that serves."""
         self.start_all()
-        first = [name for name in self.stall_names if name not in self.late]
+        first = [name for name in self.http_proxy_names if name not in self.late]
         self.await_that(
-            test=lambda: all(self.up(name=n) and self.stall(name=n).view.current for n in first),
+            test=lambda: all(self.up(name=n) and self.http_proxy(name=n).view.current for n in first),
             within_us=20_000_000,
             what="views current",
         )
@@ -369,28 +373,30 @@
         self.await_that(test=self.ready, within_us=30_000_000, what="ready")
 
     def callers_begin(self, *, count: int, think_us: int = 300_000, **options: Any) -> None:
-        """Long sessions, at any stall."""
+        """Long sessions, at any HTTP proxy."""
         names = list(self.databases)
         for number in range(count):
             database = names[number % len(names)]
             name = f"caller-{number}"
-            self._caller(name=name, stalls=self.stall_names, database=database, think_us=think_us, **options)
+            self._caller(
+                name=name, http_proxies=self.http_proxy_names, database=database, think_us=think_us, **options
+            )
 
     def once_begin(self, *, think_us: int, **options: Any) -> None:
-        """For each stall and database one client with much patience, whose sessions do a single job and close."""
-        for stall in self.stall_names:
+        """One patient client for each HTTP proxy and database, whose sessions do a single job and close."""
+        for http_proxy in self.http_proxy_names:
             for database in self.databases:
-                name = f"once-{stall}-{database}"
+                name = f"once-{http_proxy}-{database}"
                 patient = {"once": True, "time_left_us": PATIENT_US, **options}
-                self._caller(name=name, stalls=[stall], database=database, think_us=think_us, **patient)
+                self._caller(name=name, http_proxies=[http_proxy], database=database, think_us=think_us, **patient)
 
-    def _caller(self, *, name: str, stalls: list[str], database: str, think_us: int, **options: Any) -> None:
+    def _caller(self, *, name: str, http_proxies: list[str], database: str, think_us: int, **options: Any) -> None:
         boot = Boot(name=name)
         ctx = self._context(name=name, boot=boot)
         ctx.clock = lambda: self.now_us
         caller = Caller(
             ctx=ctx,
-            stalls=[self.http(name=stall) for stall in stalls],
+            http_proxies=[self.http(name=http_proxy) for http_proxy in http_proxies],
             database=database,
             history=self.history,
             think_us=think_us,
