--- a/features/simulation/trials.feature
+++ b/features/simulation/trials.feature
@@ -55,7 +55,7 @@
       | owners_stopped_and_killed | 700 |
       | replicas_forgotten       | 500  |
       | upgraded_in_turn        | 1200 |
-      | strange_version        | 400  |
+      | unknown_version        | 400  |
       | chaos                 | 1000 |
 
   Scenario Outline: What wide sweeps once found stays mended: <found>
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -35,9 +35,8 @@
 
 
 class RosterModel(RegisterModel):
-    """Three voters; d and e are empty register replicas at other addresses, and each is to take a place. b and c
-    know version 2
-    of the key, and a missed it.
+    """Three voters; d and e are empty register replicas at other addresses, and each is to take a place. b and c know
+    version 2 of the key, and a missed it.
 
     Operators name who leaves, so that the empty ones come without a snapshot, which is more than the daemon asks of
     the roster's rule. One client writes and reads meanwhile.
--- a/src/cinderstair/simulation/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -14,9 +14,8 @@
 class WipeModel(RegisterModel):
     """Version 2 was acknowledged by a and b, and c missed it: every way to go on from there.
 
-    Any one disk is lost at any moment. Its register replica comes back at its old address, blank, and takes its
-    place again as
-    the daemon does: it meets the others, takes a snapshot, and enters by two changes of the roster.
+    Any one disk is lost at any moment. Its register replica comes back at its old address, blank, and takes its place
+    again as the daemon does: it meets the others, takes a snapshot, and enters by two changes of the roster.
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "reader", "writer")
--- a/src/cinderstair/simulation/platformsim/attempt.py
+++ b/src/cinderstair/simulation/platformsim/attempt.py
@@ -14,9 +14,9 @@
     database: str
     in_transaction: bool
     read_only: bool
-    asked: list[ClientStatement] = field(default_factory=list)
+    statements: list[ClientStatement] = field(default_factory=list)
     promises: list[str] = field(default_factory=list)
     outcome: str = ""
     commit_sent: bool = False
-    commit_asked: bool = False
+    commit_requested: bool = False
     place: object | None = None
--- a/src/cinderstair/simulation/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -26,7 +26,7 @@
         self.rest = b""
         self.lines: deque[bytes] = deque()
         self.working = False
-        self.greeted = False
+        self.handshake_done = False
         self.state = b"I"
         self.plain = False
         self.lead_life = 0
@@ -85,9 +85,9 @@
     def _message(self, line: bytes) -> None:
         self.backend.referee.wire.chance()
         word, _, rest = line.partition(b" ")
-        if word == b"GREET" and not self.greeted:
+        if word == b"GREET" and not self.handshake_done:
             self._handshake(rest)
-        elif word == b"ASK" and self.greeted and b" " in rest:
+        elif word == b"ASK" and self.handshake_done and b" " in rest:
             ident, _, text = rest.partition(b" ")
             if ident == OWN:
                 self._own(text)
@@ -145,7 +145,7 @@
             backend.referee.full += 1
             self._error(b"FULL " + own, close=True)
             return
-        self.greeted = True
+        self.handshake_done = True
         self._count()
         if not self._work(cost_us=backend.costs.link_us, then=lambda: self._ready(b"")):
             self._error(b"BUSY " + own, close=True)
@@ -155,14 +155,14 @@
         backend = self.backend
         if not self.far_end.startswith("booth-"):
             return
-        ends = [door.transport.peer for door in backend.doors if door.greeted and door.transport is not None]
+        ends = [door.transport.peer for door in backend.doors if door.handshake_done and door.transport is not None]
         held = sum(
             end.host.startswith("booth-") and not end.closing and (end.boot is None or not end.boot.dead)
             for end in ends
         )
         max_links = backend.service.max_links
         scarce = backend.referee.proxies > max_links - CONTROL_LINKS
-        backend.referee.cap.greeted(backend=backend.name, held=held, max_links=max_links, scarce=scarce)
+        backend.referee.cap.handshake_done(backend=backend.name, held=held, max_links=max_links, scarce=scarce)
 
     def _work(self, *, cost_us: int, then: Any) -> bool:
         def run() -> None:
@@ -266,20 +266,20 @@
     def _client(self, ident: bytes, text: bytes) -> None:
         backend, referee = self.backend, self.backend.referee
         has, behind = self._guarded(text)
-        asked = referee.arrived(ident=ident, text=behind, guarded=behind is not text, door=self)
+        statement = referee.arrived(ident=ident, text=behind, guarded=behind is not text, door=self)
         own = backend.name.encode()
-        if asked is None:
+        if statement is None:
             self._error(b"GARBLED nobody asked", fails=True)
             return
-        if self.state == b"E" and asked.kind != "commit":
+        if self.state == b"E" and statement.kind != "commit":
             self._error(b"GARBLED the transaction has failed")
             return
-        writes = asked.kind == "write"
+        writes = statement.kind == "write"
         lost = self.state == b"T" and self.plain and self.lead_life != backend.lead_life
-        if asked.kind == "commit":
-            self._commit(asked=asked, lost=lost)
+        if statement.kind == "commit":
+            self._commit(statement=statement, lost=lost)
             return
-        self.alias = behind.split(b" ")[1] if asked.shape is not None else b""
+        self.alias = behind.split(b" ")[1] if statement.shape is not None else b""
         if self.alias and self.alias not in self.prepared:
             self._error(b"UNNAMED", fails=True)
         elif backend.busy:
@@ -289,7 +289,7 @@
         elif not has:
             self._error(b"LAGGING " + own, fails=True)
         elif not self._work(
-            cost_us=backend.costs.work_us, then=lambda: self._write(asked) if writes else self._read(asked)
+            cost_us=backend.costs.work_us, then=lambda: self._write(statement) if writes else self._read(statement)
         ):
             self._error(b"BUSY " + own)
 
@@ -308,45 +308,45 @@
             self.stuck = True
         return True
 
-    def _done(self, *, asked: ClientStatement, rows: tuple[bytes, ...]) -> None:
+    def _done(self, *, statement: ClientStatement, rows: tuple[bytes, ...]) -> None:
         stamp = self.backend.stamp()
-        asked.stamps[stamp] = rows
+        statement.stamps[stamp] = rows
         if not self._lose():
             self._ready(b"".join(b"ROW " + row + b"\r\n" for row in rows) + b"DONE " + stamp + b"\r\n")
 
-    def _read(self, asked: ClientStatement) -> None:
+    def _read(self, statement: ClientStatement) -> None:
         backend = self.backend
-        backend.referee.ran(asked=asked, door=self)
+        backend.referee.ran(statement=statement, door=self)
         if backend.rng.random() < backend.fail_share:
             self._error(b"FAILED " + backend.name.encode(), fails=True)
             return
         count = 1 + backend.rng.randrange(2)
-        self._done(asked=asked, rows=tuple(b"%x" % backend.rng.getrandbits(48) for _ in range(count)))
+        self._done(statement=statement, rows=tuple(b"%x" % backend.rng.getrandbits(48) for _ in range(count)))
 
-    def _write(self, asked: ClientStatement) -> None:
+    def _write(self, statement: ClientStatement) -> None:
         backend = self.backend
         if self.state == b"I":
             if not backend.leads:
                 self._error(b"READONLY " + backend.name.encode())
                 return
-            backend.referee.ran(asked=asked, door=self)
-            self._append(asked=asked, writes=(asked,))
+            backend.referee.ran(statement=statement, door=self)
+            self._append(statement=statement, writes=(statement,))
             return
         if self.lead_life != backend.lead_life:
             self._error(b"READONLY " + backend.name.encode(), fails=True)
             return
-        backend.referee.ran(asked=asked, door=self)
-        self.writes.append(asked)
-        self._done(asked=asked, rows=())
+        backend.referee.ran(statement=statement, door=self)
+        self.writes.append(statement)
+        self._done(statement=statement, rows=())
 
-    def _append(self, *, asked: ClientStatement, writes: tuple[ClientStatement, ...]) -> None:
+    def _append(self, *, statement: ClientStatement, writes: tuple[ClientStatement, ...]) -> None:
         def done(entry: LogEntry) -> None:
             if self.transport is not None:
-                self._done(asked=asked, rows=())
+                self._done(statement=statement, rows=())
 
         self.committing = self.backend.commit(writes=writes, done=done)
 
-    def _commit(self, *, asked: ClientStatement, lost: bool) -> None:
+    def _commit(self, *, statement: ClientStatement, lost: bool) -> None:
         own = self.backend.name.encode()
         if self.state == b"I":
             self._error(b"GARBLED no transaction")
@@ -357,19 +357,19 @@
             self.state = b"E"
             self._error(b"READONLY " + own)
         elif self.backend.busy or not self._work(
-            cost_us=self.backend.costs.work_us, then=lambda: self._commit_now(asked)
+            cost_us=self.backend.costs.work_us, then=lambda: self._commit_now(statement)
         ):
             self._error(b"BUSY " + own)
 
-    def _commit_now(self, asked: ClientStatement) -> None:
+    def _commit_now(self, statement: ClientStatement) -> None:
         if self.writes and self.lead_life != self.backend.lead_life:
             self.state = b"E"
             self._error(b"READONLY " + self.backend.name.encode())
             return
-        self.backend.referee.ran(asked=asked, door=self)
+        self.backend.referee.ran(statement=statement, door=self)
         writes = tuple(self.writes)
         self._end()
         if writes:
-            self._append(asked=asked, writes=writes)
+            self._append(statement=statement, writes=writes)
         else:
-            self._done(asked=asked, rows=())
+            self._done(statement=statement, rows=())
--- a/src/cinderstair/simulation/platformsim/cap_checker.py
+++ b/src/cinderstair/simulation/platformsim/cap_checker.py
@@ -15,7 +15,7 @@
         self.full = 0
         self.most = 0
 
-    def greeted(self, *, backend: str, held: int, max_links: int, scarce: bool) -> None:
+    def handshake_done(self, *, backend: str, held: int, max_links: int, scarce: bool) -> None:
         """A proxy's connection is taken in; `held` are those of proxies that live, this one included."""
         self.opened += 1
         self.most = max(self.most, held)
--- a/src/cinderstair/simulation/platformsim/client_statement.py
+++ b/src/cinderstair/simulation/platformsim/client_statement.py
@@ -12,9 +12,8 @@
     """Kinds: read, write, begin, begin_read, commit, undo.
 
     `first_us` is when the first byte of it, or of its transaction, left. `values` are the session values that were
-    acknowledged by then; `shape` is what the client prepared, where it runs a name. `reported_us` is the moment of
-    its
-    answer.
+    acknowledged by then; `shape` is what the client prepared, where it runs a name. `answered_us` is when it was
+    answered, or None while it was not.
     """
 
     ident: bytes
@@ -28,5 +27,5 @@
     values: dict[bytes, bytes] = field(default_factory=dict)
     shape: tuple[bytes, bool] | None = None
     rest: bytes = b""
-    told_us: int | None = None
+    answered_us: int | None = None
     stamps: dict[bytes, tuple[bytes, ...]] = field(default_factory=dict)
--- a/src/cinderstair/simulation/platformsim/client_wire.py
+++ b/src/cinderstair/simulation/platformsim/client_wire.py
@@ -21,7 +21,7 @@
         self.rest = b""
         self.waiting: asyncio.Future[ClientAnswer] | None = None
         self.answer = ClientAnswer()
-        self.greeting = False
+        self.handshake = False
         self.ended = False
 
     @property
@@ -53,18 +53,18 @@
             self.close()
             return
         answer = self.answer
-        if word == b"ROW" and not answer.over and not self.greeting:
+        if word == b"ROW" and not answer.over and not self.handshake:
             answer.rows.append(rest)
-        elif word == b"DONE" and rest and not answer.over and not self.greeting:
+        elif word == b"DONE" and rest and not answer.over and not self.handshake:
             answer.stamp, answer.over = rest, True
         elif word == b"ERROR" and not answer.over:
             code = rest.partition(b" ")[0]
             if code not in CODES:
                 self._wrong(line)
             answer.code, answer.over = code.decode(), True
-            if self.greeting:
+            if self.handshake:
                 self.waiting.set_result(answer)
-        elif word == b"READY" and (answer.over or self.greeting):
+        elif word == b"READY" and (answer.over or self.handshake):
             answer.state, _, answer.position = rest.partition(b" ")
             if answer.state not in (b"I", b"T", b"E") or not answer.position:
                 self._wrong(line)
@@ -73,9 +73,9 @@
         else:
             self._wrong(line)
 
-    def request(self, *, line: bytes, greeting: bool = False) -> asyncio.Future[ClientAnswer]:
+    def request(self, *, line: bytes, handshake: bool = False) -> asyncio.Future[ClientAnswer]:
         self.waiting = asyncio.get_running_loop().create_future()
-        self.answer, self.greeting = ClientAnswer(), greeting
+        self.answer, self.handshake = ClientAnswer(), handshake
         if self.open:
             self.transport.write(line + b"\r\n")
         else:
--- a/src/cinderstair/simulation/platformsim/late_checker.py
+++ b/src/cinderstair/simulation/platformsim/late_checker.py
@@ -15,11 +15,12 @@
         super().__init__()
         self.cut_us = -10_000_000
 
-    def arrived(self, *, asked: ClientStatement, now_us: int, backend: str) -> None:
-        if asked.kind not in ("write", "commit") or now_us - self.cut_us < 5 * LATE_US:
+    def arrived(self, *, statement: ClientStatement, now_us: int, backend: str) -> None:
+        if statement.kind not in ("write", "commit") or now_us - self.cut_us < 5 * LATE_US:
             return
-        late_us = 0 if asked.told_us is None else now_us - asked.told_us
+        late_us = 0 if statement.answered_us is None else now_us - statement.answered_us
         self.judge(
             fine=late_us <= LATE_US,
-            what=f"{asked.kind} {asked.ident!r} reached {backend} {late_us // 1_000} ms after its client's answer",
+            what=f"{statement.kind} {statement.ident!r} reached {backend} {late_us // 1_000} ms "
+            "after its client's answer",
         )
--- a/src/cinderstair/simulation/platformsim/mixed_checker.py
+++ b/src/cinderstair/simulation/platformsim/mixed_checker.py
@@ -7,7 +7,9 @@
 class MixedChecker(Checker):
     rule = "MIXED"
 
-    def succeeded(self, *, asked: ClientStatement, stamp: bytes, rows: tuple[bytes, ...]) -> None:
-        given = asked.stamps.get(stamp)
+    def succeeded(self, *, statement: ClientStatement, stamp: bytes, rows: tuple[bytes, ...]) -> None:
+        given = statement.stamps.get(stamp)
         fine = given is not None and given == rows
-        self.judge(fine=fine, what=f"{asked.ident!r} {asked.text[:40]!r} was told {stamp!r} {rows!r}, not {given!r}")
+        self.judge(
+            fine=fine, what=f"{statement.ident!r} {statement.text[:40]!r} was told {stamp!r} {rows!r}, not {given!r}"
+        )
--- a/src/cinderstair/simulation/platformsim/pinned_checker.py
+++ b/src/cinderstair/simulation/platformsim/pinned_checker.py
@@ -12,10 +12,10 @@
 class PinnedChecker(Checker):
     rule = "PINNED"
 
-    def ran(self, *, asked: ClientStatement, door: "BackendDoor") -> None:
-        where = f"{asked.attempt.client} {asked.ident!r} at {door.backend.name}"
-        attempt = asked.attempt
-        if asked.alone:
+    def ran(self, *, statement: ClientStatement, door: "BackendDoor") -> None:
+        where = f"{statement.attempt.client} {statement.ident!r} at {door.backend.name}"
+        attempt = statement.attempt
+        if statement.alone:
             self.judge(fine=door.state == b"I", what=f"{where}: a single statement inside a transaction")
         else:
             self.judge(fine=door.state == b"T", what=f"{where}: outside its transaction")
@@ -25,10 +25,12 @@
             else:
                 fine = attempt.place is door and door.owner is attempt
                 self.judge(fine=fine, what=f"{where}: not where its transaction began")
-        self.judge(fine=door.values == asked.values, what=f"{where}: values {door.values}, not {asked.values}")
-        if asked.shape is not None:
+        self.judge(
+            fine=door.values == statement.values, what=f"{where}: values {door.values}, not {statement.values}"
+        )
+        if statement.shape is not None:
             shape = door.prepared.get(door.alias)
-            self.judge(fine=shape == asked.shape, what=f"{where}: runs {shape}, prepared {asked.shape}")
+            self.judge(fine=shape == statement.shape, what=f"{where}: runs {shape}, prepared {statement.shape}")
 
     def unnamed(self, *, client: str, name: bytes) -> None:
         self.breach(what=f"{client}: {name!r} is unknown although its preparing was acknowledged")
--- a/src/cinderstair/simulation/platformsim/platform_client.py
+++ b/src/cinderstair/simulation/platformsim/platform_client.py
@@ -177,7 +177,7 @@
         self.session = self.rng.getrandbits(60)
         self.values, self.shapes = {}, {}
         line = b"GREET " + self.database.encode() + b" " + self.name.encode()
-        answer = await self._answer(line=line, until_us=self.now_us + HANDSHAKE_US, greeting=True)
+        answer = await self._answer(line=line, until_us=self.now_us + HANDSHAKE_US, handshake=True)
         if answer is None or answer.code or answer.state != b"I":
             if answer is not None and answer.code:
                 self.referee.answers[f"greet {answer.code}"] += 1
@@ -229,13 +229,13 @@
         self.shapes = {**self.shapes, name: (shape, writes)}
         return True
 
-    async def _answer(self, *, line: bytes, until_us: int, greeting: bool = False) -> ClientAnswer | None:
+    async def _answer(self, *, line: bytes, until_us: int, handshake: bool = False) -> ClientAnswer | None:
         """None after silence or a cut, after which the session is closed."""
         wire, asked_us = self.wire, self.now_us
         assert wire is not None
         try:
             async with asyncio.timeout(max(0.001, (until_us - asked_us) / 1_000_000)):
-                answer = await wire.request(line=line, greeting=greeting)
+                answer = await wire.request(line=line, handshake=handshake)
             self.answered(self.proxy, asked_us, line[:40].decode())
             return answer
         except TimeoutError:
@@ -285,7 +285,7 @@
     async def _send(self, *, attempt: Attempt, kind: str, text: bytes, first_us: int, until_us: int) -> str:
         ident = b"%016x" % self.rng.randrange(IDENTS)
         runs = text.startswith(b"RUN")
-        asked = ClientStatement(
+        statement = ClientStatement(
             ident=ident,
             text=text,
             kind=kind,
@@ -298,34 +298,34 @@
             shape=self.shapes[text.split(b" ")[1]] if runs else None,
             rest=text.split(b" ", 2)[2] if runs else b"",
         )
-        self.referee.asks(asked=asked)
-        attempt.asked.append(asked)
-        attempt.commit_asked |= kind == "commit"
-        attempt.commit_sent |= kind == "commit" or (kind == "write" and asked.alone)
+        self.referee.client_sent(statement=statement)
+        attempt.statements.append(statement)
+        attempt.commit_requested |= kind == "commit"
+        attempt.commit_sent |= kind == "commit" or (kind == "write" and statement.alone)
         answer = await self._answer(line=b"ASK " + ident + b" " + text, until_us=until_us)
         if answer is None:
             return CUT if self.wire is not None and self.wire.ended else SILENT
-        asked.told_us = self.now_us
+        statement.answered_us = self.now_us
         if answer.code:
-            return await self._failed(attempt=attempt, asked=asked, answer=answer)
+            return await self._failed(attempt=attempt, statement=statement, answer=answer)
         if kind in ("read", "write", "commit"):
-            self.referee.mixed.succeeded(asked=asked, stamp=answer.stamp, rows=tuple(answer.rows))
-        if kind == "commit" or (kind == "write" and asked.alone):
-            writes = [each for each in attempt.asked if each.kind == "write"]
+            self.referee.mixed.succeeded(statement=statement, stamp=answer.stamp, rows=tuple(answer.rows))
+        if kind == "commit" or (kind == "write" and statement.alone):
+            writes = [each for each in attempt.statements if each.kind == "write"]
             if writes:
                 self.referee.acknowledged(writes=writes, services=self.services, now_us=self.now_us)
-        ends = asked.alone or kind in ("commit", "undo")
+        ends = statement.alone or kind in ("commit", "undo")
         if answer.state != (b"I" if ends else b"T"):
             self.referee.wire.breach(what=f"{self.name}: {kind} leaves {answer.state!r}")
             self._hang_up()
         return DONE
 
-    async def _failed(self, *, attempt: Attempt, asked: ClientStatement, answer: ClientAnswer) -> str:
-        self.referee.told(attempt=attempt, code=answer.code)
-        if answer.code == "UNNAMED" and asked.shape is not None:
-            self.referee.pinned.unnamed(client=self.name, name=asked.text.split(b" ")[1])
+    async def _failed(self, *, attempt: Attempt, statement: ClientStatement, answer: ClientAnswer) -> str:
+        self.referee.client_rejected(attempt=attempt, code=answer.code)
+        if answer.code == "UNNAMED" and statement.shape is not None:
+            self.referee.pinned.unnamed(client=self.name, name=statement.text.split(b" ")[1])
         if answer.code == "GARBLED" and answer.state != b"E":
-            self.referee.wire.breach(what=f"{self.name}: {asked.text[:60]!r} is GARBLED in {answer.state!r}")
+            self.referee.wire.breach(what=f"{self.name}: {statement.text[:60]!r} is GARBLED in {answer.state!r}")
         if answer.state != b"I":
             undone = await self._plain(text=b"UNDO")
             if undone is None or undone.code or undone.state != b"I":
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -539,7 +539,7 @@
     async def _on_timer(self) -> None:
         while True:
             for service in self.services.values():
-                service.tick()
+                service.on_timer()
             await asyncio.sleep(TIMER_PERIOD_S)
 
     def serves(self) -> bool:
--- a/src/cinderstair/simulation/platformsim/referee.py
+++ b/src/cinderstair/simulation/platformsim/referee.py
@@ -55,7 +55,7 @@
         self.cap = CapChecker()
         self.late = LateChecker()
         self.recover = RecoverChecker(recovery_us=RECOVERY_US)
-        self.asked: dict[bytes, ClientStatement] = {}
+        self.statement: dict[bytes, ClientStatement] = {}
         self.entries_by_commit: dict[bytes, LogEntry] = {}
         self.handed: set[bytes] = set()
         self.misled = 0
@@ -71,43 +71,43 @@
 
     def arrived(self, *, ident: bytes, text: bytes, guarded: bool, door: "BackendDoor") -> ClientStatement | None:
         """A statement under a client's id reaches a backend."""
-        asked = self.asked.get(ident)
-        if not self.unasked.known(asked=asked, ident=ident, text=text) or asked is None:
+        statement = self.statement.get(ident)
+        if not self.unasked.known(statement=statement, ident=ident, text=text) or statement is None:
             return None
-        self.unasked.text(asked=asked, text=text)
+        self.unasked.text(statement=statement, text=text)
         self.wire.judge(
-            fine=asked.kind in ("read", "write", "commit") and (not guarded or asked.kind == "read"),
-            what=f"{asked.kind} {text[:60]!r} reaches a backend{' with a guard' if guarded else ''}",
+            fine=statement.kind in ("read", "write", "commit") and (not guarded or statement.kind == "read"),
+            what=f"{statement.kind} {text[:60]!r} reaches a backend{' with a guard' if guarded else ''}",
         )
         self.handed.add(ident)
         backend = door.backend
-        self.late.arrived(asked=asked, now_us=backend.now_us, backend=backend.name)
-        if asked.alone or asked.attempt.place is None:
+        self.late.arrived(statement=statement, now_us=backend.now_us, backend=backend.name)
+        if statement.alone or statement.attempt.place is None:
             self.drain.received(
                 backend=backend.name,
                 now_us=backend.now_us,
                 others=list(backend.service.backends),
                 in_touch=self.in_touch(door.far_end),
-                what=f"{asked.ident!r} of {asked.sent_us} from {door.far_end}",
+                what=f"{statement.ident!r} of {statement.sent_us} from {door.far_end}",
             )
-        return asked
+        return statement
 
-    def ran(self, *, asked: ClientStatement, door: "BackendDoor") -> None:
+    def ran(self, *, statement: ClientStatement, door: "BackendDoor") -> None:
         """A backend runs it."""
         backend = door.backend
-        self.pinned.ran(asked=asked, door=door)
-        self.route.ran(asked=asked, service=backend.service.name)
-        if asked.kind == "read":
-            self.stale.ran(asked=asked, backend=backend)
-            sort, age_us = self.stale.sorts[asked.attempt.database]
-            self.shard.ran(asked=asked, backend=backend, sort=sort, age_us=age_us)
-        if asked.kind == "commit":
-            self.unasked.commits(asked=asked)
+        self.pinned.ran(statement=statement, door=door)
+        self.route.ran(statement=statement, service=backend.service.name)
+        if statement.kind == "read":
+            self.stale.ran(statement=statement, backend=backend)
+            sort, age_us = self.stale.sorts[statement.attempt.database]
+            self.shard.ran(statement=statement, backend=backend, sort=sort, age_us=age_us)
+        if statement.kind == "commit":
+            self.unasked.commits(statement=statement)
 
     def committed(self, *, entry: LogEntry, backend: "StandInBackend") -> None:
         """A backend appends to its log."""
-        for asked in entry.writes:
-            self.entries_by_commit[asked.ident] = entry
+        for statement in entry.writes:
+            self.entries_by_commit[statement.ident] = entry
         self.shard.committed(entry=entry)
 
     def promoted(self, *, backend: "StandInBackend", lost: list[LogEntry]) -> None:
@@ -117,8 +117,8 @@
 
     # -- at clients --
 
-    def asks(self, *, asked: ClientStatement) -> None:
-        self.asked[asked.ident] = asked
+    def client_sent(self, *, statement: ClientStatement) -> None:
+        self.statement[statement.ident] = statement
 
     def acknowledged(
         self, *, writes: list[ClientStatement], services: dict[str, "StandInService"], now_us: int
@@ -140,12 +140,12 @@
         if service.waits_for:
             self.lost.acked(entry=entry)
 
-    def told(self, *, attempt: Attempt, code: str) -> None:
+    def client_rejected(self, *, attempt: Attempt, code: str) -> None:
         """A client is given an error."""
         self.answers[code] += 1
         if code in PROMISES:
             attempt.promises.append(code)
-            if any(asked.kind == "write" for asked in attempt.asked):
+            if any(statement.kind == "write" for statement in attempt.statements):
                 self.refused.chance()
 
     # -- at the end --
--- a/src/cinderstair/simulation/platformsim/refused_checker.py
+++ b/src/cinderstair/simulation/platformsim/refused_checker.py
@@ -13,6 +13,6 @@
 
     def effects(self, *, entries: Iterable[LogEntry]) -> None:
         for entry in entries:
-            for asked in entry.writes:
-                if asked.attempt.promises:
-                    self.breach(what=f"{asked.ident!r} was promised {asked.attempt.promises} and is kept")
+            for statement in entry.writes:
+                if statement.attempt.promises:
+                    self.breach(what=f"{statement.ident!r} was promised {statement.attempt.promises} and is kept")
--- a/src/cinderstair/simulation/platformsim/route_checker.py
+++ b/src/cinderstair/simulation/platformsim/route_checker.py
@@ -14,7 +14,7 @@
     def allow(self, *, database: str, service: str) -> None:
         self.allowed.setdefault(database, set()).add(service)
 
-    def ran(self, *, asked: ClientStatement, service: str) -> None:
-        database = asked.attempt.database
+    def ran(self, *, statement: ClientStatement, service: str) -> None:
+        database = statement.attempt.database
         fine = service in self.allowed.get(database, ())
-        self.judge(fine=fine, what=f"{asked.ident!r} for {database} ran on {service}")
+        self.judge(fine=fine, what=f"{statement.ident!r} for {database} ran on {service}")
--- a/src/cinderstair/simulation/platformsim/route_prober.py
+++ b/src/cinderstair/simulation/platformsim/route_prober.py
@@ -57,7 +57,7 @@
         answer: ClientAnswer | None = None
         try:
             async with asyncio.timeout(1.0):
-                answer = await wire.request(line=b"GREET " + database.encode() + b" prober", greeting=True)
+                answer = await wire.request(line=b"GREET " + database.encode() + b" prober", handshake=True)
         except (TimeoutError, ConnectionError):
             pass
         finally:
--- a/src/cinderstair/simulation/platformsim/shard_checker.py
+++ b/src/cinderstair/simulation/platformsim/shard_checker.py
@@ -62,7 +62,7 @@
 
     def acknowledged(self, *, writes: list[ClientStatement], entry: LogEntry, now_us: int) -> None:
         database = writes[0].attempt.database
-        acked = [(now_us, asked.ident, entry) for asked in writes]
+        acked = [(now_us, statement.ident, entry) for statement in writes]
         self.acked.setdefault(database, []).extend(acked)
         self.own.setdefault(writes[0].attempt.session, []).extend(acked)
         if database not in self.places:
@@ -76,33 +76,35 @@
 
     def committed(self, *, entry: LogEntry) -> None:
         """Whatever a backend appends, whether or not its client is ever told."""
-        for asked in entry.writes:
-            database = asked.attempt.database
+        for statement in entry.writes:
+            database = statement.attempt.database
             if database not in self.places or entry.late:
                 continue
             moved_us = self.moved_us.get(database)
             # why: where the old place takes anything after the new one has begun, two places take writes in one epoch
             fine = moved_us is None or entry.service != self.places[database][0] or entry.at_us <= moved_us
-            self.judge(fine=fine, what=f"{asked.ident!r} of {database} lands at {entry.service} after it has left")
+            self.judge(
+                fine=fine, what=f"{statement.ident!r} of {database} lands at {entry.service} after it has left"
+            )
 
-    def ran(self, *, asked: ClientStatement, backend: "StandInBackend", sort: str, age_us: int) -> None:
+    def ran(self, *, statement: ClientStatement, backend: "StandInBackend", sort: str, age_us: int) -> None:
         """A read of a database that moves, or has moved."""
-        database = asked.attempt.database
+        database = statement.attempt.database
         if database not in self.places:
             return
-        before_us = asked.first_us - (0 if sort == "primary" else age_us)
+        before_us = statement.first_us - (0 if sort == "primary" else age_us)
         acked = self.acked.get(database, [])
         end = bisect_left(acked, before_us, key=lambda each: each[0])
         wanted = acked[max(0, end - LOOK_BACK) : end]
         if sort == "self_hosted":
-            own = self.own.get(asked.attempt.session, [])
-            wanted = wanted + [each for each in own if each[0] < asked.first_us]
+            own = self.own.get(statement.attempt.session, [])
+            wanted = wanted + [each for each in own if each[0] < statement.first_us]
         missing = [
             ident
             for _, ident, entry in wanted
             if not entry.cut and not self._held(ident=ident, entry=entry, backend=backend)
         ]
-        what = f"{sort} read {asked.ident!r} of {database} on {backend.name} lacks {missing[-3:]}"
+        what = f"{sort} read {statement.ident!r} of {database} on {backend.name} lacks {missing[-3:]}"
         self.judge(fine=not missing, what=what)
 
     def end(self, *, services: dict[str, "StandInService"]) -> None:
@@ -113,8 +115,8 @@
             log = [] if last is None else last.log
             times: dict[bytes, int] = {}
             for entry in log:
-                for asked in (*entry.writes, *entry.brought):
-                    times[asked.ident] = times.get(asked.ident, 0) + 1
+                for statement in (*entry.writes, *entry.brought):
+                    times[statement.ident] = times.get(statement.ident, 0) + 1
             for _, ident, entry in self.acked.get(database, []):
                 count = times.get(ident, 0)
                 if not entry.cut:
--- a/src/cinderstair/simulation/platformsim/shard_growth.py
+++ b/src/cinderstair/simulation/platformsim/shard_growth.py
@@ -27,7 +27,7 @@
     took_s: float
 
 
-def asked(*, world: PlatformWorld) -> int:
+def requests_sent(*, world: PlatformWorld) -> int:
     """How many questions of proxies all controllers have answered."""
     counts: Counter[str] = Counter()
     for name in world.controllers:
@@ -40,16 +40,16 @@
     world = PlatformWorld(seed=seed, proxies=proxies)
     try:
         world.begin()
-        before = asked(world=world)
+        before = requests_sent(world=world)
         world.advance(for_ms=CALM_MS)
-        calm = (asked(world=world) - before) * 1_000 // CALM_MS
-        before, from_us = asked(world=world), world.now_us
+        calm = (requests_sent(world=world) - before) * 1_000 // CALM_MS
+        before, from_us = requests_sent(world=world), world.now_us
         assert not propose(world=world)
         await_phase(world=world, phase=ShardPhase.closing)
         closes_us = world.now_us
         moved(world=world, within_ms=30_000)
         over_us = world.now_us
-        change = (asked(world=world) - before) * 1_000_000 // (over_us - from_us)
+        change = (requests_sent(world=world) - before) * 1_000_000 // (over_us - from_us)
         duties = [world.roles[name].controller.shards for name in world.controllers]
         return Growth(
             proxies=proxies,
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -385,12 +385,12 @@
         for line in segment.data.split(b"\r\n")
         if line.startswith(b"ASK ")
     ]
-    asked = [referee.asked.get(fields[1]) for fields in lines]
+    statement = [referee.statement.get(fields[1]) for fields in lines]
     return any(
         each is not None
         and each.attempt.database in referee.shard.places
         and (each.kind == "commit" or (each.kind == "write" and each.alone))
-        for each in asked
+        for each in statement
     )
 
 
--- a/src/cinderstair/simulation/platformsim/stale_checker.py
+++ b/src/cinderstair/simulation/platformsim/stale_checker.py
@@ -33,22 +33,22 @@
         late = [entry for _, entry in acked[max(0, end - LOOK_BACK) : end]]
         return [entry for entry in late if not entry.cut and not backend.holds(entry=entry)]
 
-    def ran(self, *, asked: ClientStatement, backend: "StandInBackend") -> None:
-        sort, age_us = self.sorts[asked.attempt.database]
+    def ran(self, *, statement: ClientStatement, backend: "StandInBackend") -> None:
+        sort, age_us = self.sorts[statement.attempt.database]
         self.chance()
         self.by_sort[sort] = self.by_sort.get(sort, 0) + 1
-        before_us = asked.first_us - (0 if sort == "primary" else age_us)
+        before_us = statement.first_us - (0 if sort == "primary" else age_us)
         missing = self._missing(before_us=before_us, backend=backend)
         if sort == "self_hosted":
-            for entry in self.own.get(asked.attempt.session, ()):
+            for entry in self.own.get(statement.attempt.session, ()):
                 # why: a commit counts as its session's from the moment of its acknowledgement
-                seen = entry.acked_us is not None and entry.acked_us < asked.first_us
+                seen = entry.acked_us is not None and entry.acked_us < statement.first_us
                 # why: a commit at a place that the database has left is the shard checker's to look for
                 seen = seen and entry.service == backend.service.name
                 if seen and not entry.cut and not backend.holds(entry=entry):
                     missing.append(entry)
         if missing:
-            what = f"{sort} read {asked.ident!r} of {asked.first_us} on {backend.name} at {backend.position}"
+            what = f"{sort} read {statement.ident!r} of {statement.first_us} on {backend.name} at {backend.position}"
             self.silent_backend_probe.append((missing, what))
 
     def end(self) -> None:
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -239,7 +239,7 @@
             door.break_off()
         self.on_change()
 
-    def tick(self) -> None:
+    def on_timer(self) -> None:
         for door in list(self.doors):
             door.check(dark_us=DARK_US)
         if self.leads and self.term < self.service.term:
--- a/src/cinderstair/simulation/platformsim/stand_in_handover.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_handover.py
@@ -15,29 +15,29 @@
         self.referee = referee
         self.stuck = False
         self.takes_us = 0
-        self.asked = 0
+        self.calls = 0
         self.open: set[int] = set()
 
     async def complete(self, *, database: str, source: str, target: str) -> bool:
-        self.asked += 1
+        self.calls += 1
         await asyncio.sleep(self.takes_us / 1_000_000)
         old, new = self.services[source].primary, self.services[target].primary
         if self.stuck or old is None or new is None:
             return False
         shard = self.referee.shard
         lacking = [
-            asked
+            statement
             for entry in old.log
             if not entry.cut
-            for asked in entry.writes
-            if asked.attempt.database == database and (target, asked.ident) not in shard.brought
+            for statement in entry.writes
+            if statement.attempt.database == database and (target, statement.ident) not in shard.brought
         ]
         if lacking:
             entry = new.commit(writes=(), done=self._confirmed)
             entry.brought = tuple(lacking)
             self.open.add(id(entry))
-            for asked in lacking:
-                shard.brought[target, asked.ident] = entry
+            for statement in lacking:
+                shard.brought[target, statement.ident] = entry
             return False
         if self.open:
             return False
--- a/src/cinderstair/simulation/platformsim/stand_in_service.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_service.py
@@ -42,11 +42,11 @@
                     best = each
         return best
 
-    def tick(self) -> None:
+    def on_timer(self) -> None:
         """What backends do among themselves several times a second."""
         for each in list(self.backends.values()):
             if each.up:
-                each.tick()
+                each.on_timer()
 
     def take_lead(self, *, backend: "StandInBackend", now_us: int) -> None:
         """A promotion takes effect."""
--- a/src/cinderstair/simulation/platformsim/twice_checker.py
+++ b/src/cinderstair/simulation/platformsim/twice_checker.py
@@ -13,7 +13,7 @@
         """Over all commits that stand."""
         seen: dict[bytes, LogEntry] = {}
         for entry in entries:
-            for asked in entry.writes:
-                other = seen.setdefault(asked.ident, entry)
+            for statement in entry.writes:
+                other = seen.setdefault(statement.ident, entry)
                 fine = other is entry
-                self.judge(fine=fine, what=f"{asked.ident!r} stands in {entry.number} and in {other.number}")
+                self.judge(fine=fine, what=f"{statement.ident!r} stands in {entry.number} and in {other.number}")
--- a/src/cinderstair/simulation/platformsim/unasked_checker.py
+++ b/src/cinderstair/simulation/platformsim/unasked_checker.py
@@ -9,18 +9,21 @@
 
     rule = "UNASKED"
 
-    def known(self, *, asked: ClientStatement | None, ident: bytes, text: bytes) -> bool:
-        self.judge(fine=asked is not None, what=f"{ident!r} {text[:60]!r} was sent by no client")
-        return asked is not None
+    def known(self, *, statement: ClientStatement | None, ident: bytes, text: bytes) -> bool:
+        self.judge(fine=statement is not None, what=f"{ident!r} {text[:60]!r} was sent by no client")
+        return statement is not None
 
-    def text(self, *, asked: ClientStatement, text: bytes) -> None:
-        if asked.shape is not None:
+    def text(self, *, statement: ClientStatement, text: bytes) -> None:
+        if statement.shape is not None:
             word, _, rest = text.partition(b" ")
             _, _, content = rest.partition(b" ")
-            fine = word == b"RUN" and content == asked.rest
+            fine = word == b"RUN" and content == statement.rest
         else:
-            fine = text == asked.text
-        self.judge(fine=fine, what=f"{asked.ident!r} asked {asked.text[:60]!r} and ran {text[:60]!r}")
+            fine = text == statement.text
+        self.judge(fine=fine, what=f"{statement.ident!r} asked {statement.text[:60]!r} and ran {text[:60]!r}")
 
-    def commits(self, *, asked: ClientStatement) -> None:
-        self.judge(fine=asked.attempt.commit_asked, what=f"{asked.ident!r} commits what its client did not commit")
+    def commits(self, *, statement: ClientStatement) -> None:
+        self.judge(
+            fine=statement.attempt.commit_requested,
+            what=f"{statement.ident!r} commits what its client did not commit",
+        )
--- a/src/cinderstair/simulation/trials.py
+++ b/src/cinderstair/simulation/trials.py
@@ -54,7 +54,7 @@
     replicas_forgotten,
 )
 from .trial import Verdict, begun
-from .upgrade_trials import BEFORE, strange_version, upgraded_in_turn
+from .upgrade_trials import BEFORE, unknown_version, upgraded_in_turn
 from .window_trials import (
     data_centre_moved,
     data_centre_moved_amid_crashes,
@@ -106,7 +106,7 @@
         restarts_in_turn,
         configurations,
         upgraded_in_turn,
-        strange_version,
+        unknown_version,
         owners_killed,
         owners_frozen,
         owners_cut,
--- a/src/cinderstair/simulation/upgrade_trials.py
+++ b/src/cinderstair/simulation/upgrade_trials.py
@@ -6,7 +6,7 @@
 
 # why: a daemon of the version before is the same code with the older table of kinds and the older shapes
 BEFORE = ProtocolVersions(lowest=PROTOCOL_VERSIONS.highest - 1, highest=PROTOCOL_VERSIONS.highest - 1)
-STRANGE = ProtocolVersions(lowest=PROTOCOL_VERSIONS.highest + 1, highest=PROTOCOL_VERSIONS.highest + 2)
+UNKNOWN_VERSIONS = ProtocolVersions(lowest=PROTOCOL_VERSIONS.highest + 1, highest=PROTOCOL_VERSIONS.highest + 2)
 
 
 def turned(*, trial: Trial, name: str, protocol_versions: ProtocolVersions) -> None:
@@ -62,14 +62,14 @@
         trial.verdict.wrong.append("sessions were lost in an upgrade")
 
 
-def strange_version(*, trial: Trial) -> None:
+def unknown_version(*, trial: Trial) -> None:
     """An HTTP proxy that comes back in a version that nobody here knows is denied, and named once each."""
     world = trial.world
     name = world.rng.choice(world.http_proxy_names)
     trial.fault()
     world.stop(name=name)
     await_end(world=world, name=name)
-    world.versions_by_address[name] = STRANGE
+    world.versions_by_address[name] = UNKNOWN_VERSIONS
     world.start(name=name)
     trial.go(for_us=8_000_000)
     http_proxy = world.http_proxy(name=name)
@@ -79,7 +79,9 @@
     seeds = set(world.settings(name=name).seeds)
     if not seeds <= logged or not world.contexts[name].counters.counts.get("records.otherVersion"):
         trial.verdict.wrong.append(f"{name} does not say whom it can't understand: {logged}")
-    heard = [n for n in world.register_replica_names if (name, STRANGE) in world.contexts[n].peer_client.logged]
+    heard = [
+        n for n in world.register_replica_names if (name, UNKNOWN_VERSIONS) in world.contexts[n].peer_client.logged
+    ]
     if not heard:
         trial.verdict.wrong.append(f"nobody says that {name} can't be understood")
     world.kill(name=name)
