--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -7,11 +7,11 @@
 from expression import Error, Ok, Result
 from stage import Stage, announcement
 
-from cinderstair.consensus.acceptor import BEATEN, OK
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.consensus.register import Found
+from cinderstair.consensus.messages import Status
 from cinderstair.consensus.register_view import RegisterView
 from cinderstair.consensus.roster import Roster, Voter
+from cinderstair.consensus.versioned_value import VersionedValue
 from cinderstair.failover.backend_control import BackendState
 from cinderstair.failover.service_failover import ServiceFailover
 from cinderstair.membership.announcement import Announcement
@@ -36,7 +36,7 @@
     """What all registers of a stage share: the values, and who holds which lease."""
 
     def __init__(self) -> None:
-        self.values: dict[str, Found] = {}
+        self.values: dict[str, VersionedValue] = {}
         self.turn = 0
         self.leases: dict[str, tuple[int, int]] = {}
         self.writes: list[tuple[int, str, bytes]] = []
@@ -69,13 +69,13 @@
         now_us = self.ctx.now_us()
         holder, until_us = self.store.leases.get(duty, (0, 0))
         if holder != proposer and until_us > now_us:
-            return [bytes([BEATEN])]
+            return [bytes([Status.BEATEN])]
         self.store.leases[duty] = (proposer, now_us + length_us)
-        return [bytes([OK])]
+        return [bytes([Status.OK])]
 
     async def change(
         self, *, key: str, decide: Callable[[bytes], Result[bytes, CinderstairError]]
-    ) -> Result[Found, CinderstairError]:
+    ) -> Result[VersionedValue, CinderstairError]:
         await self.ctx.sleep(duration_us=2_000)
         if self.cut:
             return self._missing()
@@ -86,13 +86,13 @@
         if key in self.store.refused:
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNSURE, reason="cut short"))
         self.store.turn += 1
-        made = Found(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
+        made = VersionedValue(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
         self.store.values[key] = made
         self.store.writes.append((self.ctx.now_us(), key, decided.ok))
         await self.ctx.sleep(duration_us=2_000)
         return Ok(made)
 
-    async def read(self, *, key: str) -> Result[Found, CinderstairError]:
+    async def read(self, *, key: str) -> Result[VersionedValue, CinderstairError]:
         await self.ctx.sleep(duration_us=2_000)
         return self._missing() if self.cut else Ok(self.store.values[key])
 
@@ -324,4 +324,4 @@
 
 def put(*, context: Any, key: str, value: bytes) -> None:
     context.store.turn += 1
-    context.store.values[key] = Found(ballot=Ballot(context.store.turn, 99), value=value)
+    context.store.values[key] = VersionedValue(ballot=Ballot(context.store.turn, 99), value=value)
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -313,7 +313,7 @@
     return [
         name
         for name, register_replica in register_replicas.items()
-        if register_replica.in_line() and not register_replica.votes
+        if register_replica.watches_for_vacancy() and not register_replica.votes
     ]
 
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -140,7 +140,7 @@
 @when("all seek one duty for 60 seconds, while register replicas restart and holders freeze")
 def when_duty(context: Any) -> None:
     world = context.world
-    leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in context.registers]
+    leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in context.registers]
     for boot, register, lease in zip(context.boots, context.registers, leases, strict=True):
         world.run(work=register.find_roster())
         world.wires.run_at(boot=boot, work=seek_on(lease=lease))
@@ -245,7 +245,7 @@
     world, (first, second) = context.world, context.registers
     for register in (first, second):
         world.run(work=register.find_roster())
-    context.leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in (first, second)]
+    context.leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in (first, second)]
     # why: register replicas that have just started grant nothing yet
     world.advance(for_us=5_000_000)
     ask = first.ctx.net.request
@@ -269,7 +269,7 @@
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
-    context.lease = Lease(ctx=register.ctx, register=register, duty="duty")
+    context.lease = Lease(ctx=register.ctx, register=register, name="duty")
 
     async def both() -> None:
         await asyncio.gather(context.lease.seek(), context.lease.drop())
@@ -283,7 +283,7 @@
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-2", "vault-3", "vault-4"], others=["proposer-0"])
-    context.lease = Lease(ctx=register.ctx, register=register, duty="duty")
+    context.lease = Lease(ctx=register.ctx, register=register, name="duty")
     poll = register.poll
 
     async def polled(**requested: Any) -> Any:
@@ -308,7 +308,7 @@
     world, (holder, seeker, changer) = context.world, context.registers
     for register in (holder, seeker):
         world.run(work=register.find_roster())
-    context.leases = [Lease(ctx=register.ctx, register=register, duty="duty") for register in (holder, seeker)]
+    context.leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in (holder, seeker)]
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     assert world.run(work=context.leases[0].seek())
--- a/features/steps/vector_steps.py
+++ b/features/steps/vector_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 from expression import Ok
 
-from cinderstair.consensus.acceptor import SINCE
 from cinderstair.consensus.ballot import BLANK, Ballot, read_ballot
 from cinderstair.consensus.known_vectors import KnownVectors
+from cinderstair.consensus.messages import SourceEdition, Status
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.protocol_versions import ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
@@ -15,7 +15,7 @@
 
 def keys_in(*, answer: bytes) -> int:
     unpacker = Unpacker(data=answer)
-    if unpacker.u8() == SINCE:
+    if unpacker.u8() == Status.SINCE:
         unpacker.u64()
         unpacker.u64()
     return len(unpacker.many(each=lambda u: (u.text(), read_ballot(unpacker=u))))
@@ -132,7 +132,7 @@
 
 
 def reported(*, edition: int, keys: dict[str, Ballot]) -> bytes:
-    packer = Packer().u8(value=SINCE).u64(value=9).u64(value=edition)
+    packer = Packer().u8(value=Status.SINCE).u64(value=9).u64(value=edition)
 
     def each(p: Packer, entry: tuple[str, Ballot]) -> None:
         entry[1].write(packer=p.text(value=entry[0]))
@@ -145,10 +145,10 @@
     known = KnownVectors()
     known.read(answers=[reported(edition=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
     context.vector = known.read(answers=[reported(edition=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
-    context.held = known.write(packer=Packer()).bytes()
+    context.editions = known.editions()
 
 
 @then("what edition 7 brought stands")
 def then_stands(context: Any) -> None:
     assert context.vector == {"a": Ballot(9, 1), "b": Ballot(2, 1)}, context.vector
-    assert context.held == Packer().u32(value=1).u64(value=9).u64(value=7).bytes()
+    assert context.editions == (SourceEdition(9, 7),), context.editions
--- a/src/cinderstair/config/configuration_store.py
+++ b/src/cinderstair/config/configuration_store.py
@@ -2,7 +2,8 @@
 
 from expression import Error, Ok, Result
 
-from ..consensus.register import Found, Register
+from ..consensus.register import Register
+from ..consensus.versioned_value import VersionedValue
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 from .check import check_configuration
@@ -19,7 +20,7 @@
         self.ctx = ctx
         self.register = register
 
-    async def submit(self, *, raw: bytes) -> Result[tuple[Configuration, Found], CinderstairError]:
+    async def submit(self, *, raw: bytes) -> Result[tuple[Configuration, VersionedValue], CinderstairError]:
         checked = check_configuration(raw=raw)
         if checked.is_error():
             return Error(checked.error)
@@ -45,7 +46,7 @@
                 )
             return Ok(raw)
 
-        result: Result[Found, CinderstairError] = Error(
+        result: Result[VersionedValue, CinderstairError] = Error(
             CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="not tried")
         )
         for _ in range(ROUNDS):
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -1,27 +1,69 @@
-"""The owner of a register replica's cells and leases: one vote of the register."""
+"""The acceptor of a register replica: its vote on every key (Paxos, Lamport 1998) and its grants of leases."""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 
 from ..runtime.context import Context
-from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .ballot import Ballot, read_ballot
+from .ballot import Ballot
 from .cell import Cell
+from .messages import (
+    AcceptRequest,
+    AdoptRequest,
+    LeaseRequest,
+    PrepareRequest,
+    ReadRequest,
+    SourceEdition,
+    StaleAnswer,
+    Status,
+    StatusAnswer,
+    VectorAnswer,
+    VectorRequest,
+    VoteAnswer,
+)
 from .roster import Roster, read_roster
 from .store import Store, cell_entry, roster_entry
 
-OK, BEATEN, STALE, AHEAD, NO_VOTE, SINCE = 0, 1, 2, 3, 4, 5
 ROSTER_KEY = "roster"
-LONGEST_LEASE_US = 2_000_000
-MOST_VALUE_BYTES = 4 * 1024 * 1024
-MOST_SOURCES = 64
-Applied = tuple[bytes, list[bytes]]
+# no lease is granted for longer, so that a restarted replica knows when all its forgotten grants have ended
+MAX_LEASE_US = 2_000_000
+
+
+@dataclass(frozen=True, kw_only=True)
+class Applied:
+    """What came of a command: the answer, and the log entries to sync before it may be sent."""
+
+    answer: bytes
+    entries: tuple[bytes, ...] = ()
+
+
+@dataclass(frozen=True, kw_only=True)
+class LeaseGrant:
+    """A lease as one replica granted it; `until_us` is of this process's monotonic clock."""
+
+    holder: int
+    until_us: int
+
+
+@dataclass(frozen=True, kw_only=True)
+class QueuedCommand:
+    """A command that waits for its turn, and the future that its requester awaits."""
+
+    apply: Callable[[], Applied]
+    answer: asyncio.Future[bytes]
+
+
+NO_GRANT = LeaseGrant(holder=0, until_us=0)
 
 
 class Acceptor:
-    """Works through its commands in batches: all are applied, one sync covers them, then all are answered."""
+    """Works through its commands in batches: all are applied, one sync covers them, then all are answered.
+
+    :param fresh: whether the disk was blank, so that nothing can have been granted before this start.
+    :param halt: called with the reason when the disk fails, after which no answer is given any more.
+    """
 
     def __init__(self, *, ctx: Context, store: Store, fresh: bool, halt: Callable[[str], None]) -> None:
         self.ctx = ctx
@@ -29,217 +71,226 @@
         self.held = store.held
         self.halt = halt
         self.roster: Roster | None = read_roster(data=self.held.roster) if self.held.roster else None
-        self.leases: dict[str, tuple[int, int]] = {}
-        # why: a life of its own counts its editions from nothing, and must not be taken for the one before
+        self.leases: dict[str, LeaseGrant] = {}
+        # each run of the process counts its editions from the start, and must not be taken for an earlier one
         self.source = ctx.rng.getrandbits(62) | 1
         self.edition = 1
         self.editions: dict[str, int] = {}
-        # why: what was granted before a restart is forgotten, so nothing is granted until it has run out
-        self.grants_from_us = ctx.now_us() + (0 if fresh else LONGEST_LEASE_US)
-        self.commands: asyncio.Queue[tuple[Callable[[], Applied], asyncio.Future[bytes]]] = asyncio.Queue()
+        # grants made before a restart are forgotten, so nothing is granted until the longest of them has ended
+        self.grants_from_us = ctx.now_us() + (0 if fresh else MAX_LEASE_US)
+        self.commands: asyncio.Queue[QueuedCommand] = asyncio.Queue()
         self.halted = False
-        ctx.spawn(work=self._work(), name="acceptor")
+        ctx.spawn(work=self._process_commands(), name="acceptor")
 
-    async def _work(self) -> None:
+    @property
+    def epoch(self) -> int:
+        """The epoch of the roster that is known here; 0 where there is none."""
+        return 0 if self.roster is None else self.roster.epoch
+
+    @property
+    def votes(self) -> bool:
+        """Whether this replica is a voter of the roster that it knows."""
+        return self.roster is not None and self.roster.has(ident=self.held.ident)
+
+    # -- the queue of commands --
+
+    async def _process_commands(self) -> None:
         while not self.halted:
             batch = [await self.commands.get()]
             while not self.commands.empty():
                 batch.append(self.commands.get_nowait())
-            applied = [(command(), future) for command, future in batch]
-            entries = [entry for (_, each), _ in applied for entry in each]
-            if entries:
-                try:
-                    await self.store.disk.beside(work=partial(self.store.save, entries=entries))
-                except OSError as error:
-                    # why: after a failed sync nobody knows what the disk holds; no answer may leave, now or later
-                    self.halted = True
-                    self.halt(f"disk failed: {error}")
-                    return
-                self.ctx.counters.add(name="vault.syncs")
-            for (response, _), future in applied:
-                if not future.done():
-                    future.set_result(response)
-
-    async def _order(self, *, command: Callable[[], Applied]) -> bytes:
-        future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.commands.put_nowait((command, future))
-        return await future
-
-    def _barred(self, *, epoch: int, key: str) -> bytes | None:
-        """Why a vote can't be given under this epoch; None where it can."""
-        mine = 0 if self.roster is None else self.roster.epoch
-        if epoch < mine and self.roster is not None:
-            return Packer().u8(value=STALE).blob(value=self.roster.bytes()).bytes()
-        if epoch > mine:
-            return Packer().u8(value=AHEAD).bytes()
-        # why: before there is a roster the seeds may vote on the roster and on nothing else
-        if self.roster is None and key != ROSTER_KEY:
-            return Packer().u8(value=NO_VOTE).bytes()
-        if self.roster is not None and not self.roster.has(ident=self.held.ident):
-            return Packer().u8(value=NO_VOTE).bytes()
-        return None
-
-    def _cell_answer(self, *, status: int, cell: Cell) -> bytes:
-        packer = Packer().u8(value=status)
-        cell.promised.write(packer=packer)
-        cell.accepted.write(packer=packer)
-        return packer.blob(value=cell.value).bytes()
+            await self._process_batch(batch=batch)
+
+    async def _process_batch(self, *, batch: list[QueuedCommand]) -> None:
+        results = [command.apply() for command in batch]
+        entries = [entry for result in results for entry in result.entries]
+        if entries and not await self._save(entries=entries):
+            return
+        for command, result in zip(batch, results, strict=True):
+            if not command.answer.done():
+                command.answer.set_result(result.answer)
+
+    async def _save(self, *, entries: list[bytes]) -> bool:
+        """Whether the entries are on the disk; after a failed sync nobody knows, and no answer may leave."""
+        try:
+            await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+        except OSError as error:
+            self.halted = True
+            self.halt(f"disk failed: {error}")
+            return False
+        self.ctx.counters.add(name="vault.syncs")
+        return True
+
+    async def _enqueue(self, *, command: Callable[[], Applied]) -> bytes:
+        answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        self.commands.put_nowait(QueuedCommand(apply=command, answer=answer))
+        return await answer
+
+    # -- votes on keys --
+
+    def _refusal(self, *, epoch: int, key: str) -> Applied | None:
+        """The answer to a request whose epoch or key rules out a vote here; None where a vote may be given."""
+        if epoch < self.epoch and self.roster is not None:
+            return Applied(answer=StaleAnswer(roster=self.roster).encode())
+        if epoch > self.epoch:
+            return Applied(answer=StatusAnswer(status=Status.AHEAD).encode())
+        # before there is a roster the seeds may vote on the roster alone
+        may_vote = key == ROSTER_KEY if self.roster is None else self.votes
+        return None if may_vote else Applied(answer=StatusAnswer(status=Status.NO_VOTE).encode())
+
+    def _cell(self, *, key: str) -> Cell:
+        return self.held.cells.get(key, Cell())
+
+    def _set_cell(self, *, key: str, cell: Cell) -> bytes:
+        """Replaces a cell; the log entry that makes it durable."""
+        known = self.held.cells.get(key)
+        if known is None or known.accepted != cell.accepted:
+            self.edition += 1
+            self.editions[key] = self.edition
+        self.held.cells[key] = cell
+        return cell_entry(key=key, cell=cell)
 
     async def prepare(self, unpacker: Unpacker) -> bytes:
-        epoch, key = unpacker.u32(), unpacker.text()
-        ballot = read_ballot(unpacker=unpacker)
-        unpacker.done()
-        return await self._order(command=lambda: self._prepare(epoch=epoch, key=key, ballot=ballot))
-
-    def _prepare(self, *, epoch: int, key: str, ballot: Ballot) -> Applied:
-        barred = self._barred(epoch=epoch, key=key)
-        if barred is not None:
-            return barred, []
-        cell = self.held.cells.get(key, Cell())
-        # why: a promise once given to a ballot shuts out every one below it, and equal ones but its own
-        if ballot <= cell.promised:
-            return self._cell_answer(status=BEATEN, cell=cell), []
-        cell = Cell(promised=ballot, accepted=cell.accepted, value=cell.value)
-        self._hold(key=key, cell=cell)
-        return self._cell_answer(status=OK, cell=cell), [cell_entry(key=key, cell=cell)]
+        request = PrepareRequest.decode(unpacker=unpacker)
+        return await self._enqueue(command=lambda: self._prepare(request=request))
+
+    def _prepare(self, *, request: PrepareRequest) -> Applied:
+        refusal = self._refusal(epoch=request.epoch, key=request.key)
+        if refusal is not None:
+            return refusal
+        cell = self._cell(key=request.key)
+        # a promise excludes every lower ballot, and its own too, which only its proposer could send again
+        if request.ballot <= cell.promised:
+            return Applied(answer=vote_answer(status=Status.BEATEN, cell=cell))
+        cell = Cell(promised=request.ballot, accepted=cell.accepted, value=cell.value)
+        entry = self._set_cell(key=request.key, cell=cell)
+        return Applied(answer=vote_answer(status=Status.OK, cell=cell), entries=(entry,))
 
     async def accept(self, unpacker: Unpacker) -> bytes:
-        epoch, key = unpacker.u32(), unpacker.text()
-        ballot, value = read_ballot(unpacker=unpacker), unpacker.blob()
-        unpacker.done()
-        if len(value) > MOST_VALUE_BYTES:
-            raise ValueError("value too large")
-        return await self._order(command=lambda: self._accept(epoch=epoch, key=key, ballot=ballot, value=value))
-
-    def _accept(self, *, epoch: int, key: str, ballot: Ballot, value: bytes) -> Applied:
-        barred = self._barred(epoch=epoch, key=key)
-        if barred is not None:
-            return barred, []
-        cell = self.held.cells.get(key, Cell())
-        if ballot < cell.promised:
-            return self._cell_answer(status=BEATEN, cell=cell), []
-        cell = Cell(promised=ballot, accepted=ballot, value=value)
-        self._hold(key=key, cell=cell)
-        return self._cell_answer(status=OK, cell=Cell(promised=ballot, accepted=ballot)), [
-            cell_entry(key=key, cell=cell)
-        ]
+        request = AcceptRequest.decode(unpacker=unpacker)
+        return await self._enqueue(command=lambda: self._accept(request=request))
+
+    def _accept(self, *, request: AcceptRequest) -> Applied:
+        refusal = self._refusal(epoch=request.epoch, key=request.key)
+        if refusal is not None:
+            return refusal
+        cell = self._cell(key=request.key)
+        if request.ballot < cell.promised:
+            return Applied(answer=vote_answer(status=Status.BEATEN, cell=cell))
+        entry = self._set_cell(
+            key=request.key, cell=Cell(promised=request.ballot, accepted=request.ballot, value=request.value)
+        )
+        # the proposer knows the value that it has just sent
+        without_value = Cell(promised=request.ballot, accepted=request.ballot)
+        return Applied(answer=vote_answer(status=Status.OK, cell=without_value), entries=(entry,))
 
     async def install(self, *, key: str, ballot: Ballot, value: bytes) -> None:
         """Takes a value from a snapshot, as if it had been accepted here when it was accepted elsewhere."""
-        await self._order(command=lambda: self._install(key=key, ballot=ballot, value=value))
+        await self._enqueue(command=lambda: self._install(key=key, ballot=ballot, value=value))
 
     def _install(self, *, key: str, ballot: Ballot, value: bytes) -> Applied:
-        cell = self.held.cells.get(key, Cell())
-        # why: a snapshot is of the past; anything newer that came in meanwhile stands
+        cell = self._cell(key=key)
+        # a snapshot is of the past: a newer value that has come in meanwhile stays
         if ballot <= cell.accepted:
-            return b"", []
+            return Applied(answer=b"")
         cell = Cell(promised=max(ballot, cell.promised), accepted=ballot, value=value)
-        self._hold(key=key, cell=cell)
-        return b"", [cell_entry(key=key, cell=cell)]
+        return Applied(answer=b"", entries=(self._set_cell(key=key, cell=cell),))
 
     async def read(self, unpacker: Unpacker) -> bytes:
-        epoch, key = unpacker.u32(), unpacker.text()
-        unpacker.done()
-        return await self._order(command=lambda: self._read(epoch=epoch, key=key))
+        request = ReadRequest.decode(unpacker=unpacker)
+        return await self._enqueue(command=lambda: self._read(request=request))
 
-    def _read(self, *, epoch: int, key: str) -> Applied:
-        barred = self._barred(epoch=epoch, key=key)
-        if barred is not None:
-            return barred, []
-        return self._cell_answer(status=OK, cell=self.held.cells.get(key, Cell())), []
+    def _read(self, *, request: ReadRequest) -> Applied:
+        refusal = self._refusal(epoch=request.epoch, key=request.key)
+        if refusal is not None:
+            return refusal
+        return Applied(answer=vote_answer(status=Status.OK, cell=self._cell(key=request.key)))
 
     async def vector(self, unpacker: Unpacker) -> bytes:
-        """Which ballot each key was accepted at; where the asker names an edition of ours, what came since."""
-        epoch = unpacker.u32()
-        named = unpacker.many(each=lambda u: (u.u64(), u.u64())) if unpacker.version > 1 else None
-        unpacker.done()
-        if named is not None and len(named) > MOST_SOURCES:
-            raise ValueError("too many sources")
-        return await self._order(command=lambda: self._vector(epoch=epoch, named=named))
-
-    def _vector(self, *, epoch: int, named: list[tuple[int, int]] | None) -> Applied:
-        barred = self._barred(epoch=epoch, key="")
-        if barred is not None:
-            return barred, []
-        since = dict(named or []).get(self.source, 0)
-        # why: what is older than this life has no edition, and went with the first answer to each asker
-        cells = [
-            (key, cell)
+        """The ballot that each key was accepted at, or what changed since the edition that the requester has."""
+        request = VectorRequest.decode(unpacker=unpacker)
+        return await self._enqueue(command=lambda: self._vector(request=request))
+
+    def _vector(self, *, request: VectorRequest) -> Applied:
+        refusal = self._refusal(epoch=request.epoch, key="")
+        if refusal is not None:
+            return refusal
+        since = dict(request.known or ()).get(self.source, 0)
+        # cells loaded from the disk have no edition; the first answer to each requester holds them all
+        ballots = {
+            key: cell.accepted
             for key, cell in self.held.cells.items()
             if cell.value and (not since or self.editions.get(key, 0) > since)
-        ]
-        packer = Packer().u8(value=OK)
-        if named is not None:
-            packer = Packer().u8(value=SINCE).u64(value=self.source).u64(value=self.edition)
-
-        def each(p: Packer, entry: tuple[str, Cell]) -> None:
-            entry[1].accepted.write(packer=p.text(value=entry[0]))
+        }
+        known = None if request.known is None else SourceEdition(self.source, self.edition)
+        return Applied(answer=VectorAnswer(known=known, ballots=ballots).encode())
 
-        return packer.many(values=cells, each=each).bytes(), []
-
-    def _hold(self, *, key: str, cell: Cell) -> None:
-        known = self.held.cells.get(key)
-        if known is None or known.accepted != cell.accepted:
-            self.edition += 1
-            self.editions[key] = self.edition
-        self.held.cells[key] = cell
+    # -- leases --
 
     async def lease(self, unpacker: Unpacker) -> bytes:
-        epoch, duty, holder, length_us = unpacker.u32(), unpacker.text(), unpacker.u64(), unpacker.u64()
-        unpacker.done()
-        return await self._order(
-            command=lambda: self._lease(epoch=epoch, duty=duty, holder=holder, length_us=length_us)
-        )
+        request = LeaseRequest.decode(unpacker=unpacker)
+        return await self._enqueue(command=lambda: self._lease(request=request))
 
-    def _lease(self, *, epoch: int, duty: str, holder: int, length_us: int) -> Applied:
-        barred = self._barred(epoch=epoch, key=f"lease/{duty}")
-        if barred is not None:
-            return barred, []
+    def _lease(self, *, request: LeaseRequest) -> Applied:
+        refusal = self._refusal(epoch=request.epoch, key=f"lease/{request.lease}")
+        if refusal is not None:
+            return refusal
+        if request.length_us == 0:
+            self._release(request=request)
+            return Applied(answer=StatusAnswer(status=Status.OK).encode())
         now_us = self.ctx.now_us()
-        current, until_us = self.leases.get(duty, (0, 0))
-        free = until_us <= now_us or current == holder
-        # why: a length of nothing gives the lease back, and only its holder may do so
-        if length_us == 0:
-            if current == holder:
-                self.leases.pop(duty, None)
-            return Packer().u8(value=OK).bytes(), []
-        if now_us < self.grants_from_us or length_us > LONGEST_LEASE_US or not free:
-            return Packer().u8(value=BEATEN).bytes(), []
-        self.leases[duty] = (holder, now_us + length_us)
-        return Packer().u8(value=OK).bytes(), []
+        if not self._may_grant(request=request, now_us=now_us):
+            return Applied(answer=StatusAnswer(status=Status.BEATEN).encode())
+        self.leases[request.lease] = LeaseGrant(holder=request.holder, until_us=now_us + request.length_us)
+        return Applied(answer=StatusAnswer(status=Status.OK).encode())
+
+    def _release(self, *, request: LeaseRequest) -> None:
+        """Ends a lease; only its holder may do so."""
+        if self.leases.get(request.lease, NO_GRANT).holder == request.holder:
+            self.leases.pop(request.lease, None)
+
+    def _may_grant(self, *, request: LeaseRequest, now_us: int) -> bool:
+        grant = self.leases.get(request.lease, NO_GRANT)
+        available = grant.until_us <= now_us or grant.holder == request.holder
+        return available and now_us >= self.grants_from_us and request.length_us <= MAX_LEASE_US
+
+    # -- rosters --
 
     async def adopt(self, unpacker: Unpacker) -> bytes:
-        data = unpacker.blob()
-        unpacker.done()
-        # why: read before it is queued, so that a roster that can't be read fails its sender and not the queue
-        roster = read_roster(data=data)
-        return await self._order(command=lambda: self._adopt(data=data, roster=roster))
-
-    def _adopt(self, *, data: bytes, roster: Roster) -> Applied:
-        mine = 0 if self.roster is None else self.roster.epoch
-        # why: epochs only rise; an old roster that arrives again changes nothing
-        if roster.epoch <= mine:
-            return Packer().u8(value=OK).bytes(), []
-        joined = roster.has(ident=self.held.ident) and (
-            self.roster is None or not self.roster.has(ident=self.held.ident)
-        )
-        # why: the register replica whose place this one takes may have granted a lease that still runs
-        if joined and roster.epoch > 1:
-            self.grants_from_us = self.ctx.now_us() + LONGEST_LEASE_US
+        # decoded before it is queued, so that a malformed roster fails its sender and not the queue
+        request = AdoptRequest.decode(unpacker=unpacker)
+        return await self.adopt_roster(roster=request.roster)
+
+    async def adopt_roster(self, *, roster: Roster) -> bytes:
+        """Makes a roster this replica's own, unless it knows one as new."""
+        return await self._enqueue(command=lambda: self._adopt(roster=roster))
+
+    def _adopt(self, *, roster: Roster) -> Applied:
+        answer = StatusAnswer(status=Status.OK).encode()
+        # epochs only rise: an old roster that arrives again changes nothing
+        if roster.epoch <= self.epoch:
+            return Applied(answer=answer)
+        becomes_voter = roster.has(ident=self.held.ident) and not self.votes
+        # the voter that this one replaces may have granted a lease that has not ended yet
+        if becomes_voter and roster.epoch > 1:
+            self.grants_from_us = self.ctx.now_us() + MAX_LEASE_US
         self.roster = roster
-        self.held.roster = data
+        self.held.roster = roster.bytes()
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
-        cleared = [] if roster.has(ident=self.held.ident) else self._clear_cells()
-        # why: the roster comes last, so that a torn write leaves either both or a roster that is adopted again
-        return Packer().u8(value=OK).bytes(), [*cleared, roster_entry(data=data)]
+        cleared = () if self.votes else self._clear_cells()
+        # the roster is the last entry: a torn write leaves either both or a roster that is adopted again
+        return Applied(answer=answer, entries=(*cleared, roster_entry(data=self.held.roster)))
 
-    def _clear_cells(self) -> list[bytes]:
-        """Discards what an acceptor that is no voter holds; the log entries that make it last.
+    def _clear_cells(self) -> tuple[bytes, ...]:
+        """Discards the cells of an acceptor that is no voter; the log entries that make it durable.
 
         A value that it accepted and no majority did may carry a higher ballot than the one chosen since without it.
         Were it kept, the acceptor would bring that old value back as the newest when it becomes a voter again.
         """
         keys = [key for key, cell in self.held.cells.items() if cell != Cell()]
-        for key in keys:
-            self._hold(key=key, cell=Cell())
-        return [cell_entry(key=key, cell=Cell()) for key in keys]
+        return tuple(self._set_cell(key=key, cell=Cell()) for key in keys)
+
+
+def vote_answer(*, status: Status, cell: Cell) -> bytes:
+    """The encoded vote that tells a cell's content."""
+    return VoteAnswer(status=status, promised=cell.promised, accepted=cell.accepted, value=cell.value).encode()
--- /dev/null
+++ b/src/cinderstair/consensus/founding.py
@@ -0,0 +1,45 @@
+"""The founding of a system: the choice of its first roster by a majority of the seeds."""
+
+from collections.abc import Mapping
+
+from expression import Ok
+
+from ..runtime.settings import Settings
+from .acceptor import ROSTER_KEY
+from .register import Register
+from .roster import Roster, Voter, read_roster
+
+# after this time a majority of the seeds is enough to found, so that a seed that is cut off or gone from the first
+# moment on does not keep the others from beginning
+FOUNDING_WAIT_US = 3_000_000
+FIRST_EPOCH = 1
+
+
+def required_candidates(*, settings: Settings, waited_us: int) -> int:
+    """How many replicas must be known before a roster is proposed."""
+    if waited_us > FOUNDING_WAIT_US:
+        return min(settings.foundingVaults, len(settings.seeds) // 2 + 1)
+    return settings.foundingVaults
+
+
+def first_roster(*, settings: Settings, me: Voter, candidates: Mapping[str, Voter], waited_us: int) -> Roster | None:
+    """The roster to propose; None where this replica is no seed, or too few candidates are known yet."""
+    enough = len(candidates) >= required_candidates(settings=settings, waited_us=waited_us)
+    if me.address not in settings.seeds or not enough:
+        return None
+    by_name = sorted(candidates.values(), key=lambda candidate: candidate.name)
+    return Roster(epoch=FIRST_EPOCH, voters=tuple(by_name[: settings.foundingVaults]))
+
+
+async def found(*, register: Register, proposal: Roster) -> Roster | None:
+    """Has the seeds choose the first roster; a majority of them keeps the one that was chosen first.
+
+    :returns: the roster to adopt, which may be another's proposal or a later roster; None where none is known.
+    """
+    data = proposal.bytes()
+    chosen = await register.change(key=ROSTER_KEY, decide=lambda current: Ok(current or data), founding=True)
+    if chosen.is_ok():
+        roster = read_roster(data=chosen.ok.value)
+        if roster.epoch == FIRST_EPOCH:
+            return roster
+    return register.roster
--- /dev/null
+++ b/src/cinderstair/consensus/standby.py
@@ -0,0 +1,44 @@
+"""Decisions of a register replica without a vote: whether to watch for a vacancy, and which one to take."""
+
+from dataclasses import dataclass
+
+from ..membership.membership import Membership
+from .roster import Roster, Voter
+from .voter_watch import VoterWatch
+
+# where many replicas stand by, so many that watch are enough, and all of them would be a load on the voters
+MAX_WATCHING_STANDBYS = 2
+
+
+@dataclass(frozen=True, kw_only=True)
+class Vacancy:
+    """A seat in the roster that may be taken. `leaves` is the voter to be removed first; None where it is free."""
+
+    leaves: str | None = None
+
+
+def is_vacancy_certain(*, roster: Roster, me: Voter, max_voters: int) -> bool:
+    """Whether a seat is free, or one is held under this replica's name by an earlier identity."""
+    names = [voter.name for voter in roster.voters]
+    return me.name in names or len(names) < max_voters
+
+
+def watches_for_vacancy(*, roster: Roster, me: Voter, max_voters: int, membership: Membership) -> bool:
+    """Whether this standby is among those that have to take the next vacancy."""
+    if is_vacancy_certain(roster=roster, me=me, max_voters=max_voters):
+        return True
+    voters = {voter.name for voter in roster.voters}
+    standbys = [member.name for member in membership.alive(role="vault") if member.name not in voters]
+    return sum(name < me.name for name in standbys) < MAX_WATCHING_STANDBYS
+
+
+def find_vacancy(
+    *, roster: Roster, me: Voter, max_voters: int, membership: Membership, watch: VoterWatch
+) -> Vacancy | None:
+    """The seat of this replica's own name, else a free one, else that of a voter that is lost."""
+    if any(voter.name == me.name for voter in roster.voters):
+        return Vacancy(leaves=me.name)
+    if is_vacancy_certain(roster=roster, me=me, max_voters=max_voters):
+        return Vacancy()
+    lost = watch.replaceable(roster=roster, membership=membership)
+    return None if lost is None else Vacancy(leaves=lost.name)
--- a/src/cinderstair/control_plane/orders.py
+++ b/src/cinderstair/control_plane/orders.py
@@ -3,8 +3,9 @@
 from expression import Error, Ok, Result
 
 from ..config.service_plan import PLAN_KEY, ServicePlan, plan_version, read_service_plan
-from ..consensus.register import Found, Register
+from ..consensus.register import Register
 from ..consensus.register_view import RegisterView
+from ..consensus.versioned_value import VersionedValue
 from ..runtime.errors import CinderstairError, ErrorCode
 
 SUBMIT_TRIES = 4
@@ -42,7 +43,7 @@
             return Error(
                 CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
             )
-        result: Result[Found, CinderstairError] = Error(
+        result: Result[VersionedValue, CinderstairError] = Error(
             CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="not tried")
         )
         for _ in range(SUBMIT_TRIES):
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -34,7 +34,7 @@
         self.register = register
         self.view = view
         self.census = census
-        self.lease = Lease(ctx=ctx, register=register, duty=PROXY_ID_LEASE, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, name=PROXY_ID_LEASE, seekers=lambda: 3)
         self.held_since_us = 0
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from ..consensus.register import Found
 from ..consensus.register_view import RegisterView
+from ..consensus.versioned_value import VersionedValue
 from ..failover.shard_state import Vote
 from ..membership.announcement import GONE, Announcement
 from ..membership.heartbeat_table import HeartbeatTable
@@ -121,7 +121,7 @@
     def _age_us(self) -> int:
         return max(0, self.ctx.now_us() - self.view.as_of_us)
 
-    def _value(self, *, key: str, found: Found) -> RelayedValue:
+    def _value(self, *, key: str, found: VersionedValue) -> RelayedValue:
         return RelayedValue(key=key, ballot=found.ballot, value=self.shorten(key, found.value))
 
     def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -58,15 +58,15 @@
         lines.append(
             f"register replica {voter.name} at {voter.address}: {'unknown' if standing is None else standing.name}"
         )
-    present, losses = len(register_replica.present()), register_replica.losses_borne()
+    present, losses = len(register_replica.alive_voters()), register_replica.tolerable_losses()
     short = ""
-    if register_replica.short_since_us is not None:
-        seconds = (controller.ctx.now_us() - register_replica.short_since_us) // 1_000_000
+    if register_replica.missing_votes.since_us is not None:
+        seconds = (controller.ctx.now_us() - register_replica.missing_votes.since_us) // 1_000_000
         short = f", VOTES MISSING for {seconds} s"
     borne = f"bears the loss of {losses} more" if losses >= 0 else "NO MAJORITY"
     standbys = ", ".join(register_replica.standbys()) or "nobody"
     lines.append(
-        f"votes: {present} of {register_replica.most}, epoch {register_replica.roster.epoch}, {borne}{short}; "
+        f"votes: {present} of {register_replica.max_voters}, epoch {register_replica.roster.epoch}, {borne}{short}; "
         f"standing by: {standbys}"
     )
     return lines
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -53,7 +53,7 @@
         self.connection_pools = connection_pools
         self.platform = platform
         self.lease = Lease(
-            ctx=ctx, register=register, duty=DATABASE_FAILOVER_LEASE, seekers=lambda: len(view.proxy_ids.names)
+            ctx=ctx, register=register, name=DATABASE_FAILOVER_LEASE, seekers=lambda: len(view.proxy_ids.names)
         )
         self.started_us = ctx.now_us()
         self.tending: set[str] = set()
--- a/src/cinderstair/failover/proxy_id_reclaimer.py
+++ b/src/cinderstair/failover/proxy_id_reclaimer.py
@@ -28,7 +28,7 @@
         self.view = view
         self.membership = membership
         self.grace_us = grace_us
-        self.lease = Lease(ctx=ctx, register=register, duty=PROXY_ID_LEASE, seekers=lambda: len(view.proxy_ids.names))
+        self.lease = Lease(ctx=ctx, register=register, name=PROXY_ID_LEASE, seekers=lambda: len(view.proxy_ids.names))
         self.gone_since_us: dict[str, int] = {}
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -9,8 +9,9 @@
 
 from ..config.service_plan import PLAN_KEY, Service, ServicePlan, read_service_plan
 from ..consensus.lease import Lease
-from ..consensus.register import Found, Register
+from ..consensus.register import Register
 from ..consensus.register_view import RegisterView
+from ..consensus.versioned_value import VersionedValue
 from ..membership.announcement import GONE, Announcement
 from ..membership.heartbeat import READY
 from ..membership.heartbeat_table import HeartbeatTable, ReceivedHeartbeat
@@ -81,7 +82,7 @@
         self.opinions = opinions
         # why: every proxy's view that is older than a write has run out this long after the write
         self.outwait_us = lease_us + lease_us // 10
-        self.lease = Lease(ctx=ctx, register=register, duty=SERVICE_FAILOVER_LEASE, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, name=SERVICE_FAILOVER_LEASE, seekers=lambda: 3)
         self.plan: ServicePlan | None = None
         self.leads: dict[str, ServicePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
@@ -247,7 +248,7 @@
             return Ok(new.bytes())
 
         key = service_primary_key(service=service)
-        result: Result[Found, CinderstairError] = await self.register.change(key=key, decide=decide)
+        result: Result[VersionedValue, CinderstairError] = await self.register.change(key=key, decide=decide)
         if result.is_ok():
             self.ctx.log.info("%s: term %d %s %s", service, new.term, new.state.name, new.primary)
             self.view.take_own(key=key, result=result)
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -8,8 +8,9 @@
 
 from ..config.shard_map import ShardMap
 from ..consensus.lease import Lease
-from ..consensus.register import Found, Register
+from ..consensus.register import Register
 from ..consensus.register_view import RegisterView
+from ..consensus.versioned_value import VersionedValue
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
@@ -86,7 +87,7 @@
         self.handover = handover
         self.lease_us = lease_us
         self.under_way_us = under_way_us
-        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, name=SHARD_MAP_LEASE, seekers=lambda: 3)
         self.state = ShardState()
         self.since_us = 0
         self.reason = ""
@@ -196,7 +197,7 @@
 
         if not self.lease.held:
             return False
-        result: Result[Found, CinderstairError] = await self.register.change(key=SHARDS_KEY, decide=decide)
+        result: Result[VersionedValue, CinderstairError] = await self.register.change(key=SHARDS_KEY, decide=decide)
         self.view.take_own(key=SHARDS_KEY, result=result)
         if result.is_ok():
             self.ctx.log.info(
--- a/src/cinderstair/failover/window_scheduler.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -21,7 +21,7 @@
         self.ctx = ctx
         self.register = register
         self.view = view
-        self.lease = Lease(ctx=ctx, register=register, duty=WINDOW_LEASE, seekers=lambda: len(view.proxy_ids.names))
+        self.lease = Lease(ctx=ctx, register=register, name=WINDOW_LEASE, seekers=lambda: len(view.proxy_ids.names))
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="windows")
 
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -6,8 +6,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from ...consensus.register import Found, Register
+from ...consensus.register import Register
 from ...consensus.register_view import RegisterView
+from ...consensus.versioned_value import VersionedValue
 from ...control_plane.relay import Relay
 from ...failover.service_primary import read_service_primary
 from ...membership.announcement import Announcement
@@ -143,7 +144,7 @@
             heard = ReceivedHeartbeat(source=number % sources + 1, version=number + 1, heartbeat=each, born_us=now_us)
             heartbeat_table._take(heard=heard)
         for entry in whole_answer(proxies=proxies, databases=databases, controllers=1).values:
-            view.known[entry.key] = Found(ballot=entry.ballot, value=entry.value)
+            view.known[entry.key] = VersionedValue(ballot=entry.ballot, value=entry.value)
         relay.look()
         gc.collect()
         held_bytes = rss_bytes() - before
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -69,25 +69,23 @@
     def begin(self) -> None:
         opened = self.register_replica.open()
         assert opened.is_ok(), opened
-        assert self.register_replica.acceptor is not None
         if self.up_for_long:
             self.register_replica.acceptor.grants_from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
         self.net.answer = self.register_replica.dispatcher.answer
         if self.enters:
-            self.ctx.spawn(work=self.register_replica._meet(), name="vault.meet")
+            self.ctx.spawn(work=self.register_replica.run_joining(), name="register_replica.join")
 
     def digest(self) -> Hashable | None:
         acceptor = self.register_replica.acceptor
-        assert acceptor is not None
         # why: while it asks or syncs, how far its tasks have come is known by its history alone
         if self.enters or self.disk.syncing is not None or self.net.serving or self.net.waiting:
             return None
         now_us = self.ctx.now_us()
         leases = [
-            (duty, holder, until_us - now_us)
-            for duty, (holder, until_us) in sorted(acceptor.leases.items())
-            if until_us > now_us
+            (name, grant.holder, grant.until_us - now_us)
+            for name, grant in sorted(acceptor.leases.items())
+            if grant.until_us > now_us
         ]
         held = acceptor.held
         return (
@@ -97,7 +95,7 @@
             tuple(leases),
             max(0, acceptor.grants_from_us - now_us),
             acceptor.halted,
-            tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.values())),
+            tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.by_name.values())),
         )
 
     def facts(self) -> ReplicaFacts:
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -9,9 +9,10 @@
 from expression import Error, Ok, Result
 
 from ...consensus import lease
-from ...consensus.acceptor import ROSTER_KEY, Acceptor
+from ...consensus.acceptor import ROSTER_KEY, Acceptor, Applied, vote_answer
 from ...consensus.cell import Cell
 from ...consensus.lease import Lease
+from ...consensus.messages import AcceptRequest, Status
 from ...consensus.register import Register
 from ...consensus.roster import Roster, Voter, read_roster
 from ...consensus.store import cell_entry
@@ -26,38 +27,39 @@
 
     async def work(self: Any) -> None:
         while True:
-            command, future = await self.commands.get()
-            answer, entries = command()
-            future.set_result(answer)
-            if entries:
-                await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+            command = await self.commands.get()
+            result = command.apply()
+            command.answer.set_result(result.answer)
+            if result.entries:
+                await self.store.disk.beside(work=partial(self.store.save, entries=result.entries))
 
-    return [patch.object(Acceptor, "_work", work)]
+    return [patch.object(Acceptor, "_process_commands", work)]
 
 
 def accepts_any_ballot() -> Patches:
     """A register replica accepts a value whatever it has promised."""
 
-    def accept(self: Any, *, epoch: int, key: str, ballot: Any, value: bytes) -> Any:
-        barred = self._barred(epoch=epoch, key=key)
-        if barred is not None:
-            return barred, []
-        self.held.cells[key] = cell = Cell(promised=ballot, accepted=ballot, value=value)
-        return self._cell_answer(status=0, cell=cell), [cell_entry(key=key, cell=cell)]
+    def accept(self: Any, *, request: AcceptRequest) -> Applied:
+        refusal: Applied | None = self._refusal(epoch=request.epoch, key=request.key)
+        if refusal is not None:
+            return refusal
+        cell = Cell(promised=request.ballot, accepted=request.ballot, value=request.value)
+        self.held.cells[request.key] = cell
+        entry = cell_entry(key=request.key, cell=cell)
+        return Applied(answer=vote_answer(status=Status.OK, cell=cell), entries=(entry,))
 
     return [patch.object(Acceptor, "_accept", accept)]
 
 
 def blank_votes() -> Patches:
     """A blank register replica votes in the place of the one that lost its disk."""
-    barred = Acceptor._barred
+    refusal = Acceptor._refusal
 
-    def never(self: Any, *, epoch: int, key: str) -> Any:
-        mine = 0 if self.roster is None else self.roster.epoch
+    def other_epochs_alone(self: Any, *, epoch: int, key: str) -> Applied | None:
         # why: only who is no voter is let vote; of another epoch it is told as ever
-        return barred(self, epoch=epoch, key=key) if epoch != mine else None
+        return refusal(self, epoch=epoch, key=key) if epoch != self.epoch else None
 
-    return [patch.object(Acceptor, "_barred", never)]
+    return [patch.object(Acceptor, "_refusal", other_epochs_alone)]
 
 
 def no_margin() -> Patches:
@@ -79,7 +81,7 @@
     """A daemon seeks under the number that it gave back."""
 
     async def give_back(self: Any) -> None:
-        await self._ask(holder=self.holder, length_us=0)
+        await self._request(holder=self.holder, length_us=0)
 
     return [patch.object(Lease, "_give_back", give_back)]
 
@@ -90,7 +92,7 @@
     async def outwait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
 
-    return [patch.object(Succession, "_outwait", outwait)]
+    return [patch.object(Succession, "_await_lease_ends", outwait)]
 
 
 async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
@@ -123,7 +125,7 @@
 
 def old_cells_kept() -> Patches:
     """A register replica that is no voter any more keeps what it accepted as one."""
-    return [patch.object(Acceptor, "_clear_cells", lambda self: [])]
+    return [patch.object(Acceptor, "_clear_cells", lambda self: ())]
 
 
 def enters_untold() -> Patches:
--- a/src/cinderstair/simulation/explorer/seeker_actor.py
+++ b/src/cinderstair/simulation/explorer/seeker_actor.py
@@ -22,7 +22,7 @@
         rate: float,
     ) -> None:
         super().__init__(recipe=recipe, name=name, seeds=seeds, roster=roster, todo=todo, rate=rate)
-        self.lease = Lease(ctx=self.ctx, register=self.register, duty="duty")
+        self.lease = Lease(ctx=self.ctx, register=self.register, name="duty")
 
     def more(self) -> Hashable:
         return max(0, self.lease.until_us - self.ctx.now_us()), tuple(
