--- a/features/consensus/known_vectors.feature
+++ b/features/consensus/known_vectors.feature
@@ -1,19 +1,19 @@
-Feature: Vectors told by what came since
-  A register replica tells an asker which ballots it has accepted since the edition that the asker names.
+Feature: Vectors sent as the changes since an edition
+  A register replica sends a client the ballots that it has accepted since the edition that the client names.
 
-  Scenario: A calm register costs a few bytes, a change one key, a restarted register replica its whole vector
+  Scenario: An idle register sends no keys, a change sends one, a restarted register replica its whole vector
     Given 5 register replicas and 2 proposers, with seed 31
     And proposer 1 has written 40 keys
-    When proposer 0 asks for the vector 20 times
+    When proposer 0 requests the vector 20 times
     Then the last answers together bring 0 keys
-    When proposer 1 writes one of the keys again, and proposer 0 asks for the vector until it shows
+    When proposer 1 writes one of the keys again, and proposer 0 requests the vector until it shows
     Then the last answers together bring at most 3 keys
-    When the register replicas are restarted one by one, and proposer 0 asks for the vector
+    When the register replicas are restarted one by one, and proposer 0 requests the vector
     Then the last answers together bring at least 40 keys
 
   Scenario Outline: Whatever is acknowledged shows in the next vector, among kills and restarts
     Given 5 register replicas and 2 proposers, with seed <seed>
-    When keys are written and the vector is asked for 60 times, while register replicas are killed and come back
+    When keys are written and the vector is requested 60 times, while register replicas are killed and come back
     Then every vector had at least the ballots acknowledged before it was asked for
     And no vector went back behind the one before
 
@@ -23,10 +23,10 @@
       | 33   |
       | 34   |
 
-  Scenario: An asker of the first version is told everything, as ever
+  Scenario: A client of the protocol's first version is sent the whole vector
     Given 5 register replicas and 2 proposers, with seed 35
     And proposer 1 has written 40 keys
-    When proposer 0 speaks the first version alone, and asks for the vector 2 times
+    When proposer 0 speaks the first version alone, and requests the vector 2 times
     Then the last answers together bring at least 120 keys
 
   Scenario: An answer that was overtaken takes nothing back
--- a/features/consensus/register.feature
+++ b/features/consensus/register.feature
@@ -22,9 +22,9 @@
     When a value is accepted by vault-0 alone and then read through it
     Then every later read gives that value, with vault-0 gone
 
-  Scenario: Two never hold one duty, whatever their clocks and the register replicas' restarts
+  Scenario: No two hold one lease, whatever their clocks and the register replicas' restarts
     Given 5 register replicas and 4 proposers, with seed 11
-    When all seek one duty for 60 seconds, while register replicas restart and holders freeze
+    When all seek one lease for 60 seconds, while register replicas restart and holders freeze
     Then at no moment did two hold it, and it was held at least half of the time
 
   Scenario: A seed that returns blank does not found a second roster
@@ -34,25 +34,25 @@
 
   Scenario: A change of the roster that another one overtakes is not made
     Given 5 register replicas and 2 proposers, with seed 13
-    When vault-0 is struck off while the change that strikes off vault-1 writes the keys again
+    When vault-0 is removed while the change that removes vault-1 writes the keys again
     Then the second change is refused as overtaken, and the roster lacks vault-0 alone
 
-  Scenario: The word of a duty's return that comes late frees nothing that was taken since
+  Scenario: The return of a lease that arrives late frees nothing that was granted since
     Given 5 register replicas and 2 proposers, with seed 14
-    When a duty is given back and taken again, and the word of its return comes late
+    When a lease is given back and granted again, and its return arrives late
     Then one holds it, and not both, when the other has sought it too
 
-  Scenario: A duty that is given back while it is still being sought is not held
+  Scenario: A lease that is given back while it is still being sought is not held
     Given 5 register replicas and 2 proposers, with seed 15
-    When a duty is given back while the answers to its seeking are on their way
+    When a lease is given back while the answers to its request are on their way
     Then it is not held
 
   Scenario: Grants count against the majority of the roster under which they were given
     Given 5 register replicas and 2 proposers, with seed 16
-    When two of five register replicas grant a duty, and a roster of three is heard of meanwhile
+    When two of five register replicas grant a lease, and a roster of three is learnt meanwhile
     Then it is not held
 
-  Scenario: A second voter leaves only when no duty rests on the first any more
+  Scenario: A second voter leaves only when no lease rests on the first any more
     Given 5 register replicas and 3 proposers, with seed 17
-    When a duty is taken from register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins
+    When a lease is granted by register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins
     Then one holds it, and not both, when the other has sought it too
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -24,8 +24,9 @@
 from cinderstair.config.shard_map import ShardMap
 from cinderstair.consensus.acceptor import ROSTER_KEY, Acceptor
 from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.durable_state import DurableState, ident_entry
 from cinderstair.consensus.roster import Roster, Voter
-from cinderstair.consensus.store import LOGS, SLOTS, Held, Store, ident_entry
+from cinderstair.consensus.store import LOGS, SLOTS, Store
 from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
 from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
@@ -157,9 +158,9 @@
     async def start(self) -> None:
         """Opens the disk, as a process does when it starts; a blank disk gets its identity."""
         store = opened(disk=self.disk)
-        fresh = store.held.ident == 0
+        fresh = store.state.ident == 0
         if fresh:
-            store.held.ident = IDENTITY
+            store.state.ident = IDENTITY
             store.save(entries=[ident_entry(ident=IDENTITY)])
         self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda why: None)
 
@@ -277,7 +278,7 @@
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.name != STATE_FILE}
 
 
-def state_of(*, held: Held, torn_bytes: int) -> dict[str, Any]:
+def state_of(*, held: DurableState, torn_bytes: int) -> dict[str, Any]:
     """A replica's state in the plain form that is kept beside the files."""
     cells = {
         key: {
@@ -299,7 +300,7 @@
     """What opening a disk came to, in the plain form that is kept beside the files."""
     if result.is_error():
         return {"refused": result.error.code.value}
-    return state_of(held=result.ok.held, torn_bytes=result.ok.torn_bytes)
+    return state_of(held=result.ok.state, torn_bytes=result.ok.torn_bytes)
 
 
 @given('the frozen disk "{example}"')
@@ -340,7 +341,7 @@
 
 @then("the frozen state has {count:d} registers, {promised:d} of them with a promise alone")
 def then_counted(context: Any, count: int, promised: int) -> None:
-    cells = context.result.ok.held.cells
+    cells = context.result.ok.state.cells
     assert len(cells) == count, cells.keys()
     assert [key for key, cell in cells.items() if not cell.value] == [PROMISE_ONLY_KEY] * promised, cells
 
@@ -355,7 +356,7 @@
     first = context.result.ok
     again = opened(disk=context.disk)
     assert again.serial == first.serial + 1
-    assert state_of(held=again.held, torn_bytes=0) == state_of(held=first.held, torn_bytes=0)
+    assert state_of(held=again.state, torn_bytes=0) == state_of(held=first.state, torn_bytes=0)
 
 
 @then('the frozen disk is refused with the words "{words}", and not one byte is changed')
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -9,7 +9,7 @@
 
 from cinderstair.config.service_plan import PLAN_KEY, plan_version
 from cinderstair.consensus.roster import read_roster, read_voter, write_voter
-from cinderstair.consensus.store import LOG_MOST_BYTES, Store
+from cinderstair.consensus.store import MAX_LOG_BYTES, Store
 from cinderstair.control_plane.status_text import status_text
 from cinderstair.runtime.message_types import JOIN_REQUEST
 from cinderstair.runtime.packer import Packer
@@ -271,8 +271,8 @@
 def then_bounded(context: Any, number: int) -> None:
     early = [max(sizes) for sizes in zip(*context.sizes[:number], strict=True)]
     late = [max(sizes) for sizes in zip(*context.sizes, strict=True)]
-    assert all(b - a <= LOG_MOST_BYTES for a, b in zip(early, late, strict=True)), (early, late)
-    assert max(late) <= 4 * LOG_MOST_BYTES, late
+    assert all(b - a <= MAX_LOG_BYTES for a, b in zip(early, late, strict=True)), (early, late)
+    assert max(late) <= 4 * MAX_LOG_BYTES, late
 
 
 @when("the controller has power again")
@@ -290,8 +290,8 @@
     # why: of a copy, since to open a store turns its slots over
     disk = SimDisk(rng=random.Random(0))
     disk.files = dict(world.disks[context.away].files)
-    held = Store(disk=disk).open().ok.held
-    assert plan_version(data=held.cells[PLAN_KEY].value) == context.newest
+    state = Store(disk=disk).open().ok.state
+    assert plan_version(data=state.cells[PLAN_KEY].value) == context.newest
 
 
 # -- many standbys --
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -15,8 +15,8 @@
 from cinderstair.config.shard_map import ShardMap, read_shard_map
 from cinderstair.consensus.ballot import Ballot, read_ballot
 from cinderstair.consensus.cell import Cell
+from cinderstair.consensus.durable_state import DurableState, apply_entry, cell_entry, ident_entry, roster_entry
 from cinderstair.consensus.roster import Roster, Voter, read_roster, read_voter, write_voter
-from cinderstair.consensus.store import Held, apply_entry, cell_entry, ident_entry, roster_entry
 from cinderstair.failover.database_primary import CLOSING, MOVING, SETTLED, DatabasePrimary, read_database_primary
 from cinderstair.failover.proxy_addresses import ProxyAddress, ProxyAddresses, read_proxy_addresses
 from cinderstair.failover.proxy_ids import ProxyIds, read_proxy_ids
@@ -278,12 +278,12 @@
     )
 
 
-def disk_entry_example(*, value: Held, encode: Callable[[Held], bytes]) -> Example:
+def disk_entry_example(*, value: DurableState, encode: Callable[[DurableState], bytes]) -> Example:
     """One entry of a replica's log, read into an otherwise empty state."""
 
-    def decode(data: bytes) -> Held:
-        held = Held()
-        assert not apply_entry(held=held, entry=data)
+    def decode(data: bytes) -> DurableState:
+        held = DurableState()
+        assert not apply_entry(state=held, entry=data)
         return held
 
     return Example(value=value, encode=encode, decode=decode)
@@ -367,14 +367,14 @@
     voters = roster(epoch=2).bytes()
     return {
         "disk entry, one key": disk_entry_example(
-            value=Held(cells={"plan": cell}),
+            value=DurableState(cells={"plan": cell}),
             encode=lambda held: b"".join(cell_entry(key=key, cell=each) for key, each in held.cells.items()),
         ),
         "disk entry, voter list": disk_entry_example(
-            value=Held(roster=voters), encode=lambda held: roster_entry(data=held.roster)
+            value=DurableState(roster=voters), encode=lambda held: roster_entry(data=held.roster)
         ),
         "disk entry, identity": disk_entry_example(
-            value=Held(ident=0x1122334455667788), encode=lambda held: ident_entry(ident=held.ident)
+            value=DurableState(ident=0x1122334455667788), encode=lambda held: ident_entry(ident=held.ident)
         ),
     }
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -19,9 +19,10 @@
 from stage import FakeDialer, ReportedView, Stage
 
 from cinderstair.consensus.ballot import Ballot
+from cinderstair.consensus.durable_state import ident_entry
 from cinderstair.consensus.register_replica import RegisterReplica
 from cinderstair.consensus.roster import Voter, write_voter
-from cinderstair.consensus.store import Store, ident_entry
+from cinderstair.consensus.store import Store
 from cinderstair.control_plane.controller import Controller
 from cinderstair.failover.backend_control import BackendState
 from cinderstair.failover.shard_state import Vote
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -54,7 +54,7 @@
         await register.ctx.sleep(duration_us=register.ctx.rng.randrange(20_000, 120_000))
 
 
-def problem(*, world: Any, what: str) -> None:
+def inject_fault(*, world: Any, what: str) -> None:
     name = world.rng.choice(world.register_replica_names)
     if what == "register replicas killed":
         world.kill(name=name)
@@ -85,7 +85,7 @@
         for boot, register, log in zip(context.boots, context.registers, context.logs, strict=True)
     ]
     while not all(task.done() for task in tasks):
-        problem(world=world, what=what)
+        inject_fault(world=world, what=what)
     assert not any(task.exception() for task in tasks)
 
 
@@ -94,7 +94,7 @@
     final = int(context.world.run(work=context.registers[0].read(key="counter")).ok.value)
     done = [value for log in context.logs for word, value in log if word == "done"]
     unsure = sum(word == "unsure" for log in context.logs for word, _ in log)
-    # why: each acknowledged addition made its own value, so no two may have made the same
+    # each acknowledged addition made its own value, so no two may have made the same
     assert len(set(done)) == len(done)
     assert len(done) <= final <= len(done) + unsure, (len(done), final, unsure)
     assert len(done) > 60, len(done)
@@ -115,7 +115,7 @@
     world = context.world
     acceptor = world.register_replica(name="vault-0").acceptor
     ballot = Ballot(5, 99)
-    acceptor.held.cells["lonely"] = Cell(promised=ballot, accepted=ballot, value=b"x")
+    acceptor.state.cells["lonely"] = Cell(promised=ballot, accepted=ballot, value=b"x")
     register = context.registers[0]
     world.run(work=register.find_roster())
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
@@ -137,10 +137,10 @@
         await lease.ctx.sleep(duration_us=400_000)
 
 
-@when("all seek one duty for 60 seconds, while register replicas restart and holders freeze")
-def when_duty(context: Any) -> None:
+@when("all seek one lease for 60 seconds, while register replicas restart and holders freeze")
+def when_all_seek(context: Any) -> None:
     world = context.world
-    leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in context.registers]
+    leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in context.registers]
     for boot, register, lease in zip(context.boots, context.registers, leases, strict=True):
         world.run(work=register.find_roster())
         world.wires.run_at(boot=boot, work=seek_on(lease=lease))
@@ -188,27 +188,27 @@
     assert {v.ident for v in mine.roster.voters} == {v.ident for v in others.roster.voters}
 
 
-async def strike_off(*, register: Register, name: str) -> Any:
+async def remove_voter(*, register: Register, name: str) -> Any:
     await register.find_roster()
     ident = next(voter.ident for voter in register.roster.voters if voter.name == name)
     return await register.change_roster(alter=lambda current: without(roster=current, ident=ident))
 
 
-@when("vault-0 is struck off while the change that strikes off vault-1 writes the keys again")
+@when("vault-0 is removed while the change that removes vault-1 writes the keys again")
 def when_overtaken(context: Any) -> None:
     world, (first, second) = context.world, context.registers
     change = second.change
 
-    async def overtaken(**requested: Any) -> Any:
-        result = await change(**requested)
+    async def overtaken(**arguments: Any) -> Any:
+        result = await change(**arguments)
         second.change = change
-        # why: nobody need have told it on purpose: any register replica's answer brings the newer roster
-        assert (await strike_off(register=first, name="vault-0")).is_ok()
+        # any register replica's answer brings the newer roster, without anyone's telling it on purpose
+        assert (await remove_voter(register=first, name="vault-0")).is_ok()
         second.learn_roster(roster=first.roster)
         return result
 
     second.change = overtaken
-    context.result = world.run(work=strike_off(register=second, name="vault-1"))
+    context.result = world.run(work=remove_voter(register=second, name="vault-1"))
 
 
 @then("the second change is refused as overtaken, and the roster lacks vault-0 alone")
@@ -221,17 +221,17 @@
 
 
 def held_back(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
-    """Takes the records that pass the test out of a proposer's network, and keeps them."""
+    """Holds back the records that pass the test, as if the network had lost them, and gives them back in a list."""
     kept: list[tuple[str, bytes]] = []
-    ask = register.ctx.net.request
+    request = register.ctx.net.request
 
-    async def requested(*, address: str, body: bytes, wait_us: int) -> Any:
+    async def request_or_hold(*, address: str, body: bytes, wait_us: int) -> Any:
         if test(body):
             kept.append((address, body))
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="held back"))
-        return await ask(address=address, body=body, wait_us=wait_us)
+        return await request(address=address, body=body, wait_us=wait_us)
 
-    register.ctx.net.request = requested
+    register.ctx.net.request = request_or_hold
     return kept
 
 
@@ -240,22 +240,22 @@
     return kind == LEASE and length == 0
 
 
-@when("a duty is given back and taken again, and the word of its return comes late")
+@when("a lease is given back and granted again, and its return arrives late")
 def when_late_return(context: Any) -> None:
     world, (first, second) = context.world, context.registers
     for register in (first, second):
         world.run(work=register.find_roster())
-    context.leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in (first, second)]
-    # why: register replicas that have just started grant nothing yet
+    context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (first, second)]
+    # register replicas that have just started grant nothing yet
     world.advance(for_us=5_000_000)
-    ask = first.ctx.net.request
+    request = first.ctx.net.request
     late = held_back(register=first, test=is_return)
     assert world.run(work=context.leases[0].seek())
     world.run(work=context.leases[0].drop())
     world.run(work=context.leases[0].seek())
     assert len(late) >= 5
     for address, body in list(late):
-        world.run(work=ask(address=address, body=body, wait_us=500_000))
+        world.run(work=request(address=address, body=body, wait_us=500_000))
 
 
 @then("one holds it, and not both, when the other has sought it too")
@@ -264,12 +264,12 @@
     assert sum(lease.held for lease in context.leases) == 1
 
 
-@when("a duty is given back while the answers to its seeking are on their way")
+@when("a lease is given back while the answers to its request are on their way")
 def when_back_at_once(context: Any) -> None:
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
-    context.lease = Lease(ctx=register.ctx, register=register, name="duty")
+    context.lease = Lease(ctx=register.ctx, register=register, name="lease")
 
     async def both() -> None:
         await asyncio.gather(context.lease.seek(), context.lease.drop())
@@ -277,17 +277,17 @@
     world.run(work=both())
 
 
-@when("two of five register replicas grant a duty, and a roster of three is heard of meanwhile")
+@when("two of five register replicas grant a lease, and a roster of three is learnt meanwhile")
 def when_fewer(context: Any) -> None:
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-2", "vault-3", "vault-4"], others=["proposer-0"])
-    context.lease = Lease(ctx=register.ctx, register=register, name="duty")
+    context.lease = Lease(ctx=register.ctx, register=register, name="lease")
     poll = register.poll
 
-    async def polled(**requested: Any) -> Any:
-        answers = await poll(**requested)
+    async def polled(**arguments: Any) -> Any:
+        answers = await poll(**arguments)
         roster = register.roster
         register.learn_roster(roster=Roster(epoch=roster.epoch + 2, voters=roster.voters[2:]))
         return answers
@@ -302,26 +302,26 @@
 
 
 @when(
-    "a duty is taken from register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins"
+    "a lease is granted by register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins"
 )
 def when_two_leave(context: Any) -> None:
     world, (holder, seeker, changer) = context.world, context.registers
     for register in (holder, seeker):
         world.run(work=register.find_roster())
-    context.leases = [Lease(ctx=register.ctx, register=register, name="duty") for register in (holder, seeker)]
+    context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (holder, seeker)]
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     assert world.run(work=context.leases[0].seek())
-    # why: a register replica that is up would take its place again at once
+    # a register replica that is up would take its place again at once
     for name in ("vault-0", "vault-1"):
         world.kill(name=name)
-    assert world.run(work=strike_off(register=changer, name="vault-0")).is_ok()
+    assert world.run(work=remove_voter(register=changer, name="vault-0")).is_ok()
     change = changer.change_roster
 
-    async def once(**requested: Any) -> Any:
-        # why: whoever replaces a voter may end between the two changes
+    async def once(**arguments: Any) -> Any:
+        # whoever replaces a voter may end between the two changes
         changer.change_roster = None
-        return await change(**requested)
+        return await change(**arguments)
 
     changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -8,7 +8,8 @@
 
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.consensus.cell import Cell
-from cinderstair.consensus.store import LOGS, SLOTS, Store, apply_entry, cell_entry
+from cinderstair.consensus.durable_state import apply_entry, cell_entry
+from cinderstair.consensus.store import LOGS, SLOTS, Store
 from cinderstair.simulation.sim_disk import SimDisk
 
 
@@ -20,7 +21,7 @@
 def save(*, store: Store, number: int, size: int = 20) -> None:
     """As the acceptor does it: into the table first, then onto the disk."""
     data = entry(number=number, size=size)
-    apply_entry(held=store.held, entry=data)
+    apply_entry(state=store.state, entry=data)
     store.save(entries=[data])
 
 
@@ -57,7 +58,7 @@
     for length in range(len(old), len(whole) + 1):
         disk = copied(disk=context.disk)
         disk.files[name] = whole[:length]
-        context.found.append((length == len(whole), opened(disk=disk).held.cells))
+        context.found.append((length == len(whole), opened(disk=disk).state.cells))
 
 
 @then("the first 4 entries are always there and the fifth is whole or absent")
@@ -82,7 +83,7 @@
             except OSError:
                 crashed = True
                 break
-            # why: the turn-over inside a save makes several writes; each is to be struck in some run
+            # a save that switches slots makes several writes; each crashes in some run
             answered = number + 1
             if disk.syncs == crash_at - 1:
                 disk.tear_next = True
@@ -97,12 +98,12 @@
     assert len(context.results) > 400
     for answered, disk in context.results:
         disk.tear_next = False
-        cells = opened(disk=disk).held.cells
+        cells = opened(disk=disk).state.cells
         assert all(f"k{number}" in cells for number in range(answered)), answered
 
 
-@given("a store whose slots have taken turns")
-def given_turns(context: Any) -> None:
+@given("a store that has switched slots")
+def given_switched(context: Any) -> None:
     context.disk = new_disk()
     store = opened(disk=context.disk)
     for number in range(200):
@@ -125,7 +126,7 @@
 
 @when("the slot in use is damaged")
 def when_current(context: Any) -> None:
-    damage(disk=context.disk, name=SLOTS[context.store.turn])
+    damage(disk=context.disk, name=SLOTS[context.store.slot])
 
 
 @when("both slots are gone and the logs remain")
@@ -139,7 +140,7 @@
     context.newer = []
     for name in (*SLOTS, *LOGS):
         disk = copied(disk=context.disk)
-        # why: the format is the number at the end of the mark with which each file begins
+        # the format is the number at the end of the mark with which each file begins
         disk.files[name] = disk.files[name].replace(disk.files[name][:8], disk.files[name][:7] + b"2", 1)
         context.newer.append(disk)
 
--- a/features/steps/vector_steps.py
+++ b/features/steps/vector_steps.py
@@ -1,4 +1,4 @@
-"""Steps for vectors that are told by what came since."""
+"""Steps for vectors that are sent as the changes since an edition."""
 
 from typing import Any
 
@@ -21,8 +21,8 @@
     return len(unpacker.many(each=lambda u: (u.text(), read_ballot(unpacker=u))))
 
 
-def ask(*, context: Any, times: int) -> dict[str, Ballot]:
-    """The vector as proposer 0 sees it; what the answers of the last time brought is kept."""
+def request_vector(*, context: Any, times: int) -> dict[str, Ballot]:
+    """The vector as proposer 0 sees it; the number of keys in each of the last answers is kept."""
     register = context.registers[0]
     read = register.known.read
     for _ in range(times):
@@ -48,18 +48,18 @@
         assert write(context=context, key=f"key-{number}").is_ok()
 
 
-@when("proposer 0 asks for the vector {times:d} times")
-def when_asks(context: Any, times: int) -> None:
-    ask(context=context, times=times)
+@when("proposer 0 requests the vector {times:d} times")
+def when_requests(context: Any, times: int) -> None:
+    request_vector(context=context, times=times)
 
 
-@when("proposer 1 writes one of the keys again, and proposer 0 asks for the vector until it shows")
+@when("proposer 1 writes one of the keys again, and proposer 0 requests the vector until it shows")
 def when_writes(context: Any) -> None:
     written = write(context=context, key="key-7", value=b"y").ok
-    assert ask(context=context, times=1)["key-7"] == written.ballot
+    assert request_vector(context=context, times=1)["key-7"] == written.ballot
 
 
-@when("the register replicas are restarted one by one, and proposer 0 asks for the vector")
+@when("the register replicas are restarted one by one, and proposer 0 requests the vector")
 def when_restarted(context: Any) -> None:
     world = context.world
     for name in world.register_replica_names:
@@ -67,7 +67,7 @@
         world.advance(for_us=600_000)
         world.start(name=name)
         world.advance(for_us=1_500_000)
-    ask(context=context, times=1)
+    request_vector(context=context, times=1)
 
 
 @then("the last answers together bring {count:d} keys")
@@ -85,7 +85,7 @@
     assert sum(context.brought) >= count, context.brought
 
 
-@when("keys are written and the vector is asked for 60 times, while register replicas are killed and come back")
+@when("keys are written and the vector is requested 60 times, while register replicas are killed and come back")
 def when_mixed(context: Any) -> None:
     world = context.world
     context.seen = []
@@ -120,15 +120,15 @@
 def then_forward(context: Any) -> None:
     for (_, earlier), (_, later) in zip(context.seen, context.seen[1:], strict=False):
         for key, ballot in earlier.items():
-            # why: an accepted ballot that no majority holds may be seen once and not again
+            # an accepted ballot that no majority holds may be seen once and not again
             if ballot in [each[0].get(key) for each in context.seen]:
                 assert later.get(key, BLANK) >= ballot, (key, ballot)
 
 
-@when("proposer 0 speaks the first version alone, and asks for the vector 2 times")
+@when("proposer 0 speaks the first version alone, and requests the vector 2 times")
 def when_first(context: Any) -> None:
     context.registers[0].ctx.protocol_versions = ProtocolVersions(lowest=1, highest=1)
-    ask(context=context, times=2)
+    request_vector(context=context, times=2)
 
 
 def reported(*, edition: int, keys: dict[str, Ballot]) -> bytes:
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -9,6 +9,7 @@
 from ..runtime.unpacker import Unpacker
 from .ballot import Ballot
 from .cell import Cell
+from .durable_state import cell_entry, roster_entry
 from .messages import (
     AcceptRequest,
     AdoptRequest,
@@ -24,7 +25,7 @@
     VoteAnswer,
 )
 from .roster import Roster, read_roster
-from .store import Store, cell_entry, roster_entry
+from .store import Store
 
 ROSTER_KEY = "roster"
 # no lease is granted for longer, so that a restarted replica knows when all its forgotten grants have ended
@@ -68,9 +69,9 @@
     def __init__(self, *, ctx: Context, store: Store, fresh: bool, halt: Callable[[str], None]) -> None:
         self.ctx = ctx
         self.store = store
-        self.held = store.held
+        self.state = store.state
         self.halt = halt
-        self.roster: Roster | None = read_roster(data=self.held.roster) if self.held.roster else None
+        self.roster: Roster | None = read_roster(data=self.state.roster) if self.state.roster else None
         self.leases: dict[str, LeaseGrant] = {}
         # each run of the process counts its editions from the start, and must not be taken for an earlier one
         self.source = ctx.rng.getrandbits(62) | 1
@@ -90,7 +91,7 @@
     @property
     def votes(self) -> bool:
         """Whether this replica is a voter of the roster that it knows."""
-        return self.roster is not None and self.roster.has(ident=self.held.ident)
+        return self.roster is not None and self.roster.has(ident=self.state.ident)
 
     # -- the queue of commands --
 
@@ -139,15 +140,15 @@
         return None if may_vote else Applied(answer=StatusAnswer(status=Status.NO_VOTE).encode())
 
     def _cell(self, *, key: str) -> Cell:
-        return self.held.cells.get(key, Cell())
+        return self.state.cells.get(key, Cell())
 
     def _set_cell(self, *, key: str, cell: Cell) -> bytes:
         """Replaces a cell; the log entry that makes it durable."""
-        known = self.held.cells.get(key)
+        known = self.state.cells.get(key)
         if known is None or known.accepted != cell.accepted:
             self.edition += 1
             self.editions[key] = self.edition
-        self.held.cells[key] = cell
+        self.state.cells[key] = cell
         return cell_entry(key=key, cell=cell)
 
     async def prepare(self, unpacker: Unpacker) -> bytes:
@@ -219,7 +220,7 @@
         # cells loaded from the disk have no edition; the first answer to each requester holds them all
         ballots = {
             key: cell.accepted
-            for key, cell in self.held.cells.items()
+            for key, cell in self.state.cells.items()
             if cell.value and (not since or self.editions.get(key, 0) > since)
         }
         known = None if request.known is None else SourceEdition(self.source, self.edition)
@@ -270,16 +271,16 @@
         # epochs only rise: an old roster that arrives again changes nothing
         if roster.epoch <= self.epoch:
             return Applied(answer=answer)
-        becomes_voter = roster.has(ident=self.held.ident) and not self.votes
+        becomes_voter = roster.has(ident=self.state.ident) and not self.votes
         # the voter that this one replaces may have granted a lease that has not ended yet
         if becomes_voter and roster.epoch > 1:
             self.grants_from_us = self.ctx.now_us() + MAX_LEASE_US
         self.roster = roster
-        self.held.roster = roster.bytes()
+        self.state.roster = roster.bytes()
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
         cleared = () if self.votes else self._clear_cells()
         # the roster is the last entry: a torn write leaves either both or a roster that is adopted again
-        return Applied(answer=answer, entries=(*cleared, roster_entry(data=self.held.roster)))
+        return Applied(answer=answer, entries=(*cleared, roster_entry(data=self.state.roster)))
 
     def _clear_cells(self) -> tuple[bytes, ...]:
         """Discards the cells of an acceptor that is no voter; the log entries that make it durable.
@@ -287,7 +288,7 @@
         A value that it accepted and no majority did may carry a higher ballot than the one chosen since without it.
         Were it kept, the acceptor would bring that old value back as the newest when it becomes a voter again.
         """
-        keys = [key for key, cell in self.held.cells.items() if cell != Cell()]
+        keys = [key for key, cell in self.state.cells.items() if cell != Cell()]
         return tuple(self._set_cell(key=key, cell=Cell()) for key in keys)
 
 
--- a/src/cinderstair/consensus/cell.py
+++ b/src/cinderstair/consensus/cell.py
@@ -1,4 +1,4 @@
-"""What one register replica holds for one key."""
+"""What one acceptor holds for one key."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Cell:
-    """The highest ballot promised, and the value accepted with the ballot that brought it."""
+    """The acceptor's Paxos state of one key: the highest ballot promised, and the last value accepted.
+
+    `accepted` is the ballot under which the value was accepted. A key that was never written has the blank cell.
+    """
 
     promised: Ballot = BLANK
     accepted: Ballot = BLANK
--- a/src/cinderstair/consensus/identity.py
+++ b/src/cinderstair/consensus/identity.py
@@ -1,7 +1,8 @@
 """The identity that a register replica's disk holds."""
 
 from ..runtime.context import Context
-from .store import Store, ident_entry
+from .durable_state import ident_entry
+from .store import Store
 
 IDENTITY_BITS = 62
 
@@ -11,8 +12,8 @@
 
     :returns: whether the disk was blank.
     """
-    if store.held.ident != 0:
+    if store.state.ident != 0:
         return False
-    store.held.ident = ctx.rng.getrandbits(IDENTITY_BITS) | 1
-    store.save(entries=[ident_entry(ident=store.held.ident)])
+    store.state.ident = ctx.rng.getrandbits(IDENTITY_BITS) | 1
+    store.save(entries=[ident_entry(ident=store.state.ident)])
     return True
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -79,7 +79,7 @@
         fresh = ensure_identity(ctx=self.ctx, store=store)
         # a blank disk where the system has run before is a lost one, and must not found a second system
         self.may_found = self.settings.mayFound or not fresh
-        self.me = Voter(ident=store.held.ident, name=self.settings.name, address=self.settings.records)
+        self.me = Voter(ident=store.state.ident, name=self.settings.name, address=self.settings.records)
         self.candidates.add(candidate=self.me)
         self.acceptor = Acceptor(ctx=self.ctx, store=store, fresh=fresh, halt=self.halt)
         self.join_requests = JoinRequests(
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -6,9 +6,10 @@
 
 from ...consensus.ballot import Ballot
 from ...consensus.cell import Cell
+from ...consensus.durable_state import cell_entry, ident_entry, roster_entry
 from ...consensus.register_replica import RegisterReplica
 from ...consensus.roster import Roster
-from ...consensus.store import Store, cell_entry, ident_entry, roster_entry
+from ...consensus.store import Store
 from ...membership.member import Standing
 from ...runtime.settings import Settings
 from ..sim_disk import SimDisk
@@ -87,11 +88,11 @@
             for name, grant in sorted(acceptor.leases.items())
             if grant.until_us > now_us
         ]
-        held = acceptor.held
+        state = acceptor.state
         return (
-            held.ident,
-            held.roster,
-            tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in held.cells.items())),
+            state.ident,
+            state.roster,
+            tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in state.cells.items())),
             tuple(leases),
             max(0, acceptor.grants_from_us - now_us),
             acceptor.halted,
@@ -101,6 +102,6 @@
     def facts(self) -> ReplicaFacts:
         disk = SimDisk(rng=random.Random(0))
         disk.files = dict(self.disk.files)
-        held = Store(disk=disk).open().ok.held
-        cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(held.cells.items()))
-        return ReplicaFacts(held.ident, held.roster, cells)
+        state = Store(disk=disk).open().ok.state
+        cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(state.cells.items()))
+        return ReplicaFacts(state.ident, state.roster, cells)
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -11,11 +11,11 @@
 from ...consensus import lease
 from ...consensus.acceptor import ROSTER_KEY, Acceptor, Applied, vote_answer
 from ...consensus.cell import Cell
+from ...consensus.durable_state import cell_entry
 from ...consensus.lease import Lease
 from ...consensus.messages import AcceptRequest, Status
 from ...consensus.register import Register
 from ...consensus.roster import Roster, Voter, read_roster
-from ...consensus.store import cell_entry
 from ...consensus.succession import Succession
 from ...runtime.errors import CinderstairError, ErrorCode
 
@@ -44,7 +44,7 @@
         if refusal is not None:
             return refusal
         cell = Cell(promised=request.ballot, accepted=request.ballot, value=request.value)
-        self.held.cells[request.key] = cell
+        self.state.cells[request.key] = cell
         entry = cell_entry(key=request.key, cell=cell)
         return Applied(answer=vote_answer(status=Status.OK, cell=cell), entries=(entry,))
 
