--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -6,9 +6,10 @@
 
 from ...consensus.ballot import Ballot
 from ...consensus.cell import Cell
+from ...consensus.durable_state import cell_entry, ident_entry, roster_entry
 from ...consensus.register_replica import RegisterReplica
 from ...consensus.roster import Roster
-from ...consensus.store import Store, cell_entry, ident_entry, roster_entry
+from ...consensus.store import Store
 from ...membership.member import Standing
 from ...runtime.settings import Settings
 from ..sim_disk import SimDisk
@@ -69,40 +70,38 @@
     def begin(self) -> None:
         opened = self.register_replica.open()
         assert opened.is_ok(), opened
-        assert self.register_replica.acceptor is not None
         if self.up_for_long:
             self.register_replica.acceptor.grants_from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
         self.net.answer = self.register_replica.dispatcher.answer
         if self.enters:
-            self.ctx.spawn(work=self.register_replica._meet(), name="vault.meet")
+            self.ctx.spawn(work=self.register_replica.run_joining(), name="register_replica.join")
 
     def digest(self) -> Hashable | None:
         acceptor = self.register_replica.acceptor
-        assert acceptor is not None
         # why: while it asks or syncs, how far its tasks have come is known by its history alone
         if self.enters or self.disk.syncing is not None or self.net.serving or self.net.waiting:
             return None
         now_us = self.ctx.now_us()
         leases = [
-            (duty, holder, until_us - now_us)
-            for duty, (holder, until_us) in sorted(acceptor.leases.items())
-            if until_us > now_us
+            (name, grant.holder, grant.until_us - now_us)
+            for name, grant in sorted(acceptor.leases.items())
+            if grant.until_us > now_us
         ]
-        held = acceptor.held
+        state = acceptor.state
         return (
-            held.ident,
-            held.roster,
-            tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in held.cells.items())),
+            state.ident,
+            state.roster,
+            tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in state.cells.items())),
             tuple(leases),
             max(0, acceptor.grants_from_us - now_us),
             acceptor.halted,
-            tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.values())),
+            tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.by_name.values())),
         )
 
     def facts(self) -> ReplicaFacts:
         disk = SimDisk(rng=random.Random(0))
         disk.files = dict(self.disk.files)
-        held = Store(disk=disk).open().ok.held
-        cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(held.cells.items()))
-        return ReplicaFacts(held.ident, held.roster, cells)
+        state = Store(disk=disk).open().ok.state
+        cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(state.cells.items()))
+        return ReplicaFacts(state.ident, state.roster, cells)
