--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -478,7 +478,7 @@
 
 @when("the proxy ends transactions that rest for more than {limit_ms:d} ms")
 def when_rest_limit(context: Any, limit_ms: int) -> None:
-    context.stage.call(call=lambda: context.session.rest_too_long(limit_us=limit_ms * 1_000))
+    context.stage.call(call=lambda: context.session.end_idle_transaction(limit_us=limit_ms * 1_000))
     context.stage.advance(for_us=10_000)
 
 
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -12,11 +12,12 @@
 from ..runtime.unpacker import Unpacker
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, Outcome, read_forward_question
 from .link import Link
+from .link_execution import await_reply, ensure_prepared, is_primary_pool, record_reply
 from .link_pool import LinkPool
 from .reply import Reply, State, refusal
 from .router import Router
 from .session_replay import replay_values
-from .statement import Verb
+from .statement import PreparedStatement, Verb
 
 UNKEPT_US = 2_500_000
 SINGLES = (ForwardStep.single, ForwardStep.position)
@@ -177,29 +178,14 @@
             return Error(may.error)
         return Ok((pool, taken.ok))
 
-    async def _wait(self, *, future: asyncio.Future[Reply], until_us: int) -> Reply | None:
-        """ConnectionError: the link is lost."""
-        wait_us = max(0, until_us - self.ctx.now_us())
-        done, _ = await asyncio.wait([future], timeout=wait_us / 1_000_000)
-        return future.result() if done else None
-
-    def _heard(
-        self, *, question: ForwardQuestion, pool: LinkPool, requested_us: int, leads: bool, reply: Reply
-    ) -> None:
-        if leads:
-            self.router.heard(pool=pool, service=question.service, requested_us=requested_us, reply=reply)
-        else:
-            pool.heard()
-
     def _send(self, *, question: ForwardQuestion, link: Link) -> asyncio.Future[Reply]:
         if question.step == ForwardStep.position:
             return link.ask_position()
         replay_values(link=link, values=question.values)
         statement, alias = question.statement, b""
         if statement.verb == Verb.execute:
-            alias = self.router.alias(shape=question.shape, writes=statement.writes)
-            if link.prepared.get(alias) != (question.shape, statement.writes):
-                link.prepare(alias=alias, shape=question.shape, writes=statement.writes)
+            prepared = PreparedStatement(question.shape, statement.writes)
+            alias = ensure_prepared(router=self.router, link=link, prepared=prepared)
         answer = link.send(statement=statement, at_least=question.at_least, alias=alias)
         if statement.verb == Verb.commit or self._writes(question=question):
             self.router.shards.under_way.sent(database=question.database, link=link, answer=answer)
@@ -218,11 +204,11 @@
         if taken.is_error():
             return self._refused(fault=taken.error)
         pool, link = taken.ok
-        led = self.router.may_lead(service=question.service)
-        leads, requested_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
+        was_primary = is_primary_pool(router=self.router, pool=pool, service=question.service)
+        requested_us = self.ctx.now_us()
         future = self._send(question=question, link=link)
         try:
-            reply = await self._wait(future=future, until_us=question.until_us)
+            reply = await await_reply(ctx=self.ctx, future=future, until_us=question.until_us)
         except ConnectionError:
             pool.release(link=link)
             return Outcome.lost, GONE
@@ -230,7 +216,14 @@
             pool.release_answered(link=link, answer=future)
             return Outcome.lost, GONE
         pool.release(link=link)
-        self._heard(question=question, pool=pool, requested_us=requested_us, leads=leads, reply=reply)
+        record_reply(
+            router=self.router,
+            pool=pool,
+            service=question.service,
+            requested_us=requested_us,
+            was_primary=was_primary,
+            reply=reply,
+        )
         return Outcome.answered, reply
 
     # -- transactions --
@@ -257,14 +250,21 @@
             if connection.closed:
                 return Outcome.lost, GONE
             pool, link = taken.ok
-            led = self.router.may_lead(service=question.service)
-            leads, requested_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
+            was_primary = is_primary_pool(router=self.router, pool=pool, service=question.service)
+            requested_us = self.ctx.now_us()
             replay_values(link=link, values=question.values)
             future = link.begin(read_only=question.read_only, at_least=question.at_least)
-            reply = await self._wait(future=future, until_us=question.until_us)
+            reply = await await_reply(ctx=self.ctx, future=future, until_us=question.until_us)
             if reply is None or connection.closed:
                 return Outcome.lost, GONE
-            self._heard(question=question, pool=pool, requested_us=requested_us, leads=leads, reply=reply)
+            record_reply(
+                router=self.router,
+                pool=pool,
+                service=question.service,
+                requested_us=requested_us,
+                was_primary=was_primary,
+                reply=reply,
+            )
             begun = reply.fault is None and reply.state == State.open
             return Outcome.answered, reply
         except ConnectionError:
@@ -294,18 +294,25 @@
             return Outcome.lost, GONE
         connection.busy = True
         ended = keep = False
-        led = self.router.may_lead(service=connection.service)
-        leads, requested_us = led.is_ok() and led.ok is pool, self.ctx.now_us()
+        was_primary = is_primary_pool(router=self.router, pool=pool, service=connection.service)
+        requested_us = self.ctx.now_us()
         try:
             if question.step == ForwardStep.rollback:
                 future = link.rollback()
             else:
                 future = self._send(question=question, link=link)
-            reply = await self._wait(future=future, until_us=question.until_us)
+            reply = await await_reply(ctx=self.ctx, future=future, until_us=question.until_us)
             if reply is None or connection.closed:
                 ended = True
                 return Outcome.lost, GONE
-            self._heard(question=question, pool=pool, requested_us=requested_us, leads=leads, reply=reply)
+            record_reply(
+                router=self.router,
+                pool=pool,
+                service=question.service,
+                requested_us=requested_us,
+                was_primary=was_primary,
+                reply=reply,
+            )
             ended = keep = reply.state == State.idle
             return Outcome.answered, reply
         except ConnectionError:
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -70,7 +70,7 @@
 
     def _open(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write stands open at any of these databases' places."""
-        own = any(session.holds_open for session in self.sessions if session.database in databases)
+        own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
         return own or self.forwards.writing(databases=databases)
 
     @property
@@ -94,7 +94,7 @@
         if plan is None or not plan.rest_limit_us:
             return
         for session in self.sessions:
-            session.rest_too_long(limit_us=plan.rest_limit_us)
+            session.end_idle_transaction(limit_us=plan.rest_limit_us)
 
     def open(self, *, database: str) -> Session:
         session = Session(ctx=self.ctx, router=self.router, database=database)
--- /dev/null
+++ b/src/cinderstair/pooler/session_base.py
@@ -0,0 +1,118 @@
+"""The state of one client's session, and the steps that all kinds of statements share."""
+
+import asyncio
+from typing import NamedTuple
+
+from expression import Result
+
+from ..config.service_plan import DatabaseRoute
+from ..runtime.context import Context
+from ..runtime.error_responses import ERROR_RESPONSES
+from ..runtime.errors import CinderstairError, ErrorCode
+from ..runtime.position import Position
+from .link import Link
+from .link_execution import ensure_prepared
+from .link_pool import LinkPool
+from .reply import Reply, State, refusal
+from .router import Router
+from .session_replay import replay_values
+from .statement import PreparedStatement, Statement, Verb
+from .transaction import Transaction
+
+MAX_ATTEMPTS = 4
+# The proxy's own answer must reach the client within the client's time limit.
+REPLY_MARGIN_US = 30_000
+RETRY_PAUSE_US = 15_000
+
+
+class CommitPosition(NamedTuple):
+    """The log position of a commit. Positions of two services' logs are not comparable."""
+
+    service: str
+    position: Position
+
+
+class SessionBase:
+    """Holds a session's values, prepared statements, last commit and open transaction.
+
+    `last_commit` is None until a write of this session has committed.
+    """
+
+    def __init__(self, *, ctx: Context, router: Router, database: str) -> None:
+        self.ctx = ctx
+        self.router = router
+        self.database = database
+        self.values: dict[bytes, bytes] = {}
+        self.prepared: dict[bytes, PreparedStatement] = {}
+        self.state = State.idle
+        self.last_commit: CommitPosition | None = None
+        self.transaction: Transaction | None = None
+        self.busy = False
+
+    # -- refusals --
+
+    def _failed(self, *, kind: ErrorCode, come_back_us: int = 0) -> Reply:
+        """Nothing was done; inside a transaction the transaction fails."""
+        state = State.idle if self.transaction is None else State.failed
+        return refusal(kind=kind, state=state, come_back_us=come_back_us)
+
+    def _refused(self, *, fault: CinderstairError) -> Reply:
+        """Nothing was done; tells the client when to come back where that is known."""
+        come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[fault.code].retry_after_us))
+        return self._failed(kind=fault.code, come_back_us=come_back_us)
+
+    # -- steps on the way to a backend --
+
+    def route(self) -> DatabaseRoute | None:
+        """Where this session's statements go now; None where the database is not configured."""
+        return self.router.route(database=self.database)
+
+    def _on_same_service(self, *, route: DatabaseRoute) -> bool:
+        """Whether the database is still where `route` says and takes all statements."""
+        now = self.route()
+        return (
+            now is not None and now.service == route.service and not self.router.shards.fault(database=self.database)
+        )
+
+    async def _acquire(
+        self, *, pool: LinkPool, route: DatabaseRoute, until_us: int
+    ) -> Result[Link, CinderstairError]:
+        """Borrows a link for this session, preferably one that has its values already."""
+        return await pool.acquire(values=self.values, rank=route.rank, until_us=until_us, database=self.database)
+
+    async def _pause(self, *, attempt: int, until_us: int) -> None:
+        """Waits for a random time that doubles at most with each attempt."""
+        wait_us = self.ctx.rng.randrange(RETRY_PAUSE_US, RETRY_PAUSE_US << (attempt + 1))
+        await self.ctx.sleep(duration_us=max(0, min(wait_us, until_us - self.ctx.now_us())))
+
+    # -- steps on a link --
+
+    def _writes(self, *, statement: Statement) -> bool:
+        """Whether the statement changes data."""
+        if statement.verb == Verb.execute:
+            return self.prepared[statement.name].writes
+        return statement.verb == Verb.write
+
+    def _replay_values(self, *, link: Link) -> None:
+        """Sends this session's values ahead on a link that nobody else uses."""
+        replay_values(link=link, values=self.values)
+
+    def _send(self, *, link: Link, statement: Statement, at_least: Position | None) -> asyncio.Future[Reply]:
+        """Sends a statement, with the session's values and the prepared statement that it rests on.
+
+        :param at_least: the log position that the backend must have reached; None where any will do.
+        """
+        self._replay_values(link=link)
+        alias = b""
+        if statement.verb == Verb.execute:
+            alias = ensure_prepared(router=self.router, link=link, prepared=self.prepared[statement.name])
+        reply = link.send(statement=statement, at_least=at_least, alias=alias)
+        if self._takes_effect(statement=statement):
+            self.router.shards.under_way.sent(database=self.database, link=link, answer=reply)
+        return reply
+
+    def _takes_effect(self, *, statement: Statement) -> bool:
+        """Whether data may change for others once a backend has run this statement."""
+        if self.transaction is None:
+            return self._writes(statement=statement)
+        return statement.verb == Verb.commit and not self.transaction.read_only
--- a/src/cinderstair/pooler/statement.py
+++ b/src/cinderstair/pooler/statement.py
@@ -1,10 +1,17 @@
-"""One statement of a session, as the product knows it."""
+"""One statement of a session, in the form that the proxy works with."""
 
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 
 class Verb(IntEnum):
+    """What a statement does. The numbers go over the wire between proxies.
+
+    `begin_read` begins a read-only transaction; `execute` runs a prepared statement; `set_value` sets a session
+    value; `prepare` and `forget` add and remove a prepared statement.
+    """
+
     begin = 0
     begin_read = 1
     commit = 2
@@ -17,6 +24,13 @@
     forget = 9
 
 
+class PreparedStatement(NamedTuple):
+    """A statement with its parameters left open. `writes`: running it changes data."""
+
+    shape: bytes
+    writes: bool
+
+
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Statement:
     """`text` is what a backend gets, unchanged. `name` is a value's or a prepared statement's.
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -85,7 +85,7 @@
 
 def any_values() -> Patches:
     """A link is not brought up to a session's values."""
-    return [patch.object(Session, "_level", lambda self, *, link: None)]
+    return [patch.object(Session, "_replay_values", lambda self, *, link: None)]
 
 
 def shared_links() -> Patches:
