--- a/features/steps/detour_steps.py
+++ b/features/steps/detour_steps.py
@@ -8,7 +8,7 @@
 from stage import Stage, announcement
 
 from cinderstair.pooler.detours import Detours
-from cinderstair.pooler.forwarder import Holder
+from cinderstair.pooler.forwarder import PeerProxy
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import Reply
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
@@ -19,10 +19,10 @@
 
 
 class WayLink:
-    """Answers a position as its holder would, which may not reach the backend itself."""
+    """Answers a position as the other proxy would, which may not reach the backend itself."""
 
-    def __init__(self, *, holder: Holder, reached: set[str], wait_us: int) -> None:
-        self.holder = holder
+    def __init__(self, *, peer_proxy: PeerProxy, reached: set[str], wait_us: int) -> None:
+        self.peer_proxy = peer_proxy
         self.reached = reached
         self.wait_us = wait_us
 
@@ -31,7 +31,7 @@
 
     async def _answer(self) -> Reply:
         await asyncio.sleep(self.wait_us / 1_000_000)
-        if self.holder.name in self.reached:
+        if self.peer_proxy.name in self.reached:
             return Reply(rows=[], position=Position(1, 7))
         return Reply(rows=[], fault=ErrorCode.NO_BACKEND, not_run=True)
 
@@ -45,19 +45,19 @@
         self.wait_us = ANSWER_US
         self.tried: list[str] = []
 
-    async def link(self, *, holders: tuple[Holder, ...], **_: Any) -> Result[WayLink, CinderstairError]:
-        self.tried.append(holders[0].name)
-        return Ok(WayLink(holder=holders[0], reached=self.reached, wait_us=self.wait_us))
+    async def link(self, *, peer_proxies: tuple[PeerProxy, ...], **_: Any) -> Result[WayLink, CinderstairError]:
+        self.tried.append(peer_proxies[0].name)
+        return Ok(WayLink(peer_proxy=peer_proxies[0], reached=self.reached, wait_us=self.wait_us))
 
 
 @given('a primary "{name}", and other proxies "near" and "far" that may have links to it')
 def given_primary(context: Any, name: str) -> None:
     context.stage = Stage(context=context)
-    holders = (Holder(0, "near", "near:1"), Holder(2, "far", "far:1"))
+    peer_proxies = (PeerProxy(0, "near", "near:1"), PeerProxy(2, "far", "far:1"))
     context.forwarder = FakeForwarder()
 
     def make() -> None:
-        context.detours = Detours(ctx=context.stage.ctx, others=lambda pool: holders)
+        context.detours = Detours(ctx=context.stage.ctx, others=lambda pool: peer_proxies)
         context.detours.forwarder = context.forwarder
         context.pool = LinkPool(
             ctx=context.stage.ctx, backend=announcement(name=name), dialer=no_dialer, on_link_failure=lambda: None
@@ -72,7 +72,7 @@
 
 def pass_ms(*, context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // TEND_MS):
-        context.stage.call(call=lambda: context.detours.tend(pool=context.pool, service="s"))
+        context.stage.call(call=lambda: context.detours.maintain(pool=context.pool, service="s"))
         context.stage.advance(for_us=TEND_MS * 1_000)
 
 
@@ -113,8 +113,8 @@
 
 @then('"a" is reached by way of "{name}"')
 def then_way(context: Any, name: str) -> None:
-    way = context.detours.way(pool=context.pool)
-    assert way is not None and way.holders[0].name == name, (way and way.holders, context.forwarder.tried)
+    way = context.detours.detour(pool=context.pool)
+    assert way is not None and way.peer_proxies[0].name == name, (way and way.peer_proxies, context.forwarder.tried)
     assert way is not context.pool and way.backend is context.pool.backend and not way.limit
 
 
@@ -127,10 +127,10 @@
 
 @then("no way was tried, and there is none")
 def then_untried(context: Any) -> None:
-    assert not context.forwarder.tried and context.detours.way(pool=context.pool) is None
+    assert not context.forwarder.tried and context.detours.detour(pool=context.pool) is None
 
 
 @then("there is no way, and at most {most:d} were tried")
 def then_none(context: Any, most: int) -> None:
-    assert context.detours.way(pool=context.pool) is None
+    assert context.detours.detour(pool=context.pool) is None
     assert 0 < len(context.forwarder.tried) <= most, context.forwarder.tried
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -9,7 +9,7 @@
 from stage import FakeBackend, FakeDialer, ReportedView, Stage, announcement, plan, position, route, statement
 
 from cinderstair.pooler.forward_server import ForwardServer
-from cinderstair.pooler.forwarder import Forwarder, Holder
+from cinderstair.pooler.forwarder import Forwarder, PeerProxy
 from cinderstair.pooler.router import Router
 from cinderstair.pooler.session import Session
 from cinderstair.runtime.context import Context
@@ -101,7 +101,7 @@
         context.holder.pools["a"].allow(limit=2)
         pool = context.router.pools["a"]
         pool.allow(limit=0)
-        pool.forwarder, pool.holders = context.forwarder, (Holder(0, "holder", "holder:1"),)
+        pool.forwarder, pool.peer_proxies = context.forwarder, (PeerProxy(0, "holder", "holder:1"),)
         context.session = Session(ctx=stage.ctx, router=context.router, database="db")
         context.tending = [
             stage.ctx.spawn(work=tend(call=context.forwarder.tend)),
--- a/features/steps/link_allocation_steps.py
+++ b/features/steps/link_allocation_steps.py
@@ -24,9 +24,9 @@
 
 @given('copies in "{text}", with room for {room:d} each')
 def given_replica_spots(context: Any, text: str, room: int) -> None:
-    context.replica_locations, context.room = locations(text=text), room
+    context.replica_locations, context.cap = locations(text=text), room
     context.allocated = allocate_replicas(
-        proxies=context.proxy_locations, replicas=context.replica_locations, room=room
+        proxies=context.proxy_locations, replicas=context.replica_locations, cap=room
     )
 
 
@@ -39,7 +39,7 @@
 @then("no proxy is dealt more than one copy, and no copy more than its room")
 def then_allocated_room(context: Any) -> None:
     for number in range(len(context.replica_locations)):
-        assert sum(n == number for n in context.allocated.values()) <= context.room
+        assert sum(n == number for n in context.allocated.values()) <= context.cap
 
 
 @then("the copies are dealt to {first:d} and {second:d} proxies")
@@ -52,18 +52,18 @@
 def then_little_changes(context: Any, most: int) -> None:
     for gone, _ in context.proxy_locations:
         left = [entry for entry in context.proxy_locations if entry[0] != gone]
-        allocated = allocate_replicas(proxies=left, replicas=context.replica_locations, room=context.room)
+        allocated = allocate_replicas(proxies=left, replicas=context.replica_locations, cap=context.cap)
         moved = [n for n, _ in left if allocated.get(n) != context.allocated.get(n)]
         assert len(moved) <= most, (gone, moved)
 
 
 def links_of(*, context: Any, proxies: list[tuple[int, Location]], backend: str) -> dict[int, int]:
-    return allocate_links(proxies=proxies, backend=backend, location=context.backend_location, room=context.room)
+    return allocate_links(proxies=proxies, backend=backend, location=context.backend_location, cap=context.cap)
 
 
 @given('a backend "{name}" in "{site}" that takes {room:d} links')
 def given_backend_spot(context: Any, name: str, site: str, room: int) -> None:
-    context.backend_location, context.room = locations(text=site)[0], room
+    context.backend_location, context.cap = locations(text=site)[0], room
     context.links = links_of(context=context, proxies=context.proxy_locations, backend=name)
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -30,9 +30,10 @@
 from cinderstair.membership.relay_record import RelayAnswer, RelayedValue
 from cinderstair.pooler.forwarder import Forwarder
 from cinderstair.pooler.link_allocation import Location, allocate_links
+from cinderstair.pooler.link_limits import CONTROL_LINKS
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import State
-from cinderstair.pooler.router import CONTROL_LINKS, Router
+from cinderstair.pooler.router import Router
 from cinderstair.pooler.session import Session
 
 
@@ -249,7 +250,7 @@
 
 @then('the surely leading primary is "{name}"')
 def then_led(context: Any, name: str) -> None:
-    led = context.router.may_lead(service="s")
+    led = context.router.confirmed_primary(service="s")
     found = led.ok.backend.name if led.is_ok() else led.error.code.value
     assert found == name, found
 
@@ -257,7 +258,9 @@
 @then('a guarded read of {sort} routes with {age_ms:d} ms of age, whose session is at {own}, needs "{at}"')
 def then_guard(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms)
-    found = context.router.guard(route=made, arrived_us=context.stage.now_us, own=position(text=own))
+    found = context.router.required_position(
+        route=made, arrived_us=context.stage.now_us, own_position=position(text=own)
+    )
     text = shown(at=found.ok) if found.is_ok() else found.error.code.value
     assert text == at, text
 
@@ -287,7 +290,7 @@
 @when("the router tends for {wait_ms:d} ms")
 def when_tends(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 100):
-        context.stage.call(call=context.router.tend)
+        context.stage.call(call=context.router.on_timer)
         context.stage.advance(for_us=100_000)
 
 
@@ -395,14 +398,14 @@
         holding = {name for name in names if pools[name][backend].limit}
         assert sum(pools[name][backend].limit for name in names) == room
         for name in names:
-            known = {holder.name for holder in pools[name][backend].holders}
+            known = {peer_proxy.name for peer_proxy in pools[name][backend].peer_proxies}
             assert known == holding - {name}, (name, known)
 
 
 @given('a proxy that can be reached, one of {count:d} before "a", which takes {room:d} links')
 def given_reachable(context: Any, count: int, room: int) -> None:
     stage = context.stage = Stage(context=context)
-    context.room = room
+    context.cap = room
     context.reported = ReportedView(stage=stage)
     context.router = Router(
         ctx=stage.ctx, view=context.reported.view, dialer=FakeDialer(backends={}), distance=lambda site: 0
@@ -425,7 +428,7 @@
 def own_part(*, context: Any, names: list[str]) -> int:
     location = Location(SITE, SITE)
     proxies = [(n, location) for n, _ in enumerate(names)]
-    allocated = allocate_links(proxies=proxies, backend="a", location=location, room=context.room)
+    allocated = allocate_links(proxies=proxies, backend="a", location=location, cap=context.cap)
     return allocated.get(names.index("booth-1"), 0) if "booth-1" in names else 0
 
 
--- a/src/cinderstair/pooler/detours.py
+++ b/src/cinderstair/pooler/detours.py
@@ -1,120 +1,162 @@
-"""Ways round: a primary that this proxy can't reach, and another proxy can, is reached by way of that proxy."""
+"""Detours: a primary that this proxy can't reach is reached through another proxy that can."""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ..runtime.context import Context
-from .forwarder import Forwarder, Holder
+from .forwarder import Forwarder, PeerProxy
 from .link_pool import LinkPool
 
-TRY_EVERY_US = 350_000
-# why: a little over two tries, so that one answer that is late ends no way that is good
-PROVEN_FOR_US = 900_000
+SEARCH_INTERVAL_US = 350_000
+# A little over two searches, so that one late answer does not end a working detour.
+CONFIRMED_FOR_US = 900_000
 PROBE_WAIT_US = 500_000
-# why: a cut may part most proxies from a primary, and each turn that finds nobody costs clients a third of a second
-ASKED_AT_ONCE = 3
+# A partition may cut most proxies off from a primary, and each search that finds none costs clients one interval.
+PROBES_AT_ONCE = 3
+
+
+@dataclass(frozen=True, kw_only=True, slots=True)
+class Detour:
+    """The pool that forwards through another proxy, and when that proxy last proved that it reaches the primary.
+
+    `confirmed_us` is the moment of the probe's sending, by this proxy's clock.
+    """
+
+    pool: LinkPool
+    confirmed_us: int
+
+    @property
+    def peer_proxy(self) -> PeerProxy:
+        """The proxy through which the backend is reached."""
+        return self.pool.peer_proxies[0]
 
 
 class Detours:
-    """Owns the ways round, one a backend. No client's statement is the first to go on one.
+    """Owns the detours, one a backend. No client's statement is the first to take one.
 
-    A way is proven by the primary's own position, asked for by way of the other proxy, and proven anew for as long as
-    it is needed; what may be sent is decided by that proxy, by its own view, as for all that is passed on.
+    A detour is confirmed by the primary's own position, asked for through the other proxy, and confirmed again for as
+    long as it is needed. The other proxy decides by its own view what may be sent, as for all that is forwarded.
+    `forwarder` is None where this proxy forwards nothing; then there are no detours.
     """
 
-    def __init__(self, *, ctx: Context, others: Callable[[LinkPool], tuple[Holder, ...]]) -> None:
+    def __init__(self, *, ctx: Context, others: Callable[[LinkPool], tuple[PeerProxy, ...]]) -> None:
+        """
+        :param others: the other proxies that may have links to a pool's backend.
+        """
         self.ctx = ctx
         self.others = others
         self.forwarder: Forwarder | None = None
-        self.ways: dict[str, tuple[LinkPool, int]] = {}
-        self.tried_us: dict[str, int] = {}
-        self.refused: dict[str, set[str]] = {}
-
-    def way(self, *, pool: LinkPool) -> LinkPool | None:
-        """The pool of a proven way round to the backend of this one."""
-        found = self.ways.get(pool.backend.name)
-        if found is None or self.ctx.now_us() >= found[1] + PROVEN_FOR_US:
+        self.detours: dict[str, Detour] = {}
+        self.searched_us: dict[str, int] = {}
+        self.unsuitable: dict[str, set[str]] = {}
+
+    def detour(self, *, pool: LinkPool) -> LinkPool | None:
+        """The pool of a confirmed detour to this pool's backend; None where there is none."""
+        found = self.detours.get(pool.backend.name)
+        if found is None or self.ctx.now_us() >= found.confirmed_us + CONFIRMED_FOR_US:
             return None
-        return found[0]
+        return found.pool
 
-    def tend(self, *, pool: LinkPool, service: str) -> None:
-        """Now and then, for a primary: seeks a way round while it can't be reached from here."""
+    def has_detour(self, *, name: str) -> bool:
+        """Whether a detour to the backend of this name is kept, confirmed lately or not."""
+        return name in self.detours
+
+    def maintain(self, *, pool: LinkPool, service: str) -> None:
+        """Searches or confirms a detour while the primary can't be reached; drops it once it can."""
         name = pool.backend.name
         if not pool.unreachable:
             self.forget(name=name)
             return
         now_us = self.ctx.now_us()
-        if self.forwarder is None or pool.closed or now_us - self.tried_us.get(name, -TRY_EVERY_US) < TRY_EVERY_US:
+        searched_us = self.searched_us.get(name, -SEARCH_INTERVAL_US)
+        if self.forwarder is None or pool.closed or now_us - searched_us < SEARCH_INTERVAL_US:
             return
-        self.tried_us[name] = now_us
-        self.ctx.spawn(work=self._prove(pool=pool, service=service), name="detour")
+        self.searched_us[name] = now_us
+        work = self._search(pool=pool, service=service, forwarder=self.forwarder)
+        self.ctx.spawn(work=work, name="detour")
 
     def forget(self, *, name: str) -> None:
-        for table in (self.ways, self.tried_us, self.refused):
-            table.pop(name, None)
-
-    def _next(self, *, pool: LinkPool) -> list[Holder]:
-        """The one that serves as the way now.
+        """Drops all that is known of detours to this backend."""
+        self.detours.pop(name, None)
+        self.searched_us.pop(name, None)
+        self.unsuitable.pop(name, None)
 
-        Else some not asked yet, of the nearest and of all in turn, at random.
-        """
+    def _next_probes(self, *, pool: LinkPool) -> list[PeerProxy]:
+        """The proxy of the present detour; else some not probed yet, of the nearest and of all others, at random."""
         name = pool.backend.name
-        found = self.ways.get(name)
+        found = self.detours.get(name)
         if found is not None:
-            return [found[0].holders[0]]
-        refused = self.refused.setdefault(name, set())
-        others = [holder for holder in self.others(pool) if holder.name not in refused]
+            return [found.peer_proxy]
+        unsuitable = self.unsuitable.setdefault(name, set())
+        others = [each for each in self.others(pool) if each.name not in unsuitable]
         if not others:
-            refused.clear()
+            unsuitable.clear()
             return []
-        near = min(holder.near for holder in others)
+        nearest = min(each.distance for each in others)
         self.ctx.rng.shuffle(others)
-        # why: a cut may part whole zones as well as single proxies, so that the nearest may all be of no use
-        others.sort(key=lambda holder: holder.near > near)
-        return [*others[: ASKED_AT_ONCE - 1], *others[ASKED_AT_ONCE - 1 :][-1:]]
+        # A partition may cut off whole zones as well as single proxies, so the nearest may all be of no use.
+        others.sort(key=lambda each: each.distance > nearest)
+        return [*others[: PROBES_AT_ONCE - 1], *others[PROBES_AT_ONCE - 1 :][-1:]]
 
-    async def _prove(self, *, pool: LinkPool, service: str) -> None:
-        holders = self._next(pool=pool)
-        await asyncio.gather(*(self._prove_by(pool=pool, service=service, holder=holder) for holder in holders))
+    async def _search(self, *, pool: LinkPool, service: str, forwarder: Forwarder) -> None:
+        probes = self._next_probes(pool=pool)
+        await asyncio.gather(
+            *(self._probe(pool=pool, service=service, forwarder=forwarder, peer_proxy=each) for each in probes)
+        )
+
+    async def _probe(self, *, pool: LinkPool, service: str, forwarder: Forwarder, peer_proxy: PeerProxy) -> None:
+        """Asks for the primary's position through another proxy, and keeps or drops the detour by the answer."""
+        name = pool.backend.name
+        confirmed_us = await self._confirmed_us(
+            name=name, service=service, forwarder=forwarder, peer_proxy=peer_proxy
+        )
+        found = self.detours.get(name)
+        is_detour = found is not None and found.peer_proxy == peer_proxy
+        if confirmed_us is not None and pool.unreachable:
+            # Of several proxies that answer, the first becomes the detour.
+            if found is None or is_detour:
+                self._keep(pool=pool, forwarder=forwarder, peer_proxy=peer_proxy, confirmed_us=confirmed_us)
+            return
+        self.unsuitable.setdefault(name, set()).add(peer_proxy.name)
+        if is_detour:
+            del self.detours[name]
+
+    async def _confirmed_us(
+        self, *, name: str, service: str, forwarder: Forwarder, peer_proxy: PeerProxy
+    ) -> int | None:
+        """When the probe was sent that the primary has answered; None where it has not.
 
-    async def _prove_by(self, *, pool: LinkPool, service: str, holder: Holder) -> None:
-        name, forwarder = pool.backend.name, self.forwarder
-        assert forwarder is not None
+        Counted from the sending, since the way may be cut by the time that the answer arrives.
+        """
         self.ctx.counters.add(name="detours.tried")
         until_us = self.ctx.now_us() + PROBE_WAIT_US
-        taken = await forwarder.link(
-            holders=(holder,), backend=name, service=service, database="", rank=0, until_us=until_us
+        acquired = await forwarder.link(
+            peer_proxies=(peer_proxy,), backend=name, service=service, database="", rank=0, until_us=until_us
         )
-        proven = False
-        if taken.is_ok():
-            # why: counted from the asking, since the way may be closed by the time that the answer is here
-            requested_us = self.ctx.now_us()
-            try:
-                reply = await taken.ok.ask_position()
-                proven = reply.fault is None and reply.position is not None
-            except ConnectionError:
-                pass
-            taken.ok.close()
-        found = self.ways.get(name)
-        if proven and pool.unreachable:
-            # why: of several that answer the first is the way
-            if found is None or found[0].holders[0] == holder:
-                self._keep(pool=pool, holder=holder, requested_us=requested_us)
-            return
-        self.refused.setdefault(name, set()).add(holder.name)
-        if found is not None and found[0].holders[0] == holder:
-            del self.ways[name]
+        if acquired.is_error():
+            return None
+        requested_us = self.ctx.now_us()
+        confirmed = False
+        try:
+            reply = await acquired.ok.ask_position()
+            confirmed = reply.fault is None and reply.position is not None
+        except ConnectionError:
+            pass
+        acquired.ok.close()
+        return requested_us if confirmed else None
 
-    def _keep(self, *, pool: LinkPool, holder: Holder, requested_us: int) -> None:
+    def _keep(self, *, pool: LinkPool, forwarder: Forwarder, peer_proxy: PeerProxy, confirmed_us: int) -> None:
+        """Notes that the primary was reached through this proxy."""
         name = pool.backend.name
-        found = self.ways.get(name)
-        if found is None or found[0].holders[0] != holder:
-            self.ctx.counters.add(name="detours.found")
-            self.ctx.log.info("%s is reached by way of %s", name, holder.name)
-            way = LinkPool(
-                ctx=self.ctx, backend=pool.backend, dialer=pool.dialer, on_link_failure=pool.on_link_failure
-            )
-            way.limit, way.forwarder, way.holders = 0, self.forwarder, (holder,)
-        else:
-            way = found[0]
-        self.ways[name] = (way, requested_us)
+        found = self.detours.get(name)
+        if found is not None:
+            self.detours[name] = Detour(pool=found.pool, confirmed_us=confirmed_us)
+            return
+        self.ctx.counters.add(name="detours.found")
+        self.ctx.log.info("%s is reached by way of %s", name, peer_proxy.name)
+        detour_pool = LinkPool(
+            ctx=self.ctx, backend=pool.backend, dialer=pool.dialer, on_link_failure=pool.on_link_failure
+        )
+        detour_pool.limit, detour_pool.forwarder, detour_pool.peer_proxies = 0, forwarder, (peer_proxy,)
+        self.detours[name] = Detour(pool=detour_pool, confirmed_us=confirmed_us)
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -154,7 +154,7 @@
         return self._leads(question=question, pool=pool)
 
     def _leads(self, *, question: ForwardQuestion, pool: LinkPool) -> Result[LinkPool, CinderstairError]:
-        led = self.router.may_lead(service=question.service)
+        led = self.router.confirmed_primary(service=question.service)
         if led.is_ok() and led.ok is not pool:
             return Error(
                 CinderstairError(
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -24,17 +24,17 @@
 ANSWER_US = 20_000
 
 
-class Holder(NamedTuple):
+class PeerProxy(NamedTuple):
     """A proxy that holds links, and how near it is."""
 
-    near: int
+    distance: int
     name: str
     address: str
 
 
 @dataclass(kw_only=True)
-class Peer:
-    """What is known of a holder. `ahead_us`: its clock is ahead of ours by this at the least."""
+class PeerState:
+    """What is known of another proxy that has links. `ahead_us`: its clock is ahead of ours by this at the least."""
 
     life: int = 0
     ahead_us: int = 0
@@ -54,32 +54,39 @@
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
-        self.peers: dict[str, Peer] = {}
+        self.peer_states: dict[str, PeerState] = {}
         self.connections: dict[int, ForwardedLink] = {}
         self.number = 0
         self.kept_us = 0
 
-    def peer(self, *, address: str) -> Peer:
-        return self.peers.setdefault(address, Peer())
+    def peer(self, *, address: str) -> PeerState:
+        return self.peer_states.setdefault(address, PeerState())
 
-    def _order(self, *, holders: tuple[Holder, ...]) -> list[Holder]:
+    def _order(self, *, peer_proxies: tuple[PeerProxy, ...]) -> list[PeerProxy]:
         """Nearest first; those that lately did not answer or are leaving last."""
         now_us = self.ctx.now_us()
 
-        def cost(holder: Holder) -> tuple[bool, int, int, float]:
-            peer = self.peer(address=holder.address)
-            return peer.away(now_us=now_us), holder.near, peer.under_way, self.ctx.rng.random()
+        def cost(peer_proxy: PeerProxy) -> tuple[bool, int, int, float]:
+            peer = self.peer(address=peer_proxy.address)
+            return peer.away(now_us=now_us), peer_proxy.distance, peer.under_way, self.ctx.rng.random()
 
-        return sorted(holders, key=cost)
+        return sorted(peer_proxies, key=cost)
 
     async def link(
-        self, *, holders: tuple[Holder, ...], backend: str, service: str, database: str, rank: int, until_us: int
+        self,
+        *,
+        peer_proxies: tuple[PeerProxy, ...],
+        backend: str,
+        service: str,
+        database: str,
+        rank: int,
+        until_us: int,
     ) -> Result[ForwardedLink, CinderstairError]:
-        """A link that stands in for one of a holder's; nothing is asked of the holder for it yet."""
-        for holder in self._order(holders=holders)[:3]:
-            peer = self.peer(address=holder.address)
+        """A link that stands in for one of another proxy's; nothing is sent to that proxy yet."""
+        for peer_proxy in self._order(peer_proxies=peer_proxies)[:3]:
+            peer = self.peer(address=peer_proxy.address)
             if not peer.life or self.ctx.now_us() - peer.heard_us > CLOCK_FOR_US:
-                await self._handshake(holder=holder, until_us=until_us)
+                await self._handshake(peer_proxy=peer_proxy, until_us=until_us)
             if peer.life and not peer.away(now_us=self.ctx.now_us()):
                 self.number += 1
                 base = ForwardQuestion(
@@ -92,15 +99,15 @@
                     rank=rank,
                 )
                 limit_us = max(1, until_us - self.ctx.now_us())
-                return Ok(ForwardedLink(forwarder=self, address=holder.address, base=base, limit_us=limit_us))
+                return Ok(ForwardedLink(forwarder=self, address=peer_proxy.address, base=base, limit_us=limit_us))
         return Error(
             CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"no proxy that holds links to {backend} answers")
         )
 
-    async def _handshake(self, *, holder: Holder, until_us: int) -> None:
+    async def _handshake(self, *, peer_proxy: PeerProxy, until_us: int) -> None:
         wait_us = min(JOIN_REQUEST_WAIT_US, until_us - self.ctx.now_us())
         question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
-        await self._ask(address=holder.address, question=question, wait_us=max(1, wait_us))
+        await self._ask(address=peer_proxy.address, question=question, wait_us=max(1, wait_us))
 
     async def ask(
         self, *, address: str, question: ForwardQuestion, limit_us: int
@@ -140,7 +147,7 @@
         self._heard(peer=peer, answer=answer)
         return Ok(answer)
 
-    def _heard(self, *, peer: Peer, answer: ForwardAnswer) -> None:
+    def _heard(self, *, peer: PeerState, answer: ForwardAnswer) -> None:
         now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.under_way else 0
         # why: its clock stood there before the answer reached us, so it is ahead by no less than this
@@ -160,9 +167,9 @@
         peer.failures += 1
 
     def tend(self) -> None:
-        """Now and then: holders that are silent are gone round; transactions that rest are kept."""
+        """Now and then: proxies that are silent are avoided; idle transactions are kept alive."""
         now_us = self.ctx.now_us()
-        for peer in self.peers.values():
+        for peer in self.peer_states.values():
             if peer.under_way and peer.silent_since_us and now_us - peer.silent_since_us > SILENT_US:
                 peer.away_until_us = max(peer.away_until_us, now_us + AWAY_US)
         if now_us - self.kept_us < KEEP_EVERY_US or not self.connections:
--- a/src/cinderstair/pooler/link_allocation.py
+++ b/src/cinderstair/pooler/link_allocation.py
@@ -1,50 +1,57 @@
-"""Which copy a proxy holds a lasting link to, where a cap is smaller than the number of proxies. Pure functions."""
+"""Allocates links to proxies where a cap is smaller than the number of proxies. Pure functions of shared lists."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from ..http_frontend.subsetting import allotment, rank
 
-SLACK = 8
-PER_HOLDER = 4
+# A replica takes up to an eighth more than an even share, so that one proxy's leaving moves few others.
+SLACK_DIVISOR = 8
+# Links that one proxy keeps for the others of a region where not each has its own.
+LINKS_PER_PROXY = 4
+DISTANCE_CLASSES = 3
 
 
 class Location(NamedTuple):
-    """Where a proxy or a backend stands."""
+    """The location of a proxy or a backend."""
 
     site: str
     region: str
 
-    def near(self, *, other: "Location") -> int:
-        """0 within a site, 1 within a region, else 2."""
+    def distance_class(self, *, other: "Location") -> int:
+        """0 within a site, 1 within a region, else 2 (see `DISTANCE_CLASSES`)."""
         if self.site == other.site:
             return 0
         return 1 if self.region == other.region else 2
 
 
 def allocate_replicas(
-    *, proxies: Sequence[tuple[int, Location]], replicas: Sequence[Location], room: int
+    *, proxies: Sequence[tuple[int, Location]], replicas: Sequence[Location], cap: int
 ) -> dict[int, int]:
-    """The number of one copy for each proxy's id, nearest first and evenly; no copy gets more than `room` proxies.
+    """Allocates one replica to each proxy, nearest first and evenly; no replica gets more than `cap` proxies.
 
-    Every proxy reckons the same from the same lists. A proxy for which there is no room is in no entry.
+    :returns: the index of the replica by proxy id.
+
+    Every proxy computes the same from the same lists. A proxy for which no capacity is left has no entry.
     """
-    if not replicas or room <= 0:
+    if not replicas or cap <= 0:
         return {}
     even = -(-len(proxies) // len(replicas))
-    # why: a near copy must not fill up before a far one has any; a little more than even spares changes for one proxy
-    most = min(room, even + even // SLACK)
+    # A near replica must not fill up before a distant one has any.
+    most = min(cap, even + even // SLACK_DIVISOR)
     taken = [0] * len(replicas)
     allocated: dict[int, int] = {}
-    for level in range(3):
+    for distance_class in range(DISTANCE_CLASSES):
         for proxy_id, location in sorted(proxies):
             if proxy_id in allocated:
                 continue
             fit = [
-                n for n, replica in enumerate(replicas) if taken[n] < most and location.near(other=replica) <= level
+                n
+                for n, replica in enumerate(replicas)
+                if taken[n] < most and location.distance_class(other=replica) <= distance_class
             ]
             if fit:
-                # why: by the id, and not by what others were dealt, so that one that goes changes few
+                # Chosen by the id and not by the others' allocations, so that a proxy that leaves changes few.
                 best = fit[proxy_id % len(fit)]
                 allocated[proxy_id] = best
                 taken[best] += 1
@@ -56,28 +63,30 @@
     proxies: Sequence[tuple[int, Location]],
     backend: str,
     location: Location,
-    room: int,
-    per_holder: int = PER_HOLDER,
+    cap: int,
+    links_per_proxy: int = LINKS_PER_PROXY,
 ) -> dict[int, int]:
-    """How many links to one backend each proxy's id may hold; those in no entry hold none. The sum is at most `room`.
+    """Allocates the links to one backend; their sum is at most `cap`.
+
+    Each proxy in the backend's region gets its own where all of them fit; in other regions a few proxies get several
+    and forward for the rest. Every proxy computes the same. The primary is no input, so a promotion moves no link.
 
-    Each proxy near the backend holds its own, where all of them fit; elsewhere a few a region hold several for
-    the others. Every proxy reckons the same. Who leads is no part of it, so that a promotion moves no link.
+    :returns: the number of links by proxy id; proxies without an entry get none.
     """
     regions: dict[str, list[tuple[int, Location]]] = {}
     for entry in sorted(proxies):
         regions.setdefault(entry[1].region, []).append(entry)
-    if not regions or room <= 0:
+    if not regions or cap <= 0:
         return {}
-    rooms = _rooms(sizes={name: len(each) for name, each in regions.items()}, home=location.region, room=room)
+    quotas = _quotas(sizes={name: len(each) for name, each in regions.items()}, home=location.region, cap=cap)
     allocated: dict[int, int] = {}
     for name, members in regions.items():
-        part = rooms[name]
+        part = quotas[name]
         if part >= len(members):
-            holders = [proxy_id for proxy_id, _ in members]
+            proxies_with_links = [proxy_id for proxy_id, _ in members]
         else:
-            holders = _chosen(members=members, backend=backend, count=-(-part // per_holder))
-        ids = sorted(holders)
+            proxies_with_links = _choose_proxies(members=members, backend=backend, count=-(-part // links_per_proxy))
+        ids = sorted(proxies_with_links)
         for proxy_id in ids:
             links = allotment(cap=part, user_ids=ids, http_proxy_id=proxy_id)
             if links:
@@ -85,26 +94,29 @@
     return allocated
 
 
-def _rooms(*, sizes: dict[str, int], home: str, room: int) -> dict[str, int]:
-    """Each region's part: a link a proxy at home while the others keep a third, the rest by their proxies."""
+def _quotas(*, sizes: dict[str, int], home: str, cap: int) -> dict[str, int]:
+    """Each region's part of the cap.
+
+    The home region gets a link a proxy while a third is left for the others, which share the rest by their size.
+    """
     others = {name: size for name, size in sizes.items() if name != home}
     at_home = sizes.get(home, 0)
-    if others and at_home > room - room // 3:
-        at_home = room * at_home // sum(sizes.values())
+    if others and at_home > cap - cap // 3:
+        at_home = cap * at_home // sum(sizes.values())
     elif not others:
-        at_home = room
-    rooms = {home: at_home} if home in sizes else {}
-    left, total = room - (at_home if home in sizes else 0), sum(others.values())
-    rooms |= {name: left * size // total for name, size in others.items()}
-    over = room - sum(rooms.values())
+        at_home = cap
+    quotas = {home: at_home} if home in sizes else {}
+    left, total = cap - (at_home if home in sizes else 0), sum(others.values())
+    quotas |= {name: left * size // total for name, size in others.items()}
+    over = cap - sum(quotas.values())
     for name in sorted(others)[: max(0, over)]:
-        rooms[name] += 1
-    return rooms
+        quotas[name] += 1
+    return quotas
 
 
-def _chosen(*, members: list[tuple[int, Location]], backend: str, count: int) -> list[int]:
-    """Those that hold, from each site in turn, in an order that differs by backend."""
-    # why: each proxy has its own place in the order, so that one that comes or goes moves few others
+def _choose_proxies(*, members: list[tuple[int, Location]], backend: str, count: int) -> list[int]:
+    """The proxies that get links, from each site in turn, in an order that differs by backend."""
+    # Each proxy's rank is independent of the others, so that one that joins or leaves moves few of them.
     sites: dict[str, list[int]] = {}
     for proxy_id, location in sorted(members, key=lambda entry: rank(seed=entry[0], name=backend)):
         sites.setdefault(location.site, []).append(proxy_id)
--- a/src/cinderstair/pooler/link_execution.py
+++ b/src/cinderstair/pooler/link_execution.py
@@ -27,7 +27,7 @@
 
     :returns: the name under which the link knows it.
     """
-    alias = router.alias(shape=prepared.shape, writes=prepared.writes)
+    alias = router.alias(prepared=prepared)
     if link.prepared.get(alias) != prepared:
         link.prepare(alias=alias, shape=prepared.shape, writes=prepared.writes)
     return alias
@@ -35,7 +35,7 @@
 
 def is_primary_pool(*, router: Router, pool: LinkPool, service: str) -> bool:
     """Whether the view says, as of now, that this pool's backend is the service's primary."""
-    primary = router.may_lead(service=service)
+    primary = router.confirmed_primary(service=service)
     return primary.is_ok() and primary.ok is pool
 
 
@@ -47,6 +47,6 @@
     :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
     """
     if was_primary:
-        router.heard(pool=pool, service=service, requested_us=requested_us, reply=reply)
+        router.record_reply(pool=pool, service=service, requested_us=requested_us, reply=reply)
     else:
         pool.heard()
--- a/src/cinderstair/pooler/link_pool.py
+++ b/src/cinderstair/pooler/link_pool.py
@@ -9,7 +9,7 @@
 from ..membership.announcement import Announcement
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from .forwarder import Forwarder, Holder
+from .forwarder import Forwarder, PeerProxy
 from .link import Dialer, Link
 from .reply import Reply
 
@@ -51,7 +51,7 @@
         self.silent = False
         # why: where this proxy may hold no link, those that hold some are asked to send in its stead
         self.forwarder: Forwarder | None = None
-        self.holders: tuple[Holder, ...] = ()
+        self.peer_proxies: tuple[PeerProxy, ...] = ()
         self.forwarded: set[int] = set()
 
     @property
@@ -85,7 +85,7 @@
         unheard_us = self.ctx.now_us() - self.heard_us
         # why: a link may rest for long in a client's transaction; only what is owed counts
         own = (link for link, _ in self.taken.values() if id(link) not in self.forwarded)
-        # why: a holder that is silent says nothing of the backend; its own links do
+        # why: another proxy that is silent says nothing of the backend; its own links do
         if unheard_us > SILENT_US and any(link.owed_us > SILENT_US for link in own):
             self.blame()
             self.silent = True
@@ -114,11 +114,11 @@
     async def acquire(
         self, *, values: dict[bytes, bytes], rank: int, until_us: int, database: str = ""
     ) -> Result[Link, CinderstairError]:
-        """A link for one statement or transaction: of our own, or else one that stands in for a holder's."""
+        """A link for one statement or transaction: of our own, or else one that forwards to another proxy."""
         if self.limit or self.forwarder is None or self.closed:
             return await self.acquire_own(values=values, rank=rank, until_us=until_us)
         taken = await self.forwarder.link(
-            holders=self.holders,
+            peer_proxies=self.peer_proxies,
             backend=self.backend.name,
             service=self.backend.service,
             database=database,
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -13,7 +13,8 @@
 from .forwarder import Forwarder
 from .link import Dialer
 from .relayed_view import RelayedView
-from .router import DRAIN_US, Router
+from .router import Router
+from .router_base import DRAIN_US
 from .session import Session
 
 TEND_US = 200_000
@@ -83,7 +84,7 @@
         return known and not self.draining and not self.view.alone_us
 
     def _tend(self) -> None:
-        self.router.tend()
+        self.router.on_timer()
         self.place.tend()
         self.forwarder.tend()
         self.forwards.tend()
--- a/src/cinderstair/pooler/read_candidates.py
+++ b/src/cinderstair/pooler/read_candidates.py
@@ -55,11 +55,13 @@
         :param arrived_us: when the read arrived, which its maximum age counts from.
         """
         if route.consistency != Consistency.primary:
-            guard = self.router.guard(route=route, arrived_us=arrived_us, own=self._own_position(route=route))
-            if guard.is_ok():
+            required = self.router.required_position(
+                route=route, arrived_us=arrived_us, own_position=self._own_position(route=route)
+            )
+            if required.is_ok():
                 readers = self.router.readers(service=route.service)
                 if readers:
-                    return Candidates(found=[Candidate(pool, guard.ok) for pool in readers])
+                    return Candidates(found=[Candidate(pool, required.ok) for pool in readers])
         return self._primary_candidate(route=route)
 
     def _own_position(self, *, route: DatabaseRoute) -> Position | None:
@@ -74,7 +76,7 @@
         moving = self.router.shards.fault(database=route.database)
         if moving is not None:
             return Candidates(found=[], fault=moving)
-        primary = self.router.may_lead(service=route.service)
+        primary = self.router.confirmed_primary(service=route.service)
         if primary.is_error():
             return Candidates(found=[], fault=primary.error)
         return Candidates(found=[Candidate(primary.ok, None)])
--- a/src/cinderstair/pooler/single_write.py
+++ b/src/cinderstair/pooler/single_write.py
@@ -108,7 +108,7 @@
             pool.release_answered(link=link, answer=future)
             return None
         pool.release(link=link)
-        self.router.heard(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
+        self.router.record_reply(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
         if not reply.not_run and reply.fault is None and reply.position is not None:
             self.last_commit = CommitPosition(route.service, reply.position)
         # A single statement leaves no transaction behind, whatever state a backend reports after a failure.
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -81,16 +81,16 @@
         before = rss_bytes()
         router = self._router(proxies=proxies, databases=databases)
         began = time.process_time()
-        router.reckon()
+        router.rebuild_pools()
         first_us = (time.process_time() - began) * 1_000_000
-        reckon_us = cost_us(router.reckon)
-        router.tend()
+        reckon_us = cost_us(router.rebuild_pools)
+        router.on_timer()
         # why: links that tending asks for are opened in later turns of the loop, and tended ones cost less
         for _ in range(3):
             await asyncio.sleep(0.01)
-            router.tend()
+            router.on_timer()
         await asyncio.sleep(0.05)
-        tend_us = cost_us(router.tend)
+        tend_us = cost_us(router.on_timer)
         await asyncio.sleep(0)
         gc.collect()
         held = rss_bytes() - before
--- a/src/cinderstair/simulation/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -4,7 +4,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from ...pooler.router import CONTROL_LINKS
+from ...pooler.link_limits import CONTROL_LINKS
 from .attempt import Attempt
 from .client_statement import ClientStatement
 from .log_entry import LogEntry
--- a/src/cinderstair/simulation/platformsim/cap_checker.py
+++ b/src/cinderstair/simulation/platformsim/cap_checker.py
@@ -1,6 +1,6 @@
 """What all proxies together hold at a backend stays within its cap, less what is left for control."""
 
-from ...pooler.router import CONTROL_LINKS
+from ...pooler.link_limits import CONTROL_LINKS
 from .checker import Checker
 
 
--- a/src/cinderstair/simulation/platformsim/failover_trials.py
+++ b/src/cinderstair/simulation/platformsim/failover_trials.py
@@ -339,19 +339,18 @@
     assert served >= 0.97 * owed > 0, f"{served} of {owed} served while proxies were cut off from a primary"
     if world.rng.random() < 0.5:
         # why: the proxy that was the way round goes, and another one has to be found
-        ways = {
-            holder.name
+        detours = {
+            detour.peer_proxy.name
             for name in cut
-            for way, _ in world.roles[name].proxy.router.detours.ways.values()
-            for holder in way.holders
+            for detour in world.roles[name].proxy.router.detours.detours.values()
         }
-        assert ways, "no way round was found"
-        world.kill(name=world.rng.choice(sorted(ways)))
+        assert detours, "no way round was found"
+        world.kill(name=world.rng.choice(sorted(detours)))
         world.advance(for_ms=3_000)
     assert world.primary() is old and len(world.platform.calls) == promotions, "a lead moved"
     world.heal()
     world.advance(for_ms=4_000)
-    assert not any(world.roles[name].proxy.router.detours.ways for name in world.proxies if name in world.roles), (
+    assert not any(world.roles[name].proxy.router.detours.detours for name in world.proxies if name in world.roles), (
         "a way round outlasted its cut"
     )
 
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -5,7 +5,7 @@
 
 from expression import Error, Ok
 
-from ...pooler import forward_server, router
+from ...pooler import forward_server, link_limits
 from ...pooler.forward_record import Outcome
 from ...pooler.forward_server import ForwardServer
 from ...runtime.errors import CinderstairError, ErrorCode
@@ -45,4 +45,4 @@
 
 def links_at_once() -> Patches:
     """What is dealt anew is taken at once, while others may still hold it."""
-    return [patch.object(router, "RISE_US", 0)]
+    return [patch.object(link_limits, "LIMIT_INCREASE_DELAY_US", 0)]
--- a/src/cinderstair/simulation/platformsim/platform_trials.py
+++ b/src/cinderstair/simulation/platformsim/platform_trials.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ...pooler.router import CONTROL_LINKS
+from ...pooler.link_limits import CONTROL_LINKS
 from . import (
     config_trials,
     control_mix,
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -546,7 +546,7 @@
         """Whether every proxy is ready and knows who leads everything."""
         proxies = [self.roles[name].proxy for name in self.proxies if name in self.roles]
         return len(proxies) == len(self.proxies) and all(
-            proxy.ready and all(proxy.router.may_lead(service=service).is_ok() for service in self.services)
+            proxy.ready and all(proxy.router.confirmed_primary(service=service).is_ok() for service in self.services)
             for proxy in proxies
         )
 
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -152,12 +152,12 @@
 
 def own_forgotten() -> Patches:
     """A session's own commits are not asked for."""
-    guard = Router.guard
+    required_position = Router.required_position
 
-    def without(self: Any, *, route: Any, arrived_us: int, own: Any) -> Any:
-        return guard(self, route=route, arrived_us=arrived_us, own=None)
+    def without(self: Any, *, route: Any, arrived_us: int, own_position: Any) -> Any:
+        return required_position(self, route=route, arrived_us=arrived_us, own_position=None)
 
-    return [patch.object(Router, "guard", without)]
+    return [patch.object(Router, "required_position", without)]
 
 
 def worst_replica() -> Patches:
@@ -184,7 +184,7 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend that says it is leaving gets as much as before."""
-    return [patch.object(Router, "_obey", lambda self, *, name, leads: None)]
+    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, leads: None)]
 
 
 def first_plan_forever() -> Patches:
