--- a/features/steps/detour_steps.py
+++ b/features/steps/detour_steps.py
@@ -88,12 +88,12 @@
 
 @when('"a" can\'t be dialled')
 def when_not_dialled(context: Any) -> None:
-    context.pool.failures = 1
+    context.pool.dial_failures = 1
 
 
 @when('"a" answers again')
 def when_answers(context: Any) -> None:
-    context.pool.heard()
+    context.pool.record_answer()
 
 
 @when('"{name}" does not reach it either')
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -98,9 +98,9 @@
             ctx=context.holder_ctx, router=context.holder, dispatcher=context.net.dispatcher
         )
         context.forwarder = Forwarder(ctx=stage.ctx)
-        context.holder.pools["a"].allow(limit=2)
+        context.holder.pools["a"].set_limit(limit=2)
         pool = context.router.pools["a"]
-        pool.allow(limit=0)
+        pool.set_limit(limit=0)
         pool.forwarder, pool.peer_proxies = context.forwarder, (PeerProxy(0, "holder", "holder:1"),)
         context.session = Session(ctx=stage.ctx, router=context.router, database="db")
         context.tending = [
@@ -159,8 +159,8 @@
 @then("the holder has no transaction of others, and every link is given back")
 def then_no_channels(context: Any) -> None:
     assert not context.forwards.open, context.forwards.connections
-    assert not any(pool.taken for pool in context.holder.pools.values())
-    assert not any(pool.taken for pool in context.router.pools.values())
+    assert not any(pool.borrowed for pool in context.holder.pools.values())
+    assert not any(pool.borrowed for pool in context.router.pools.values())
     assert not context.forwarder.connections
 
 
@@ -213,12 +213,12 @@
 def when_other_ends(context: Any) -> None:
     context.stage.call(call=lambda: context.tending[0].cancel())
     context.forwarder.connections.clear()
-    context.router.pools["a"].taken.clear()
+    context.router.pools["a"].borrowed.clear()
 
 
 @when("the holder may hold no links any more")
 def when_holder_none(context: Any) -> None:
-    context.stage.call(call=lambda: context.holder.pools["a"].allow(limit=0))
+    context.stage.call(call=lambda: context.holder.pools["a"].set_limit(limit=0))
 
 
 @then('the holder is busy with "{database}": {word}')
--- a/features/steps/link_pool_steps.py
+++ b/features/steps/link_pool_steps.py
@@ -65,17 +65,17 @@
 
 @when("links are {word}")
 def when_lent(context: Any, word: str) -> None:
-    context.stage.call(call=lambda: context.pool.lend(lent=word == "lent"))
+    context.stage.call(call=lambda: context.pool.set_on_demand(on_demand=word == "lent"))
 
 
 @given("links that are lent")
 def given_lent(context: Any) -> None:
-    context.pool.lent = True
+    context.pool.on_demand = True
 
 
 @given("a backend that was full just now")
 def given_full(context: Any) -> None:
-    context.pool.full_us = context.pool.ctx.now_us()
+    context.pool.last_full_us = context.pool.ctx.now_us()
 
 
 @given('its dials go "{words}"')
@@ -227,7 +227,7 @@
         context.stage.call(call=lambda: context.pool.release(link=raced.ok))
     other = ask(context=context, wait_ms=100)
     context.stage.advance(for_us=200_000)
-    assert other.outcome == "a link", (other.outcome, len(context.pool.taken), len(context.pool.idle))
+    assert other.outcome == "a link", (other.outcome, len(context.pool.borrowed), len(context.pool.idle))
 
 
 @when("a statement on the held link is given up, and answered after {wait_ms:d} ms")
@@ -242,7 +242,7 @@
 @then("the pool has {idle:d} idle and {taken:d} taken")
 def then_pool(context: Any, idle: int, taken: int) -> None:
     pool = context.pool
-    assert (len(pool.idle), len(pool.taken)) == (idle, taken), (len(pool.idle), len(pool.taken))
+    assert (len(pool.idle), len(pool.borrowed)) == (idle, taken), (len(pool.idle), len(pool.borrowed))
 
 
 @when("the pool is shut")
@@ -258,7 +258,7 @@
 
 @when("the pool may have no links any more")
 def when_no_links(context: Any) -> None:
-    context.stage.call(call=lambda: context.pool.allow(limit=0))
+    context.stage.call(call=lambda: context.pool.set_limit(limit=0))
     context.stage.advance(for_us=1_000)
 
 
@@ -286,7 +286,7 @@
 
 @when("another link of the backend is heard")
 def when_heard(context: Any) -> None:
-    context.pool.heard()
+    context.pool.record_answer()
     context.stage.call(call=context.pool.check_silence)
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -279,7 +279,7 @@
 
 @when('"{name}" is in trouble')
 def when_trouble(context: Any, name: str) -> None:
-    context.stage.call(call=context.router.pools[name].blame)
+    context.stage.call(call=context.router.pools[name].report_trouble)
 
 
 @given("backends have {drain_ms:d} ms to empty")
@@ -346,7 +346,7 @@
 def kept_by_proxy(*, context: Any, cap: int, proxies: int, allocated: int) -> list[list[str]]:
     proxy_limits(context=context, cap=cap, proxies=proxies, allocated=allocated)
     return [
-        [name for name, pool in router.pools.items() if not pool.lent and name != context.primary]
+        [name for name, pool in router.pools.items() if not pool.on_demand and name != context.primary]
         for router in context.routers
     ]
 
@@ -361,7 +361,7 @@
     for name in context.names:
         count = sum(name in names for names in found)
         assert count <= most and count <= cap - CONTROL_LINKS, (name, count)
-    assert all(router.pools[context.primary].lent for router in context.routers)
+    assert all(router.pools[context.primary].on_demand for router in context.routers)
 
 
 @then("with {cap:d} links for each backend and {proxies:d} proxies one without an id keeps links to {kept:d} copies")
@@ -471,7 +471,7 @@
 @given("no table of places")
 def given_no_places(context: Any) -> None:
     context.reported.tell(values={PROXY_ADDRESSES_KEY: ProxyAddresses().bytes()})
-    context.stage.call(call=lambda: context.router.pools["a"].allow(limit=0))
+    context.stage.call(call=lambda: context.router.pools["a"].set_limit(limit=0))
 
 
 @when("the client vanishes")
@@ -488,7 +488,7 @@
 @then("every link is given back")
 def then_given_back(context: Any) -> None:
     context.stage.advance(for_us=5_000_000)
-    left = {name: len(pool.taken) for name, pool in context.router.pools.items() if pool.taken}
+    left = {name: len(pool.borrowed) for name, pool in context.router.pools.items() if pool.borrowed}
     assert not left, left
 
 
@@ -520,11 +520,11 @@
             await asyncio.sleep(5)
 
         context.stage.run(work=vanish())
-        taken = sum(len(pool.taken) for pool in context.router.pools.values())
+        taken = sum(len(pool.borrowed) for pool in context.router.pools.values())
         if taken:
             left.append((turns, taken))
             for pool in context.router.pools.values():
-                for link, _ in list(pool.taken.values()):
+                for link, _ in list(pool.borrowed.values()):
                     context.stage.call(call=lambda pool=pool, link=link: pool.release(link=link, keep=False))
     assert not left, f"links still taken by (turns, links): {left}"
 
--- a/src/cinderstair/pooler/link_execution.py
+++ b/src/cinderstair/pooler/link_execution.py
@@ -49,4 +49,4 @@
     if was_primary:
         router.record_reply(pool=pool, service=service, requested_us=requested_us, reply=reply)
     else:
-        pool.heard()
+        pool.record_answer()
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -89,7 +89,7 @@
                 pool.forwarder, pool.peer_proxies = None, ()
                 self._set_limit(pool=pool, limit=0 if unassigned else max(1, share))
             # With fewer links than proxies each keeps one link to one replica, and others only while in use.
-            pool.lend(lent=scarce and not forwards and name != kept)
+            pool.set_on_demand(on_demand=scarce and not forwards and name != kept)
             self._follow_backend_state(name=name, leads=lead is not None and lead.primary == name)
 
     def _cap_share(self, *, cap: int) -> int:
@@ -136,7 +136,7 @@
         """
         if limit > pool.limit and not self._may_increase():
             self.increase_pending, limit = True, pool.limit
-        pool.allow(limit=limit)
+        pool.set_limit(limit=limit)
 
     def _may_increase(self) -> bool:
         if self.reallocated_us is None:
--- a/src/cinderstair/pooler/position_sampling.py
+++ b/src/cinderstair/pooler/position_sampling.py
@@ -24,7 +24,7 @@
 
         :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
         """
-        pool.heard()
+        pool.record_answer()
         lead = self.view.leads.get(service)
         if reply.position is None or lead is None or lead.primary != pool.backend.name:
             return
@@ -96,7 +96,12 @@
         now_us, probes = self.ctx.now_us(), 0
         for service, lead in self.view.leads.items():
             pool = self.pools.get(lead.primary)
-            quiet = pool is not None and not pool.silent and not pool.taken and now_us - pool.heard_us > UNHEARD_US
+            quiet = (
+                pool is not None
+                and not pool.silent
+                and not pool.borrowed
+                and now_us - pool.last_answer_us > UNHEARD_US
+            )
             if pool is not None and quiet and pool.idle and self.confirmed_primary(service=service).is_ok():
                 probes += 1
                 self.ctx.counters.add(name="links.doubted")
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -29,7 +29,7 @@
 
     def troubled(self) -> tuple[str, ...]:
         """The names of backends that look dead from here."""
-        return tuple(name for name, pool in self.pools.items() if pool.problem and not pool.closed)
+        return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
 
     def route(self, *, database: str) -> DatabaseRoute | None:
         plan = self.view.plan
@@ -80,7 +80,7 @@
         fell_silent = False
         for pool in self.pools.values():
             was_silent = pool.silent
-            if pool.taken or was_silent:
+            if pool.borrowed or was_silent:
                 pool.check_silence()
             fell_silent = fell_silent or (pool.silent and not was_silent)
             if pool.unreachable or self.detours.has_detour(name=pool.backend.name):
@@ -102,10 +102,10 @@
         if lead is None:
             return
         primary = self.pools.get(lead.primary)
-        if primary is not None and lead.state == PrimaryState.settled and not primary.lent:
+        if primary is not None and lead.state == PrimaryState.settled and not primary.on_demand:
             primary.warm(count=1)
         replicas = self.replicas(service=service)
-        if replicas and not replicas[0].lent:
+        if replicas and not replicas[0].on_demand:
             replicas[0].warm(count=1)
         self._sample_if_due(service=service, lead=lead)
 
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -92,7 +92,7 @@
     """A link that serves one session is given to others as well."""
 
     def pick(self: Any, *, values: Any) -> Any:
-        links = [link for link, _ in self.taken.values() if link.open] or [link for link in self.idle if link.open]
+        links = [link for link, _ in self.borrowed.values() if link.open] or [link for link in self.idle if link.open]
         return links[0] if links else None
 
     return [patch.object(LinkPool, "_pick", pick)]
