--- a/features/steps/detour_steps.py
+++ b/features/steps/detour_steps.py
@@ -14,7 +14,7 @@
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 
-TEND_MS = 100
+TIMER_MS = 100
 ANSWER_US = 5_000
 
 
@@ -71,9 +71,9 @@
 
 
 def pass_ms(*, context: Any, wait_ms: int) -> None:
-    for _ in range(wait_ms // TEND_MS):
+    for _ in range(wait_ms // TIMER_MS):
         context.stage.call(call=lambda: context.detours.maintain(pool=context.pool, service="s"))
-        context.stage.advance(for_us=TEND_MS * 1_000)
+        context.stage.advance(for_us=TIMER_MS * 1_000)
 
 
 @when("{wait_ms:d} ms pass, with a look each 100 ms")
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -16,7 +16,7 @@
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 
-TEND_S = 0.2
+TIMER_S = 0.2
 SKEW_US = 77_000_000_000
 
 
@@ -104,16 +104,16 @@
         pool.forwarder, pool.peer_proxies = context.forwarder, (PeerProxy(0, "holder", "holder:1"),)
         context.session = Session(ctx=stage.ctx, router=context.router, database="db")
         context.tending = [
-            stage.ctx.spawn(work=tend(call=context.forwarder.tend)),
-            stage.ctx.spawn(work=tend(call=lambda: context.forwards.tend())),
+            stage.ctx.spawn(work=call_on_timer(call=context.forwarder.on_timer)),
+            stage.ctx.spawn(work=call_on_timer(call=lambda: context.forwards.on_timer())),
         ]
 
     stage.call(call=begin)
 
 
-async def tend(*, call: Callable[[], None]) -> None:
+async def call_on_timer(*, call: Callable[[], None]) -> None:
     while True:
-        await asyncio.sleep(TEND_S)
+        await asyncio.sleep(TIMER_S)
         call()
 
 
@@ -158,10 +158,10 @@
 
 @then("the holder has no transaction of others, and every link is given back")
 def then_no_channels(context: Any) -> None:
-    assert not context.forwards.open, context.forwards.connections
+    assert not context.forwards.open, context.forwards.transactions
     assert not any(pool.borrowed for pool in context.holder.pools.values())
     assert not any(pool.borrowed for pool in context.router.pools.values())
-    assert not context.forwarder.connections
+    assert not context.forwarder.transactions
 
 
 @when("the holder stops")
@@ -212,7 +212,7 @@
 @when("the other proxy ends")
 def when_other_ends(context: Any) -> None:
     context.stage.call(call=lambda: context.tending[0].cancel())
-    context.forwarder.connections.clear()
+    context.forwarder.transactions.clear()
     context.router.pools["a"].borrowed.clear()
 
 
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -28,23 +28,23 @@
 
 
 @given("what a proxy has under way")
-def given_under_way(context: Any) -> None:
+def given_in_flight(context: Any) -> None:
     context.stage = Stage(context=context)
-    context.under_way = InFlightWrites(ctx=context.stage.ctx)
-    context.owed, context.closed = [], []
+    context.in_flight = InFlightWrites(ctx=context.stage.ctx)
+    context.unanswered, context.closed = [], []
 
 
 @when('a write of "{database}" leaves')
 def when_leaves(context: Any, database: str) -> None:
     answer: asyncio.Future[Reply] = context.stage.loop.create_future()
     link: Any = FakeLink(name=database, closed=context.closed)
-    context.under_way.sent(database=database, link=link, answer=answer)
-    context.owed.append((database, answer))
+    context.in_flight.sent(database=database, link=link, answer=answer)
+    context.unanswered.append((database, answer))
 
 
 @when('the writes of "{database}" are answered')
 def when_answered(context: Any, database: str) -> None:
-    for name, answer in context.owed:
+    for name, answer in context.unanswered:
         if name == database:
             answer.set_result(Reply(rows=[]))
     context.stage.advance(for_us=0)
@@ -52,7 +52,7 @@
 
 @when('the links of "{database}" are lost')
 def when_lost(context: Any, database: str) -> None:
-    for name, answer in context.owed:
+    for name, answer in context.unanswered:
         if name == database:
             answer.set_exception(ConnectionResetError("lost"))
     context.stage.advance(for_us=0)
@@ -65,17 +65,17 @@
 
 @when('what "{database}" has owed for {count:d} ms is given up')
 def when_given_up(context: Any, database: str, count: int) -> None:
-    context.under_way.give_up(databases=frozenset([database]), owed_us=count * 1_000)
+    context.in_flight.abandon(databases=frozenset([database]), older_than_us=count * 1_000)
 
 
 @when("what every database has owed for {count:d} ms is given up")
 def when_all_given_up(context: Any, count: int) -> None:
-    context.under_way.give_up(databases=None, owed_us=count * 1_000)
+    context.in_flight.abandon(databases=None, older_than_us=count * 1_000)
 
 
 @then('of "{database}" anything may land: {answer}')
 def then_may(context: Any, database: str, answer: str) -> None:
-    assert context.under_way.may_land(database=database, within_us=WITHIN_US) == (answer == "yes")
+    assert context.in_flight.may_land(database=database, within_us=WITHIN_US) == (answer == "yes")
 
 
 @then('the links that were closed are "{names}"')
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -18,7 +18,7 @@
 from cinderstair.membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
 from cinderstair.pooler.relayed_view import RelayedView
 from cinderstair.pooler.reply import Reply, State
-from cinderstair.pooler.statement import Statement, Verb
+from cinderstair.pooler.statement import PreparedStatement, Statement, Verb
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.no_disk import NoDisk
@@ -212,7 +212,7 @@
         self.number = len(backend.links) + 1
         backend.links.append(self)
         self.values: dict[bytes, bytes] = {}
-        self.prepared: dict[bytes, tuple[bytes, bool]] = {}
+        self.prepared: dict[bytes, PreparedStatement] = {}
         self.on_lost: Callable[[], None] | None = None
         self.open = True
         self.owed: list[asyncio.Future[Reply]] = []
@@ -311,7 +311,7 @@
         self._note("clear")
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        self.prepared[alias] = (shape, writes)
+        self.prepared[alias] = PreparedStatement(shape, writes)
         self._note(f"prepare {alias.decode()} {'PUT' if writes else 'FETCH'} {shape.decode()}")
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -1,4 +1,4 @@
-"""A link that stands in for one that another proxy holds."""
+"""A link that forwards its statements to another proxy, which has a connection to the backend."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,16 +9,20 @@
 from ..runtime.position import Position
 from .forward_record import ForwardQuestion, ForwardStep, Outcome
 from .reply import Reply, State
-from .statement import Statement, Verb
+from .statement import PreparedStatement, Statement, Verb
 
 if TYPE_CHECKING:
     from .forwarder import Forwarder
 
+NOT_PREPARED = PreparedStatement(b"", False)
+
 
 class ForwardedLink:
-    """The product's Link. Values and shapes travel with each statement; a transaction has a channel at the holder.
+    """Implements `Link`. Values and prepared statements travel with each statement.
 
-    It serves one statement or one transaction, and is closed after it.
+    It serves one statement or one transaction, and is closed after it. `base` holds the fields that all its questions
+    share; `limit_us`: for how long after a question anything of it may reach the backend. `begun`: a transaction may
+    be open at the other proxy. `sent_us`: when each unanswered statement was sent.
     """
 
     def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardQuestion, limit_us: int) -> None:
@@ -27,20 +31,20 @@
         self.base = base
         self.limit_us = limit_us
         self.values: dict[bytes, bytes] = {}
-        self.prepared: dict[bytes, tuple[bytes, bool]] = {}
+        self.prepared: dict[bytes, PreparedStatement] = {}
         self.on_lost: Callable[[], None] | None = None
         self.open = True
         self.state = State.idle
         self.begun = False
-        self.owed: dict[asyncio.Future[Reply], int] = {}
+        self.sent_us: dict[asyncio.Future[Reply], int] = {}
 
     @property
     def waiting(self) -> int:
-        return len(self.owed)
+        return len(self.sent_us)
 
     @property
     def owed_us(self) -> int:
-        return self.forwarder.ctx.now_us() - min(self.owed.values()) if self.owed else 0
+        return self.forwarder.ctx.now_us() - min(self.sent_us.values()) if self.sent_us else 0
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
         self.values[name] = value
@@ -49,13 +53,13 @@
         self.values, self.prepared = {}, {}
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        self.prepared[alias] = (shape, writes)
+        self.prepared[alias] = PreparedStatement(shape, writes)
 
     def send(
         self, *, statement: Statement, at_least: Position | None = None, alias: bytes = b""
     ) -> asyncio.Future[Reply]:
-        shape, writes = self.prepared.get(alias, (b"", False))
-        # why: whether it writes decides at the holder where it may go, so an execute carries it too
+        shape, writes = self.prepared.get(alias, NOT_PREPARED)
+        # The other proxy decides by `writes` where the statement may go, so an execute carries it too.
         writes = writes if statement.verb == Verb.execute else statement.verb == Verb.write
         question = replace(
             self.base,
@@ -70,7 +74,7 @@
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         self.begun = True
         self.base = replace(self.base, read_only=read_only)
-        self.forwarder.connections[self.base.connection] = self
+        self.forwarder.transactions[self.base.connection] = self
         question = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
         return self._ask(question=question)
 
@@ -86,13 +90,13 @@
             future.set_exception(ConnectionResetError("the link is lost"))
             return future
         ctx = self.forwarder.ctx
-        self.owed[future] = ctx.now_us()
+        self.sent_us[future] = ctx.now_us()
         ctx.spawn(work=self._answer(question=question, future=future), name="forward")
         return future
 
     async def _answer(self, *, question: ForwardQuestion, future: asyncio.Future[Reply]) -> None:
         result = await self.forwarder.ask(address=self.address, question=question, limit_us=self.limit_us)
-        self.owed.pop(future, None)
+        self.sent_us.pop(future, None)
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
             reply = result.ok.reply
@@ -112,20 +116,20 @@
         self._ended()
         if not future.done():
             future.set_exception(ConnectionResetError("the link is lost"))
-            # why: some answers are awaited by nobody, and their loss is no error of its own
+            # The exception is retrieved so that asyncio does not report an answer that nobody awaits.
             future.exception()
 
     def _ended(self) -> None:
         self.begun = False
-        self.forwarder.connections.pop(self.base.connection, None)
+        self.forwarder.transactions.pop(self.base.connection, None)
 
     def lose(self) -> None:
-        """The holder knows nothing of it any more."""
+        """The other proxy has no such transaction any more."""
         self.open = False
         self._ended()
 
     def close(self) -> None:
-        """What is under way at the holder is broken off; a transaction that is open there is rolled back."""
+        """Has the other proxy roll back a transaction that is open there; running statements are interrupted."""
         if self.begun and self.open:
             question = replace(self.base, step=ForwardStep.close)
             ctx = self.forwarder.ctx
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -1,4 +1,4 @@
-"""Passes statements on to proxies that hold links to a backend, where this one holds none."""
+"""Forwards statements to proxies that have links to a backend, where this one has none."""
 
 from dataclasses import dataclass, replace
 from typing import NamedTuple
@@ -12,20 +12,25 @@
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
 from .forwarded_link import ForwardedLink
 
-JOIN_REQUEST_WAIT_US = 250_000
-# why: what is in the answerer's clock may have drifted from ours since; so little that this is far more
-CLOCK_FOR_US = 10_000_000
+HANDSHAKE_WAIT_US = 250_000
+MAX_PROXIES_TRIED = 3
+# Two clocks drift apart by far less than CLOCK_MARGIN_US in this time.
+CLOCK_VALID_US = 10_000_000
 CLOCK_MARGIN_US = 3_000
-AWAY_US, AWAY_MOST_US = 1_000_000, 8_000_000
-LEAVING_US = 10_000_000
-SILENT_US = 400_000
-KEEP_EVERY_US = 700_000
-KEEP_WAIT_US = 500_000
-ANSWER_US = 20_000
+MIN_AVOID_US = 1_000_000
+MAX_AVOID_US = 8_000_000
+# Bounds the shift of the time for which a proxy is avoided; the maximum is reached by then.
+MAX_AVOID_DOUBLINGS = 3
+DRAINING_AVOID_US = 10_000_000
+SILENCE_US = 400_000
+KEEP_ALIVE_INTERVAL_US = 700_000
+KEEP_ALIVE_WAIT_US = 500_000
+# The answer travels after the other proxy's time limit.
+ANSWER_TRAVEL_US = 20_000
 
 
 class PeerProxy(NamedTuple):
-    """A proxy that holds links, and how near it is."""
+    """Another proxy that has links to a backend, and its distance; smaller is nearer."""
 
     distance: int
     name: str
@@ -34,41 +39,51 @@
 
 @dataclass(kw_only=True)
 class PeerState:
-    """What is known of another proxy that has links. `ahead_us`: its clock is ahead of ours by this at the least."""
+    """What is known of another proxy. All times but `ahead_us` are moments by this proxy's clock.
+
+    `life`: the number of its present run; 0 before the handshake. `ahead_us`: its clock is ahead of this proxy's by
+    at least this. `unanswered`: how many questions wait for its answer; since `silent_since_us` it has answered none
+    (0: none waits). It is avoided until `avoid_until_us`, and until `draining_until_us` since it drains.
+    """
 
     life: int = 0
     ahead_us: int = 0
-    heard_us: int = 0
-    away_until_us: int = 0
-    leaving_until_us: int = 0
+    clock_read_us: int = 0
+    avoid_until_us: int = 0
+    draining_until_us: int = 0
     failures: int = 0
-    under_way: int = 0
+    unanswered: int = 0
     silent_since_us: int = 0
 
-    def away(self, *, now_us: int) -> bool:
-        return max(self.away_until_us, self.leaving_until_us) > now_us
+    def avoided(self, *, now_us: int) -> bool:
+        """Whether other proxies should be preferred now."""
+        return max(self.avoid_until_us, self.draining_until_us) > now_us
 
 
 class Forwarder:
-    """Each question is sent once. Nothing of it reaches a backend after the time that the asker gave."""
+    """Each question is sent once. Nothing of it reaches a backend after the time that this proxy set.
+
+    `transactions`: the links on which a transaction is open at another proxy, by its number.
+    """
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
-        self.peer_states: dict[str, PeerState] = {}
-        self.connections: dict[int, ForwardedLink] = {}
-        self.number = 0
-        self.kept_us = 0
+        self.peers: dict[str, PeerState] = {}
+        self.transactions: dict[int, ForwardedLink] = {}
+        self.last_number = 0
+        self.kept_alive_us = 0
 
     def peer(self, *, address: str) -> PeerState:
-        return self.peer_states.setdefault(address, PeerState())
+        """What is known of the proxy at an address."""
+        return self.peers.setdefault(address, PeerState())
 
     def _order(self, *, peer_proxies: tuple[PeerProxy, ...]) -> list[PeerProxy]:
-        """Nearest first; those that lately did not answer or are leaving last."""
+        """Nearest first; those that did not answer lately or are draining last."""
         now_us = self.ctx.now_us()
 
         def cost(peer_proxy: PeerProxy) -> tuple[bool, int, int, float]:
             peer = self.peer(address=peer_proxy.address)
-            return peer.away(now_us=now_us), peer_proxy.distance, peer.under_way, self.ctx.rng.random()
+            return peer.avoided(now_us=now_us), peer_proxy.distance, peer.unanswered, self.ctx.rng.random()
 
         return sorted(peer_proxies, key=cost)
 
@@ -82,45 +97,55 @@
         rank: int,
         until_us: int,
     ) -> Result[ForwardedLink, CinderstairError]:
-        """A link that stands in for one of another proxy's; nothing is sent to that proxy yet."""
-        for peer_proxy in self._order(peer_proxies=peer_proxies)[:3]:
+        """A link that forwards to another proxy; that proxy hears nothing of it before its first statement.
+
+        :param until_us: the moment, by this proxy's clock, after which nothing may reach the backend.
+        Errors: NO_BACKEND where no proxy answers.
+        """
+        for peer_proxy in self._order(peer_proxies=peer_proxies)[:MAX_PROXIES_TRIED]:
             peer = self.peer(address=peer_proxy.address)
-            if not peer.life or self.ctx.now_us() - peer.heard_us > CLOCK_FOR_US:
-                await self._handshake(peer_proxy=peer_proxy, until_us=until_us)
-            if peer.life and not peer.away(now_us=self.ctx.now_us()):
-                self.number += 1
-                base = ForwardQuestion(
-                    asker=self.ctx.name,
-                    step=ForwardStep.single,
-                    connection=self.number,
-                    backend=backend,
-                    service=service,
-                    database=database,
-                    rank=rank,
-                )
-                limit_us = max(1, until_us - self.ctx.now_us())
-                return Ok(ForwardedLink(forwarder=self, address=peer_proxy.address, base=base, limit_us=limit_us))
+            if not peer.life or self.ctx.now_us() - peer.clock_read_us > CLOCK_VALID_US:
+                await self._handshake(address=peer_proxy.address, until_us=until_us)
+            if not peer.life or peer.avoided(now_us=self.ctx.now_us()):
+                continue
+            self.last_number += 1
+            base = ForwardQuestion(
+                asker=self.ctx.name,
+                step=ForwardStep.single,
+                connection=self.last_number,
+                backend=backend,
+                service=service,
+                database=database,
+                rank=rank,
+            )
+            limit_us = max(1, until_us - self.ctx.now_us())
+            return Ok(ForwardedLink(forwarder=self, address=peer_proxy.address, base=base, limit_us=limit_us))
         return Error(
             CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"no proxy that holds links to {backend} answers")
         )
 
-    async def _handshake(self, *, peer_proxy: PeerProxy, until_us: int) -> None:
-        wait_us = min(JOIN_REQUEST_WAIT_US, until_us - self.ctx.now_us())
+    async def _handshake(self, *, address: str, until_us: int) -> None:
+        """Reads the other proxy's clock and the number of its run."""
+        wait_us = min(HANDSHAKE_WAIT_US, until_us - self.ctx.now_us())
         question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
-        await self._ask(address=peer_proxy.address, question=question, wait_us=max(1, wait_us))
+        await self._ask(address=address, question=question, wait_us=max(1, wait_us))
 
     async def ask(
         self, *, address: str, question: ForwardQuestion, limit_us: int
     ) -> Result[ForwardAnswer, CinderstairError]:
-        """Errors: wireUnsent where nothing was sent at all, wireUnsure where nobody knows."""
+        """Sends a question.
+
+        :param limit_us: for how long from now on anything may reach the backend.
+        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where that is unknown.
+        """
         peer = self.peer(address=address)
         if not peer.life:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
-        # why: its clock was ahead by this at the least, so by its clock the time is up no later than by ours
+        # Its clock is ahead by at least `ahead_us`, so by its clock the limit ends no later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(question, life=peer.life, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
-        return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_US)
+        return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_TRAVEL_US)
 
     async def _ask(
         self, *, address: str, question: ForwardQuestion, wait_us: int
@@ -128,12 +153,12 @@
         peer, requested_us = self.peer(address=address), self.ctx.now_us()
         body = Packer().u8(value=FORWARD).bytes() + question.bytes()
         peer.silent_since_us = peer.silent_since_us or requested_us
-        peer.under_way += 1
+        peer.unanswered += 1
         try:
             result = await self.ctx.net.request(address=address, body=body, wait_us=wait_us)
         finally:
-            peer.under_way -= 1
-            if not peer.under_way:
+            peer.unanswered -= 1
+            if not peer.unanswered:
                 peer.silent_since_us = 0
         if result.is_error():
             self.ctx.counters.add(name="forward.unanswered")
@@ -144,49 +169,53 @@
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
-        self._heard(peer=peer, answer=answer)
+        self._record_answer(peer=peer, answer=answer)
         return Ok(answer)
 
-    def _heard(self, *, peer: PeerState, answer: ForwardAnswer) -> None:
+    def _record_answer(self, *, peer: PeerState, answer: ForwardAnswer) -> None:
         now_us = self.ctx.now_us()
-        peer.silent_since_us = now_us if peer.under_way else 0
-        # why: its clock stood there before the answer reached us, so it is ahead by no less than this
+        peer.silent_since_us = now_us if peer.unanswered else 0
+        # Its clock showed `answer.now_us` before the answer arrived here, so it is ahead by no less than this.
         ahead_us = answer.now_us - now_us
-        if answer.life != peer.life or now_us - peer.heard_us > CLOCK_FOR_US // 2 or ahead_us > peer.ahead_us:
-            peer.life, peer.ahead_us, peer.heard_us = answer.life, ahead_us, now_us
-        peer.failures, peer.away_until_us = 0, 0
+        outdated = now_us - peer.clock_read_us > CLOCK_VALID_US // 2
+        if answer.life != peer.life or outdated or ahead_us > peer.ahead_us:
+            peer.life, peer.ahead_us, peer.clock_read_us = answer.life, ahead_us, now_us
+        peer.failures, peer.avoid_until_us = 0, 0
         if answer.reply.fault == ErrorCode.DRAINING:
-            peer.leaving_until_us = now_us + LEAVING_US
+            peer.draining_until_us = now_us + DRAINING_AVOID_US
 
     def lost(self, *, address: str) -> None:
+        """Notes that a proxy gave no answer."""
         peer = self.peer(address=address)
-        # why: it may have begun anew, with another clock, so it is greeted before it is asked anything
+        # It may have restarted, with another clock, so a handshake precedes the next question.
         peer.life = 0
-        # why: one that is gone for long must not cost each asker a wait again and again
-        peer.away_until_us = self.ctx.now_us() + min(AWAY_MOST_US, AWAY_US << min(peer.failures, 3))
+        # A proxy that is gone for long must not cost each statement a wait again and again.
+        avoid_us = min(MAX_AVOID_US, MIN_AVOID_US << min(peer.failures, MAX_AVOID_DOUBLINGS))
+        peer.avoid_until_us = self.ctx.now_us() + avoid_us
         peer.failures += 1
 
-    def tend(self) -> None:
-        """Now and then: proxies that are silent are avoided; idle transactions are kept alive."""
+    def on_timer(self) -> None:
+        """Avoids proxies that are silent, and keeps idle transactions alive at the others."""
         now_us = self.ctx.now_us()
-        for peer in self.peer_states.values():
-            if peer.under_way and peer.silent_since_us and now_us - peer.silent_since_us > SILENT_US:
-                peer.away_until_us = max(peer.away_until_us, now_us + AWAY_US)
-        if now_us - self.kept_us < KEEP_EVERY_US or not self.connections:
+        for peer in self.peers.values():
+            if peer.unanswered and peer.silent_since_us and now_us - peer.silent_since_us > SILENCE_US:
+                peer.avoid_until_us = max(peer.avoid_until_us, now_us + MIN_AVOID_US)
+        if now_us - self.kept_alive_us < KEEP_ALIVE_INTERVAL_US or not self.transactions:
             return
-        self.kept_us = now_us
+        self.kept_alive_us = now_us
         by_address: dict[str, list[int]] = {}
-        for number, link in self.connections.items():
+        for number, link in self.transactions.items():
             by_address.setdefault(link.address, []).append(number)
         for address, numbers in by_address.items():
-            self.ctx.spawn(work=self._keep(address=address, numbers=tuple(numbers)), name="forward.keep")
+            self.ctx.spawn(work=self._keep_alive(address=address, numbers=tuple(numbers)), name="forward.keep")
 
-    async def _keep(self, *, address: str, numbers: tuple[int, ...]) -> None:
+    async def _keep_alive(self, *, address: str, numbers: tuple[int, ...]) -> None:
         question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.keep, connections=numbers)
-        result = await self.ask(address=address, question=question, limit_us=KEEP_WAIT_US)
-        if result.is_ok():
-            for number in result.ok.unknown:
-                link = self.connections.get(number)
-                # why: one that is just being opened is not known there yet
-                if link is not None and not link.waiting:
-                    link.lose()
+        result = await self.ask(address=address, question=question, limit_us=KEEP_ALIVE_WAIT_US)
+        if result.is_error():
+            return
+        for number in result.ok.unknown:
+            link = self.transactions.get(number)
+            # A transaction that is just being begun is not known there yet.
+            if link is not None and not link.waiting:
+                link.lose()
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -86,8 +86,8 @@
     def _tend(self) -> None:
         self.router.on_timer()
         self.place.tend()
-        self.forwarder.tend()
-        self.forwards.tend()
+        self.forwarder.on_timer()
+        self.forwards.on_timer()
         if self.ready != self.reported_ready:
             self.reported_ready = self.ready
             self.ctx.log.info("ready" if self.ready else "not ready")
--- a/src/cinderstair/pooler/session_base.py
+++ b/src/cinderstair/pooler/session_base.py
@@ -108,7 +108,7 @@
             alias = ensure_prepared(router=self.router, link=link, prepared=self.prepared[statement.name])
         reply = link.send(statement=statement, at_least=at_least, alias=alias)
         if self._takes_effect(statement=statement):
-            self.router.shards.under_way.sent(database=self.database, link=link, answer=reply)
+            self.router.shards.in_flight.sent(database=self.database, link=link, answer=reply)
         return reply
 
     def _takes_effect(self, *, statement: Statement) -> bool:
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -26,7 +26,7 @@
         self.ctx = ctx
         self.view = view
         self.open_ = open_
-        self.under_way = InFlightWrites(ctx=ctx)
+        self.in_flight = InFlightWrites(ctx=ctx)
         self.held = ShardState()
         self.heard_us = 0
         self.moved_us: dict[str, int] = {}
@@ -46,13 +46,13 @@
         await self.ctx.sleep(duration_us=GIVE_UP_US)
         word = self.view.shards
         if word.turn == turn and word.phase == ShardPhase.closing:
-            self.under_way.give_up(databases=self._moving(), owed_us=GIVE_UP_US)
+            self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
 
     def look(self) -> None:
         """Takes the register's word over, if it is agreed with here; once the view lapses, gives up what is owed."""
         # why: a map may be closing and nobody here is told, and what was sent in time must not arrive out of time
         if self.ctx.now_us() >= self.view.as_of_us + LEASE_US:
-            self.under_way.give_up(databases=None, owed_us=OWED_US)
+            self.in_flight.abandon(databases=None, older_than_us=OWED_US)
         word = self.view.shards
         if word.current.version == self.held.current.version:
             self.held = word
@@ -93,7 +93,7 @@
     def _busy(self) -> bool:
         """Whether anything may still land at the moving databases' old places."""
         moving, within_us = self._moving(), self.view.shards.under_way_us
-        if any(self.under_way.may_land(database=database, within_us=within_us) for database in moving):
+        if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
             return True
         return self.ctx.now_us() - self.heard_us < DRAIN_US and self.open_(moving)
 
--- a/src/cinderstair/simulation/capacity/hollow_link.py
+++ b/src/cinderstair/simulation/capacity/hollow_link.py
@@ -8,7 +8,7 @@
 from ...membership.announcement import Announcement
 from ...pooler.link import Link
 from ...pooler.reply import Reply, State
-from ...pooler.statement import Statement, Verb
+from ...pooler.statement import PreparedStatement, Statement, Verb
 from ...runtime.errors import CinderstairError
 from ...runtime.position import Position
 
@@ -22,7 +22,7 @@
 
     def __init__(self, *, term: int = 1) -> None:
         self.values: dict[bytes, bytes] = {}
-        self.prepared: dict[bytes, tuple[bytes, bool]] = {}
+        self.prepared: dict[bytes, PreparedStatement] = {}
         self.on_lost: Callable[[], None] | None = None
         self.state = State.idle
         self.term = term
@@ -65,7 +65,7 @@
         self.values, self.prepared = {}, {}
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        self.prepared[alias] = (shape, writes)
+        self.prepared[alias] = PreparedStatement(shape, writes)
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         self.state = State.open
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -6,6 +6,7 @@
 from expression import Error, Ok
 
 from ...pooler import forward_server, link_limits
+from ...pooler.forward_checks import refused
 from ...pooler.forward_record import Outcome
 from ...pooler.forward_server import ForwardServer
 from ...runtime.errors import CinderstairError, ErrorCode
@@ -30,7 +31,7 @@
     async def promised(self: Any, *, question: Any) -> Any:
         outcome, reply = await single(self, question=question)
         return (
-            self._refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
+            refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
             if outcome == Outcome.lost
             else (outcome, reply)
         )
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -41,7 +41,7 @@
     """What has left and is not answered is waited for by no more than a route's time limit, and its link kept."""
     return [
         patch.object(InFlightWrites, "may_land", lambda self, *, database, within_us: False),
-        patch.object(InFlightWrites, "give_up", lambda self, *, databases, owed_us: None),
+        patch.object(InFlightWrites, "abandon", lambda self, *, databases, older_than_us: None),
         patch.object(ShardMapCoordinator, "outwait_us", property(lambda self: 2_600_000)),
     ]
 
