--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -30,9 +30,10 @@
 from cinderstair.membership.relay_record import RelayAnswer, RelayedValue
 from cinderstair.pooler.forwarder import Forwarder
 from cinderstair.pooler.link_allocation import Location, allocate_links
+from cinderstair.pooler.link_limits import CONTROL_LINKS
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import State
-from cinderstair.pooler.router import CONTROL_LINKS, Router
+from cinderstair.pooler.router import Router
 from cinderstair.pooler.session import Session
 
 
@@ -249,7 +250,7 @@
 
 @then('the surely leading primary is "{name}"')
 def then_led(context: Any, name: str) -> None:
-    led = context.router.may_lead(service="s")
+    led = context.router.confirmed_primary(service="s")
     found = led.ok.backend.name if led.is_ok() else led.error.code.value
     assert found == name, found
 
@@ -257,7 +258,9 @@
 @then('a guarded read of {sort} routes with {age_ms:d} ms of age, whose session is at {own}, needs "{at}"')
 def then_guard(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms)
-    found = context.router.guard(route=made, arrived_us=context.stage.now_us, own=position(text=own))
+    found = context.router.required_position(
+        route=made, arrived_us=context.stage.now_us, own_position=position(text=own)
+    )
     text = shown(at=found.ok) if found.is_ok() else found.error.code.value
     assert text == at, text
 
@@ -276,7 +279,7 @@
 
 @when('"{name}" is in trouble')
 def when_trouble(context: Any, name: str) -> None:
-    context.stage.call(call=context.router.pools[name].blame)
+    context.stage.call(call=context.router.pools[name].report_trouble)
 
 
 @given("backends have {drain_ms:d} ms to empty")
@@ -287,7 +290,7 @@
 @when("the router tends for {wait_ms:d} ms")
 def when_tends(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 100):
-        context.stage.call(call=context.router.tend)
+        context.stage.call(call=context.router.on_timer)
         context.stage.advance(for_us=100_000)
 
 
@@ -343,7 +346,7 @@
 def kept_by_proxy(*, context: Any, cap: int, proxies: int, allocated: int) -> list[list[str]]:
     proxy_limits(context=context, cap=cap, proxies=proxies, allocated=allocated)
     return [
-        [name for name, pool in router.pools.items() if not pool.lent and name != context.primary]
+        [name for name, pool in router.pools.items() if not pool.on_demand and name != context.primary]
         for router in context.routers
     ]
 
@@ -358,7 +361,7 @@
     for name in context.names:
         count = sum(name in names for names in found)
         assert count <= most and count <= cap - CONTROL_LINKS, (name, count)
-    assert all(router.pools[context.primary].lent for router in context.routers)
+    assert all(router.pools[context.primary].on_demand for router in context.routers)
 
 
 @then("with {cap:d} links for each backend and {proxies:d} proxies one without an id keeps links to {kept:d} copies")
@@ -395,14 +398,14 @@
         holding = {name for name in names if pools[name][backend].limit}
         assert sum(pools[name][backend].limit for name in names) == room
         for name in names:
-            known = {holder.name for holder in pools[name][backend].holders}
+            known = {peer_proxy.name for peer_proxy in pools[name][backend].peer_proxies}
             assert known == holding - {name}, (name, known)
 
 
 @given('a proxy that can be reached, one of {count:d} before "a", which takes {room:d} links')
 def given_reachable(context: Any, count: int, room: int) -> None:
     stage = context.stage = Stage(context=context)
-    context.room = room
+    context.cap = room
     context.reported = ReportedView(stage=stage)
     context.router = Router(
         ctx=stage.ctx, view=context.reported.view, dialer=FakeDialer(backends={}), distance=lambda site: 0
@@ -425,7 +428,7 @@
 def own_part(*, context: Any, names: list[str]) -> int:
     location = Location(SITE, SITE)
     proxies = [(n, location) for n, _ in enumerate(names)]
-    allocated = allocate_links(proxies=proxies, backend="a", location=location, room=context.room)
+    allocated = allocate_links(proxies=proxies, backend="a", location=location, cap=context.cap)
     return allocated.get(names.index("booth-1"), 0) if "booth-1" in names else 0
 
 
@@ -468,7 +471,7 @@
 @given("no table of places")
 def given_no_places(context: Any) -> None:
     context.reported.tell(values={PROXY_ADDRESSES_KEY: ProxyAddresses().bytes()})
-    context.stage.call(call=lambda: context.router.pools["a"].allow(limit=0))
+    context.stage.call(call=lambda: context.router.pools["a"].set_limit(limit=0))
 
 
 @when("the client vanishes")
@@ -478,14 +481,14 @@
 
 @when("the proxy ends transactions that rest for more than {limit_ms:d} ms")
 def when_rest_limit(context: Any, limit_ms: int) -> None:
-    context.stage.call(call=lambda: context.session.rest_too_long(limit_us=limit_ms * 1_000))
+    context.stage.call(call=lambda: context.session.end_idle_transaction(limit_us=limit_ms * 1_000))
     context.stage.advance(for_us=10_000)
 
 
 @then("every link is given back")
 def then_given_back(context: Any) -> None:
     context.stage.advance(for_us=5_000_000)
-    left = {name: len(pool.taken) for name, pool in context.router.pools.items() if pool.taken}
+    left = {name: len(pool.borrowed) for name, pool in context.router.pools.items() if pool.borrowed}
     assert not left, left
 
 
@@ -517,11 +520,11 @@
             await asyncio.sleep(5)
 
         context.stage.run(work=vanish())
-        taken = sum(len(pool.taken) for pool in context.router.pools.values())
+        taken = sum(len(pool.borrowed) for pool in context.router.pools.values())
         if taken:
             left.append((turns, taken))
             for pool in context.router.pools.values():
-                for link, _ in list(pool.taken.values()):
+                for link, _ in list(pool.borrowed.values()):
                     context.stage.call(call=lambda pool=pool, link=link: pool.release(link=link, keep=False))
     assert not left, f"links still taken by (turns, links): {left}"
 
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -13,7 +13,8 @@
 from .forwarder import Forwarder
 from .link import Dialer
 from .relayed_view import RelayedView
-from .router import DRAIN_US, Router
+from .router import Router
+from .router_base import DRAIN_US
 from .session import Session
 
 TEND_US = 200_000
@@ -70,7 +71,7 @@
 
     def _open(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write stands open at any of these databases' places."""
-        own = any(session.holds_open for session in self.sessions if session.database in databases)
+        own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
         return own or self.forwards.writing(databases=databases)
 
     @property
@@ -83,10 +84,10 @@
         return known and not self.draining and not self.view.alone_us
 
     def _tend(self) -> None:
-        self.router.tend()
+        self.router.on_timer()
         self.place.tend()
-        self.forwarder.tend()
-        self.forwards.tend()
+        self.forwarder.on_timer()
+        self.forwards.on_timer()
         if self.ready != self.reported_ready:
             self.reported_ready = self.ready
             self.ctx.log.info("ready" if self.ready else "not ready")
@@ -94,7 +95,7 @@
         if plan is None or not plan.rest_limit_us:
             return
         for session in self.sessions:
-            session.rest_too_long(limit_us=plan.rest_limit_us)
+            session.end_idle_transaction(limit_us=plan.rest_limit_us)
 
     def open(self, *, database: str) -> Session:
         session = Session(ctx=self.ctx, router=self.router, database=database)
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -85,14 +85,14 @@
 
 def any_values() -> Patches:
     """A link is not brought up to a session's values."""
-    return [patch.object(Session, "_level", lambda self, *, link: None)]
+    return [patch.object(Session, "_replay_values", lambda self, *, link: None)]
 
 
 def shared_links() -> Patches:
     """A link that serves one session is given to others as well."""
 
     def pick(self: Any, *, values: Any) -> Any:
-        links = [link for link, _ in self.taken.values() if link.open] or [link for link in self.idle if link.open]
+        links = [link for link, _ in self.borrowed.values() if link.open] or [link for link in self.idle if link.open]
         return links[0] if links else None
 
     return [patch.object(LinkPool, "_pick", pick)]
@@ -152,12 +152,12 @@
 
 def own_forgotten() -> Patches:
     """A session's own commits are not asked for."""
-    guard = Router.guard
+    required_position = Router.required_position
 
-    def without(self: Any, *, route: Any, arrived_us: int, own: Any) -> Any:
-        return guard(self, route=route, arrived_us=arrived_us, own=None)
+    def without(self: Any, *, route: Any, arrived_us: int, own_position: Any) -> Any:
+        return required_position(self, route=route, arrived_us=arrived_us, own_position=None)
 
-    return [patch.object(Router, "guard", without)]
+    return [patch.object(Router, "required_position", without)]
 
 
 def worst_replica() -> Patches:
@@ -184,7 +184,7 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend that says it is leaving gets as much as before."""
-    return [patch.object(Router, "_obey", lambda self, *, name, leads: None)]
+    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, leads: None)]
 
 
 def first_plan_forever() -> Patches:
