--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -14,7 +14,7 @@
 from cinderstair.membership.heartbeat_table import HeartbeatTable
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
-from cinderstair.runtime.message_types import ANNOUNCE, HEARTBEATS
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 
@@ -34,10 +34,10 @@
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         if address not in self.reached:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="cut off"))
-        if body[0] == ANNOUNCE:
+        if body[0] == MessageType.ANNOUNCE:
             self.reported.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
             return Ok(b"\0")
-        if body[0] == HEARTBEATS:
+        if body[0] == MessageType.HEARTBEATS:
             return Ok(self._news(address=address))
         return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no such desk"))
 
@@ -119,9 +119,9 @@
 
 @when("another daemon tells that srv-1 is {state}")
 def when_reported(context: Any, state: str) -> None:
-    packer = Packer().u8(value=ANNOUNCE)
+    packer = Packer().u8(value=MessageType.ANNOUNCE)
     word(state=state).write(packer=packer)
-    context.stage.run(work=context.dispatcher.handlers[ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
+    context.stage.run(work=context.dispatcher.handlers[MessageType.ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
 
 
 @then("the announcement is {words}")
--- a/features/steps/dispatcher_steps.py
+++ b/features/steps/dispatcher_steps.py
@@ -6,7 +6,7 @@
 from stage import Stage
 
 from cinderstair.runtime.dispatcher import Dispatcher
-from cinderstair.runtime.message_types import HEARTBEATS, PROBE
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.unpacker import Unpacker
 
 
@@ -18,16 +18,16 @@
     async def answer(unpacker: Unpacker) -> bytes:
         return bytes(30)
 
-    context.dispatcher.add_handler(message_type=HEARTBEATS, handler=answer)
+    context.dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=answer)
 
 
 @when("it is asked for heartbeats with 10 bytes, twice, and once for what it does not know")
 def when_asked(context: Any) -> None:
     async def ask() -> None:
         for _ in range(2):
-            await context.dispatcher.answer(bytes([HEARTBEATS]) + bytes(9))
+            await context.dispatcher.answer(bytes([MessageType.HEARTBEATS]) + bytes(9))
         try:
-            await context.dispatcher.answer(bytes([PROBE]))
+            await context.dispatcher.answer(bytes([MessageType.PROBE]))
         except ValueError:
             return
         raise AssertionError("it answered what it does not know")
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -22,7 +22,7 @@
 from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.http_request import HttpRequest
 from cinderstair.runtime.http_response import HttpResponse
-from cinderstair.runtime.message_types import FORWARD
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.real_net import RealNet
 from cinderstair.runtime.traces import Traces
@@ -291,7 +291,7 @@
         ForwardQuestion(asker="booth-1", step=ForwardStep.single, life=1, backend="a", statement=fetch),
         lost_question(context=context),
     ):
-        body = Packer().u8(value=FORWARD).bytes() + question.bytes()
+        body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
         context.stage.run(work=context.net.dispatcher.answer(body))
     return [name for name in sorted(ctx.counters.snapshot()) if name.startswith("forward.")]
 
--- a/features/steps/peer_client_steps.py
+++ b/features/steps/peer_client_steps.py
@@ -8,7 +8,7 @@
 
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import ErrorCode
-from cinderstair.runtime.message_types import SEEK
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.protocol_versions import WRAPPED, ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
@@ -38,13 +38,13 @@
         unpacker.done()
         return Packer().u8(value=unpacker.version).text(value=word).bytes()
 
-    dispatcher.add_handler(message_type=SEEK, handler=seek)
+    dispatcher.add_handler(message_type=MessageType.SEEK, handler=seek)
     context.world.run(work=ctx.net.listen(address=ADDRESS, answer=dispatcher.answer))
     return dispatcher
 
 
 def ask_again(*, context: Any, times: int) -> None:
-    body = Packer().u8(value=SEEK).text(value="word").bytes()
+    body = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
     for _ in range(times):
         result = context.world.run(
             work=context.asker.peer_client.request(address=ADDRESS, body=body, wait_us=100_000)
@@ -87,7 +87,7 @@
     new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
     dispatcher = open_dispatcher(context=context, name="other-1", versions=versions)
     rng = random.Random(seed)
-    whole = Packer().u8(value=SEEK).text(value="word").bytes()
+    whole = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
     context.fates = {"malformed": 0, "denied": 0, "answered": 0}
     for _ in range(count):
         body = bytes([WRAPPED | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -11,7 +11,7 @@
 from cinderstair.consensus.roster import read_roster, read_voter, write_voter
 from cinderstair.consensus.store import LOG_MOST_BYTES, Store
 from cinderstair.control_plane.status_text import status_text
-from cinderstair.runtime.message_types import JOIN_REQUEST
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.platformsim.platform_trials import run_trial
@@ -329,7 +329,9 @@
     asking, requested = (world.roles[name].controller.register_replica for name in ("standby-0", "guildhall-0"))
     packer = Packer()
     write_voter(packer=packer, voter=asking.me)
-    answer = Unpacker(data=world.run(work=requested.dispatcher.handlers[JOIN_REQUEST](Unpacker(data=packer.bytes()))))
+    answer = Unpacker(
+        data=world.run(work=requested.dispatcher.handlers[MessageType.JOIN_REQUEST](Unpacker(data=packer.bytes())))
+    )
     answer.u8()
     assert read_roster(data=answer.blob()) == requested.roster
     assert answer.many(each=lambda u: read_voter(unpacker=u)) == []
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -16,7 +16,7 @@
 from cinderstair.failover.shard_state import Vote
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
-from cinderstair.runtime.message_types import ANNOUNCE_ADDRESS, PROXIES
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.unpacker import Unpacker
 
@@ -114,7 +114,9 @@
 @given('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
 @when('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
 def when_tells_place(context: Any, proxy: str, where: str, site: str, address: str) -> None:
-    body = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
+    body = (
+        Packer().u8(value=MessageType.ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
+    )
     context.stage.run(work=context.controller_stages[int(where.removeprefix("core-")) - 1].dispatcher.answer(body))
 
 
@@ -175,7 +177,7 @@
         {"a": context.stage.now_us - 7_000},
     )
     context.controller_stages[0].relay.votes["b"] = (4, Vote.agrees)
-    body = Packer().u8(value=PROXIES).bytes()
+    body = Packer().u8(value=MessageType.PROXIES).bytes()
     unpacker = Unpacker(data=context.stage.run(work=context.desks["core-1"].answer(body)))
     found = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Vote(u.u8())))
     word = unpacker.u64(), unpacker.u8()
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -41,37 +41,7 @@
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
-from cinderstair.runtime.message_types import (
-    ACCEPT,
-    ADOPT,
-    ANNOUNCE,
-    ANNOUNCE_ADDRESS,
-    CONTROLLER,
-    FORGET,
-    FORWARD,
-    HANDOVER,
-    HANDSHAKE,
-    HEARTBEATS,
-    JOIN_REQUEST,
-    LEASE,
-    OPINION,
-    PREPARE,
-    PROBE,
-    PROBE_FOR,
-    PROXIES,
-    PROXY_ADDRESSES,
-    READ,
-    RELAY,
-    REPLICA,
-    SEEK,
-    SHARDS,
-    SHARDS_ABANDON,
-    SHARDS_PLAN,
-    SHARDS_PROGRESS,
-    SUSPECT,
-    TOUCH,
-    VECTOR,
-)
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.net import RecordAnswer
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
@@ -249,33 +219,33 @@
 
 
 def read_request(*, key: str) -> bytes:
-    return Packer().u8(value=READ).u32(value=EPOCH).text(value=key).bytes()
+    return Packer().u8(value=MessageType.READ).u32(value=EPOCH).text(value=key).bytes()
 
 
 def lease_request(*, holder: int, length_us: int) -> bytes:
-    packer = Packer().u8(value=LEASE).u32(value=EPOCH).text(value="slots")
+    packer = Packer().u8(value=MessageType.LEASE).u32(value=EPOCH).text(value="slots")
     return packer.u64(value=holder).u64(value=length_us).bytes()
 
 
 def vector_request(*, version: int) -> bytes:
-    packer = Packer().u8(value=VECTOR).u32(value=EPOCH)
+    packer = Packer().u8(value=MessageType.VECTOR).u32(value=EPOCH)
     if version > 1:
         packer.many(values=[(0x99, 5)], each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
     return packer.bytes()
 
 
 def hello_request(*, voter: Voter) -> bytes:
-    packer = Packer().u8(value=JOIN_REQUEST)
+    packer = Packer().u8(value=MessageType.JOIN_REQUEST)
     write_voter(packer=packer, voter=voter)
     return packer.bytes()
 
 
 def adopt_request(*, epoch: int) -> bytes:
-    return Packer().u8(value=ADOPT).blob(value=roster(epoch=epoch).bytes()).bytes()
+    return Packer().u8(value=MessageType.ADOPT).blob(value=roster(epoch=epoch).bytes()).bytes()
 
 
 def parley_request(*, lowest: int, highest: int) -> bytes:
-    return Packer().u8(value=HANDSHAKE).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
+    return Packer().u8(value=MessageType.HANDSHAKE).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
 
 
 def second(data: bytes) -> bytes:
@@ -288,18 +258,25 @@
     asker = Voter(ident=0, name="", address="")
     return [
         Request(name="hello, no voters yet", data=hello_request(voter=roster(epoch=EPOCH).voters[1])),
-        Request(name="prepare, no vote", data=vote_request(kind=PREPARE, key="plan", turn=1, epoch=0)),
+        Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=1, epoch=0)),
         Request(name="adopt", data=adopt_request(epoch=EPOCH)),
         Request(name="adopt an older one, version 2", data=second(adopt_request(epoch=EPOCH - 1))),
-        Request(name="prepare", data=vote_request(kind=PREPARE, key="plan", turn=5)),
-        Request(name="prepare, beaten", data=vote_request(kind=PREPARE, key="plan", turn=4)),
-        Request(name="accept", data=vote_request(kind=ACCEPT, key="plan", turn=5, value=plan().bytes())),
-        Request(name="accept, beaten", data=vote_request(kind=ACCEPT, key="plan", turn=4, value=b"late")),
-        Request(name="prepare, version 2", data=second(vote_request(kind=PREPARE, key="plan", turn=6))),
-        Request(name="prepare, older voters", data=vote_request(kind=PREPARE, key="plan", turn=9, epoch=EPOCH - 1)),
-        Request(name="prepare, newer voters", data=vote_request(kind=PREPARE, key="plan", turn=9, epoch=EPOCH + 1)),
+        Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=5)),
+        Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=4)),
+        Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=5, value=plan().bytes())),
+        Request(name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=4, value=b"late")),
+        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", turn=6))),
+        Request(
+            name="prepare, older voters",
+            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH - 1),
+        ),
         Request(
-            name="accept, version 2", data=second(vote_request(kind=ACCEPT, key="service/alpha", turn=7, value=b"v"))
+            name="prepare, newer voters",
+            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH + 1),
+        ),
+        Request(
+            name="accept, version 2",
+            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", turn=7, value=b"v")),
         ),
         Request(name="read", data=read_request(key="plan")),
         Request(name="read, nothing there", data=read_request(key="slots")),
@@ -326,7 +303,7 @@
 
 
 def news_request(*, known: tuple[tuple[int, int], ...]) -> bytes:
-    packer = Packer().u8(value=HEARTBEATS)
+    packer = Packer().u8(value=MessageType.HEARTBEATS)
     return packer.many(values=known, each=lambda p, e: p.u64(value=e[0]).u64(value=e[1])).bytes()
 
 
@@ -334,30 +311,33 @@
     other = Member(
         name="pooler-1", role="stall", site="near", records="10.2.0.1:7200", http="10.2.0.1:8080", incarnation=5
     )
-    packer = Packer().u8(value=PROBE)
+    packer = Packer().u8(value=MessageType.PROBE)
     return packer.many(values=[other], each=lambda p, each: each.write(packer=p)).bytes()
 
 
 def relay_request(*, vote: Vote) -> bytes:
-    return bytes([RELAY]) + packed(relay_question(vote=vote))
+    return bytes([MessageType.RELAY]) + packed(relay_question(vote=vote))
 
 
 def control_requests() -> list[Request]:
     """Every record that a control daemon answers beside a replica's."""
-    word = bytes([ANNOUNCE]) + packed(announcement(state=READY))
-    bare = {"booths": PROXIES, "places": PROXY_ADDRESSES}
+    word = bytes([MessageType.ANNOUNCE]) + packed(announcement(state=READY))
+    bare = {"booths": MessageType.PROXIES, "places": MessageType.PROXY_ADDRESSES}
     return [
         Request(name="probe", data=probe_request()),
         Request(name="probe, version 2", data=second(probe_request())),
-        Request(name="probe for", data=text_request(kind=PROBE_FOR, texts=(ADDRESS,))),
+        Request(name="probe for", data=text_request(kind=MessageType.PROBE_FOR, texts=(ADDRESS,))),
         Request(name="news, none yet", data=news_request(known=())),
         Request(name="announce", data=second(word)),
         Request(name="news", data=news_request(known=((0x99, 5),))),
-        Request(name="opinion", data=second(text_request(kind=OPINION, texts=("db-1",)))),
-        Request(name="suspect", data=second(text_request(kind=SUSPECT, texts=("db-1",)))),
+        Request(name="opinion", data=second(text_request(kind=MessageType.OPINION, texts=("db-1",)))),
+        Request(name="suspect", data=second(text_request(kind=MessageType.SUSPECT, texts=("db-1",)))),
         Request(name="relay, brief", data=second(relay_request(vote=Vote.silent)), pause_us=LOOK_US),
         Request(name="relay, whole", data=second(relay_request(vote=Vote.agrees))),
-        Request(name="place", data=text_request(kind=ANNOUNCE_ADDRESS, texts=("pooler-1", "near", "10.2.0.1:7200"))),
+        Request(
+            name="place",
+            data=text_request(kind=MessageType.ANNOUNCE_ADDRESS, texts=("pooler-1", "near", "10.2.0.1:7200")),
+        ),
         *(Request(name=name, data=second(bytes([kind]))) for name, kind in bare.items()),
     ]
 
@@ -366,13 +346,16 @@
     """What an operator's tool asks; the answers hold words for people."""
     unreadable = b"no document"
     return [
-        Request(name="status", data=bytes([CONTROLLER])),
-        Request(name="shards, as they stand", data=Packer().u8(value=SHARDS).blob(value=b"").bytes()),
-        Request(name="shards, refused", data=Packer().u8(value=SHARDS).blob(value=unreadable).bytes()),
-        Request(name="shards plan, refused", data=Packer().u8(value=SHARDS_PLAN).blob(value=unreadable).bytes()),
-        Request(name="shards abandon", data=Packer().u8(value=SHARDS_ABANDON).u64(value=2).bytes()),
-        Request(name="shards progress", data=bytes([SHARDS_PROGRESS])),
-        Request(name="shards progress, version 2", data=second(bytes([SHARDS_PROGRESS]))),
+        Request(name="status", data=bytes([MessageType.CONTROLLER])),
+        Request(name="shards, as they stand", data=Packer().u8(value=MessageType.SHARDS).blob(value=b"").bytes()),
+        Request(name="shards, refused", data=Packer().u8(value=MessageType.SHARDS).blob(value=unreadable).bytes()),
+        Request(
+            name="shards plan, refused",
+            data=Packer().u8(value=MessageType.SHARDS_PLAN).blob(value=unreadable).bytes(),
+        ),
+        Request(name="shards abandon", data=Packer().u8(value=MessageType.SHARDS_ABANDON).u64(value=2).bytes()),
+        Request(name="shards progress", data=bytes([MessageType.SHARDS_PROGRESS])),
+        Request(name="shards progress, version 2", data=second(bytes([MessageType.SHARDS_PROGRESS]))),
     ]
 
 
@@ -383,13 +366,13 @@
 
 
 def replica_request(*, ident: str, number: int) -> bytes:
-    head = Packer().u8(value=REPLICA).u64(value=0x31).u64(value=number)
+    head = Packer().u8(value=MessageType.REPLICA).u64(value=0x31).u64(value=number)
     return second(session_record(head=head, version=SECOND_VERSION, ident=ident))
 
 
 def touch_request() -> bytes:
     named = [("pooler-1.00aa", 4), ("pooler-1.00cc", 1)]
-    packer = Packer().u8(value=TOUCH).u64(value=0x31).u64(value=9)
+    packer = Packer().u8(value=MessageType.TOUCH).u64(value=0x31).u64(value=9)
     return second(packer.many(values=named, each=lambda p, e: p.text(value=e[0]).u64(value=e[1])).bytes())
 
 
@@ -397,8 +380,10 @@
     """The same question in both versions: the first has the handle in one text."""
     held = session()
     held.ident = ident
-    first_version = text_request(kind=SEEK, texts=(held.handle,))
-    packer = Packer().u8(value=SEEK).text(value=ident).u64(value=held.tag.edition).text(value=held.tag.mark)
+    first_version = text_request(kind=MessageType.SEEK, texts=(held.handle,))
+    packer = (
+        Packer().u8(value=MessageType.SEEK).text(value=ident).u64(value=held.tag.edition).text(value=held.tag.mark)
+    )
     return [
         Request(name=f"seek {ident}, version 1", data=first_version),
         Request(name=f"seek {ident}, version 2", data=second(packer.bytes())),
@@ -406,8 +391,8 @@
 
 
 def handover_requests(*, ident: str) -> list[Request]:
-    first_version = session_record(head=Packer().u8(value=HANDOVER), version=1, ident=ident)
-    later = session_record(head=Packer().u8(value=HANDOVER), version=SECOND_VERSION, ident=ident)
+    first_version = session_record(head=Packer().u8(value=MessageType.HANDOVER), version=1, ident=ident)
+    later = session_record(head=Packer().u8(value=MessageType.HANDOVER), version=SECOND_VERSION, ident=ident)
     return [
         Request(name=f"handover {ident}, version 1", data=first_version),
         Request(name=f"handover {ident}, version 2", data=second(later)),
@@ -416,7 +401,7 @@
 
 def session_requests() -> list[Request]:
     """Every record about sessions, each answer at least once."""
-    forget = Packer().u8(value=FORGET).u64(value=0x31).text(value="pooler-1.00aa").u64(value=4).bytes()
+    forget = Packer().u8(value=MessageType.FORGET).u64(value=0x31).text(value="pooler-1.00aa").u64(value=4).bytes()
     return [
         Request(name="copy", data=replica_request(ident="pooler-1.00aa", number=1)),
         Request(name="copy, alive here", data=replica_request(ident="pooler-9.00bb", number=2)),
@@ -436,7 +421,9 @@
 def forward_requests() -> list[Request]:
     steps = {"hello": ForwardStep.hello, "single, another life": ForwardStep.single}
     return [
-        Request(name=name, data=second(bytes([FORWARD]) + forward_question(step=step, verb=Verb.read).bytes()))
+        Request(
+            name=name, data=second(bytes([MessageType.FORWARD]) + forward_question(step=step, verb=Verb.read).bytes())
+        )
         for name, step in steps.items()
     ]
 
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -35,7 +35,7 @@
 from cinderstair.failover.shard_state import SHARDS_KEY
 from cinderstair.maintenance.window_states import WINDOWS_KEY
 from cinderstair.runtime.errors import ErrorCode
-from cinderstair.runtime.message_types import KINDS, NAMES, PROBE
+from cinderstair.runtime.message_types import MESSAGE_TYPES_BY_VERSION, MessageType
 from cinderstair.runtime.position import Position
 from cinderstair.runtime.protocol_versions import denial, unwrapped, wrapped
 from cinderstair.runtime.record_transport import HEAD, MAGIC, RECORDS_VERSION, read_frame
@@ -93,9 +93,9 @@
     kept = []
     for request, answer in carried:
         version, body = unwrapped(data=request)
-        if body[0] == PROBE and version in probed:
+        if body[0] == MessageType.PROBE and version in probed:
             continue
-        if body[0] == PROBE:
+        if body[0] == MessageType.PROBE:
             probed.add(version)
         kept.append((request, answer))
     return kept
@@ -188,12 +188,13 @@
 @then("the wire kinds have the frozen numbers and the frozen names in counters")
 def then_kinds(context: Any) -> None:
     kept = {number: renamed_message_type(name=name) for number, name in frozen(part="wire kinds").items()}
-    assert {str(number): name for number, name in NAMES.items()} == kept, dict(NAMES)
+    found = {str(int(member)): member.counter_name for member in MessageType}
+    assert found == kept, found
 
 
 @then("each version of the records has the frozen kinds")
 def then_kinds_by_version(context: Any) -> None:
-    found = {str(version): sorted(kinds) for version, kinds in KINDS.items()}
+    found = {str(version): sorted(kinds) for version, kinds in MESSAGE_TYPES_BY_VERSION.items()}
     assert found == frozen(part="wire kinds by version"), found
 
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -14,7 +14,7 @@
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.consensus.succession import Succession, without
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
-from cinderstair.runtime.message_types import LEASE
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.protocol_versions import unwrapped
 from cinderstair.simulation.virtual_loop import Boot
 
@@ -237,7 +237,7 @@
 
 def is_return(body: bytes) -> bool:
     kind, length = unwrapped(data=body)[1][0], int.from_bytes(body[-8:], "big")
-    return kind == LEASE and length == 0
+    return kind == MessageType.LEASE and length == 0
 
 
 @when("a duty is given back and taken again, and the word of its return comes late")
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -12,7 +12,7 @@
 from cinderstair.membership.heartbeat import EMPTYING, READY
 from cinderstair.membership.pooled_sample import ReportedSample
 from cinderstair.membership.relay_record import RelayAnswer, RelayQuestion, read_relay_answer
-from cinderstair.runtime.message_types import RELAY
+from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
 
@@ -88,7 +88,7 @@
     question = RelayQuestion(
         proxy=proxy, site="kingston", source=context.source, edition=context.edition, troubled=troubled
     )
-    body = question.write(packer=Packer().u8(value=RELAY)).bytes()
+    body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.answer(body)))
     context.source, context.edition = answer.source, answer.edition
     return answer
@@ -132,7 +132,7 @@
 @then('a proxy that looks for the nearest is told the site "{site}", an age below {most_ms:d} ms, and nothing else')
 def then_brief(context: Any, site: str, most_ms: int) -> None:
     question = RelayQuestion(proxy="booth-9", site="kingston", brief=True)
-    body = question.write(packer=Packer().u8(value=RELAY)).bytes()
+    body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.answer(body)))
     assert answer.site == site and 0 <= answer.age_us <= most_ms * 1_000, answer
     assert not (answer.values or answer.backends or answer.controllers or answer.samples or answer.ask), answer
@@ -146,7 +146,7 @@
     )
     source = context.source + (what == "another")
     question = RelayQuestion(proxy="booth-1", site="kingston", source=source, edition=1, samples=(sample,))
-    body = question.write(packer=Packer().u8(value=RELAY)).bytes()
+    body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     context.stage.run(work=context.controller.dispatcher.answer(body))
 
 
--- a/src/cinderstair/cli/controller_commands.py
+++ b/src/cinderstair/cli/controller_commands.py
@@ -10,7 +10,7 @@
 
 from ..runtime.counters import Counters
 from ..runtime.errors import CinderstairError
-from ..runtime.message_types import CONTROLLER, SHARDS
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.record_transport import RecordTransport
 from ..runtime.settings_validation import address_error
@@ -74,7 +74,7 @@
                 raw = Path(self.argument("file")).read_bytes()
             except OSError as error:
                 return self.fail(why=f"{self.argument('file')}: {error.strerror}", code=USAGE)
-        return self.put(body=Packer().u8(value=SHARDS).blob(value=raw).bytes(), changes=bool(raw))
+        return self.put(body=Packer().u8(value=MessageType.SHARDS).blob(value=raw).bytes(), changes=bool(raw))
 
 
 class ControllerCommand(RecordCommand):
@@ -83,4 +83,4 @@
     description = "Show what a controller knows: register replicas, leads, backends, proxies, duties, counters"
 
     def handle(self) -> int:
-        return self.put(body=Packer().u8(value=CONTROLLER).bytes(), changes=False)
+        return self.put(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -7,7 +7,7 @@
 from cleo.helpers import argument, option
 
 from ..failover.shard_state import ShardPhase
-from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.settings_validation import address_error
 from ..runtime.unpacker import Unpacker
@@ -37,13 +37,13 @@
 class ShardsPlanCommand(ShardMapCommand):
     name = "shards plan"
     description = "Check a shard map against what stands, and foretell how long writes would wait; changes nothing"
-    kind = SHARDS_PLAN
+    kind = MessageType.SHARDS_PLAN
 
 
 class ShardsBeginCommand(ShardMapCommand):
     name = "shards begin"
     description = "Put a shard map to the proxies"
-    kind = SHARDS
+    kind = MessageType.SHARDS
     changes = True
 
 
@@ -56,7 +56,7 @@
         version = self.argument("version")
         if not version.isdigit() or not 0 < int(version) < 2**63:
             return self.fail(why="version: a whole number above 0 is needed", code=USAGE)
-        body = Packer().u8(value=SHARDS_ABANDON).u64(value=int(version)).bytes()
+        body = Packer().u8(value=MessageType.SHARDS_ABANDON).u64(value=int(version)).bytes()
         return self.put(body=body, changes=True)
 
 
@@ -82,7 +82,7 @@
     async def _follow(self, *, version: int, until_s: float, at: str) -> int:
         said = ""
         while time.monotonic() < until_s:
-            result = await ask(address=at, body=Packer().u8(value=SHARDS_PROGRESS).bytes())
+            result = await ask(address=at, body=Packer().u8(value=MessageType.SHARDS_PROGRESS).bytes())
             words, code = "", None
             if result.is_error():
                 # why: a controller may be restarted meanwhile, and the change goes on without it
--- a/src/cinderstair/consensus/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ..runtime.context import Context
-from ..runtime.message_types import LEASE
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from .acceptor import OK
 from .register import Register
@@ -56,7 +56,7 @@
         roster = self.register.roster
         if roster is None:
             return False, [], 0
-        packer = Packer().u8(value=LEASE).u32(value=roster.epoch).text(value=self.duty)
+        packer = Packer().u8(value=MessageType.LEASE).u32(value=roster.epoch).text(value=self.duty)
         body = packer.u64(value=holder).u64(value=length_us).bytes()
 
         # why: a roster that is heard of meanwhile may be smaller, and these are not its voters' grants
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -8,7 +8,7 @@
 
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import ACCEPT, ADOPT, JOIN_REQUEST, PREPARE, READ, VECTOR
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.peer_client import Body
 from ..runtime.unpacker import Unpacker
@@ -96,7 +96,7 @@
 
     async def _ask_roster(self, *, address: str) -> bool:
         """Whether the register replica at an address answered with a roster."""
-        body = Packer().u8(value=JOIN_REQUEST).u64(value=0).text(value="").text(value="").bytes()
+        body = Packer().u8(value=MessageType.JOIN_REQUEST).u64(value=0).text(value="").text(value="").bytes()
         result = await self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US)
         if result.is_error():
             return False
@@ -162,7 +162,7 @@
 
     async def tell(self, *, address: str, roster: Roster) -> bool:
         """Whether the register replica at an address has made a roster its own, or one as new."""
-        body = Packer().u8(value=ADOPT).blob(value=roster.bytes()).bytes()
+        body = Packer().u8(value=MessageType.ADOPT).blob(value=roster.bytes()).bytes()
         result = await self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US)
         return result.is_ok()
 
@@ -216,7 +216,7 @@
     async def _round(self, *, key: str, decide: Decide, roster: Roster) -> Result[Found, CinderstairError] | bool:
         """One ballot. False: it failed before any value was sent; True: a value was sent, and no majority."""
         ballot = self._ballot(above=BLANK)
-        packer = Packer().u8(value=PREPARE).u32(value=roster.epoch).text(value=key)
+        packer = Packer().u8(value=MessageType.PREPARE).u32(value=roster.epoch).text(value=key)
         ballot.write(packer=packer)
         votes = await self._votes(roster=roster, body=packer.bytes(), status=OK)
         granted = [vote for vote in votes if vote.status == OK]
@@ -230,7 +230,7 @@
         value = decision.ok if decision.is_ok() else newest.value
         if decision.is_error() and not newest.value:
             return Error(decision.error)
-        packer = Packer().u8(value=ACCEPT).u32(value=roster.epoch).text(value=key)
+        packer = Packer().u8(value=MessageType.ACCEPT).u32(value=roster.epoch).text(value=key)
         ballot.write(packer=packer)
         packer.blob(value=value)
         votes = await self._votes(roster=roster, body=packer.bytes(), status=OK)
@@ -256,7 +256,7 @@
                 continue
             roster = self.roster
             assert roster is not None
-            body = Packer().u8(value=READ).u32(value=roster.epoch).text(value=key).bytes()
+            body = Packer().u8(value=MessageType.READ).u32(value=roster.epoch).text(value=key).bytes()
             # why: each answer brings the whole value, and the others are asked as soon as one is late
             votes = await self._votes(roster=roster, body=body, status=OK, first=roster.majority)
             granted = [vote for vote in votes if vote.status == OK]
@@ -284,7 +284,7 @@
         assert roster is not None
 
         def body(version: int) -> bytes:
-            packer = Packer().u8(value=VECTOR).u32(value=roster.epoch)
+            packer = Packer().u8(value=MessageType.VECTOR).u32(value=roster.epoch)
             return (self.known.write(packer=packer) if version > 1 else packer).bytes()
 
         answers = await self.poll(
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -10,7 +10,7 @@
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.errors import CinderstairError
-from ..runtime.message_types import ACCEPT, ADOPT, JOIN_REQUEST, LEASE, PREPARE, READ, VECTOR
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.settings import Settings
 from ..runtime.unpacker import Unpacker
@@ -79,13 +79,13 @@
         acceptor = Acceptor(ctx=self.ctx, store=store, fresh=fresh, halt=self.halt)
         self.acceptor = acceptor
         for kind, answer in (
-            (PREPARE, acceptor.prepare),
-            (ACCEPT, acceptor.accept),
-            (READ, acceptor.read),
-            (VECTOR, acceptor.vector),
-            (LEASE, acceptor.lease),
-            (ADOPT, acceptor.adopt),
-            (JOIN_REQUEST, self._answer_join_request),
+            (MessageType.PREPARE, acceptor.prepare),
+            (MessageType.ACCEPT, acceptor.accept),
+            (MessageType.READ, acceptor.read),
+            (MessageType.VECTOR, acceptor.vector),
+            (MessageType.LEASE, acceptor.lease),
+            (MessageType.ADOPT, acceptor.adopt),
+            (MessageType.JOIN_REQUEST, self._answer_join_request),
         ):
             self.dispatcher.add_handler(message_type=kind, handler=answer)
         return Ok(None)
@@ -184,7 +184,7 @@
 
     async def _send_join_request(self, *, address: str) -> None:
         assert self.me is not None
-        packer = Packer().u8(value=JOIN_REQUEST)
+        packer = Packer().u8(value=MessageType.JOIN_REQUEST)
         write_voter(packer=packer, voter=self.me)
         result = await self.ctx.peer_client.request(
             address=address, body=packer.bytes(), wait_us=JOIN_REQUEST_WAIT_US
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -9,7 +9,7 @@
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import ANNOUNCE
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
@@ -36,7 +36,7 @@
         self.heartbeat_table = heartbeat_table
         self.voters = voters
         self.spread_states: dict[str, str] = {}
-        dispatcher.add_handler(message_type=ANNOUNCE, handler=self._announced)
+        dispatcher.add_handler(message_type=MessageType.ANNOUNCE, handler=self._announced)
 
     async def _announced(self, unpacker: Unpacker) -> bytes:
         announcement = read_announcement(unpacker=unpacker)
@@ -50,7 +50,7 @@
         # why: a backend that leaves says so again and again, and its state is what matters
         if self.spread_states.get(name) == announcement.state:
             return True
-        body = Packer().u8(value=ANNOUNCE).bytes() + self._encoded(announcement=announcement)
+        body = Packer().u8(value=MessageType.ANNOUNCE).bytes() + self._encoded(announcement=announcement)
         voters = self.voters()
         majority = len(voters) // 2 + 1
         pending = {self.ctx.spawn(work=self._tell(address=address, body=body), name="announce") for address in voters}
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -16,7 +16,7 @@
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import CONTROLLER, OPINION, SUSPECT
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.settings import Settings
 from ..runtime.unpacker import Unpacker
@@ -137,9 +137,9 @@
             planned=self._planned,
             brings=lambda: self.handover is not None,
         )
-        register_replica.dispatcher.add_handler(message_type=CONTROLLER, handler=self._status_asked)
-        register_replica.dispatcher.add_handler(message_type=SUSPECT, handler=self._suspected)
-        register_replica.dispatcher.add_handler(message_type=OPINION, handler=self._opinion)
+        register_replica.dispatcher.add_handler(message_type=MessageType.CONTROLLER, handler=self._status_asked)
+        register_replica.dispatcher.add_handler(message_type=MessageType.SUSPECT, handler=self._suspected)
+        register_replica.dispatcher.add_handler(message_type=MessageType.OPINION, handler=self._opinion)
         return Ok(None)
 
     def _controllers(self) -> tuple[str, ...]:
@@ -203,7 +203,7 @@
         if self.duty.lease.held:
             self.duty.suspect(name=name)
             return
-        body = Packer().u8(value=SUSPECT).text(value=name).bytes()
+        body = Packer().u8(value=MessageType.SUSPECT).text(value=name).bytes()
         for address in self._neighbours():
             self.ctx.spawn(
                 work=self.ctx.peer_client.request(address=address, body=body, wait_us=TELL_WAIT_US),
@@ -229,7 +229,7 @@
 
     async def _opinions(self, name: str) -> tuple[int, int]:
         """How many other control daemons reach a backend, and how many have said whether they do."""
-        body = Packer().u8(value=OPINION).text(value=name).bytes()
+        body = Packer().u8(value=MessageType.OPINION).text(value=name).bytes()
         asks = [
             self.ctx.peer_client.request(address=address, body=body, wait_us=OPINION_WAIT_US)
             for address in self._neighbours()
--- a/src/cinderstair/control_plane/proxy_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -8,7 +8,7 @@
 from ..failover.shard_state import Vote
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import ANNOUNCE_ADDRESS, PROXIES, PROXY_ADDRESSES
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .relay import Relay
@@ -48,9 +48,9 @@
         self.proxies: dict[str, Seen] = {}
         self.places: dict[str, tuple[int, ProxyAddress]] = {}
         self.requested_us = self.asked_places_us = -WITHIN_US
-        dispatcher.add_handler(message_type=PROXIES, handler=self._asked)
-        dispatcher.add_handler(message_type=ANNOUNCE_ADDRESS, handler=self._reported)
-        dispatcher.add_handler(message_type=PROXY_ADDRESSES, handler=self._places_asked)
+        dispatcher.add_handler(message_type=MessageType.PROXIES, handler=self._asked)
+        dispatcher.add_handler(message_type=MessageType.ANNOUNCE_ADDRESS, handler=self._reported)
+        dispatcher.add_handler(message_type=MessageType.PROXY_ADDRESSES, handler=self._places_asked)
 
     async def _reported(self, unpacker: Unpacker) -> bytes:
         """A proxy says where it is; it does so until the table says it as well."""
@@ -108,7 +108,7 @@
         return self.proxies
 
     async def _ask(self, *, now_us: int) -> None:
-        body = Packer().u8(value=PROXIES).bytes()
+        body = Packer().u8(value=MessageType.PROXIES).bytes()
         addresses = self.neighbours()
         asks = [
             self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US) for address in addresses
@@ -133,7 +133,7 @@
         now_us = self.ctx.now_us()
         if now_us - self.asked_places_us >= every_us:
             self.asked_places_us = now_us
-            body = Packer().u8(value=PROXY_ADDRESSES).bytes()
+            body = Packer().u8(value=MessageType.PROXY_ADDRESSES).bytes()
             asks = [
                 self.ctx.peer_client.request(address=a, body=body, wait_us=ASK_WAIT_US) for a in self.neighbours()
             ]
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -15,7 +15,7 @@
 )
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import RELAY
+from ..runtime.message_types import MessageType
 from ..runtime.unpacker import Unpacker
 from .sample_board import SampleBoard
 
@@ -53,7 +53,7 @@
         self.proxies: dict[str, tuple[int, int, Vote]] = {}
         self.reported: tuple[str, ...] = ()
         self.reported_edition = 0
-        dispatcher.add_handler(message_type=RELAY, handler=self.answer)
+        dispatcher.add_handler(message_type=MessageType.RELAY, handler=self.answer)
         view.changes.subscribe(self._value_changed)
         ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.look())
 
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -13,7 +13,7 @@
 from ..failover.shard_state import SHARDS_KEY, read_shard_state
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .status_text import describe
@@ -37,10 +37,10 @@
         self.plan = plan
         self.planned = planned
         self.brings = brings
-        dispatcher.add_handler(message_type=SHARDS, handler=self._asked)
-        dispatcher.add_handler(message_type=SHARDS_PLAN, handler=self._planned_only)
-        dispatcher.add_handler(message_type=SHARDS_ABANDON, handler=self._abandoned)
-        dispatcher.add_handler(message_type=SHARDS_PROGRESS, handler=self._progress)
+        dispatcher.add_handler(message_type=MessageType.SHARDS, handler=self._asked)
+        dispatcher.add_handler(message_type=MessageType.SHARDS_PLAN, handler=self._planned_only)
+        dispatcher.add_handler(message_type=MessageType.SHARDS_ABANDON, handler=self._abandoned)
+        dispatcher.add_handler(message_type=MessageType.SHARDS_PROGRESS, handler=self._progress)
 
     async def _asked(self, unpacker: Unpacker) -> bytes:
         """An operator's shard map, or no bytes for a word on the one that stands; answered by a kind and words."""
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -7,7 +7,7 @@
 from ..membership.membership import Membership
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import HANDOVER, SEEK
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.peer_client import Body
 from ..runtime.unpacker import Unpacker
@@ -59,8 +59,8 @@
         # why: a client that comes back to its old HTTP proxy is told where its session is now
         self.gone: dict[str, str] = {}
         self.reported_us: dict[str, int] = {}
-        dispatcher.add_handler(message_type=HANDOVER, handler=self._offered)
-        dispatcher.add_handler(message_type=SEEK, handler=self._sought)
+        dispatcher.add_handler(message_type=MessageType.HANDOVER, handler=self._offered)
+        dispatcher.add_handler(message_type=MessageType.SEEK, handler=self._sought)
 
     async def _offered(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
@@ -119,7 +119,7 @@
         session.busy = True
 
         def body(version: int) -> bytes:
-            packer = Packer().u8(value=HANDOVER)
+            packer = Packer().u8(value=MessageType.HANDOVER)
             return session.write(packer=packer, version=version, now_us=self.ctx.now_us()).bytes()
 
         for target in self._targets()[:TRIES]:
@@ -158,7 +158,7 @@
             return Sought(where=str(known))
 
         def body(version: int) -> bytes:
-            packer = Packer().u8(value=SEEK)
+            packer = Packer().u8(value=MessageType.SEEK)
             if version == 1:
                 return packer.text(value=str(handle)).bytes()
             return packer.text(value=handle.ident).u64(value=handle.tag.edition).text(value=handle.tag.mark).bytes()
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -5,7 +5,7 @@
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import FORGET, REPLICA, TOUCH
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .filters.ready_filter import ReadyFilter
@@ -37,9 +37,9 @@
         self.ready = ready
         self.held: dict[str, SessionReplica] = {}
         self.seen_us: dict[int, int] = {}
-        dispatcher.add_handler(message_type=REPLICA, handler=self._copied)
-        dispatcher.add_handler(message_type=TOUCH, handler=self._touched)
-        dispatcher.add_handler(message_type=FORGET, handler=self._forgot)
+        dispatcher.add_handler(message_type=MessageType.REPLICA, handler=self._copied)
+        dispatcher.add_handler(message_type=MessageType.TOUCH, handler=self._touched)
+        dispatcher.add_handler(message_type=MessageType.FORGET, handler=self._forgot)
         self.open_queue()
         self.every(every_us=SWEEP_US, command=self._sweep, name="copies")
 
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -7,7 +7,7 @@
 from ..membership.membership import Membership
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
-from ..runtime.message_types import FORGET, REPLICA, TOUCH
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .session import Session
@@ -89,7 +89,7 @@
         self.number += 1
         number = self.number
         self.under_way.add(number)
-        packer = Packer().u8(value=REPLICA).u64(value=self.run).u64(value=number)
+        packer = Packer().u8(value=MessageType.REPLICA).u64(value=self.run).u64(value=number)
         body = session.write(packer=packer, version=VERSION, now_us=self.ctx.now_us()).bytes()
         try:
             result = await self.ctx.peer_client.request(address=member.records, body=body, wait_us=wait_us)
@@ -107,7 +107,7 @@
         """Tells others that nothing of a session up to this state, or of what we copied of it, is worth keeping."""
         body = (
             Packer()
-            .u8(value=FORGET)
+            .u8(value=MessageType.FORGET)
             .u64(value=self.run if mine else ANYONE)
             .text(value=session.ident)
             .u64(value=session.tag.edition)
@@ -150,7 +150,7 @@
 
     async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
         up_to = min(self.under_way, default=self.number + 1) - 1
-        packer = Packer().u8(value=TOUCH).u64(value=self.run).u64(value=up_to)
+        packer = Packer().u8(value=MessageType.TOUCH).u64(value=self.run).u64(value=up_to)
         packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.edition))
         result = await self.ctx.peer_client.request(
             address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -8,7 +8,7 @@
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import HEARTBEATS
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .heartbeat import READY, read_heartbeat
@@ -87,7 +87,7 @@
         self.stalled_until_us = 0
         self.alone = True
         self.open_queue()
-        dispatcher.add_handler(message_type=HEARTBEATS, handler=self._asked)
+        dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=self._asked)
         self.every(every_us=every_us, command=self._on_timer, name="pull")
 
     def _http_proxies(self) -> list[str]:
@@ -199,7 +199,7 @@
 
     async def _pull(self, *, address: str) -> None:
         requested_us = self.ctx.now_us()
-        packer = Packer().u8(value=HEARTBEATS)
+        packer = Packer().u8(value=MessageType.HEARTBEATS)
         packer.many(values=self._vector().items(), each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
         result = await self.ctx.peer_client.request(address=address, body=packer.bytes(), wait_us=PULL_WAIT_US)
         if result.is_error():
--- a/src/cinderstair/membership/membership.py
+++ b/src/cinderstair/membership/membership.py
@@ -5,7 +5,7 @@
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import PROBE, PROBE_FOR
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .member import Member, Standing, read_member
@@ -42,8 +42,8 @@
         self.turn: list[str] = []
         self.heard_us = ctx.now_us()
         self.open_queue()
-        dispatcher.add_handler(message_type=PROBE, handler=self._probed)
-        dispatcher.add_handler(message_type=PROBE_FOR, handler=self._probed_for)
+        dispatcher.add_handler(message_type=MessageType.PROBE, handler=self._probed)
+        dispatcher.add_handler(message_type=MessageType.PROBE_FOR, handler=self._probed_for)
         self.post(command=self._on_timer, once="probe")
         self.every(every_us=every_us, command=self._on_timer, name="probe")
 
@@ -104,7 +104,7 @@
         return self._news()
 
     async def _probe(self, *, address: str, wait_us: int) -> bool:
-        body = Packer().u8(value=PROBE).bytes() + self._news()
+        body = Packer().u8(value=MessageType.PROBE).bytes() + self._news()
         result = await self.ctx.peer_client.request(address=address, body=body, wait_us=wait_us)
         if result.is_error():
             return False
@@ -172,7 +172,7 @@
     async def _second_opinion(self, *, member: Member) -> bool:
         others = [other for other in self.alive() if other.name != member.name]
         self.ctx.rng.shuffle(others)
-        body = Packer().u8(value=PROBE_FOR).text(value=member.records).bytes()
+        body = Packer().u8(value=MessageType.PROBE_FOR).text(value=member.records).bytes()
         asks = [
             self.ctx.spawn(
                 work=self.ctx.peer_client.request(address=other.records, body=body, wait_us=SECOND_WAIT_US),
--- a/src/cinderstair/pooler/address_announcer.py
+++ b/src/cinderstair/pooler/address_announcer.py
@@ -3,7 +3,7 @@
 from ..failover.proxy_addresses import ProxyAddress
 from ..http_frontend.subsetting import rank
 from ..runtime.context import Context
-from ..runtime.message_types import ANNOUNCE_ADDRESS
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from .relayed_view import RelayedView
 
@@ -29,7 +29,7 @@
         self.ctx.spawn(work=self._tell(), name="place.tell")
 
     async def _tell(self) -> None:
-        packer = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=self.ctx.name)
+        packer = Packer().u8(value=MessageType.ANNOUNCE_ADDRESS).text(value=self.ctx.name)
         body = packer.text(value=self.place.site).text(value=self.place.records).bytes()
         self.ctx.counters.add(name="places.told")
         await self.ctx.net.request(address=self.view.requested, body=body, wait_us=TELL_WAIT_US)
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -8,7 +8,7 @@
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import FORWARD
+from ..runtime.message_types import MessageType
 from ..runtime.unpacker import Unpacker
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, Outcome, read_forward_question
 from .link import Link
@@ -47,7 +47,7 @@
         self.connections: dict[tuple[str, int], Connection] = {}
         self.writes: Counter[str] = Counter()
         self.stopping = False
-        dispatcher.add_handler(message_type=FORWARD, handler=self.answer)
+        dispatcher.add_handler(message_type=MessageType.FORWARD, handler=self.answer)
 
     @property
     def life(self) -> int:
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -7,7 +7,7 @@
 
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import FORWARD
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
 from .forwarded_link import ForwardedLink
@@ -119,7 +119,7 @@
         self, *, address: str, question: ForwardQuestion, wait_us: int
     ) -> Result[ForwardAnswer, CinderstairError]:
         peer, requested_us = self.peer(address=address), self.ctx.now_us()
-        body = Packer().u8(value=FORWARD).bytes() + question.bytes()
+        body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
         peer.silent_since_us = peer.silent_since_us or requested_us
         peer.under_way += 1
         try:
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -23,7 +23,7 @@
 )
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import RELAY
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from .sample_pool import SamplePool
 
@@ -170,7 +170,7 @@
         self, *, address: str, question: RelayQuestion
     ) -> Result[tuple[int, RelayAnswer], CinderstairError]:
         requested_us = self.ctx.now_us()
-        body = question.write(packer=Packer().u8(value=RELAY)).bytes()
+        body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
         result = await self.ctx.net.request(address=address, body=body, wait_us=PULL_WAIT_US)
         if result.is_error():
             return Error(result.error)
--- a/src/cinderstair/runtime/dispatcher.py
+++ b/src/cinderstair/runtime/dispatcher.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from .context import Context
-from .message_types import HANDSHAKE, NAMES
+from .message_types import MessageType
 from .protocol_versions import denial, unwrapped, wrapped
 from .unpacker import Unpacker
 
@@ -24,7 +24,7 @@
         protocol_versions = self.ctx.protocol_versions
         # why: a daemon of the first version knows no versions at all, and takes their mark for a kind
         version, body = unwrapped(data=body) if protocol_versions.highest > 1 else (1, body)
-        if body and body[0] == HANDSHAKE and protocol_versions.knows(kind=HANDSHAKE):
+        if body and body[0] == MessageType.HANDSHAKE and protocol_versions.knows(kind=MessageType.HANDSHAKE):
             return await self.ctx.peer_client.answer_handshake(Unpacker(data=body[1:]))
         if not protocol_versions.reads(version=version):
             self.ctx.counters.add(name="records.otherVersion")
@@ -39,7 +39,7 @@
         if answer is None:
             raise ValueError("no such desk")
         response = await answer(unpacker)
-        name = NAMES[kind]
+        name = MessageType(kind).counter_name
         self.ctx.counters.add(name=f"records.answered.{name}")
         self.ctx.counters.add(name=f"records.bytes.{name}", count=len(body) + len(response))
         return response if version == 1 else wrapped(version=version, body=response)
--- a/src/cinderstair/runtime/message_types.py
+++ b/src/cinderstair/runtime/message_types.py
@@ -1,48 +1,106 @@
-"""The kinds of records, by the version of the records that brought them."""
+"""The types of the messages that processes exchange, and the protocol version that introduced each."""
 
+from enum import IntEnum
 from types import MappingProxyType
 
-PREPARE, ACCEPT, READ, VECTOR, LEASE, JOIN_REQUEST, ADOPT, SNAPSHOT, HANDSHAKE = 1, 2, 3, 4, 5, 6, 7, 8, 9
-PROBE, PROBE_FOR = 20, 21
-HEARTBEATS = 30
-HANDOVER, SEEK, REPLICA, TOUCH, FORGET = 40, 41, 42, 43, 44
-RELAY, SUSPECT, OPINION, PROXIES, SHARDS, CONTROLLER, ANNOUNCE_ADDRESS, PROXY_ADDRESSES, FORWARD = (
-    50,
-    51,
-    52,
-    53,
-    54,
-    55,
-    56,
-    57,
-    58,
-)
-SHARDS_PLAN, SHARDS_ABANDON, SHARDS_PROGRESS, ANNOUNCE = 59, 60, 61, 62
-
-FIRST = frozenset(
-    [
-        PREPARE,
-        ACCEPT,
-        READ,
-        VECTOR,
-        LEASE,
-        JOIN_REQUEST,
-        ADOPT,
-        SNAPSHOT,
-        PROBE,
-        PROBE_FOR,
-        HEARTBEATS,
-        HANDOVER,
-        SEEK,
-    ]
-)
-CONTROL = frozenset(
-    [RELAY, SUSPECT, OPINION, PROXIES, SHARDS, CONTROLLER, ANNOUNCE_ADDRESS, PROXY_ADDRESSES, FORWARD]
-    + [SHARDS_PLAN, SHARDS_ABANDON, SHARDS_PROGRESS, ANNOUNCE]
+
+class MessageType(IntEnum):
+    """The first byte of a message's body: it selects the handler.
+
+    The numbers are part of the wire format. A number, once released, is never changed and never used again, and
+    every number stays below ``protocol_versions.VERSION_FLAG``. The members are grouped by the component that
+    handles them.
+    """
+
+    # Consensus register: Paxos phases, reads, leases and changes of the voters.
+    PREPARE = 1
+    ACCEPT = 2
+    READ = 3
+    VECTOR = 4
+    LEASE = 5
+    JOIN_REQUEST = 6
+    ADOPT = 7
+    SNAPSHOT = 8
+
+    # Protocol: the handshake in which two processes exchange the versions that they support.
+    HANDSHAKE = 9
+
+    # Membership: direct and indirect failure detection.
+    PROBE = 20
+    PROBE_FOR = 21
+
+    # Membership: the heartbeats of databases and their replicas.
+    HEARTBEATS = 30
+
+    # HTTP front end: sessions that move to another proxy, and their replicas.
+    HANDOVER = 40
+    SEEK = 41
+    REPLICA = 42
+    TOUCH = 43
+    FORGET = 44
+
+    # Control plane and pooler: relayed state, failover, proxy addresses, forwarded statements.
+    RELAY = 50
+    SUSPECT = 51
+    OPINION = 52
+    PROXIES = 53
+    SHARDS = 54
+    CONTROLLER = 55
+    ANNOUNCE_ADDRESS = 56
+    PROXY_ADDRESSES = 57
+    FORWARD = 58
+
+    # Control plane: plans for the shard map, and what the controller announces to proxies.
+    SHARDS_PLAN = 59
+    SHARDS_ABANDON = 60
+    SHARDS_PROGRESS = 61
+    ANNOUNCE = 62
+
+    @property
+    def counter_name(self) -> str:
+        """The name of this message type in counters and tools, for example ``join_request``."""
+        return self.name.lower()
+
+
+_VERSION_1 = frozenset(
+    {
+        MessageType.PREPARE,
+        MessageType.ACCEPT,
+        MessageType.READ,
+        MessageType.VECTOR,
+        MessageType.LEASE,
+        MessageType.JOIN_REQUEST,
+        MessageType.ADOPT,
+        MessageType.SNAPSHOT,
+        MessageType.PROBE,
+        MessageType.PROBE_FOR,
+        MessageType.HEARTBEATS,
+        MessageType.HANDOVER,
+        MessageType.SEEK,
+    }
 )
-KINDS = MappingProxyType({1: FIRST, 2: FIRST | {HANDSHAKE, REPLICA, TOUCH, FORGET} | CONTROL})
 
-# why: counters and tools name a kind as this page does
-NAMES = MappingProxyType(
-    {value: name.lower() for name, value in list(globals().items()) if name.isupper() and isinstance(value, int)}
+_ADDED_IN_VERSION_2 = frozenset(
+    {
+        MessageType.HANDSHAKE,
+        MessageType.REPLICA,
+        MessageType.TOUCH,
+        MessageType.FORGET,
+        MessageType.RELAY,
+        MessageType.SUSPECT,
+        MessageType.OPINION,
+        MessageType.PROXIES,
+        MessageType.SHARDS,
+        MessageType.CONTROLLER,
+        MessageType.ANNOUNCE_ADDRESS,
+        MessageType.PROXY_ADDRESSES,
+        MessageType.FORWARD,
+        MessageType.SHARDS_PLAN,
+        MessageType.SHARDS_ABANDON,
+        MessageType.SHARDS_PROGRESS,
+        MessageType.ANNOUNCE,
+    }
 )
+
+MESSAGE_TYPES_BY_VERSION = MappingProxyType({1: _VERSION_1, 2: _VERSION_1 | _ADDED_IN_VERSION_2})
+"""The message types that each protocol version supports."""
--- a/src/cinderstair/runtime/peer_client.py
+++ b/src/cinderstair/runtime/peer_client.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from .errors import CinderstairError, ErrorCode
-from .message_types import HANDSHAKE
+from .message_types import MessageType
 from .packer import Packer
 from .protocol_versions import WRAPPED, ProtocolVersions, wrapped
 from .unpacker import Unpacker
@@ -100,7 +100,7 @@
         now_us = self.ctx.now_us()
         # why: a daemon of the first version alone has no words for a handshake
         if (
-            not self.ctx.protocol_versions.knows(kind=HANDSHAKE)
+            not self.ctx.protocol_versions.knows(kind=MessageType.HANDSHAKE)
             or now_us - self.requested_us.get(address, -AGAIN_US) < AGAIN_US
         ):
             return
@@ -111,7 +111,12 @@
 
     async def _agree(self, *, address: str) -> None:
         protocol_versions = self.ctx.protocol_versions
-        packer = Packer().u8(value=HANDSHAKE).u8(value=protocol_versions.lowest).u8(value=protocol_versions.highest)
+        packer = (
+            Packer()
+            .u8(value=MessageType.HANDSHAKE)
+            .u8(value=protocol_versions.lowest)
+            .u8(value=protocol_versions.highest)
+        )
         body = packer.text(value=self.ctx.name).bytes()
         result = await self.ctx.net.request(address=address, body=body, wait_us=WAIT_US)
         if result.is_error():
--- a/src/cinderstair/runtime/protocol_versions.py
+++ b/src/cinderstair/runtime/protocol_versions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from .message_types import KINDS
+from .message_types import MESSAGE_TYPES_BY_VERSION
 
 # why: no kind of record reaches this bit, so a daemon of the first version takes a wrapped record for an
 # unknown kind and drops it, as it drops everything that it does not know
@@ -26,7 +26,7 @@
 
     def knows(self, *, kind: int) -> bool:
         """Whether the tables of this daemon's own version have the kind at all."""
-        return kind in KINDS[min(self.highest, max(KINDS))]
+        return kind in MESSAGE_TYPES_BY_VERSION[min(self.highest, max(MESSAGE_TYPES_BY_VERSION))]
 
     def __str__(self) -> str:
         return f"{self.lowest} to {self.highest}"
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from ..runtime.message_types import NAMES
+from ..runtime.message_types import MessageType
 from .world import World
 
 SPAN_US = 10_000_000
@@ -17,7 +17,7 @@
     counts: Counter[str] = Counter()
     for name, count in world.wires.work.items():
         kind = name.removeprefix("record ")
-        counts[f"record {NAMES[int(kind)].upper()}" if kind.isdecimal() else name] += count
+        counts[f"record {MessageType(int(kind)).name}" if kind.isdecimal() else name] += count
     counts["syncs"] = sum(world.disks[name].syncs for name in world.register_replica_names)
     counts["jobs done"] = sum(event.outcome == "done" for event in world.history)
     return counts
