--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -198,7 +198,7 @@
         requested.append(body.hex())
         return answer
 
-    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=reply))
+    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", handler=reply))
     # why: a command runs a loop of its own and waits in it, so who answers needs another thread
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
--- a/features/steps/controller_command_steps.py
+++ b/features/steps/controller_command_steps.py
@@ -48,7 +48,7 @@
     async def answer(body: bytes) -> bytes:
         return answer_of(words=words)
 
-    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=answer))
+    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", handler=answer))
     # why: the verb runs a loop of its own and waits in it, so its controller needs another thread
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
--- a/features/steps/dispatcher_steps.py
+++ b/features/steps/dispatcher_steps.py
@@ -25,9 +25,9 @@
 def when_asked(context: Any) -> None:
     async def ask() -> None:
         for _ in range(2):
-            await context.dispatcher.answer(bytes([MessageType.HEARTBEATS]) + bytes(9))
+            await context.dispatcher.dispatch(bytes([MessageType.HEARTBEATS]) + bytes(9))
         try:
-            await context.dispatcher.answer(bytes([MessageType.PROBE]))
+            await context.dispatcher.dispatch(bytes([MessageType.PROBE]))
         except ValueError:
             return
         raise AssertionError("it answered what it does not know")
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -43,7 +43,7 @@
         assert self.dispatcher is not None
         if self.gone:
             raise ConnectionResetError("gone")
-        answer = await self.dispatcher.answer(body)
+        answer = await self.dispatcher.dispatch(body)
         if self.gone:
             raise ConnectionResetError("gone")
         return answer
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -254,7 +254,7 @@
         ctx = stage.context(name=f"daemon-{number}")
         dispatcher = Dispatcher(ctx=ctx)
         dispatcher.add_handler(message_type=number, handler=answer)
-        await dispatcher.answer(bytes([number]))
+        await dispatcher.dispatch(bytes([number]))
         return sorted(ctx.counters.snapshot())
 
     return {number: stage.run(work=count(int(number))) for number in numbers}
@@ -292,7 +292,7 @@
         lost_question(context=context),
     ):
         body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
-        context.stage.run(work=context.net.dispatcher.answer(body))
+        context.stage.run(work=context.net.dispatcher.dispatch(body))
     return [name for name in sorted(ctx.counters.snapshot()) if name.startswith("forward.")]
 
 
@@ -314,7 +314,7 @@
         return HttpResponse(status=503, body=body, headers={"Retry-After": "2"})
 
     async def go() -> bytes:
-        await net.serve(address=f"127.0.0.1:{port}", answer=answer)
+        await net.serve(address=f"127.0.0.1:{port}", handler=answer)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}")
         data = await reader.read()
--- a/features/steps/peer_client_steps.py
+++ b/features/steps/peer_client_steps.py
@@ -10,7 +10,7 @@
 from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.packer import Packer
-from cinderstair.runtime.protocol_versions import WRAPPED, ProtocolVersions
+from cinderstair.runtime.protocol_versions import VERSION_FLAG, ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.virtual_loop import Boot
 
@@ -39,7 +39,7 @@
         return Packer().u8(value=unpacker.version).text(value=word).bytes()
 
     dispatcher.add_handler(message_type=MessageType.SEEK, handler=seek)
-    context.world.run(work=ctx.net.listen(address=ADDRESS, answer=dispatcher.answer))
+    context.world.run(work=ctx.net.listen(address=ADDRESS, handler=dispatcher.dispatch))
     return dispatcher
 
 
@@ -78,7 +78,7 @@
     error = context.results[-1].error
     assert error.code == ErrorCode.OTHER_VERSION, error
     assert "3 to 4" in error.reason and "1 to 2" in error.reason, error.reason
-    assert len(context.asker.peer_client.logged) == 1, context.asker.peer_client.logged
+    assert len(context.asker.peer_client.logged_mismatches) == 1, context.asker.peer_client.logged_mismatches
     assert context.asker.counters.counts["records.otherVersion"] >= 2
 
 
@@ -90,7 +90,7 @@
     whole = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
     context.fates = {"malformed": 0, "denied": 0, "answered": 0}
     for _ in range(count):
-        body = bytes([WRAPPED | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
+        body = bytes([VERSION_FLAG | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
         how = rng.choice(["as it is", "cut", "longer", "twice", "flipped"])
         at = rng.randrange(len(body))
         if how == "cut":
@@ -102,11 +102,11 @@
         elif how == "flipped":
             body = body[:at] + bytes([body[at] ^ (1 << rng.randrange(8))]) + body[at + 1 :]
         try:
-            answer = context.world.run(work=dispatcher.answer(body))
+            answer = context.world.run(work=dispatcher.dispatch(body))
         except ValueError:
             context.fates["malformed"] += 1
             continue
-        rejected = answer == bytes([WRAPPED, 1, 2])
+        rejected = answer == bytes([VERSION_FLAG, 1, 2])
         # why: only a whole record of a version that is spoken may be answered, and only by what it asked
         sound = answer[-4:] != b"word" or body[-4:] == b"word"
         assert rejected or sound, (body, answer)
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -368,7 +368,7 @@
 class QuietNet(NoNet):
     """Listens, and never hears anything."""
 
-    async def listen(self, *, address: str, answer: Any) -> None:
+    async def listen(self, *, address: str, handler: Any) -> None:
         return None
 
 
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -117,7 +117,7 @@
     body = (
         Packer().u8(value=MessageType.ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
     )
-    context.stage.run(work=context.controller_stages[int(where.removeprefix("core-")) - 1].dispatcher.answer(body))
+    context.stage.run(work=context.controller_stages[int(where.removeprefix("core-")) - 1].dispatcher.dispatch(body))
 
 
 @then('the places are "{words}"')
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -42,10 +42,10 @@
 from cinderstair.runtime.dispatcher import Dispatcher
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.message_types import MessageType
-from cinderstair.runtime.net import RecordAnswer
+from cinderstair.runtime.net import RecordHandler
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.position import Position
-from cinderstair.runtime.protocol_versions import wrapped
+from cinderstair.runtime.protocol_versions import add_version_header
 from cinderstair.runtime.settings import Settings
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.sim_disk import SimDisk
@@ -82,7 +82,7 @@
         if dispatcher is None:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="nobody is there"))
         try:
-            answer = await dispatcher.answer(body)
+            answer = await dispatcher.dispatch(body)
         except ValueError:
             # why: a record that is refused is left without an answer
             self.carried.append((body, b""))
@@ -90,7 +90,7 @@
         self.carried.append((body, answer))
         return Ok(answer)
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
         """Desks are put in by hand."""
 
 
@@ -250,7 +250,7 @@
 
 def second(data: bytes) -> bytes:
     """A record in the second version."""
-    return wrapped(version=SECOND_VERSION, body=data)
+    return add_version_header(version=SECOND_VERSION, body=data)
 
 
 def replica_requests() -> list[Request]:
@@ -291,7 +291,10 @@
         Request(name="hello of an asker, version 2", data=second(hello_request(voter=asker))),
         Request(name="parley", data=parley_request(lowest=1, highest=2)),
         Request(name="parley, nothing in common", data=parley_request(lowest=8, highest=9)),
-        Request(name="read, a version that is not spoken", data=wrapped(version=9, body=read_request(key="plan"))),
+        Request(
+            name="read, a version that is not spoken",
+            data=add_version_header(version=9, body=read_request(key="plan")),
+        ),
     ]
 
 
@@ -462,6 +465,6 @@
     found = []
     for data, request in zip(requested, dialogue.requests(), strict=True):
         stage.advance(for_us=request.pause_us)
-        answer = stage.run(work=dispatcher.answer(data))
+        answer = stage.run(work=dispatcher.dispatch(data))
         found.append(without_words(answer=answer) if dialogue.worded else answer)
     return found
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -37,8 +37,8 @@
 from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.message_types import MESSAGE_TYPES_BY_VERSION, MessageType
 from cinderstair.runtime.position import Position
-from cinderstair.runtime.protocol_versions import denial, unwrapped, wrapped
-from cinderstair.runtime.record_transport import HEAD, MAGIC, RECORDS_VERSION, read_frame
+from cinderstair.runtime.protocol_versions import add_version_header, split_version_header, version_rejection
+from cinderstair.runtime.record_frame import encode_frame, read_frame
 
 DATA = Path(__file__).resolve().parents[1] / "compatibility" / "data" / "record_format.json"
 # a duty that nobody holds is taken within this time
@@ -92,7 +92,7 @@
     probed: set[int] = set()
     kept = []
     for request, answer in carried:
-        version, body = unwrapped(data=request)
+        version, body = split_version_header(data=request)
         if body[0] == MessageType.PROBE and version in probed:
             continue
         if body[0] == MessageType.PROBE:
@@ -103,7 +103,7 @@
 
 def framed() -> bytes:
     """A record as it goes over TCP."""
-    return HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(FRAME_BODY), FRAME_NUMBER) + FRAME_BODY
+    return encode_frame(number=FRAME_NUMBER, body=FRAME_BODY)
 
 
 def fence_after(*, context: Any, before: bytes) -> bytes:
@@ -259,8 +259,8 @@
 def then_marks(context: Any) -> None:
     kept = frozen(part="marks")
     protocol_versions = Stage(context=context).ctx.protocol_versions
-    assert unwrapped(data=bytes.fromhex(kept["version 2"])) == (2, FRAME_BODY)
-    assert wrapped(version=2, body=FRAME_BODY).hex() == kept["version 2"]
-    assert unwrapped(data=bytes.fromhex(kept["version 1"])) == (1, FRAME_BODY)
-    assert wrapped(version=1, body=FRAME_BODY).hex() == kept["version 1"]
-    assert denial(protocol_versions=protocol_versions).hex() == kept["denial"]
+    assert split_version_header(data=bytes.fromhex(kept["version 2"])) == (2, FRAME_BODY)
+    assert add_version_header(version=2, body=FRAME_BODY).hex() == kept["version 2"]
+    assert split_version_header(data=bytes.fromhex(kept["version 1"])) == (1, FRAME_BODY)
+    assert add_version_header(version=1, body=FRAME_BODY).hex() == kept["version 1"]
+    assert version_rejection(protocol_versions=protocol_versions).hex() == kept["denial"]
--- a/features/steps/record_transport_steps.py
+++ b/features/steps/record_transport_steps.py
@@ -12,7 +12,9 @@
 
 from cinderstair.runtime import record_transport
 from cinderstair.runtime.counters import Counters
-from cinderstair.runtime.record_transport import HEAD, MAGIC, RECORDS_VERSION, RecordTransport, read_frame
+from cinderstair.runtime.record_connection import RecordConnection
+from cinderstair.runtime.record_frame import encode_frame, read_frame
+from cinderstair.runtime.record_transport import RecordTransport
 from cinderstair.simulation.fleet import free_ports
 
 
@@ -31,7 +33,7 @@
                 writer.close()
                 return
             if not first:
-                writer.write(HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(body), number) + body)
+                writer.write(encode_frame(number=number, body=body))
 
     async def listen() -> None:
         context.server = await asyncio.start_server(client, "127.0.0.1", context.port)
@@ -71,7 +73,7 @@
     async def answer(body: bytes) -> bytes:
         return body
 
-    run(context=context, work=context.wire.listen(address=f"127.0.0.1:{context.port}", answer=answer))
+    run(context=context, work=context.wire.listen(address=f"127.0.0.1:{context.port}", handler=answer))
 
 
 @when("{count:d} connections send it random bytes")
@@ -168,7 +170,7 @@
 
 WAIT_US = 40_000
 LATE_S = 0.06
-RECEIVE = RecordTransport._read
+READ_RESPONSES = RecordConnection.read_responses
 
 
 @given("a listener that answers out of order, late, in part or not at all")
@@ -179,7 +181,7 @@
 
     async def answer(writer: asyncio.StreamWriter, number: int, body: bytes) -> None:
         data = b"to " + body
-        frame = HEAD.pack(MAGIC, RECORDS_VERSION, 0, len(data), number) + data
+        frame = encode_frame(number=number, body=data)
         way = rng.random()
         if way < 0.1:
             return
@@ -238,11 +240,11 @@
             first = next(iter(self), number) if mine is not None and not mine.done() else number
             return super().pop(first, default)
 
-    async def reading(self: Any, *, address: str, reader: Any, writer: Any) -> None:
-        self.waiting[address] = InOrder()
-        await RECEIVE(self, address=address, reader=reader, writer=writer)
+    async def read_in_order(self: Any, **arguments: Any) -> None:
+        self.pending = InOrder()
+        await READ_RESPONSES(self, **arguments)
 
-    with patch.object(RecordTransport, "_read", reading):
+    with patch.object(RecordConnection, "read_responses", read_in_order):
         ask_many(context=context, count=count, together=together)
 
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -15,7 +15,7 @@
 from cinderstair.consensus.succession import Succession, without
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.message_types import MessageType
-from cinderstair.runtime.protocol_versions import unwrapped
+from cinderstair.runtime.protocol_versions import split_version_header
 from cinderstair.simulation.virtual_loop import Boot
 
 
@@ -236,7 +236,7 @@
 
 
 def is_return(body: bytes) -> bool:
-    kind, length = unwrapped(data=body)[1][0], int.from_bytes(body[-8:], "big")
+    kind, length = split_version_header(data=body).body[0], int.from_bytes(body[-8:], "big")
     return kind == MessageType.LEASE and length == 0
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -89,7 +89,7 @@
         proxy=proxy, site="kingston", source=context.source, edition=context.edition, troubled=troubled
     )
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
-    answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.answer(body)))
+    answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.dispatch(body)))
     context.source, context.edition = answer.source, answer.edition
     return answer
 
@@ -133,7 +133,7 @@
 def then_brief(context: Any, site: str, most_ms: int) -> None:
     question = RelayQuestion(proxy="booth-9", site="kingston", brief=True)
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
-    answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.answer(body)))
+    answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.dispatch(body)))
     assert answer.site == site and 0 <= answer.age_us <= most_ms * 1_000, answer
     assert not (answer.values or answer.backends or answer.controllers or answer.samples or answer.ask), answer
 
@@ -147,7 +147,7 @@
     source = context.source + (what == "another")
     question = RelayQuestion(proxy="booth-1", site="kingston", source=source, edition=1, samples=(sample,))
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
-    context.stage.run(work=context.controller.dispatcher.answer(body))
+    context.stage.run(work=context.controller.dispatcher.dispatch(body))
 
 
 @then("the relay has been told of {count:d} samples")
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -10,7 +10,7 @@
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
-from ..runtime.peer_client import Body
+from ..runtime.peer_client import RequestBody
 from ..runtime.unpacker import Unpacker
 from .acceptor import AHEAD, BEATEN, OK, ROSTER_KEY, SINCE, STALE
 from .ballot import BLANK, Ballot, read_ballot
@@ -114,7 +114,7 @@
             self.roster = roster
 
     async def poll(
-        self, *, roster: Roster, body: Body, enough: Callable[[list[bytes]], bool], first: int = 0
+        self, *, roster: Roster, body: RequestBody, enough: Callable[[list[bytes]], bool], first: int = 0
     ) -> list[bytes]:
         """Asks all voters and returns as soon as the answers that came are enough, or all have come.
 
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -111,7 +111,7 @@
             seeds=self.settings.seeds,
             every_us=self.settings.probeEveryUs,
         )
-        await self.ctx.net.listen(address=self.settings.records, answer=self.dispatcher.answer)
+        await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
         self.ctx.spawn(work=self._meet(), name="vault.meet")
         self.ctx.log.info("register replica %s ident %x", self.me.name, self.me.ident)
         return Ok(None)
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -9,7 +9,7 @@
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
-from ..runtime.peer_client import Body
+from ..runtime.peer_client import RequestBody
 from ..runtime.unpacker import Unpacker
 from .filters.ready_filter import ReadyFilter
 from .session import Session, read_session
@@ -132,7 +132,7 @@
                 return
         session.busy = False
 
-    async def _offer(self, *, target: Member, body: Body) -> bool:
+    async def _offer(self, *, target: Member, body: RequestBody) -> bool:
         for _ in range(TRIES):
             result = await self.ctx.peer_client.request(address=target.records, body=body, wait_us=HAND_WAIT_US)
             if result.is_ok():
@@ -182,7 +182,7 @@
         # why: asked in the first version nobody tells of copies
         return Sought(
             unsure=any(
-                result.is_error() or self.ctx.peer_client.doubtful(address=member.records)
+                result.is_error() or self.ctx.peer_client.is_version_uncertain(address=member.records)
                 for member, result in answers.items()
             )
         )
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -166,8 +166,8 @@
         )
 
     async def start(self) -> Result[None, CinderstairError]:
-        await self.ctx.net.listen(address=self.settings.records, answer=self.dispatcher.answer)
-        await self.ctx.net.serve(address=self.settings.http, answer=self.answer)
+        await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
+        await self.ctx.net.serve(address=self.settings.http, handler=self.answer)
         self.ctx.timer(every_us=TEND_US).subscribe(lambda _: self._tend())
         self.ctx.log.info("HTTP proxy %s at %s", self.settings.name, self.settings.http)
         return Ok(None)
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -59,7 +59,7 @@
 
     async def start(self) -> Result[None, CinderstairError]:
         if self.records:
-            await self.ctx.net.listen(address=self.records, answer=self.dispatcher.answer)
+            await self.ctx.net.listen(address=self.records, handler=self.dispatcher.dispatch)
         self.ctx.spawn(work=self._keep(), name="view.keep")
         self.ctx.timer(every_us=TEND_US).subscribe(lambda _: self._tend())
         return Ok(None)
--- a/src/cinderstair/runtime/dispatcher.py
+++ b/src/cinderstair/runtime/dispatcher.py
@@ -1,45 +1,79 @@
-"""One record address a process: the first byte names the desk that a record is for."""
+"""Dispatches the messages that arrive at a process's one address to the handlers of their types."""
 
 from collections.abc import Awaitable, Callable
 
 from .context import Context
 from .message_types import MessageType
-from .protocol_versions import denial, unwrapped, wrapped
+from .protocol_versions import (
+    FIRST_VERSION,
+    VersionedMessage,
+    add_version_header,
+    split_version_header,
+    version_rejection,
+)
 from .unpacker import Unpacker
 
 RequestHandler = Callable[[Unpacker], Awaitable[bytes]]
+"""Reads the rest of a request, after its type, and returns the response; raises ValueError if it is malformed."""
 
 
 class Dispatcher:
-    """Hands each record to the table owner that answers for its kind, in the version in which it came."""
+    """Passes each request to the handler of its message type, and responds in the request's protocol version.
+
+    :param ctx: the process's context.
+    """
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
         self.handlers: dict[int, RequestHandler] = {}
 
-    def add_handler(self, *, message_type: int, handler: RequestHandler) -> None:
+    def add_handler(self, *, message_type: MessageType, handler: RequestHandler) -> None:
+        """Register the handler of a message type, in place of an earlier one."""
         self.handlers[message_type] = handler
 
-    async def answer(self, body: bytes) -> bytes:
-        protocol_versions = self.ctx.protocol_versions
-        # why: a daemon of the first version knows no versions at all, and takes their mark for a kind
-        version, body = unwrapped(data=body) if protocol_versions.highest > 1 else (1, body)
-        if body and body[0] == MessageType.HANDSHAKE and protocol_versions.knows(kind=MessageType.HANDSHAKE):
-            return await self.ctx.peer_client.answer_handshake(Unpacker(data=body[1:]))
-        if not protocol_versions.reads(version=version):
-            self.ctx.counters.add(name="records.otherVersion")
-            # why: the first version has no words for a denial; what it can't understand it must not be sent
-            if version == 1:
-                raise ValueError("records of the first version are not spoken here any more")
-            return denial(protocol_versions=protocol_versions)
+    async def dispatch(self, data: bytes) -> bytes:
+        """Handle one request and return the encoded response.
+
+        :param data: the request, with its version header if it has one.
+        :raises ValueError: if the request is malformed, or if no handler has its type. The transport then sends
+            no response.
+        """
+        version, body = self._split(data=data)
+        if self._is_handshake(body=body):
+            return await self.ctx.peer_client.handle_handshake(Unpacker(data=body[1:]))
+        if not self.ctx.protocol_versions.supports_version(version=version):
+            return self._reject(version=version)
         unpacker = Unpacker(data=body, version=version)
-        kind = unpacker.u8()
-        answer = self.handlers.get(kind) if protocol_versions.knows(kind=kind) else None
-        # why: a newer daemon may ask what an older one does not know; it must get silence, not a crash
-        if answer is None:
-            raise ValueError("no such desk")
-        response = await answer(unpacker)
-        name = MessageType(kind).counter_name
+        message_type = self._check_type(number=unpacker.u8())
+        response = await self.handlers[message_type](unpacker)
+        self._count(message_type=message_type, size=len(body) + len(response))
+        return add_version_header(version=version, body=response)
+
+    def _split(self, *, data: bytes) -> VersionedMessage:
+        # A process that supports version 1 alone reads a version header as a message type.
+        if self.ctx.protocol_versions.highest == FIRST_VERSION:
+            return VersionedMessage(FIRST_VERSION, data)
+        return split_version_header(data=data)
+
+    def _is_handshake(self, *, body: bytes) -> bool:
+        supported = self.ctx.protocol_versions.supports_type(message_type=MessageType.HANDSHAKE)
+        return supported and body[:1] == bytes([MessageType.HANDSHAKE])
+
+    def _reject(self, *, version: int) -> bytes:
+        self.ctx.counters.add(name="records.otherVersion")
+        # Version 1 has no rejection message, and a sender must not get what it can't read.
+        if version == FIRST_VERSION:
+            raise ValueError("protocol version 1 is no longer supported")
+        return version_rejection(protocol_versions=self.ctx.protocol_versions)
+
+    def _check_type(self, *, number: int) -> MessageType:
+        """Return the message type with this number; ValueError if it has no handler here."""
+        # A newer process may send types that an older one does not have: it gets no response, and nothing crashes.
+        if number not in self.handlers or not self.ctx.protocol_versions.supports_type(message_type=number):
+            raise ValueError(f"no handler for message type {number}")
+        return MessageType(number)
+
+    def _count(self, *, message_type: MessageType, size: int) -> None:
+        name = message_type.counter_name
         self.ctx.counters.add(name=f"records.answered.{name}")
-        self.ctx.counters.add(name=f"records.bytes.{name}", count=len(body) + len(response))
-        return response if version == 1 else wrapped(version=version, body=response)
+        self.ctx.counters.add(name=f"records.bytes.{name}", count=size)
--- a/src/cinderstair/runtime/net.py
+++ b/src/cinderstair/runtime/net.py
@@ -1,4 +1,4 @@
-"""What our processes may ask of a network."""
+"""The network interface that the other packages depend on: messages between processes, and HTTP."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -9,40 +9,76 @@
 from .http_request import HttpRequest
 from .http_response import HttpResponse
 
-RecordAnswer = Callable[[bytes], Awaitable[bytes]]
-HttpAnswer = Callable[[HttpRequest], Awaitable[HttpResponse]]
+RecordHandler = Callable[[bytes], Awaitable[bytes]]
+"""Returns the response to a request; raises ValueError if the request is malformed."""
+
+HttpHandler = Callable[[HttpRequest], Awaitable[HttpResponse]]
+"""Returns the response to an HTTP request."""
 
 
 class Connection(Protocol):
-    """One explicit HTTP/1.1 connection. It sends each job once, and never again by itself."""
+    """A client's HTTP/1.1 connection. It sends each request once and never retries."""
 
     @property
-    def open(self) -> bool: ...
+    def open(self) -> bool:
+        """Whether the connection can still send requests."""
+        ...
 
-    async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]: ...
+    async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
+        """Send a request and wait for its response; one request at a time.
+
+        :param wait_us: how long to wait, in microseconds.
+        :returns: the response, whatever its status. Errors: WIRE_UNSENT if the server has seen nothing of the
+            request; WIRE_UNSURE if it may have handled it.
+        """
+        ...
 
     def give_up(self) -> None:
-        """Ends the wait of a job that is under way, as if its time were up; its outcome is then unsure."""
+        """End the wait of the request in flight as if its time were up; its outcome is then WIRE_UNSURE."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close the connection; a request in flight fails."""
+        ...
 
 
 class Net(Protocol):
-    """Records between our own processes, HTTP at the edges."""
+    """One process's network. Addresses are texts such as 127.0.0.1:7101."""
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        """Sends a record and waits for the record that answers it."""
+        """Send a message to another process and wait for its response.
+
+        :param wait_us: how long to wait, in microseconds.
+        :returns: the response, or the error WIRE_UNSURE if none came.
+        """
         ...
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None: ...
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        """Respond to messages that arrive at this address.
 
-    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]: ...
+        :raises OSError: if the address can't be bound.
+        """
+        ...
 
-    async def serve(self, *, address: str, answer: HttpAnswer) -> None: ...
+    async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
+        """Open an HTTP connection.
+
+        :param wait_us: how long to wait, in microseconds.
+        :returns: the connection, or the error WIRE_UNSENT.
+        """
+        ...
+
+    async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        """Serve HTTP at this address.
+
+        :raises OSError: if the address can't be bound.
+        """
+        ...
 
     async def refuse(self) -> None:
-        """Takes no new HTTP connections; those that are open are served on."""
+        """Accept no new HTTP connections; requests on open ones are still served."""
         ...
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """Close all connections and listening sockets."""
+        ...
--- a/src/cinderstair/runtime/peer_client.py
+++ b/src/cinderstair/runtime/peer_client.py
@@ -1,152 +1,189 @@
-"""Which version of the records is spoken with whom."""
+"""Sends requests to other processes, each in the highest protocol version that both are known to support."""
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, NamedTuple
 
 from expression import Error, Ok, Result
 
 from .errors import CinderstairError, ErrorCode
 from .message_types import MessageType
 from .packer import Packer
-from .protocol_versions import WRAPPED, ProtocolVersions, wrapped
+from .protocol_versions import (
+    FIRST_VERSION,
+    NO_VERSION,
+    VERSION_FLAG,
+    ProtocolVersions,
+    add_version_header,
+    read_protocol_versions,
+    read_version_rejection,
+)
 from .unpacker import Unpacker
 
-AGAIN_US = 1_000_000
-WAIT_US = 400_000
-MISSES = 3
-MOST_NEIGHBOURS = 2_000
-Body = bytes | Callable[[int], bytes]
+if TYPE_CHECKING:
+    from .context import Context
+
+HANDSHAKE_INTERVAL_US = 1_000_000
+HANDSHAKE_TIMEOUT_US = 400_000
+MAX_UNANSWERED_REQUESTS = 3
+MAX_PEERS = 2_000
+
+RequestBody = bytes | Callable[[int], bytes]
+"""An encoded request, or a function that encodes it in a given version, for types whose encoding has changed."""
+
+
+class VersionMismatch(NamedTuple):
+    """A peer with which no protocol version is shared.
+
+    :ivar peer: its address if it was asked, its name if it asked.
+    :ivar versions: the versions that it supports.
+    """
+
+    peer: str
+    versions: ProtocolVersions
 
 
 class PeerClient:
-    """Speaks the lowest version with a neighbour until it has said that it speaks a higher one.
+    """Uses the lowest supported version with a peer until a handshake has shown that it supports a higher one.
+
+    So no request ever waits for a handshake, and a peer that supports version 1 alone, which has no handshake,
+    understands every request from the first on.
 
-    So no record ever waits for an agreement, and a neighbour of the first version, which knows nothing of
-    agreements, is understood from the first word on.
+    :param ctx: the process's context.
     """
 
-    def __init__(self, *, ctx: Any) -> None:
+    def __init__(self, *, ctx: "Context") -> None:
         self.ctx = ctx
         self.versions_by_address: dict[str, ProtocolVersions] = {}
-        self.requested_us: dict[str, int] = {}
-        self.misses: dict[str, int] = {}
-        self.met: set[str] = set()
-        self.logged: set[tuple[str, ProtocolVersions]] = set()
+        self.logged_mismatches: set[VersionMismatch] = set()
+        self._last_handshake_us: dict[str, int] = {}
+        self._unanswered_requests: dict[str, int] = {}
+        self._completed_handshakes: set[str] = set()
 
     def version(self, *, address: str) -> int:
-        """The version that is spoken with this neighbour now; 0 where there is none in common."""
-        other = self.versions_by_address.get(address)
-        return self.ctx.protocol_versions.lowest if other is None else self.ctx.protocol_versions.agreed(other=other)
-
-    async def request(self, *, address: str, body: Body, wait_us: int) -> Result[bytes, CinderstairError]:
-        """Sends a record in the version agreed on; one whose shape has changed is given as a function of it."""
-        version, known = self.version(address=address), self.versions_by_address.get(address)
-        if address not in self.versions_by_address:
-            self._negotiate(address=address)
-        if version == 0:
-            return Error(self._version_mismatch(address=address, other=self.versions_by_address[address]))
-        data = body if isinstance(body, bytes) else body(version)
-        result = await self.ctx.net.request(
-            address=address, body=wrapped(version=version, body=data), wait_us=wait_us
-        )
+        """Return the version used with this peer now; ``NO_VERSION`` if none is shared."""
+        peer_versions = self.versions_by_address.get(address)
+        if peer_versions is None:
+            return self.ctx.protocol_versions.lowest
+        return self.ctx.protocol_versions.highest_common(other=peer_versions)
+
+    def is_version_uncertain(self, *, address: str) -> bool:
+        """Return whether this peer has completed a handshake whose result no longer counts.
+
+        Until the next handshake it is sent a lower version than it may support.
+        """
+        return address in self._completed_handshakes and address not in self.versions_by_address
+
+    async def request(self, *, address: str, body: RequestBody, wait_us: int) -> Result[bytes, CinderstairError]:
+        """Send a request and wait for its response.
+
+        :param address: the peer's address, as host:port.
+        :param body: the request without its version header.
+        :param wait_us: how long to wait, in microseconds.
+        :returns: the response without its version header. Errors: OTHER_VERSION if no version is shared, in which
+            case the request was not handled; WIRE_UNSURE if no valid response came, and it may have been.
+        """
+        peer_versions = self.versions_by_address.get(address)
+        version = self.version(address=address)
+        if peer_versions is None:
+            self._start_handshake(address=address)
+        elif version == NO_VERSION:
+            return Error(self._version_mismatch(address=address, versions=peer_versions))
+        encoded = body if isinstance(body, bytes) else body(version)
+        data = add_version_header(version=version, body=encoded)
+        result = await self.ctx.net.request(address=address, body=data, wait_us=wait_us)
         if result.is_error():
-            self._missed(address=address, known=known)
+            self._request_unanswered(address=address, versions_before=peer_versions)
             return result
-        self.misses.pop(address, None)
-        return self._read(address=address, version=version, data=result.ok)
+        self._unanswered_requests.pop(address, None)
+        return self._read_response(address=address, version=version, data=result.ok)
+
+    async def handle_handshake(self, unpacker: Unpacker) -> bytes:
+        """Handle a peer's handshake: the response states the versions that this process supports.
+
+        :raises ValueError: if the handshake is malformed.
+        """
+        versions = read_protocol_versions(unpacker=unpacker)
+        name = unpacker.text()
+        unpacker.done()
+        if self.ctx.protocol_versions.highest_common(other=versions) == NO_VERSION:
+            self._report_mismatch(peer=name, versions=versions)
+        return self.ctx.protocol_versions.write(packer=Packer()).bytes()
 
-    def _missed(self, *, address: str, known: ProtocolVersions | None) -> None:
-        """Silence may mean that another version was started at this address, and it must be asked anew."""
-        if known is None or self.versions_by_address.get(address) != known:
+    def _request_unanswered(self, *, address: str, versions_before: ProtocolVersions | None) -> None:
+        """Repeat the handshake, since a process of another version may have started at this address."""
+        if versions_before is None or self.versions_by_address.get(address) != versions_before:
             return
-        self._negotiate(address=address)
-        self.misses[address] = self.misses.get(address, 0) + 1
-        # why: a single question may well be left without an answer by one that speaks as before
-        if self.misses[address] >= MISSES:
-            del self.misses[address], self.versions_by_address[address]
-
-    def doubtful(self, *, address: str) -> bool:
-        """Whether a lower version is spoken with this neighbour now than it is known to understand."""
-        return address in self.met and address not in self.versions_by_address
-
-    def _read(self, *, address: str, version: int, data: bytes) -> Result[bytes, CinderstairError]:
-        if version == 1:
+        self._start_handshake(address=address)
+        unanswered = self._unanswered_requests.get(address, 0) + 1
+        # A single request may well be lost on the way to a peer that is the same as before.
+        if unanswered < MAX_UNANSWERED_REQUESTS:
+            self._unanswered_requests[address] = unanswered
+            return
+        self._unanswered_requests.pop(address, None)
+        del self.versions_by_address[address]
+
+    def _read_response(self, *, address: str, version: int, data: bytes) -> Result[bytes, CinderstairError]:
+        if version == FIRST_VERSION:
             return Ok(data)
-        if len(data) == 3 and data[0] == WRAPPED:
-            other = ProtocolVersions(lowest=data[1], highest=data[2])
-            self.versions_by_address[address] = other
-            return Error(self._version_mismatch(address=address, other=other))
-        if not data or data[0] != WRAPPED | version:
+        supported = read_version_rejection(data=data)
+        if supported is not None:
+            self.versions_by_address[address] = supported
+            return Error(self._version_mismatch(address=address, versions=supported))
+        if data[:1] != bytes([VERSION_FLAG | version]):
             self.versions_by_address.pop(address, None)
             self.ctx.counters.add(name="records.malformed")
-            return Error(
-                CinderstairError(
-                    code=ErrorCode.WIRE_UNSURE, reason=f"{address}: an answer in no version that was asked in"
-                )
-            )
+            reason = f"{address}: an answer in no version that was asked in"
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=reason))
         return Ok(data[1:])
 
-    def _version_mismatch(self, *, address: str, other: ProtocolVersions) -> CinderstairError:
-        why = f"{address} speaks records {other}, this daemon {self.ctx.protocol_versions}"
+    def _version_mismatch(self, *, address: str, versions: ProtocolVersions) -> CinderstairError:
+        reason = self._report_mismatch(peer=address, versions=versions)
+        self._start_handshake(address=address)
+        return CinderstairError(code=ErrorCode.OTHER_VERSION, reason=reason)
+
+    def _report_mismatch(self, *, peer: str, versions: ProtocolVersions) -> str:
+        """Count a mismatch, log it the first time, and return its description."""
+        reason = f"{peer} speaks records {versions}, this daemon {self.ctx.protocol_versions}"
         self.ctx.counters.add(name="records.otherVersion")
-        # why: a neighbour that is not understood is a state, and its change is one line
-        if (address, other) not in self.logged and len(self.logged) < MOST_NEIGHBOURS:
-            self.logged.add((address, other))
-            self.ctx.log.error("%s", why)
-        self._negotiate(address=address)
-        return CinderstairError(code=ErrorCode.OTHER_VERSION, reason=why)
-
-    def _negotiate(self, *, address: str) -> None:
+        mismatch = VersionMismatch(peer=peer, versions=versions)
+        # A mismatch lasts until one side is upgraded: a line for each request would flood the log.
+        if mismatch not in self.logged_mismatches and len(self.logged_mismatches) < MAX_PEERS:
+            self.logged_mismatches.add(mismatch)
+            self.ctx.log.error("%s", reason)
+        return reason
+
+    def _start_handshake(self, *, address: str) -> None:
+        """Start a handshake in the background, at most one per peer and interval."""
+        # Version 1 has no handshake.
+        if not self.ctx.protocol_versions.supports_type(message_type=MessageType.HANDSHAKE):
+            return
         now_us = self.ctx.now_us()
-        # why: a daemon of the first version alone has no words for a handshake
-        if (
-            not self.ctx.protocol_versions.knows(kind=MessageType.HANDSHAKE)
-            or now_us - self.requested_us.get(address, -AGAIN_US) < AGAIN_US
-        ):
+        last_us = self._last_handshake_us.get(address, -HANDSHAKE_INTERVAL_US)
+        if now_us - last_us < HANDSHAKE_INTERVAL_US:
             return
-        if len(self.requested_us) >= MOST_NEIGHBOURS:
-            self.requested_us.clear()
-        self.requested_us[address] = now_us
-        self.ctx.spawn(work=self._agree(address=address), name="parley")
-
-    async def _agree(self, *, address: str) -> None:
-        protocol_versions = self.ctx.protocol_versions
-        packer = (
-            Packer()
-            .u8(value=MessageType.HANDSHAKE)
-            .u8(value=protocol_versions.lowest)
-            .u8(value=protocol_versions.highest)
-        )
+        if len(self._last_handshake_us) >= MAX_PEERS:
+            self._last_handshake_us.clear()
+        self._last_handshake_us[address] = now_us
+        self.ctx.spawn(work=self._handshake(address=address), name="version handshake")
+
+    async def _handshake(self, *, address: str) -> None:
+        packer = self.ctx.protocol_versions.write(packer=Packer().u8(value=MessageType.HANDSHAKE))
         body = packer.text(value=self.ctx.name).bytes()
-        result = await self.ctx.net.request(address=address, body=body, wait_us=WAIT_US)
+        result = await self.ctx.net.request(address=address, body=body, wait_us=HANDSHAKE_TIMEOUT_US)
         if result.is_error():
             return
         unpacker = Unpacker(data=result.ok)
         try:
-            other = ProtocolVersions(lowest=unpacker.u8(), highest=unpacker.u8())
+            versions = read_protocol_versions(unpacker=unpacker)
             unpacker.done()
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
-        if len(self.versions_by_address) >= MOST_NEIGHBOURS:
-            self.versions_by_address.clear()
-            self.met.clear()
-        self.versions_by_address[address] = other
-        self.met.add(address)
+        self._handshake_completed(address=address, versions=versions)
 
-    async def answer_handshake(self, unpacker: Unpacker) -> bytes:
-        """Answers a neighbour that asks what is spoken here."""
-        other = ProtocolVersions(lowest=unpacker.u8(), highest=unpacker.u8())
-        name = unpacker.text()
-        unpacker.done()
-        if not self.ctx.protocol_versions.agreed(other=other):
-            self._name_mismatch(name=name, other=other)
-        return (
-            Packer().u8(value=self.ctx.protocol_versions.lowest).u8(value=self.ctx.protocol_versions.highest).bytes()
-        )
-
-    def _name_mismatch(self, *, name: str, other: ProtocolVersions) -> None:
-        self.ctx.counters.add(name="records.otherVersion")
-        if (name, other) not in self.logged and len(self.logged) < MOST_NEIGHBOURS:
-            self.logged.add((name, other))
-            self.ctx.log.error("%s speaks records %s, this daemon %s", name, other, self.ctx.protocol_versions)
+    def _handshake_completed(self, *, address: str, versions: ProtocolVersions) -> None:
+        if len(self.versions_by_address) >= MAX_PEERS:
+            self.versions_by_address.clear()
+            self._completed_handshakes.clear()
+        self.versions_by_address[address] = versions
+        self._completed_handshakes.add(address)
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -10,7 +10,7 @@
 from .errors import CinderstairError, ErrorCode
 from .http_connection import HttpConnection
 from .http_request import HttpRequest, Line
-from .net import Connection, HttpAnswer, RecordAnswer
+from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport, split_address
 
 MOST_BODY_BYTES = 4 * 1024 * 1024
@@ -36,14 +36,14 @@
 class RealNet:
     def __init__(self, *, counters: Counters) -> None:
         self.counters = counters
-        self.wire = RecordTransport(counters=counters)
+        self.transport = RecordTransport(counters=counters)
         self.runners: list[web.AppRunner] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        return await self.wire.request(address=address, body=body, wait_us=wait_us)
+        return await self.transport.request(address=address, body=body, wait_us=wait_us)
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
-        await self.wire.listen(address=address, answer=answer)
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        await self.transport.listen(address=address, handler=handler)
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         host, port = split_address(address=address)
@@ -56,7 +56,7 @@
         connection = httpcore.AsyncHTTP11Connection(origin=origin, stream=stream)
         return Ok(HttpConnection(address=address, connection=connection, stream=stream))
 
-    async def serve(self, *, address: str, answer: HttpAnswer) -> None:
+    async def serve(self, *, address: str, handler: HttpHandler) -> None:
         host, port = split_address(address=address)
 
         async def handle(request: web.Request) -> web.Response:
@@ -70,7 +70,7 @@
             http_request = HttpRequest(
                 method=request.method, path=request.path, body=body, query=dict(request.query), line=line
             )
-            response = await answer(http_request)
+            response = await handler(http_request)
             headers = {"Content-Type": "application/json", **response.headers}
             answered = web.Response(status=response.status, body=response.body, headers=headers)
             if headers.get("Connection") == "close":
@@ -90,6 +90,6 @@
                 await site.stop()
 
     async def close(self) -> None:
-        await self.wire.close()
+        await self.transport.close()
         for runner in self.runners:
             await runner.cleanup()
--- a/src/cinderstair/runtime/record_net.py
+++ b/src/cinderstair/runtime/record_net.py
@@ -1,33 +1,36 @@
-"""The network of a lean daemon: records alone. Its edges are its adapters' own."""
+"""The network of a process without HTTP: messages between processes alone."""
 
 from expression import Result
 
 from .counters import Counters
 from .errors import CinderstairError
-from .net import Connection, HttpAnswer, RecordAnswer
+from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport
 
 
 class RecordNet:
-    """A Net without HTTP, so that neither of its libraries is loaded."""
+    """A ``Net`` without HTTP, so that neither of the HTTP libraries is loaded.
+
+    :param counters: counts as ``RecordTransport`` does.
+    """
 
     def __init__(self, *, counters: Counters) -> None:
-        self.wire = RecordTransport(counters=counters)
+        self.transport = RecordTransport(counters=counters)
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        return await self.wire.request(address=address, body=body, wait_us=wait_us)
+        return await self.transport.request(address=address, body=body, wait_us=wait_us)
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
-        await self.wire.listen(address=address, answer=answer)
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        await self.transport.listen(address=address, handler=handler)
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
-        raise NotImplementedError("a lean daemon has no HTTP channels")
+        raise NotImplementedError("this process has no HTTP client")
 
-    async def serve(self, *, address: str, answer: HttpAnswer) -> None:
-        raise NotImplementedError("a lean daemon has no HTTP edge of its own")
+    async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        raise NotImplementedError("this process has no HTTP server")
 
     async def refuse(self) -> None:
-        """There is nothing to refuse."""
+        """Do nothing: there are no HTTP connections."""
 
     async def close(self) -> None:
-        await self.wire.close()
+        await self.transport.close()
--- a/src/cinderstair/simulation/capacity/metered_net.py
+++ b/src/cinderstair/simulation/capacity/metered_net.py
@@ -4,9 +4,9 @@
 
 from ...runtime.counters import Counters
 from ...runtime.errors import CinderstairError
-from ...runtime.net import RecordAnswer
+from ...runtime.net import RecordHandler
+from ...runtime.record_frame import FRAME_HEADER
 from ...runtime.record_net import RecordNet
-from ...runtime.record_transport import HEAD
 
 
 class MeteredNet(RecordNet):
@@ -18,11 +18,11 @@
 
     def _sent(self, *, body: bytes) -> None:
         self.records_out += 1
-        self.bytes_out += len(body) + HEAD.size
+        self.bytes_out += len(body) + FRAME_HEADER.size
 
     def _came(self, *, body: bytes) -> None:
         self.records_in += 1
-        self.bytes_in += len(body) + HEAD.size
+        self.bytes_in += len(body) + FRAME_HEADER.size
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         self._sent(body=body)
@@ -31,11 +31,11 @@
             self._came(body=result.ok)
         return result
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
         async def metered(body: bytes) -> bytes:
             self._came(body=body)
-            response = await answer(body)
+            response = await handler(body)
             self._sent(body=response)
             return response
 
-        await super().listen(address=address, answer=metered)
+        await super().listen(address=address, handler=metered)
--- a/src/cinderstair/simulation/explorer/choice_net.py
+++ b/src/cinderstair/simulation/explorer/choice_net.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from ...runtime.errors import CinderstairError, ErrorCode
-from ...runtime.net import Connection, HttpAnswer, RecordAnswer
+from ...runtime.net import Connection, HttpHandler, RecordHandler
 from .event import Answered, Asked, Output, Token
 
 
@@ -17,7 +17,7 @@
         self.outputs = outputs
         self.number = 0
         self.waiting: dict[int, asyncio.Future[Result[bytes, CinderstairError]]] = {}
-        self.answer: RecordAnswer | None = None
+        self.handler: RecordHandler | None = None
         self.serving: set[asyncio.Task[Any]] = set()
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
@@ -36,8 +36,8 @@
         self.waiting.pop(number).set_result(Error(fault))
 
     def serve_record(self, *, loop: asyncio.AbstractEventLoop, token: Token, body: bytes) -> None:
-        assert self.answer is not None
-        task: asyncio.Task[bytes] = loop.create_task(self.answer(body))  # type: ignore[arg-type]
+        assert self.handler is not None
+        task: asyncio.Task[bytes] = loop.create_task(self.handler(body))  # type: ignore[arg-type]
         self.serving.add(task)
         task.add_done_callback(lambda done: self._served(task=done, token=token))
 
@@ -48,13 +48,13 @@
             return
         self.outputs.append(Answered(token, task.result()))
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
-        self.answer = answer
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        self.handler = handler
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
         raise NotImplementedError
 
-    async def serve(self, *, address: str, answer: HttpAnswer) -> None:
+    async def serve(self, *, address: str, handler: HttpHandler) -> None:
         raise NotImplementedError
 
     async def refuse(self) -> None:
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -73,7 +73,7 @@
         if self.up_for_long:
             self.register_replica.acceptor.grants_from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
-        self.net.answer = self.register_replica.dispatcher.answer
+        self.net.handler = self.register_replica.dispatcher.dispatch
         if self.enters:
             self.ctx.spawn(work=self.register_replica._meet(), name="vault.meet")
 
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -13,8 +13,8 @@
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.http_request import HttpRequest, Line
 from ..runtime.http_response import HttpResponse
-from ..runtime.net import Connection, HttpAnswer, RecordAnswer
-from ..runtime.protocol_versions import unwrapped
+from ..runtime.net import Connection, HttpHandler, RecordHandler
+from ..runtime.protocol_versions import split_version_header
 from .virtual_loop import BOOT, Boot, VirtualLoop
 
 PATHS = frozenset(["/run", "/position", "/pull", "/v1/beats", "/promote"])
@@ -68,8 +68,8 @@
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
-        self.records: dict[str, tuple[Boot, RecordAnswer]] = {}
-        self.https: dict[str, tuple[Boot, HttpAnswer]] = {}
+        self.records: dict[str, tuple[Boot, RecordHandler]] = {}
+        self.https: dict[str, tuple[Boot, HttpHandler]] = {}
         self.hosts: dict[str, str] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.connections: list[SimConnection] = []
@@ -132,7 +132,7 @@
 class SimConnection:
     """A client's end of a channel."""
 
-    def __init__(self, *, wires: Wires, client: Boot, server: Boot, answer: HttpAnswer) -> None:
+    def __init__(self, *, wires: Wires, client: Boot, server: Boot, answer: HttpHandler) -> None:
         self.wires = wires
         self.client = client
         self.server = server
@@ -254,7 +254,7 @@
         waiting: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         wires, me = self.wires, self.boot
         wires.sent += 1
-        wires.work[f"record {unwrapped(data=body)[1][0]}"] += 1
+        wires.work[f"record {split_version_header(data=body).body[0]}"] += 1
 
         def fail() -> None:
             if not waiting.done():
@@ -290,8 +290,8 @@
         except (TimeoutError, ConnectionRefusedError) as error:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
-    async def listen(self, *, address: str, answer: RecordAnswer) -> None:
-        self.wires.records[address] = (self.boot, answer)
+    async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        self.wires.records[address] = (self.boot, handler)
         self.wires.hosts[address] = self.boot.name
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
@@ -325,8 +325,8 @@
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not reached"))
         return Ok(connection)
 
-    async def serve(self, *, address: str, answer: HttpAnswer) -> None:
-        self.wires.https[address] = (self.boot, answer)
+    async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        self.wires.https[address] = (self.boot, handler)
         self.wires.hosts[address] = self.boot.name
 
     async def refuse(self) -> None:
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -119,7 +119,7 @@
         self.incarnation += 1
         self._save_meta()
         self._apply_all()
-        await self.ctx.net.serve(address=self.address, answer=self.answer)
+        await self.ctx.net.serve(address=self.address, handler=self.answer)
         self.ctx.spawn(work=self._follow(), name="follow")
         self.ctx.spawn(work=self._heartbeats(), name="beats")
         self.ctx.timer(every_us=50_000).subscribe(lambda _: self._sweep())
--- a/src/cinderstair/simulation/stand_in_platform.py
+++ b/src/cinderstair/simulation/stand_in_platform.py
@@ -24,7 +24,7 @@
         self.promotions: list[tuple[int, str, str, int]] = []
 
     async def start(self) -> None:
-        await self.ctx.net.serve(address=self.address, answer=self.answer)
+        await self.ctx.net.serve(address=self.address, handler=self.answer)
         self.ctx.spawn(work=self._reconcile(), name="reconcile")
 
     async def _say(self, *, address: str, path: str, body: dict[str, Any]) -> bool:
--- a/src/cinderstair/simulation/upgrade_trials.py
+++ b/src/cinderstair/simulation/upgrade_trials.py
@@ -75,11 +75,15 @@
     http_proxy = world.http_proxy(name=name)
     if http_proxy.ready.unready() is None:
         trial.verdict.wrong.append(f"{name} serves though nobody understands it")
-    logged = {address for address, other in world.contexts[name].peer_client.logged if other == PROTOCOL_VERSIONS}
+    logged = {
+        address for address, other in world.contexts[name].peer_client.logged_mismatches if other == PROTOCOL_VERSIONS
+    }
     seeds = set(world.settings(name=name).seeds)
     if not seeds <= logged or not world.contexts[name].counters.counts.get("records.otherVersion"):
         trial.verdict.wrong.append(f"{name} does not say whom it can't understand: {logged}")
-    heard = [n for n in world.register_replica_names if (name, STRANGE) in world.contexts[n].peer_client.logged]
+    heard = [
+        n for n in world.register_replica_names if (name, STRANGE) in world.contexts[n].peer_client.logged_mismatches
+    ]
     if not heard:
         trial.verdict.wrong.append(f"nobody says that {name} can't be understood")
     world.kill(name=name)
