--- a/features/runtime/settings.feature
+++ b/features/runtime/settings.feature
@@ -14,8 +14,11 @@
       | records = "127.0.0.1:0"                                    | :3: records: '127.0.0.1:0' has no port          |
       | seeds = ["127.0.0.1:1"]                                    | :5: seeds: three seed addresses are needed      |
       | seeds = ["127.0.0.1:1", "127.0.0.1:2", "x"]                | :5: seeds: 'x' is not an address                |
-      | foundingVaults = 0                                         | :6: foundingVaults: Must be                     |
-      | logLevel = "loud"                                          | :7: logLevel: Must be one of                    |
+      | founding_replicas = 0                                      | :6: founding_replicas: Must be                  |
+      | log_level = "loud"                                         | :7: log_level: Must be one of                   |
+      | queue_limit = 0                                            | :8: queue_limit: Must be                        |
+      | queueMost = 0                                              | :8: queueMost: Must be                          |
+      | logLevel = "debug"                                         | :8: logLevel: is the old name of log_level      |
       | site =                                                     | not TOML: Invalid value (at line 2              |
 
   Scenario: Flags override the file, and are checked as it is
@@ -25,3 +28,46 @@
 
   Scenario: A file that is not there
     Then reading "/nowhere/at/all.toml" is refused with "can't be read: No such file or directory"
+
+  Scenario Outline: The old name <old> still works, and one warning gives the new name
+    Given a good settings file without <new>
+    When it is read with <old> = <value>
+    Then the setting <new> is <value>
+    And one warning says "<old> (now <new>)"
+
+    Examples:
+      | old               | new                 | value   |
+      | foundingVaults    | founding_replicas   | 3       |
+      | logLevel          | log_level           | "debug" |
+      | drainWaitUs       | drain_wait_us       | 1       |
+      | queueMost         | queue_limit         | 2       |
+      | idleTransactionUs | idle_transaction_us | 3       |
+      | idleSessionUs     | idle_session_us     | 4000000 |
+      | mostVaults        | max_voters          | 5       |
+      | mayFound          | may_found           | false   |
+      | catchUpUs         | catch_up_us         | 6       |
+      | leaveWithinUs     | leave_within_us     | 7       |
+      | probeEveryUs      | probe_every_us      | 60000   |
+      | underWayUs        | in_flight_us        | 2600000 |
+
+  Scenario: Several old names are one warning
+    Given a good settings file with queueMost = 2 and mayFound = false
+    When it is read with idleSessionUs = 4000000
+    Then one warning says "queueMost (now queue_limit), idleSessionUs (now idle_session_us), mayFound (now may_found)"
+
+  Scenario: New names give no warning
+    Given a good settings file
+    When it is read with queue_limit = 2
+    Then the setting queue_limit is 2
+    And there is no warning
+
+  Scenario: A flag overrides the file, whichever name each uses
+    Given a good settings file with queue_limit = 2 and drainWaitUs = 1
+    Then the flag queueMost as 3 gives queue_limit 3
+    And the flag drain_wait_us as 4 gives drain_wait_us 4
+
+  Scenario: A refused file gives its error alone
+    Given a good settings file with queueMost = 2 and mayFound = false
+    When it is read with probe_every_us = 1
+    Then it is refused with "probe_every_us: Must be"
+    And there is no warning
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -147,7 +147,7 @@
 
 def start_world(*, context: Any) -> World:
     """A system at work, the same at each run."""
-    world = new_world(context=context, seed=SEED, changes={"idleTransactionUs": 2_000_000})
+    world = new_world(context=context, seed=SEED, changes={"idle_transaction_us": 2_000_000})
     world.begin()
     return world
 
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -41,7 +41,7 @@
 
 @given("a system at work with an open session")
 def given_work(context: Any) -> None:
-    world = new_world(context=context, seed=21, changes={"idleTransactionUs": 2_000_000})
+    world = new_world(context=context, seed=21, changes={"idle_transaction_us": 2_000_000})
     world.begin()
     context.session = open_session(world=world)
 
@@ -195,7 +195,7 @@
 
 @given("a system of 1 HTTP proxy with a cap of {cap:d}, and queues of {most:d}")
 def given_small(context: Any, cap: int, most: int) -> None:
-    world = new_world(context=context, seed=22, http_proxies=1, cap=cap, changes={"queueMost": most})
+    world = new_world(context=context, seed=22, http_proxies=1, cap=cap, changes={"queue_limit": most})
     world.begin()
     for name in world.backend_names():
         world.backend(name=name).service_us = 200_000
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,7 +1,9 @@
 """Steps for settings."""
 
+import logging
 import os
 import tempfile
+import tomllib
 from typing import Any
 
 from behave import given, then, when
@@ -14,8 +16,8 @@
     'records = "127.0.0.1:7101"',
     'http = "127.0.0.1:7201"',
     'seeds = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]',
-    "foundingVaults = 5",
-    'logLevel = "info"',
+    "founding_replicas = 5",
+    'log_level = "info"',
 )
 
 
@@ -29,12 +31,42 @@
         os.unlink(path)
 
 
+class WarningList(logging.Handler):
+    """Collects the warnings that are logged while it is installed as a context manager."""
+
+    def __init__(self) -> None:
+        super().__init__(level=logging.WARNING)
+        self.messages: list[str] = []
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.messages.append(record.getMessage())
+
+    def __enter__(self) -> "WarningList":
+        logging.getLogger().addHandler(self)
+        return self
+
+    def __exit__(self, *_: Any) -> None:
+        logging.getLogger().removeHandler(self)
+
+
 @given("a good settings file")
 def given_good(context: Any) -> None:
     context.lines = list(GOOD)
     assert read_lines(lines=context.lines, flags={}).is_ok()
 
 
+@given("a good settings file without {key}")
+def given_without(context: Any, key: str) -> None:
+    context.lines = [line for line in GOOD if not line.startswith(f"{key} ")]
+    assert read_lines(lines=context.lines, flags={}).is_ok()
+
+
+@given("a good settings file with {one} and {other}")
+def given_with(context: Any, one: str, other: str) -> None:
+    context.lines = [*GOOD, one, other]
+    assert read_lines(lines=context.lines, flags={}).is_ok()
+
+
 @when("it is read with {change}")
 def when_read(context: Any, change: str) -> None:
     key = change.split()[0]
@@ -43,7 +75,32 @@
         context.lines[places[0]] = change
     else:
         context.lines.append(change)
-    context.result = read_lines(lines=context.lines, flags={})
+    with WarningList() as warnings:
+        context.result = read_lines(lines=context.lines, flags={})
+    context.warnings = warnings.messages
+
+
+@then("the setting {key} is {value}")
+def then_setting(context: Any, key: str, value: str) -> None:
+    expected = tomllib.loads(f"value = {value}")["value"]
+    assert getattr(context.result.ok, key) == expected, context.result
+
+
+@then('one warning says "{words}"')
+def then_warned(context: Any, words: str) -> None:
+    assert len(context.warnings) == 1, context.warnings
+    assert words in context.warnings[0] and "\n" not in context.warnings[0], context.warnings
+
+
+@then("there is no warning")
+def then_not_warned(context: Any) -> None:
+    assert context.warnings == [], context.warnings
+
+
+@then("the flag {flag} as {value:d} gives {key} {expected:d}")
+def then_flag_number(context: Any, flag: str, value: int, key: str, expected: int) -> None:
+    result = read_lines(lines=context.lines, flags={flag: value})
+    assert result.is_ok() and getattr(result.ok, key) == expected, result
 
 
 @then('it is refused with "{words}"')
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -121,6 +121,6 @@
         if read.ok == self.settings:
             return
         self.settings = replace(self.settings, **{key: getattr(read.ok, key) for key in LIVE})
-        logging.getLogger().setLevel(self.settings.logLevel.upper())
+        logging.getLogger().setLevel(self.settings.log_level.upper())
         trader.resettle(settings=self.settings)
         self.log.info("settings changed (%s)", why)
--- a/src/cinderstair/cli/daemon_commands.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -77,7 +77,7 @@
             if problem:
                 return self._refuse(why=f"{where}: folder: {problem}")
         logging.basicConfig(
-            level=settings.logLevel.upper(),
+            level=settings.log_level.upper(),
             format="%(asctime)s %(levelname)s %(name)s %(message)s",
             stream=sys.stderr,
         )
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -57,7 +57,7 @@
         self.joining_since_us: int | None = None
         # since when fewer vote than are to
         self.short_since_us: int | None = None
-        lost_after_us = settings.catchUpUs // LOST_AFTER_SHARE
+        lost_after_us = settings.catch_up_us // LOST_AFTER_SHARE
         self.watch = VoterWatch(
             ctx=ctx, lost_after_us=min(LOST_AFTER_MOST_US, max(LOST_AFTER_LEAST_US, lost_after_us))
         )
@@ -70,7 +70,7 @@
         store = opened.ok
         fresh = store.held.ident == 0
         # why: a blank disk where the system has run before is a lost one, and must not found a second system
-        self.mayFound = self.settings.mayFound or not fresh
+        self.mayFound = self.settings.may_found or not fresh
         if fresh:
             store.held.ident = self.ctx.rng.getrandbits(62) | 1
             store.save(entries=[ident_entry(ident=store.held.ident)])
@@ -109,7 +109,7 @@
             dispatcher=self.dispatcher,
             me=me,
             seeds=self.settings.seeds,
-            every_us=self.settings.probeEveryUs,
+            every_us=self.settings.probe_every_us,
         )
         await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
         self.ctx.spawn(work=self._meet(), name="vault.meet")
@@ -122,7 +122,7 @@
 
     @property
     def most(self) -> int:
-        return self.settings.mostVaults or self.settings.foundingVaults
+        return self.settings.max_voters or self.settings.founding_replicas
 
     async def _answer_join_request(self, unpacker: Unpacker) -> bytes:
         voter = read_voter(unpacker=unpacker)
@@ -251,14 +251,14 @@
     async def _found(self) -> None:
         """Proposes the first roster to the seeds, once this blank seed has met enough replicas."""
         assert self.me is not None
-        wanted = self.settings.foundingVaults
+        wanted = self.settings.founding_replicas
         # why: one seed that is cut off or gone from the first moment on must not keep the others from beginning
         if self.ctx.now_us() - self.started_us > FOUND_WAIT_US:
             wanted = min(wanted, len(self.settings.seeds) // 2 + 1)
         enough = len(self.candidates) >= wanted
         if self.me.address not in self.settings.seeds or not enough or not self.mayFound:
             return
-        voters = tuple(sorted(self.candidates.values(), key=lambda v: v.name)[: self.settings.foundingVaults])
+        voters = tuple(sorted(self.candidates.values(), key=lambda v: v.name)[: self.settings.founding_replicas])
         mine = Roster(epoch=1, voters=voters).bytes()
         chosen = await self.register.change(key=ROSTER_KEY, decide=lambda data: Ok(data or mine), founding=True)
         # why: a roster counts only once a majority of the seeds hold it, and the first one chosen stays
@@ -271,7 +271,7 @@
         """A planned stop: deregisters, then votes on until a standby, where there is one, has taken its place."""
         if self.membership is None:
             return
-        until_us = self.ctx.now_us() + self.settings.leaveWithinUs
+        until_us = self.ctx.now_us() + self.settings.leave_within_us
         await self.membership.leave()
         # why: with the vote gone before its place is taken, the system would bear one loss less than it is to
         while self.votes and self.standbys() and self.ctx.now_us() < until_us:
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -121,7 +121,7 @@
             planned=self._planned,
             handover=self.handover,
             lease_us=self.proxy_lease_us,
-            under_way_us=self.settings.underWayUs,
+            under_way_us=self.settings.in_flight_us,
         )
         self.announcer = Announcer(
             ctx=ctx, dispatcher=register_replica.dispatcher, heartbeat_table=self.heartbeat_table, voters=self._voters
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -76,7 +76,7 @@
         )
         self.view = View(ctx=ctx, register=self.register)
         self.connection_pools = ConnectionPools(
-            ctx=ctx, view=self.view, heartbeat_table=self.heartbeat_table, queueMost=settings.queueMost
+            ctx=ctx, view=self.view, heartbeat_table=self.heartbeat_table, queueMost=settings.queue_limit
         )
         self.silent_backend_probe = SilentBackendProbe(ctx=ctx, connection_pools=self.connection_pools)
         self.reachability = BackendReachability(
@@ -87,7 +87,7 @@
         )
         self.book = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
         self.sessions = Sessions(
-            ctx=ctx, idleTransactionUs=settings.idleTransactionUs, idleSessionUs=settings.idleSessionUs
+            ctx=ctx, idleTransactionUs=settings.idle_transaction_us, idleSessionUs=settings.idle_session_us
         )
         self.proxy_id_reclaimer = ProxyIdReclaimer(
             ctx=ctx, register=self.register, view=self.view, membership=self.membership
@@ -145,7 +145,7 @@
                 ready=self.ready,
                 status=self.status,
                 leads=self.database_failover,
-                foundingVaults=self.settings.foundingVaults,
+                foundingVaults=self.settings.founding_replicas,
             ),
             DeadlineFilter(ctx=ctx),
             self.ready,
@@ -268,7 +268,7 @@
     async def drain(self) -> None:
         """A planned stop: takes nothing new, lets what is under way finish, then deregisters."""
         self.ready.draining = True
-        until_us = self.ctx.now_us() + self.settings.drainWaitUs
+        until_us = self.ctx.now_us() + self.settings.drain_wait_us
         # why: copies are held for others, who need a moment to place them elsewhere, or are gone themselves
         while (await self.handover.hand_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
             self.session_replicas.adopt()
@@ -292,8 +292,8 @@
     def resettle(self, *, settings: Settings) -> None:
         """Takes the settings that may change while the process runs."""
         self.settings = settings
-        self.sessions.idleTransactionUs = settings.idleTransactionUs
-        self.sessions.idleSessionUs = settings.idleSessionUs
-        self.connection_pools.queueMost = settings.queueMost
+        self.sessions.idleTransactionUs = settings.idle_transaction_us
+        self.sessions.idleSessionUs = settings.idle_session_us
+        self.connection_pools.queueMost = settings.queue_limit
         for pool in self.connection_pools.pools.values():
-            pool.queueMost = settings.queueMost
+            pool.queueMost = settings.queue_limit
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -94,6 +94,6 @@
         settings,
         records=options["records"],
         seeds=tuple(options["seeds"]),
-        foundingVaults=options["voters"],
-        mostVaults=options["voters"],
+        founding_replicas=options["voters"],
+        max_voters=options["voters"],
     )
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -59,7 +59,7 @@
     ) -> None:
         super().__init__(recipe=recipe, name=name, rate=rate)
         settings = Settings(
-            name=name, site="hall", records=recipe.address, seeds=seeds, foundingVaults=3, mayFound=False
+            name=name, site="hall", records=recipe.address, seeds=seeds, founding_replicas=3, may_found=False
         )
         self.enters = enters
         self.up_for_long = False
--- a/src/cinderstair/simulation/fleet_day.py
+++ b/src/cinderstair/simulation/fleet_day.py
@@ -75,7 +75,7 @@
 
     async def _resettled(self) -> None:
         name = self.rng.choice(self.fleet.http_proxy_names)
-        self.fleet.write_settings(name=name, queueMost=self.rng.randrange(100, 300))
+        self.fleet.write_settings(name=name, queue_limit=self.rng.randrange(100, 300))
         if self.rng.random() < 0.5:
             self.fleet.signal(name=name, number=signal.SIGHUP)
 
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -366,7 +366,7 @@
     **options: Any,
 ) -> Trial:
     """A world at work."""
-    changes = {"idleTransactionUs": 2_000_000, **options.pop("changes", {})}
+    changes = {"idle_transaction_us": 2_000_000, **options.pop("changes", {})}
     world = World(seed=seed, http_proxies=http_proxies, databases=databases, changes=changes, **options)
     world.begin()
     trial = Trial(world=world)
--- a/src/cinderstair/simulation/trials.py
+++ b/src/cinderstair/simulation/trials.py
@@ -132,7 +132,7 @@
         ("owners_killed", "owners_frozen", "owners_cut", "owner_and_second", "owners_stopped_and_killed"),
         {"callers": 16, "mix": CHANGING},
     ),
-    "replicas_forgotten": {"callers": 16, "mix": CHANGING, "changes": {"idleSessionUs": 6_000_000}},
+    "replicas_forgotten": {"callers": 16, "mix": CHANGING, "changes": {"idle_session_us": 6_000_000}},
     "kickoff": {"callers": 150, "think_us": 100_000, "cap": 12, "databases": 2},
 }
 
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -126,7 +126,7 @@
             records=self.records(name=name),
             http=self.http(name=name),
             seeds=tuple(self.records(name=register_replica) for register_replica in self.register_replica_names[:3]),
-            foundingVaults=len(self.register_replica_names),
+            founding_replicas=len(self.register_replica_names),
             platform=self.http(name="platform"),
             **self.changes,
         )
