--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -198,7 +198,7 @@
         requested.append(body.hex())
         return answer
 
-    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=reply))
+    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", handler=reply))
     # why: a command runs a loop of its own and waits in it, so who answers needs another thread
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -261,20 +261,20 @@
     "http": lambda settings: settings.http,
     "folder": lambda settings: settings.folder,
     "seeds": lambda settings: list(settings.seeds),
-    "foundingVaults": lambda settings: settings.foundingVaults,
+    "foundingVaults": lambda settings: settings.founding_replicas,
     "platform": lambda settings: settings.platform,
     "traces": lambda settings: settings.traces,
-    "logLevel": lambda settings: settings.logLevel,
-    "drainWaitUs": lambda settings: settings.drainWaitUs,
-    "queueMost": lambda settings: settings.queueMost,
-    "idleTransactionUs": lambda settings: settings.idleTransactionUs,
-    "idleSessionUs": lambda settings: settings.idleSessionUs,
-    "mostVaults": lambda settings: settings.mostVaults,
-    "mayFound": lambda settings: settings.mayFound,
-    "catchUpUs": lambda settings: settings.catchUpUs,
-    "leaveWithinUs": lambda settings: settings.leaveWithinUs,
-    "probeEveryUs": lambda settings: settings.probeEveryUs,
-    "underWayUs": lambda settings: settings.underWayUs,
+    "logLevel": lambda settings: settings.log_level,
+    "drainWaitUs": lambda settings: settings.drain_wait_us,
+    "queueMost": lambda settings: settings.queue_limit,
+    "idleTransactionUs": lambda settings: settings.idle_transaction_us,
+    "idleSessionUs": lambda settings: settings.idle_session_us,
+    "mostVaults": lambda settings: settings.max_voters,
+    "mayFound": lambda settings: settings.may_found,
+    "catchUpUs": lambda settings: settings.catch_up_us,
+    "leaveWithinUs": lambda settings: settings.leave_within_us,
+    "probeEveryUs": lambda settings: settings.probe_every_us,
+    "underWayUs": lambda settings: settings.in_flight_us,
 }
 
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -14,8 +14,8 @@
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.consensus.succession import Succession, without
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
-from cinderstair.runtime.message_types import LEASE
-from cinderstair.runtime.protocol_versions import unwrapped
+from cinderstair.runtime.message_types import MessageType
+from cinderstair.runtime.protocol_versions import split_version_header
 from cinderstair.simulation.virtual_loop import Boot
 
 
@@ -236,8 +236,8 @@
 
 
 def is_return(body: bytes) -> bool:
-    kind, length = unwrapped(data=body)[1][0], int.from_bytes(body[-8:], "big")
-    return kind == LEASE and length == 0
+    kind, length = split_version_header(data=body).body[0], int.from_bytes(body[-8:], "big")
+    return kind == MessageType.LEASE and length == 0
 
 
 @when("a lease is given back and granted again, and its return arrives late")
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -7,9 +7,9 @@
 from ..membership.membership import Membership
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
-from ..runtime.message_types import HANDOVER, SEEK
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
-from ..runtime.peer_client import Body
+from ..runtime.peer_client import RequestBody
 from ..runtime.unpacker import Unpacker
 from .filters.ready_filter import ReadyFilter
 from .session import Session, read_session
@@ -59,8 +59,8 @@
         # why: a client that comes back to its old HTTP proxy is told where its session is now
         self.gone: dict[str, str] = {}
         self.reported_us: dict[str, int] = {}
-        dispatcher.add_handler(message_type=HANDOVER, handler=self._offered)
-        dispatcher.add_handler(message_type=SEEK, handler=self._sought)
+        dispatcher.add_handler(message_type=MessageType.HANDOVER, handler=self._offered)
+        dispatcher.add_handler(message_type=MessageType.SEEK, handler=self._sought)
 
     async def _offered(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
@@ -119,7 +119,7 @@
         session.busy = True
 
         def body(version: int) -> bytes:
-            packer = Packer().u8(value=HANDOVER)
+            packer = Packer().u8(value=MessageType.HANDOVER)
             return session.write(packer=packer, version=version, now_us=self.ctx.now_us()).bytes()
 
         for target in self._targets()[:TRIES]:
@@ -132,7 +132,7 @@
                 return
         session.busy = False
 
-    async def _offer(self, *, target: Member, body: Body) -> bool:
+    async def _offer(self, *, target: Member, body: RequestBody) -> bool:
         for _ in range(TRIES):
             result = await self.ctx.peer_client.request(address=target.records, body=body, wait_us=HAND_WAIT_US)
             if result.is_ok():
@@ -158,7 +158,7 @@
             return Sought(where=str(known))
 
         def body(version: int) -> bytes:
-            packer = Packer().u8(value=SEEK)
+            packer = Packer().u8(value=MessageType.SEEK)
             if version == 1:
                 return packer.text(value=str(handle)).bytes()
             return packer.text(value=handle.ident).u64(value=handle.tag.edition).text(value=handle.tag.mark).bytes()
@@ -182,7 +182,7 @@
         # why: asked in the first version nobody tells of copies
         return Sought(
             unsure=any(
-                result.is_error() or self.ctx.peer_client.doubtful(address=member.records)
+                result.is_error() or self.ctx.peer_client.is_version_uncertain(address=member.records)
                 for member, result in answers.items()
             )
         )
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -6,7 +6,7 @@
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import FORWARD
+from ..runtime.message_types import MessageType
 from ..runtime.unpacker import Unpacker
 from .forward_checks import ForwardChecks, ForwardResult, PooledLink, refused
 from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, Outcome, read_forward_question
@@ -36,7 +36,12 @@
         self._life = 0
         self.transactions: dict[TransactionKey, ForwardedTransaction] = {}
         self.writes: Counter[str] = Counter()
+<<<<<<< HEAD
         dispatcher.add_handler(message_type=FORWARD, handler=self.answer)
+=======
+        self.stopping = False
+        dispatcher.add_handler(message_type=MessageType.FORWARD, handler=self.answer)
+>>>>>>> h-runtime
 
     @property
     def life(self) -> int:
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -60,7 +60,7 @@
     ) -> None:
         super().__init__(recipe=recipe, name=name, rate=rate)
         settings = Settings(
-            name=name, site="hall", records=recipe.address, seeds=seeds, foundingVaults=3, mayFound=False
+            name=name, site="hall", records=recipe.address, seeds=seeds, founding_replicas=3, may_found=False
         )
         self.enters = enters
         self.up_for_long = False
@@ -73,7 +73,7 @@
         if self.up_for_long:
             self.register_replica.acceptor.grants_from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
-        self.net.answer = self.register_replica.dispatcher.answer
+        self.net.handler = self.register_replica.dispatcher.dispatch
         if self.enters:
             self.ctx.spawn(work=self.register_replica.run_joining(), name="register_replica.join")
 
