--- a/src/cinderstair/consensus/founding.py
+++ b/src/cinderstair/consensus/founding.py
@@ -18,8 +18,8 @@
 def required_candidates(*, settings: Settings, waited_us: int) -> int:
     """How many replicas must be known before a roster is proposed."""
     if waited_us > FOUNDING_WAIT_US:
-        return min(settings.foundingVaults, len(settings.seeds) // 2 + 1)
-    return settings.foundingVaults
+        return min(settings.founding_replicas, len(settings.seeds) // 2 + 1)
+    return settings.founding_replicas
 
 
 def first_roster(*, settings: Settings, me: Voter, candidates: Mapping[str, Voter], waited_us: int) -> Roster | None:
@@ -28,7 +28,7 @@
     if me.address not in settings.seeds or not enough:
         return None
     by_name = sorted(candidates.values(), key=lambda candidate: candidate.name)
-    return Roster(epoch=FIRST_EPOCH, voters=tuple(by_name[: settings.foundingVaults]))
+    return Roster(epoch=FIRST_EPOCH, voters=tuple(by_name[: settings.founding_replicas]))
 
 
 async def found(*, register: Register, proposal: Roster) -> Roster | None:
--- a/src/cinderstair/consensus/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -7,13 +7,7 @@
 from dataclasses import dataclass
 
 from ..runtime.context import Context
-<<<<<<< HEAD
 from .messages import LeaseRequest, Status, status_of
-=======
-from ..runtime.message_types import MessageType
-from ..runtime.packer import Packer
-from .acceptor import OK
->>>>>>> h-runtime
 from .register import Register
 
 LENGTH_US = 2_000_000
@@ -87,14 +81,8 @@
     async def _request(self, *, holder: int, length_us: int) -> GrantPoll:
         roster = self.register.roster
         if roster is None:
-<<<<<<< HEAD
             return GrantPoll(granted=False)
         request = LeaseRequest(epoch=roster.epoch, lease=self.name, holder=holder, length_us=length_us)
-=======
-            return False, [], 0
-        packer = Packer().u8(value=MessageType.LEASE).u32(value=roster.epoch).text(value=self.duty)
-        body = packer.u64(value=holder).u64(value=length_us).bytes()
->>>>>>> h-runtime
 
         # the majority is that of the roster that was asked: one that is learnt meanwhile may be smaller
         def enough(answers: list[bytes]) -> bool:
--- a/src/cinderstair/consensus/messages.py
+++ b/src/cinderstair/consensus/messages.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import ClassVar, NamedTuple, Self
 
-from ..runtime.message_types import ACCEPT, ADOPT, JOIN_REQUEST, LEASE, PREPARE, READ, VECTOR
+from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .ballot import BLANK, Ballot, read_ballot
@@ -56,7 +56,7 @@
 class PrepareRequest:
     """Asks for the promise to accept no ballot below this one."""
 
-    message_type: ClassVar[int] = PREPARE
+    message_type: ClassVar[MessageType] = MessageType.PREPARE
     epoch: int
     key: str
     ballot: Ballot
@@ -77,7 +77,7 @@
 class AcceptRequest:
     """Asks to accept a value under a ballot that was promised before."""
 
-    message_type: ClassVar[int] = ACCEPT
+    message_type: ClassVar[MessageType] = MessageType.ACCEPT
     epoch: int
     key: str
     ballot: Ballot
@@ -106,7 +106,7 @@
 class ReadRequest:
     """Asks for a key's accepted value and its ballot."""
 
-    message_type: ClassVar[int] = READ
+    message_type: ClassVar[MessageType] = MessageType.READ
     epoch: int
     key: str
 
@@ -128,7 +128,7 @@
     request came in the protocol's first version, which always gives the whole vector.
     """
 
-    message_type: ClassVar[int] = VECTOR
+    message_type: ClassVar[MessageType] = MessageType.VECTOR
     epoch: int
     known: tuple[SourceEdition, ...] | None = None
 
@@ -157,7 +157,7 @@
 class LeaseRequest:
     """Asks for a lease of `length_us` microseconds; a length of 0 gives the lease back."""
 
-    message_type: ClassVar[int] = LEASE
+    message_type: ClassVar[MessageType] = MessageType.LEASE
     epoch: int
     lease: str
     holder: int
@@ -178,7 +178,7 @@
 class AdoptRequest:
     """Tells a replica a roster, which it makes its own if it is newer."""
 
-    message_type: ClassVar[int] = ADOPT
+    message_type: ClassVar[MessageType] = MessageType.ADOPT
     roster: Roster
 
     def encode(self) -> bytes:
@@ -195,7 +195,7 @@
 class JoinRequest:
     """Introduces a replica to another, and asks for the roster."""
 
-    message_type: ClassVar[int] = JOIN_REQUEST
+    message_type: ClassVar[MessageType] = MessageType.JOIN_REQUEST
     sender: Voter
 
     def encode(self) -> bytes:
--- a/src/cinderstair/consensus/quorum.py
+++ b/src/cinderstair/consensus/quorum.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from ..runtime.context import Context
-from ..runtime.peer_client import Body
+from ..runtime.peer_client import RequestBody
 from .batches import count_until_majority
 from .messages import (
     CLIENT,
@@ -113,7 +113,7 @@
     # -- requests to the voters --
 
     async def poll(
-        self, *, roster: Roster, body: Body, enough: Callable[[list[bytes]], bool], first: int = 0
+        self, *, roster: Roster, body: RequestBody, enough: Callable[[list[bytes]], bool], first: int = 0
     ) -> list[bytes]:
         """Sends a request to all voters, and returns as soon as the answers are enough, or all have come.
 
@@ -147,7 +147,7 @@
         self.ctx.rng.shuffle(voters)
         voters.sort(key=lambda voter: (voter.ident in self.failed, voter.address != self.own))
 
-    async def _request_vote(self, *, voter: Voter, roster: Roster, body: Body, answers: list[bytes]) -> bool:
+    async def _request_vote(self, *, voter: Voter, roster: Roster, body: RequestBody, answers: list[bytes]) -> bool:
         """Whether a voter gave a vote, which is added to the answers."""
         result = await self.ctx.peer_client.request(address=voter.address, body=body, wait_us=REQUEST_TIMEOUT_US)
         if result.is_error() or not self._is_vote(answer=result.ok, voter=voter, roster=roster):
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -26,9 +26,9 @@
         ready: ReadyFilter,
         status: StatusPage,
         leads: DatabaseFailover,
-        foundingVaults: int,
+        founding_replicas: int,
     ) -> None:
-        self.foundingVaults = foundingVaults
+        self.founding_replicas = founding_replicas
         self.ctx = ctx
         self.view = view
         self.heartbeat_table = heartbeat_table
@@ -95,7 +95,7 @@
         if voter is None:
             return self.reject(kind=ErrorCode.MALFORMED, why=f"no register replica '{enters}' has greeted the seeds")
         roster = self.configuration_store.register.roster
-        most = 0 if roster is None else max(len(roster.voters), self.foundingVaults)
+        most = 0 if roster is None else max(len(roster.voters), self.founding_replicas)
         succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
         result = await succession.succeed(leaves=leaves, enters=voter, most=most)
         if result.is_error():
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -145,7 +145,7 @@
                 ready=self.ready,
                 status=self.status,
                 leads=self.database_failover,
-                foundingVaults=self.settings.founding_replicas,
+                founding_replicas=self.settings.founding_replicas,
             ),
             DeadlineFilter(ctx=ctx),
             self.ready,
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -36,12 +36,7 @@
         self._life = 0
         self.transactions: dict[TransactionKey, ForwardedTransaction] = {}
         self.writes: Counter[str] = Counter()
-<<<<<<< HEAD
-        dispatcher.add_handler(message_type=FORWARD, handler=self.answer)
-=======
-        self.stopping = False
         dispatcher.add_handler(message_type=MessageType.FORWARD, handler=self.answer)
->>>>>>> h-runtime
 
     @property
     def life(self) -> int:
--- a/src/cinderstair/simulation/upgrade_trials.py
+++ b/src/cinderstair/simulation/upgrade_trials.py
@@ -81,9 +81,8 @@
     seeds = set(world.settings(name=name).seeds)
     if not seeds <= logged or not world.contexts[name].counters.counts.get("records.otherVersion"):
         trial.verdict.wrong.append(f"{name} does not say whom it can't understand: {logged}")
-    heard = [
-        n for n in world.register_replica_names if (name, UNKNOWN_VERSIONS) in world.contexts[n].peer_client.logged_mismatches
-    ]
+    mismatch = (name, UNKNOWN_VERSIONS)
+    heard = [n for n in world.register_replica_names if mismatch in world.contexts[n].peer_client.logged_mismatches]
     if not heard:
         trial.verdict.wrong.append(f"nobody says that {name} can't be understood")
     world.kill(name=name)
