--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -114,7 +114,7 @@
 
 @when("srv-1 deregisters")
 def when_deregistration(context: Any) -> None:
-    context.acknowledged = context.stage.run(work=context.announcer.depart(name="srv-1"))
+    context.acknowledged = context.stage.run(work=context.announcer.deregister(name="srv-1"))
 
 
 @when("another daemon tells that srv-1 is {state}")
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -127,6 +127,6 @@
 def then_emptying(context: Any) -> None:
     http_proxy = context.world.http_proxy(name="stall-0")
     assert http_proxy.heartbeat_table.latest(name=context.name).heartbeat.state == "emptying"
-    assert not http_proxy.heartbeat_table.fit(name=context.name)
+    assert not http_proxy.heartbeat_table.healthy(name=context.name)
     status, answer = statement(context=context, kind="live", text="list k")
     assert status == 200, answer
--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -276,7 +276,11 @@
             self.dispatcher = Dispatcher(ctx=self.ctx)
             self.view = RegisterView(ctx=self.ctx, register=self.register, lease_us=LEASE_US)
             self.heartbeat_table: HeartbeatTable[Announcement] = HeartbeatTable(
-                ctx=self.ctx, dispatcher=self.dispatcher, membership=FakeMembership(), peers=list, quiet_us=QUIET_US
+                ctx=self.ctx,
+                dispatcher=self.dispatcher,
+                membership=FakeMembership(),
+                peers=list,
+                silent_after_us=QUIET_US,
             )
 
         stage.call(call=work)
--- a/features/steps/control_edge_steps.py
+++ b/features/steps/control_edge_steps.py
@@ -32,7 +32,7 @@
         self.heard.append(announcement)
         return self.in_touch
 
-    async def depart(self, *, name: str) -> bool:
+    async def deregister(self, *, name: str) -> bool:
         self.departed.append(name)
         return self.in_touch
 
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -94,7 +94,7 @@
 )
 def then_tells(context: Any, version: int) -> None:
     world = context.world
-    texts = [status_text(controller=world.roles[name].controller) for name in world.controllers]
+    texts = [status_text(status=world.roles[name].controller.status()) for name in world.controllers]
     for text in texts:
         assert f"map {version}: ledger0-primary at ledger1" in text and "NOT CURRENT" not in text, text
         for name in [*world.controllers, *world.backends, *world.services]:
@@ -125,7 +125,7 @@
     context.worlds.append(context.world)
     context.world.begin()
     context.document = document(version=version, places=dict.fromkeys(MOVING, TARGET))
-    context.planned = requested(context=context, at=0, handler="_planned_only", body=context.document)
+    context.planned = requested(context=context, at=0, handler="_on_dry_run", body=context.document)
 
 
 @then("what it would do is told, and how long writes would wait, and nothing has changed")
@@ -138,15 +138,15 @@
     context.foretold_us = int(found[1]) * 1_000
     assert context.foretold_us < int(found[2]) * 1_000, words
     context.world.advance(for_ms=1_000)
-    assert requested(context=context, at=1, handler="_asked", body=Packer().blob(value=b"").bytes())[1].startswith(
-        "map 0: all as planned"
-    )
+    assert requested(context=context, at=1, handler="_on_shard_map", body=Packer().blob(value=b"").bytes())[
+        1
+    ].startswith("map 0: all as planned")
 
 
 @then("a map that names an unknown place or database is refused with its line, planned and begun alike")
 def then_refused(context: Any) -> None:
     body = document(version=4, places={MOVING[0]: "nobody", "nowhere": TARGET})
-    for handler in ("_planned_only", "_asked"):
+    for handler in ("_on_dry_run", "_on_shard_map"):
         kind, words = requested(context=context, at=1, handler=handler, body=body)
         assert kind == "brokenConfiguration", (kind, words)
         lines = words.splitlines()
@@ -156,11 +156,14 @@
 
 @when("the operator begins it and follows it to its end")
 def when_begins(context: Any) -> None:
-    assert requested(context=context, at=2, handler="_asked", body=context.document) == ("", "put to the proxies")
+    assert requested(context=context, at=2, handler="_on_shard_map", body=context.document) == (
+        "",
+        "put to the proxies",
+    )
     context.seen = []
 
     def ends() -> bool:
-        words = requested(context=context, at=0, handler="_progress", body=b"")[1]
+        words = requested(context=context, at=0, handler="_on_progress", body=b"")[1]
         context.seen.append(words)
         return words == "steady: map 4"
 
@@ -183,14 +186,14 @@
 @then("a map that is silent on a database that has moved is refused")
 def then_lost(context: Any) -> None:
     body = document(version=5, places={MOVING[0]: TARGET})
-    kind, words = requested(context=context, at=0, handler="_asked", body=body)
+    kind, words = requested(context=context, at=0, handler="_on_shard_map", body=body)
     assert kind == "brokenConfiguration" and f"'{MOVING[1]}' is lost" in words, (kind, words)
 
 
 @then("nothing is there to give up any more")
 def then_none(context: Any) -> None:
     body = Packer().u64(value=5).bytes()
-    kind, words = requested(context=context, at=0, handler="_abandoned", body=body)
+    kind, words = requested(context=context, at=0, handler="_on_abandon", body=body)
     assert kind == "versionOld" and "map 4 stands" in words, (kind, words)
 
 
@@ -215,7 +218,7 @@
 def then_tells_votes(context: Any, words: str) -> None:
     world = context.world
     for name in world.controllers:
-        text = status_text(controller=world.roles[name].controller)
+        text = status_text(status=world.roles[name].controller.status())
         (line,) = [line for line in text.splitlines() if line.startswith("votes:")]
         assert re.search(words, line), (name, line)
 
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -8,7 +8,8 @@
 from expression import Error, Ok, Result
 from stage import Stage, position, shown
 
-from cinderstair.control_plane.proxy_census import ProxyCensus
+from cinderstair.control_plane.proxy_census import ProxyCensus, ShardMapStep
+from cinderstair.control_plane.proxy_contact import ProxyContact
 from cinderstair.control_plane.proxy_id_assigner import ProxyIdAssigner
 from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, read_proxy_addresses
 from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, read_proxy_ids
@@ -30,14 +31,15 @@
         self.requested_us: dict[str, int] = {}
         self.votes: dict[str, tuple[int, Vote]] = {}
 
-    def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
+    def recent_proxies(self, *, within_us: int) -> list[ProxyContact]:
         now_us = self.stage.now_us
         self.requested_us.update(dict.fromkeys(self.asking, now_us))
-        return [
-            (name, now_us - us, *self.votes.get(name, (0, Vote.silent)))
-            for name, us in self.requested_us.items()
-            if now_us - us <= within_us
-        ]
+        found = []
+        for name, us in self.requested_us.items():
+            turn, vote = self.votes.get(name, (0, Vote.silent))
+            if now_us - us <= within_us:
+                found.append(ProxyContact(name=name, age_us=now_us - us, turn=turn, vote=vote))
+        return found
 
 
 class DispatcherNet:
@@ -56,14 +58,14 @@
 @given("{count:d} controllers that keep slots")
 def given_keepers(context: Any, count: int) -> None:
     new_stage(context=context)
-    context.desks, context.words, context.censuses = {}, {}, {}
+    context.desks, context.shard_map_steps, context.censuses = {}, {}, {}
     context.every = []
     context.id_assigners = []
     for _ in range(count):
         controller = new_controller(context=context)
         controller.ctx.net = DispatcherNet(desks=context.desks)
         context.desks[controller.ctx.name] = controller.dispatcher
-        context.words[controller.ctx.name] = (0, 0)
+        context.shard_map_steps[controller.ctx.name] = ShardMapStep()
         context.every.append(controller.ctx.name)
         controller.relay = FakeRelay(stage=context.stage)
 
@@ -72,8 +74,8 @@
                 ctx=controller.ctx,
                 dispatcher=controller.dispatcher,
                 relay=controller.relay,
-                neighbours=lambda: [name for name in context.every if name != controller.ctx.name],
-                word=lambda: context.words[controller.ctx.name],
+                peers=lambda: [name for name in context.every if name != controller.ctx.name],
+                shard_map_step=lambda: context.shard_map_steps[controller.ctx.name],
             )
             context.censuses[controller.ctx.name] = census
             id_assigner = ProxyIdAssigner(
@@ -94,7 +96,7 @@
 @when('"{proxies}" are silent from now on')
 def when_proxies_silent(context: Any, proxies: str) -> None:
     for controller in context.controller_stages:
-        controller.relay.seen(within_us=0)
+        controller.relay.recent_proxies(within_us=0)
         controller.relay.asking -= set(proxies.split(", "))
 
 
@@ -141,7 +143,7 @@
 @given("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
 @when("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
 def when_knows(context: Any, name: str, turn: int, phase: int) -> None:
-    context.words[name] = (turn, phase)
+    context.shard_map_steps[name] = ShardMapStep(turn=turn, phase=phase)
 
 
 @when("{name} answers nobody")
@@ -153,7 +155,7 @@
 def then_reported_word(context: Any, name: str, turn: int, phase: int, answer: str) -> None:
     census = context.censuses[name]
     context.stage.run(work=census.gather(every_us=0))
-    assert census.reported(word=(turn, phase)) == (answer == "yes"), census.words
+    assert census.peers_agree(step=ShardMapStep(turn=turn, phase=phase)) == (answer == "yes"), census.peer_steps
 
 
 @when("the keeper that holds the duty dies, and its proxies find another after {seconds:d} s")
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -100,7 +100,7 @@
             on_link_failure=lambda name, asker: None,
             shorten=lambda key, value: value,
         )
-        self.census = ProxyCensus(ctx=ctx, dispatcher=dispatcher, relay=relay, neighbours=lambda: [ADDRESS])
+        self.census = ProxyCensus(ctx=ctx, dispatcher=dispatcher, relay=relay, peers=lambda: [ADDRESS])
         self.view = RelayedView(ctx=ctx, site="near", seeds=lambda: (ADDRESS,))
         self.teller = AddressAnnouncer(
             ctx=ctx, view=self.view, place=ProxyAddress(site="near", records=SECOND_ADDRESS)
@@ -119,7 +119,7 @@
         self.teller.tend()
         await self.ctx.sleep(duration_us=1)
         assert await self.census.gather(every_us=0)
-        assert await self.census.gather_places(every_us=0)
+        assert await self.census.gather_addresses(every_us=0)
         add_member(membership=self.membership, name="replica-9", role="vault", address=DARK_ADDRESS)
         await self.membership.check(name="replica-9")
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -164,7 +164,7 @@
         control=backends,
         promoter=backends,
         halt=lambda why: None,
-        quiet_us=3_000_000,
+        silent_after_us=3_000_000,
         proxy_lease_us=2_000_000,
     )
     started = stage.run(work=control.start())
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -109,7 +109,7 @@
         site=text(rng),
         source=u64(rng),
         edition=u64(rng),
-        troubled=tuple(text(rng) for _ in range(rng.randrange(4))),
+        suspected=tuple(text(rng) for _ in range(rng.randrange(4))),
         samples=tuple(
             ReportedSample(
                 service=text(rng), term=u64(rng), moment_us=u64(rng), position=Position(u64(rng), u64(rng))
@@ -132,7 +132,7 @@
             for _ in range(rng.randrange(4))
         ),
         backends=tuple(
-            RelayedBackend(announcement=announcement(rng), quiet=rng.random() < 0.5) for _ in range(rng.randrange(4))
+            RelayedBackend(announcement=announcement(rng), silent=rng.random() < 0.5) for _ in range(rng.randrange(4))
         ),
         controllers=tuple(text(rng) for _ in range(rng.randrange(4))),
         answered_us=u64(rng),
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -24,7 +24,7 @@
 @given("a relay")
 def given_relay(context: Any) -> None:
     new_stage(context=context)
-    context.troubled = []
+    context.suspected = []
     context.controllers = ("10.0.0.1:1",)
     controller = context.controller = new_controller(context=context)
 
@@ -35,7 +35,7 @@
             view=controller.view,
             heartbeat_table=controller.heartbeat_table,
             controllers=lambda: context.controllers,
-            on_link_failure=lambda name, proxy: context.troubled.append(f"{name} by {proxy}"),
+            on_link_failure=lambda name, proxy: context.suspected.append(f"{name} by {proxy}"),
             shorten=shorten,
         )
 
@@ -84,9 +84,9 @@
     context.stage.advance(for_us=150_000)
 
 
-def ask_relay(*, context: Any, proxy: str = "booth-1", troubled: tuple[str, ...] = ()) -> RelayAnswer:
+def ask_relay(*, context: Any, proxy: str = "booth-1", suspected: tuple[str, ...] = ()) -> RelayAnswer:
     question = RelayQuestion(
-        proxy=proxy, site="kingston", source=context.source, edition=context.edition, troubled=troubled
+        proxy=proxy, site="kingston", source=context.source, edition=context.edition, suspected=suspected
     )
     body = question.write(packer=Packer().u8(value=RELAY)).bytes()
     answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.answer(body)))
@@ -108,7 +108,7 @@
                 each.announcement.name
                 + ("!" if each.announcement.leads else "")
                 + ("" if each.announcement.state == READY else f"-{each.announcement.state}")
-                + ("?" if each.quiet else "")
+                + ("?" if each.silent else "")
                 for each in answer.backends
             )
         )
@@ -152,7 +152,9 @@
 
 @then("the relay has been told of {count:d} samples")
 def then_reported_samples(context: Any, count: int) -> None:
-    assert len(context.controller.relay.board.entries) == count, context.controller.relay.board.entries
+    assert len(context.controller.relay.position_samples.samples) == count, (
+        context.controller.relay.position_samples.samples
+    )
 
 
 @when("the relay's controller is cut off from the register")
@@ -162,15 +164,15 @@
 
 @when('"{proxy}" asks and finds "{names}" silent')
 def when_finds_silent(context: Any, proxy: str, names: str) -> None:
-    ask_relay(context=context, proxy=proxy, troubled=tuple(names.split(", ")))
+    ask_relay(context=context, proxy=proxy, suspected=tuple(names.split(", ")))
 
 
 @then('it was told of trouble with "{words}"')
 def then_trouble(context: Any, words: str) -> None:
-    assert ", ".join(context.troubled) == words, context.troubled
+    assert ", ".join(context.suspected) == words, context.suspected
 
 
 @then('within {within_ms:d} ms it saw the proxies "{names}"')
 def then_saw(context: Any, within_ms: int, names: str) -> None:
-    seen = context.controller.relay.seen(within_us=within_ms * 1_000)
-    assert (" ".join(sorted(entry[0] for entry in seen)) or "none") == names, seen
+    seen = context.controller.relay.recent_proxies(within_us=within_ms * 1_000)
+    assert (" ".join(sorted(entry.name for entry in seen)) or "none") == names, seen
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from stage import Stage, position, shown
 
-from cinderstair.control_plane.sample_board import SampleBoard
+from cinderstair.control_plane.position_samples import PositionSamples
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary
 from cinderstair.membership.pooled_sample import PooledSample, ReportedSample, WantedSample
 from cinderstair.pooler.sample_pool import SamplePool
@@ -41,7 +41,7 @@
 class ControllerStage:
     def __init__(self, *, machine: Machine, source: int) -> None:
         self.machine, self.source = machine, source
-        self.board = SampleBoard(ctx=machine.ctx)
+        self.position_samples = PositionSamples(ctx=machine.ctx)
         self.answered: list[PooledSample] = []
         self.requested: list[str] = []
 
@@ -49,9 +49,9 @@
         self, *, source: int, samples: tuple[ReportedSample, ...], wanted: tuple[WantedSample, ...]
     ) -> tuple[int, int, tuple[PooledSample, ...]]:
         if source == self.source:
-            self.board.tell(samples=samples)
-        given_samples = self.board.given(wanted=wanted, known=source == self.source)
-        self.answered, self.requested = list(given_samples), list(self.board.missing(wanted=wanted))
+            self.position_samples.add(samples=samples)
+        given_samples = self.position_samples.newer_than(wanted=wanted, same_source=source == self.source)
+        self.answered, self.requested = list(given_samples), list(self.position_samples.assign_asks(wanted=wanted))
         return self.source, self.machine.ctx.now_us(), given_samples
 
 
@@ -190,7 +190,7 @@
 
 @then("the board holds {at} under term {term:d}")
 def then_board(context: Any, at: str, term: int) -> None:
-    entry = context.controller.board.entries[SERVICE]
+    entry = context.controller.position_samples.samples[SERVICE]
     assert (shown(at=entry.position), entry.term) == (at, term), entry
 
 
@@ -244,7 +244,7 @@
                 back_us=delays[1],
                 lost=rng.random() < 0.1,
             )
-        for entry in context.controller.board.entries.values():
+        for entry in context.controller.position_samples.samples.values():
             wrong += entry.moment_us > context.controller.machine.shows(true_us=context.true_us[entry.position])
         for each in context.proxies.values():
             came += len(each.noted)
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -410,7 +410,7 @@
             age_us=0,
             whole=False,
             values=tuple(entries),
-            backends=tuple(RelayedBackend(announcement=each, quiet=quiet) for each in backends),
+            backends=tuple(RelayedBackend(announcement=each, silent=quiet) for each in backends),
         )
 
         def take() -> None:
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -1,4 +1,4 @@
-"""Spreads what a backend says of its leaving to a majority of the voters before it is acknowledged."""
+"""Replicates the state of a leaving backend to a majority of the voters before it is acknowledged."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,16 +12,17 @@
 from ..runtime.message_types import ANNOUNCE
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
+from .acknowledgement import ACKNOWLEDGEMENT
 
-SPREAD_WAIT_US = 600_000
-MOST_SPREAD = 20_000
+REQUEST_WAIT_US = 600_000
+MAX_REPLICATED = 20_000
 
 
 class Announcer:
-    """Owns which departures a majority is known to hold.
+    """Owns which backends' states a majority of the voters is known to hold.
 
-    A majority of the voters, not a majority of those in reach: of any two majorities one voter has heard it, so no
-    part of a cut that goes on serving can be without it, and one lost machine takes no acknowledged word along.
+    A majority of all voters, not of those in reach: any two majorities share a voter, so every side of a network
+    partition that goes on serving knows the state, and one lost machine loses no acknowledged one.
     """
 
     def __init__(
@@ -35,35 +36,38 @@
         self.ctx = ctx
         self.heartbeat_table = heartbeat_table
         self.voters = voters
-        self.spread_states: dict[str, str] = {}
-        dispatcher.add_handler(message_type=ANNOUNCE, handler=self._announced)
+        self.replicated_states: dict[str, str] = {}
+        dispatcher.add_handler(message_type=ANNOUNCE, handler=self._on_announce)
 
-    async def _announced(self, unpacker: Unpacker) -> bytes:
+    async def _on_announce(self, unpacker: Unpacker) -> bytes:
         announcement = read_announcement(unpacker=unpacker)
         unpacker.done()
         self.heartbeat_table.receive(heartbeat=announcement)
-        return b"\0"
+        return ACKNOWLEDGEMENT
 
     async def spread(self, *, announcement: Announcement) -> bool:
-        """Whether a majority of the voters holds this word, or a later one of the same backend."""
+        """Replicates a backend's state; the announcement must have been received by the heartbeat table.
+
+        :returns: whether a majority of the voters holds it, or a later one of the same backend. False without voters.
+        """
         name = announcement.name
-        # why: a backend that leaves says so again and again, and its state is what matters
-        if self.spread_states.get(name) == announcement.state:
+        # a leaving backend repeats its announcement, and only its state matters
+        if self.replicated_states.get(name) == announcement.state:
             return True
         body = Packer().u8(value=ANNOUNCE).bytes() + self._encoded(announcement=announcement)
         voters = self.voters()
         majority = len(voters) // 2 + 1
-        pending = {self.ctx.spawn(work=self._tell(address=address, body=body), name="announce") for address in voters}
-        reported = 0
-        while pending and reported < majority:
+        pending = {self.ctx.spawn(work=self._send(address=address, body=body), name="announce") for address in voters}
+        acknowledged = 0
+        while pending and acknowledged < majority:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            reported += sum(task.result() for task in done)
-        if not voters or reported < majority:
+            acknowledged += sum(task.result() for task in done)
+        if not voters or acknowledged < majority:
             self.ctx.counters.add(name="announcements.unspread")
             return False
-        if len(self.spread_states) >= MOST_SPREAD:
-            self.spread_states.clear()
-        self.spread_states[name] = announcement.state
+        if len(self.replicated_states) >= MAX_REPLICATED:
+            self.replicated_states.clear()
+        self.replicated_states[name] = announcement.state
         return True
 
     @staticmethod
@@ -72,24 +76,27 @@
         announcement.write(packer=packer)
         return packer.bytes()
 
-    async def _tell(self, *, address: str, body: bytes) -> bool:
-        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=SPREAD_WAIT_US)
+    async def _send(self, *, address: str, body: bytes) -> bool:
+        result = await self.ctx.peer_client.request(address=address, body=body, wait_us=REQUEST_WAIT_US)
         return result.is_ok()
 
-    async def depart(self, *, name: str) -> bool:
+    async def deregister(self, *, name: str) -> bool:
         """Takes a backend's deregistration; whether a majority of the voters holds it."""
-        heard = self.heartbeat_table.latest(name=name)
-        if heard is None:
-            # why: this daemon may just have begun, while the others know whose deregistration it is
-            await self.heartbeat_table.refresh(peers=self.voters())
-            heard = self.heartbeat_table.latest(name=name)
-        if heard is None:
-            # why: those that pass statements on may remember one that no daemon of control does any more
-            known = Announcement(name=name, number=0, service="", address="", site="", state=READY, leads=False)
-        else:
-            known = heard.heartbeat
+        known = await self._last_announcement(name=name)
         if known.state == GONE:
             return await self.spread(announcement=known)
         gone = replace(known, state=GONE, leads=False, number=known.number + 1)
         self.heartbeat_table.receive(heartbeat=gone)
         return await self.spread(announcement=gone)
+
+    async def _last_announcement(self, *, name: str) -> Announcement:
+        """The backend's newest announcement; the voters are asked where none is known here."""
+        received = self.heartbeat_table.latest(name=name)
+        if received is None:
+            # this controller may just have started, while the others know the backend
+            await self.heartbeat_table.refresh(peers=self.voters())
+            received = self.heartbeat_table.latest(name=name)
+        if received is None:
+            # a proxy may still route to a backend that no controller remembers, so it is deregistered all the same
+            return Announcement(name=name, number=0, service="", address="", site="", state=READY, leads=False)
+        return received.heartbeat
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -1,46 +1,48 @@
-"""The control daemon of a machine with a disk: a register replica, and beside it what rests on the register."""
+"""The controller of a machine with a disk: a register replica, and the services that rest on the register."""
 
 import asyncio
 from collections.abc import Callable
 
 from expression import Ok, Result
 
-from ..config.service_plan import PLAN_KEY, read_service_plan
 from ..consensus.register_replica import RegisterReplica
 from ..consensus.register_view import RegisterView
 from ..failover.backend_control import BackendControl, Promoter
-from ..failover.service_failover import PROBE_WAIT_US, ServiceFailover
+from ..failover.service_failover import ServiceFailover
 from ..failover.shard_map_coordinator import Ballots, Handover, ShardMapCoordinator
+from ..failover.shard_state import ShardState
 from ..membership.announcement import Announcement, read_announcement
-from ..membership.heartbeat import READY
 from ..membership.heartbeat_table import HeartbeatTable
+from ..membership.membership import Membership
 from ..runtime.context import Context
-from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.message_types import CONTROLLER, OPINION, SUSPECT
-from ..runtime.packer import Packer
+from ..runtime.errors import CinderstairError
 from ..runtime.settings import Settings
-from ..runtime.unpacker import Unpacker
 from .announcer import Announcer
+from .backend_registry import BackendRegistry
+from .compiled_plan import without_document
+from .controller_addresses import ControllerAddresses
+from .controller_status import ControllerStatus
 from .orders import Orders
-from .proxy_census import ProxyCensus
+from .proxy_census import ProxyCensus, ShardMapStep
 from .proxy_id_assigner import ProxyIdAssigner
+from .reachability_poll import ReachabilityPoll
 from .relay import Relay
 from .shard_map_handler import ShardMapHandler
-from .status_text import status_text
+from .status_handler import StatusHandler
+from .suspicion_reporter import SuspicionReporter
 
-VIEW_EVERY_US = 200_000
+VIEW_PULL_PERIOD_US = 200_000
 HEARTBEAT_PULL_PERIOD_US = 250_000
-# why: two that are asked at the same moment bring the same beats twice
+# two peers that are asked at the same moment would send the same heartbeats twice
 HEARTBEAT_PULL_PEERS = 1
-OPINION_WAIT_US = 900_000
-TELL_WAIT_US = 400_000
-TROUBLE_EVERY_US = 250_000
-SUBMIT_TRIES = 4
 CENSUS_EVERY_US = 200_000
 
 
 class Controller:
-    """Hears backends and operators, answers proxies, and holds duties under the register's leases."""
+    """Wires the services of one controller together; each of them has a module of its own.
+
+    `start` builds them, so the attributes set there exist only after it has succeeded.
+    """
 
     def __init__(
         self,
@@ -50,7 +52,7 @@
         control: BackendControl,
         promoter: Promoter,
         halt: Callable[[str], None],
-        quiet_us: int,
+        silent_after_us: int,
         proxy_lease_us: int,
         handover: Handover | None = None,
     ) -> None:
@@ -59,195 +61,177 @@
         self.control = control
         self.promoter = promoter
         self.register_replica = RegisterReplica(ctx=ctx, settings=settings, halt=halt)
-        self.quiet_us = quiet_us
+        self.addresses = ControllerAddresses(settings=settings, register_replica=self.register_replica)
+        self.silent_after_us = silent_after_us
         self.proxy_lease_us = proxy_lease_us
         self.handover = handover
-        self.troubled_us: dict[str, int] = {}
 
     async def start(self) -> Result[None, CinderstairError]:
+        """Opens the register replica and starts all that rests on it; the error is that of the replica's disk."""
         started = await self.register_replica.start()
         if started.is_error():
             return started
-        ctx, register_replica = self.ctx, self.register_replica
-        assert register_replica.membership is not None
+        membership = self.register_replica.membership
+        if membership is None:
+            raise RuntimeError("a register replica that has started has a membership")
+        # the order of these decides the order in which their timers fire
+        self._start_tables(membership=membership)
+        self._start_relay()
+        self._start_failover()
+        self._start_proxy_ids()
+        self._start_shards()
+        self._start_backend_registry()
+        self.view.post(command=self.view.pull, once="view")
+        self.heartbeat_table.begin()
+        self._start_operator_handlers()
+        return Ok(None)
+
+    def _start_tables(self, *, membership: Membership) -> None:
         self.heartbeat_table: HeartbeatTable[Announcement] = HeartbeatTable(
-            ctx=ctx,
-            dispatcher=register_replica.dispatcher,
-            membership=register_replica.membership,
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
+            membership=membership,
             read=lambda unpacker: read_announcement(unpacker=unpacker),
-            peers=self._neighbours,
+            peers=self.addresses.peers,
             every_us=HEARTBEAT_PULL_PERIOD_US,
-            quiet_us=self.quiet_us,
-            pull_from=HEARTBEAT_PULL_PEERS,
+            silent_after_us=self.silent_after_us,
+            pull_peers=HEARTBEAT_PULL_PEERS,
         )
         self.view = RegisterView(
-            ctx=ctx, register=register_replica.register, every_us=VIEW_EVERY_US, lease_us=self.proxy_lease_us
+            ctx=self.ctx,
+            register=self.register_replica.register,
+            every_us=VIEW_PULL_PERIOD_US,
+            lease_us=self.proxy_lease_us,
         )
+
+    def _start_relay(self) -> None:
         self.relay = Relay(
-            ctx=ctx,
-            dispatcher=register_replica.dispatcher,
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
             view=self.view,
             heartbeat_table=self.heartbeat_table,
-            controllers=self._controllers,
-            on_link_failure=self._troubled,
-            shorten=self._shorten,
+            controllers=self.addresses.controllers,
+            on_link_failure=lambda backend, proxy: self.suspicion_reporter.report(backend=backend),
+            shorten=without_document,
+        )
+
+    def _start_failover(self) -> None:
+        self.reachability_poll = ReachabilityPoll(
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
+            heartbeat_table=self.heartbeat_table,
+            control=self.control,
+            peers=self.addresses.peers,
         )
         self.duty = ServiceFailover(
-            ctx=ctx,
-            register=register_replica.register,
+            ctx=self.ctx,
+            register=self.register_replica.register,
             view=self.view,
             heartbeat_table=self.heartbeat_table,
             control=self.control,
             promoter=self.promoter,
-            opinions=self._opinions,
+            opinions=self.reachability_poll.poll,
             lease_us=self.proxy_lease_us,
         )
+        self.suspicion_reporter = SuspicionReporter(
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
+            service_failover=self.duty,
+            peers=self.addresses.peers,
+        )
+
+    def _start_proxy_ids(self) -> None:
         self.census = ProxyCensus(
-            ctx=ctx,
-            dispatcher=register_replica.dispatcher,
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
             relay=self.relay,
-            neighbours=self._neighbours,
-            word=lambda: (self.shards.state.turn, self.shards.state.phase),
+            peers=self.addresses.peers,
+            shard_map_step=lambda: _shard_map_step(self.shards.state),
         )
-        self.proxy_ids = ProxyIdAssigner(
-            ctx=ctx, register=register_replica.register, view=self.view, census=self.census
+        self.proxy_id_assigner = ProxyIdAssigner(
+            ctx=self.ctx, register=self.register_replica.register, view=self.view, census=self.census
         )
+
+    def _start_shards(self) -> None:
         self.shards = ShardMapCoordinator(
-            ctx=ctx,
-            register=register_replica.register,
+            ctx=self.ctx,
+            register=self.register_replica.register,
             view=self.view,
-            census=self._census,
-            reported=lambda state: self.census.reported(word=(state.turn, state.phase)),
-            planned=self._planned,
+            census=self._votes,
+            reported=lambda state: self.census.peers_agree(step=_shard_map_step(state)),
+            planned=self._planned_service,
             handover=self.handover,
             lease_us=self.proxy_lease_us,
             under_way_us=self.settings.underWayUs,
         )
-        self.announcer = Announcer(
-            ctx=ctx, dispatcher=register_replica.dispatcher, heartbeat_table=self.heartbeat_table, voters=self._voters
+
+    def _start_backend_registry(self) -> None:
+        announcer = Announcer(
+            ctx=self.ctx,
+            dispatcher=self.register_replica.dispatcher,
+            heartbeat_table=self.heartbeat_table,
+            voters=self.addresses.voters,
         )
-        self.view.post(command=self.view.pull, once="view")
-        self.heartbeat_table.begin()
-        self.orders = Orders(register=register_replica.register, view=self.view)
+        self.backend_registry = BackendRegistry(
+            heartbeat_table=self.heartbeat_table, announcer=announcer, view=self.view
+        )
+
+    def _start_operator_handlers(self) -> None:
+        self.orders = Orders(register=self.register_replica.register, view=self.view)
         self.shard_map_handler = ShardMapHandler(
-            dispatcher=register_replica.dispatcher,
-            register=register_replica.register,
+            dispatcher=self.register_replica.dispatcher,
+            register=self.register_replica.register,
             shards=self.shards,
             plan=lambda: self.duty.plan,
-            planned=self._planned,
-            brings=lambda: self.handover is not None,
+            planned_service=self._planned_service,
+            can_move_data=lambda: self.handover is not None,
+        )
+        self.status_handler = StatusHandler(
+            ctx=self.ctx,
+            register_replica=self.register_replica,
+            view=self.view,
+            heartbeat_table=self.heartbeat_table,
+            relay=self.relay,
+            service_failover=self.duty,
+            shards=self.shards,
+            leases={
+                "promotions": self.duty.lease,
+                "slots": self.proxy_id_assigner.lease,
+                "shards": self.shards.lease,
+            },
         )
-        register_replica.dispatcher.add_handler(message_type=CONTROLLER, handler=self._status_asked)
-        register_replica.dispatcher.add_handler(message_type=SUSPECT, handler=self._suspected)
-        register_replica.dispatcher.add_handler(message_type=OPINION, handler=self._opinion)
-        return Ok(None)
 
-    def _controllers(self) -> tuple[str, ...]:
-        """The record addresses of all control daemons that are known to be there."""
-        membership = self.register_replica.membership
-        others = [] if membership is None else [member.records for member in membership.alive(role="vault")]
-        return tuple(sorted({self.settings.records, *others}))
-
-    def _voters(self) -> tuple[str, ...]:
-        """The record addresses of those that vote; none while no roster is known."""
-        roster = self.register_replica.register.roster or self.register_replica.roster
-        return () if roster is None else tuple(voter.address for voter in roster.voters)
-
-    def _neighbours(self) -> list[str]:
-        """The others: those met, those that vote, and while nobody votes yet the seeds."""
-        roster = self.register_replica.roster or self.register_replica.register.roster
-        voters = self.settings.seeds if roster is None else tuple(voter.address for voter in roster.voters)
-        addresses = dict.fromkeys((*self._controllers(), *voters))
-        return [address for address in addresses if address != self.settings.records]
-
-    async def _census(self) -> dict[str, Ballots]:
+    async def _votes(self) -> dict[str, Ballots]:
         return dict(await self.census.gather(every_us=CENSUS_EVERY_US))
 
-    def _planned(self, database: str) -> str:
+    def _planned_service(self, database: str) -> str:
+        """The service to which the plan routes a database; empty without a plan or a route."""
         plan = self.duty.plan
         route = None if plan is None else plan.routes.get(database)
         return "" if route is None else route.service
 
-    def _shorten(self, key: str, value: bytes) -> bytes:
-        """Proxies act on the compiled plan; the operator's document stays here."""
-        if key != PLAN_KEY or not value:
-            return value
-        return read_service_plan(data=value).bytes(with_document=False)
+    async def receive(self, *, announcement: Announcement) -> bool:
+        """Takes a backend's heartbeat; whether it may be acknowledged."""
+        return await self.backend_registry.receive(announcement=announcement)
 
-    # -- backends --
+    async def deregister(self, *, name: str) -> bool:
+        """Takes a backend's deregistration; whether it may be acknowledged."""
+        return await self.backend_registry.deregister(name=name)
 
-    async def receive(self, *, announcement: Announcement) -> bool:
-        """A backend's word about itself; whether it may be acknowledged.
-
-        What is acknowledged here alone would be lost with this daemon, or known to nobody while it is cut off.
-        """
-        self.heartbeat_table.receive(heartbeat=announcement)
-        if announcement.state != READY:
-            return await self.announcer.spread(announcement=announcement)
-        return self.view.current
-
-    async def depart(self, *, name: str) -> bool:
-        """A backend's deregistration, whether or not it was ever heard of here; whether it may be acknowledged."""
-        return await self.announcer.depart(name=name)
-
-    def _troubled(self, name: str, proxy: str) -> None:
-        """A proxy finds a backend silent; the holder of the duty is told, wherever it is."""
-        now_us = self.ctx.now_us()
-        # why: a copy that is gone is read round by each proxy; only a primary's loss is anybody's duty
-        if not any(lead.primary == name for lead in self.duty.leads.values()):
-            return
-        if now_us - self.troubled_us.get(name, -TROUBLE_EVERY_US) < TROUBLE_EVERY_US:
-            return
-        self.troubled_us[name] = now_us
-        self.ctx.counters.add(name="promotion.suspicions")
-        if self.duty.lease.held:
-            self.duty.suspect(name=name)
-            return
-        body = Packer().u8(value=SUSPECT).text(value=name).bytes()
-        for address in self._neighbours():
-            self.ctx.spawn(
-                work=self.ctx.peer_client.request(address=address, body=body, wait_us=TELL_WAIT_US),
-                name="suspect.tell",
-            )
-
-    async def _suspected(self, unpacker: Unpacker) -> bytes:
-        name = unpacker.text()
-        unpacker.done()
-        if self.duty.lease.held:
-            self.duty.suspect(name=name)
-        return b"\0"
-
-    async def _opinion(self, unpacker: Unpacker) -> bytes:
-        """Whether a backend can be reached from here."""
-        name = unpacker.text()
-        unpacker.done()
-        heard = self.heartbeat_table.latest(name=name)
-        if heard is None:
-            raise ValueError("never heard of it")
-        state = await self.control.state(backend=heard.heartbeat, wait_us=PROBE_WAIT_US)
-        return Packer().u8(value=int(state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT)).bytes()
-
-    async def _opinions(self, name: str) -> tuple[int, int]:
-        """How many other control daemons reach a backend, and how many have said whether they do."""
-        body = Packer().u8(value=OPINION).text(value=name).bytes()
-        asks = [
-            self.ctx.peer_client.request(address=address, body=body, wait_us=OPINION_WAIT_US)
-            for address in self._neighbours()
-        ]
-        answers = [result.ok for result in await asyncio.gather(*asks) if result.is_ok() and result.ok]
-        return sum(answer[0] for answer in answers), len(answers)
-
-    # -- operators --
-
-    async def _status_asked(self, unpacker: Unpacker) -> bytes:
-        unpacker.done()
-        return Packer().text(value="").text(value=status_text(controller=self)).bytes()
+    def status(self) -> ControllerStatus:
+        """What this controller knows now."""
+        return self.status_handler.snapshot()
 
     async def drain(self) -> None:
-        """A planned stop: hands its duties back, then deregisters."""
-        await asyncio.gather(self.duty.lease.drop(), self.proxy_ids.lease.drop(), self.shards.lease.drop())
+        """A planned stop: gives its leases back, then deregisters."""
+        await asyncio.gather(self.duty.lease.drop(), self.proxy_id_assigner.lease.drop(), self.shards.lease.drop())
         await self.register_replica.drain()
 
     def resettle(self, *, settings: Settings) -> None:
-        self.settings = settings
+        """Replaces the settings of the running controller."""
+        self.settings = self.addresses.settings = settings
         self.register_replica.resettle(settings=settings)
+
+
+def _shard_map_step(state: ShardState) -> ShardMapStep:
+    return ShardMapStep(turn=state.turn, phase=state.phase)
--- a/src/cinderstair/control_plane/proxy_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -1,4 +1,4 @@
-"""Which proxies are there and where, when any controller last saw each, and how it votes on the next shard map."""
+"""Which proxies there are, when any controller last heard of each, how each votes, and at which address it is."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,25 +11,53 @@
 from ..runtime.message_types import ANNOUNCE_ADDRESS, PROXIES, PROXY_ADDRESSES
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
+from .acknowledgement import ACKNOWLEDGEMENT
+from .proxy_contact import ProxyContact, read_proxy_contact
 from .relay import Relay
 
 WITHIN_US = 30_000_000
-ASK_WAIT_US = 500_000
-# the turn and the phase of a change of the shard map, as a controller knows them
-Word = tuple[int, int]
+REQUEST_WAIT_US = 500_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seen:
-    """`turn` is the proposal that the vote is about."""
+class ShardMapStep:
+    """How far a controller knows a change of the shard map to have come: the proposal's turn, and the phase."""
+
+    turn: int = 0
+    phase: int = 0
+
+    def write(self, *, packer: Packer) -> Packer:
+        """Appends the step's fields in their order on the wire."""
+        return packer.u64(value=self.turn).u8(value=self.phase)
+
+
+@dataclass(frozen=True, kw_only=True)
+class LastContact:
+    """When a proxy last asked any controller, by the local clock; `turn` is the proposal that `vote` is about."""
 
     at_us: int
     turn: int
     vote: Vote
 
 
+@dataclass(frozen=True, kw_only=True)
+class AddressReport:
+    """A proxy's address, and when the proxy reported it by the local clock."""
+
+    at_us: int
+    address: ProxyAddress
+
+    def write(self, *, packer: Packer, name: str, now_us: int) -> None:
+        """Appends the proxy's name, the report's age and the address."""
+        packer.text(value=name).u64(value=now_us - self.at_us)
+        packer.text(value=self.address.site).text(value=self.address.records)
+
+
 class ProxyCensus:
-    """Each controller knows the proxies that ask it; whoever holds a duty asks the others for theirs."""
+    """Collects what the controllers know of the proxies.
+
+    Each controller knows the proxies that ask it; the holder of a lease asks the other controllers for theirs.
+    """
 
     def __init__(
         self,
@@ -37,122 +65,128 @@
         ctx: Context,
         dispatcher: Dispatcher,
         relay: Relay,
-        neighbours: Callable[[], list[str]],
-        word: Callable[[], Word] = lambda: (0, 0),
+        peers: Callable[[], list[str]],
+        shard_map_step: Callable[[], ShardMapStep] = ShardMapStep,
     ) -> None:
         self.ctx = ctx
         self.relay = relay
-        self.neighbours = neighbours
-        self.word = word
-        self.words: dict[str, Word] = {}
-        self.proxies: dict[str, Seen] = {}
-        self.places: dict[str, tuple[int, ProxyAddress]] = {}
-        self.requested_us = self.asked_places_us = -WITHIN_US
-        dispatcher.add_handler(message_type=PROXIES, handler=self._asked)
-        dispatcher.add_handler(message_type=ANNOUNCE_ADDRESS, handler=self._reported)
-        dispatcher.add_handler(message_type=PROXY_ADDRESSES, handler=self._places_asked)
-
-    async def _reported(self, unpacker: Unpacker) -> bytes:
-        """A proxy says where it is; it does so until the table says it as well."""
-        name, place = unpacker.text(), ProxyAddress(site=unpacker.text(), records=unpacker.text())
+        self.peers = peers
+        self.shard_map_step = shard_map_step
+        self.peer_steps: dict[str, ShardMapStep] = {}
+        self.contacts: dict[str, LastContact] = {}
+        self.addresses: dict[str, AddressReport] = {}
+        self.contacts_requested_us = self.addresses_requested_us = -WITHIN_US
+        dispatcher.add_handler(message_type=PROXIES, handler=self._on_proxies)
+        dispatcher.add_handler(message_type=ANNOUNCE_ADDRESS, handler=self._on_announce_address)
+        dispatcher.add_handler(message_type=PROXY_ADDRESSES, handler=self._on_proxy_addresses)
+
+    async def _on_announce_address(self, unpacker: Unpacker) -> bytes:
+        """A proxy reports its address, and repeats it until the register's table has it."""
+        name, address = unpacker.text(), _read_address(unpacker)
         unpacker.done()
-        self.places[name] = (self.ctx.now_us(), place)
-        return b"\0"
+        self.addresses[name] = AddressReport(at_us=self.ctx.now_us(), address=address)
+        return ACKNOWLEDGEMENT
 
-    async def _asked(self, unpacker: Unpacker) -> bytes:
+    async def _on_proxies(self, unpacker: Unpacker) -> bytes:
         unpacker.done()
+        step = self.shard_map_step()
+        contacts = self.relay.recent_proxies(within_us=WITHIN_US)
+        packer = Packer().many(values=contacts, each=lambda p, contact: contact.write(packer=p))
+        # the step stands at the end, where a controller of a version without it does not look
+        return step.write(packer=packer).bytes()
 
-        def write(packer: Packer, entry: tuple[str, int, int, Vote]) -> None:
-            packer.text(value=entry[0]).u64(value=entry[1]).u64(value=entry[2]).u8(value=entry[3])
-
-        turn, phase = self.word()
-        packer = Packer().many(values=self.relay.seen(within_us=WITHIN_US), each=write)
-        # why: at the end, where a controller that knows nothing of it does not look
-        return packer.u64(value=turn).u8(value=phase).bytes()
-
-    def reported(self, *, word: Word) -> bool:
-        """Whether every other controller has this word and has since named the proxies that it sees.
-
-        Before that, one of them may tell a proxy that nobody else knows of an older word.
-        """
-        return all(self.words.get(address) == word for address in self.neighbours())
-
-    async def _places_asked(self, unpacker: Unpacker) -> bytes:
+    async def _on_proxy_addresses(self, unpacker: Unpacker) -> bytes:
         unpacker.done()
         now_us = self.ctx.now_us()
-        self._forget(now_us=now_us)
+        self._forget_addresses(now_us=now_us)
 
-        def write(packer: Packer, entry: tuple[str, tuple[int, ProxyAddress]]) -> None:
-            name, (at_us, place) = entry
-            packer.text(value=name).u64(value=now_us - at_us).text(value=place.site).text(value=place.records)
+        def write(packer: Packer, entry: tuple[str, AddressReport]) -> None:
+            name, report = entry
+            report.write(packer=packer, name=name, now_us=now_us)
 
-        return Packer().many(values=self.places.items(), each=write).bytes()
+        return Packer().many(values=self.addresses.items(), each=write).bytes()
 
-    def _forget(self, *, now_us: int) -> None:
-        self.places = {name: entry for name, entry in self.places.items() if now_us - entry[0] <= WITHIN_US}
+    def peers_agree(self, *, step: ShardMapStep) -> bool:
+        """Whether every other controller knows this step and has since named the proxies that ask it.
 
-    def _take(self, *, name: str, seen: Seen) -> None:
-        known = self.proxies.get(name)
-        if known is None or seen.at_us > known.at_us:
-            self.proxies[name] = seen
+        Before that, one of them may relay an older step to a proxy that no other controller knows.
+        """
+        return all(self.peer_steps.get(address) == step for address in self.peers())
 
-    async def gather(self, *, every_us: int) -> dict[str, Seen]:
-        """What is known of all proxies; the other controllers are asked no more often than given."""
+    async def gather(self, *, every_us: int) -> dict[str, LastContact]:
+        """The last contact of all known proxies; the other controllers are asked every `every_us` at most."""
         now_us = self.ctx.now_us()
-        for name, age_us, turn, vote in self.relay.seen(within_us=WITHIN_US):
-            self._take(name=name, seen=Seen(at_us=now_us - age_us, turn=turn, vote=vote))
-        if now_us - self.requested_us >= every_us:
-            self.requested_us = now_us
-            await self._ask(now_us=now_us)
-        self.proxies = {name: seen for name, seen in self.proxies.items() if now_us - seen.at_us < 2 * WITHIN_US}
-        return self.proxies
-
-    async def _ask(self, *, now_us: int) -> None:
+        for contact in self.relay.recent_proxies(within_us=WITHIN_US):
+            self._take_contact(contact=contact, now_us=now_us)
+        if now_us - self.contacts_requested_us >= every_us:
+            self.contacts_requested_us = now_us
+            await self._pull_contacts(now_us=now_us)
+        self.contacts = {
+            name: contact for name, contact in self.contacts.items() if now_us - contact.at_us < 2 * WITHIN_US
+        }
+        return self.contacts
+
+    async def _pull_contacts(self, *, now_us: int) -> None:
         body = Packer().u8(value=PROXIES).bytes()
-        addresses = self.neighbours()
-        asks = [
-            self.ctx.peer_client.request(address=address, body=body, wait_us=ASK_WAIT_US) for address in addresses
+        peers = self.peers()
+        requests = [
+            self.ctx.peer_client.request(address=address, body=body, wait_us=REQUEST_WAIT_US) for address in peers
         ]
-        for address, result in zip(addresses, await asyncio.gather(*asks), strict=True):
-            if result.is_error():
-                continue
-            try:
-                unpacker = Unpacker(data=result.ok)
-                entries = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Vote(u.u8())))
-                word = unpacker.u64(), unpacker.u8()
-            except ValueError:
-                self.ctx.counters.add(name="records.malformed")
-                continue
-            self.words[address] = word
-            for name, age_us, turn, vote in entries:
-                # why: the answer may have lain anywhere since the asking, so its age counts from there
-                self._take(name=name, seen=Seen(at_us=now_us - age_us, turn=turn, vote=vote))
-
-    async def gather_places(self, *, every_us: int) -> dict[str, ProxyAddress]:
-        """Where proxies said lately that they are; the other controllers are asked no more often than given."""
+        for address, result in zip(peers, await asyncio.gather(*requests), strict=True):
+            if result.is_ok():
+                self._take_answer(address=address, data=result.ok, requested_us=now_us)
+
+    def _take_answer(self, *, address: str, data: bytes, requested_us: int) -> None:
+        try:
+            unpacker = Unpacker(data=data)
+            contacts = unpacker.many(each=read_proxy_contact)
+            step = ShardMapStep(turn=unpacker.u64(), phase=unpacker.u8())
+        except ValueError:
+            self.ctx.counters.add(name="records.malformed")
+            return
+        self.peer_steps[address] = step
+        for contact in contacts:
+            # an answer may be delayed anywhere after the request, so its ages count from the request
+            self._take_contact(contact=contact, now_us=requested_us)
+
+    def _take_contact(self, *, contact: ProxyContact, now_us: int) -> None:
+        at_us = now_us - contact.age_us
+        known = self.contacts.get(contact.name)
+        if known is None or at_us > known.at_us:
+            self.contacts[contact.name] = LastContact(at_us=at_us, turn=contact.turn, vote=contact.vote)
+
+    async def gather_addresses(self, *, every_us: int) -> dict[str, ProxyAddress]:
+        """Addresses that proxies reported lately; the other controllers are asked every `every_us` at most."""
         now_us = self.ctx.now_us()
-        if now_us - self.asked_places_us >= every_us:
-            self.asked_places_us = now_us
+        if now_us - self.addresses_requested_us >= every_us:
+            self.addresses_requested_us = now_us
             body = Packer().u8(value=PROXY_ADDRESSES).bytes()
-            asks = [
-                self.ctx.peer_client.request(address=a, body=body, wait_us=ASK_WAIT_US) for a in self.neighbours()
+            requests = [
+                self.ctx.peer_client.request(address=address, body=body, wait_us=REQUEST_WAIT_US)
+                for address in self.peers()
             ]
-            for result in await asyncio.gather(*asks):
+            for result in await asyncio.gather(*requests):
                 if result.is_ok():
-                    self._take_places(data=result.ok, now_us=now_us)
-        self._forget(now_us=now_us)
-        return {name: place for name, (_, place) in self.places.items()}
+                    self._take_addresses(data=result.ok, requested_us=now_us)
+        self._forget_addresses(now_us=now_us)
+        return {name: report.address for name, report in self.addresses.items()}
 
-    def _take_places(self, *, data: bytes, now_us: int) -> None:
+    def _take_addresses(self, *, data: bytes, requested_us: int) -> None:
         try:
-            reported = Unpacker(data=data).many(each=_read_place)
+            entries = Unpacker(data=data).many(each=lambda u: (u.text(), u.u64(), _read_address(u)))
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
-        for name, age_us, place in reported:
-            if name not in self.places or now_us - age_us > self.places[name][0]:
-                self.places[name] = (now_us - age_us, place)
+        for name, age_us, address in entries:
+            at_us = requested_us - age_us
+            if name not in self.addresses or at_us > self.addresses[name].at_us:
+                self.addresses[name] = AddressReport(at_us=at_us, address=address)
+
+    def _forget_addresses(self, *, now_us: int) -> None:
+        self.addresses = {
+            name: report for name, report in self.addresses.items() if now_us - report.at_us <= WITHIN_US
+        }
 
 
-def _read_place(unpacker: Unpacker) -> tuple[str, int, ProxyAddress]:
-    return unpacker.text(), unpacker.u64(), ProxyAddress(site=unpacker.text(), records=unpacker.text())
+def _read_address(unpacker: Unpacker) -> ProxyAddress:
+    return ProxyAddress(site=unpacker.text(), records=unpacker.text())
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -20,7 +20,7 @@
 
 
 class ProxyIdAssigner(CommandQueueMixin):
-    """One write deals ids to all that wait; who asks no controller for the time of grace loses its id."""
+    """Assigns ids to all new proxies in one write; a proxy that asks no controller for `GRACE_US` loses its id."""
 
     def __init__(
         self,
@@ -46,37 +46,43 @@
                 self.held_since_us = self.ctx.now_us()
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
-        seen_us = {name: seen.at_us for name, seen in (await self.census.gather(every_us=ASK_EVERY_US)).items()}
+        await self._keep_ids()
+        await self._keep_addresses()
+
+    async def _keep_ids(self) -> None:
+        """Assigns ids to proxies that are new, and frees those of proxies that are lost."""
+        contacts = await self.census.gather(every_us=ASK_EVERY_US)
+        last_us = {name: contact.at_us for name, contact in contacts.items()}
         now_us = self.ctx.now_us()
-        found = self.view.known.get(PROXY_IDS_KEY)
-        proxy_ids = read_proxy_ids(data=b"" if found is None else found.value)
-        named = {name for _, name in proxy_ids.names}
-        fresh = [name for name, us in sorted(seen_us.items()) if name not in named and now_us - us < ASK_EVERY_US]
-        # why: who has just taken the duty has not heard yet whom the others see
-        gone = [name for name in sorted(named) if now_us - max(seen_us.get(name, 0), self.held_since_us) > GRACE_US]
+        named = self._named()
+        fresh = [name for name, us in sorted(last_us.items()) if name not in named and now_us - us < ASK_EVERY_US]
+        # a new holder of the lease does not know yet which proxies the other controllers have heard of
+        gone = [name for name in sorted(named) if now_us - max(last_us.get(name, 0), self.held_since_us) > GRACE_US]
         if fresh or gone:
             await self._change(fresh=fresh, gone=gone)
-        await self._keep_places()
-
-    async def _keep_places(self) -> None:
-        """One write for all whose place is another than the table says; a proxy without an id has none."""
-        proxy_ids = self.view.known.get(PROXY_IDS_KEY)
-        named = (
-            frozenset()
-            if proxy_ids is None
-            else frozenset(name for _, name in read_proxy_ids(data=proxy_ids.value).names)
-        )
-        known = self.view.known.get(PROXY_ADDRESSES_KEY)
-        data = b"" if known is None else known.value
-        # why: once all are in the table nobody tells anything, and only who comes anew has to be asked about
-        every_us = ASK_EVERY_US if named - set(read_places(data=data)) else SETTLED_EVERY_US
-        found = await self.census.gather_places(every_us=every_us)
-        reported = {name: place for name, place in found.items() if name in named}
+
+    def _value(self, *, key: str) -> bytes:
+        found = self.view.known.get(key)
+        return b"" if found is None else found.value
+
+    def _named(self) -> frozenset[str]:
+        """The proxies that have an id."""
+        return frozenset(name for _, name in read_proxy_ids(data=self._value(key=PROXY_IDS_KEY)).names)
+
+    async def _keep_addresses(self) -> None:
+        """One write for all addresses that differ from the table's; a proxy without an id has none."""
+        named = self._named()
+        data = self._value(key=PROXY_ADDRESSES_KEY)
+        # once all are in the table no proxy reports its address, and only new proxies have to be asked about
+        every_us = ASK_EVERY_US if named - set(read_addresses(data=data)) else SETTLED_EVERY_US
+        found = await self.census.gather_addresses(every_us=every_us)
+        reported = {name: address for name, address in found.items() if name in named}
 
         def wanted(data: bytes) -> dict[str, ProxyAddress]:
-            return {name: place for name, place in read_places(data=data).items() if name in named} | reported
+            kept = {name: address for name, address in read_addresses(data=data).items() if name in named}
+            return kept | reported
 
-        if wanted(data) == read_places(data=data):
+        if wanted(data) == read_addresses(data=data):
             return
         result = await self.register.change(
             key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(places=wanted(data)).bytes())
@@ -91,14 +97,15 @@
             for name in fresh:
                 proxy_ids = proxy_ids.with_name(name=name)
             if proxy_ids.bytes() == data:
-                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="dealt already"))
+                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="the ids are assigned already"))
             return Ok(proxy_ids.bytes())
 
         result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
         self.view.take_own(key=PROXY_IDS_KEY, result=result)
         if result.is_ok():
-            self.ctx.log.info("slots dealt to %s, freed of %s", fresh, gone)
+            self.ctx.log.info("proxy ids were assigned to %s, and those of the lost proxies %s freed", fresh, gone)
 
 
-def read_places(*, data: bytes) -> dict[str, ProxyAddress]:
+def read_addresses(*, data: bytes) -> dict[str, ProxyAddress]:
+    """The addresses by proxy; none for an absent value. Raises ValueError where the bytes are no table."""
     return dict(read_proxy_addresses(data=data).places) if data else {}
--- /dev/null
+++ b/src/cinderstair/control_plane/reachability_poll.py
@@ -0,0 +1,63 @@
+"""Asks the other controllers whether they reach a backend, and answers when they ask."""
+
+import asyncio
+from collections.abc import Callable
+from typing import NamedTuple
+
+from ..failover.backend_control import BackendControl
+from ..failover.service_failover import PROBE_WAIT_US
+from ..membership.announcement import Announcement
+from ..membership.heartbeat_table import HeartbeatTable
+from ..runtime.context import Context
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.errors import ErrorCode
+from ..runtime.message_types import OPINION
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
+
+VOTE_WAIT_US = 900_000
+
+
+class ReachabilityVotes(NamedTuple):
+    """How many other controllers reach a backend, and how many have answered whether they do."""
+
+    reachable: int
+    answered: int
+
+
+class ReachabilityPoll:
+    """A backend counts as reachable where a connection to it is accepted, whatever it answers."""
+
+    def __init__(
+        self,
+        *,
+        ctx: Context,
+        dispatcher: Dispatcher,
+        heartbeat_table: HeartbeatTable[Announcement],
+        control: BackendControl,
+        peers: Callable[[], list[str]],
+    ) -> None:
+        self.ctx = ctx
+        self.heartbeat_table = heartbeat_table
+        self.control = control
+        self.peers = peers
+        dispatcher.add_handler(message_type=OPINION, handler=self._on_opinion)
+
+    async def poll(self, name: str) -> ReachabilityVotes:
+        """The votes of the other controllers on one backend; those that don't answer in time have none."""
+        body = Packer().u8(value=OPINION).text(value=name).bytes()
+        requests = [
+            self.ctx.peer_client.request(address=address, body=body, wait_us=VOTE_WAIT_US) for address in self.peers()
+        ]
+        answers = [result.ok for result in await asyncio.gather(*requests) if result.is_ok() and result.ok]
+        return ReachabilityVotes(reachable=sum(answer[0] for answer in answers), answered=len(answers))
+
+    async def _on_opinion(self, unpacker: Unpacker) -> bytes:
+        name = unpacker.text()
+        unpacker.done()
+        received = self.heartbeat_table.latest(name=name)
+        if received is None:
+            raise ValueError(f"no heartbeat of backend {name} has been received")
+        state = await self.control.state(backend=received.heartbeat, wait_us=PROBE_WAIT_US)
+        reachable = state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT
+        return Packer().u8(value=int(reachable)).bytes()
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -1,6 +1,7 @@
 """Answers proxies: all that changed since they last asked, and how old this controller's knowledge is."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ..consensus.register import Found
 from ..consensus.register_view import RegisterView
@@ -11,13 +12,15 @@
     RelayAnswer,
     RelayedBackend,
     RelayedValue,
+    RelayQuestion,
     read_relay_question,
 )
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.message_types import RELAY
 from ..runtime.unpacker import Unpacker
-from .sample_board import SampleBoard
+from .position_samples import PositionSamples
+from .proxy_contact import ProxyContact
 
 TIMER_PERIOD_US = 100_000
 FORGET_US = 30_000_000
@@ -25,8 +28,29 @@
 Shorten = Callable[[str, bytes], bytes]
 
 
+@dataclass(frozen=True, kw_only=True)
+class BackendEdition:
+    """What proxies are told of a backend, and the edition with which it last changed."""
+
+    edition: int
+    backend: RelayedBackend
+
+
+@dataclass(frozen=True, kw_only=True)
+class ProxyQuestion:
+    """When a proxy last asked, and its vote on the shard map that was proposed in `turn`."""
+
+    at_us: int
+    turn: int
+    vote: Vote
+
+
 class Relay:
-    """Numbers every change by an edition of its own. An asker that knows another relay gets everything."""
+    """Numbers every change by an edition of its own; an asker that knows another relay gets everything.
+
+    :param on_link_failure: called with a backend and the proxy that can't reach it.
+    :param shorten: turns a key's value into the form in which proxies get it.
+    """
 
     def __init__(
         self,
@@ -47,76 +71,88 @@
         self.shorten = shorten
         self.source = ctx.rng.getrandbits(62) | 1
         self.edition = 1
-        self.board = SampleBoard(ctx=ctx)
+        self.position_samples = PositionSamples(ctx=ctx)
         self.value_editions: dict[str, int] = {}
-        self.backends: dict[str, tuple[int, RelayedBackend]] = {}
-        self.proxies: dict[str, tuple[int, int, Vote]] = {}
-        self.reported: tuple[str, ...] = ()
-        self.reported_edition = 0
+        self.backends: dict[str, BackendEdition] = {}
+        self.proxies: dict[str, ProxyQuestion] = {}
+        self.relayed_controllers: tuple[str, ...] = ()
+        self.controllers_edition = 0
         dispatcher.add_handler(message_type=RELAY, handler=self.answer)
-        view.changes.subscribe(self._value_changed)
-        ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.look())
+        view.changes.subscribe(self._on_value_change)
+        ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.refresh())
 
-    def _value_changed(self, key: str) -> None:
+    def _on_value_change(self, key: str) -> None:
         self.edition += 1
         self.value_editions[key] = self.edition
 
-    def look(self) -> None:
-        """Takes from the news what proxies have to know; a heartbeat that says nothing new is none of it."""
+    def refresh(self) -> None:
+        """Takes over what has changed of the backends and the controllers since the last turn."""
+        self.position_samples.expire()
+        self._refresh_backends()
+        self._forget_backends()
+        controllers = self.controllers()
+        if controllers != self.relayed_controllers:
+            self.edition += 1
+            self.relayed_controllers, self.controllers_edition = controllers, self.edition
+
+    def _refresh_backends(self) -> None:
         now_us = self.ctx.now_us()
-        self.board.look()
-        for name, heard in list(self.heartbeat_table.best.items()):
-            heartbeat = heard.heartbeat
-            if heartbeat.state == GONE and now_us - heard.born_us > FORGET_US:
+        for name, received in self.heartbeat_table.newest.items():
+            announcement = received.heartbeat
+            if announcement.state == GONE and now_us - received.observed_at_us > FORGET_US:
                 continue
-            quiet = self.heartbeat_table.quiet(name=name)
+            backend = RelayedBackend(announcement=announcement, silent=self.heartbeat_table.silent(name=name))
             known = self.backends.get(name)
-            if known is not None and known[1].quiet == quiet and same(known[1].announcement, heartbeat):
-                continue
-            self.edition += 1
-            self.backends[name] = (self.edition, RelayedBackend(announcement=heartbeat, quiet=quiet))
-        for name, (_, entry) in list(self.backends.items()):
-            if entry.announcement.state == GONE and self.heartbeat_table.age_us(name=name) > FORGET_US:
+            if known is None or not same_for_proxies(known.backend, backend):
+                self.edition += 1
+                self.backends[name] = BackendEdition(edition=self.edition, backend=backend)
+
+    def _forget_backends(self) -> None:
+        for name, entry in list(self.backends.items()):
+            gone = entry.backend.announcement.state == GONE
+            if gone and self.heartbeat_table.age_us(name=name) > FORGET_US:
                 del self.backends[name]
-        if self.controllers() != self.reported:
-            self.edition += 1
-            self.reported, self.reported_edition = self.controllers(), self.edition
 
     async def answer(self, unpacker: Unpacker) -> bytes:
+        """Answers one question of a proxy; ValueError where the record is none."""
         question = read_relay_question(unpacker=unpacker)
         if question.brief:
-            # why: whoever looks for the nearest controller asks them all, and is none of the proxies of most
+            # a proxy that looks for the nearest controller asks them all, and becomes a user of only one
             return RelayAnswer(
                 source=self.source, edition=self.edition, age_us=self._age_us(), whole=False, site=self.ctx.site
             ).bytes()
-        self.proxies[question.proxy] = (self.ctx.now_us(), question.turn, question.vote)
-        for name in question.troubled:
+        self._take_question(question=question)
+        return self._changes_for(question=question).bytes()
+
+    def _take_question(self, *, question: RelayQuestion) -> None:
+        self.proxies[question.proxy] = ProxyQuestion(at_us=self.ctx.now_us(), turn=question.turn, vote=question.vote)
+        for name in question.suspected:
             self.on_link_failure(name, question.proxy)
-        same_life = question.source == self.source
-        if same_life:
-            # why: moments that another life of this controller has given out say nothing by this one's clock
-            self.board.tell(samples=question.samples)
-        whole = not same_life or question.edition > self.edition
+        # moments given out by an earlier process of this controller mean nothing by this one's clock
+        if question.source == self.source:
+            self.position_samples.add(samples=question.samples)
+
+    def _changes_for(self, *, question: RelayQuestion) -> RelayAnswer:
+        same_source = question.source == self.source
+        whole = not same_source or question.edition > self.edition
         since = 0 if whole else question.edition
-        values = tuple(
-            self._value(key=key, found=found)
-            for key, found in self.view.known.items()
-            if whole or self.value_editions.get(key, 0) > since
-        )
-        backends = tuple(entry for edition, entry in self.backends.values() if edition > since)
         self.ctx.counters.add(name="relay.whole" if whole else "relay.changes")
         return RelayAnswer(
             source=self.source,
             edition=self.edition,
             age_us=self._age_us(),
             whole=whole,
-            values=values,
-            backends=backends,
-            controllers=self.reported if whole or self.reported_edition > since else (),
+            values=tuple(
+                self._value(key=key, found=found)
+                for key, found in self.view.known.items()
+                if whole or self.value_editions.get(key, 0) > since
+            ),
+            backends=tuple(entry.backend for entry in self.backends.values() if entry.edition > since),
+            controllers=self.relayed_controllers if whole or self.controllers_edition > since else (),
             answered_us=self.ctx.now_us(),
-            samples=self.board.given(wanted=question.wanted, known=same_life),
-            ask=self.board.missing(wanted=question.wanted),
-        ).bytes()
+            samples=self.position_samples.newer_than(wanted=question.wanted, same_source=same_source),
+            ask=self.position_samples.assign_asks(wanted=question.wanted),
+        )
 
     def _age_us(self) -> int:
         return max(0, self.ctx.now_us() - self.view.as_of_us)
@@ -124,22 +160,24 @@
     def _value(self, *, key: str, found: Found) -> RelayedValue:
         return RelayedValue(key=key, ballot=found.ballot, value=self.shorten(key, found.value))
 
-    def seen(self, *, within_us: int) -> list[tuple[str, int, int, Vote]]:
-        """The proxies that asked lately: how long ago, and how they vote on which proposal of a shard map."""
+    def recent_proxies(self, *, within_us: int) -> list[ProxyContact]:
+        """The proxies that asked within the given span."""
         now_us = self.ctx.now_us()
-        self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry[0] < KEEP_US}
+        self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry.at_us < KEEP_US}
         return [
-            (name, now_us - at_us, turn, vote)
-            for name, (at_us, turn, vote) in self.proxies.items()
-            if now_us - at_us <= within_us
+            ProxyContact(name=name, age_us=now_us - entry.at_us, turn=entry.turn, vote=entry.vote)
+            for name, entry in self.proxies.items()
+            if now_us - entry.at_us <= within_us
         ]
 
 
-def same(one: Announcement, other: Announcement) -> bool:
-    """Whether two announcements say the same of everything that proxies act on."""
-    return (one.state, one.leads, one.address, one.service) == (
-        other.state,
-        other.leads,
-        other.address,
-        other.service,
+def same_for_proxies(one: RelayedBackend, other: RelayedBackend) -> bool:
+    """Whether two entries agree in everything that proxies act on."""
+    first, second = one.announcement, other.announcement
+    return (
+        one.silent == other.silent
+        and first.state == second.state
+        and first.leads == second.leads
+        and first.address == second.address
+        and first.service == second.service
     )
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -1,9 +1,8 @@
-"""What operators ask of the shard map: put one, try one dry, give one up, look how it comes along."""
+"""Answers operators about the shard map: propose one, plan one as a dry run, abandon one, show its progress."""
 
 from collections.abc import Callable
-from typing import Any
 
-from expression import Error, Ok, Result
+from expression import Error, Result
 
 from ..config.service_plan import ServicePlan
 from ..config.shard_check import shard_map_problems
@@ -14,13 +13,18 @@
 from ..runtime.dispatcher import Dispatcher
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
-from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .status_text import describe
+from .operator_answer import operator_answer, operator_error, operator_result
+from .shard_map_text import shard_map_text
 
 
 class ShardMapHandler:
-    """Answers operators' records. `planned`: where a database goes by the plan; `brings`: whether data can move."""
+    """Answers operators' records.
+
+    :param plan: the configuration in force, None before the first.
+    :param planned_service: the service to which the plan routes a database.
+    :param can_move_data: whether anything here brings a database's data to another service.
+    """
 
     def __init__(
         self,
@@ -29,34 +33,34 @@
         register: Register,
         shards: ShardMapCoordinator,
         plan: Callable[[], ServicePlan | None],
-        planned: Callable[[str], str],
-        brings: Callable[[], bool],
+        planned_service: Callable[[str], str],
+        can_move_data: Callable[[], bool],
     ) -> None:
         self.register = register
         self.shards = shards
         self.plan = plan
-        self.planned = planned
-        self.brings = brings
-        dispatcher.add_handler(message_type=SHARDS, handler=self._asked)
-        dispatcher.add_handler(message_type=SHARDS_PLAN, handler=self._planned_only)
-        dispatcher.add_handler(message_type=SHARDS_ABANDON, handler=self._abandoned)
-        dispatcher.add_handler(message_type=SHARDS_PROGRESS, handler=self._progress)
+        self.planned_service = planned_service
+        self.can_move_data = can_move_data
+        dispatcher.add_handler(message_type=SHARDS, handler=self._on_shard_map)
+        dispatcher.add_handler(message_type=SHARDS_PLAN, handler=self._on_dry_run)
+        dispatcher.add_handler(message_type=SHARDS_ABANDON, handler=self._on_abandon)
+        dispatcher.add_handler(message_type=SHARDS_PROGRESS, handler=self._on_progress)
 
-    async def _asked(self, unpacker: Unpacker) -> bytes:
-        """An operator's shard map, or no bytes for a word on the one that stands; answered by a kind and words."""
+    async def _on_shard_map(self, unpacker: Unpacker) -> bytes:
+        """Proposes an operator's shard map; an empty one asks for a description of the map in force."""
         raw = unpacker.blob()
         unpacker.done()
         if not raw:
             found = await self.register.read(key=SHARDS_KEY)
             if found.is_error():
-                return Packer().text(value=found.error.code.value).text(value=found.error.reason).bytes()
-            return Packer().text(value="").text(value=describe(state=read_shard_state(data=found.ok.value))).bytes()
+                return operator_error(error=found.error)
+            return operator_answer(text=shard_map_text(state=read_shard_state(data=found.ok.value))).bytes()
         checked = self._checked(raw=raw)
         result = Error(checked.error) if checked.is_error() else await self.shards.propose(wanted=checked.ok)
-        return answered(result=result, words="put to the proxies")
+        return operator_result(result=result, text="put to the proxies")
 
     def _checked(self, *, raw: bytes) -> Result[ShardMap, CinderstairError]:
-        """An operator's map, held against the configuration and the map that stand."""
+        """An operator's map, checked against the configuration and the map in force; the error names each problem."""
         checked = check_shard_map(raw=raw)
         if checked.is_error():
             return checked
@@ -71,45 +75,43 @@
             return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason="\n".join(problems)))
         return checked
 
-    async def _planned_only(self, unpacker: Unpacker) -> bytes:
-        """A dry run: nothing is put anywhere."""
+    async def _on_dry_run(self, unpacker: Unpacker) -> bytes:
+        """Says what an operator's shard map would move, and proposes nothing."""
         raw = unpacker.blob()
         unpacker.done()
         checked = self._checked(raw=raw)
         if checked.is_error():
-            return answered(result=checked, words="")
-        wanted, current = checked.ok, self.shards.state.current
-        if wanted.version <= current.version:
-            fault = CinderstairError(code=ErrorCode.VERSION_OLD, reason=f"version {current.version} stands")
-            return answered(result=Error(fault), words="")
-        lines = []
-        for database, service in sorted(wanted.places.items()):
-            now = current.place(database=database, planned=self.planned(database))
-            if now != service:
-                lines.append(f"{database}: from {now} to {service}")
-        foreseen = await self.shards.forecast()
-        lines.append(foreseen.words() if lines else "nothing moves")
-        if not self.brings():
+            return operator_error(error=checked.error)
+        current = self.shards.state.current
+        if checked.ok.version <= current.version:
+            reason = f"version {current.version} stands"
+            return operator_error(error=CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
+        lines = self._moves(wanted=checked.ok)
+        forecast = await self.shards.forecast()
+        lines.append(forecast.words() if lines else "nothing moves")
+        if not self.can_move_data():
             lines.append("begin would be refused: nothing here brings a database's data to another place")
-        return answered(result=Ok(None), words="\n".join(lines))
+        return operator_answer(text="\n".join(lines)).bytes()
+
+    def _moves(self, *, wanted: ShardMap) -> list[str]:
+        """A line for each database that a map would move to another service."""
+        lines = []
+        for database, target in sorted(wanted.places.items()):
+            source = self.shards.state.current.place(database=database, planned=self.planned_service(database))
+            if source != target:
+                lines.append(f"{database}: from {source} to {target}")
+        return lines
 
-    async def _abandoned(self, unpacker: Unpacker) -> bytes:
+    async def _on_abandon(self, unpacker: Unpacker) -> bytes:
         version = unpacker.u64()
         unpacker.done()
-        return answered(result=await self.shards.abandon(version=version), words=f"map {version} is given up")
+        return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is given up")
 
-    async def _progress(self, unpacker: Unpacker) -> bytes:
-        """Words for people, then the phase, the turn, the version that stands, and why the last was withdrawn."""
+    async def _on_progress(self, unpacker: Unpacker) -> bytes:
+        """A text, then the phase, the turn, the version in force, and why the last proposal was withdrawn."""
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
-        packer = Packer().text(value="").text(value=progress.words())
+        packer = operator_answer(text=progress.words())
         packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
         return packer.bytes()
-
-
-def answered(*, result: Result[Any, CinderstairError], words: str) -> bytes:
-    """An operator's answer: a kind, empty where all is well, and words."""
-    if result.is_error():
-        return Packer().text(value=result.error.code.value).text(value=result.error.reason).bytes()
-    return Packer().text(value="").text(value=words).bytes()
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -1,72 +1,72 @@
-"""What a controller knows, for an operator to read."""
+"""Describes a controller's status, a line each thing, for an operator to read."""
 
-from typing import TYPE_CHECKING
+from .controller_status import BackendStatus, ControllerStatus, QuorumStatus, ServiceStatus
+from .proxy_contact import ProxyContact
+from .shard_map_text import shard_map_text
 
-from ..failover.shard_state import ShardPhase, ShardState
+US_PER_MS = 1_000
+US_PER_S = 1_000_000
 
-if TYPE_CHECKING:
-    from .controller import Controller
 
-SEEN_US = 10_000_000
+def status_text(*, status: ControllerStatus) -> str:
+    """A line each thing; HELD and QUIET mark what can't go on, and HELD says why."""
+    return "\n".join(
+        [
+            _register_line(status=status),
+            f"configuration: {'none yet' if status.plan_version is None else status.plan_version}",
+            _shard_map_line(status=status),
+            *_quorum_lines(quorum=status.quorum),
+            *(_service_line(service=service) for service in status.services),
+            *(_backend_line(backend=backend) for backend in status.backends),
+            *(_proxy_line(proxy=proxy) for proxy in status.proxies),
+            *(f"holds the duty of {name}" for name in status.leases_held),
+            *(f"counter {name} {count}" for name, count in status.counters.items()),
+        ]
+    )
 
 
-def describe(*, state: ShardState) -> str:
-    """The shard map that stands, and the one on its way."""
-    places = ", ".join(f"{database} at {service}" for database, service in sorted(state.current.places.items()))
-    words = f"map {state.current.version}: {places or 'all as planned'}"
-    return words if state.phase == ShardPhase.steady else f"{words}; {state.phase.name}: {state.following.version}"
+def _register_line(*, status: ControllerStatus) -> str:
+    age = f"knows the register as of {status.register_age_us // US_PER_MS} ms ago"
+    return (
+        f"{status.name}: {age}{'' if status.current else ', NOT CURRENT: no majority of register_replicas answers'}"
+    )
 
 
-def status_text(*, controller: "Controller") -> str:
-    """A line each thing; HELD and QUIET say what can't go on, and why."""
-    ctx, duty, now_us = controller.ctx, controller.duty, controller.ctx.now_us()
-    view, plan = controller.view, controller.duty.plan
-    age = f"knows the register as of {(now_us - view.as_of_us) // 1_000} ms ago"
-    withdrawn = f" (withdrawn: {controller.shards.reason})" if controller.shards.reason else ""
-    lines = [
-        f"{ctx.name}: {age}{'' if view.current else ', NOT CURRENT: no majority of register_replicas answers'}",
-        f"configuration: {'none yet' if plan is None else plan.version}",
-        f"{describe(state=controller.shards.state)}{withdrawn}",
-        *_register_replicas(controller=controller),
-    ]
-    for service, lead in sorted(duty.leads.items()):
-        held = f"; HELD: {duty.reasons[service]}" if duty.reasons.get(service) else ""
-        lines.append(f"service {service}: {lead.state.name} on {lead.primary}, term {lead.term}{held}")
-    for name, heard in sorted(controller.heartbeat_table.best.items()):
-        marks = (" and leads" if heard.heartbeat.leads else "") + (
-            ", QUIET" if controller.heartbeat_table.quiet(name=name) else ""
-        )
-        lines.append(f"backend {name} of {heard.heartbeat.service}: {heard.heartbeat.state}{marks}")
-    for proxy, age_us, _, vote in sorted(controller.relay.seen(within_us=SEEN_US)):
-        lines.append(f"proxy {proxy}: asked {age_us // 1_000} ms ago{f', {vote.name}' if vote else ''}")
-    leases = {"promotions": duty.lease, "slots": controller.proxy_ids.lease, "shards": controller.shards.lease}
-    lines += [f"holds the duty of {name}" for name, lease in leases.items() if lease.held]
-    lines += [f"counter {name} {count}" for name, count in ctx.counters.snapshot().items()]
-    return "\n".join(lines)
-
-
-def _register_replicas(*, controller: "Controller") -> list[str]:
+def _shard_map_line(*, status: ControllerStatus) -> str:
+    withdrawn = f" (withdrawn: {status.withdrawn_reason})" if status.withdrawn_reason else ""
+    return f"{shard_map_text(state=status.shard_state)}{withdrawn}"
+
+
+def _quorum_lines(*, quorum: QuorumStatus | None) -> list[str]:
     """Each voter, how many more may be lost, and who would take the place of one."""
-    register_replica = controller.register_replica
-    if register_replica.roster is None:
+    if quorum is None:
         return ["votes: no roster is known"]
-    lines = []
-    for voter in register_replica.roster.voters:
-        standing = (
-            None if register_replica.membership is None else register_replica.membership.standing(name=voter.name)
-        )
-        lines.append(
-            f"register replica {voter.name} at {voter.address}: {'unknown' if standing is None else standing.name}"
-        )
-    present, losses = len(register_replica.present()), register_replica.losses_borne()
-    short = ""
-    if register_replica.short_since_us is not None:
-        seconds = (controller.ctx.now_us() - register_replica.short_since_us) // 1_000_000
-        short = f", VOTES MISSING for {seconds} s"
-    borne = f"bears the loss of {losses} more" if losses >= 0 else "NO MAJORITY"
-    standbys = ", ".join(register_replica.standbys()) or "nobody"
+    lines = [
+        f"register replica {voter.name} at {voter.address}: "
+        f"{'unknown' if voter.standing is None else voter.standing.name}"
+        for voter in quorum.voters
+    ]
+    short = "" if quorum.short_for_us is None else f", VOTES MISSING for {quorum.short_for_us // US_PER_S} s"
+    borne = f"bears the loss of {quorum.losses_borne} more" if quorum.losses_borne >= 0 else "NO MAJORITY"
     lines.append(
-        f"votes: {present} of {register_replica.most}, epoch {register_replica.roster.epoch}, {borne}{short}; "
-        f"standing by: {standbys}"
+        f"votes: {quorum.present} of {quorum.most}, epoch {quorum.epoch}, {borne}{short}; "
+        f"standing by: {', '.join(quorum.standbys) or 'nobody'}"
     )
     return lines
+
+
+def _service_line(*, service: ServiceStatus) -> str:
+    held = f"; HELD: {service.blocked_reason}" if service.blocked_reason else ""
+    primary = service.primary
+    return f"service {service.name}: {primary.state.name} on {primary.primary}, term {primary.term}{held}"
+
+
+def _backend_line(*, backend: BackendStatus) -> str:
+    announcement = backend.announcement
+    marks = (" and leads" if announcement.leads else "") + (", QUIET" if backend.silent else "")
+    return f"backend {announcement.name} of {announcement.service}: {announcement.state}{marks}"
+
+
+def _proxy_line(*, proxy: ProxyContact) -> str:
+    vote = f", {proxy.vote.name}" if proxy.vote else ""
+    return f"proxy {proxy.name}: asked {proxy.age_us // US_PER_MS} ms ago{vote}"
--- /dev/null
+++ b/src/cinderstair/control_plane/suspicion_reporter.py
@@ -0,0 +1,58 @@
+"""Brings proxies' suspicions of a primary to the controller that holds the failover lease."""
+
+from collections.abc import Callable
+
+from ..failover.service_failover import ServiceFailover
+from ..runtime.context import Context
+from ..runtime.dispatcher import Dispatcher
+from ..runtime.message_types import SUSPECT
+from ..runtime.packer import Packer
+from ..runtime.unpacker import Unpacker
+from .acknowledgement import ACKNOWLEDGEMENT
+
+REPORT_WAIT_US = 400_000
+REPORT_EVERY_US = 250_000
+
+
+class SuspicionReporter:
+    """Owns when each primary was last reported; reports of one primary are `REPORT_EVERY_US` apart at least."""
+
+    def __init__(
+        self,
+        *,
+        ctx: Context,
+        dispatcher: Dispatcher,
+        service_failover: ServiceFailover,
+        peers: Callable[[], list[str]],
+    ) -> None:
+        self.ctx = ctx
+        self.service_failover = service_failover
+        self.peers = peers
+        self.reported_at_us: dict[str, int] = {}
+        dispatcher.add_handler(message_type=SUSPECT, handler=self._on_suspect)
+
+    def report(self, *, backend: str) -> None:
+        """Takes a proxy's failure to reach a backend; only the loss of a primary asks for failover."""
+        now_us = self.ctx.now_us()
+        if not any(lead.primary == backend for lead in self.service_failover.leads.values()):
+            return
+        if now_us - self.reported_at_us.get(backend, -REPORT_EVERY_US) < REPORT_EVERY_US:
+            return
+        self.reported_at_us[backend] = now_us
+        self.ctx.counters.add(name="promotion.suspicions")
+        if self.service_failover.lease.held:
+            self.service_failover.suspect(name=backend)
+            return
+        body = Packer().u8(value=SUSPECT).text(value=backend).bytes()
+        for address in self.peers():
+            self.ctx.spawn(
+                work=self.ctx.peer_client.request(address=address, body=body, wait_us=REPORT_WAIT_US),
+                name="suspect.tell",
+            )
+
+    async def _on_suspect(self, unpacker: Unpacker) -> bytes:
+        backend = unpacker.text()
+        unpacker.done()
+        if self.service_failover.lease.held:
+            self.service_failover.suspect(name=backend)
+        return ACKNOWLEDGEMENT
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -14,7 +14,7 @@
 from ..http_frontend.position_query import BackendPosition, query_position
 from ..http_frontend.view import View
 from ..membership.heartbeat import EMPTYING
-from ..membership.heartbeat_table import QUIET_US, HeartbeatTable
+from ..membership.heartbeat_table import SILENT_AFTER_US, HeartbeatTable
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
@@ -170,7 +170,7 @@
         if name not in configuration.backends:
             return "is no longer declared"
         heard = self.heartbeat_table.latest(name=name)
-        if heard is not None and not self.heartbeat_table.quiet(name=name):
+        if heard is not None and not self.heartbeat_table.silent(name=name):
             if heard.heartbeat.state == EMPTYING:
                 return "is emptying"
             # why: a primary that was restarted does not lead any more, whatever it thought before
@@ -180,7 +180,7 @@
         now_us = self.ctx.now_us()
         held_us = now_us - self.started_us
         # why: a holder that hears nobody may be the one that is cut off; it must not judge by its own deafness
-        if held_us < QUIET_US + TIMER_PERIOD_US or not self.heartbeat_table.hearing:
+        if held_us < SILENT_AFTER_US + TIMER_PERIOD_US or not self.heartbeat_table.connected:
             return ""
         reading = await query_position(connection_pools=self.connection_pools, name=name, direct=True)
         if reading.is_ok() and reading.ok.leads:
@@ -189,7 +189,7 @@
 
     def _staying(self, *, names: tuple[str, ...]) -> tuple[str, ...]:
         """Those that no open window wants empty, and that are fit."""
-        return tuple(n for n in names if n not in self.view.leaving.backends and self.heartbeat_table.fit(name=n))
+        return tuple(n for n in names if n not in self.view.leaving.backends and self.heartbeat_table.healthy(name=n))
 
     async def _obey_window(self, *, database: str, lead: DatabasePrimary) -> bool:
         """Begins a planned move where a window wants the primary empty; True where it has begun."""
@@ -277,7 +277,7 @@
         names = tuple(name for name in configuration.databases.get(database, ()) if name != lead.primary)
         follow_until_us = self.ctx.now_us() + FOLLOW_WAIT_US
         while True:
-            readings = await self._gauges(names=tuple(n for n in names if self.heartbeat_table.fit(name=n)))
+            readings = await self._gauges(names=tuple(n for n in names if self.heartbeat_table.healthy(name=n)))
             # why: nothing is acknowledged before the lead is settled, so whoever has the new term's
             # beginning now, and is waited for from the first commit on, is in sync
             most = configuration.amount(name="inSync", database=database)
@@ -306,7 +306,7 @@
         since_us = self.view.lead_since_us[database]
         # why: a slow promotion is asked for again before anybody else is placed
         if self.ctx.now_us() - since_us < 2 * self.view.lease_us and (
-            promoted or self.heartbeat_table.fit(name=lead.primary)
+            promoted or self.heartbeat_table.healthy(name=lead.primary)
         ):
             return
         found = await self._candidate(lead=lead, configuration=configuration, holders=(*lead.in_sync, lead.primary))
@@ -331,7 +331,7 @@
         # why: what stands empty is not even asked how far it is, unless somebody still rests on it
         requested = (lead.primary, *lead.confirmers, *self._staying(names=names))
         readings = await self._gauges(
-            names=tuple(n for n in dict.fromkeys(requested) if self.heartbeat_table.fit(name=n))
+            names=tuple(n for n in dict.fromkeys(requested) if self.heartbeat_table.healthy(name=n))
         )
         primary = readings.get(lead.primary)
         if primary is None or not primary.leads or primary.term != lead.term:
@@ -371,7 +371,7 @@
             name
             for name in lead.confirmers
             if name in self.bad_since_us
-            and (not self.heartbeat_table.fit(name=name) or now_us - self.bad_since_us[name] > LAG_US)
+            and (not self.heartbeat_table.healthy(name=name) or now_us - self.bad_since_us[name] > LAG_US)
         ]
         in_sync = tuple(name for name in lead.in_sync if name not in bad)
         # why: what a window wants empty leaves the set as soon as somebody outside the window is in it
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -46,7 +46,7 @@
     def unsettled(self, *, service: str) -> list[Announcement]:
         """The copies that have deregistered lately, and whose logs may still be needed."""
         found = []
-        for name, heard in sorted(self.heartbeat_table.best.items()):
+        for name, heard in sorted(self.heartbeat_table.newest.items()):
             heartbeat = heard.heartbeat
             if (
                 heartbeat.service != service
@@ -60,7 +60,7 @@
 
     def settle(self, *, service: str, primary: Announcement | None, replicas: list[Announcement]) -> None:
         """Has the deregistrations of a service looked after, where there are any and nobody does yet."""
-        self.settled &= set(self.heartbeat_table.best)
+        self.settled &= set(self.heartbeat_table.newest)
         if primary is None or service in self.settling:
             return
         left = [each for each in self.unsettled(service=service) if each.name != primary.name]
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -183,7 +183,7 @@
     def _members(self, *, service: str) -> list[Announcement]:
         """Every backend of a service that may hold acknowledged commits, in the order of names."""
         at: dict[str, ReceivedHeartbeat[Announcement]] = {}
-        for name, heard in sorted(self.heartbeat_table.best.items()):
+        for name, heard in sorted(self.heartbeat_table.newest.items()):
             if (
                 heard.heartbeat.service != service
                 or heard.heartbeat.state == GONE
@@ -192,7 +192,7 @@
                 continue
             # why: the log of a backend that was replaced has passed to the one that came to its address
             other = at.get(heard.heartbeat.address)
-            if other is None or heard.born_us > other.born_us:
+            if other is None or heard.observed_at_us > other.observed_at_us:
                 at[heard.heartbeat.address] = heard
         return sorted((heard.heartbeat for heard in at.values()), key=lambda heartbeat: heartbeat.name)
 
@@ -292,14 +292,14 @@
         member = self._member(name=name)
         if member is None:
             # why: one that was never heard of since this daemon began may still be about to beat
-            if self.ctx.now_us() - self.lead_since_us[service.name] < self.heartbeat_table.quiet_us * 2:
+            if self.ctx.now_us() - self.lead_since_us[service.name] < self.heartbeat_table.silent_after_us * 2:
                 return ""
             return "is not known"
         if member.state == GONE:
             # why: some deregister first and serve on; one that leads yet is to step down, and loses nobody's commits
             state = await self.control.state(backend=member, wait_us=PROBE_WAIT_US)
             return "is emptying" if state.is_ok() and state.ok.leads else "is gone"
-        quiet = self.heartbeat_table.quiet(name=name) and self.heartbeat_table.hearing
+        quiet = self.heartbeat_table.silent(name=name) and self.heartbeat_table.connected
         if member.state != READY:
             # why: one that leaves may die before it has stepped down, and then nobody can ask it to
             dead = quiet or name in self.suspects_us
--- a/src/cinderstair/http_frontend/backend_reachability.py
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -41,7 +41,7 @@
         fit = [
             name
             for name in self.connection_pools.pools
-            if self.heartbeat_table.fit(name=name) and self.connection_pools.open(name=name)
+            if self.heartbeat_table.healthy(name=name) and self.connection_pools.open(name=name)
         ]
         # why: where the news call nobody fit there is nobody to be seen
         if not fit:
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -4,7 +4,7 @@
 
 from ..config.backend import Backend
 from ..failover.database_primary import DatabasePrimary
-from ..membership.heartbeat_table import QUIET_US, HeartbeatTable
+from ..membership.heartbeat_table import SILENT_AFTER_US, HeartbeatTable
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from .pool import Pool
@@ -49,7 +49,7 @@
         # why: what a window empties keeps what it still leads, until the lead has moved, and gets nothing else
         if name in self.view.leaving.backends and not self._leads(name=name):
             return False
-        return pool is not None and pool.limit > 0 and self.heartbeat_table.fit(name=name) and not pool.shunned
+        return pool is not None and pool.limit > 0 and self.heartbeat_table.healthy(name=name) and not pool.shunned
 
     def _leads(self, *, name: str) -> bool:
         return any(lead.primary == name for lead in self.view.leads.values())
@@ -62,7 +62,7 @@
     def reachable(self, *, name: str) -> bool:
         """May anything at all still be sent there?"""
         # why: by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
-        if self.heartbeat_table.age_us(name=name) > QUIET_US + UNFIT_GRACE_US:
+        if self.heartbeat_table.age_us(name=name) > SILENT_AFTER_US + UNFIT_GRACE_US:
             return False
         since_us = self.unfit_since_us.get(name)
         return since_us is None or self.ctx.now_us() - since_us < UNFIT_GRACE_US
@@ -73,7 +73,7 @@
             return
         now_us = self.ctx.now_us()
         for name in configuration.backends:
-            if self.heartbeat_table.fit(name=name):
+            if self.heartbeat_table.healthy(name=name):
                 self.unfit_since_us.pop(name, None)
             else:
                 self.unfit_since_us.setdefault(name, now_us)
--- a/src/cinderstair/http_frontend/filters/forward_filter.py
+++ b/src/cinderstair/http_frontend/filters/forward_filter.py
@@ -147,7 +147,7 @@
                 CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {lead.primary} is not fit")
             )
         # why: what could not be acknowledged in the end is denied before it is sent
-        if writes and not any(self.heartbeat_table.fit(name=name) for name in lead.in_sync):
+        if writes and not any(self.heartbeat_table.healthy(name=name) for name in lead.in_sync):
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
             )
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -106,7 +106,7 @@
         pool, heard = self.connection_pools.pools[name], self.heartbeat_table.latest(name=name)
         return {
             "state": "unheard" if heard is None else heard.heartbeat.state,
-            "fit": self.heartbeat_table.fit(name=name),
+            "fit": self.heartbeat_table.healthy(name=name),
             "ageUs": None if heard is None else self.heartbeat_table.age_us(name=name),
             "position": None if heard is None else heard.heartbeat.position,
             "channels": {
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -1,4 +1,4 @@
-"""What a backend that keeps its own place in the list says of itself: its beats alone make the list."""
+"""The heartbeat of a backend that registers itself with the controllers by announcing its own address."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Announcement:
-    """Announcements of one backend are ordered by their own number."""
+    """One heartbeat; `number` orders the announcements of one backend.
+
+    `leads` says whether the backend takes itself for its service's primary. `room` is how many connections it
+    accepts, 0 where it does not say.
+    """
 
     name: str
     number: int
@@ -25,10 +29,12 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        # why: a backend that has gone for good says nothing more, so a late heartbeat must not bring it back
+        """Greater for the later one of two announcements of one backend."""
+        # a deregistered backend sends nothing more, so a delayed heartbeat must not bring it back
         return int(self.state == GONE), self.number
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.number).text(value=self.service).text(value=self.address)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.leads))
         packer.u32(value=self.room)
@@ -40,7 +46,7 @@
     service, address, site = unpacker.text(), unpacker.text(), unpacker.text()
     state, leads = unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or leads > 1:
-        raise ValueError("no such state")
+        raise ValueError(f"state {state} or leads {leads} is out of range")
     return Announcement(
         name=name,
         number=number,
--- a/src/cinderstair/membership/heartbeat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -1,17 +1,23 @@
-"""What a backend says of itself every second or so."""
+"""The heartbeat that a backend sends to an HTTP proxy about once a second."""
 
 from dataclasses import dataclass
+from typing import Any
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
 READY, EMPTYING, STARTING = "ready", "emptying", "starting"
 STATES = (READY, EMPTYING, STARTING)
+MAX_TEXT_LENGTH = 63
+NUMBER_LIMIT = 2**63
 
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """Beats of one backend are ordered by its incarnation, then by their own number."""
+    """One heartbeat; those of one backend are ordered by its incarnation, then by their number.
+
+    `leads` says whether the backend takes itself for the primary of `term`; `position` is the end of its log.
+    """
 
     name: str
     incarnation: int
@@ -24,19 +30,22 @@
 
     @property
     def order(self) -> tuple[int, int]:
+        """Greater for the later one of two heartbeats of one backend."""
         return self.incarnation, self.number
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.incarnation).u64(value=self.number)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.leads))
         packer.u64(value=self.term).u64(value=self.position)
 
 
 def read_heartbeat(*, unpacker: Unpacker) -> Heartbeat:
+    """Raises ValueError where the record is none."""
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
     site, state, leads = unpacker.text(), unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or leads > 1:
-        raise ValueError("no such state")
+        raise ValueError(f"state {state} or leads {leads} is out of range")
     return Heartbeat(
         name=name,
         incarnation=incarnation,
@@ -53,28 +62,41 @@
     """A heartbeat from a backend's JSON; ValueError names the field that is wrong."""
     if not isinstance(value, dict):
         raise ValueError("a heartbeat is an object")
-    texts = {"name": "", "site": "", "state": ""}
-    numbers = {"incarnation": 0, "number": 0, "term": 0, "position": 0}
-    for field in texts:
-        if not isinstance(value.get(field), str) or not 0 < len(value[field]) <= 63:
-            raise ValueError(f"{field}: a short text is needed")
-        texts[field] = value[field]
-    for field in numbers:
-        number = value.get(field, 0)
-        if not isinstance(number, int) or isinstance(number, bool) or not 0 <= number < 2**63:
-            raise ValueError(f"{field}: a whole number is needed")
-        numbers[field] = number
-    if texts["state"] not in STATES:
+    # the fields are checked in this order, and the first that is wrong is named
+    name, site, state = (_text_field(value=value, field=field) for field in ("name", "site", "state"))
+    incarnation, number, term, position = (
+        _number_field(value=value, field=field) for field in ("incarnation", "number", "term", "position")
+    )
+    if state not in STATES:
         raise ValueError(f"state: one of {', '.join(STATES)}")
-    if not isinstance(value.get("leads", False), bool):
-        raise ValueError("leads: true or false is needed")
     return Heartbeat(
-        name=texts["name"],
-        site=texts["site"],
-        state=texts["state"],
-        leads=value.get("leads", False),
-        incarnation=numbers["incarnation"],
-        number=numbers["number"],
-        term=numbers["term"],
-        position=numbers["position"],
+        name=name,
+        site=site,
+        state=state,
+        leads=_flag_field(value=value, field="leads"),
+        incarnation=incarnation,
+        number=number,
+        term=term,
+        position=position,
     )
+
+
+def _text_field(*, value: dict[str, Any], field: str) -> str:
+    text = value.get(field)
+    if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_LENGTH:
+        raise ValueError(f"{field}: a short text is needed")
+    return text
+
+
+def _number_field(*, value: dict[str, Any], field: str) -> int:
+    number = value.get(field, 0)
+    if not isinstance(number, int) or isinstance(number, bool) or not 0 <= number < NUMBER_LIMIT:
+        raise ValueError(f"{field}: a whole number is needed")
+    return number
+
+
+def _flag_field(*, value: dict[str, Any], field: str) -> bool:
+    flag = value.get(field, False)
+    if not isinstance(flag, bool):
+        raise ValueError(f"{field}: true or false is needed")
+    return flag
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -1,4 +1,4 @@
-"""News: what the backends last said, pulled by a vector of versions, one for each source."""
+"""The newest heartbeat of each backend, pulled from other daemons by a version vector."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,30 +16,42 @@
 
 PULL_EVERY_US = 250_000
 PULL_WAIT_US = 400_000
-PULL_FROM = 2
+PULL_PEERS = 2
 STALLED_US = 700_000
-HEARING_US = 1_500_000
-QUIET_US = 3_000_000
+CONNECTED_US = 1_500_000
+SILENT_AFTER_US = 3_000_000
 FORGET_US = 30_000_000
-MOST_ENTRIES = 20_000
+MAX_ENTRIES = 20_000
+# the age of a backend from which no heartbeat has been received
+NEVER_US = 1 << 62
 
 
 class BackendHeartbeat(Protocol):
-    """What a backend says of itself, in whatever form."""
+    """What the table needs to know of a heartbeat, whatever its form."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The backend that sent it."""
+        ...
 
     @property
-    def state(self) -> str: ...
+    def state(self) -> str:
+        """One of the states of its form, `READY` among them."""
+        ...
 
     @property
-    def leads(self) -> bool: ...
+    def leads(self) -> bool:
+        """Whether the backend takes itself for a primary."""
+        ...
 
     @property
-    def order(self) -> tuple[int, int]: ...
+    def order(self) -> tuple[int, int]:
+        """Greater for the later one of two heartbeats of one backend."""
+        ...
 
-    def write(self, *, packer: Packer) -> None: ...
+    def write(self, *, packer: Packer) -> None:
+        """Appends its fields in their order on the wire."""
+        ...
 
 
 B = TypeVar("B", bound=BackendHeartbeat)
@@ -47,16 +59,30 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReceivedHeartbeat(Generic[B]):
-    """A heartbeat as one source heard it; `born_us` is by the local clock, and never later than the truth."""
+    """A heartbeat as one source received it; `version` counts the heartbeats of that source.
+
+    `observed_at_us` is by the local clock, and never later than the source received it.
+    """
 
     source: int
     version: int
     heartbeat: B
-    born_us: int
+    observed_at_us: int
+
+    def write(self, *, packer: Packer, now_us: int) -> None:
+        """Appends the entry, with its age in place of its local time."""
+        packer.u64(value=self.source).u64(value=self.version).u64(value=now_us - self.observed_at_us)
+        self.heartbeat.write(packer=packer)
 
 
 class HeartbeatTable(CommandQueueMixin, Generic[B]):
-    """Owns the table of heartbeats. Every daemon that hears a heartbeat is a source; they pull from one another."""
+    """Owns the received heartbeats. Every daemon that receives one itself is a source; daemons pull from each other.
+
+    :param read: reads a heartbeat of the form that this table holds; ValueError where there is none.
+    :param peers: the addresses to pull from; the HTTP proxies of the membership where it is not given.
+    :param silent_after_us: the age from which a backend counts as silent.
+    :param pull_peers: from how many peers each turn pulls.
+    """
 
     def __init__(
         self,
@@ -67,155 +93,173 @@
         read: Callable[[Unpacker], Any] = lambda unpacker: read_heartbeat(unpacker=unpacker),
         peers: Callable[[], list[str]] | None = None,
         every_us: int = PULL_EVERY_US,
-        quiet_us: int = QUIET_US,
-        pull_from: int = PULL_FROM,
+        silent_after_us: int = SILENT_AFTER_US,
+        pull_peers: int = PULL_PEERS,
     ) -> None:
         self.ctx = ctx
         self.membership = membership
         self.read = read
         self.peers = peers or self._http_proxies
-        self.quiet_us = quiet_us
-        self.pull_from = pull_from
+        self.silent_after_us = silent_after_us
+        self.pull_peers = pull_peers
         self.source = ctx.rng.getrandbits(62) | 1
         self.version = 0
-        self.heard: dict[tuple[int, str], ReceivedHeartbeat[B]] = {}
-        self.best: dict[str, ReceivedHeartbeat[B]] = {}
-        self.started_us = ctx.now_us()
-        self.pulled_us = 0
-        self.ticked_us = ctx.now_us()
+        self.received: dict[tuple[int, str], ReceivedHeartbeat[B]] = {}
+        self.newest: dict[str, ReceivedHeartbeat[B]] = {}
+        self.pulled_at_us = 0
+        self.ticked_at_us = ctx.now_us()
         self.stalled_from_us = 0
         self.stalled_until_us = 0
-        self.alone = True
+        self.has_peers = False
         self.open_queue()
-        dispatcher.add_handler(message_type=HEARTBEATS, handler=self._asked)
+        dispatcher.add_handler(message_type=HEARTBEATS, handler=self.answer)
         self.every(every_us=every_us, command=self._on_timer, name="pull")
 
     def _http_proxies(self) -> list[str]:
         return [member.records for member in self.membership.alive(role="stall")]
 
     def begin(self) -> None:
-        """Pulls at once, not only at the next turn, since whoever begins lacks everything."""
+        """Pulls at once, since a daemon that has just started lacks every heartbeat."""
         self.post(command=self._on_timer, once="pull")
 
     def receive(self, *, heartbeat: B) -> None:
-        """A heartbeat came in at our own edge."""
-        known = self.best.get(heartbeat.name)
-        # why: a heartbeat that was held up on its way must not bring an older state back
+        """Takes a heartbeat that a backend sent to this daemon."""
+        known = self.newest.get(heartbeat.name)
+        # a delayed heartbeat must not bring an older state back
         if known is not None and heartbeat.order <= known.heartbeat.order:
             return
         self.version += 1
-        self._take(
-            heard=ReceivedHeartbeat(
-                source=self.source, version=self.version, heartbeat=heartbeat, born_us=self._arrived_us()
+        self.merge(
+            received=ReceivedHeartbeat(
+                source=self.source, version=self.version, heartbeat=heartbeat, observed_at_us=self._arrival_us()
             )
         )
         self.ctx.counters.add(name="beats.heard")
 
-    def _arrived_us(self) -> int:
-        """When, at the earliest, what is read now can have come in."""
+    def _arrival_us(self) -> int:
+        """The earliest time at which a heartbeat that is read now can have arrived."""
         now_us = self.ctx.now_us()
-        # why: a process that stood still finds heartbeats that have lain there since; they are as old as its
-        # standstill
-        if now_us - self.ticked_us > STALLED_US:
-            return self.ticked_us
+        # a heartbeat that is read after the process was suspended may have arrived when the suspension began
+        if now_us - self.ticked_at_us > STALLED_US:
+            return self.ticked_at_us
         return self.stalled_from_us if now_us < self.stalled_until_us else now_us
 
-    def _take(self, *, heard: ReceivedHeartbeat[B]) -> None:
-        key = (heard.source, heard.heartbeat.name)
-        known = self.heard.get(key)
-        if known is None or heard.version > known.version:
-            self.heard[key] = heard
-        best = self.best.get(heard.heartbeat.name)
-        if best is None or (heard.heartbeat.order, heard.born_us) > (best.heartbeat.order, best.born_us):
-            self.best[heard.heartbeat.name] = heard
-            if (
-                best is None
-                or best.heartbeat.state != heard.heartbeat.state
-                or best.heartbeat.leads != heard.heartbeat.leads
-            ):
-                self.ctx.log.info(
-                    "backend %s is %s%s",
-                    heard.heartbeat.name,
-                    heard.heartbeat.state,
-                    " and leads" * heard.heartbeat.leads,
-                )
+    def merge(self, *, received: ReceivedHeartbeat[B]) -> None:
+        """Takes an entry of any source; an older one than the known one changes nothing."""
+        name = received.heartbeat.name
+        key = (received.source, name)
+        known = self.received.get(key)
+        if known is None or received.version > known.version:
+            self.received[key] = received
+        newest = self.newest.get(name)
+        if newest is None or _age_order(received) > _age_order(newest):
+            self.newest[name] = received
+            self._log_change(old=newest, new=received)
+
+    def _log_change(self, *, old: ReceivedHeartbeat[B] | None, new: ReceivedHeartbeat[B]) -> None:
+        heartbeat = new.heartbeat
+        if old is None or (old.heartbeat.state, old.heartbeat.leads) != (heartbeat.state, heartbeat.leads):
+            self.ctx.log.info("backend %s is %s%s", heartbeat.name, heartbeat.state, " and leads" * heartbeat.leads)
 
     def latest(self, *, name: str) -> ReceivedHeartbeat[B] | None:
-        return self.best.get(name)
+        """The backend's newest heartbeat; None where none has been received."""
+        return self.newest.get(name)
 
     def age_us(self, *, name: str) -> int:
-        """How long ago, at the most, the backend's last known beat was; never heard counts as ever silent."""
-        heard = self.best.get(name)
-        return 1 << 62 if heard is None else self.ctx.now_us() - heard.born_us
+        """How long ago, at the most, the backend's newest heartbeat arrived; `NEVER_US` where none has."""
+        received = self.newest.get(name)
+        return NEVER_US if received is None else self.ctx.now_us() - received.observed_at_us
 
     @property
-    def hearing(self) -> bool:
-        """Whether other HTTP proxies' news come through here, or there are no other HTTP proxies."""
-        return self.alone or self.ctx.now_us() - self.pulled_us < HEARING_US
+    def connected(self) -> bool:
+        """Whether a peer has answered a pull lately, or there are no peers."""
+        return not self.has_peers or self.ctx.now_us() - self.pulled_at_us < CONNECTED_US
 
-    def quiet(self, *, name: str) -> bool:
-        return self.age_us(name=name) > self.quiet_us
+    def silent(self, *, name: str) -> bool:
+        """Whether the backend's newest heartbeat is older than `silent_after_us`."""
+        return self.age_us(name=name) > self.silent_after_us
 
-    def fit(self, *, name: str) -> bool:
-        """Ready by its own word, and heard from lately."""
-        heard = self.best.get(name)
-        return heard is not None and heard.heartbeat.state == READY and not self.quiet(name=name)
+    def healthy(self, *, name: str) -> bool:
+        """Whether the backend is ready by its own account, and not silent."""
+        received = self.newest.get(name)
+        return received is not None and received.heartbeat.state == READY and not self.silent(name=name)
 
-    def _vector(self) -> dict[int, int]:
+    def version_vector(self) -> dict[int, int]:
+        """The highest version held of each source."""
         vector: dict[int, int] = {}
-        for heard in self.heard.values():
-            vector[heard.source] = max(vector.get(heard.source, 0), heard.version)
+        for received in self.received.values():
+            vector[received.source] = max(vector.get(received.source, 0), received.version)
         return vector
 
-    async def _asked(self, unpacker: Unpacker) -> bytes:
+    async def answer(self, unpacker: Unpacker) -> bytes:
+        """Answers a pull with the entries that the asker's version vector lacks; ValueError where it is none."""
         vector = dict(unpacker.many(each=lambda u: (u.u64(), u.u64())))
         unpacker.done()
         now_us = self.ctx.now_us()
-        lacking = [heard for heard in self.heard.values() if heard.version > vector.get(heard.source, 0)]
-
-        def each(packer: Packer, heard: ReceivedHeartbeat[B]) -> None:
-            packer.u64(value=heard.source).u64(value=heard.version).u64(value=now_us - heard.born_us)
-            heard.heartbeat.write(packer=packer)
-
-        return Packer().many(values=lacking[:MOST_ENTRIES], each=each).bytes()
+        lacking = [entry for entry in self.received.values() if entry.version > vector.get(entry.source, 0)]
+        packer = Packer().many(
+            values=lacking[:MAX_ENTRIES], each=lambda p, entry: entry.write(packer=p, now_us=now_us)
+        )
+        return packer.bytes()
 
     def _on_timer(self) -> None:
-        now_us = self.ctx.now_us()
-        if now_us - self.ticked_us > STALLED_US:
-            self.stalled_from_us, self.stalled_until_us = self.ticked_us, now_us + STALLED_US
-        self.ticked_us = now_us
-        for key, heard in list(self.heard.items()):
-            if now_us - heard.born_us > FORGET_US:
-                del self.heard[key]
+        self._note_stall()
+        self._forget()
         peers = self.peers()
-        self.alone = not peers
+        self.has_peers = bool(peers)
         self.ctx.rng.shuffle(peers)
-        for address in peers[: self.pull_from]:
+        for address in peers[: self.pull_peers]:
             self.ctx.spawn(work=self._pull(address=address), name="news.pull")
 
+    def _note_stall(self) -> None:
+        """Remembers for how long the process was suspended, if it was."""
+        now_us = self.ctx.now_us()
+        if now_us - self.ticked_at_us > STALLED_US:
+            self.stalled_from_us, self.stalled_until_us = self.ticked_at_us, now_us + STALLED_US
+        self.ticked_at_us = now_us
+
+    def _forget(self) -> None:
+        now_us = self.ctx.now_us()
+        for key, received in list(self.received.items()):
+            if now_us - received.observed_at_us > FORGET_US:
+                del self.received[key]
+
     async def refresh(self, *, peers: tuple[str, ...]) -> None:
-        """Pulls once from all of these, and is done when all have answered or their time is up."""
+        """Pulls once from each of these, and returns when all have answered or their time is up."""
         await asyncio.gather(*(self._pull(address=address) for address in peers))
 
     async def _pull(self, *, address: str) -> None:
-        requested_us = self.ctx.now_us()
+        requested_at_us = self.ctx.now_us()
         packer = Packer().u8(value=HEARTBEATS)
-        packer.many(values=self._vector().items(), each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
+        packer.many(values=self.version_vector().items(), each=lambda p, e: p.u64(value=e[0]).u64(value=e[1]))
         result = await self.ctx.peer_client.request(address=address, body=packer.bytes(), wait_us=PULL_WAIT_US)
         if result.is_error():
             return
         try:
-            unpacker = Unpacker(data=result.ok)
-            entries = unpacker.many(each=lambda u: (u.u64(), u.u64(), u.u64(), self.read(u)))
-            unpacker.done()
+            entries = self._read_answer(data=result.ok, requested_at_us=requested_at_us)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
-        self.pulled_us = self.ctx.now_us()
-        for source, version, age_us, heartbeat in entries:
-            # why: the answer may have lain anywhere since we asked, so its age counts from the asking
-            self._take(
-                heard=ReceivedHeartbeat(
-                    source=source, version=version, heartbeat=heartbeat, born_us=requested_us - age_us
-                )
+        self.pulled_at_us = self.ctx.now_us()
+        for received in entries:
+            self.merge(received=received)
+
+    def _read_answer(self, *, data: bytes, requested_at_us: int) -> list[ReceivedHeartbeat[B]]:
+        def read(unpacker: Unpacker) -> ReceivedHeartbeat[B]:
+            source, version, age_us = unpacker.u64(), unpacker.u64(), unpacker.u64()
+            return ReceivedHeartbeat(
+                source=source,
+                version=version,
+                # an answer may be delayed anywhere after the request, so its ages count from the request
+                observed_at_us=requested_at_us - age_us,
+                heartbeat=self.read(unpacker),
             )
+
+        unpacker = Unpacker(data=data)
+        entries = unpacker.many(each=read)
+        unpacker.done()
+        return entries
+
+
+def _age_order(received: ReceivedHeartbeat[B]) -> tuple[tuple[int, int], int]:
+    return received.heartbeat.order, received.observed_at_us
--- a/src/cinderstair/membership/pooled_sample.py
+++ b/src/cinderstair/membership/pooled_sample.py
@@ -1,4 +1,4 @@
-"""Samples of primaries' positions on their way from one proxy to another, by way of a controller."""
+"""Samples of primaries' positions, which proxies share with one another through a controller."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,23 @@
 from ..runtime.position import Position
 from ..runtime.unpacker import Unpacker
 
-# why: steady clocks run apart by less than 500 in a million, and one machine's clock measures another's span
+# monotonic clocks drift apart by less than 500 in a million, and one machine's clock measures another's span
 DRIFT_PART = 1_000
-# why: the one asked to ask waits for a far primary, and everybody for one question more, before reads miss it
+# the proxy that is to ask may wait for a far primary, and the others for one more question, before reads miss it
 ASK_AFTER_US = 500_000
 
 
 def drift_us(*, span_us: int) -> int:
-    """By how much a span that one steady clock has measured may differ on another, at the most."""
+    """By how much a span that one monotonic clock has measured may differ on another, at the most."""
     return abs(span_us) // DRIFT_PART + 1
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportedSample:
-    """What a proxy tells. `moment_us` is by the controller's clock, and never later than the asking was."""
+    """A sample that a proxy reports.
+
+    `moment_us` is by the controller's clock, and never after the request to the primary.
+    """
 
     service: str
     term: int
@@ -27,11 +30,13 @@
     position: Position
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.service).u64(value=self.term).u64(value=self.moment_us)
         packer.u64(value=self.position.term).u64(value=self.position.number)
 
 
 def read_reported_sample(unpacker: Unpacker) -> ReportedSample:
+    """Raises ValueError where the fields are none of a sample."""
     return ReportedSample(
         service=unpacker.text(),
         term=unpacker.u64(),
@@ -42,24 +47,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedSample:
-    """A service of which the asker reads, and the controller's edition of the sample that it was given last."""
+    """A service that the asker reads from, and the edition of the sample that it last got of the controller."""
 
     service: str
     edition: int = 0
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.service).u64(value=self.edition)
 
 
 def read_wanted_sample(unpacker: Unpacker) -> WantedSample:
+    """Raises ValueError where the fields are none of a sample."""
     return WantedSample(service=unpacker.text(), edition=unpacker.u64())
 
 
 @dataclass(frozen=True, kw_only=True)
 class PooledSample:
-    """What a proxy is told. `age_us` is how long before the answer it was asked for, or longer.
+    """A sample that a proxy gets; `age_us` is at least the time from the request to the primary until the answer.
 
-    `term` is the term of the lead under which it was asked for; it counts under no other.
+    `term` is the primary's term at that request; the sample counts under no other.
     """
 
     service: str
@@ -69,11 +76,13 @@
     edition: int
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.service).u64(value=self.term).u64(value=self.age_us)
         packer.u64(value=self.position.term).u64(value=self.position.number).u64(value=self.edition)
 
 
 def read_pooled_sample(unpacker: Unpacker) -> PooledSample:
+    """Raises ValueError where the fields are none of a sample."""
     return PooledSample(
         service=unpacker.text(),
         term=unpacker.u64(),
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -1,4 +1,4 @@
-"""What a proxy asks of a controller, and what it is told: all that changed since it last asked."""
+"""A proxy's question to a controller, and the answer: all that changed since the proxy last asked."""
 
 from dataclasses import dataclass
 
@@ -19,18 +19,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayQuestion:
-    """`source` and `edition` say what the asker has; a source of 0 asks for everything.
+    """A proxy's question.
 
-    `vote` is what the proxy says of the shard map that was proposed in that turn. `samples` are told to this source
-    alone, by whose clock their moments are; `wanted` are those that the proxy would be told. A `brief` question is
-    about the age and the source alone.
+    `source` and `edition` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
+    that the proxy can't reach. `vote` is on the shard map that was proposed in `turn`. `samples` are for this source
+    alone, by whose clock their moments are; `wanted` are the samples that the proxy asks for. A `brief` question asks
+    for the age, the source and the site alone.
     """
 
     proxy: str
     site: str
     source: int = 0
     edition: int = 0
-    troubled: tuple[str, ...] = ()
+    suspected: tuple[str, ...] = ()
     turn: int = 0
     vote: Vote = Vote.silent
     samples: tuple[ReportedSample, ...] = ()
@@ -38,8 +39,9 @@
     brief: bool = False
 
     def write(self, *, packer: Packer) -> Packer:
+        """Appends the question's fields in their order on the wire."""
         packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.edition)
-        packer.many(values=self.troubled, each=lambda p, name: p.text(value=name))
+        packer.many(values=self.suspected, each=lambda p, name: p.text(value=name))
         packer.u64(value=self.turn).u8(value=self.vote)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
         packer.many(values=self.wanted, each=lambda p, want: want.write(packer=p))
@@ -47,12 +49,13 @@
 
 
 def read_relay_question(*, unpacker: Unpacker) -> RelayQuestion:
+    """Raises ValueError where the record is none, or bytes follow it."""
     question = RelayQuestion(
         proxy=unpacker.text(),
         site=unpacker.text(),
         source=unpacker.u64(),
         edition=unpacker.u64(),
-        troubled=tuple(unpacker.many(each=lambda u: u.text())),
+        suspected=tuple(unpacker.many(each=lambda u: u.text())),
         turn=unpacker.u64(),
         vote=Vote(unpacker.u8()),
         samples=tuple(unpacker.many(each=read_reported_sample)),
@@ -65,23 +68,49 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayedValue:
+    """A value of the register, with the ballot under which it was chosen."""
+
     key: str
     ballot: Ballot
     value: bytes
 
+    def write(self, *, packer: Packer) -> None:
+        """Appends the entry's fields in their order on the wire."""
+        self.ballot.write(packer=packer.text(value=self.key))
+        packer.blob(value=self.value)
+
+
+def read_relayed_value(unpacker: Unpacker) -> RelayedValue:
+    """Raises ValueError where the fields are none of a value."""
+    return RelayedValue(key=unpacker.text(), ballot=read_ballot(unpacker=unpacker), value=unpacker.blob())
+
 
 @dataclass(frozen=True, kw_only=True)
 class RelayedBackend:
+    """A backend's newest announcement, and whether the controller finds the backend silent."""
+
     announcement: Announcement
-    quiet: bool
+    silent: bool
+
+    def write(self, *, packer: Packer) -> None:
+        """Appends the entry's fields in their order on the wire."""
+        self.announcement.write(packer=packer)
+        packer.u8(value=int(self.silent))
+
+
+def read_relayed_backend(unpacker: Unpacker) -> RelayedBackend:
+    """Raises ValueError where the fields are none of a backend."""
+    return RelayedBackend(announcement=read_announcement(unpacker=unpacker), silent=bool(unpacker.u8()))
 
 
 @dataclass(frozen=True, kw_only=True)
 class RelayAnswer:
-    """`age_us` is how old the controller's own knowledge of the register is, by its own clock.
+    """A controller's answer.
 
-    `answered_us` is what that clock says at the answer. `ask` names the services whose primaries the asker is to ask
-    for their positions. `site` is told to brief questions alone.
+    `age_us` is how old the controller's own knowledge of the register is, and `answered_us` is the time of the
+    answer, both by the controller's clock. A `whole` answer replaces all that the proxy has; others add to it.
+    `ask` names the services whose primaries the proxy is to ask for their positions. `site` is the controller's, in
+    answers to brief questions; empty in all others.
     """
 
     source: int
@@ -97,45 +126,34 @@
     site: str = ""
 
     def bytes(self) -> bytes:
+        """The answer as it stands on the wire."""
         packer = Packer().u64(value=self.source).u64(value=self.edition).u64(value=self.age_us)
         packer.u8(value=int(self.whole))
-
-        def write_value(p: Packer, entry: RelayedValue) -> None:
-            entry.ballot.write(packer=p.text(value=entry.key))
-            p.blob(value=entry.value)
-
-        def write_backend(p: Packer, entry: RelayedBackend) -> None:
-            entry.announcement.write(packer=p)
-            p.u8(value=int(entry.quiet))
-
-        packer.many(values=self.values, each=write_value).many(values=self.backends, each=write_backend)
-        packer.many(values=self.controllers, each=lambda p, a: p.text(value=a)).u64(value=self.answered_us)
+        packer.many(values=self.values, each=lambda p, entry: entry.write(packer=p))
+        packer.many(values=self.backends, each=lambda p, entry: entry.write(packer=p))
+        packer.many(values=self.controllers, each=lambda p, address: p.text(value=address))
+        packer.u64(value=self.answered_us)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
-        return packer.many(values=self.ask, each=lambda p, name: p.text(value=name)).text(value=self.site).bytes()
+        packer.many(values=self.ask, each=lambda p, service: p.text(value=service))
+        return packer.text(value=self.site).bytes()
 
 
 def read_relay_answer(*, data: bytes) -> RelayAnswer:
     """Raises ValueError where the bytes are none."""
     unpacker = Unpacker(data=data)
-    source, edition, age_us, whole = unpacker.u64(), unpacker.u64(), unpacker.u64(), bool(unpacker.u8())
-    values = unpacker.many(each=lambda u: RelayedValue(key=u.text(), ballot=read_ballot(unpacker=u), value=u.blob()))
-    backends = unpacker.many(
-        each=lambda u: RelayedBackend(announcement=read_announcement(unpacker=u), quiet=bool(u.u8()))
+    # the fields are read in the order of these arguments
+    answer = RelayAnswer(
+        source=unpacker.u64(),
+        edition=unpacker.u64(),
+        age_us=unpacker.u64(),
+        whole=bool(unpacker.u8()),
+        values=tuple(unpacker.many(each=read_relayed_value)),
+        backends=tuple(unpacker.many(each=read_relayed_backend)),
+        controllers=tuple(unpacker.many(each=lambda u: u.text())),
+        answered_us=unpacker.u64(),
+        samples=tuple(unpacker.many(each=read_pooled_sample)),
+        ask=tuple(unpacker.many(each=lambda u: u.text())),
+        site=unpacker.text(),
     )
-    controllers = unpacker.many(each=lambda u: u.text())
-    answered_us, samples = unpacker.u64(), unpacker.many(each=read_pooled_sample)
-    ask, site = unpacker.many(each=lambda u: u.text()), unpacker.text()
     unpacker.done()
-    return RelayAnswer(
-        source=source,
-        edition=edition,
-        age_us=age_us,
-        whole=whole,
-        values=tuple(values),
-        backends=tuple(backends),
-        controllers=tuple(controllers),
-        answered_us=answered_us,
-        samples=tuple(samples),
-        ask=tuple(ask),
-        site=site,
-    )
+    return answer
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -41,7 +41,7 @@
 
 def gone(*, entry: RelayedBackend) -> bool:
     """Whether a backend that is no longer named need not be kept."""
-    return entry.quiet or entry.announcement.state == GONE
+    return entry.silent or entry.announcement.state == GONE
 
 
 class RelayedView:
@@ -159,7 +159,7 @@
             site=self.site,
             source=0 if whole else self.source,
             edition=0 if whole else self.edition,
-            troubled=self.troubled(),
+            suspected=self.troubled(),
             turn=turn,
             vote=vote,
             samples=() if whole else self.samples.reported(source=self.source),
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -476,7 +476,7 @@
 
     def _quiet(self, *, name: str) -> bool:
         entry = self.view.backends.get(name)
-        return entry is None or entry.quiet
+        return entry is None or entry.silent
 
     def _cost(self, pool: LinkPool) -> tuple[bool, int, int]:
         return pool.problem, self.distance(pool.backend.site) + pool.load // 4, pool.load
--- a/src/cinderstair/simulation/backend_trials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -44,7 +44,7 @@
     trial.fault()
     world.run(work=said(world=world, name=name, path="/empty"))
     trial.go(for_us=world.rng.randrange(100_000, 1_500_000))
-    heard = [n for n in world.http_proxy_names if not world.http_proxy(name=n).heartbeat_table.fit(name=name)]
+    heard = [n for n in world.http_proxy_names if not world.http_proxy(name=n).heartbeat_table.healthy(name=name)]
     if heard:
         world.kill(name=heard[0])
     trial.go(for_us=10_000_000)
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -67,7 +67,7 @@
         view.plan = plan_of(version=1, databases=databases)
         view.proxy_ids = slots_of(proxies=proxies)
         for each in announcements_of(databases=databases):
-            view.backends[each.name] = RelayedBackend(announcement=each, quiet=False)
+            view.backends[each.name] = RelayedBackend(announcement=each, silent=False)
         for database in range(databases):
             value = lead_value(database=database)
             view.leads[value.key.partition("/")[2]] = read_service_primary(data=value.value)
@@ -125,7 +125,11 @@
         me = Member(name=ctx.name, role="vault", site="e1", records="127.0.0.1:1", http="", incarnation=1)
         membership = Membership(ctx=ctx, dispatcher=dispatcher, me=me, seeds=("127.0.0.1:1",), every_us=3_600_000_000)
         heartbeat_table: HeartbeatTable[Announcement] = HeartbeatTable(
-            ctx=ctx, dispatcher=dispatcher, membership=membership, every_us=3_600_000_000, quiet_us=3_600_000_000
+            ctx=ctx,
+            dispatcher=dispatcher,
+            membership=membership,
+            every_us=3_600_000_000,
+            silent_after_us=3_600_000_000,
         )
         view = RegisterView(ctx=ctx, register=Register(ctx=ctx, seeds=()), every_us=3_600_000_000)
         relay = Relay(
@@ -140,11 +144,13 @@
         now_us = ctx.now_us()
         announcements = announcements_of(databases=databases)
         for number, each in enumerate(announcements):
-            heard = ReceivedHeartbeat(source=number % sources + 1, version=number + 1, heartbeat=each, born_us=now_us)
-            heartbeat_table._take(heard=heard)
+            heard = ReceivedHeartbeat(
+                source=number % sources + 1, version=number + 1, heartbeat=each, observed_at_us=now_us
+            )
+            heartbeat_table.merge(received=heard)
         for entry in whole_answer(proxies=proxies, databases=databases, controllers=1).values:
             view.known[entry.key] = Found(ballot=entry.ballot, value=entry.value)
-        relay.look()
+        relay.refresh()
         gc.collect()
         held_bytes = rss_bytes() - before
 
@@ -157,18 +163,18 @@
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
-        news_answer = await heartbeat_table._asked(Unpacker(data=asked))
+        news_answer = await heartbeat_table.answer(Unpacker(data=asked))
         return {
             "held_bytes": held_bytes,
-            "look_us": cost_us(relay.look),
+            "look_us": cost_us(relay.refresh),
             "whole_us": await self._cost_us(lambda: answered(0, 0)),
             "whole_bytes": len(whole),
             "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.edition)),
             "nothing_bytes": len(nothing),
             "vector_bytes": len(vector.bytes()),
-            "news_vector_us": cost_us(heartbeat_table._vector),
+            "news_vector_us": cost_us(heartbeat_table.version_vector),
             "news_entry_bytes": len(news_answer) / max(1, len(announcements)),
-            "news_answer_us": await self._cost_us(lambda: heartbeat_table._asked(Unpacker(data=asked))),
+            "news_answer_us": await self._cost_us(lambda: heartbeat_table.answer(Unpacker(data=asked))),
         }
 
     async def _cost_us(self, work: Callable[[], Awaitable[Any]]) -> float:
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -80,7 +80,7 @@
         whole=True,
         values=(plan, *leads, slots),
         backends=tuple(
-            RelayedBackend(announcement=each, quiet=False) for each in announcements_of(databases=databases)
+            RelayedBackend(announcement=each, silent=False) for each in announcements_of(databases=databases)
         ),
         controllers=tuple(f"10.255.0.{number}:7000" for number in range(controllers)),
     )
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -14,7 +14,7 @@
 from ...control_plane import orders
 from ...control_plane.announcer import Announcer
 from ...control_plane.orders import Orders
-from ...control_plane.sample_board import SampleBoard
+from ...control_plane.position_samples import PositionSamples
 from ...failover.service_failover import ServiceFailover
 from ...pooler.link_pool import LinkPool
 from ...pooler.relayed_view import RelayedView
@@ -139,13 +139,13 @@
 
 def pooled_for_new() -> Patches:
     """What another proxy has seen is given again and again, and taken for seen when the controller's answer came."""
-    given = SampleBoard.given
+    newer_than = PositionSamples.newer_than
 
-    def again(self: Any, *, wanted: Any, known: bool) -> Any:
-        return given(self, wanted=wanted, known=False)
+    def again(self: Any, *, wanted: Any, same_source: bool) -> Any:
+        return newer_than(self, wanted=wanted, same_source=False)
 
     return [
-        patch.object(SampleBoard, "given", again),
+        patch.object(PositionSamples, "newer_than", again),
         patch.object(SamplePool, "_at_us", lambda self, *, requested_us, age_us: self.ctx.now_us()),
     ]
 
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -81,7 +81,7 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend's word that it is emptying is not heeded."""
-    return [patch.object(HeartbeatTable, "fit", lambda self, *, name: not self.quiet(name=name))]
+    return [patch.object(HeartbeatTable, "healthy", lambda self, *, name: not self.silent(name=name))]
 
 
 def no_versions() -> Patches:
