--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -70,7 +70,7 @@
 def add_member(*, membership: Membership, name: str, role: str, address: str) -> None:
     """Makes a daemon known to another."""
     membership.members[name] = Member(name=name, role=role, site="far", records=address, http="", incarnation=1)
-    membership.since_us[name] = membership.ctx.now_us()
+    membership.state_since_us[name] = membership.ctx.now_us()
 
 
 class ControlClient:
--- a/src/cinderstair/control_plane/controller_addresses.py
+++ b/src/cinderstair/control_plane/controller_addresses.py
@@ -2,10 +2,9 @@
 
 from ..consensus.register_replica import RegisterReplica
 from ..consensus.roster import Roster
+from ..membership.member import REGISTER_REPLICA_ROLE
 from ..runtime.settings import Settings
 
-CONTROLLER_ROLE = "vault"
-
 
 class ControllerAddresses:
     """Reads addresses from the membership, the roster and the settings; `settings` may be replaced at any time."""
@@ -17,7 +16,9 @@
     def controllers(self) -> tuple[str, ...]:
         """All controllers that are not known to be gone, this one included, in sorted order."""
         membership = self.register_replica.membership
-        others = [] if membership is None else [member.records for member in membership.alive(role=CONTROLLER_ROLE)]
+        others = (
+            [] if membership is None else [member.records for member in membership.alive(role=REGISTER_REPLICA_ROLE)]
+        )
         return tuple(sorted({self.settings.records, *others}))
 
     def voters(self) -> tuple[str, ...]:
--- a/src/cinderstair/control_plane/orders.py
+++ b/src/cinderstair/control_plane/orders.py
@@ -1,4 +1,4 @@
-"""Operators' configurations: one content under one number, confirmed by a quorum or not at all."""
+"""Operators' configurations: one document for each version, confirmed by a quorum or not at all."""
 
 from expression import Error, Ok, Result
 
@@ -11,58 +11,48 @@
 
 
 class Orders:
-    """Takes configurations in and gives the newest one back. Out of touch with a quorum it does neither."""
+    """Takes configurations and returns the newest one; without a quorum in reach it does neither."""
 
     def __init__(self, *, register: Register, view: RegisterView) -> None:
         self.register = register
         self.view = view
 
     async def submit(self, *, plan: ServicePlan) -> Result[bool, CinderstairError]:
-        """Puts a checked configuration into the register; True where it changed anything.
+        """Puts a checked configuration into the register.
 
-        The highest version holds: one that is not above it is taken note of and changes nothing. versionTaken: its
-        number was acknowledged for another document. registerUnreachable: no majority is in reach.
-        """
-
-        def decide(current: bytes) -> Result[bytes, CinderstairError]:
-            if not current:
-                return Ok(plan.following(standing=None).bytes())
-            standing = read_service_plan(data=current)
-            if plan.version > standing.version:
-                return Ok(plan.following(standing=standing).bytes())
-            known = standing.digest_of(version=plan.version)
-            if known is None:
-                return Ok(standing.with_accepted(other=plan).bytes())
-            if known != plan.digest:
-                why = f"version {plan.version} has other content; version {standing.version} is in force"
-                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=why))
-            return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason="it was acknowledged before"))
+        The highest version is in force; a lower one is recorded as accepted and changes nothing else.
 
+        :returns: whether this version is in force afterwards, and had not been acknowledged before. Errors:
+            versionTaken where its number was acknowledged for another document, registerUnreachable without a
+            majority.
+        """
         if not self.view.current:
-            return Error(
-                CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
-            )
+            return Error(_out_of_touch())
         result: Result[Found, CinderstairError] = Error(
             CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="not tried")
         )
         for _ in range(SUBMIT_TRIES):
-            result = await self.register.change(key=PLAN_KEY, decide=decide)
+            result = await self.register.change(
+                key=PLAN_KEY, decide=lambda current: _next_plan(current=current, submitted=plan)
+            )
             if result.is_ok():
                 self.view.take_own(key=PLAN_KEY, result=result)
                 return Ok(plan_version(data=result.ok.value) == plan.version)
-            # why: the same version may be put again to the same effect; one that won meanwhile answers for it
             if result.error.code == ErrorCode.VERSION_OLD:
                 return Ok(False)
+            # an unsure outcome may be tried again: the same version has the same effect, and another one that was
+            # chosen meanwhile is judged against
             if result.error.code != ErrorCode.REGISTER_UNSURE:
                 break
         return Error(result.error)
 
     async def fetch(self) -> Result[bytes, CinderstairError]:
-        """The newest accepted configuration in its operator's own bytes, as a majority holds it."""
+        """The newest accepted configuration in its operator's own bytes, as a majority holds it.
+
+        Errors: noConfiguration before the first, registerUnreachable without a majority.
+        """
         if not self.view.current:
-            return Error(
-                CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
-            )
+            return Error(_out_of_touch())
         found = await self.register.read(key=PLAN_KEY)
         if found.is_error():
             return Error(found.error)
@@ -71,3 +61,23 @@
                 CinderstairError(code=ErrorCode.NO_CONFIGURATION, reason="no configuration has been accepted yet")
             )
         return Ok(read_service_plan(data=found.ok.value).document)
+
+
+def _next_plan(*, current: bytes, submitted: ServicePlan) -> Result[bytes, CinderstairError]:
+    """The value of the register after a submission; versionOld where the submission was acknowledged before."""
+    if not current:
+        return Ok(submitted.following(standing=None).bytes())
+    standing = read_service_plan(data=current)
+    if submitted.version > standing.version:
+        return Ok(submitted.following(standing=standing).bytes())
+    known_digest = standing.digest_of(version=submitted.version)
+    if known_digest is None:
+        return Ok(standing.with_accepted(other=submitted).bytes())
+    if known_digest != submitted.digest:
+        reason = f"version {submitted.version} has other content; version {standing.version} is in force"
+        return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=reason))
+    return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason="it was acknowledged before"))
+
+
+def _out_of_touch() -> CinderstairError:
+    return CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="out of touch with the register")
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -4,7 +4,7 @@
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .heartbeat import EMPTYING, READY
+from .heartbeat import EMPTYING, READY, HeartbeatOrder
 
 GONE = "gone"
 STATES = (READY, EMPTYING, GONE)
@@ -28,10 +28,10 @@
     room: int = 0
 
     @property
-    def order(self) -> tuple[int, int]:
+    def order(self) -> HeartbeatOrder:
         """Greater for the later one of two announcements of one backend."""
         # a deregistered backend sends nothing more, so a delayed heartbeat must not bring it back
-        return int(self.state == GONE), self.number
+        return HeartbeatOrder(epoch=int(self.state == GONE), number=self.number)
 
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
--- a/src/cinderstair/membership/heartbeat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -1,7 +1,7 @@
 """The heartbeat that a backend sends to an HTTP proxy about once a second."""
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
@@ -12,6 +12,13 @@
 NUMBER_LIMIT = 2**63
 
 
+class HeartbeatOrder(NamedTuple):
+    """Compares two heartbeats of one backend: first by their epoch, then by their number."""
+
+    epoch: int
+    number: int
+
+
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
     """One heartbeat; those of one backend are ordered by its incarnation, then by their number.
@@ -29,9 +36,9 @@
     position: int
 
     @property
-    def order(self) -> tuple[int, int]:
+    def order(self) -> HeartbeatOrder:
         """Greater for the later one of two heartbeats of one backend."""
-        return self.incarnation, self.number
+        return HeartbeatOrder(epoch=self.incarnation, number=self.number)
 
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -11,7 +11,8 @@
 from ..runtime.message_types import HEARTBEATS
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .heartbeat import READY, read_heartbeat
+from .heartbeat import READY, HeartbeatOrder, read_heartbeat
+from .member import HTTP_PROXY_ROLE
 from .membership import Membership
 
 PULL_EVERY_US = 250_000
@@ -45,7 +46,7 @@
         ...
 
     @property
-    def order(self) -> tuple[int, int]:
+    def order(self) -> HeartbeatOrder:
         """Greater for the later one of two heartbeats of one backend."""
         ...
 
@@ -116,7 +117,7 @@
         self.every(every_us=every_us, command=self._on_timer, name="pull")
 
     def _http_proxies(self) -> list[str]:
-        return [member.records for member in self.membership.alive(role="stall")]
+        return [member.records for member in self.membership.alive(role=HTTP_PROXY_ROLE)]
 
     def begin(self) -> None:
         """Pulls at once, since a daemon that has just started lacks every heartbeat."""
@@ -261,5 +262,5 @@
         return entries
 
 
-def _age_order(received: ReceivedHeartbeat[B]) -> tuple[tuple[int, int], int]:
+def _age_order(received: ReceivedHeartbeat[B]) -> tuple[HeartbeatOrder, int]:
     return received.heartbeat.order, received.observed_at_us
--- a/src/cinderstair/membership/member.py
+++ b/src/cinderstair/membership/member.py
@@ -6,6 +6,9 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
+REGISTER_REPLICA_ROLE = "vault"
+HTTP_PROXY_ROLE = "stall"
+
 
 class Standing(IntEnum):
     """The state of a member; of two updates with the same incarnation the one with the higher state counts."""
--- a/src/cinderstair/membership/membership.py
+++ b/src/cinderstair/membership/membership.py
@@ -1,4 +1,4 @@
-"""Membership: probes to a few in turn, second opinions through third parties, suspicion before removal."""
+"""Group membership after SWIM: probes in random order, indirect probes through others, suspicion before removal."""
 
 from dataclasses import replace
 
@@ -12,16 +12,22 @@
 
 PROBE_EVERY_US = 300_000
 PROBE_WAIT_US = 250_000
-SECOND_WAIT_US = 600_000
+INDIRECT_PROBE_WAIT_US = 600_000
 SUSPECT_US = 2_000_000
-DEAF_US = 1_200_000
+ISOLATED_AFTER_US = 1_200_000
 FORGET_US = 30_000_000
-SECOND_OPINIONS = 3
-MOST_MEMBERS = 512
+INDIRECT_PROBES = 3
+MAX_MEMBERS = 512
+SEED_PROBE_PROBABILITY = 0.05
+LEAVE_PROBES = 4
 
 
 class Membership(CommandQueueMixin):
-    """Owns the table of members. Each daemon has its own; they agree in time, and nothing rests on more."""
+    """Owns one daemon's table of members; the daemons' tables agree in time, and nothing relies on more.
+
+    :param me: this daemon as it introduces itself to the others.
+    :param seeds: the addresses to probe while no other member is known.
+    """
 
     def __init__(
         self,
@@ -33,22 +39,25 @@
         every_us: int = PROBE_EVERY_US,
     ) -> None:
         self.ctx = ctx
-        # why: who asks seldom is not deaf because the last answer is some askings old
-        self.deaf_us = max(DEAF_US, 4 * every_us)
+        # a daemon that probes rarely is not isolated because its last answer is a few periods old
+        self.isolated_after_us = max(ISOLATED_AFTER_US, 4 * every_us)
         self.me = me
         self.seeds = seeds
         self.members: dict[str, Member] = {}
-        self.since_us: dict[str, int] = {}
-        self.turn: list[str] = []
-        self.heard_us = ctx.now_us()
+        self.state_since_us: dict[str, int] = {}
+        self.probe_order: list[str] = []
+        self.answered_at_us = ctx.now_us()
         self.open_queue()
-        dispatcher.add_handler(message_type=PROBE, handler=self._probed)
-        dispatcher.add_handler(message_type=PROBE_FOR, handler=self._probed_for)
+        dispatcher.add_handler(message_type=PROBE, handler=self._on_probe)
+        dispatcher.add_handler(message_type=PROBE_FOR, handler=self._on_probe_for)
         self.post(command=self._on_timer, once="probe")
         self.every(every_us=every_us, command=self._on_timer, name="probe")
 
     def alive(self, *, role: str = "") -> list[Member]:
-        """The others that are not known to be gone; suspects count as here until they are removed."""
+        """The other members in the order of their names; suspects count as alive until they are removed.
+
+        :param role: the role of the wanted members; empty for all.
+        """
         return [
             member
             for _, member in sorted(self.members.items())
@@ -56,96 +65,100 @@
         ]
 
     def standing(self, *, name: str) -> Standing | None:
+        """The state of a member, this daemon included; None where it is not known."""
         if name == self.me.name:
             return Standing.alive
         member = self.members.get(name)
         return None if member is None else member.standing
 
-    def _news(self) -> bytes:
+    def _update(self) -> bytes:
+        """This daemon's table as it stands on the wire."""
         packer = Packer()
-        members = [self.me, *self.members.values()][:MOST_MEMBERS]
+        members = [self.me, *self.members.values()][:MAX_MEMBERS]
         return packer.many(values=members, each=lambda p, m: m.write(packer=p)).bytes()
 
-    def _hear(self, *, unpacker: Unpacker) -> None:
+    def _merge_update(self, *, unpacker: Unpacker) -> None:
+        """Merges another daemon's table; ValueError where the record is none."""
         members = unpacker.many(each=lambda u: read_member(unpacker=u))
         unpacker.done()
         for member in members:
-            # why: one that was cut off takes all the others for dead and says so when it is back; nobody is
-            # removed on another's word alone, only suspected, so that it has the time to object
+            # a daemon that was partitioned takes all others for dead when it returns; a member is only suspected on
+            # another's update, so that it has time to refute it
             if member.standing == Standing.dead:
                 member = replace(member, standing=Standing.suspect)
-            self._take(member=member)
+            self._merge(member=member)
 
-    def _take(self, *, member: Member) -> None:
+    def _merge(self, *, member: Member) -> None:
         if member.name == self.me.name:
-            # why: an account of me that I would not give is answered by a newer one of my own
+            # a wrong update about this daemon is refuted by a higher incarnation of its own
             if member.incarnation >= self.me.incarnation and member != self.me:
                 self.me = replace(self.me, incarnation=member.incarnation + 1)
             return
         known = self.members.get(member.name)
-        if known is None and (member.standing >= Standing.left or len(self.members) >= MOST_MEMBERS):
+        if known is None and (member.standing >= Standing.left or len(self.members) >= MAX_MEMBERS):
             return
         if known is None or member.outranks(other=known):
             self.members[member.name] = member
-            self.since_us[member.name] = self.ctx.now_us()
+            self.state_since_us[member.name] = self.ctx.now_us()
             if known is None or known.standing != member.standing:
-                self.ctx.log.info("member %s is %s", member.name, member.standing.name)
+                self.ctx.log.info("member %s is now %s", member.name, member.standing.name)
 
-    async def _probed(self, unpacker: Unpacker) -> bytes:
-        self._hear(unpacker=unpacker)
-        return self._news()
+    async def _on_probe(self, unpacker: Unpacker) -> bytes:
+        self._merge_update(unpacker=unpacker)
+        return self._update()
 
-    async def _probed_for(self, unpacker: Unpacker) -> bytes:
+    async def _on_probe_for(self, unpacker: Unpacker) -> bytes:
         address = unpacker.text()
         unpacker.done()
-        # why: no answer means no; the asker is told nothing rather than a guess
+        # a failed probe is left unanswered, which the asker takes for a failure
         if not await self._probe(address=address, wait_us=PROBE_WAIT_US):
-            raise ValueError("not reached")
-        return self._news()
+            raise ValueError(f"the probe of {address} got no answer")
+        return self._update()
 
     async def _probe(self, *, address: str, wait_us: int) -> bool:
-        body = Packer().u8(value=PROBE).bytes() + self._news()
+        """Exchanges tables with the daemon at an address; whether it answered with one."""
+        body = Packer().u8(value=PROBE).bytes() + self._update()
         result = await self.ctx.peer_client.request(address=address, body=body, wait_us=wait_us)
         if result.is_error():
             return False
-        self.heard_us = self.ctx.now_us()
+        self.answered_at_us = self.ctx.now_us()
         try:
-            self._hear(unpacker=Unpacker(data=result.ok))
+            self._merge_update(unpacker=Unpacker(data=result.ok))
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return False
         return True
 
     def _on_timer(self) -> None:
-        self._sweep()
-        self.ctx.spawn(work=self._round(), name="probe.round")
+        self._expire()
+        self.ctx.spawn(work=self._probe_round(), name="probe.round")
 
-    def _sweep(self) -> None:
+    def _expire(self) -> None:
         now_us = self.ctx.now_us()
-        deaf = now_us - self.heard_us > self.deaf_us
+        isolated = now_us - self.answered_at_us > self.isolated_after_us
         for name, member in list(self.members.items()):
-            age_us = now_us - self.since_us[name]
-            if member.standing == Standing.suspect and deaf:
-                # why: who has no answer from anyone is the one that is cut off; its suspicions start anew
-                self.since_us[name] = now_us
+            age_us = now_us - self.state_since_us[name]
+            if member.standing == Standing.suspect and isolated:
+                # a daemon that nobody answers is the partitioned one itself, so its suspicions start anew
+                self.state_since_us[name] = now_us
             elif member.standing == Standing.suspect and age_us > SUSPECT_US:
-                self._take(member=replace(member, standing=Standing.dead))
+                self._merge(member=replace(member, standing=Standing.dead))
                 self.ctx.counters.add(name="members.removed")
             elif member.standing >= Standing.left and age_us > FORGET_US:
-                del self.members[name], self.since_us[name]
+                del self.members[name], self.state_since_us[name]
 
-    async def _round(self) -> None:
-        # why: seeds are asked whenever nobody is known, and now and then, so that two halves find each other
-        if not self.alive() or self.ctx.rng.random() < 0.05:
+    async def _probe_round(self) -> None:
+        # seeds are probed also now and then, so that two halves of a healed partition find each other
+        if not self.alive() or self.ctx.rng.random() < SEED_PROBE_PROBABILITY:
             others = [seed for seed in self.seeds if seed != self.me.records]
             if others:
                 await self._probe(address=self.ctx.rng.choice(others), wait_us=PROBE_WAIT_US)
-        member = self._next()
+        member = self._next_to_probe()
         if member is not None:
             await self._check(member=member)
 
     async def check(self, *, name: str) -> None:
-        """Probes one member out of turn, with second opinions; afterwards its standing says what was found."""
+        """Probes one member out of turn, also indirectly; afterwards its standing says what was found."""
         member = self.members.get(name)
         if member is not None:
             await self._check(member=member)
@@ -153,40 +166,41 @@
     async def _check(self, *, member: Member) -> None:
         if await self._probe(address=member.records, wait_us=PROBE_WAIT_US):
             return
-        if await self._second_opinion(member=member):
+        if await self._probe_indirectly(member=member):
             return
         current = self.members.get(member.name)
-        # why: a member that has spoken since with a newer incarnation is not the one that was silent
+        # a member that has meanwhile announced a higher incarnation is not the one that was silent
         if current is not None and current.incarnation == member.incarnation:
-            self._take(member=replace(current, standing=max(Standing.suspect, current.standing)))
-
-    def _next(self) -> Member | None:
-        """Everyone once before anyone twice, in an order drawn anew each time round."""
-        here = {member.name: member for member in self.alive()}
-        self.turn = [name for name in self.turn if name in here]
-        if not self.turn:
-            self.turn = list(here)
-            self.ctx.rng.shuffle(self.turn)
-        return here[self.turn.pop()] if self.turn else None
-
-    async def _second_opinion(self, *, member: Member) -> bool:
+            self._merge(member=replace(current, standing=max(Standing.suspect, current.standing)))
+
+    def _next_to_probe(self) -> Member | None:
+        """The member to probe next: each one once before any twice, in an order shuffled anew for each cycle."""
+        alive = {member.name: member for member in self.alive()}
+        self.probe_order = [name for name in self.probe_order if name in alive]
+        if not self.probe_order:
+            self.probe_order = list(alive)
+            self.ctx.rng.shuffle(self.probe_order)
+        return alive[self.probe_order.pop()] if self.probe_order else None
+
+    async def _probe_indirectly(self, *, member: Member) -> bool:
+        """Whether any of a few other members reaches this one; all of them are waited for."""
         others = [other for other in self.alive() if other.name != member.name]
         self.ctx.rng.shuffle(others)
         body = Packer().u8(value=PROBE_FOR).text(value=member.records).bytes()
-        asks = [
+        requests = [
             self.ctx.spawn(
-                work=self.ctx.peer_client.request(address=other.records, body=body, wait_us=SECOND_WAIT_US),
+                work=self.ctx.peer_client.request(address=other.records, body=body, wait_us=INDIRECT_PROBE_WAIT_US),
                 name="second.opinion",
             )
-            for other in others[:SECOND_OPINIONS]
+            for other in others[:INDIRECT_PROBES]
         ]
         reached = False
-        for ask in asks:
-            reached = (await ask).is_ok() or reached
+        for request in requests:
+            reached = (await request).is_ok() or reached
         return reached
 
     async def leave(self) -> None:
-        """Says deregistration to a few, so that a planned stop is never taken for a crash."""
+        """Tells a few members that this daemon leaves, so that a planned stop is never taken for a crash."""
         self.me = replace(self.me, standing=Standing.left, incarnation=self.me.incarnation + 1)
-        for member in self.alive()[:4]:
+        for member in self.alive()[:LEAVE_PROBES]:
             await self._probe(address=member.records, wait_us=PROBE_WAIT_US)
