--- a/features/membership/membership.feature
+++ b/features/membership/membership.feature
@@ -1,5 +1,5 @@
 Feature: Membership
-  Probes to a few in turn, second opinions through third parties, suspicion before removal.
+  Probes in random order, indirect probes through others, suspicion before removal.
 
   Scenario: A lost machine is known everywhere, and nobody else is removed
     Given a system of 9 HTTP proxies and 5 register replicas, with seed 1
@@ -7,13 +7,13 @@
     Then within 8 seconds every other machine knows that stall-4 is gone
     And at no moment was anyone else removed by anyone
 
-  Scenario: A machine that was cut off removes nobody when it is back
+  Scenario: A partitioned machine removes nobody when it returns
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 2
-    When stall-0 is cut off for 10 seconds and heard again
-    Then for 10 seconds nobody but stall-0 is held to be gone by anyone
-    And within 10 seconds everyone counts stall-0 in again
+    When stall-0 is partitioned for 10 seconds and returns
+    Then for 10 seconds no member but stall-0 is taken for dead by any other
+    And within 10 seconds every other machine finds stall-0 alive again
 
-  Scenario: Two that can't reach each other keep each other through third parties
+  Scenario: Two members that can't reach each other stay members through indirect probes
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 3
     When stall-1 and stall-2 can't reach each other for 20 seconds
     Then at no moment was anyone else removed by anyone
@@ -23,7 +23,7 @@
     When 200 records of random bytes are sent to stall-0 and vault-0
     Then they are answered by nobody, and both go on
 
-  Scenario: A frozen machine that goes on is counted in again under a new incarnation
+  Scenario: A frozen machine that goes on is alive again under a new incarnation
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 5
     When stall-3 is frozen for 10 seconds and goes on
-    Then within 10 seconds everyone counts stall-3 in again
+    Then within 10 seconds every other machine finds stall-3 alive again
--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -90,12 +90,12 @@
     context.roster = ()
 
 
-@given("srv-1 was heard here as {state}")
+@given("srv-1 is registered here as {state}")
 def given_heard(context: Any, state: str) -> None:
     context.stage.call(call=lambda: context.heartbeat_table.receive(heartbeat=word(state=state)))
 
 
-@given("srv-1 was heard at {name} as {state}")
+@given("srv-1 is registered at {name} as {state}")
 def given_heard_elsewhere(context: Any, name: str, state: str) -> None:
     context.voters.known[name] = word(state=state)
 
@@ -117,7 +117,7 @@
     context.acknowledged = context.stage.run(work=context.announcer.deregister(name="srv-1"))
 
 
-@when("another daemon tells that srv-1 is {state}")
+@when("another controller announces that srv-1 is {state}")
 def when_reported(context: Any, state: str) -> None:
     packer = Packer().u8(value=ANNOUNCE)
     word(state=state).write(packer=packer)
@@ -129,7 +129,7 @@
     assert context.acknowledged == (words == "acknowledged"), context.acknowledged
 
 
-@then("{count:d} voters were told that srv-1 is {state}")
+@then("{count:d} voters received that srv-1 is {state}")
 def then_reported(context: Any, count: int, state: str) -> None:
     context.stage.advance(for_us=1_000_000)
     found = [name for name, said in context.voters.reported if said.name == "srv-1" and said.state == STATES[state]]
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -12,7 +12,7 @@
 
 
 def removed(*, context: Any, but: str) -> list[str]:
-    """Who is held to be gone by whom, apart from the one that is."""
+    """Which daemon takes which live member for dead."""
     world = context.world
     return [
         f"{name} took {member.name} for dead"
@@ -36,7 +36,7 @@
 def given_system(context: Any, http_proxies: int, register_replicas: int, seed: int) -> None:
     world = new_world(context=context, seed=seed, http_proxies=http_proxies, register_replicas=register_replicas)
     world.begin()
-    # why: everyone has to know everyone before anything is tried
+    # everyone has to know everyone before anything is tried
     world.await_that(
         test=lambda: all(
             len(world.things[n].membership.alive()) == http_proxies + register_replicas - 1
@@ -68,8 +68,8 @@
     assert not context.removed, context.removed[:5]
 
 
-@when("{name} is cut off for {seconds:d} seconds and heard again")
-def when_cut(context: Any, name: str, seconds: int) -> None:
+@when("{name} is partitioned for {seconds:d} seconds and returns")
+def when_partitioned(context: Any, name: str, seconds: int) -> None:
     world = context.world
     world.isolate(name=name)
     world.advance(for_us=seconds * 1_000_000)
@@ -77,7 +77,7 @@
     world.heal()
 
 
-@then("for {seconds:d} seconds nobody but {name} is held to be gone by anyone")
+@then("for {seconds:d} seconds no member but {name} is taken for dead by any other")
 def then_only(context: Any, seconds: int, name: str) -> None:
     for _ in range(seconds * 10):
         context.world.advance(for_us=100_000)
@@ -85,14 +85,14 @@
         assert not wrong, wrong[:5]
 
 
-@then("within {seconds:d} seconds everyone counts {name} in again")
-def then_in(context: Any, seconds: int, name: str) -> None:
+@then("within {seconds:d} seconds every other machine finds {name} alive again")
+def then_alive_again(context: Any, seconds: int, name: str) -> None:
     world = context.world
     others = [each for each in (*world.http_proxy_names, *world.register_replica_names) if each != name]
     world.await_that(
         test=lambda: all(world.things[each].membership.standing(name=name) == Standing.alive for each in others),
         within_us=seconds * 1_000_000,
-        what=f"{name} is counted in",
+        what=f"{name} is alive",
     )
 
 
@@ -113,7 +113,7 @@
     for number in range(count):
         kind = rng.choice([1, 2, 3, 4, 5, 6, 7, 20, 21, 30, 99])
         junk = rng.randbytes(rng.randrange(0, 60))
-        # why: half of them begin like a record of that kind whose text or list then makes no sense
+        # half of them begin like a record of that kind whose text or list then makes no sense
         body = bytes([kind]) + (len(junk).to_bytes(4, "big") if number % 2 else b"") + junk
         address = world.records(name=("stall-0", "vault-0")[number % 2])
         context.answers.append(world.run(work=net.request(address=address, body=body, wait_us=100_000)))
@@ -122,7 +122,7 @@
 @then("they are answered by nobody, and both go on")
 def then_dropped(context: Any) -> None:
     world = context.world
-    # why: by chance a few are whole records of another epoch, to which a register replica answers with one byte
+    # by chance a few are whole records of another epoch, to which a register replica answers with one byte
     reported = [answer.ok for answer in context.answers if answer.is_ok()]
     assert all(len(answer) == 1 for answer in reported) and len(reported) < 20, reported[:3]
     assert not world.errors, world.errors[:3]
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -43,28 +43,28 @@
 
 
 class DispatcherNet:
-    """Carries records from one desk of a stage to another."""
+    """Carries records from one controller of a stage to another."""
 
-    def __init__(self, *, desks: dict[str, Dispatcher]) -> None:
-        self.desks = desks
+    def __init__(self, *, dispatchers: dict[str, Dispatcher]) -> None:
+        self.dispatchers = dispatchers
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         await asyncio.sleep(0.002)
-        if address not in self.desks:
+        if address not in self.dispatchers:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: nobody"))
-        return Ok(await self.desks[address].answer(body))
+        return Ok(await self.dispatchers[address].answer(body))
 
 
-@given("{count:d} controllers that keep slots")
-def given_keepers(context: Any, count: int) -> None:
+@given("{count:d} controllers that assign proxy ids")
+def given_controllers(context: Any, count: int) -> None:
     new_stage(context=context)
-    context.desks, context.shard_map_steps, context.censuses = {}, {}, {}
+    context.dispatchers, context.shard_map_steps, context.censuses = {}, {}, {}
     context.every = []
     context.id_assigners = []
     for _ in range(count):
         controller = new_controller(context=context)
-        controller.ctx.net = DispatcherNet(desks=context.desks)
-        context.desks[controller.ctx.name] = controller.dispatcher
+        controller.ctx.net = DispatcherNet(dispatchers=context.dispatchers)
+        context.dispatchers[controller.ctx.name] = controller.dispatcher
         context.shard_map_steps[controller.ctx.name] = ShardMapStep()
         context.every.append(controller.ctx.name)
         controller.relay = FakeRelay(stage=context.stage)
@@ -100,42 +100,42 @@
         controller.relay.asking -= set(proxies.split(", "))
 
 
-@when("{seconds:d} s pass at the keepers")
-def when_keepers_pass(context: Any, seconds: int) -> None:
+@when("{seconds:d} s pass at the controllers")
+def when_time_passes(context: Any, seconds: int) -> None:
     context.stage.advance(for_us=seconds * 1_000_000)
 
 
-@then('the slots are "{words}"')
-def then_slots(context: Any, words: str) -> None:
+@then('the proxy ids are "{words}"')
+def then_proxy_ids(context: Any, words: str) -> None:
     found = context.store.values.get(PROXY_IDS_KEY)
     names = read_proxy_ids(data=b"" if found is None else found.value).names
     text = ", ".join(f"{number} {name}" for number, name in names) or "none"
     assert text == words, text
 
 
-@given('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
-@when('"{proxy}" tells {where} that it is in "{site}" at "{address}"')
-def when_tells_place(context: Any, proxy: str, where: str, site: str, address: str) -> None:
+@given('"{proxy}" reports to {where} that it is in "{site}" at "{address}"')
+@when('"{proxy}" reports to {where} that it is in "{site}" at "{address}"')
+def when_reports_address(context: Any, proxy: str, where: str, site: str, address: str) -> None:
     body = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
     context.stage.run(work=context.controller_stages[int(where.removeprefix("core-")) - 1].dispatcher.answer(body))
 
 
-@then('the places are "{words}"')
-def then_places(context: Any, words: str) -> None:
+@then('the proxy addresses are "{words}"')
+def then_addresses(context: Any, words: str) -> None:
     found = context.store.values.get(PROXY_ADDRESSES_KEY)
     places = {} if found is None else read_proxy_addresses(data=found.value).places
     text = ", ".join(f"{name} {place.site} {place.records}" for name, place in sorted(places.items())) or "none"
     assert text == words, text
 
 
-@then("places were written {count:d} times")
-def then_place_writes(context: Any, count: int) -> None:
+@then("the proxy addresses were written {count:d} times")
+def then_address_writes(context: Any, count: int) -> None:
     writes = [key for _, key, _ in context.store.writes if key == PROXY_ADDRESSES_KEY]
     assert len(writes) == count, len(writes)
 
 
-@then("they were written {count:d} times")
-def then_slot_writes(context: Any, count: int) -> None:
+@then("the proxy ids were written {count:d} times")
+def then_id_writes(context: Any, count: int) -> None:
     writes = [key for _, key, _ in context.store.writes if key == PROXY_IDS_KEY]
     assert len(writes) == count, len(writes)
 
@@ -148,29 +148,29 @@
 
 @when("{name} answers nobody")
 def when_answers_nobody(context: Any, name: str) -> None:
-    context.desks.pop(name)
+    context.dispatchers.pop(name)
 
 
-@then("{name} takes all others for told of turn {turn:d} and phase {phase:d}: {answer}")
-def then_reported_word(context: Any, name: str, turn: int, phase: int, answer: str) -> None:
+@then("{name} knows that all others are at turn {turn:d} and phase {phase:d}: {answer}")
+def then_others_at_step(context: Any, name: str, turn: int, phase: int, answer: str) -> None:
     census = context.censuses[name]
     context.stage.run(work=census.gather(every_us=0))
     assert census.peers_agree(step=ShardMapStep(turn=turn, phase=phase)) == (answer == "yes"), census.peer_steps
 
 
-@when("the keeper that holds the duty dies, and its proxies find another after {seconds:d} s")
-def when_keeper_dies(context: Any, seconds: int) -> None:
+@when("the controller that holds the lease dies, and its proxies find another after {seconds:d} s")
+def when_holder_dies(context: Any, seconds: int) -> None:
     dead = next(
         context.controller_stages[n] for n, id_assigner in enumerate(context.id_assigners) if id_assigner.lease.held
     )
     dead.kill()
-    context.desks.pop(dead.ctx.name)
+    context.dispatchers.pop(dead.ctx.name)
     context.stage.advance(for_us=seconds * 1_000_000)
-    other = next(controller for controller in context.controller_stages if controller.ctx.name in context.desks)
+    other = next(controller for controller in context.controller_stages if controller.ctx.name in context.dispatchers)
     other.relay.asking |= dead.relay.asking
 
 
-@then("a keeper that is asked tells how long ago it saw each proxy")
+@then("a controller that is asked says how long ago each proxy asked it, and its vote")
 def then_proxies(context: Any) -> None:
     context.controller_stages[0].relay.asking, context.controller_stages[0].relay.requested_us = (
         {"b"},
@@ -178,7 +178,7 @@
     )
     context.controller_stages[0].relay.votes["b"] = (4, Vote.agrees)
     body = Packer().u8(value=PROXIES).bytes()
-    unpacker = Unpacker(data=context.stage.run(work=context.desks["core-1"].answer(body)))
+    unpacker = Unpacker(data=context.stage.run(work=context.dispatchers["core-1"].answer(body)))
     found = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Vote(u.u8())))
     word = unpacker.u64(), unpacker.u8()
     unpacker.done()
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -45,9 +45,9 @@
     context.stage.advance(for_us=500_000)
 
 
-@given('the backends "{names}" beat')
-@when('the backends "{names}" beat')
-@when('the backends "{names}" beat again')
+@given('the backends "{names}" send heartbeats')
+@when('the backends "{names}" send heartbeats')
+@when('the backends "{names}" send heartbeats again')
 def when_backends_heartbeat(context: Any, names: str) -> None:
     heartbeat_all(context=context, names=names)
 
@@ -60,7 +60,7 @@
     context.stage.advance(for_us=150_000)
 
 
-@when('the backends "{names}" beat as {what}')
+@when('the backends "{names}" send heartbeats as {what}')
 def when_heartbeat_as(context: Any, names: str, what: str) -> None:
     changes = {"primary": {"leads": True}, "emptying": {"state": EMPTYING}, "gone": {"state": GONE}}[what]
     heartbeat_all(context=context, names=names, **changes)
@@ -95,8 +95,7 @@
 
 
 @then(
-    'a proxy that asks is told {what}: the values "{values}", the backends "{backends}", '
-    'the controllers "{controllers}"'
+    'a proxy that asks gets {what}: the values "{values}", the backends "{backends}", the controllers "{controllers}"'
 )
 def then_relay_tells(context: Any, what: str, values: str, backends: str, controllers: str) -> None:
     answer = ask_relay(context=context)
@@ -129,7 +128,7 @@
     assert least_ms * 1_000 <= age_us <= most_ms * 1_000, age_us
 
 
-@then('a proxy that looks for the nearest is told the site "{site}", an age below {most_ms:d} ms, and nothing else')
+@then('a proxy that looks for the nearest gets the site "{site}", an age below {most_ms:d} ms, and nothing else')
 def then_brief(context: Any, site: str, most_ms: int) -> None:
     question = RelayQuestion(proxy="booth-9", site="kingston", brief=True)
     body = question.write(packer=Packer().u8(value=RELAY)).bytes()
@@ -138,8 +137,8 @@
     assert not (answer.values or answer.backends or answer.controllers or answer.samples or answer.ask), answer
 
 
-@when("a proxy tells of a sample as from {what} life")
-def when_tells_sample(context: Any, what: str) -> None:
+@when("a proxy reports a sample with the clock of {what} process")
+def when_reports_sample(context: Any, what: str) -> None:
     ask_relay(context=context)
     sample = ReportedSample(
         service="s", term=3, moment_us=context.controller.ctx.now_us() - 1_000, position=Position(3, 7)
@@ -150,7 +149,7 @@
     context.stage.run(work=context.controller.dispatcher.answer(body))
 
 
-@then("the relay has been told of {count:d} samples")
+@then("the relay holds {count:d} samples")
 def then_reported_samples(context: Any, count: int) -> None:
     assert len(context.controller.relay.position_samples.samples) == count, (
         context.controller.relay.position_samples.samples
@@ -162,17 +161,17 @@
     context.controller.register.cut = True
 
 
-@when('"{proxy}" asks and finds "{names}" silent')
-def when_finds_silent(context: Any, proxy: str, names: str) -> None:
+@when('"{proxy}" asks and suspects "{names}"')
+def when_suspects(context: Any, proxy: str, names: str) -> None:
     ask_relay(context=context, proxy=proxy, suspected=tuple(names.split(", ")))
 
 
-@then('it was told of trouble with "{words}"')
-def then_trouble(context: Any, words: str) -> None:
+@then('the suspicions passed on are "{words}"')
+def then_suspicions(context: Any, words: str) -> None:
     assert ", ".join(context.suspected) == words, context.suspected
 
 
-@then('within {within_ms:d} ms it saw the proxies "{names}"')
-def then_saw(context: Any, within_ms: int, names: str) -> None:
+@then('within {within_ms:d} ms it was asked by "{names}"')
+def then_asked_by(context: Any, within_ms: int, names: str) -> None:
     seen = context.controller.relay.recent_proxies(within_us=within_ms * 1_000)
     assert (" ".join(sorted(entry.name for entry in seen)) or "none") == names, seen
