--- a/features/membership/records.feature
+++ b/features/membership/records.feature
@@ -8,20 +8,20 @@
     And noise is refused with a ValueError
 
     Examples:
-      | records         |
-      | announcements   |
-      | service plans   |
-      | service leads   |
-      | relay questions |
-      | relay answers   |
-      | slots           |
-      | places          |
+      | records           |
+      | announcements     |
+      | service plans     |
+      | service primaries |
+      | relay questions   |
+      | relay answers     |
+      | proxy ids         |
+      | proxy addresses   |
 
   Scenario: A plan's version and its short form
     Given 50 service plans from a seed
     Then a version of 77 is read from the first bytes alone, and 0 from none
     And without its document a plan is the same but for that and what was acknowledged
 
-  Scenario: A backend that went for good says nothing more
+  Scenario: The deregistration of a backend is its last announcement
     Given 50 announcements from a seed
-    Then what a backend said when it went for good stands against whatever it said before or after
+    Then its deregistration is newer than any other announcement of it, whatever their numbers
--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the spreading of backends' deregistrations."""
+"""Steps for the replication of backends' deregistrations to a majority of the voters."""
 
 from dataclasses import replace
 from typing import Any
@@ -24,24 +24,24 @@
 
 
 class FakeVoters:
-    """A net whose ends are voters; each may know a backend."""
+    """A network of voters; each may know a backend."""
 
     def __init__(self) -> None:
         self.reached: tuple[str, ...] = ()
         self.known: dict[str, Announcement] = {}
-        self.reported: list[tuple[str, Announcement]] = []
+        self.received: list[tuple[str, Announcement]] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         if address not in self.reached:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="cut off"))
         if body[0] == ANNOUNCE:
-            self.reported.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
+            self.received.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
             return Ok(b"\0")
         if body[0] == HEARTBEATS:
-            return Ok(self._news(address=address))
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no such desk"))
+            return Ok(self._heartbeats(address=address))
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no handler"))
 
-    def _news(self, *, address: str) -> bytes:
+    def _heartbeats(self, *, address: str) -> bytes:
         def each(packer: Packer, announcement: Announcement) -> None:
             announcement.write(packer=packer.u64(value=SOURCE).u64(value=1).u64(value=0))
 
@@ -49,7 +49,7 @@
         return Packer().many(values=known, each=each).bytes()
 
 
-def word(*, state: str, number: int = 4) -> Announcement:
+def announcement_as(*, state: str, number: int = 4) -> Announcement:
     return Announcement(
         name="srv-1", number=number, service="s1", address="10.0.0.9:1", site="hall", state=STATES[state], leads=False
     )
@@ -92,22 +92,22 @@
 
 @given("srv-1 is registered here as {state}")
 def given_heard(context: Any, state: str) -> None:
-    context.stage.call(call=lambda: context.heartbeat_table.receive(heartbeat=word(state=state)))
+    context.stage.call(call=lambda: context.heartbeat_table.receive(heartbeat=announcement_as(state=state)))
 
 
 @given("srv-1 is registered at {name} as {state}")
 def given_heard_elsewhere(context: Any, name: str, state: str) -> None:
-    context.voters.known[name] = word(state=state)
+    context.voters.known[name] = announcement_as(state=state)
 
 
 @when("srv-1 announces that it empties")
 def when_empties(context: Any) -> None:
     context.number += 1
-    said = word(state="emptying", number=context.number)
+    announcement = announcement_as(state="emptying", number=context.number)
 
     async def work() -> bool:
-        context.heartbeat_table.receive(heartbeat=said)
-        return await context.announcer.spread(announcement=said)
+        context.heartbeat_table.receive(heartbeat=announcement)
+        return await context.announcer.spread(announcement=announcement)
 
     context.acknowledged = context.stage.run(work=work())
 
@@ -118,9 +118,9 @@
 
 
 @when("another controller announces that srv-1 is {state}")
-def when_reported(context: Any, state: str) -> None:
+def when_announced_elsewhere(context: Any, state: str) -> None:
     packer = Packer().u8(value=ANNOUNCE)
-    word(state=state).write(packer=packer)
+    announcement_as(state=state).write(packer=packer)
     context.stage.run(work=context.dispatcher.handlers[ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
 
 
@@ -130,9 +130,13 @@
 
 
 @then("{count:d} voters received that srv-1 is {state}")
-def then_reported(context: Any, count: int, state: str) -> None:
+def then_received(context: Any, count: int, state: str) -> None:
     context.stage.advance(for_us=1_000_000)
-    found = [name for name, said in context.voters.reported if said.name == "srv-1" and said.state == STATES[state]]
+    found = [
+        name
+        for name, announcement in context.voters.received
+        if announcement.name == "srv-1" and announcement.state == STATES[state]
+    ]
     assert len(found) == count, found
 
 
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -1,7 +1,8 @@
-"""Steps for the records of the relay, the plan, the announcements and the leads."""
+"""Steps for the records of the relay, the plan, the announcements and the primaries."""
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from behave import given, then
@@ -92,7 +93,7 @@
     )
 
 
-def lead(rng: random.Random) -> ServicePrimary:
+def primary(rng: random.Random) -> ServicePrimary:
     return ServicePrimary(
         term=u64(rng),
         primary=text(rng),
@@ -155,7 +156,7 @@
     return ProxyIds(names=tuple((n, text(rng)) for n in range(rng.randrange(5))))
 
 
-def places(rng: random.Random) -> ProxyAddresses:
+def proxy_addresses(rng: random.Random) -> ProxyAddresses:
     return ProxyAddresses(
         places={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
     )
@@ -174,42 +175,75 @@
     return found
 
 
-RECORDS: dict[str, tuple[Callable[[random.Random], Any], Callable[[Any], bytes], Callable[[bytes], Any]]] = {
-    "announcements": (announcement, packed, unpacked_announcement),
-    "service plans": (plan, lambda r: r.bytes(), lambda data: read_service_plan(data=data)),
-    "service leads": (lead, lambda r: r.bytes(), lambda data: read_service_primary(data=data)),
-    "relay questions": (question, packed, lambda data: read_relay_question(unpacker=Unpacker(data=data))),
-    "relay answers": (answer, lambda r: r.bytes(), lambda data: read_relay_answer(data=data)),
-    "slots": (proxy_ids, lambda r: r.bytes(), lambda data: read_proxy_ids(data=data)),
-    "places": (places, lambda r: r.bytes(), lambda data: read_proxy_addresses(data=data)),
+def encoded(record: Any) -> bytes:
+    return record.bytes()
+
+
+@dataclass(frozen=True, kw_only=True)
+class RecordKind:
+    """How records of one kind are made at random, written and read.
+
+    `seed` names the kind in the seed of its random records. `empty_is_read`: whether no bytes stand for a record.
+    """
+
+    seed: str
+    make: Callable[[random.Random], Any]
+    write: Callable[[Any], bytes]
+    read: Callable[[bytes], Any]
+    empty_is_read: bool = False
+
+
+RECORD_KINDS = {
+    "announcements": RecordKind(seed="announcements", make=announcement, write=packed, read=unpacked_announcement),
+    "service plans": RecordKind(
+        seed="service plans", make=plan, write=encoded, read=lambda data: read_service_plan(data=data)
+    ),
+    "service primaries": RecordKind(
+        seed="service leads", make=primary, write=encoded, read=lambda data: read_service_primary(data=data)
+    ),
+    "relay questions": RecordKind(
+        seed="relay questions",
+        make=question,
+        write=packed,
+        read=lambda data: read_relay_question(unpacker=Unpacker(data=data)),
+    ),
+    "relay answers": RecordKind(
+        seed="relay answers", make=answer, write=encoded, read=lambda data: read_relay_answer(data=data)
+    ),
+    "proxy ids": RecordKind(
+        seed="slots", make=proxy_ids, write=encoded, read=lambda data: read_proxy_ids(data=data), empty_is_read=True
+    ),
+    "proxy addresses": RecordKind(
+        seed="places", make=proxy_addresses, write=encoded, read=lambda data: read_proxy_addresses(data=data)
+    ),
 }
 
 
 @given("{count:d} {records} from a seed")
 def given_records(context: Any, count: int, records: str) -> None:
-    context.make, context.write, context.read = RECORDS[records]
-    context.rng = random.Random(f"records/{records}")
-    context.records = [context.make(context.rng) for _ in range(count)]
+    context.kind = RECORD_KINDS[records]
+    context.rng = random.Random(f"records/{context.kind.seed}")
+    context.records = [context.kind.make(context.rng) for _ in range(count)]
 
 
 @then("each is read as it was written")
 def then_round_trip(context: Any) -> None:
     for record in context.records:
-        data = context.write(record)
-        found = context.read(data)
+        data = context.kind.write(record)
+        found = context.kind.read(data)
         assert found == record, (found, record)
-        assert context.write(found) == data
+        assert context.kind.write(found) == data
 
 
 @then("each that is cut short anywhere, or has a byte too many, is refused with a ValueError")
 def then_cut(context: Any) -> None:
     for record in context.records[:12]:
-        data = context.write(record)
+        data = context.kind.write(record)
         broken = [data[:end] for end in range(len(data))] + [data + b"\0"]
-        # why: nothing at all stands for slots that were never dealt
-        for each in broken if context.read is not RECORDS["slots"][2] else broken[1:]:
+        # no bytes at all stand for proxy ids that were never assigned
+        for each in broken[1:] if context.kind.empty_is_read else broken:
             try:
-                found = context.read(each)
+                found = context.kind.read(each)
             except ValueError:
                 continue
             raise AssertionError(f"read from {len(each)} of {len(data)} bytes: {found}")
@@ -220,11 +254,11 @@
     refused = 0
     for record in context.records:
         for _ in range(10):
-            data = bytearray(context.write(record))
+            data = bytearray(context.kind.write(record))
             for _ in range(context.rng.randrange(1, 4)):
                 data[context.rng.randrange(len(data))] = context.rng.choice([0, 1, 255, context.rng.randrange(256)])
             try:
-                context.read(bytes(data))
+                context.kind.read(bytes(data))
             except ValueError:
                 refused += 1
     assert refused > len(context.records), refused
@@ -234,7 +268,7 @@
 def then_noise(context: Any) -> None:
     for _ in range(2_000):
         try:
-            context.read(context.rng.randbytes(context.rng.randrange(1, 120)))
+            context.kind.read(context.rng.randbytes(context.rng.randrange(1, 120)))
         except ValueError:
             continue
 
@@ -254,7 +288,7 @@
         assert {**vars(found), "document": record.document, "accepted": record.accepted} == vars(record)
 
 
-@then("what a backend said when it went for good stands against whatever it said before or after")
+@then("its deregistration is newer than any other announcement of it, whatever their numbers")
 def then_order(context: Any) -> None:
     for record in context.records:
         gone = Announcement(**{**vars(record), "state": GONE, "number": 1})
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -55,8 +55,10 @@
 def heartbeat_all(*, context: Any, names: str, **changes: Any) -> None:
     for name in names.split(", "):
         context.numbers[name] = context.numbers.get(name, 0) + 1
-        word = announcement(name=name, number=context.numbers[name], **changes)
-        context.stage.call(call=lambda word=word: context.controller.heartbeat_table.receive(heartbeat=word))
+        received = announcement(name=name, number=context.numbers[name], **changes)
+        context.stage.call(
+            call=lambda received=received: context.controller.heartbeat_table.receive(heartbeat=received)
+        )
     context.stage.advance(for_us=150_000)
 
 
@@ -166,9 +168,9 @@
     ask_relay(context=context, proxy=proxy, suspected=tuple(names.split(", ")))
 
 
-@then('the suspicions passed on are "{words}"')
-def then_suspicions(context: Any, words: str) -> None:
-    assert ", ".join(context.suspected) == words, context.suspected
+@then('the suspicions passed on are "{suspicions}"')
+def then_suspicions(context: Any, suspicions: str) -> None:
+    assert ", ".join(context.suspected) == suspicions, context.suspected
 
 
 @then('within {within_ms:d} ms it was asked by "{names}"')
