--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -1,10 +1,10 @@
-"""What a backend that keeps its own place in the list says of itself: its beats alone make the list."""
+"""The heartbeat of a backend that registers itself with the controllers by announcing its own address."""
 
 from dataclasses import dataclass
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .heartbeat import EMPTYING, READY
+from .heartbeat import EMPTYING, READY, HeartbeatOrder
 
 GONE = "gone"
 STATES = (READY, EMPTYING, GONE)
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Announcement:
-    """Announcements of one backend are ordered by their own number."""
+    """One heartbeat; `number` orders the announcements of one backend.
+
+    `leads` says whether the backend takes itself for its service's primary. `room` is how many connections it
+    accepts, 0 where it does not say.
+    """
 
     name: str
     number: int
@@ -24,11 +28,13 @@
     room: int = 0
 
     @property
-    def order(self) -> tuple[int, int]:
-        # why: a backend that has gone for good says nothing more, so a late heartbeat must not bring it back
-        return int(self.state == GONE), self.number
+    def order(self) -> HeartbeatOrder:
+        """Greater for the later one of two announcements of one backend."""
+        # a deregistered backend sends nothing more, so a delayed heartbeat must not bring it back
+        return HeartbeatOrder(epoch=int(self.state == GONE), number=self.number)
 
     def write(self, *, packer: Packer) -> None:
+        """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.number).text(value=self.service).text(value=self.address)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.leads))
         packer.u32(value=self.room)
@@ -40,7 +46,7 @@
     service, address, site = unpacker.text(), unpacker.text(), unpacker.text()
     state, leads = unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or leads > 1:
-        raise ValueError("no such state")
+        raise ValueError(f"state {state} or leads {leads} is out of range")
     return Announcement(
         name=name,
         number=number,
--- a/src/cinderstair/pooler/replica_selection.py
+++ b/src/cinderstair/pooler/replica_selection.py
@@ -29,7 +29,7 @@
 
     def _quiet(self, *, name: str) -> bool:
         entry = self.view.backends.get(name)
-        return entry is None or entry.quiet
+        return entry is None or entry.silent
 
     def _cost(self, pool: LinkPool) -> tuple[bool, int, int]:
         return pool.troubled, self.distance(pool.backend.site) + pool.load // LOAD_PER_DISTANCE, pool.load
