--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -13,6 +13,7 @@
 from cinderstair.consensus.register_view import RegisterView
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.failover.backend_control import BackendState
+from cinderstair.failover.reachability_votes import ReachabilityVotes
 from cinderstair.failover.service_failover import ServiceFailover
 from cinderstair.membership.announcement import Announcement
 from cinderstair.membership.heartbeat import READY
@@ -267,8 +268,7 @@
     def __init__(self, *, context: Any, name: str, number: int) -> None:
         stage, self.ctx = context.stage, context.stage.context(name=name, seed=number)
         self.stage = stage
-        self.opinion = (0, 0)
-        self.asked_opinions = 0
+        self.votes = ReachabilityVotes(reachable=0, answered=0)
         self.neighbours: list[str] = []
 
         def work() -> None:
@@ -281,10 +281,9 @@
 
         stage.call(call=work)
 
-    async def opinions(self, name: str) -> tuple[int, int]:
-        self.asked_opinions += 1
+    async def reachability_votes(self, name: str) -> ReachabilityVotes:
         await asyncio.sleep(0.005)
-        return self.opinion
+        return self.votes
 
     def add_duty(self, *, cluster: Cluster) -> None:
         def work() -> None:
@@ -295,7 +294,7 @@
                 heartbeat_table=self.heartbeat_table,
                 control=cluster,
                 promoter=cluster,
-                opinions=self.opinions,
+                reachability_poll=self.reachability_votes,
                 lease_us=LEASE_US,
             )
 
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -10,6 +10,7 @@
 from stage import plan
 
 from cinderstair.config.service_plan import PLAN_KEY
+from cinderstair.failover.reachability_votes import ReachabilityVotes
 from cinderstair.failover.service_primary import (
     PrimaryState,
     ServicePrimary,
@@ -194,7 +195,7 @@
 @given("of {requested:d} other controllers {reached:d} reach it")
 def given_opinions(context: Any, requested: int, reached: int) -> None:
     for controller in context.controller_stages:
-        controller.opinion = (reached, requested)
+        controller.votes = ReachabilityVotes(reachable=reached, answered=requested)
 
 
 @when("{wait_ms:d} ms pass at the controllers")
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -9,7 +9,9 @@
 from ..consensus.register_replica import RegisterReplica
 from ..consensus.register_view import RegisterView
 from ..failover.backend_control import BackendControl, Promoter
-from ..failover.service_failover import PROBE_WAIT_US, ServiceFailover
+from ..failover.backend_poller import PROBE_WAIT_US
+from ..failover.reachability_votes import ReachabilityVotes
+from ..failover.service_failover import ServiceFailover
 from ..failover.shard_map_coordinator import Ballots, Handover, ShardMapCoordinator
 from ..membership.announcement import Announcement, read_announcement
 from ..membership.heartbeat import READY
@@ -99,7 +101,7 @@
             heartbeat_table=self.heartbeat_table,
             control=self.control,
             promoter=self.promoter,
-            opinions=self._opinions,
+            reachability_poll=self._reachability_votes,
             lease_us=self.proxy_lease_us,
         )
         self.census = ProxyCensus(
@@ -194,7 +196,7 @@
         """A proxy finds a backend silent; the holder of the duty is told, wherever it is."""
         now_us = self.ctx.now_us()
         # why: a copy that is gone is read round by each proxy; only a primary's loss is anybody's duty
-        if not any(lead.primary == name for lead in self.duty.leads.values()):
+        if not any(lead.primary == name for lead in self.duty.primaries.values()):
             return
         if now_us - self.troubled_us.get(name, -TROUBLE_EVERY_US) < TROUBLE_EVERY_US:
             return
@@ -227,15 +229,15 @@
         state = await self.control.state(backend=heard.heartbeat, wait_us=PROBE_WAIT_US)
         return Packer().u8(value=int(state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT)).bytes()
 
-    async def _opinions(self, name: str) -> tuple[int, int]:
-        """How many other control daemons reach a backend, and how many have said whether they do."""
+    async def _reachability_votes(self, name: str) -> ReachabilityVotes:
+        """What the other control daemons say about whether they reach a backend."""
         body = Packer().u8(value=OPINION).text(value=name).bytes()
         asks = [
             self.ctx.peer_client.request(address=address, body=body, wait_us=OPINION_WAIT_US)
             for address in self._neighbours()
         ]
         answers = [result.ok for result in await asyncio.gather(*asks) if result.is_ok() and result.ok]
-        return sum(answer[0] for answer in answers), len(answers)
+        return ReachabilityVotes(reachable=sum(answer[0] for answer in answers), answered=len(answers))
 
     # -- operators --
 
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -29,7 +29,7 @@
         f"{describe(state=controller.shards.state)}{withdrawn}",
         *_register_replicas(controller=controller),
     ]
-    for service, lead in sorted(duty.leads.items()):
+    for service, lead in sorted(duty.primaries.items()):
         held = f"; HELD: {duty.reasons[service]}" if duty.reasons.get(service) else ""
         lines.append(f"service {service}: {lead.state.name} on {lead.primary}, term {lead.term}{held}")
     for name, heard in sorted(controller.heartbeat_table.best.items()):
--- /dev/null
+++ b/src/cinderstair/failover/promotion.py
@@ -0,0 +1,140 @@
+"""Promotes the backend that was assigned, and settles the assignment once it leads."""
+
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+
+from ..config.service_plan import Service
+from ..membership.announcement import GONE, Announcement
+from ..runtime.errors import ErrorCode
+from .backend_control import BackendState, Promoter
+from .backend_poller import PROBE_WAIT_US
+from .failover_context import FailoverContext
+from .replica_fencing import ReplicaFencing
+from .service_primary import PrimaryState, ServicePrimary
+from .successor import leading_or_furthest
+
+LEADS_POLL_US = 80_000
+# A promotion that the platform did not accept is requested again after this long, in microseconds.
+PROMOTE_RETRY_US = 500_000
+# A backend that can't be reached for this long is replaced by another successor, in microseconds.
+UNREACHABLE_US = 1_200_000
+# A backend that is reached but does not lead is replaced by another successor after this long, in microseconds.
+PROMOTION_TIMEOUT_US = 5_000_000
+
+
+@dataclass(kw_only=True)
+class _Attempt:
+    """`requested_us` and `reached_us`: when the promotion was last requested, and the backend last reached."""
+
+    requested_us: int
+    reached_us: int
+    accepted: bool = False
+
+
+class Promotion:
+    """Invariant: an assignment is settled only after its backend leads by its own account, and after every view in
+    which another backend was the primary has expired.
+    """
+
+    def __init__(
+        self,
+        *,
+        failover: FailoverContext,
+        fencing: ReplicaFencing,
+        promoter: Promoter,
+        fence_number: Callable[[], int],
+    ) -> None:
+        self.failover = failover
+        self.fencing = fencing
+        self.promoter = promoter
+        self.fence_number = fence_number
+
+    async def finish(self, *, service: Service, assignment: ServicePrimary) -> None:
+        """From moving to settled. Returns early without the lease, and where another successor was assigned."""
+        failover, assignments = self.failover, self.failover.assignments
+        since_us = assignments.since_us[service.name]
+        leading = await self._wait_until_leading(service=service, assignment=assignment, since_us=since_us)
+        if leading is None:
+            return
+        await assignments.wait_for_older_views(service=service.name)
+        settled = ServicePrimary(term=leading.term, primary=assignment.primary, state=PrimaryState.settled)
+        if await assignments.compare_and_set(service=service.name, old=assignment, new=settled):
+            self.fencing.release(service=service.name, primary=assignment.primary)
+            failover.blocking.report(name=service.name, reason="")
+            failover.record_promotion(took_us=failover.ctx.now_us() - since_us)
+
+    async def _wait_until_leading(
+        self, *, service: Service, assignment: ServicePrimary, since_us: int
+    ) -> BackendState | None:
+        """The backend's state once it leads; None where it is given up, or the lease is lost."""
+        ctx = self.failover.ctx
+        attempt = _Attempt(requested_us=-PROMOTE_RETRY_US, reached_us=ctx.now_us())
+        while True:
+            if not self.failover.assignments.lease.held:
+                return None
+            member = self.failover.members.latest(name=assignment.primary)
+            if not await self._request(service=service, assignment=assignment, attempt=attempt):
+                break
+            state = await self._probe(member=member, attempt=attempt)
+            if state is not None and state.leads:
+                return state
+            deregistered = member is not None and member.state == GONE
+            unreachable = ctx.now_us() - attempt.reached_us > UNREACHABLE_US
+            if deregistered or unreachable or ctx.now_us() - since_us > PROMOTION_TIMEOUT_US:
+                break
+            await ctx.sleep(duration_us=LEADS_POLL_US)
+        await self._assign_another(service=service, assignment=assignment)
+        return None
+
+    async def _request(self, *, service: Service, assignment: ServicePrimary, attempt: _Attempt) -> bool:
+        """Requests the promotion if that is due; False where the platform says that the backend does not run."""
+        ctx = self.failover.ctx
+        now_us = ctx.now_us()
+        if attempt.accepted or now_us - attempt.requested_us < PROMOTE_RETRY_US:
+            return True
+        attempt.requested_us = now_us
+        result = await self.promoter.promote(
+            service=service.name,
+            backend=assignment.primary,
+            fence_number=self.fence_number(),
+            holds=lambda: self.failover.assignments.lease.held,
+        )
+        attempt.accepted = result.is_ok()
+        if result.is_ok():
+            return True
+        ctx.log.warning(
+            "service %s: the promotion of %s was not accepted: %s",
+            service.name,
+            assignment.primary,
+            result.error.reason,
+        )
+        return result.error.code != ErrorCode.NO_BACKEND
+
+    async def _probe(self, *, member: Announcement | None, attempt: _Attempt) -> BackendState | None:
+        """The backend's state, None where it gives none; notes when it was last reached."""
+        if member is None:
+            return None
+        state = await self.failover.control.state(backend=member, wait_us=PROBE_WAIT_US)
+        if state.is_ok() and state.ok.leads:
+            return state.ok
+        if state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT:
+            attempt.reached_us = self.failover.ctx.now_us()
+        return state.ok if state.is_ok() else None
+
+    async def _assign_another(self, *, service: Service, assignment: ServicePrimary) -> None:
+        """Assigns another backend that holds everything up to the fence, in a later term."""
+        failover = self.failover
+        failover.retry_later(service=service.name)
+        members = failover.members.of_service(service=service.name)
+        others = [each for each in members if each.name != assignment.primary]
+        states = await failover.poller.states(members=others)
+        complete = {name: state for name, state in states.items() if state.received >= assignment.fence}
+        if not complete:
+            reason = f"{assignment.primary} does not lead, and nobody else holds everything"
+            failover.blocking.report(name=service.name, reason=reason)
+            return
+        term = max([assignment.term, *(state.term_held for state in states.values())]) + 1
+        best = leading_or_furthest(states=complete)
+        new = replace(assignment, term=term, primary=best, ready_in_us=failover.promotion_us)
+        if await failover.assignments.compare_and_set(service=service.name, old=assignment, new=new):
+            failover.ctx.counters.add(name="promotion.superseded")
--- /dev/null
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -0,0 +1,132 @@
+"""Fences an old primary off by pausing its replicas, and resumes them afterwards."""
+
+from ..config.service_plan import Service
+from ..membership.announcement import Announcement
+from ..membership.heartbeat import READY
+from .backend_control import BackendState
+from .departures import Departures
+from .failover_context import FailoverContext
+from .service_primary import ServicePrimary
+from .successor import Successor, furthest_paused
+
+# How long a replica may take to confirm that it is paused or resumed, in microseconds.
+PAUSE_WAIT_US = 500_000
+# Pause between attempts to resume replicas that do not answer, in microseconds.
+RESUME_RETRY_US = 700_000
+# A new holder confirms every assignment; this many at once, so that views are not held up by all of them together.
+CONFIRMED_AT_ONCE = 8
+
+
+class ReplicaFencing:
+    """Invariant: a successor is chosen only after so many replicas are paused that the old primary can have no
+    further commit confirmed; and a replica is resumed only after the assignment was written once more.
+    """
+
+    def __init__(self, *, failover: FailoverContext, departures: Departures) -> None:
+        self.failover = failover
+        self.departures = departures
+        # the highest term tried for each service whose last fence failed
+        self.terms: dict[str, int] = {}
+        # services whose replicas may be paused, and whose assignment has not been written since
+        self.fenced: set[str] = set()
+        # replicas to resume, by service
+        self.paused: dict[str, set[str]] = {}
+        self.resuming: set[str] = set()
+        self.confirming = 0
+
+    # -- pausing --
+
+    async def fence(
+        self, *, service: Service, assignment: ServicePrimary, others: list[Announcement]
+    ) -> Successor | None:
+        """Pauses replicas in a new term, and names the furthest one; None where too few could be paused."""
+        term = max(assignment.term, self.terms.get(service.name, 0)) + 1
+        self.fenced.add(service.name)
+        unsettled = self.departures.unsettled(service=service.name)
+        departed = [each for each in unsettled if each.name != assignment.primary]
+        replicas = [*others, *departed]
+        needed = _fence_quorum(replicas=len(replicas), confirmations=service.confirmations)
+        states = await self._pause(replicas=replicas, term=term, needed=needed)
+        paused = {name: state for name, state in states.items() if state.term_held == term}
+        if len(paused) >= needed:
+            best = furthest_paused(paused=paused, ready={each.name for each in others if each.state == READY})
+            return Successor(term=term, name=best, fence=paused[best].received)
+        higher = [state.term_held for state in states.values() if state.term_held > term]
+        # A replica that refuses may have promised a later term to a holder that has died since.
+        self.terms[service.name] = max([term, *higher])
+        reason = f"{assignment.primary} can't be fenced: {len(paused)} of {needed} copies paused"
+        if departed:
+            reason += f" ({', '.join(each.name for each in departed)} left)"
+        if higher:
+            reason += f", a higher term {max(higher)} is held"
+        self.failover.blocking.report(name=service.name, reason=reason)
+        return None
+
+    async def _pause(self, *, replicas: list[Announcement], term: int, needed: int) -> dict[str, BackendState]:
+        control = self.failover.control
+        return await self.failover.poller.gather(
+            requests={each.name: control.pause(backend=each, term=term, wait_us=PAUSE_WAIT_US) for each in replicas},
+            enough=lambda answers: sum(state.term_held == term for state in answers.values()) >= needed,
+        )
+
+    # -- resuming --
+
+    def assume_all_fenced(self) -> None:
+        """For a new holder: the one before may have died in the middle of a promotion, with replicas paused."""
+        self.fenced = set(self.failover.assignments.primaries)
+
+    def release(self, *, service: str, primary: str) -> None:
+        """The assignment of `primary` is written, so that all other members may be resumed."""
+        self.fenced.discard(service)
+        members = self.failover.members.of_service(service=service)
+        self.paused[service] = {each.name for each in members} - {primary}
+
+    def confirmation_due(self, *, service: str) -> bool:
+        """Whether the service's assignment is to be confirmed now."""
+        return service in self.fenced and self.confirming < CONFIRMED_AT_ONCE
+
+    async def confirm(self, *, service: str, assignment: ServicePrimary) -> None:
+        """Writes a standing assignment once more, which shuts out a write of an earlier holder that was cut short."""
+        self.confirming += 1
+        try:
+            confirmed = await self.failover.assignments.compare_and_set(
+                service=service, old=assignment, new=assignment
+            )
+        finally:
+            self.confirming -= 1
+        if confirmed:
+            self.release(service=service, primary=assignment.primary)
+
+    def start_resuming(self, *, service: str, assignment: ServicePrimary) -> bool:
+        """Begins to resume paused replicas in the background; False where there are none, or it is under way."""
+        if not self.paused.get(service) or service in self.resuming:
+            return False
+        self.resuming.add(service)
+        self.failover.ctx.spawn(work=self._resume(service=service, assignment=assignment), name="resume")
+        return True
+
+    async def _resume(self, *, service: str, assignment: ServicePrimary) -> None:
+        """Has replicas receive again, each until it confirms it, and has an old primary among them step down."""
+        try:
+            members = self.failover.members.of_service(service=service)
+            members = [each for each in members if each.name in self.paused[service]]
+            self.paused[service] &= {each.name for each in members}
+            for member in members:
+                if await self._resume_member(member=member, term=assignment.term):
+                    self.paused[service].discard(member.name)
+            if self.paused[service]:
+                await self.failover.ctx.sleep(duration_us=RESUME_RETRY_US)
+        finally:
+            self.resuming.discard(service)
+
+    async def _resume_member(self, *, member: Announcement, term: int) -> bool:
+        control = self.failover.control
+        resumed = await control.resume(backend=member, wait_us=PAUSE_WAIT_US)
+        if resumed.is_ok() and resumed.ok.leads:
+            resumed = await control.step_down(backend=member, term=term, wait_us=PAUSE_WAIT_US)
+        return resumed.is_ok()
+
+
+def _fence_quorum(*, replicas: int, confirmations: int) -> int:
+    """How many replicas must be paused so that every set of `confirmations` replicas includes a paused one."""
+    return max(1, replicas - confirmations + 1) if confirmations else 1
--- /dev/null
+++ b/src/cinderstair/failover/service_assignments.py
@@ -0,0 +1,79 @@
+"""Which backend is assigned as primary of each service, as the register says."""
+
+from dataclasses import replace
+
+from ..consensus.lease import Lease
+from ..consensus.register import Register
+from ..consensus.register_view import RegisterView
+from ..runtime.context import Context
+from .compare_and_set import compare_and_set
+from .service_primary import PREFIX, PrimaryState, ServicePrimary, read_service_primary, service_primary_key
+
+
+class ServiceAssignments:
+    """Invariant: an assignment changes from exactly what the writer saw, and only while it holds the role's lease."""
+
+    def __init__(
+        self, *, ctx: Context, register: Register, view: RegisterView, lease: Lease, view_lease_us: int
+    ) -> None:
+        self.ctx = ctx
+        self.register = register
+        self.view = view
+        self.lease = lease
+        # Every proxy's view that is older than a write has expired this long after it, clock drift of 10 % included.
+        self.view_expiry_us = view_lease_us + view_lease_us // 10
+        self.primaries: dict[str, ServicePrimary] = {}
+        # when the present assignment was seen first
+        self.since_us: dict[str, int] = {}
+        # since when no new view lets anybody at the primary
+        self.unsettled_since_us: dict[str, int] = {}
+        view.changes.subscribe(self._changed)
+
+    def _changed(self, key: str) -> None:
+        found = self.view.known.get(key)
+        if found is None or not found.value or not key.startswith(PREFIX):
+            return
+        service = key.removeprefix(PREFIX)
+        assignment, before = read_service_primary(data=found.value), self.primaries.get(service)
+        # The first assignment that is not settled starts the expiry of the views that let clients at the primary.
+        # A turn that was missed may have been a settled one, after which such views were made anew.
+        if before is None or before.state == PrimaryState.settled or assignment.turn > before.turn + 1:
+            self.unsettled_since_us[service] = self.ctx.now_us()
+        self.primaries[service] = assignment
+        self.since_us[service] = self.ctx.now_us()
+
+    async def compare_and_set(self, *, service: str, old: ServicePrimary | None, new: ServicePrimary) -> bool:
+        """Replaces `old` by `new`; None stands for a service that never had an assignment.
+
+        :returns: whether it is written; False without the lease, on a conflict, and where the outcome is unclear.
+        """
+        if not self.lease.held:
+            return False
+        if old is not None and new != old:
+            new = replace(new, turn=old.turn + 1)
+        accepted = (b"" if old is None else old.bytes(), new.bytes())
+        result = await compare_and_set(
+            register=self.register,
+            view=self.view,
+            key=service_primary_key(service=service),
+            unchanged=lambda current: current in accepted,
+            new=new.bytes(),
+            conflict="the lead changed meanwhile",
+        )
+        if result.is_ok():
+            self.ctx.log.info(
+                "service %s: the primary is %s in term %d, state %s", service, new.primary, new.term, new.state.name
+            )
+        return result.is_ok()
+
+    async def reopen(self, *, service: str, assignment: ServicePrimary) -> None:
+        """Takes back a planned switchover that was announced: the primary serves on. No change in other states."""
+        if assignment.state == PrimaryState.closing:
+            settled = replace(assignment, state=PrimaryState.settled)
+            await self.compare_and_set(service=service, old=assignment, new=settled)
+
+    async def wait_for_older_views(self, *, service: str) -> None:
+        """Returns when no proxy acts any more on a view from before the primary stopped serving."""
+        wait_us = self.unsettled_since_us[service] + self.view_expiry_us - self.ctx.now_us()
+        if wait_us > 0:
+            await self.ctx.sleep(duration_us=wait_us)
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -47,7 +47,7 @@
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
         controller.register_replica.register.own = controller.settings.records
-        hollow = HollowControl(lead=lambda service: controller.duty.leads.get(service))
+        hollow = HollowControl(lead=lambda service: controller.duty.primaries.get(service))
         controller.control = controller.promoter = hollow
         self.controller = controller
         self.net = self.ctx.net
@@ -76,7 +76,7 @@
         return {
             "epoch": 0 if roster is None else roster.epoch,
             "voters": 0 if roster is None else len(roster.voters),
-            "leads": len(controller.duty.leads),
+            "leads": len(controller.duty.primaries),
             "plan": 0 if controller.duty.plan is None else controller.duty.plan.version,
             "backends": len(controller.heartbeat_table.best),
             "quiet": sum(controller.heartbeat_table.quiet(name=name) for name in controller.heartbeat_table.best),
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -15,7 +15,7 @@
 from ...control_plane.announcer import Announcer
 from ...control_plane.orders import Orders
 from ...control_plane.sample_board import SampleBoard
-from ...failover.service_failover import ServiceFailover
+from ...failover.replica_fencing import ReplicaFencing
 from ...pooler.link_pool import LinkPool
 from ...pooler.relayed_view import RelayedView
 from ...pooler.router import Router
@@ -162,17 +162,17 @@
 
 def worst_replica() -> Patches:
     """The copy that has received least is put in a primary's place."""
-    fence = ServiceFailover._fence
+    fence = ReplicaFencing.fence
 
     async def least(self: Any, **named: Any) -> Any:
-        fenced = await fence(self, **named)
-        if fenced is None:
+        successor = await fence(self, **named)
+        if successor is None:
             return None
-        states = await self._states(members=named["others"])
+        states = await self.failover.poller.states(members=named["others"])
         worst = min(states, key=lambda name: states[name].received)
-        return fenced._replace(best=worst, position=states[worst].received)
+        return replace(successor, name=worst, fence=states[worst].received)
 
-    return [patch.object(ServiceFailover, "_fence", least)]
+    return [patch.object(ReplicaFencing, "fence", least)]
 
 
 def drop_at_stop() -> Patches:
