--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -156,7 +156,7 @@
         state=state,
         in_sync=("db-2", "db-3"),
         joining=("db-4",),
-        heirs=("db-5",),
+        successors=("db-5",),
         planned=state == CLOSING,
     )
 
--- /dev/null
+++ b/src/cinderstair/failover/database_failover_context.py
@@ -0,0 +1,43 @@
+"""What the steps of a database's failover share."""
+
+import asyncio
+from dataclasses import dataclass
+
+from ..http_frontend.connection_pools import ConnectionPools
+from ..http_frontend.position_query import BackendPosition, query_position
+from ..http_frontend.view import View
+from ..membership.heartbeat_table import HeartbeatTable
+from ..runtime.context import Context
+from .blocking_reasons import BlockingReasons
+from .database_assignments import DatabaseAssignments
+
+
+@dataclass(kw_only=True)
+class DatabaseFailoverContext:
+    """The tables that the steps read, and the one through which assignments change."""
+
+    ctx: Context
+    view: View
+    heartbeat_table: HeartbeatTable
+    connection_pools: ConnectionPools
+    assignments: DatabaseAssignments
+    blocking: BlockingReasons
+
+    async def positions(self, *, names: tuple[str, ...]) -> dict[str, BackendPosition]:
+        """How far each of these backends is, without those that do not answer."""
+        results = await asyncio.gather(
+            *(query_position(connection_pools=self.connection_pools, name=name, direct=True) for name in names)
+        )
+        return {name: result.ok for name, result in zip(names, results, strict=True) if result.is_ok()}
+
+    def fit(self, *, names: tuple[str, ...]) -> tuple[str, ...]:
+        """Those of the names whose heartbeats call them fit, in the same order."""
+        return tuple(name for name in names if self.heartbeat_table.fit(name=name))
+
+    def in_maintenance(self, *, name: str) -> bool:
+        """Whether an open maintenance window wants the backend empty."""
+        return name in self.view.leaving.backends
+
+    def staying(self, *, names: tuple[str, ...]) -> tuple[str, ...]:
+        """Those of the names that are fit, and that no open maintenance window wants empty."""
+        return tuple(name for name in self.fit(names=names) if not self.in_maintenance(name=name))
--- a/src/cinderstair/failover/proxy_id_reclaimer.py
+++ b/src/cinderstair/failover/proxy_id_reclaimer.py
@@ -1,4 +1,4 @@
-"""The duty of freeing the slots of HTTP proxies that are gone for good."""
+"""Takes ids for HTTP proxies, and frees the ids of those that are gone for good."""
 
 from expression import Error, Ok, Result
 
@@ -7,25 +7,27 @@
 from ..http_frontend.view import View
 from ..membership.member import Standing
 from ..membership.membership import Membership
-from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 from .proxy_ids import PROXY_IDS_KEY, read_proxy_ids
+from .singleton_role import SingletonRoleMixin
 
 TIMER_PERIOD_US = 1_000_000
+# How long an HTTP proxy must be gone before its id is freed, in microseconds; longer than a restart takes, so that
+# a proxy that comes back finds its id.
 GRACE_US = 30_000_000
 PROXY_ID_LEASE = "slots"
 
 
-class ProxyIdReclaimer(CommandQueueMixin):
-    """An HTTP proxy takes its slot itself; only this duty takes one away, after a time of grace."""
+class ProxyIdReclaimer(SingletonRoleMixin):
+    """Invariant: an HTTP proxy takes its id itself; only the holder of this role frees one, after a time of grace."""
 
     def __init__(
         self, *, ctx: Context, register: Register, view: View, membership: Membership, grace_us: int = GRACE_US
     ) -> None:
         self.ctx = ctx
         self.register = register
-        self.view = view
+        self.view: View = view
         self.membership = membership
         self.grace_us = grace_us
         self.lease = Lease(ctx=ctx, register=register, duty=PROXY_ID_LEASE, seekers=lambda: len(view.proxy_ids.names))
@@ -34,16 +36,15 @@
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
 
     async def claim(self, *, name: str) -> None:
-        """Takes the lowest free id, or the one that stood under this name before."""
+        """Takes the lowest free id for an HTTP proxy, unless it has one; retried by the caller where that fails."""
         result = await self.register.change(
             key=PROXY_IDS_KEY, decide=lambda data: Ok(read_proxy_ids(data=data).with_name(name=name).bytes())
         )
         self.view.take_own(key=PROXY_IDS_KEY, result=result)
 
     async def _on_timer(self) -> None:
-        if self.lease.due:
-            await self.lease.seek()
-        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
+        await self.renew_role()
+        if not self.may_act:
             self.gone_since_us.clear()
             return
         now_us = self.ctx.now_us()
@@ -66,4 +67,6 @@
         self.gone_since_us.pop(name, None)
         if result.is_ok():
             self.ctx.counters.add(name="slots.freed")
-            self.ctx.log.info("slot of %s is free", name)
+            self.ctx.log.info(
+                "the id of HTTP proxy %s is free, since it was gone for %d ms", name, self.grace_us // 1_000
+            )
--- a/src/cinderstair/failover/window_scheduler.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -1,4 +1,4 @@
-"""The duty of turning booked windows into stages in the register, by one machine's calendar clock."""
+"""Turns booked maintenance windows into stages in the register, by the calendar clock of one machine."""
 
 from expression import Error, Ok, Result
 
@@ -6,30 +6,29 @@
 from ..consensus.register import Register
 from ..http_frontend.view import View
 from ..maintenance.window_states import WINDOWS_KEY, read_window_states
-from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
+from .singleton_role import SingletonRoleMixin
 
 TIMER_PERIOD_US = 500_000
 WINDOW_LEASE = "windows"
 
 
-class WindowScheduler(CommandQueueMixin):
-    """HTTP proxies act on the stages and never on their own clocks, so that all act on the same word."""
+class WindowScheduler(SingletonRoleMixin):
+    """Invariant: HTTP proxies act on the stages in the register and never on their own clocks, so that all agree."""
 
     def __init__(self, *, ctx: Context, register: Register, view: View) -> None:
         self.ctx = ctx
         self.register = register
-        self.view = view
+        self.view: View = view
         self.lease = Lease(ctx=ctx, register=register, duty=WINDOW_LEASE, seekers=lambda: len(view.proxy_ids.names))
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="windows")
 
     async def _on_timer(self) -> None:
-        if self.lease.due:
-            await self.lease.seek()
+        await self.renew_role()
         configuration = self.view.configuration
-        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or configuration is None:
+        if not self.may_act or configuration is None:
             return
         wall_us = self.ctx.wall_us()
         wanted = self.view.window_states.turned(windows=configuration.windows, wall_us=wall_us)
@@ -37,7 +36,7 @@
             return
 
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
-            # why: another holder's clock may have turned a window meanwhile, and its word stands
+            # Another holder's clock may have turned a window meanwhile; then its stages stand.
             turned = read_window_states(data=data).turned(windows=configuration.windows, wall_us=wall_us)
             if turned.bytes() == data:
                 return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="turned already"))
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -12,7 +12,8 @@
 
 from ..config import configuration_store
 from ..consensus.store import Store
-from ..failover import database_failover
+from ..failover import database_assignments
+from ..failover.database_primary_monitor import DatabasePrimaryMonitor
 from ..http_frontend import connection_pools, view
 from ..http_frontend.commit_watermarks import CommitWatermarks
 from ..http_frontend.filters import session_filter
@@ -53,7 +54,7 @@
 
 def promote_at_once() -> Patches:
     """A new lead is settled without outwaiting older views."""
-    return [patch.object(database_failover, "VIEW_MARGIN_US", -60_000_000)]
+    return [patch.object(database_assignments, "VIEW_MARGIN_US", -60_000_000)]
 
 
 def send_again() -> Patches:
@@ -160,10 +161,10 @@
 def never_move() -> Patches:
     """No reason is good enough to move a lead."""
 
-    async def must_move(self: Any, **_: Any) -> str:
-        return ""
+    async def move_reason(self: Any, **_: Any) -> None:
+        return None
 
-    return [patch.object(database_failover.DatabaseFailover, "_must_move", must_move)]
+    return [patch.object(DatabasePrimaryMonitor, "move_reason", move_reason)]
 
 
 def forget_floor() -> Patches:
