--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -242,7 +242,7 @@
     found = {}
     for number in phases:
         state = ShardState(phase=ShardPhase(number))
-        found[str(number)] = ShardProgress(state=state, named=9, unheard=2, votes=votes).words()
+        found[str(number)] = ShardProgress(state=state, participants=9, silent=2, votes=votes).summary()
     return found
 
 
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -12,7 +12,8 @@
 from ..failover.backend_poller import PROBE_WAIT_US
 from ..failover.reachability_votes import ReachabilityVotes
 from ..failover.service_failover import ServiceFailover
-from ..failover.shard_map_coordinator import Ballots, Handover, ShardMapCoordinator
+from ..failover.shard_map_coordinator import Handover, ShardMapCoordinator
+from ..failover.shard_votes import ProxyVote
 from ..membership.announcement import Announcement, read_announcement
 from ..membership.heartbeat import READY
 from ..membership.heartbeat_table import HeartbeatTable
@@ -119,7 +120,7 @@
             register=register_replica.register,
             view=self.view,
             census=self._census,
-            reported=lambda state: self.census.reported(word=(state.turn, state.phase)),
+            all_controllers_notified=lambda state: self.census.reported(word=(state.turn, state.phase)),
             planned=self._planned,
             handover=self.handover,
             lease_us=self.proxy_lease_us,
@@ -162,7 +163,7 @@
         addresses = dict.fromkeys((*self._controllers(), *voters))
         return [address for address in addresses if address != self.settings.records]
 
-    async def _census(self) -> dict[str, Ballots]:
+    async def _census(self) -> dict[str, ProxyVote]:
         return dict(await self.census.gather(every_us=CENSUS_EVERY_US))
 
     def _planned(self, database: str) -> str:
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -88,7 +88,7 @@
             if now != service:
                 lines.append(f"{database}: from {now} to {service}")
         foreseen = await self.shards.forecast()
-        lines.append(foreseen.words() if lines else "nothing moves")
+        lines.append(foreseen.summary() if lines else "nothing moves")
         if not self.brings():
             lines.append("begin would be refused: nothing here brings a database's data to another place")
         return answered(result=Ok(None), words="\n".join(lines))
@@ -103,7 +103,7 @@
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
-        packer = Packer().text(value="").text(value=progress.words())
+        packer = Packer().text(value="").text(value=progress.summary())
         packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
         return packer.bytes()
 
--- a/src/cinderstair/failover/shard_forecast.py
+++ b/src/cinderstair/failover/shard_forecast.py
@@ -1,14 +1,25 @@
-"""How long a planned change of the shard map will keep writes waiting, from figures of the running system."""
+"""How long a planned change of the shard map will keep writes waiting, estimated from the running system."""
 
 from dataclasses import dataclass
 
-# why: how often a proxy asks while a map changes, lets open transactions end, and how often votes are counted
-ASKS_US, DRAINS_US, COUNTS_US = 90_000, 250_000, 350_000
+# How often a proxy asks for the register's changes while a map changes, in microseconds.
+POLL_PERIOD_US = 90_000
+# How long proxies let open transactions end, in microseconds.
+DRAIN_US = 250_000
+# How often votes are counted, plus the time to gather them, in microseconds.
+COUNT_PERIOD_US = 350_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class ShardForecast:
-    """`usual_us`: all proxies in touch; `silent_us`: one of them is not heard; `most_us`: by then it goes back."""
+    """Estimated waits of writes to the databases that move, in microseconds.
+
+    :param proxies: how many take part, and `silent` how many of them are not heard now.
+    :param usual_us: with all proxies in touch.
+    :param silent_us: with a proxy that is not heard.
+    :param most_us: after so long the change is withdrawn.
+    :param measured: whether `usual_us` is what the last change took, and not calculated.
+    """
 
     proxies: int
     silent: int
@@ -17,7 +28,8 @@
     most_us: int
     measured: bool
 
-    def words(self) -> str:
+    def summary(self) -> str:
+        """The forecast as operators read it."""
         base = "as the last change took" if self.measured else "worked out, since none was measured here yet"
         now = (
             f"{self.silent} of {self.proxies} proxies silent now"
@@ -31,16 +43,22 @@
 
 
 def forecast(
-    *, proxies: int, silent: int, outwait_us: int, goes_back_us: int, closing_us: int | None, handover_us: int
+    *, proxies: int, silent: int, expiry_us: int, withdrawn_us: int, closing_us: int | None, handover_us: int
 ) -> ShardForecast:
-    """`closing_us` and `handover_us` are those of the last change here; None: none was measured."""
-    worked_out_us = ASKS_US + DRAINS_US + ASKS_US + COUNTS_US + handover_us
-    usual_us = (worked_out_us if closing_us is None else closing_us) + ASKS_US
+    """Estimates the next change.
+
+    :param expiry_us: after so long nothing sent under the old map takes effect any more.
+    :param withdrawn_us: after so long in the closing phase a change is withdrawn.
+    :param closing_us: how long the last change here was closing; None where none was measured.
+    :param handover_us: how long the last check of the moved data took; 0 where there was none.
+    """
+    calculated_us = POLL_PERIOD_US + DRAIN_US + POLL_PERIOD_US + COUNT_PERIOD_US + handover_us
+    usual_us = (calculated_us if closing_us is None else closing_us) + POLL_PERIOD_US
     return ShardForecast(
         proxies=proxies,
         silent=silent,
         usual_us=usual_us,
-        silent_us=outwait_us + COUNTS_US + handover_us + ASKS_US,
-        most_us=goes_back_us + ASKS_US,
+        silent_us=expiry_us + COUNT_PERIOD_US + handover_us + POLL_PERIOD_US,
+        most_us=withdrawn_us + POLL_PERIOD_US,
         measured=closing_us is not None,
     )
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -1,6 +1,9 @@
-"""The duty of bringing in a new shard map: agreed on by enough proxies, then taken by all together."""
+"""Brings in a new shard map: proposed to all proxies, agreed on by enough of them, then put in force for all at once.
 
-from collections.abc import Awaitable, Callable
+What operators may do to the state is in `shard_transitions`, the counting of votes in `shard_votes`.
+"""
+
+from collections.abc import Callable
 from dataclasses import replace
 from typing import Protocol
 
@@ -8,11 +11,11 @@
 
 from ..config.shard_map import ShardMap
 from ..consensus.lease import Lease
-from ..consensus.register import Found, Register
+from ..consensus.register import Register
 from ..consensus.register_view import RegisterView
-from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
+from .compare_and_set import compare_and_set
 from .proxy_ids import PROXY_IDS_KEY, read_proxy_ids
 from .shard_forecast import ShardForecast, forecast
 from .shard_progress import ShardProgress
@@ -20,49 +23,44 @@
     GIVE_UP_US,
     SHARDS_KEY,
     UNDER_WAY_US,
-    UNTOLD_US,
+    UNNOTIFIED_GRACE_US,
     ShardPhase,
     ShardState,
     Vote,
     read_shard_state,
 )
+from .shard_transitions import abandoned, proposed
+from .shard_votes import ProxyVote, ProxyVotePoll, ShardVotes
+from .singleton_role import SingletonRoleMixin
 
 TIMER_PERIOD_US = 150_000
 SHARD_MAP_LEASE = "shards"
-SEEN_US = 3_000_000
+# Daemons taken to seek the lease at the same time. Control daemons are few, so the shortest back-off does.
+LEASE_SEEKERS = 3
+# A proposal that too few agree on is withdrawn after this long, in microseconds.
 PROPOSED_MOST_US = 30_000_000
-CLOSING_MOST_US = 5_000_000
-EXPECTED_US = 900_000
-ABANDONED = "abandoned by an operator"
-
-
-class Ballots(Protocol):
-    """What is known of one proxy's vote."""
-
-    @property
-    def at_us(self) -> int: ...
-
-    @property
-    def turn(self) -> int: ...
-
-    @property
-    def vote(self) -> Vote: ...
+# A change whose data is not complete is withdrawn this long after all proxies have stopped writing.
+HANDOVER_MOST_US = 5_000_000
+# What proxies tell their clients of how long a change takes, in microseconds; an estimate.
+EXPECTED_CLOSING_US = 900_000
 
 
 class Handover(Protocol):
-    """Whoever brings a database's data to its new place; cinderstair only asks whether all of it is there."""
+    """Whoever copies a database's data from one service to another. It is asked only whether all of it is there."""
 
     async def complete(self, *, database: str, source: str, target: str) -> bool:
         """Whether the target's primary holds everything that the source's ever acknowledged."""
         ...
 
 
-Census = Callable[[], Awaitable[dict[str, Ballots]]]
-Planned = Callable[[str], str]
+# the service of a database by the plan; empty where the plan has no such database
+PlannedService = Callable[[str], str]
 
 
-class ShardMapCoordinator(CommandQueueMixin):
-    """Every step is a compare-and-set on the shards' key. A step that can't be done goes back to the old map."""
+class ShardMapCoordinator(SingletonRoleMixin):
+    """Invariant: a database is never written at two services. Its writes stop at the old one, everywhere, before the
+    new map is put in force. Every step is a compare-and-set on the state, and one that can't be done withdraws it.
+    """
 
     def __init__(
         self,
@@ -70,26 +68,35 @@
         ctx: Context,
         register: Register,
         view: RegisterView,
-        census: Census,
-        reported: Callable[[ShardState], bool],
-        planned: Planned,
+        census: ProxyVotePoll,
+        all_controllers_notified: Callable[[ShardState], bool],
+        planned: PlannedService,
         handover: Handover | None,
         lease_us: int,
         under_way_us: int = UNDER_WAY_US,
     ) -> None:
+        """:param all_controllers_notified: whether every other control daemon knows a state, and has since named the
+            proxies that it sees; before that one of them may tell a proxy of an older state.
+        :param handover: None where nothing copies data; then no map is accepted.
+        :param lease_us: for how long a proxy's view of the register is current, in microseconds.
+        :param under_way_us: see `ShardState`.
+        """
         self.ctx = ctx
         self.register = register
         self.view = view
         self.census = census
-        self.reported = reported
+        self.all_controllers_notified = all_controllers_notified
         self.planned = planned
         self.handover = handover
         self.lease_us = lease_us
         self.under_way_us = under_way_us
-        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: LEASE_SEEKERS)
         self.state = ShardState()
+        # when the state was seen first, or the role was gained
         self.since_us = 0
+        # why this daemon withdrew the last change; empty where it withdrew none
         self.reason = ""
+        # of the last change that this daemon brought in; None and 0 where it brought in none
         self.closing_us: int | None = None
         self.handover_us = 0
         view.changes.subscribe(self._changed)
@@ -102,193 +109,176 @@
             self.state = read_shard_state(data=found.value)
             self.since_us = self.ctx.now_us()
 
-    async def propose(self, *, wanted: ShardMap) -> Result[None, CinderstairError]:
-        """Puts a checked map to the proxies. versionOld, versionTaken: another stands, or is on its way."""
-        if self.handover is None:
-            why = "nothing here brings a database's data to another place"
-            return Error(CinderstairError(code=ErrorCode.ROUTE_DENIED, reason=why))
+    # -- operators --
 
-        def decide(data: bytes) -> Result[bytes, CinderstairError]:
-            state = read_shard_state(data=data)
-            if state.phase != ShardPhase.steady and state.following != wanted:
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.VERSION_TAKEN, reason=f"version {state.following.version} is on its way"
-                    )
-                )
-            if wanted.version <= state.current.version and wanted != state.current:
-                return Error(
-                    CinderstairError(code=ErrorCode.VERSION_OLD, reason=f"version {state.current.version} stands")
-                )
-            # why: the same map may be put again, by whoever had no clear answer the first time
-            if wanted in (state.current, state.following):
-                return Ok(data)
-            new = ShardState(
-                phase=ShardPhase.proposed,
-                current=state.current,
-                following=wanted,
-                turn=state.turn + 1,
-                under_way_us=self.under_way_us,
-            )
-            return Ok(new.bytes())
+    async def propose(self, *, wanted: ShardMap) -> Result[None, CinderstairError]:
+        """Proposes a map that has been checked.
 
-        result = await self.register.change(key=SHARDS_KEY, decide=decide)
-        self.view.take_own(key=SHARDS_KEY, result=result)
-        return Error(result.error) if result.is_error() else Ok(None)
+        :returns: routeDenied where nothing copies data, else the errors of `shard_transitions.proposed`.
+        """
+        if self.handover is None:
+            reason = "nothing here brings a database's data to another place"
+            return Error(CinderstairError(code=ErrorCode.ROUTE_DENIED, reason=reason))
+        return await self._transition(
+            decide=lambda state: proposed(state=state, wanted=wanted, under_way_us=self.under_way_us)
+        )
 
     async def abandon(self, *, version: int) -> Result[None, CinderstairError]:
-        """Gives a change up, proposed or closing, before anything was taken over. versionOld: there is none."""
+        """Gives a change up before the new map is in force; the errors are those of `shard_transitions.abandoned`."""
+        result = await self._transition(decide=lambda state: abandoned(state=state, version=version))
+        if result.is_ok():
+            self.ctx.counters.add(name="shards.abandoned")
+        return result
 
-        def decide(data: bytes) -> Result[bytes, CinderstairError]:
+    async def _transition(
+        self, *, decide: Callable[[ShardState], Result[ShardState, CinderstairError]]
+    ) -> Result[None, CinderstairError]:
+        def decide_bytes(data: bytes) -> Result[bytes, CinderstairError]:
             state = read_shard_state(data=data)
-            if state.phase == ShardPhase.steady:
-                # why: whoever had no clear answer the first time may ask again
-                if state.why == ABANDONED and state.current.version < version:
-                    return Ok(data)
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.VERSION_OLD, reason=f"map {state.current.version} stands, no other is coming"
-                    )
-                )
-            if state.following.version != version:
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.VERSION_TAKEN, reason=f"version {state.following.version} is on its way"
-                    )
-                )
-            new = replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, why=ABANDONED)
-            return Ok(new.bytes())
-
-        result = await self.register.change(key=SHARDS_KEY, decide=decide)
+            # A state that stays is written with the very bytes that were read.
+            return decide(state).map(lambda new: data if new is state else new.bytes())
+
+        result = await self.register.change(key=SHARDS_KEY, decide=decide_bytes)
         self.view.take_own(key=SHARDS_KEY, result=result)
-        if result.is_error():
-            return Error(result.error)
-        self.ctx.counters.add(name="shards.abandoned")
-        return Ok(None)
+        return Error(result.error) if result.is_error() else Ok(None)
 
     async def progress(self) -> ShardProgress:
-        """Where a change stands, and how those proxies vote that have a slot."""
+        """Where a change stands, and how the participants vote."""
         state = self.state
-        proxies, named = await self.census(), self._named()
-        votes = {vote: len(self._votes(proxies=proxies, vote=vote) & named) for vote in Vote}
-        heard = {name for name, seen in proxies.items() if self.ctx.now_us() - seen.at_us < SEEN_US}
-        return ShardProgress(state=state, named=len(named), unheard=len(named - heard), votes=votes)
+        proxies, participants = await self.census(), self._participants()
+        shard_votes = self._votes(proxies=proxies)
+        return ShardProgress(
+            state=state,
+            participants=len(participants),
+            silent=len(participants - set(shard_votes.seen)),
+            votes={vote: len(shard_votes.with_vote(vote=vote) & participants) for vote in Vote},
+        )
 
     async def forecast(self) -> ShardForecast:
+        """How long the next change will keep writes waiting."""
         progress = await self.progress()
-        outwait_us = self.lease_us + self.lease_us // 10 + GIVE_UP_US + self.under_way_us
+        expiry_us = self._expiry_us(under_way_us=self.under_way_us)
         return forecast(
-            proxies=progress.named,
-            silent=progress.unheard,
-            outwait_us=outwait_us,
-            goes_back_us=outwait_us + CLOSING_MOST_US,
+            proxies=progress.participants,
+            silent=progress.silent,
+            expiry_us=expiry_us,
+            withdrawn_us=expiry_us + HANDOVER_MOST_US,
             closing_us=self.closing_us,
             handover_us=self.handover_us,
         )
 
-    async def _put(self, *, old: ShardState, new: ShardState) -> bool:
-        """`old` is the word that the step was decided on, and not what may have come in since."""
+    # -- the role --
 
-        def decide(data: bytes) -> Result[bytes, CinderstairError]:
-            if read_shard_state(data=data) not in (old, new):
-                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="the shard map changed meanwhile"))
-            return Ok(new.bytes())
-
-        if not self.lease.held:
-            return False
-        result: Result[Found, CinderstairError] = await self.register.change(key=SHARDS_KEY, decide=decide)
-        self.view.take_own(key=SHARDS_KEY, result=result)
-        if result.is_ok():
-            self.ctx.log.info(
-                "shards: %s, map %d, next %d", new.phase.name, new.current.version, new.following.version
-            )
-        return result.is_ok()
+    def on_role_gained(self) -> None:
+        # What went by before is not known to this holder, so it waits anew.
+        self.since_us = self.ctx.now_us()
 
     async def _on_timer(self) -> None:
-        # why: with one map and no other there is nothing to do, and nobody need hold the duty
+        # While one map is in force and no other proposed there is nothing to do, and nobody need hold the lease.
         if self.state.phase == ShardPhase.steady:
             if self.lease.held:
                 await self.lease.drop()
             return
-        if self.lease.due:
-            held = self.lease.held
-            if await self.lease.seek() and not held:
-                # why: what went by before this holder began is not known to it
-                self.since_us = self.ctx.now_us()
-        if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
+        await self.renew_role()
+        if not self.may_act:
             return
         state = self.state
         proxies = await self.census()
-        # why: whatever is awaited, another holder's step may come in, and a step rests on one word alone
+        # A step rests on one state alone, and another holder's step may have come in meanwhile.
         if state != self.state:
             return
         if state.phase == ShardPhase.proposed:
-            await self._count(state=state, proxies=proxies)
+            await self._count_agreement(state=state, proxies=proxies)
         elif state.phase == ShardPhase.closing:
-            await self._move(state=state, proxies=proxies)
+            await self._put_in_force(state=state, proxies=proxies)
+
+    async def _compare_and_set(self, *, old: ShardState, new: ShardState) -> bool:
+        """Replaces the state that a step was decided on, while the lease is held; whether that is written."""
+        if not self.lease.held:
+            return False
+        result = await compare_and_set(
+            register=self.register,
+            view=self.view,
+            key=SHARDS_KEY,
+            unchanged=lambda current: read_shard_state(data=current) in (old, new),
+            new=new.bytes(),
+            conflict="the shard map changed meanwhile",
+        )
+        if result.is_ok():
+            self.ctx.log.info(
+                "the shard map's change is %s: map %d is in force, map %d is to follow (0: none)",
+                new.phase.name,
+                new.current.version,
+                new.following.version,
+            )
+        return result.is_ok()
+
+    # -- votes --
 
     @property
-    def outwait_us(self) -> int:
-        """After so long nothing that left under the older word takes effect any more, whoever sent it."""
-        return self.lease_us + self.lease_us // 10 + GIVE_UP_US + self.state.under_way_us
-
-    def _votes(self, *, proxies: dict[str, Ballots], vote: Vote) -> set[str]:
-        """The proxies that were seen lately and say this of the next map."""
-        now_us, turn = self.ctx.now_us(), self.state.turn
-        return {
-            name
-            for name, seen in proxies.items()
-            if now_us - seen.at_us < SEEN_US and seen.turn == turn and seen.vote == vote
-        }
-
-    def _named(self) -> set[str]:
+    def expiry_us(self) -> int:
+        """After so long nothing that was sent under an older state takes effect any more, whoever sent it."""
+        return self._expiry_us(under_way_us=self.state.under_way_us)
+
+    def _expiry_us(self, *, under_way_us: int) -> int:
+        # the view's lease, clock drift of 10 %, the proxy's giving up, and what is still under way to a backend
+        return self.lease_us + self.lease_us // 10 + GIVE_UP_US + under_way_us
+
+    def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
+        return ShardVotes(proxies=proxies, turn=self.state.turn, now_us=self.ctx.now_us())
+
+    def _participants(self) -> set[str]:
+        """The names of the proxies that have an id."""
         found = self.view.known.get(PROXY_IDS_KEY)
         return {name for _, name in read_proxy_ids(data=b"" if found is None else found.value).names}
 
-    async def _back(self, *, state: ShardState, why: str) -> None:
-        self.reason = why
-        self.ctx.log.warning("shards: map %d is withdrawn: %s", state.following.version, why)
-        self.ctx.counters.add(name="shards.withdrawn")
-        new = ShardState(current=state.current, turn=state.turn, under_way_us=state.under_way_us, why=why)
-        await self._put(old=state, new=new)
-
-    async def _count(self, *, state: ShardState, proxies: dict[str, Ballots]) -> None:
-        """From proposed to closing, once enough of all proxies that have a slot agree."""
-        named = self._named()
-        agree = self._votes(proxies=proxies, vote=Vote.agrees) & named
-        if named and 100 * len(agree) >= state.following.agree_percent * len(named):
-            # why: a proxy that has not heard of it by then has lost its right to end what it had begun
-            if self.ctx.now_us() - self.since_us >= UNTOLD_US:
-                await self._put(old=state, new=replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_US))
-        elif self.ctx.now_us() - self.since_us > PROPOSED_MOST_US:
-            await self._back(state=state, why=f"{len(agree)} of {len(named)} proxies agree")
-
-    async def _move(self, *, state: ShardState, proxies: dict[str, Ballots]) -> None:
+    # -- steps --
+
+    async def _count_agreement(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
+        """From proposed to closing, once enough participants agree."""
+        participants = self._participants()
+        agreeing = self._votes(proxies=proxies).with_vote(vote=Vote.agrees) & participants
+        waited_us = self.ctx.now_us() - self.since_us
+        if participants and 100 * len(agreeing) >= state.following.agree_percent * len(participants):
+            # A proxy that has not been notified by then may no longer commit what it had begun.
+            if waited_us >= UNNOTIFIED_GRACE_US:
+                closing = replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_CLOSING_US)
+                await self._compare_and_set(old=state, new=closing)
+        elif waited_us > PROPOSED_MOST_US:
+            await self._withdraw(state=state, reason=f"{len(agreeing)} of {len(participants)} proxies agree")
+
+    async def _put_in_force(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
         """From closing to steady under the new map, once nobody writes at the old places any more."""
         began_us = self.since_us
         waited_us = self.ctx.now_us() - began_us
-        closed = self._votes(proxies=proxies, vote=Vote.closed)
-        # why: a proxy that says that it has closed writes there no more; one that says nothing, named or not, has
-        # lost its right to by then, since its view of the register has run out
-        unheard = {name for name, seen in proxies.items() if self.ctx.now_us() - seen.at_us < SEEN_US} - closed
-        # why: a controller that does not know of the closing yet may let a proxy begin that nobody else has seen
-        all_closed = self.reported(state) and not unheard and self._named() <= closed
-        if not all_closed and waited_us < self.outwait_us:
+        if not self._all_closed(state=state, proxies=proxies) and waited_us < self.expiry_us:
             return
         requested_us = self.ctx.now_us()
-        complete = await self._complete(state=state)
+        complete = await self._handover_complete(state=state)
         self.handover_us = self.ctx.now_us() - requested_us
         if complete:
             new = ShardState(current=state.following, turn=state.turn, under_way_us=state.under_way_us)
-            if await self._put(old=state, new=new):
+            if await self._compare_and_set(old=state, new=new):
                 self.closing_us = self.ctx.now_us() - began_us
                 self.ctx.counters.add(name="shards.moved")
                 self.ctx.counters.gauge(name="shards.closing_us", value=self.closing_us)
-        elif waited_us > self.outwait_us + CLOSING_MOST_US:
-            await self._back(state=state, why="the new place does not hold everything")
+        elif waited_us > self.expiry_us + HANDOVER_MOST_US:
+            await self._withdraw(state=state, reason="the new place does not hold everything")
 
-    async def _complete(self, *, state: ShardState) -> bool:
-        assert self.handover is not None
+    def _all_closed(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> bool:
+        """Whether every proxy has acknowledged that it writes at the old places no more.
+
+        A proxy that is silent, participant or not, has lost its right to write when its view has expired.
+        """
+        votes = self._votes(proxies=proxies)
+        closed = votes.with_vote(vote=Vote.closed)
+        open_proxies = set(votes.seen) - closed
+        return self.all_controllers_notified(state) and not open_proxies and self._participants() <= closed
+
+    async def _handover_complete(self, *, state: ShardState) -> bool:
+        """Whether every database that moves has all its data at its new service."""
+        if self.handover is None:
+            raise RuntimeError("a shard map is closing, and this daemon has no handover to ask")
         old, new = state.current, state.following
         for database in sorted(set(old.places) | set(new.places)):
             if not state.moving(database=database):
@@ -299,3 +289,16 @@
             if source != target and not await self.handover.complete(database=database, source=source, target=target):
                 return False
         return True
+
+    async def _withdraw(self, *, state: ShardState, reason: str) -> None:
+        """Back to steady under the old map."""
+        self.reason = reason
+        self.ctx.log.warning(
+            "the change to shard map %d is withdrawn, since %s; map %d stays in force",
+            state.following.version,
+            reason,
+            state.current.version,
+        )
+        self.ctx.counters.add(name="shards.withdrawn")
+        steady = ShardState(current=state.current, turn=state.turn, under_way_us=state.under_way_us, why=reason)
+        await self._compare_and_set(old=state, new=steady)
--- a/src/cinderstair/failover/shard_progress.py
+++ b/src/cinderstair/failover/shard_progress.py
@@ -7,20 +7,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardProgress:
-    """`named` proxies have a slot, `unheard` of them were not heard lately; `votes` are of the others."""
+    """A snapshot for operators.
+
+    :param participants: how many proxies have an id, and so a vote.
+    :param silent: how many of the participants were not heard lately.
+    :param votes: how many participants cast each vote on the present proposal.
+    """
 
     state: ShardState
-    named: int
-    unheard: int
+    participants: int
+    silent: int
     votes: dict[Vote, int] = field(default_factory=dict)
 
-    def words(self) -> str:
+    def summary(self) -> str:
+        """The progress as operators read it."""
         state = self.state
         if state.phase == ShardPhase.steady:
-            why = f"; the last one was withdrawn: {state.why}" if state.why else ""
-            return f"steady: map {state.current.version}{why}"
-        said = ", ".join(f"{self.votes.get(vote, 0)} {vote.name}" for vote in Vote if vote != Vote.silent)
+            withdrawn = f"; the last one was withdrawn: {state.why}" if state.why else ""
+            return f"steady: map {state.current.version}{withdrawn}"
+        votes = ", ".join(f"{self.votes.get(vote, 0)} {vote.name}" for vote in Vote if vote != Vote.silent)
         return (
             f"{state.phase.name}: map {state.following.version} after {state.current.version}; "
-            f"of {self.named} proxies {said}, {self.unheard} unheard"
+            f"of {self.participants} proxies {votes}, {self.silent} unheard"
         )
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -1,4 +1,4 @@
-"""The register's word on the shard map: the one in force, and the one that is to follow it."""
+"""The register's state of the shard map: the map in force, and the one that is to follow it."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -8,15 +8,22 @@
 from ..runtime.unpacker import Unpacker
 
 SHARDS_KEY = "shards"
-# why: a proxy that has heard nothing lately ends what may end within this time, so a proposal stands at least as long
-UNTOLD_US = 2_000_000
-# why: a proxy that must stop gives up by then what is not answered, so whoever waits for it adds this
+# A proxy that is out of touch may still commit what it has begun within this time, in microseconds; so a proposal
+# stands for at least as long before its databases close.
+UNNOTIFIED_GRACE_US = 2_000_000
+# A proxy that must stop gives up what is not answered within this time, in microseconds; whoever waits for a proxy
+# adds it.
 GIVE_UP_US = 500_000
+# The usual value of `ShardState.under_way_us`.
 UNDER_WAY_US = 3_000_000
 
 
 class ShardPhase(IntEnum):
-    """steady: one map. proposed: a next one is put to the proxies. closing: its databases take no writes anywhere."""
+    """The phases of a change. The names appear in operators' texts.
+
+    steady: one map is in force. proposed: a next one is put to the proxies' vote. closing: the databases that move
+    take no writes anywhere.
+    """
 
     steady = 0
     proposed = 1
@@ -24,7 +31,7 @@
 
 
 class Vote(IntEnum):
-    """What a proxy says of the next map."""
+    """What a proxy says of the next map. The names appear in operators' texts."""
 
     silent = 0
     agrees = 1
@@ -34,10 +41,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardState:
-    """`turn` counts the proposals, and votes are about one of them: a map that was given up may be put again.
-
-    `under_way_us`: for how long what has left may still take effect after its link was lost; in the word, so that
-    all reckon with the same. `why` is what became of the last proposal, where it was withdrawn.
+    """The value of the register's key for shard maps.
+
+    :param current: the map in force; the empty one where none was ever put in force.
+    :param following: the map that is to follow; the empty one while steady.
+    :param ready_in_us: an estimate of how long the closing phase takes, for clients; 0 in other phases.
+    :param turn: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
+    :param under_way_us: for how long a write that has left may still take effect after its connection was lost. It is
+        part of the state, so that all reckon with the same figure.
+    :param why: what became of the last proposal, where it was withdrawn; else empty.
     """
 
     phase: ShardPhase = ShardPhase.steady
@@ -49,12 +61,13 @@
     why: str = ""
 
     def moving(self, *, database: str) -> bool:
-        """Whether a database's place differs between the two maps. One that neither names stays where it is."""
+        """Whether the two maps place a database at different services. One that neither has stays where it is."""
         if self.phase == ShardPhase.steady:
             return False
         return self.current.places.get(database) != self.following.places.get(database)
 
     def bytes(self) -> bytes:
+        """The state as it is kept in the register."""
         packer = Packer().u8(value=self.phase)
         self.current.write(packer=packer)
         self.following.write(packer=packer)
@@ -63,7 +76,7 @@
 
 
 def read_shard_state(*, data: bytes) -> ShardState:
-    """Raises ValueError where the bytes are none; no bytes at all are the empty map."""
+    """Reads what `ShardState.bytes` wrote; no bytes at all are the empty map. Raises ValueError on other bytes."""
     if not data:
         return ShardState()
     unpacker = Unpacker(data=data)
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -4,7 +4,7 @@
 
 from ..config.service_plan import DatabaseRoute
 from ..failover.service_primary import PrimaryState
-from ..failover.shard_state import GIVE_UP_US, SHARDS_KEY, UNTOLD_US, ShardPhase, ShardState, Vote
+from ..failover.shard_state import GIVE_UP_US, SHARDS_KEY, UNNOTIFIED_GRACE_US, ShardPhase, ShardState, Vote
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 from .in_flight_writes import InFlightWrites
@@ -131,7 +131,7 @@
             return False
         if word.phase == ShardPhase.steady:
             # why: whoever is out of touch may have missed a proposal, which stands for as long before anything closes
-            return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNTOLD_US
+            return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNNOTIFIED_GRACE_US
         # why: with a change on its way, whoever is out of touch may have missed that it has come
         closing = word.phase == ShardPhase.closing and word.moving(database=database)
         return self.view.current and not (closing and self.ctx.now_us() - self.heard_us >= DRAIN_US)
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -27,11 +27,11 @@
     """The map changes while proxies still write at the old place: nothing is closed, nobody is outwaited."""
 
     async def move(self: Any, *, state: Any, proxies: Any) -> None:
-        if await self._complete(state=state):
-            await self._put(old=state, new=type(state)(current=state.following, turn=state.turn))
+        if await self._handover_complete(state=state):
+            await self._compare_and_set(old=state, new=type(state)(current=state.following, turn=state.turn))
 
     return [
-        patch.object(ShardMapCoordinator, "_move", move),
+        patch.object(ShardMapCoordinator, "_put_in_force", move),
         patch.object(Shards, "fault", lambda self, *, database: None),
         patch.object(Shards, "may_end", lambda self, *, database, since_us: True),
     ]
@@ -42,7 +42,7 @@
     return [
         patch.object(InFlightWrites, "may_land", lambda self, *, database, within_us: False),
         patch.object(InFlightWrites, "give_up", lambda self, *, databases, owed_us: None),
-        patch.object(ShardMapCoordinator, "outwait_us", property(lambda self: 2_600_000)),
+        patch.object(ShardMapCoordinator, "expiry_us", property(lambda self: 2_600_000)),
     ]
 
 
