--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -27,7 +27,7 @@
 from cinderstair.consensus.roster import Roster, Voter
 from cinderstair.consensus.store import LOGS, SLOTS, Held, Store, ident_entry
 from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
-from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyId, ProxyIds
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.failover.shard_state import SHARDS_KEY, ShardPhase, ShardState
 from cinderstair.runtime.errors import CinderstairError
@@ -108,7 +108,7 @@
         ROSTER_KEY: roster(epoch=1).bytes(),
         PLAN_KEY: plan(version=1).bytes(),
         service_primary_key(service="alpha"): lead.bytes(),
-        PROXY_IDS_KEY: ProxyIds(names=((0, "pooler-1"),)).bytes(),
+        PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"),)).bytes(),
     }
 
 
@@ -137,7 +137,7 @@
     )
     return {
         service_primary_key(service="alpha"): lead.bytes(),
-        PROXY_IDS_KEY: ProxyIds(names=((0, "pooler-1"), (1, "pooler-2"))).bytes(),
+        PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(1, "pooler-2"))).bytes(),
         PROXY_ADDRESSES_KEY: ProxyAddresses(places=places).bytes(),
         SHARDS_KEY: shards.bytes(),
     }
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -19,7 +19,7 @@
 from cinderstair.consensus.store import Held, apply_entry, cell_entry, ident_entry, roster_entry
 from cinderstair.failover.database_primary import CLOSING, MOVING, SETTLED, DatabasePrimary, read_database_primary
 from cinderstair.failover.proxy_addresses import ProxyAddress, ProxyAddresses, read_proxy_addresses
-from cinderstair.failover.proxy_ids import ProxyIds, read_proxy_ids
+from cinderstair.failover.proxy_ids import ProxyId, ProxyIds, read_proxy_ids
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, read_service_primary
 from cinderstair.failover.shard_state import ShardPhase, ShardState, Vote, read_shard_state
 from cinderstair.http_frontend.session import Session, read_session
@@ -346,7 +346,7 @@
 
 def register_examples() -> dict[str, Example]:
     """Every typed value that is kept in the register."""
-    proxy_ids = ProxyIds(names=((0, "pooler-1"), (2, "pooler-3")))
+    proxy_ids = ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(2, "pooler-3")))
     places = ProxyAddresses(
         places={"pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"), "pooler-2": ProxyAddress(site="far")}
     )
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -18,7 +18,7 @@
 )
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.failover.proxy_addresses import ProxyAddress, ProxyAddresses, read_proxy_addresses
-from cinderstair.failover.proxy_ids import ProxyIds, read_proxy_ids
+from cinderstair.failover.proxy_ids import ProxyId, ProxyIds, read_proxy_ids
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, read_service_primary
 from cinderstair.membership.announcement import GONE, STATES, Announcement, read_announcement
 from cinderstair.membership.pooled_sample import PooledSample, ReportedSample, WantedSample
@@ -152,7 +152,7 @@
 
 
 def proxy_ids(rng: random.Random) -> ProxyIds:
-    return ProxyIds(names=tuple((n, text(rng)) for n in range(rng.randrange(5))))
+    return ProxyIds(names=tuple(ProxyId(n, text(rng)) for n in range(rng.randrange(5))))
 
 
 def places(rng: random.Random) -> ProxyAddresses:
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -22,7 +22,7 @@
 from cinderstair.config.service_plan import Consistency
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
-from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyId, ProxyIds
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.membership.announcement import GONE
 from cinderstair.membership.heartbeat import EMPTYING, READY
@@ -458,7 +458,7 @@
                 context.reported.tell(
                     values={
                         PROXY_ADDRESSES_KEY: places_of(names=names),
-                        PROXY_IDS_KEY: ProxyIds(names=tuple(enumerate(names))).bytes(),
+                        PROXY_IDS_KEY: ProxyIds(names=tuple(ProxyId(*each) for each in enumerate(names))).bytes(),
                     }
                 )
                 return
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -11,7 +11,7 @@
 
 from cinderstair.config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
 from cinderstair.consensus.ballot import Ballot
-from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyId, ProxyIds
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from cinderstair.membership.announcement import Announcement
 from cinderstair.membership.heartbeat import READY
@@ -439,4 +439,4 @@
         self.tell(values={PLAN_KEY: plan.bytes()})
 
     def proxy_ids(self, *, names: tuple[str, ...]) -> None:
-        self.tell(values={PROXY_IDS_KEY: ProxyIds(names=tuple(enumerate(names))).bytes()})
+        self.tell(values={PROXY_IDS_KEY: ProxyIds(names=tuple(ProxyId(*each) for each in enumerate(names))).bytes()})
--- a/src/cinderstair/failover/__init__.py
+++ b/src/cinderstair/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Leads of databases and services, promotions and their fencing, ids of daemons, changes of the shard map."""
+"""Who is primary of each database and service: promotions, fencing, proxy ids, and changes of the shard map."""
--- a/src/cinderstair/failover/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -1,4 +1,4 @@
-"""What the holder of a duty may ask of backends and of whoever promotes them."""
+"""What failover may ask of backends, and of the platform that promotes them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendState:
-    """`term_held` is the highest term that the backend has promised to take nothing below."""
+    """A backend's own account of itself.
+
+    :param leads: whether it is a primary.
+    :param term: the term in which it leads, or whose primary it follows.
+    :param received: the end of its log.
+    :param term_held: the highest term for which it was paused: it receives nothing of any lower one. 0 for none.
+    """
 
     leads: bool
     term: int
@@ -22,34 +28,44 @@
 
 
 class BackendControl(Protocol):
-    """Errors: wireUnsent where the backend can't be reached at all, wireUnsure where it is reached and silent.
+    """The requests to one backend. Each returns its state after the request was carried out or refused.
 
-    A fault's detail `ended` is 1 where the backend is surely not there: its port refuses, or another answers there.
+    Errors: wireUnsent where the backend can't be reached at all, wireUnsure where it is reached and gives no answer
+    within `wait_us` microseconds. An error's detail `ended` is 1 where the backend surely does not run: its port
+    refuses connections, or another backend answers there.
     """
 
-    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]: ...
+    async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
+        """Changes nothing."""
+        ...
 
     async def pause(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        """Keeps a copy from receiving anything below this term."""
+        """Keeps a replica from receiving anything of a lower term than this, until it is resumed or promoted."""
         ...
 
-    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]: ...
+    async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
+        """Has a paused replica receive again; safe to repeat."""
+        ...
 
     async def step_down(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        """Turns a primary of a lower term into a copy."""
+        """Turns a primary of a lower term than this into a replica."""
         ...
 
 
 class Promoter(Protocol):
+    """The platform, which has backends become primaries."""
+
     async def promote(
         self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
     ) -> Result[None, CinderstairError]:
-        """Has the backend lead. noBackend: it is not running; any other error may be tried again.
+        """Has a backend become the primary of its service.
 
-        `holds` is asked right before the call leaves: a holder that stood still meanwhile must not send it.
+        :param fence_number: the platform refuses a lower number than it has seen, and so calls of earlier holders.
+        :param holds: asked right before the call leaves: a holder that stood still meanwhile must not send it.
+        :returns: noBackend where the backend does not run; after any other error the call may be repeated.
         """
         ...
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -2,7 +2,7 @@
 
 from ...config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
 from ...consensus.ballot import Ballot
-from ...failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
+from ...failover.proxy_ids import PROXY_IDS_KEY, ProxyId, ProxyIds
 from ...failover.service_primary import PrimaryState, ServicePrimary, service_primary_key
 from ...membership.announcement import Announcement
 from ...membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
@@ -33,7 +33,7 @@
 
 
 def slots_of(*, proxies: int) -> ProxyIds:
-    return ProxyIds(names=tuple((number, proxy_name(number=number)) for number in range(proxies)))
+    return ProxyIds(names=tuple(ProxyId(number, proxy_name(number=number)) for number in range(proxies)))
 
 
 def lead_of(*, database: int, term: int = 1) -> ServicePrimary:
