--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a register, a service of backends, and what stands around a controller."""
+"""Stand-ins for a register, a service of backends, and the surroundings of a controller."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 HEARTBEAT_US = 1_000_000
 QUIET_US = 3_000_000
-OUTWAIT_US = LEASE_US + LEASE_US // 10
+VIEW_EXPIRY_US = LEASE_US + LEASE_US // 10
 PROMOTED_US = 300_000
 COMMIT_US = 5_000
 ROSTER = Roster(epoch=1, voters=(Voter(ident=1, name="vault-1", address="10.0.0.1:1"),))
@@ -107,8 +107,8 @@
         return []
 
 
-class Simulated:
-    """A backend of a service: what it is, and what it does when it is told."""
+class SimulatedBackend:
+    """A backend of a service: its state, and how it answers to requests."""
 
     def __init__(self, *, name: str, leads: bool, at: Position) -> None:
         self.name = name
@@ -132,33 +132,35 @@
 
 
 class Cluster:
-    """A service's backends, and the platform that promotes. A commit is acknowledged once a copy has it."""
+    """A service's backends, and the platform that promotes. A commit is acknowledged once enough replicas have it."""
 
     def __init__(self, *, stage: Stage, names: tuple[str, ...], at: Position, confirmations: int) -> None:
         self.stage = stage
-        self.backends = {name: Simulated(name=name, leads=name == names[0], at=at) for name in names}
+        self.backends = {name: SimulatedBackend(name=name, leads=name == names[0], at=at) for name in names}
         self.confirmations = confirmations
         self.acknowledged = at
         self.lost: list[str] = []
         self.calls: list[tuple[int, str, int]] = []
         self.refuses: set[str] = set()
         self.writing = False
-        self.hears: list[Callable[[Announcement], None]] = []
+        self.heartbeat_listeners: list[Callable[[Announcement], None]] = []
         stage.call(call=lambda: stage.ctx.spawn(work=self._heartbeat()))
         stage.call(call=lambda: stage.ctx.spawn(work=self._commit()))
 
     async def _heartbeat(self) -> None:
         while True:
             for each in self.backends.values():
-                self.say(backend=each)
+                self.send_heartbeat(backend=each)
             await asyncio.sleep(HEARTBEAT_US / 1_000_000)
 
-    def say(self, *, backend: Simulated) -> None:
+    def send_heartbeat(self, *, backend: SimulatedBackend) -> None:
         if backend.up and backend.heartbeats:
             backend.number += 1
-            word = announcement(name=backend.name, state=backend.standing, leads=backend.leads, number=backend.number)
-            for receive in self.hears:
-                receive(word)
+            heartbeat = announcement(
+                name=backend.name, state=backend.standing, leads=backend.leads, number=backend.number
+            )
+            for receive in self.heartbeat_listeners:
+                receive(heartbeat)
 
     async def _commit(self) -> None:
         while True:
@@ -182,10 +184,10 @@
                 if len(took) >= self.confirmations:
                     self.acknowledged = max(self.acknowledged, made)
 
-    def _state(self, backend: Simulated) -> Result[BackendState, CinderstairError]:
+    def _state(self, backend: SimulatedBackend) -> Result[BackendState, CinderstairError]:
         return Ok(BackendState(leads=backend.leads, term=backend.term, received=backend.at, term_held=backend.held))
 
-    async def _reported(self, *, name: str, text: str, wait_us: int) -> Simulated | CinderstairError:
+    async def _reported(self, *, name: str, text: str, wait_us: int) -> SimulatedBackend | CinderstairError:
         backend = self.backends[name]
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
@@ -232,7 +234,7 @@
             for replica in [each for each in self.backends.values() if each.follows_us]:
                 self.stage.loop.call_later(replica.follows_us / 1_000_000, setattr, replica, "at", found.at)
             found.leads, found.stepped_us = False, self.stage.now_us
-            self.say(backend=found)
+            self.send_heartbeat(backend=found)
         return self._state(found)
 
     async def promote(
@@ -247,7 +249,7 @@
             self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._lead, found)
         return Ok(None)
 
-    def _lead(self, backend: Simulated) -> None:
+    def _lead(self, backend: SimulatedBackend) -> None:
         if not backend.up or backend.leads:
             return
         if backend.at < self.acknowledged:
@@ -256,14 +258,14 @@
         backend.term = max(each.term for each in self.backends.values()) + 1
         backend.at = Position(backend.term, backend.at.number)
         for other in self.backends.values():
-            # why: copies that were ahead are cut back to what the new primary has
+            # Replicas that were ahead are cut back to what the new primary has.
             if other is not backend and not other.leads:
                 other.at = min(other.at, Position(backend.at.term, backend.at.number))
-        self.say(backend=backend)
+        self.send_heartbeat(backend=backend)
 
 
 class ControllerStage:
-    """What stands around the duties of one controller."""
+    """The register, view and heartbeats that one controller's singleton roles rest on."""
 
     def __init__(self, *, context: Any, name: str, number: int) -> None:
         stage, self.ctx = context.stage, context.stage.context(name=name, seed=number)
@@ -299,7 +301,7 @@
             )
 
         self.stage.call(call=work)
-        cluster.hears.append(lambda word: self.heartbeat_table.receive(heartbeat=word))
+        cluster.heartbeat_listeners.append(lambda heartbeat: self.heartbeat_table.receive(heartbeat=heartbeat))
 
     def kill(self) -> None:
         """The process ends: nothing of it runs on."""
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -1,11 +1,11 @@
-"""Steps for the duty of promotions."""
+"""Steps for the failover of a service."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any
 
 from behave import given, then, when
-from cluster_stage import OUTWAIT_US, Cluster, new_controller, new_stage, put
+from cluster_stage import VIEW_EXPIRY_US, Cluster, new_controller, new_stage, put
 from expression import Error
 from stage import plan
 
@@ -23,7 +23,7 @@
 from cinderstair.runtime.position import Position
 
 
-@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{replicas}" are copies')
+@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{replicas}" are replicas')
 def given_service(context: Any, confirmations: int, primary: str, replicas: str) -> None:
     new_stage(context=context)
     names = (primary, *replicas.split(", "))
@@ -32,18 +32,18 @@
     new_controller(context=context).add_duty(cluster=context.cluster)
 
 
-@given("the duty is held and the lead settled")
-@when("the duty is held and the lead settled")
-def given_settled(context: Any) -> None:
-    wait_for(context=context, test=lambda: lead_of(context=context) is not None, within_us=5_000_000)
-    lead = lead_of(context=context)
-    assert lead is not None and lead.state == PrimaryState.settled
+@given("the failover lease is held and the assignment settled")
+@when("the failover lease is held and the assignment settled")
+def given_settled_assignment(context: Any) -> None:
+    wait_for(context=context, test=lambda: assignment_of(context=context) is not None, within_us=5_000_000)
+    assignment = assignment_of(context=context)
+    assert assignment is not None and assignment.state == PrimaryState.settled
     context.stage.advance(for_us=2_500_000)
     context.cluster.writing = True
     context.stage.advance(for_us=100_000)
 
 
-def lead_of(*, context: Any) -> ServicePrimary | None:
+def assignment_of(*, context: Any) -> ServicePrimary | None:
     found = context.store.values.get(service_primary_key(service="s"))
     return None if found is None else read_service_primary(data=found.value)
 
@@ -57,8 +57,10 @@
 
 
 def states_written(*, context: Any) -> list[str]:
-    leads = [read_service_primary(data=value) for _, key, value in context.store.writes if key.startswith("service/")]
-    return [f"{lead.state.name} {lead.primary} {lead.term}" for lead in leads]
+    assignments = [
+        read_service_primary(data=value) for _, key, value in context.store.writes if key.startswith("service/")
+    ]
+    return [f"{each.state.name} {each.primary} {each.term}" for each in assignments]
 
 
 @when('"{name}" crashes')
@@ -72,18 +74,18 @@
 def when_back(context: Any, name: str) -> None:
     backend = context.cluster.backends[name]
     backend.up = True
-    context.cluster.say(backend=backend)
+    context.cluster.send_heartbeat(backend=backend)
 
 
-@when('"{name}" announces that it empties')
-def when_empties(context: Any, name: str) -> None:
+@when('"{name}" announces that it is emptying')
+def when_emptying(context: Any, name: str) -> None:
     backend = context.cluster.backends[name]
     backend.standing = EMPTYING
-    context.stage.call(call=lambda: context.cluster.say(backend=backend))
+    context.stage.call(call=lambda: context.cluster.send_heartbeat(backend=backend))
     context.began_us = context.stage.now_us
 
 
-@when("the other one takes the duty, and reads nothing any more")
+@when("the other one takes the failover lease, and reads nothing any more")
 def when_reads_nothing(context: Any) -> None:
     first, second = context.controller_stages
 
@@ -99,7 +101,7 @@
     context.stage.advance(for_us=50_000)
 
 
-@then("it holds the duty, takes what it knows for current, and writes nothing")
+@then("it holds the failover lease, takes what it knows for current, and writes nothing")
 def then_writes_nothing(context: Any) -> None:
     second = context.controller_stages[1]
     assert second.duty.lease.held and second.view.current
@@ -112,7 +114,7 @@
     context.stage.advance(for_us=1_500_000)
 
 
-@then("it takes a number for its fence, and confirms the lead")
+@then("it takes a fence number, and confirms the assignment")
 def then_confirms(context: Any) -> None:
     keys = [key for _, key, _ in context.store.writes[context.written :]]
     assert keys[:2] == ["promotion.fence", "service/s"], keys
@@ -122,7 +124,7 @@
 def when_says_deregistration(context: Any, name: str, ends: str) -> None:
     backend = context.cluster.backends[name]
     backend.standing = GONE
-    context.stage.call(call=lambda: context.cluster.say(backend=backend))
+    context.stage.call(call=lambda: context.cluster.send_heartbeat(backend=backend))
     backend.heartbeats = False
     backend.up = ends != "ends"
 
@@ -157,10 +159,10 @@
 @given('"{name}" is {reach} to the controllers')
 @when('"{name}" is {reach} to the controllers')
 def given_reach(context: Any, name: str, reach: str) -> None:
-    context.cluster.backends[name].reach = {"dark": "no", "silent": "silent", "reachable": "yes"}[reach]
+    context.cluster.backends[name].reach = {"unreachable": "no", "silent": "silent", "reachable": "yes"}[reach]
 
 
-@when('"{name}" beats no more')
+@when('"{name}" sends no more heartbeats')
 def when_heartbeats_no_more(context: Any, name: str) -> None:
     context.cluster.backends[name].heartbeats = False
 
@@ -193,7 +195,7 @@
 
 
 @given("of {requested:d} other controllers {reached:d} reach it")
-def given_opinions(context: Any, requested: int, reached: int) -> None:
+def given_votes(context: Any, requested: int, reached: int) -> None:
     for controller in context.controller_stages:
         controller.votes = ReachabilityVotes(reachable=reached, answered=requested)
 
@@ -203,19 +205,19 @@
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@then('"{name}" leads and the lead is settled within {most_ms:d} ms')
+@then('"{name}" leads and the assignment is settled within {most_ms:d} ms')
 def then_settled_on(context: Any, name: str, most_ms: int) -> None:
     def settled() -> bool:
-        lead = lead_of(context=context)
-        return lead is not None and lead.primary == name and lead.state == PrimaryState.settled
+        assignment = assignment_of(context=context)
+        return assignment is not None and assignment.primary == name and assignment.state == PrimaryState.settled
 
     wait_for(context=context, test=settled, within_us=most_ms * 1_000)
     assert context.cluster.backends[name].leads
     context.stage.advance(for_us=1_200_000)
 
 
-@then('the lead went "{words}"')
-def then_lead_went(context: Any, words: str) -> None:
+@then('the assignment went "{words}"')
+def then_assignment_went(context: Any, words: str) -> None:
     found = ", ".join(states_written(context=context))
     assert found == words, found
 
@@ -238,21 +240,24 @@
     assert context.cluster.acknowledged > before
 
 
-@then("nobody but one leads, and no copy is paused")
+@then("nobody but one leads, and no replica is paused")
 def then_one_leads(context: Any) -> None:
     up = [each for each in context.cluster.backends.values() if each.up]
     assert sum(each.leads for each in up) == 1, [(each.name, each.leads) for each in up]
     assert not any(each.paused for each in up), [each.name for each in up if each.paused]
 
 
-@then("between the first word that it does not serve and the word that another does all older views ran out")
-def then_outwaited(context: Any) -> None:
-    leads = [(at_us, read_service_primary(data=value)) for at_us, key, value in context.store.writes if "/" in key]
-    stopped_us = next(at_us for at_us, lead in leads if lead.state != PrimaryState.settled)
-    assert leads[-1][1].state == PrimaryState.settled and leads[-1][0] - stopped_us >= OUTWAIT_US, leads
+@then("between the end of the old assignment and the next settled one all older views have expired")
+def then_older_views_expired(context: Any) -> None:
+    assignments = [
+        (at_us, read_service_primary(data=value)) for at_us, key, value in context.store.writes if "/" in key
+    ]
+    stopped_us = next(at_us for at_us, assignment in assignments if assignment.state != PrimaryState.settled)
+    assert assignments[-1][1].state == PrimaryState.settled, assignments
+    assert assignments[-1][0] - stopped_us >= VIEW_EXPIRY_US, assignments
 
 
-@then('"{name}" stepped down at least {least_ms:d} ms after the word that it closes')
+@then('"{name}" stepped down at least {least_ms:d} ms after the assignment was closing')
 def then_closed_first(context: Any, name: str, least_ms: int) -> None:
     closing_us = next(
         at_us
@@ -263,13 +268,13 @@
     assert stepped_us - closing_us >= least_ms * 1_000, (stepped_us, closing_us)
 
 
-@when("the copies are paused")
+@when("the replicas are paused")
 def when_paused(context: Any) -> None:
     replicas = [each for each in context.cluster.backends.values() if not each.leads]
     wait_for(context=context, test=lambda: any(each.paused for each in replicas), within_us=10_000_000)
 
 
-@then("each copy that was paused was resumed, and only after a write that confirms the lead")
+@then("each replica that was paused was resumed, and only after a write that confirms the assignment")
 def then_resumed(context: Any) -> None:
     writes = states_written(context=context)
     assert len(writes) >= 2 and writes[-1].split()[1:] == writes[0].split()[1:], writes
@@ -284,81 +289,81 @@
     assert found == words, found
 
 
-@then('the lead is {state} on "{name}"')
-def then_lead_is(context: Any, state: str, name: str) -> None:
-    lead = lead_of(context=context)
-    assert lead is not None and (lead.state.name, lead.primary) == (state, name), lead
+@then('the assignment is {state} on "{name}"')
+def then_assignment_is(context: Any, state: str, name: str) -> None:
+    assignment = assignment_of(context=context)
+    assert assignment is not None and (assignment.state.name, assignment.primary) == (state, name), assignment
 
 
-@given("another controller waits for the duty")
+@given("another controller seeks the failover lease")
 def given_another(context: Any) -> None:
     new_controller(context=context).add_duty(cluster=context.cluster)
     for backend in context.cluster.backends.values():
-        context.stage.call(call=lambda backend=backend: context.cluster.say(backend=backend))
+        context.stage.call(call=lambda backend=backend: context.cluster.send_heartbeat(backend=backend))
 
 
 @when('another holder has meanwhile written that "{name}" leads in term {term:d}')
 def when_written(context: Any, name: str, term: int) -> None:
-    lead = ServicePrimary(term=term, primary=name, state=PrimaryState.settled)
-    put(context=context, key=service_primary_key(service="s"), value=lead.bytes())
-    context.written = lead
+    assignment = ServicePrimary(term=term, primary=name, state=PrimaryState.settled)
+    put(context=context, key=service_primary_key(service="s"), value=assignment.bytes())
+    context.written = assignment
     for each in context.cluster.backends.values():
         each.leads = each.name == name
         each.term = term
-        context.stage.call(call=lambda each=each: context.cluster.say(backend=each))
+        context.stage.call(call=lambda each=each: context.cluster.send_heartbeat(backend=each))
 
 
-@when("the lead closes")
-def when_lead_closes(context: Any) -> None:
+@when("the assignment is closing")
+def when_assignment_closing(context: Any) -> None:
     def closing() -> bool:
-        lead = lead_of(context=context)
-        return lead is not None and lead.state == PrimaryState.closing
+        assignment = assignment_of(context=context)
+        return assignment is not None and assignment.state == PrimaryState.closing
 
     wait_for(context=context, test=closing, within_us=2_000_000)
 
 
-@when("the lead moves on")
-def when_lead_moves_on(context: Any) -> None:
+@when("the assignment is moving")
+def when_assignment_moving(context: Any) -> None:
     def moving() -> bool:
-        lead = lead_of(context=context)
-        return lead is not None and lead.state == PrimaryState.moving
+        assignment = assignment_of(context=context)
+        return assignment is not None and assignment.state == PrimaryState.moving
 
     wait_for(context=context, test=moving, within_us=2_000_000)
 
 
-@then("that word stands for {wait_ms:d} ms")
+@then("that assignment stands for {wait_ms:d} ms")
 def then_stands(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 10):
-        assert lead_of(context=context) == context.written, lead_of(context=context)
+        assert assignment_of(context=context) == context.written, assignment_of(context=context)
         context.stage.advance(for_us=10_000)
 
 
-@when("the holder of the duty dies {moment}")
+@when("the holder of the failover lease dies {moment}")
 def when_holder_dies(context: Any, moment: str) -> None:
     def moving() -> bool:
-        lead = lead_of(context=context)
-        return lead is not None and lead.state == PrimaryState.moving
+        assignment = assignment_of(context=context)
+        return assignment is not None and assignment.state == PrimaryState.moving
 
     def paused() -> bool:
         return any(each.paused for each in context.cluster.backends.values())
 
     def closing() -> bool:
-        lead = lead_of(context=context)
-        return lead is not None and lead.state == PrimaryState.closing
+        assignment = assignment_of(context=context)
+        return assignment is not None and assignment.state == PrimaryState.closing
 
     tests: dict[str, Callable[[], bool]] = {
-        "when the lead closes": closing,
+        "when the assignment is closing": closing,
         "when the old primary has stepped down": lambda: any(
             each.stepped_us for each in context.cluster.backends.values()
         ),
-        "when the copies are paused": paused,
-        "when the lead moves": moving,
+        "when the replicas are paused": paused,
+        "when the assignment is moving": moving,
         "when the platform has been asked": lambda: bool(context.cluster.calls),
         "when another leads": lambda: any(each.leads and each.term > 3 for each in context.cluster.backends.values()),
     }
     test = tests[moment]
 
-    # why: every turn of the loop is looked at, since what happens between two writes is shorter than a step
+    # Every turn of the loop is looked at, since what happens between two writes is shorter than a step.
     async def watch() -> None:
         for _ in range(60_000):
             if test():
@@ -371,7 +376,7 @@
     holder.kill()
 
 
-@when("the holder of the duty is cut off from the register")
+@when("the holder of the failover lease is cut off from the register")
 def when_holder_cut(context: Any) -> None:
     holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
     holder.register.cut = True
