--- a/src/cinderstair/failover/blocking_reasons.py
+++ b/src/cinderstair/failover/blocking_reasons.py
@@ -16,7 +16,7 @@
             return
         self.reasons[name] = reason
         if reason:
-            self.ctx.log.warning("%s: %s", name, reason)
+            self.ctx.log.warning("the failover of %s is not settled: %s", name, reason)
 
     def clear(self) -> None:
         """Forgets all of them, once another daemon is the one to report."""
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -89,14 +89,18 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
-        self.ctx.log.info("holds the duty of leads")
+        self.ctx.log.info(
+            "this HTTP proxy has gained the lease of database failover and keeps the primaries from now on"
+        )
         self.in_sync.forget()
 
     async def _on_timer(self) -> None:
         # A daemon that reaches no backend can promote none, and must not keep the others from it.
         if self.reachability.blind:
             if self.lease.held:
-                self.ctx.log.warning("gives up the duty of leads: reaches no backend")
+                self.ctx.log.warning(
+                    "the lease of database failover is given up, since this HTTP proxy reaches no backend"
+                )
                 await self.lease.drop()
             return
         await self.renew_role()
@@ -201,9 +205,9 @@
             return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
         new = DatabasePrimary(term=old.term + 1, primary=backend, incarnation=0, state=MOVING)
         self.ctx.log.warning(
-            "OVERRIDE by an operator: %s led by %s in term %d; acknowledged commits may be lost",
-            database,
+            "OVERRIDE by an operator: %s is made primary of database %s in term %d; acknowledged commits may be lost",
             backend,
+            database,
             new.term,
         )
         self.ctx.counters.add(name="leads.overridden")
