--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -9,8 +9,9 @@
 from ..consensus.register_view import RegisterView
 from ..failover.backend_control import BackendControl, Promoter
 from ..failover.service_failover import ServiceFailover
-from ..failover.shard_map_coordinator import Ballots, Handover, ShardMapCoordinator
+from ..failover.shard_map_coordinator import Handover, ShardMapCoordinator
 from ..failover.shard_state import ShardState
+from ..failover.shard_votes import ProxyVote
 from ..membership.announcement import Announcement, read_announcement
 from ..membership.heartbeat_table import HeartbeatTable
 from ..membership.membership import Membership
@@ -130,7 +131,7 @@
             heartbeat_table=self.heartbeat_table,
             control=self.control,
             promoter=self.promoter,
-            opinions=self.reachability_poll.poll,
+            reachability_poll=self.reachability_poll.poll,
             lease_us=self.proxy_lease_us,
         )
         self.suspicion_reporter = SuspicionReporter(
@@ -158,7 +159,7 @@
             register=self.register_replica.register,
             view=self.view,
             census=self._votes,
-            reported=lambda state: self.census.peers_agree(step=_shard_map_step(state)),
+            all_controllers_notified=lambda state: self.census.peers_agree(step=_shard_map_step(state)),
             planned=self._planned_service,
             handover=self.handover,
             lease_us=self.proxy_lease_us,
@@ -201,7 +202,7 @@
             },
         )
 
-    async def _votes(self) -> dict[str, Ballots]:
+    async def _votes(self) -> dict[str, ProxyVote]:
         return dict(await self.census.gather(every_us=CENSUS_EVERY_US))
 
     def _planned_service(self, database: str) -> str:
--- a/src/cinderstair/control_plane/reachability_poll.py
+++ b/src/cinderstair/control_plane/reachability_poll.py
@@ -2,10 +2,10 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import NamedTuple
 
 from ..failover.backend_control import BackendControl
-from ..failover.service_failover import PROBE_WAIT_US
+from ..failover.backend_poller import PROBE_WAIT_US
+from ..failover.reachability_votes import ReachabilityVotes
 from ..membership.announcement import Announcement
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.context import Context
@@ -18,13 +18,6 @@
 VOTE_WAIT_US = 900_000
 
 
-class ReachabilityVotes(NamedTuple):
-    """How many other controllers reach a backend, and how many have answered whether they do."""
-
-    reachable: int
-    answered: int
-
-
 class ReachabilityPoll:
     """A backend counts as reachable where a connection to it is accepted, whatever it answers."""
 
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -88,7 +88,7 @@
             return operator_error(error=CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
         lines = self._moves(wanted=checked.ok)
         forecast = await self.shards.forecast()
-        lines.append(forecast.words() if lines else "nothing moves")
+        lines.append(forecast.summary() if lines else "nothing moves")
         if not self.can_move_data():
             lines.append("begin would be refused: nothing here brings a database's data to another place")
         return operator_answer(text="\n".join(lines)).bytes()
@@ -112,6 +112,6 @@
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
-        packer = operator_answer(text=progress.words())
+        packer = operator_answer(text=progress.summary())
         packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
         return packer.bytes()
--- a/src/cinderstair/control_plane/status_handler.py
+++ b/src/cinderstair/control_plane/status_handler.py
@@ -92,7 +92,7 @@
         reasons = self.service_failover.reasons
         return tuple(
             ServiceStatus(name=name, primary=primary, blocked_reason=reasons.get(name, ""))
-            for name, primary in sorted(self.service_failover.leads.items())
+            for name, primary in sorted(self.service_failover.primaries.items())
         )
 
     def _backends(self) -> tuple[BackendStatus, ...]:
