--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -22,10 +22,10 @@
     ServicePlan,
 )
 from cinderstair.config.shard_map import ShardMap
-from cinderstair.consensus.acceptor import ROSTER_KEY, Acceptor
+from cinderstair.consensus.acceptor import Acceptor
 from cinderstair.consensus.ballot import Ballot
 from cinderstair.consensus.durable_state import DurableState, ident_entry
-from cinderstair.consensus.roster import Roster, Voter
+from cinderstair.consensus.roster import ROSTER_KEY, Roster, Voter
 from cinderstair.consensus.store import LOGS, SLOTS, Store
 from cinderstair.failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, ProxyAddresses
 from cinderstair.failover.proxy_ids import PROXY_IDS_KEY, ProxyIds
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -19,7 +19,7 @@
 from cinderstair.config.configuration_store import CONFIGURATION_KEY
 from cinderstair.config.service_plan import PLAN_KEY, read_service_plan
 from cinderstair.config.shard_map import check_shard_map
-from cinderstair.consensus.acceptor import ROSTER_KEY
+from cinderstair.consensus.roster import ROSTER_KEY
 from cinderstair.control_plane import proxy_id_assigner
 from cinderstair.failover import (
     database_failover,
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -1,15 +1,14 @@
 """The acceptor of a register replica: its vote on every key (Paxos, Lamport 1998) and its grants of leases."""
 
-import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
-from functools import partial
 
 from ..runtime.context import Context
 from ..runtime.unpacker import Unpacker
 from .ballot import Ballot
 from .cell import Cell
 from .durable_state import cell_entry, roster_entry
+from .group_commit import Applied, GroupCommit
+from .lease_grants import MAX_LEASE_US, LeaseGrants
 from .messages import (
     AcceptRequest,
     AdoptRequest,
@@ -24,43 +23,12 @@
     VectorRequest,
     VoteAnswer,
 )
-from .roster import Roster, read_roster
+from .roster import ROSTER_KEY, Roster, read_roster
 from .store import Store
 
-ROSTER_KEY = "roster"
-# no lease is granted for longer, so that a restarted replica knows when all its forgotten grants have ended
-MAX_LEASE_US = 2_000_000
-
-
-@dataclass(frozen=True, kw_only=True)
-class Applied:
-    """What came of a command: the answer, and the log entries to sync before it may be sent."""
-
-    answer: bytes
-    entries: tuple[bytes, ...] = ()
-
-
-@dataclass(frozen=True, kw_only=True)
-class LeaseGrant:
-    """A lease as one replica granted it; `until_us` is of this process's monotonic clock."""
-
-    holder: int
-    until_us: int
-
-
-@dataclass(frozen=True, kw_only=True)
-class QueuedCommand:
-    """A command that waits for its turn, and the future that its requester awaits."""
-
-    apply: Callable[[], Applied]
-    answer: asyncio.Future[bytes]
-
-
-NO_GRANT = LeaseGrant(holder=0, until_us=0)
-
 
 class Acceptor:
-    """Works through its commands in batches: all are applied, one sync covers them, then all are answered.
+    """Answers requests for votes, leases and rosters; no answer leaves before what it rests on is on the disk.
 
     :param fresh: whether the disk was blank, so that nothing can have been granted before this start.
     :param halt: called with the reason when the disk fails, after which no answer is given any more.
@@ -68,20 +36,15 @@
 
     def __init__(self, *, ctx: Context, store: Store, fresh: bool, halt: Callable[[str], None]) -> None:
         self.ctx = ctx
-        self.store = store
         self.state = store.state
-        self.halt = halt
         self.roster: Roster | None = read_roster(data=self.state.roster) if self.state.roster else None
-        self.leases: dict[str, LeaseGrant] = {}
         # each run of the process counts its editions from the start, and must not be taken for an earlier one
         self.source = ctx.rng.getrandbits(62) | 1
         self.edition = 1
         self.editions: dict[str, int] = {}
         # grants made before a restart are forgotten, so nothing is granted until the longest of them has ended
-        self.grants_from_us = ctx.now_us() + (0 if fresh else MAX_LEASE_US)
-        self.commands: asyncio.Queue[QueuedCommand] = asyncio.Queue()
-        self.halted = False
-        ctx.spawn(work=self._process_commands(), name="acceptor")
+        self.grants = LeaseGrants(from_us=ctx.now_us() + (0 if fresh else MAX_LEASE_US))
+        self.commits = GroupCommit(ctx=ctx, store=store, halt=halt)
 
     @property
     def epoch(self) -> int:
@@ -93,40 +56,6 @@
         """Whether this replica is a voter of the roster that it knows."""
         return self.roster is not None and self.roster.has(ident=self.state.ident)
 
-    # -- the queue of commands --
-
-    async def _process_commands(self) -> None:
-        while not self.halted:
-            batch = [await self.commands.get()]
-            while not self.commands.empty():
-                batch.append(self.commands.get_nowait())
-            await self._process_batch(batch=batch)
-
-    async def _process_batch(self, *, batch: list[QueuedCommand]) -> None:
-        results = [command.apply() for command in batch]
-        entries = [entry for result in results for entry in result.entries]
-        if entries and not await self._save(entries=entries):
-            return
-        for command, result in zip(batch, results, strict=True):
-            if not command.answer.done():
-                command.answer.set_result(result.answer)
-
-    async def _save(self, *, entries: list[bytes]) -> bool:
-        """Whether the entries are on the disk; after a failed sync nobody knows, and no answer may leave."""
-        try:
-            await self.store.disk.beside(work=partial(self.store.save, entries=entries))
-        except OSError as error:
-            self.halted = True
-            self.halt(f"disk failed: {error}")
-            return False
-        self.ctx.counters.add(name="vault.syncs")
-        return True
-
-    async def _enqueue(self, *, command: Callable[[], Applied]) -> bytes:
-        answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.commands.put_nowait(QueuedCommand(apply=command, answer=answer))
-        return await answer
-
     # -- votes on keys --
 
     def _refusal(self, *, epoch: int, key: str) -> Applied | None:
@@ -152,8 +81,9 @@
         return cell_entry(key=key, cell=cell)
 
     async def prepare(self, unpacker: Unpacker) -> bytes:
+        """Answers a prepare request with a promise, or with the ballot that was promised before."""
         request = PrepareRequest.decode(unpacker=unpacker)
-        return await self._enqueue(command=lambda: self._prepare(request=request))
+        return await self.commits.execute(command=lambda: self._prepare(request=request))
 
     def _prepare(self, *, request: PrepareRequest) -> Applied:
         refusal = self._refusal(epoch=request.epoch, key=request.key)
@@ -168,8 +98,9 @@
         return Applied(answer=vote_answer(status=Status.OK, cell=cell), entries=(entry,))
 
     async def accept(self, unpacker: Unpacker) -> bytes:
+        """Answers an accept request: accepts the value unless a higher ballot was promised."""
         request = AcceptRequest.decode(unpacker=unpacker)
-        return await self._enqueue(command=lambda: self._accept(request=request))
+        return await self.commits.execute(command=lambda: self._accept(request=request))
 
     def _accept(self, *, request: AcceptRequest) -> Applied:
         refusal = self._refusal(epoch=request.epoch, key=request.key)
@@ -187,7 +118,7 @@
 
     async def install(self, *, key: str, ballot: Ballot, value: bytes) -> None:
         """Takes a value from a snapshot, as if it had been accepted here when it was accepted elsewhere."""
-        await self._enqueue(command=lambda: self._install(key=key, ballot=ballot, value=value))
+        await self.commits.execute(command=lambda: self._install(key=key, ballot=ballot, value=value))
 
     def _install(self, *, key: str, ballot: Ballot, value: bytes) -> Applied:
         cell = self._cell(key=key)
@@ -198,8 +129,9 @@
         return Applied(answer=b"", entries=(self._set_cell(key=key, cell=cell),))
 
     async def read(self, unpacker: Unpacker) -> bytes:
+        """Answers a read request with what is accepted here for a key."""
         request = ReadRequest.decode(unpacker=unpacker)
-        return await self._enqueue(command=lambda: self._read(request=request))
+        return await self.commits.execute(command=lambda: self._read(request=request))
 
     def _read(self, *, request: ReadRequest) -> Applied:
         refusal = self._refusal(epoch=request.epoch, key=request.key)
@@ -210,7 +142,7 @@
     async def vector(self, unpacker: Unpacker) -> bytes:
         """The ballot that each key was accepted at, or what changed since the edition that the requester has."""
         request = VectorRequest.decode(unpacker=unpacker)
-        return await self._enqueue(command=lambda: self._vector(request=request))
+        return await self.commits.execute(command=lambda: self._vector(request=request))
 
     def _vector(self, *, request: VectorRequest) -> Applied:
         refusal = self._refusal(epoch=request.epoch, key="")
@@ -229,42 +161,28 @@
     # -- leases --
 
     async def lease(self, unpacker: Unpacker) -> bytes:
+        """Answers a lease request: grants, renews or releases the lease."""
         request = LeaseRequest.decode(unpacker=unpacker)
-        return await self._enqueue(command=lambda: self._lease(request=request))
+        return await self.commits.execute(command=lambda: self._lease(request=request))
 
     def _lease(self, *, request: LeaseRequest) -> Applied:
         refusal = self._refusal(epoch=request.epoch, key=f"lease/{request.lease}")
         if refusal is not None:
             return refusal
-        if request.length_us == 0:
-            self._release(request=request)
-            return Applied(answer=StatusAnswer(status=Status.OK).encode())
-        now_us = self.ctx.now_us()
-        if not self._may_grant(request=request, now_us=now_us):
-            return Applied(answer=StatusAnswer(status=Status.BEATEN).encode())
-        self.leases[request.lease] = LeaseGrant(holder=request.holder, until_us=now_us + request.length_us)
-        return Applied(answer=StatusAnswer(status=Status.OK).encode())
-
-    def _release(self, *, request: LeaseRequest) -> None:
-        """Ends a lease; only its holder may do so."""
-        if self.leases.get(request.lease, NO_GRANT).holder == request.holder:
-            self.leases.pop(request.lease, None)
-
-    def _may_grant(self, *, request: LeaseRequest, now_us: int) -> bool:
-        grant = self.leases.get(request.lease, NO_GRANT)
-        available = grant.until_us <= now_us or grant.holder == request.holder
-        return available and now_us >= self.grants_from_us and request.length_us <= MAX_LEASE_US
+        status = self.grants.answer(request=request, now_us=self.ctx.now_us())
+        return Applied(answer=StatusAnswer(status=status).encode())
 
     # -- rosters --
 
     async def adopt(self, unpacker: Unpacker) -> bytes:
+        """Answers an adopt request: makes its roster this replica's own, unless it knows one as new."""
         # decoded before it is queued, so that a malformed roster fails its sender and not the queue
         request = AdoptRequest.decode(unpacker=unpacker)
         return await self.adopt_roster(roster=request.roster)
 
     async def adopt_roster(self, *, roster: Roster) -> bytes:
         """Makes a roster this replica's own, unless it knows one as new."""
-        return await self._enqueue(command=lambda: self._adopt(roster=roster))
+        return await self.commits.execute(command=lambda: self._adopt(roster=roster))
 
     def _adopt(self, *, roster: Roster) -> Applied:
         answer = StatusAnswer(status=Status.OK).encode()
@@ -274,7 +192,7 @@
         becomes_voter = roster.has(ident=self.state.ident) and not self.votes
         # the voter that this one replaces may have granted a lease that has not ended yet
         if becomes_voter and roster.epoch > 1:
-            self.grants_from_us = self.ctx.now_us() + MAX_LEASE_US
+            self.grants.from_us = self.ctx.now_us() + MAX_LEASE_US
         self.roster = roster
         self.state.roster = roster.bytes()
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
--- a/src/cinderstair/consensus/batches.py
+++ b/src/cinderstair/consensus/batches.py
@@ -1,4 +1,4 @@
-"""Waiting for many requests: in batches of a bounded size, or until a majority has succeeded."""
+"""Many requests at the same time, in batches of a bounded size."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator, Sequence
@@ -24,15 +24,3 @@
     """Calls with all items at the same time; each item with its outcome, in the order of the items."""
     outcomes = await asyncio.gather(*(call(item) for item in items))
     return list(zip(items, outcomes, strict=True))
-
-
-async def count_until_majority(*, requests: set[asyncio.Task[bool]], majority: int) -> int:
-    """Waits until `majority` requests have succeeded, or all have ended; the others go on.
-
-    :returns: how many have succeeded by then.
-    """
-    succeeded, pending = 0, requests
-    while pending and succeeded < majority:
-        done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-        succeeded += sum(task.result() for task in done)
-    return succeeded
--- a/src/cinderstair/consensus/founding.py
+++ b/src/cinderstair/consensus/founding.py
@@ -5,9 +5,8 @@
 from expression import Ok
 
 from ..runtime.settings import Settings
-from .acceptor import ROSTER_KEY
 from .register import Register
-from .roster import Roster, Voter, read_roster
+from .roster import ROSTER_KEY, Roster, Voter, read_roster
 
 # after this time a majority of the seeds is enough to found, so that a seed that is cut off or gone from the first
 # moment on does not keep the others from beginning
--- /dev/null
+++ b/src/cinderstair/consensus/group_commit.py
@@ -0,0 +1,76 @@
+"""Group commit: commands are applied in batches, and one sync covers each batch before it is answered."""
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+
+from ..runtime.context import Context
+from .store import Store
+
+
+@dataclass(frozen=True, kw_only=True)
+class Applied:
+    """What came of a command: the answer, and the log entries to sync before it may be sent."""
+
+    answer: bytes
+    entries: tuple[bytes, ...] = ()
+
+
+Command = Callable[[], Applied]
+
+
+@dataclass(frozen=True, kw_only=True)
+class QueuedCommand:
+    """A command that waits for its turn, and the future that its requester awaits."""
+
+    apply: Command
+    answer: asyncio.Future[bytes]
+
+
+class GroupCommit:
+    """Applies commands one after the other, each to the state that the one before left.
+
+    :param halt: called with the reason when the disk fails, after which nothing is answered any more.
+    """
+
+    def __init__(self, *, ctx: Context, store: Store, halt: Callable[[str], None]) -> None:
+        self.ctx = ctx
+        self.store = store
+        self.halt = halt
+        self.halted = False
+        self.queue: asyncio.Queue[QueuedCommand] = asyncio.Queue()
+        ctx.spawn(work=self._process_commands(), name="acceptor")
+
+    async def execute(self, *, command: Command) -> bytes:
+        """The answer to a command, once all that it rests on is on the disk."""
+        answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+        self.queue.put_nowait(QueuedCommand(apply=command, answer=answer))
+        return await answer
+
+    async def _process_commands(self) -> None:
+        while not self.halted:
+            batch = [await self.queue.get()]
+            while not self.queue.empty():
+                batch.append(self.queue.get_nowait())
+            await self._process_batch(batch=batch)
+
+    async def _process_batch(self, *, batch: list[QueuedCommand]) -> None:
+        results = [command.apply() for command in batch]
+        entries = [entry for result in results for entry in result.entries]
+        if entries and not await self._save(entries=entries):
+            return
+        for command, result in zip(batch, results, strict=True):
+            if not command.answer.done():
+                command.answer.set_result(result.answer)
+
+    async def _save(self, *, entries: list[bytes]) -> bool:
+        """Whether the entries are on the disk; after a failed sync nobody knows, and no answer may leave."""
+        try:
+            await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+        except OSError as error:
+            self.halted = True
+            self.halt(f"disk failed: {error}")
+            return False
+        self.ctx.counters.add(name="vault.syncs")
+        return True
--- a/src/cinderstair/consensus/messages.py
+++ b/src/cinderstair/consensus/messages.py
@@ -1,8 +1,9 @@
 """The requests and answers of the register's protocol; client and server share these definitions.
 
 The register is a CASPaxos (Rystsov, 2018): one Paxos instance a key, whose value is replaced by prepare and accept.
-Every request names the epoch of the roster under which it is sent. Decoding raises ValueError where a record does
-not have the expected shape.
+Every request names the epoch of the roster under which it is sent. `encode` gives a request with its message type in
+front, which the dispatcher has taken off when `decode` reads the rest; answers have none. Decoding raises ValueError
+where a record does not have the expected shape.
 """
 
 from collections.abc import Mapping
--- a/src/cinderstair/consensus/quorum.py
+++ b/src/cinderstair/consensus/quorum.py
@@ -5,7 +5,7 @@
 
 from ..runtime.context import Context
 from ..runtime.peer_client import Body
-from .batches import count_until_majority
+from .majority import count_until_majority
 from .messages import (
     CLIENT,
     VOTE_STATUSES,
--- a/src/cinderstair/consensus/register_view.py
+++ b/src/cinderstair/consensus/register_view.py
@@ -6,11 +6,10 @@
 from ..runtime.command_queue import CommandQueueMixin
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError
-from .acceptor import ROSTER_KEY
 from .ballot import BLANK, Ballot
 from .batches import batches, gather_pairs
 from .register import Register
-from .roster import read_roster
+from .roster import ROSTER_KEY, read_roster
 from .versioned_value import VersionedValue
 
 PULL_EVERY_US = 200_000
--- a/src/cinderstair/consensus/roster.py
+++ b/src/cinderstair/consensus/roster.py
@@ -5,6 +5,8 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
+# the key under which the register keeps its own roster
+ROSTER_KEY = "roster"
 SEED_EPOCH = 0
 
 
--- a/src/cinderstair/consensus/roster_change.py
+++ b/src/cinderstair/consensus/roster_change.py
@@ -5,9 +5,8 @@
 from expression import Error, Ok, Result
 
 from ..runtime.errors import CinderstairError, ErrorCode
-from .acceptor import ROSTER_KEY
 from .batches import batches, gather_pairs
-from .roster import Roster, read_roster
+from .roster import ROSTER_KEY, Roster, read_roster
 from .snapshot import SnapshotMixin
 from .versioned_value import VersionedValue
 
--- a/src/cinderstair/consensus/succession.py
+++ b/src/cinderstair/consensus/succession.py
@@ -6,7 +6,7 @@
 
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
-from .acceptor import MAX_LEASE_US
+from .lease_grants import MAX_LEASE_US
 from .register import Register
 from .roster import Roster, Voter
 from .roster_change import overtaken
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -71,7 +71,7 @@
         opened = self.register_replica.open()
         assert opened.is_ok(), opened
         if self.up_for_long:
-            self.register_replica.acceptor.grants_from_us = 0
+            self.register_replica.acceptor.grants.from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
         self.net.answer = self.register_replica.dispatcher.answer
         if self.enters:
@@ -85,7 +85,7 @@
         now_us = self.ctx.now_us()
         leases = [
             (name, grant.holder, grant.until_us - now_us)
-            for name, grant in sorted(acceptor.leases.items())
+            for name, grant in sorted(acceptor.grants.by_name.items())
             if grant.until_us > now_us
         ]
         state = acceptor.state
@@ -94,8 +94,8 @@
             state.roster,
             tuple(sorted((key, cell.promised, cell.accepted, cell.value) for key, cell in state.cells.items())),
             tuple(leases),
-            max(0, acceptor.grants_from_us - now_us),
-            acceptor.halted,
+            max(0, acceptor.grants.from_us - now_us),
+            acceptor.commits.halted,
             tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.by_name.values())),
         )
 
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -9,13 +9,14 @@
 from expression import Error, Ok, Result
 
 from ...consensus import lease
-from ...consensus.acceptor import ROSTER_KEY, Acceptor, Applied, vote_answer
+from ...consensus.acceptor import Acceptor, vote_answer
 from ...consensus.cell import Cell
 from ...consensus.durable_state import cell_entry
+from ...consensus.group_commit import Applied, GroupCommit
 from ...consensus.lease import Lease
 from ...consensus.messages import AcceptRequest, Status
 from ...consensus.register import Register
-from ...consensus.roster import Roster, Voter, read_roster
+from ...consensus.roster import ROSTER_KEY, Roster, Voter, read_roster
 from ...consensus.succession import Succession
 from ...runtime.errors import CinderstairError, ErrorCode
 
@@ -27,13 +28,13 @@
 
     async def work(self: Any) -> None:
         while True:
-            command = await self.commands.get()
+            command = await self.queue.get()
             result = command.apply()
             command.answer.set_result(result.answer)
             if result.entries:
                 await self.store.disk.beside(work=partial(self.store.save, entries=result.entries))
 
-    return [patch.object(Acceptor, "_process_commands", work)]
+    return [patch.object(GroupCommit, "_process_commands", work)]
 
 
 def accepts_any_ballot() -> Patches:
