--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -326,6 +326,6 @@
     changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
     succession = Succession(ctx=changer.ctx, register=changer)
-    world.wires.run_at(boot=context.boots[2], work=succession.succeed(leaves="vault-1", enters=enters, most=5))
+    world.wires.run_at(boot=context.boots[2], work=succession.succeed(leaves="vault-1", enters=enters, max_voters=5))
     world.advance(for_us=1_000_000)
     world.run(work=seeker.find_roster())
--- a/src/cinderstair/consensus/joining.py
+++ b/src/cinderstair/consensus/joining.py
@@ -57,7 +57,7 @@
 
     async def _take(self, *, vacancy: Vacancy, max_voters: int) -> None:
         succession = Succession(ctx=self.ctx, register=self.register)
-        entered = await succession.succeed(leaves=vacancy.leaves or "", enters=self.me, most=max_voters)
+        entered = await succession.succeed(leaves=vacancy.leaves or "", enters=self.me, max_voters=max_voters)
         if entered.is_error():
             self.ctx.counters.add(name="vault.entersAgain")
             return
--- a/src/cinderstair/consensus/succession.py
+++ b/src/cinderstair/consensus/succession.py
@@ -19,29 +19,29 @@
         self.ctx = ctx
         self.register = register
 
-    async def succeed(self, *, leaves: str, enters: Voter, most: int) -> Result[Roster, CinderstairError]:
+    async def succeed(self, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         """Has `enters` take the seat of the voter named `leaves`, which may have left already.
 
         versionTaken: another change came first, or the roster is full. registerUnreachable: no majority answers, or
         the new voter doesn't. registerUnsure: the last change may come to be, or may not.
 
         :param leaves: empty where a free seat is taken.
-        :param most: how many voters the roster may have.
+        :param max_voters: how many voters the roster may have.
         """
         if not await self.register.find_roster() or self.register.roster is None:
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
         roster = self.register.roster
         old = next((v for v in roster.voters if v.name == leaves and v.ident != enters.ident), None)
         if old is not None:
-            left = await self._remove(roster=roster, old=old, most=most)
+            left = await self._remove(roster=roster, old=old, max_voters=max_voters)
             if left.is_error():
                 return left
-        return await self._add(roster=self.register.roster or roster, enters=enters, most=most)
+        return await self._add(roster=self.register.roster or roster, enters=enters, max_voters=max_voters)
 
-    async def _remove(self, *, roster: Roster, old: Voter, most: int) -> Result[Roster, CinderstairError]:
+    async def _remove(self, *, roster: Roster, old: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         # a lease rests on the roster under which it was granted, and is not written again as keys are: two voters
         # that leave one after the other could take its majority away while its holder believes in it
-        if len(roster.voters) < most:
+        if len(roster.voters) < max_voters:
             ended = await self._await_lease_ends(roster=roster)
             if ended.is_error():
                 return Error(ended.error)
@@ -50,11 +50,11 @@
             self.ctx.log.info("register replica %s ident %x has left the roster", old.name, old.ident)
         return left
 
-    async def _add(self, *, roster: Roster, enters: Voter, most: int) -> Result[Roster, CinderstairError]:
+    async def _add(self, *, roster: Roster, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         if roster.has(ident=enters.ident):
             return Ok(roster)
         # a replica that is no voter takes a free seat alone: it can't make the roster larger than it was founded
-        if len(roster.voters) >= most:
+        if len(roster.voters) >= max_voters:
             reason = "the roster is full; name the register replica that leaves"
             return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=reason))
         # it may have voted under an older roster. As it adopts this one, which lacks it, it discards what it accepted
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -95,9 +95,9 @@
         if voter is None:
             return self.reject(kind=ErrorCode.MALFORMED, why=f"no register replica '{enters}' has greeted the seeds")
         roster = self.configuration_store.register.roster
-        most = 0 if roster is None else max(len(roster.voters), self.foundingVaults)
+        max_voters = 0 if roster is None else max(len(roster.voters), self.foundingVaults)
         succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
-        result = await succession.succeed(leaves=leaves, enters=voter, most=most)
+        result = await succession.succeed(leaves=leaves, enters=voter, max_voters=max_voters)
         if result.is_error():
             return self.reject_with(fault=result.error)
         names = [each.name for each in result.ok.voters]
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -17,7 +17,7 @@
 def replace(*, leaves: str, enters: Voter) -> Operation:
     async def operation(actor: ClientActor) -> Outcome:
         succession = Succession(ctx=actor.ctx, register=actor.register)
-        result = await succession.succeed(leaves=leaves, enters=enters, most=3)
+        result = await succession.succeed(leaves=leaves, enters=enters, max_voters=3)
         return ("replaced" if result.is_ok() else str(result.error.code), 0, "")
 
     return operation
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -144,7 +144,7 @@
 def two_at_once() -> Patches:
     """A replacement is one change of two voters."""
 
-    async def succeed(self: Any, *, leaves: str, enters: Voter, most: int) -> Result[Roster, CinderstairError]:
+    async def succeed(self: Any, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         def alter(current: Roster) -> Roster:
             stay = tuple(voter for voter in current.voters if voter.name != leaves)
             return Roster(epoch=current.epoch + 1, voters=(*stay, enters))
