--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -28,12 +28,10 @@
 )
 from .register import Register
 from .roster import Roster, Voter
-from .standby import watches_for_vacancy
+from .standby import REPLICA_ROLE, watches_for_vacancy
 from .store import Store
 from .voter_watch import VoterWatch, lost_after_us
 
-# the name of this role in the membership's records
-ROLE = "vault"
 # a replica that neither votes nor watches for a vacancy sends join requests once in so many periods
 IDLE_PERIODS = 8
 # added at random to each period, so that replicas that start together don't send in step
@@ -124,7 +122,7 @@
     def _member(self) -> Member:
         return Member(
             name=self.settings.name,
-            role=ROLE,
+            role=REPLICA_ROLE,
             site=self.settings.site,
             records=self.settings.records,
             http=self.settings.http,
--- a/src/cinderstair/consensus/standby.py
+++ b/src/cinderstair/consensus/standby.py
@@ -6,6 +6,8 @@
 from .roster import Roster, Voter
 from .voter_watch import VoterWatch
 
+# the role of register replicas in the membership's records
+REPLICA_ROLE = "vault"
 # where many replicas stand by, so many that watch are enough, and all of them would be a load on the voters
 MAX_WATCHING_STANDBYS = 2
 
@@ -17,18 +19,22 @@
     leaves: str | None = None
 
 
-def is_vacancy_certain(*, roster: Roster, me: Voter, max_voters: int) -> bool:
-    """Whether a seat is free, or one is held under this replica's name by an earlier identity."""
-    names = [voter.name for voter in roster.voters]
-    return me.name in names or len(names) < max_voters
+def has_own_seat(*, roster: Roster, me: Voter) -> bool:
+    """Whether a voter has this replica's name: an earlier identity, whose disk was lost."""
+    return any(voter.name == me.name for voter in roster.voters)
+
+
+def has_free_seat(*, roster: Roster, max_voters: int) -> bool:
+    """Whether fewer replicas vote than may."""
+    return len(roster.voters) < max_voters
 
 
 def watches_for_vacancy(*, roster: Roster, me: Voter, max_voters: int, membership: Membership) -> bool:
     """Whether this standby is among those that have to take the next vacancy."""
-    if is_vacancy_certain(roster=roster, me=me, max_voters=max_voters):
+    if has_own_seat(roster=roster, me=me) or has_free_seat(roster=roster, max_voters=max_voters):
         return True
     voters = {voter.name for voter in roster.voters}
-    standbys = [member.name for member in membership.alive(role="vault") if member.name not in voters]
+    standbys = [member.name for member in membership.alive(role=REPLICA_ROLE) if member.name not in voters]
     return sum(name < me.name for name in standbys) < MAX_WATCHING_STANDBYS
 
 
@@ -36,9 +42,9 @@
     *, roster: Roster, me: Voter, max_voters: int, membership: Membership, watch: VoterWatch
 ) -> Vacancy | None:
     """The seat of this replica's own name, else a free one, else that of a voter that is lost."""
-    if any(voter.name == me.name for voter in roster.voters):
+    if has_own_seat(roster=roster, me=me):
         return Vacancy(leaves=me.name)
-    if is_vacancy_certain(roster=roster, me=me, max_voters=max_voters):
+    if has_free_seat(roster=roster, max_voters=max_voters):
         return Vacancy()
     lost = watch.replaceable(roster=roster, membership=membership)
     return None if lost is None else Vacancy(leaves=lost.name)
