--- a/src/cinderstair/consensus/quorum.py
+++ b/src/cinderstair/consensus/quorum.py
@@ -5,7 +5,7 @@
 
 from ..runtime.context import Context
 from ..runtime.peer_client import RequestBody
-from .batches import count_until_majority
+from .majority import count_until_majority
 from .messages import (
     CLIENT,
     VOTE_STATUSES,
