--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -14,8 +14,8 @@
 class Announcement:
     """One heartbeat; `number` orders the announcements of one backend.
 
-    `leads` says whether the backend takes itself for its service's primary. `room` is how many connections it
-    accepts, 0 where it does not say.
+    `leads` says whether the backend takes itself for its service's primary. `room` is how many calls it has
+    room for, 0 where it does not say.
     """
 
     name: str
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -160,7 +160,12 @@
     def _log_change(self, *, old: ReceivedHeartbeat[B] | None, new: ReceivedHeartbeat[B]) -> None:
         heartbeat = new.heartbeat
         if old is None or (old.heartbeat.state, old.heartbeat.leads) != (heartbeat.state, heartbeat.leads):
-            self.ctx.log.info("backend %s is %s%s", heartbeat.name, heartbeat.state, " and leads" * heartbeat.leads)
+            self.ctx.log.info(
+                "backend %s is now %s%s by its newest heartbeat",
+                heartbeat.name,
+                heartbeat.state,
+                " and leads" * heartbeat.leads,
+            )
 
     def latest(self, *, name: str) -> ReceivedHeartbeat[B] | None:
         """The backend's newest heartbeat; None where none has been received."""
--- a/src/cinderstair/membership/membership.py
+++ b/src/cinderstair/membership/membership.py
@@ -101,7 +101,9 @@
             self.members[member.name] = member
             self.state_since_us[member.name] = self.ctx.now_us()
             if known is None or known.standing != member.standing:
-                self.ctx.log.info("member %s is now %s", member.name, member.standing.name)
+                self.ctx.log.info(
+                    "member %s is now %s in its incarnation %d", member.name, member.standing.name, member.incarnation
+                )
 
     async def _on_probe(self, unpacker: Unpacker) -> bytes:
         self._merge_update(unpacker=unpacker)
