--- a/src/cinderstair/control_plane/__init__.py
+++ b/src/cinderstair/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: takes orders and heartbeats, relays the register to proxies, assigns ids."""
+"""The controller: takes configurations and heartbeats, relays the register to proxies, assigns proxy ids."""
--- a/src/cinderstair/control_plane/proxy_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -100,11 +100,11 @@
         now_us = self.ctx.now_us()
         self._forget_addresses(now_us=now_us)
 
-        def write(packer: Packer, entry: tuple[str, AddressReport]) -> None:
-            name, report = entry
-            report.write(packer=packer, name=name, now_us=now_us)
-
-        return Packer().many(values=self.addresses.items(), each=write).bytes()
+        packer = Packer().many(
+            values=self.addresses.items(),
+            each=lambda p, entry: entry[1].write(packer=p, name=entry[0], now_us=now_us),
+        )
+        return packer.bytes()
 
     def peers_agree(self, *, step: ShardMapStep) -> bool:
         """Whether every other controller knows this step and has since named the proxies that ask it.
--- a/src/cinderstair/membership/__init__.py
+++ b/src/cinderstair/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership by probes and suspicion, and news of backends pulled by vectors of versions."""
+"""Group membership by probes and suspicion, backends' heartbeats, and the records between proxies and controllers."""
