--- a/src/cinderstair/failover/platform.py
+++ b/src/cinderstair/failover/platform.py
@@ -7,7 +7,7 @@
 
 # How long connecting to the platform may take, in microseconds.
 DIAL_WAIT_US = 500_000
-# How long the platform may take to answer, in microseconds. It answers when it has told the backend.
+# How long the platform may take to answer, in microseconds.
 PROMOTE_WAIT_US = 3_000_000
 HTTP_OK = 200
 
@@ -21,9 +21,9 @@
         self.address = address
 
     async def promote(self, *, database: str, backend: str, term: int) -> bool:
-        """Has a backend become the primary of a database in a term; whether the platform says that it was told.
+        """Has a backend become the primary of a database in a term; whether the platform accepted that.
 
-        False also where the answer was lost, so that the backend may have been told nevertheless.
+        False also where the answer was lost, so that the backend may be promoted nevertheless.
         """
         dialled = await self.ctx.net.dial(address=self.address, wait_us=DIAL_WAIT_US)
         if dialled.is_error():
--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -8,8 +8,8 @@
 from ..runtime.errors import ErrorCode
 from .backend_control import BackendState, Promoter
 from .backend_poller import PROBE_WAIT_US
-from .failover_context import FailoverContext
 from .replica_fencing import ReplicaFencing
+from .service_failover_context import ServiceFailoverContext
 from .service_primary import PrimaryState, ServicePrimary
 from .successor import leading_or_furthest
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         *,
-        failover: FailoverContext,
+        failover: ServiceFailoverContext,
         fencing: ReplicaFencing,
         promoter: Promoter,
         fence_number: Callable[[], int],
--- a/src/cinderstair/failover/replica_fencing.py
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -5,7 +5,7 @@
 from ..membership.heartbeat import READY
 from .backend_control import BackendState
 from .departures import Departures
-from .failover_context import FailoverContext
+from .service_failover_context import ServiceFailoverContext
 from .service_primary import ServicePrimary
 from .successor import Successor, furthest_paused
 
@@ -22,7 +22,7 @@
     further commit confirmed; and a replica is resumed only after the assignment was written once more.
     """
 
-    def __init__(self, *, failover: FailoverContext, departures: Departures) -> None:
+    def __init__(self, *, failover: ServiceFailoverContext, departures: Departures) -> None:
         self.failover = failover
         self.departures = departures
         # the highest term tried for each service whose last fence failed
--- a/src/cinderstair/failover/service_assignments.py
+++ b/src/cinderstair/failover/service_assignments.py
@@ -20,7 +20,8 @@
         self.register = register
         self.view = view
         self.lease = lease
-        # Every proxy's view that is older than a write has expired this long after it, clock drift of 10 % included.
+        # Every proxy's view that is older than a write has expired this long after it. A tenth is added for clocks
+        # that run apart.
         self.view_expiry_us = view_lease_us + view_lease_us // 10
         self.primaries: dict[str, ServicePrimary] = {}
         # when the present assignment was seen first
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -20,24 +20,22 @@
 from .backend_poller import BackendPoller
 from .blocking_reasons import BlockingReasons
 from .departures import Departures
-from .failover_context import FailoverContext
 from .move_reason import MoveReason
 from .primary_monitor import PrimaryMonitor
 from .promotion import Promotion
 from .reachability_votes import ReachabilityPoll
 from .replica_fencing import ReplicaFencing
 from .service_assignments import ServiceAssignments
+from .service_failover_context import ServiceFailoverContext
 from .service_members import ServiceMembers
 from .service_primary import PrimaryState, ServicePrimary
-from .singleton_role import SingletonRoleMixin
+from .singleton_role import CONTROL_DAEMONS, SingletonRoleMixin
 from .successor import Successor, inheriting_successor
 from .switchover import Switchover
 
 TIMER_PERIOD_US = 100_000
 SERVICE_FAILOVER_LEASE = "promotion"
 FENCE_KEY = "promotion.fence"
-# Daemons taken to seek the lease at the same time. Control daemons are few, so the shortest back-off does.
-LEASE_SEEKERS = 3
 
 
 class ServiceFailover(SingletonRoleMixin):
@@ -59,14 +57,14 @@
         self.ctx = ctx
         self.register = register
         self.view = view
-        self.lease = Lease(ctx=ctx, register=register, duty=SERVICE_FAILOVER_LEASE, seekers=lambda: LEASE_SEEKERS)
+        self.lease = Lease(ctx=ctx, register=register, duty=SERVICE_FAILOVER_LEASE, seekers=lambda: CONTROL_DAEMONS)
         self.plan: ServicePlan | None = None
         # services with a step under way
         self.active: set[str] = set()
         # 0 until this holder has taken one
         self.fence_number = 0
         view.changes.subscribe(self._changed)
-        self.failover = FailoverContext(
+        self.failover = ServiceFailoverContext(
             ctx=ctx,
             assignments=ServiceAssignments(
                 ctx=ctx, register=register, view=view, lease=self.lease, view_lease_us=lease_us
--- a/src/cinderstair/failover/failover_context.py
+++ b/src/cinderstair/failover/service_failover_context.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(kw_only=True)
-class FailoverContext:
+class ServiceFailoverContext:
     """`promotion_us` is how long promotions have taken lately: a moving average, told to clients as an estimate.
 
     `retry_at_us` holds back a service whose last step failed.
--- a/src/cinderstair/failover/service_members.py
+++ b/src/cinderstair/failover/service_members.py
@@ -3,13 +3,15 @@
 from ..membership.announcement import GONE, Announcement
 from ..membership.heartbeat_table import HeartbeatTable, ReceivedHeartbeat
 
-# A backend that has not been heard for this long, in microseconds, no longer counts as a member. It is far longer
-# than a restart takes, so that a replica which holds acknowledged commits is not left out of a fence meanwhile.
+# A backend that has not been heard for this long, in microseconds, no longer counts as a member. Until then a
+# replica that is silent for a while is not left out of a fence, since it may hold acknowledged commits.
 FORGET_US = 25_000_000
 
 
 class ServiceMembers:
-    """Invariant: a backend that may hold acknowledged commits of a service is listed until it has deregistered."""
+    """Invariant: a backend that may hold acknowledged commits of a service is listed until it has deregistered, or
+    was silent for `FORGET_US`.
+    """
 
     def __init__(self, *, heartbeat_table: HeartbeatTable[Announcement]) -> None:
         self.heartbeat_table = heartbeat_table
--- a/src/cinderstair/failover/shard_forecast.py
+++ b/src/cinderstair/failover/shard_forecast.py
@@ -6,7 +6,7 @@
 POLL_PERIOD_US = 90_000
 # How long proxies let open transactions end, in microseconds.
 DRAIN_US = 250_000
-# How often votes are counted, plus the time to gather them, in microseconds.
+# How often votes are counted, in microseconds.
 COUNT_PERIOD_US = 350_000
 
 
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -31,12 +31,10 @@
 )
 from .shard_transitions import abandoned, proposed
 from .shard_votes import ProxyVote, ProxyVotePoll, ShardVotes
-from .singleton_role import SingletonRoleMixin
+from .singleton_role import CONTROL_DAEMONS, SingletonRoleMixin
 
 TIMER_PERIOD_US = 150_000
 SHARD_MAP_LEASE = "shards"
-# Daemons taken to seek the lease at the same time. Control daemons are few, so the shortest back-off does.
-LEASE_SEEKERS = 3
 # A proposal that too few agree on is withdrawn after this long, in microseconds.
 PROPOSED_MOST_US = 30_000_000
 # A change whose data is not complete is withdrawn this long after all proxies have stopped writing.
@@ -90,7 +88,7 @@
         self.handover = handover
         self.lease_us = lease_us
         self.under_way_us = under_way_us
-        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: LEASE_SEEKERS)
+        self.lease = Lease(ctx=ctx, register=register, duty=SHARD_MAP_LEASE, seekers=lambda: CONTROL_DAEMONS)
         self.state = ShardState()
         # when the state was seen first, or the role was gained
         self.since_us = 0
@@ -221,7 +219,8 @@
         return self._expiry_us(under_way_us=self.state.under_way_us)
 
     def _expiry_us(self, *, under_way_us: int) -> int:
-        # the view's lease, clock drift of 10 %, the proxy's giving up, and what is still under way to a backend
+        # The view's lease, a tenth for clocks that run apart, the proxy's giving up, and what is still under way to
+        # a backend.
         return self.lease_us + self.lease_us // 10 + GIVE_UP_US + under_way_us
 
     def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
--- a/src/cinderstair/failover/singleton_role.py
+++ b/src/cinderstair/failover/singleton_role.py
@@ -4,6 +4,10 @@
 from ..consensus.register_view import RegisterView
 from ..runtime.command_queue import CommandQueueMixin
 
+# How many daemons are taken to seek a lease of the control daemons at the same time. They are few, so the shortest
+# back-off does.
+CONTROL_DAEMONS = 3
+
 
 class SingletonRoleMixin(CommandQueueMixin):
     """Seeks and renews the role's lease.
--- a/src/cinderstair/failover/switchover.py
+++ b/src/cinderstair/failover/switchover.py
@@ -6,9 +6,9 @@
 from ..membership.heartbeat import READY
 from ..runtime.position import Position
 from .backend_control import BackendState
-from .failover_context import FailoverContext
 from .primary_monitor import PrimaryMonitor
 from .replica_fencing import PAUSE_WAIT_US
+from .service_failover_context import ServiceFailoverContext
 from .service_primary import PrimaryState, ServicePrimary
 from .successor import Successor, furthest
 
@@ -17,7 +17,7 @@
 # How long a replica may take to receive the last commits of the primary that has stepped down.
 CATCH_UP_WAIT_US = 400_000
 CATCH_UP_POLL_US = 40_000
-# Pause after a primary did not step down, in microseconds; longer than other retries, since clients were held up.
+# Pause after a primary did not step down, in microseconds.
 STEP_DOWN_RETRY_US = 1_500_000
 
 
@@ -34,7 +34,7 @@
     successor that has as much as it holds everything.
     """
 
-    def __init__(self, *, failover: FailoverContext, monitor: PrimaryMonitor) -> None:
+    def __init__(self, *, failover: ServiceFailoverContext, monitor: PrimaryMonitor) -> None:
         self.failover = failover
         self.monitor = monitor
 
