--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -114,7 +114,7 @@
         await self.heartbeat_table.refresh(peers=(ADDRESS,))
         assert self.heartbeat_table.latest(name="db-1") is not None
         await self.view.pull()
-        self.view.requested = ADDRESS
+        self.view.controller = ADDRESS
         await self.ctx.sleep(duration_us=PAUSE_US)
         self.teller.tend()
         await self.ctx.sleep(duration_us=1)
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -156,7 +156,7 @@
 
 @then('it asks "{name}"')
 def then_asks(context: Any, name: str) -> None:
-    assert context.view.requested == name, context.view.requested
+    assert context.view.controller == name, context.view.controller
 
 
 @when('the controllers "{names}" are silent for {wait_ms:d} ms')
@@ -168,7 +168,7 @@
 
 @when("the controller that it asks is silent for {wait_ms:d} ms")
 def when_asked_silent(context: Any, wait_ms: int) -> None:
-    context.relays[context.view.requested].silent = True
+    context.relays[context.view.controller].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
--- a/src/cinderstair/pooler/address_announcer.py
+++ b/src/cinderstair/pooler/address_announcer.py
@@ -23,7 +23,11 @@
 
     def tend(self) -> None:
         now_us = self.ctx.now_us()
-        if now_us < self.tell_from_us or not self.view.requested or self.view.places.get(self.ctx.name) == self.place:
+        if (
+            now_us < self.tell_from_us
+            or not self.view.controller
+            or self.view.places.get(self.ctx.name) == self.place
+        ):
             return
         self.tell_from_us = now_us + TELL_EVERY_US
         self.ctx.spawn(work=self._tell(), name="place.tell")
@@ -32,4 +36,4 @@
         packer = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=self.ctx.name)
         body = packer.text(value=self.place.site).text(value=self.place.records).bytes()
         self.ctx.counters.add(name="places.told")
-        await self.ctx.net.request(address=self.view.requested, body=body, wait_us=TELL_WAIT_US)
+        await self.ctx.net.request(address=self.view.controller, body=body, wait_us=TELL_WAIT_US)
--- /dev/null
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -0,0 +1,141 @@
+"""The register's values and the backends as one proxy knows them, and how answers of controllers change them."""
+
+import asyncio
+from dataclasses import replace
+
+from reactivex.subject import Subject
+
+from ..config.service_plan import PLAN_KEY, ServicePlan, read_service_plan
+from ..consensus.ballot import Ballot
+from ..failover.proxy_addresses import PROXY_ADDRESSES_KEY, ProxyAddress, read_proxy_addresses
+from ..failover.proxy_ids import PROXY_IDS_KEY, ProxyIds, read_proxy_ids
+from ..failover.service_primary import PREFIX, ServicePrimary, read_service_primary
+from ..failover.shard_state import SHARDS_KEY, ShardState, read_shard_state
+from ..membership.announcement import GONE
+from ..membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
+from ..runtime.context import Context
+
+# The key under which `changes` tells of backends; all other keys are the register's.
+BACKENDS_CHANGE = "backends"
+
+
+def gone(*, entry: RelayedBackend) -> bool:
+    """Whether a backend that is no longer named need not be kept."""
+    return entry.quiet or entry.announcement.state == GONE
+
+
+class RelayedState:
+    """Holds the newest values that any controller has relayed; they never go back.
+
+    `changes` tells the key of each value that was taken. `source` and `edition` name what the last answer contained.
+    `plan` is None before the first configuration was relayed. `lead_since_us`: when each service's lead was relayed,
+    by this proxy's clock.
+    """
+
+    def __init__(self, *, ctx: Context) -> None:
+        self.ctx = ctx
+        self.controllers: tuple[str, ...] = ()
+        self.source = 0
+        self.edition = 0
+        self.ballots: dict[str, Ballot] = {}
+        self.plan: ServicePlan | None = None
+        self.proxy_ids = ProxyIds()
+        self.places: dict[str, ProxyAddress] = {}
+        self.shards = ShardState()
+        self.leads: dict[str, ServicePrimary] = {}
+        self.lead_since_us: dict[str, int] = {}
+        self.backends: dict[str, RelayedBackend] = {}
+        self.changes: Subject[str] = Subject()
+        self._waiting: list[asyncio.Future[None]] = []
+
+    def _take(self, *, answer: RelayAnswer) -> None:
+        """Takes an answer of a controller that is current.
+
+        :raises ValueError: a value of it can't be read.
+        """
+        if answer.controllers:
+            self.controllers = answer.controllers
+        if answer.whole:
+            self._drop_lost_backends(answer=answer)
+        self._take_backends(entries=answer.backends)
+        for value in answer.values:
+            self._take_value(entry=value)
+        self.source, self.edition = answer.source, answer.edition
+        if answer.backends or answer.whole:
+            self.changes.on_next(BACKENDS_CHANGE)
+
+    def _drop_lost_backends(self, *, answer: RelayAnswer) -> None:
+        """Drops silent backends that a whole answer does not name.
+
+        A controller that has just started knows few of the backends, so others are kept.
+        """
+        named = {entry.announcement.name for entry in answer.backends}
+        lost = [name for name, entry in self.backends.items() if name not in named and gone(entry=entry)]
+        for name in lost:
+            del self.backends[name]
+
+    def _take_backends(self, *, entries: tuple[RelayedBackend, ...]) -> None:
+        for entry in entries:
+            known = self.backends.get(entry.announcement.name)
+            # Another controller may not have heard yet what this proxy knows.
+            if known is not None and entry.announcement.order < known.announcement.order:
+                continue
+            # A deregistration that reached controllers that did not know the backend contains its name alone.
+            if entry.announcement.state == GONE and not entry.announcement.service:
+                if known is None:
+                    continue
+                entry = replace(entry, announcement=replace(known.announcement, state=GONE, leads=False))
+            self.backends[entry.announcement.name] = entry
+
+    def _take_value(self, *, entry: RelayedValue) -> None:
+        known = self.ballots.get(entry.key)
+        if known is not None and known >= entry.ballot:
+            return
+        if entry.value:
+            self._apply(key=entry.key, value=entry.value)
+        self.ballots[entry.key] = entry.ballot
+        self.changes.on_next(entry.key)
+
+    def _apply(self, *, key: str, value: bytes) -> None:
+        """Puts a register's value in force.
+
+        :raises ValueError: the value can't be read.
+        """
+        if key == PLAN_KEY:
+            self._apply_plan(plan=read_service_plan(data=value))
+        elif key == PROXY_IDS_KEY:
+            self.proxy_ids = read_proxy_ids(data=value)
+        elif key == PROXY_ADDRESSES_KEY:
+            self.places = read_proxy_addresses(data=value).places
+        elif key == SHARDS_KEY:
+            self.shards = read_shard_state(data=value)
+        elif key.startswith(PREFIX):
+            lead = read_service_primary(data=value)
+            service = key.removeprefix(PREFIX)
+            self.leads[service] = lead
+            self.lead_since_us[service] = self.ctx.now_us()
+            self.ctx.log.info("%s: term %d %s %s", service, lead.term, lead.primary, lead.state.name)
+
+    def _apply_plan(self, *, plan: ServicePlan) -> None:
+        # The register never goes back to an earlier configuration, and neither does anything that follows it.
+        if self.plan is None or plan.version > self.plan.version:
+            self.plan = plan
+            self.ctx.log.info("configuration %d in force", plan.version)
+
+    # -- waiting for news --
+
+    def _wake(self) -> None:
+        waiting, self._waiting = self._waiting, []
+        for future in waiting:
+            if not future.done():
+                future.set_result(None)
+
+    async def change(self, *, until_us: int) -> None:
+        """Waits for the next answer of a controller, whatever it says, or until the moment given."""
+        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(future)
+        try:
+            async with asyncio.timeout(max(0, until_us - self.ctx.now_us()) / 1_000_000):
+                await future
+        except TimeoutError:
+            pass
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -8,7 +8,7 @@
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 from .in_flight_writes import InFlightWrites
-from .relayed_view import LEASE_US, RelayedView
+from .relayed_view import LEASE_US, RelayedView, ShardVote
 
 DRAIN_US = 250_000
 UNKNOWN_US = 1_000_000
@@ -81,14 +81,14 @@
                 return False
         return True
 
-    def vote(self) -> tuple[int, Vote]:
+    def vote(self) -> ShardVote:
         """What this proxy tells its controller of the map that is to follow."""
         word = self.view.shards
         if word.phase == ShardPhase.steady:
-            return 0, Vote.silent
+            return ShardVote(0, Vote.silent)
         if word.phase == ShardPhase.proposed:
-            return word.turn, Vote.agrees if self._fits(state=word) else Vote.disagrees
-        return word.turn, Vote.silent if self._busy() else Vote.closed
+            return ShardVote(word.turn, Vote.agrees if self._fits(state=word) else Vote.disagrees)
+        return ShardVote(word.turn, Vote.silent if self._busy() else Vote.closed)
 
     def _busy(self) -> bool:
         """Whether anything may still land at the moving databases' old places."""
--- a/src/cinderstair/simulation/capacity/proxy_child.py
+++ b/src/cinderstair/simulation/capacity/proxy_child.py
@@ -85,6 +85,6 @@
         return {
             "oldest_us": {name: proxy.oldest_us for name, proxy in self.proxies.items()},
             "lease_us": LEASE_US,
-            "asked": {name: proxy.proxy.view.requested for name, proxy in self.proxies.items()},
+            "asked": {name: proxy.proxy.view.controller for name, proxy in self.proxies.items()},
             "at_us": now_us(),
         }
