--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -116,7 +116,7 @@
         await self.view.pull()
         self.view.controller = ADDRESS
         await self.ctx.sleep(duration_us=PAUSE_US)
-        self.teller.tend()
+        self.teller.on_timer()
         await self.ctx.sleep(duration_us=1)
         assert await self.census.gather(every_us=0)
         assert await self.census.gather_places(every_us=0)
--- a/src/cinderstair/pooler/address_announcer.py
+++ b/src/cinderstair/pooler/address_announcer.py
@@ -1,4 +1,4 @@
-"""Says where this proxy is, until the table of places says it as well."""
+"""Announces this proxy's address until the controllers' table of addresses has it."""
 
 from ..failover.proxy_addresses import ProxyAddress
 from ..http_frontend.subsetting import rank
@@ -7,33 +7,32 @@
 from ..runtime.packer import Packer
 from .relayed_view import RelayedView
 
-TELL_EVERY_US = 2_000_000
-TELL_WAIT_US = 500_000
+ANNOUNCE_INTERVAL_US = 2_000_000
+ANNOUNCE_WAIT_US = 500_000
 
 
 class AddressAnnouncer:
-    """Costs a record every 2 s while the table is wrong, and nothing after."""
+    """Sends one message per interval while the table is wrong, and none after."""
 
     def __init__(self, *, ctx: Context, view: RelayedView, place: ProxyAddress) -> None:
         self.ctx = ctx
         self.view = view
         self.place = place
-        # why: proxies that begin together must not all tell in the same moment
-        self.tell_from_us = ctx.now_us() + int.from_bytes(rank(seed=0, name=ctx.name)[:4]) % (TELL_EVERY_US // 4)
+        # Proxies that start together must not all announce themselves at the same moment.
+        offset = int.from_bytes(rank(seed=0, name=ctx.name)[:4])
+        self.next_us = ctx.now_us() + offset % (ANNOUNCE_INTERVAL_US // 4)
 
-    def tend(self) -> None:
+    def on_timer(self) -> None:
+        """Announces the address where that is due."""
         now_us = self.ctx.now_us()
-        if (
-            now_us < self.tell_from_us
-            or not self.view.controller
-            or self.view.places.get(self.ctx.name) == self.place
-        ):
+        known = self.view.places.get(self.ctx.name) == self.place
+        if known or now_us < self.next_us or not self.view.controller:
             return
-        self.tell_from_us = now_us + TELL_EVERY_US
-        self.ctx.spawn(work=self._tell(), name="place.tell")
+        self.next_us = now_us + ANNOUNCE_INTERVAL_US
+        self.ctx.spawn(work=self._announce(), name="place.tell")
 
-    async def _tell(self) -> None:
+    async def _announce(self) -> None:
         packer = Packer().u8(value=ANNOUNCE_ADDRESS).text(value=self.ctx.name)
         body = packer.text(value=self.place.site).text(value=self.place.records).bytes()
         self.ctx.counters.add(name="places.told")
-        await self.ctx.net.request(address=self.view.controller, body=body, wait_us=TELL_WAIT_US)
+        await self.ctx.net.request(address=self.view.controller, body=body, wait_us=ANNOUNCE_WAIT_US)
--- a/src/cinderstair/pooler/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -1,4 +1,4 @@
-"""What a proxy without links to a backend asks of one that has some, and what it is told."""
+"""The messages between a proxy without links to a backend and one that has some."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -14,8 +14,11 @@
 
 
 class ForwardStep(IntEnum):
-    """hello: only the clock is asked for. single: one statement by itself. begin, next, rollback, close: a
-    transaction's. position: the backend's. keep: these transactions are still wanted."""
+    """What a question is for. The numbers go over the wire.
+
+    hello: the clock alone. single: one statement outside any transaction. begin, next, rollback, close: steps of a
+    transaction. position: the backend's log position. keep: keeps idle transactions alive.
+    """
 
     hello = 0
     single = 1
@@ -28,7 +31,10 @@
 
 
 class Outcome(IntEnum):
-    """answered: the backend's own answer. not_sent: nothing was sent to it. lost: nobody knows."""
+    """What became of a question. The numbers go over the wire.
+
+    answered: the reply is the backend's. not_sent: nothing was sent to it. lost: unknown.
+    """
 
     answered = 0
     not_sent = 1
@@ -37,9 +43,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardQuestion:
-    """`life` is the answerer's, and `until_us` a moment by the answerer's clock; from then on nothing is sent.
+    """`life` numbers the present run of the answering proxy; `until_us` is a moment by its clock.
 
-    `connection` numbers the asker's transactions. `values` are the session's; `shape` is what an execute rests on.
+    From `until_us` on nothing of the question is sent to the backend. `connection` numbers the asker's transactions.
+    `values` are the session's; `shape` is the prepared statement that an execute runs. `rank`: lower ranks get links
+    first. `at_least` is the log position that the backend must have reached; None: the primary alone will do.
     """
 
     asker: str
@@ -59,6 +67,7 @@
     connections: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
+        """The message as it goes over the wire."""
         packer = Packer().text(value=self.asker).u8(value=self.step).u64(value=self.life).u64(value=self.until_us)
         packer.u64(value=self.connection).text(value=self.backend).text(value=self.service).text(value=self.database)
         packer.u32(value=self.rank).u8(value=int(self.read_only))
@@ -73,9 +82,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardAnswer:
-    """`now_us` is the answerer's clock at some moment between the question and the answer.
+    """`now_us` is the answering proxy's clock at some moment between the question and the answer.
 
-    `unknown` are the transactions asked about that are none here any more.
+    `unknown` are the transactions of a keep question that are not open there any more.
     """
 
     life: int
@@ -85,6 +94,7 @@
     unknown: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
+        """The message as it goes over the wire."""
         packer = Packer().u64(value=self.life).u64(value=self.now_us).u8(value=self.outcome)
         reply = self.reply
         packer.many(values=reply.rows, each=lambda p, row: p.blob(value=row)).blob(value=reply.stamp)
@@ -106,7 +116,10 @@
 
 
 def read_forward_question(*, unpacker: Unpacker) -> ForwardQuestion:
-    """Raises ValueError where the bytes are none."""
+    """Reads a question.
+
+    :raises ValueError: the bytes are no question.
+    """
     question = ForwardQuestion(
         asker=unpacker.text(),
         step=ForwardStep(unpacker.u8()),
@@ -136,7 +149,10 @@
 
 
 def read_forward_answer(*, data: bytes) -> ForwardAnswer:
-    """Raises ValueError where the bytes are none."""
+    """Reads an answer.
+
+    :raises ValueError: the bytes are no answer.
+    """
     unpacker = Unpacker(data=data)
     life, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
     rows, stamp = unpacker.many(each=lambda u: u.blob()), unpacker.blob()
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy daemon: sessions that are connections, links to the backends of its share."""
+"""The proxy daemon: one session a client connection, and links to the backends."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,8 @@
 from .router_base import DRAIN_US
 from .session import Session
 
-TEND_US = 200_000
+TIMER_INTERVAL_US = 200_000
+# A proxy whose view is older than this should get no new clients.
 READY_AGE_US = 5_000_000
 
 
@@ -59,10 +60,11 @@
         self.reported_ready = False
 
     async def start(self) -> Result[None, CinderstairError]:
+        """Begins to listen to other proxies and to pull the view."""
         if self.records:
             await self.ctx.net.listen(address=self.records, answer=self.dispatcher.answer)
         self.ctx.spawn(work=self._keep(), name="view.keep")
-        self.ctx.timer(every_us=TEND_US).subscribe(lambda _: self._tend())
+        self.ctx.timer(every_us=TIMER_INTERVAL_US).subscribe(lambda _: self._on_timer())
         return Ok(None)
 
     async def _keep(self) -> None:
@@ -70,22 +72,23 @@
         await self.view.keep()
 
     def _open(self, databases: frozenset[str]) -> bool:
-        """Whether a transaction that may write stands open at any of these databases' places."""
+        """Whether a transaction that may write is open at any of these databases."""
         own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
         return own or self.forwards.writing(databases=databases)
 
     @property
     def ready(self) -> bool:
-        """Whether new clients should come here."""
+        """Whether new clients should connect to this proxy."""
         known = self.view.plan is not None and self.ctx.now_us() - self.view.as_of_us < READY_AGE_US
-        # why: before any ids are dealt nobody knows its part of any cap, and so a proxy may hold no link
+        # Before any ids are assigned no proxy knows its part of any cap, and so it may open no link.
         known = known and (not self.records or bool(self.view.proxy_ids.names))
-        # why: where controllers answer and know nothing, no other proxy would serve any better
+        # Where controllers answer but know nothing, no other proxy would serve any better.
         return known and not self.draining and not self.view.alone_us
 
-    def _tend(self) -> None:
+    def _on_timer(self) -> None:
+        """Maintains pools, forwarding and the address, and ends transactions whose clients are idle."""
         self.router.on_timer()
-        self.place.tend()
+        self.place.on_timer()
         self.forwarder.on_timer()
         self.forwards.on_timer()
         if self.ready != self.reported_ready:
@@ -98,13 +101,14 @@
             session.end_idle_transaction(limit_us=plan.rest_limit_us)
 
     def open(self, *, database: str) -> Session:
+        """The session of a client that has connected."""
         session = Session(ctx=self.ctx, router=self.router, database=database)
         self.sessions.add(session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.sessions))
         return session
 
     def closed(self, *, session: Session) -> None:
-        """The client's connection has ended."""
+        """Ends the session of a client that has disconnected."""
         self.sessions.discard(session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.sessions))
         session.close()
@@ -116,5 +120,6 @@
         return self.view.plan is not None and database in self.view.plan.routes
 
     def stop(self) -> None:
+        """Sends nothing new to any backend."""
         for pool in self.router.pools.values():
             pool.shut()
--- a/src/cinderstair/pooler/reply.py
+++ b/src/cinderstair/pooler/reply.py
@@ -1,4 +1,4 @@
-"""What a backend, or the proxy in its stead, answers to one statement."""
+"""The answer to one statement, of a backend or of the proxy itself."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,7 +8,10 @@
 
 
 class State(IntEnum):
-    """Of a session, or of a link: idle, in a transaction, or in one that failed and waits for its end."""
+    """The state of a session or a link: idle, in a transaction, or in a failed one that waits for its end.
+
+    The numbers go over the wire between proxies.
+    """
 
     idle = 0
     open = 1
@@ -17,10 +20,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class Reply:
-    """`fault` is None on success. `native` keeps the words in which a backend itself put an error.
+    """`fault` is None on success. `native` is a backend's own wording of its error.
 
-    `not_run`: the backend says that it did not run the statement, so it may be offered elsewhere.
-    `retriable`: it ran and failed, and another backend may do better with a read.
+    `not_run`: the backend declares that it did not run the statement, so it may be sent elsewhere.
+    `retriable`: the statement ran and failed, and a read may succeed at another backend.
+    `position`: the backend's log position; None where it told none. `come_back_us`: when to ask again; 0: not known.
     """
 
     rows: list[bytes]
@@ -35,5 +39,8 @@
 
 
 def refusal(*, kind: ErrorCode, state: State = State.idle, come_back_us: int = 0) -> Reply:
-    """The proxy's own word that nothing was done, or that nobody knows."""
+    """The proxy's own reply that nothing was done, or that the outcome is unknown.
+
+    :param come_back_us: in how many microseconds to ask again; 0 where that is not known.
+    """
     return Reply(rows=[], fault=kind, state=state, come_back_us=come_back_us)
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -36,7 +36,7 @@
         route = None if plan is None else plan.routes.get(database)
         if route is None:
             return None
-        service = self.shards.place(route=route)
+        service = self.shards.service_of(route=route)
         return route if service == route.service else replace(route, service=service)
 
     def _changed(self, key: str) -> None:
@@ -56,7 +56,7 @@
 
     def on_timer(self) -> None:
         """Opens links ahead of need, checks for silent backends, and asks for samples that will be wanted."""
-        self.shards.look()
+        self.shards.update()
         if not self.addresses_unavailable and not self.view.places:
             self._check_addresses()
         self._apply_pending_increase()
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -1,4 +1,4 @@
-"""One proxy's part in the samples that proxies share by way of their controller."""
+"""One proxy's part in the position samples that proxies share through their controller."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -8,12 +8,15 @@
 from ..runtime.context import Context
 from ..runtime.position import Position
 
+# Own samples that are older are of no use to anybody.
 KEEP_US = 5_000_000
 UNTOLD_US = -(1 << 62)
 
 
 @dataclass(frozen=True, kw_only=True)
 class OwnSample:
+    """A sample that this proxy took under the lead of a term; `requested_us` is by this proxy's clock."""
+
     term: int
     requested_us: int
     position: Position
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reference:
-    """An answer of one life of a controller: what its clock said at sending, and ours at receiving."""
+    """An answer of one run of a controller: its clock at sending (`answered_us`), and this proxy's at receiving."""
 
     source: int
     answered_us: int
@@ -29,7 +32,11 @@
 
 
 class SamplePool:
-    """Spans alone go from one machine's clock to another's, and each is reckoned so no sample is too young."""
+    """Converts moments between the clocks of two machines by spans alone, rounded so that no sample is too young.
+
+    `wanted`: the services whose samples reads need. `note`: takes a sample from the controller: the service, the
+    moment by this proxy's clock, and the position. `told_us`: by service, the newest sample that the controller has.
+    """
 
     def __init__(self, *, ctx: Context, lead: Callable[[str], ServicePrimary | None]) -> None:
         self.ctx = ctx
@@ -38,23 +45,26 @@
         self.note: Callable[[str, int, Position], None] = lambda service, requested_us, position: None
         self.own: dict[str, OwnSample] = {}
         self.sending_us: dict[str, int] = {}
-        self.known_us: dict[str, int] = {}
+        self.told_us: dict[str, int] = {}
         self.editions: dict[str, int] = {}
         self.reference: Reference | None = None
 
     def saw(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
-        """Takes a sample that counts here, asked for under the lead of this term."""
+        """Takes a sample of this proxy, asked for under the lead of this term."""
         known = self.own.get(service)
         if known is None or (known.term, known.requested_us) < (term, requested_us):
             self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
     def _counts(self, *, service: str, term: int) -> bool:
         lead = self.lead(service)
-        # why: what was shown under another lead may lie past a fence that has cut it off
+        # A position seen under another lead may lie past a fence that has cut it off.
         return lead is not None and lead.state == PrimaryState.settled and lead.term == term
 
     def reported(self, *, source: int) -> tuple[ReportedSample, ...]:
-        """What that controller does not know yet, by its own clock."""
+        """The samples that a controller does not have yet, with their moments by its clock.
+
+        :param source: the number of the controller's run.
+        """
         reference, self.sending_us = self.reference, {}
         if reference is None or reference.source != source:
             return ()
@@ -63,7 +73,7 @@
             if self.ctx.now_us() - own.requested_us > KEEP_US:
                 del self.own[service]
                 continue
-            if own.requested_us <= self.known_us.get(service, UNTOLD_US):
+            if own.requested_us <= self.told_us.get(service, UNTOLD_US):
                 continue
             moment_us = self._moment_us(reference=reference, requested_us=own.requested_us)
             if moment_us >= 0 and self._counts(service=service, term=own.term):
@@ -79,24 +89,29 @@
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
     def wants(self) -> tuple[WantedSample, ...]:
+        """The services of which this proxy wants samples, with the edition that it has of each."""
         return tuple(WantedSample(service=name, edition=self.editions.get(name, 0)) for name in self.wanted())
 
     def answered(
         self, *, source: int, answered_us: int, requested_us: int, samples: tuple[PooledSample, ...]
     ) -> None:
-        """Takes an answer: what was told has arrived, and what others saw counts here if the lead is the same."""
+        """Takes an answer: what was reported has arrived, and others' samples count here if the lead is the same.
+
+        :param answered_us: the controller's clock at the answer.
+        :param requested_us: this proxy's clock at the question.
+        """
         if self.reference is None or source != self.reference.source:
-            # why: another controller, or another life of this one, knows nothing of what was told
-            self.editions, self.known_us, self.sending_us = {}, {}, {}
+            # Another controller, or a restarted one, knows nothing of what was reported before.
+            self.editions, self.told_us, self.sending_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
-        self.known_us.update(self.sending_us)
+        self.told_us.update(self.sending_us)
         self.sending_us = {}
         for sample in samples:
             self.editions[sample.service] = sample.edition
             if not self._counts(service=sample.service, term=sample.term):
                 continue
             at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
-            self.known_us[sample.service] = max(self.known_us.get(sample.service, UNTOLD_US), at_us)
+            self.told_us[sample.service] = max(self.told_us.get(sample.service, UNTOLD_US), at_us)
             self.ctx.counters.add(name="samples.pooled")
             self.note(sample.service, at_us, sample.position)
 
--- a/src/cinderstair/pooler/session_replay.py
+++ b/src/cinderstair/pooler/session_replay.py
@@ -1,10 +1,10 @@
-"""Brings a link that nobody else uses to what a statement rests on."""
+"""Brings a link's session values up to date before a statement is sent on it."""
 
 from .link import Link
 
 
 def replay_values(*, link: Link, values: dict[bytes, bytes]) -> None:
-    """Sends the session's values ahead, where the link has others."""
+    """Sends the session's values ahead on a link that nobody else uses, as far as it has others."""
     if link.values != values:
         if any(name not in values for name in link.values):
             link.clear()
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -10,66 +10,77 @@
 from .in_flight_writes import InFlightWrites
 from .relayed_view import LEASE_US, RelayedView, ShardVote
 
+# Open transactions may go on for so long after their database began to move.
 DRAIN_US = 250_000
-UNKNOWN_US = 1_000_000
-OWED_US = 250_000
+# When a map that can't be applied here is expected to be applicable.
+UNKNOWN_MAP_RETRY_US = 1_000_000
+# Once the view has lapsed, writes without an answer for so long are abandoned.
+UNANSWERED_LIMIT_US = 250_000
+MIN_RETRY_US = 50_000
 
 
 class Shards:
-    """Holds the old map until the new one is in force and agreed with here; never both.
+    """Applies the old map until the new one is in force and can be applied here; never both.
 
-    While the map closes, its moving databases take no writes and no reads that must see all; older reads go on
-    at the old place, as long as nothing that they must see can stand at the new one.
+    While the map closes, its moving databases take no writes and no reads that must see all commits; older reads go
+    on at the old service, as long as nothing that they must see can be at the new one.
+
+    `applied`: the map by which this proxy routes. `changed_us`: when the register's map last changed.
+    `moved_us`: when each database was routed elsewhere. `old_as_of_us`: the last moment for which the view showed
+    that the applied map was the register's. All are moments by this proxy's clock.
     """
 
     def __init__(self, *, ctx: Context, view: RelayedView, open_: Callable[[frozenset[str]], bool]) -> None:
+        """
+        :param open_: whether a transaction that may write is open at any of these databases.
+        """
         self.ctx = ctx
         self.view = view
         self.open_ = open_
         self.in_flight = InFlightWrites(ctx=ctx)
-        self.held = ShardState()
-        self.heard_us = 0
+        self.applied = ShardState()
+        self.changed_us = 0
         self.moved_us: dict[str, int] = {}
-        self.last_old_us = 0
+        self.old_as_of_us = 0
         view.changes.subscribe(self._changed)
         view.vote = self.vote
 
     def _changed(self, key: str) -> None:
         if key == SHARDS_KEY:
-            self.heard_us = self.ctx.now_us()
-            self.look()
+            self.changed_us = self.ctx.now_us()
+            self.update()
             if self.view.shards.phase == ShardPhase.closing:
-                self.ctx.spawn(work=self._give_up(turn=self.view.shards.turn), name="shards.give_up")
+                self.ctx.spawn(work=self._abandon_late(turn=self.view.shards.turn), name="shards.give_up")
 
-    async def _give_up(self, *, turn: int) -> None:
-        """What is not answered by then is not waited for, since it may lie in a cut."""
+    async def _abandon_late(self, *, turn: int) -> None:
+        """Abandons writes that are unanswered when the map has been closing for long; a partition may hold them."""
         await self.ctx.sleep(duration_us=GIVE_UP_US)
-        word = self.view.shards
-        if word.turn == turn and word.phase == ShardPhase.closing:
+        state = self.view.shards
+        if state.turn == turn and state.phase == ShardPhase.closing:
             self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
 
-    def look(self) -> None:
-        """Takes the register's word over, if it is agreed with here; once the view lapses, gives up what is owed."""
-        # why: a map may be closing and nobody here is told, and what was sent in time must not arrive out of time
+    def update(self) -> None:
+        """Applies the register's map if that is possible here; once the view lapses, abandons unanswered writes."""
+        # A map may be closing without this proxy's knowledge, and what was sent in time must not arrive too late.
         if self.ctx.now_us() >= self.view.as_of_us + LEASE_US:
-            self.in_flight.abandon(databases=None, older_than_us=OWED_US)
-        word = self.view.shards
-        if word.current.version == self.held.current.version:
-            self.held = word
-            # why: while the register's word was the old map, nothing can have been written at a new place
-            self.last_old_us = self.view.as_of_us
+            self.in_flight.abandon(databases=None, older_than_us=UNANSWERED_LIMIT_US)
+        state = self.view.shards
+        if state.current.version == self.applied.current.version:
+            self.applied = state
+            # While the register had the old map, nothing can have been written at a new service.
+            self.old_as_of_us = self.view.as_of_us
             return
-        if not self._fits(state=word):
+        if not self._applicable(state=state):
             return
         now_us = self.ctx.now_us()
-        for database in set(word.current.places) | set(self.held.current.places):
-            if word.current.places.get(database) != self.held.current.places.get(database):
+        for database in set(state.current.places) | set(self.applied.current.places):
+            if state.current.places.get(database) != self.applied.current.places.get(database):
                 self.moved_us[database] = now_us
-        self.held = word
-        self.ctx.log.info("shard map %d taken over", word.current.version)
+        self.applied = state
+        self.ctx.log.info("shard map %d taken over", state.current.version)
 
-    def _fits(self, *, state: ShardState) -> bool:
-        """Whether this proxy knows every place of a map, and who leads there."""
+    def _applicable(self, *, state: ShardState) -> bool:
+        """Whether this proxy knows every service of a map and its primary."""
         places = state.following if state.phase != ShardPhase.steady else state.current
         plan = self.view.plan
         if plan is None:
@@ -83,65 +94,71 @@
 
     def vote(self) -> ShardVote:
         """What this proxy tells its controller of the map that is to follow."""
-        word = self.view.shards
-        if word.phase == ShardPhase.steady:
+        state = self.view.shards
+        if state.phase == ShardPhase.steady:
             return ShardVote(0, Vote.silent)
-        if word.phase == ShardPhase.proposed:
-            return ShardVote(word.turn, Vote.agrees if self._fits(state=word) else Vote.disagrees)
-        return ShardVote(word.turn, Vote.silent if self._busy() else Vote.closed)
+        if state.phase == ShardPhase.proposed:
+            return ShardVote(state.turn, Vote.agrees if self._applicable(state=state) else Vote.disagrees)
+        return ShardVote(state.turn, Vote.silent if self._busy() else Vote.closed)
 
     def _busy(self) -> bool:
-        """Whether anything may still land at the moving databases' old places."""
+        """Whether anything may still take effect at the moving databases' old services."""
         moving, within_us = self._moving(), self.view.shards.under_way_us
         if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
             return True
-        return self.ctx.now_us() - self.heard_us < DRAIN_US and self.open_(moving)
+        return self.ctx.now_us() - self.changed_us < DRAIN_US and self.open_(moving)
 
     def _moving(self) -> frozenset[str]:
-        word = self.view.shards
-        names = set(word.current.places) | set(word.following.places)
-        return frozenset(name for name in names if word.moving(database=name))
+        state = self.view.shards
+        names = set(state.current.places) | set(state.following.places)
+        return frozenset(name for name in names if state.moving(database=name))
 
-    def place(self, *, route: DatabaseRoute) -> str:
-        return self.held.current.place(database=route.database, planned=route.service)
+    def service_of(self, *, route: DatabaseRoute) -> str:
+        """The service to which a route's database belongs by the applied map."""
+        return self.applied.current.place(database=route.database, planned=route.service)
 
     def _behind(self, *, database: str) -> bool:
-        """Whether the register has moved on to a map that is not agreed with here, and this database with it."""
-        word = self.view.shards.current
-        return word.places.get(database) != self.held.current.places.get(database)
+        """Whether the register has a later map that can't be applied here and concerns this database."""
+        current = self.view.shards.current
+        return current.places.get(database) != self.applied.current.places.get(database)
 
     def fault(self, *, database: str) -> CinderstairError | None:
-        """Why nothing may be written or read in full here now; None where it may."""
+        """Why the database takes no writes and no full reads now; None where it does.
+
+        Its detail `left_us` says when to ask again.
+        """
         if self._behind(database=database):
             return CinderstairError(
                 code=ErrorCode.MOVING,
                 reason="its place has moved, and is not known here",
-                details={"left_us": UNKNOWN_US},
+                details={"left_us": UNKNOWN_MAP_RETRY_US},
             )
-        word = self.view.shards
-        if word.phase == ShardPhase.closing and word.moving(database=database):
-            left_us = max(50_000, self.heard_us + word.ready_in_us - self.ctx.now_us())
+        state = self.view.shards
+        if state.phase == ShardPhase.closing and state.moving(database=database):
+            left_us = max(MIN_RETRY_US, self.changed_us + state.ready_in_us - self.ctx.now_us())
             return CinderstairError(code=ErrorCode.MOVING, reason="its place moves", details={"left_us": left_us})
         return None
 
     def may_end(self, *, database: str, since_us: int) -> bool:
-        """Whether a transaction that began then may still go on and commit where it began."""
-        word = self.view.shards
+        """Whether a transaction that began at `since_us` may still go on and commit where it began."""
+        state = self.view.shards
         if self._behind(database=database) or self.moved_us.get(database, since_us) > since_us:
             return False
-        if word.phase == ShardPhase.steady:
-            # why: whoever is out of touch may have missed a proposal, which stands for as long before anything closes
+        if state.phase == ShardPhase.steady:
+            # A proxy without news may have missed a proposal, which stands for UNTOLD_US before anything closes.
             return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNTOLD_US
-        # why: with a change on its way, whoever is out of touch may have missed that it has come
-        closing = word.phase == ShardPhase.closing and word.moving(database=database)
-        return self.view.current and not (closing and self.ctx.now_us() - self.heard_us >= DRAIN_US)
+        # During a change, a proxy without news may have missed that the map closes.
+        closing = state.phase == ShardPhase.closing and state.moving(database=database)
+        return self.view.current and not (closing and self.ctx.now_us() - self.changed_us >= DRAIN_US)
 
     def read_since_us(self, *, database: str, since_us: int) -> int | None:
-        """The moment from which a sample must be, for a read of what is older than `since_us`; None: not here.
+        """The earliest moment of a sample that serves a read of what was committed before `since_us`.
+
+        A sample from before a move says nothing of what was copied to the new service.
 
-        A sample from before the move says nothing of what was brought over.
+        :returns: None where the read can't be served here.
         """
-        if self._behind(database=database) and since_us > self.last_old_us:
+        if self._behind(database=database) and since_us > self.old_as_of_us:
             return None
         closing = self.view.shards.phase == ShardPhase.closing and self.view.shards.moving(database=database)
         if closing and since_us > self.view.as_of_us:
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -245,7 +245,7 @@
             await session.run(statement=Statement(ident=b"2", verb=Verb.prepare, name=b"q%d" % number, content=shape))
         gc.collect()
         held = rss_bytes() - before
-        return {"session_bytes": held / count, "tend_us": cost_us(proxy._tend) / count}
+        return {"session_bytes": held / count, "tend_us": cost_us(proxy._on_timer) / count}
 
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
         """The adapter's door with a session behind it, over a transport in memory."""
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -202,7 +202,7 @@
     """A proxy falls back now and then to the configuration before."""
     from cinderstair.pooler.proxy import Proxy
 
-    tend = Proxy._tend
+    tend = Proxy._on_timer
 
     def back(self: Any) -> None:
         tend(self)
@@ -212,7 +212,7 @@
         if len(older) > 1:
             self.view.plan = self.ctx.rng.choice(older[-2:])
 
-    return [patch.object(Proxy, "_tend", back)]
+    return [patch.object(Proxy, "_on_timer", back)]
 
 
 def take_anything() -> Patches:
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -12,11 +12,11 @@
 def old_map_writes_on() -> list[Any]:
     """A proxy that has taken no new map goes on writing at the old place, as if nothing had changed."""
 
-    def look(self: Any) -> None:
+    def update(self: Any) -> None:
         return None
 
     return [
-        patch.object(Shards, "look", look),
+        patch.object(Shards, "update", update),
         patch.object(Shards, "fault", lambda self, *, database: None),
         patch.object(Shards, "_behind", lambda self, *, database: False),
         patch.object(Shards, "may_end", lambda self, *, database, since_us: True),
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -29,7 +29,7 @@
 
 def held(*, world: PlatformWorld, name: str) -> int:
     """The version of the map that a proxy acts on."""
-    return int(world.roles[name].proxy.router.shards.held.current.version)
+    return int(world.roles[name].proxy.router.shards.applied.current.version)
 
 
 def all_hold(*, world: PlatformWorld, version: int, names: list[str] | None = None) -> bool:
@@ -96,7 +96,7 @@
     """One proxy does not agree; the others move, it holds the old map, and moves once it agrees."""
     world.advance(for_ms=1_000)
     other = world.roles[world.proxies[2]].proxy.router.shards
-    fits, other._fits = other._fits, lambda *, state: False
+    fits, other._applicable = other._applicable, lambda *, state: False
     assert not propose(world=world)
     names = [name for name in world.proxies if name != world.proxies[2]]
     world.await_that(
@@ -104,7 +104,7 @@
     )
     world.advance(for_ms=2_000)
     assert held(world=world, name=world.proxies[2]) == 0, "a proxy that disagrees moved"
-    other._fits = fits
+    other._applicable = fits
     moved(world=world)
     world.advance(for_ms=1_000)
 
@@ -113,7 +113,7 @@
     """All must agree and one does not: nobody moves, and writes go on where they were."""
     world.advance(for_ms=1_000)
     other = world.roles[world.proxies[2]].proxy.router.shards
-    other._fits = lambda *, state: False
+    other._applicable = lambda *, state: False
     assert not propose(world=world, percent=100)
     world.advance(for_ms=6_000)
     assert all_hold(world=world, version=0), "a map was taken that not enough agreed on"
