--- a/features/steps/link_allocation_steps.py
+++ b/features/steps/link_allocation_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then
 
-from cinderstair.pooler.link_allocation import Location, allocate_links, allocate_replicas
+from cinderstair.pooler.link_allocation import Location, ProxyLocation, allocate_links, allocate_replicas
 
 
 def locations(*, text: str) -> list[Location]:
@@ -13,13 +13,13 @@
 
 @given('proxies in "{text}"')
 def given_proxy_spots(context: Any, text: str) -> None:
-    context.proxy_locations = list(enumerate(locations(text=text)))
+    context.proxy_locations = [ProxyLocation(n, each) for n, each in enumerate(locations(text=text))]
 
 
 @given("{count:d} proxies in 6 zones of 3 regions")
 def given_many_spots(context: Any, count: int) -> None:
     zones = ("n1", "s1", "w1", "n2", "s2", "w2")
-    context.proxy_locations = [(n, Location(zones[n % 6], zones[n % 6][:1])) for n in range(count)]
+    context.proxy_locations = [ProxyLocation(n, Location(zones[n % 6], zones[n % 6][:1])) for n in range(count)]
 
 
 @given('copies in "{text}", with room for {room:d} each')
@@ -57,7 +57,7 @@
         assert len(moved) <= most, (gone, moved)
 
 
-def links_of(*, context: Any, proxies: list[tuple[int, Location]], backend: str) -> dict[int, int]:
+def links_of(*, context: Any, proxies: list[ProxyLocation], backend: str) -> dict[int, int]:
     return allocate_links(proxies=proxies, backend=backend, location=context.backend_location, cap=context.cap)
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -29,7 +29,7 @@
 from cinderstair.membership.pooled_sample import PooledSample
 from cinderstair.membership.relay_record import RelayAnswer, RelayedValue
 from cinderstair.pooler.forwarder import Forwarder
-from cinderstair.pooler.link_allocation import Location, allocate_links
+from cinderstair.pooler.link_allocation import Location, ProxyLocation, allocate_links
 from cinderstair.pooler.link_limits import CONTROL_LINKS
 from cinderstair.pooler.link_pool import LinkPool
 from cinderstair.pooler.reply import State
@@ -127,10 +127,10 @@
 
 @when("for {wait_ms:d} ms the controller tells of {at} under term {term:d} each {every_ms:d} ms")
 def when_controller_tells_often(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
-    # why: the router tends meanwhile, as it does all the time
+    # The router's timer runs meanwhile, as it does all the time.
     for _ in range(wait_ms // every_ms):
         controller_tells(context=context, at=at, term=term, age_us=200_000)
-        when_tends(context=context, wait_ms=every_ms)
+        when_timer_runs(context=context, wait_ms=every_ms)
 
 
 @when("the controller sends this proxy to the primary")
@@ -288,7 +288,7 @@
 
 
 @when("the router tends for {wait_ms:d} ms")
-def when_tends(context: Any, wait_ms: int) -> None:
+def when_timer_runs(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 100):
         context.stage.call(call=context.router.on_timer)
         context.stage.advance(for_us=100_000)
@@ -308,7 +308,7 @@
     for name in context.names:
         total = sum(each[name] for each in limits)
         assert total + CONTROL_LINKS <= cap, (name, total)
-        # why: what is not dealt out is idle capacity
+        # Links that are not allocated are idle capacity.
         assert total + CONTROL_LINKS == cap, (name, total)
 
 
@@ -427,7 +427,7 @@
 
 def own_part(*, context: Any, names: list[str]) -> int:
     location = Location(SITE, SITE)
-    proxies = [(n, location) for n, _ in enumerate(names)]
+    proxies = [ProxyLocation(n, location) for n, _ in enumerate(names)]
     allocated = allocate_links(proxies=proxies, backend="a", location=location, cap=context.cap)
     return allocated.get(names.index("booth-1"), 0) if "booth-1" in names else 0
 
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -40,24 +40,30 @@
 
     @property
     def waiting(self) -> int:
+        """See `Link`."""
         return len(self.sent_us)
 
     @property
     def owed_us(self) -> int:
+        """See `Link`."""
         return self.forwarder.ctx.now_us() - min(self.sent_us.values()) if self.sent_us else 0
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
+        """Keeps a value that goes with each statement from now on."""
         self.values[name] = value
 
     def clear(self) -> None:
+        """Forgets all values and prepared statements."""
         self.values, self.prepared = {}, {}
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
+        """Keeps a prepared statement that goes with its executions."""
         self.prepared[alias] = PreparedStatement(shape, writes)
 
     def send(
         self, *, statement: Statement, at_least: Position | None = None, alias: bytes = b""
     ) -> asyncio.Future[Reply]:
+        """See `Link`."""
         shape, writes = self.prepared.get(alias, NOT_PREPARED)
         # The other proxy decides by `writes` where the statement may go, so an execute carries it too.
         writes = writes if statement.verb == Verb.execute else statement.verb == Verb.write
@@ -72,6 +78,7 @@
         return self._ask(question=question)
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
+        """See `Link`."""
         self.begun = True
         self.base = replace(self.base, read_only=read_only)
         self.forwarder.transactions[self.base.connection] = self
@@ -79,9 +86,11 @@
         return self._ask(question=question)
 
     def rollback(self) -> asyncio.Future[Reply]:
+        """See `Link`."""
         return self._ask(question=replace(self.base, step=ForwardStep.rollback))
 
     def ask_position(self) -> asyncio.Future[Reply]:
+        """See `Link`."""
         return self._ask(question=replace(self.base, step=ForwardStep.position))
 
     def _ask(self, *, question: ForwardQuestion) -> asyncio.Future[Reply]:
--- a/src/cinderstair/pooler/link_allocation.py
+++ b/src/cinderstair/pooler/link_allocation.py
@@ -25,9 +25,14 @@
         return 1 if self.region == other.region else 2
 
 
-def allocate_replicas(
-    *, proxies: Sequence[tuple[int, Location]], replicas: Sequence[Location], cap: int
-) -> dict[int, int]:
+class ProxyLocation(NamedTuple):
+    """A proxy's id and location."""
+
+    proxy_id: int
+    location: Location
+
+
+def allocate_replicas(*, proxies: Sequence[ProxyLocation], replicas: Sequence[Location], cap: int) -> dict[int, int]:
     """Allocates one replica to each proxy, nearest first and evenly; no replica gets more than `cap` proxies.
 
     :returns: the index of the replica by proxy id.
@@ -60,7 +65,7 @@
 
 def allocate_links(
     *,
-    proxies: Sequence[tuple[int, Location]],
+    proxies: Sequence[ProxyLocation],
     backend: str,
     location: Location,
     cap: int,
@@ -73,9 +78,9 @@
 
     :returns: the number of links by proxy id; proxies without an entry get none.
     """
-    regions: dict[str, list[tuple[int, Location]]] = {}
+    regions: dict[str, list[ProxyLocation]] = {}
     for entry in sorted(proxies):
-        regions.setdefault(entry[1].region, []).append(entry)
+        regions.setdefault(entry.location.region, []).append(entry)
     if not regions or cap <= 0:
         return {}
     quotas = _quotas(sizes={name: len(each) for name, each in regions.items()}, home=location.region, cap=cap)
@@ -114,11 +119,11 @@
     return quotas
 
 
-def _choose_proxies(*, members: list[tuple[int, Location]], backend: str, count: int) -> list[int]:
+def _choose_proxies(*, members: list[ProxyLocation], backend: str, count: int) -> list[int]:
     """The proxies that get links, from each site in turn, in an order that differs by backend."""
     # Each proxy's rank is independent of the others, so that one that joins or leaves moves few of them.
     sites: dict[str, list[int]] = {}
-    for proxy_id, location in sorted(members, key=lambda entry: rank(seed=entry[0], name=backend)):
+    for proxy_id, location in sorted(members, key=lambda entry: rank(seed=entry.proxy_id, name=backend)):
         sites.setdefault(location.site, []).append(proxy_id)
     turns = [ids[n] for n in range(len(members)) for _, ids in sorted(sites.items()) if n < len(ids)]
     return turns[:count]
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -5,7 +5,7 @@
 from ..membership.announcement import GONE, Announcement
 from ..membership.heartbeat import READY
 from .forwarder import PeerProxy
-from .link_allocation import Location, allocate_links, allocate_replicas
+from .link_allocation import Location, ProxyLocation, allocate_links, allocate_replicas
 from .link_pool import LinkPool
 from .router_base import RouterBase
 
@@ -113,7 +113,7 @@
         allocated = self.link_allocations.get((announcement.name, cap))
         if allocated is None:
             allocated = self.link_allocations[(announcement.name, cap)] = allocate_links(
-                proxies=[(n, self._location(site=places[name].site)) for n, name in reachable],
+                proxies=[ProxyLocation(n, self._location(site=places[name].site)) for n, name in reachable],
                 backend=announcement.name,
                 location=self._location(site=announcement.site),
                 cap=cap,
@@ -181,7 +181,7 @@
             # Services whose replicas have the same locations get the same result, so it is computed once.
             places = self.view.places
             sites = ((n, places[name].site if name in places else "") for n, name in self.view.proxy_ids.names)
-            proxies = [(n, self._location(site=site)) for n, site in sites]
+            proxies = [ProxyLocation(n, self._location(site=site)) for n, site in sites]
             allocated = self.replica_allocations[(locations, cap)] = allocate_replicas(
                 proxies=proxies, replicas=locations, cap=cap
             )
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -32,6 +32,7 @@
         return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
 
     def route(self, *, database: str) -> DatabaseRoute | None:
+        """See `RouterBase`."""
         plan = self.view.plan
         route = None if plan is None else plan.routes.get(database)
         if route is None:
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -29,12 +29,10 @@
     single = ForwardServer._single_now
 
     async def promised(self: Any, *, question: Any) -> Any:
-        outcome, reply = await single(self, question=question)
-        return (
-            refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
-            if outcome == Outcome.lost
-            else (outcome, reply)
-        )
+        result = await single(self, question=question)
+        if result.outcome == Outcome.lost:
+            return refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
+        return result
 
     return [patch.object(ForwardServer, "_single_now", promised)]
 
