--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -114,9 +114,9 @@
         await self.heartbeat_table.refresh(peers=(ADDRESS,))
         assert self.heartbeat_table.latest(name="db-1") is not None
         await self.view.pull()
-        self.view.requested = ADDRESS
+        self.view.controller = ADDRESS
         await self.ctx.sleep(duration_us=PAUSE_US)
-        self.teller.tend()
+        self.teller.on_timer()
         await self.ctx.sleep(duration_us=1)
         assert await self.census.gather(every_us=0)
         assert await self.census.gather_addresses(every_us=0)
--- a/src/cinderstair/failover/in_sync_tracker.py
+++ b/src/cinderstair/failover/in_sync_tracker.py
@@ -111,7 +111,8 @@
                 self.lagging_since_us.setdefault(name, now_us)
         since_us = self.lagging_since_us
         healthy = self.failover.healthy(names=names)
-        return {name for name in names if name in since_us and (name not in healthy or now_us - since_us[name] > LAG_US)}
+        lagging = {name for name in names if name in since_us and now_us - since_us[name] > LAG_US}
+        return lagging | {name for name in names if name in since_us and name not in healthy}
 
     def _without_maintenance(
         self, *, database: str, in_sync: tuple[str, ...], following: set[str]
