--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -49,7 +49,7 @@
             entries = [entry for (_, each), _ in applied for entry in each]
             if entries:
                 try:
-                    await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+                    await self.store.disk.run_in_background(work=partial(self.store.save, entries=entries))
                 except OSError as error:
                     # why: after a failed sync nobody knows what the disk holds; no answer may leave, now or later
                     self.halted = True
--- a/src/cinderstair/runtime/command_queue.py
+++ b/src/cinderstair/runtime/command_queue.py
@@ -1,55 +1,90 @@
-"""One owner a table, working through a queue of commands."""
+"""A queue of commands that gives a component's state a single writer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from .context import Context
 
+Command = Callable[[], Any]
+"""Changes the component's state; may return an awaitable, which is then awaited before the next command."""
+
+
+class _QueuedCommand(NamedTuple):
+    """A command and who waits for it.
+
+    :ivar result: receives the command's result or exception; None if nobody waits.
+    :ivar key: the key that ``post`` was given; empty if none.
+    """
+
+    command: Command
+    result: asyncio.Future[Any] | None
+    key: str
+
 
 class CommandQueueMixin:
-    """Gives a table's owner its queue. Commands run one at a time, in the order in which they came."""
+    """Runs a component's commands one at a time, in the order in which they were queued.
+
+    A class that inherits from it sets ``ctx`` and then calls ``open_queue`` in its event loop.
+    """
 
     ctx: Context
 
     def open_queue(self) -> None:
-        self._commands: asyncio.Queue[tuple[Callable[[], Any], asyncio.Future[Any] | None, str]] = asyncio.Queue()
-        self._waiting: set[str] = set()
-        self.ctx.spawn(work=self._work_queue(), name=f"{type(self).__name__}.queue")
-
-    async def order(self, *, command: Callable[[], Any]) -> Any:
-        """Runs a command in its turn and gives its result to the caller."""
-        done: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._commands.put_nowait((command, done, ""))
-        return await done
-
-    def post(self, *, command: Callable[[], Any], once: str = "") -> None:
-        """Queues a command that nobody waits for."""
-        # why: a tick that finds its predecessor still queued adds nothing, and the queue stays bounded
-        if once and once in self._waiting:
+        """Start to run commands."""
+        self._commands: asyncio.Queue[_QueuedCommand] = asyncio.Queue()
+        self._queued_keys: set[str] = set()
+        self.ctx.spawn(work=self._run_commands(), name=f"{type(self).__name__}.queue")
+
+    async def order(self, *, command: Command) -> Any:
+        """Queue a command, wait until it has run, and return its result.
+
+        :raises Exception: what the command raises.
+        """
+        result: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+        self._commands.put_nowait(_QueuedCommand(command=command, result=result, key=""))
+        return await result
+
+    def post(self, *, command: Command, once: str = "") -> None:
+        """Queue a command without waiting for it.
+
+        :param once: a key; while a command with the same key is queued, this one is dropped. Empty: never dropped.
+        """
+        # A timer that is faster than the commands would otherwise fill the queue without bound.
+        if once and once in self._queued_keys:
             return
         if once:
-            self._waiting.add(once)
-        self._commands.put_nowait((command, None, once))
+            self._queued_keys.add(once)
+        self._commands.put_nowait(_QueuedCommand(command=command, result=None, key=once))
 
-    def every(self, *, every_us: int, command: Callable[[], Any], name: str) -> None:
-        """Queues a command at each tick."""
+    def every(self, *, every_us: int, command: Command, name: str) -> None:
+        """Queue a command at an interval, unless its predecessor is still queued.
+
+        :param every_us: the interval in microseconds.
+        :param name: the key of the command in the queue.
+        """
         self.ctx.timer(every_us=every_us).subscribe(lambda _: self.post(command=command, once=name))
 
-    async def _work_queue(self) -> None:
+    async def _run_commands(self) -> None:
         while True:
-            command, done, once = await self._commands.get()
-            self._waiting.discard(once)
-            try:
-                result = command()
-                if isinstance(result, Awaitable):
-                    result = await result
-            except Exception as error:  # noqa: BLE001
-                # why: one broken command must not end the owner, or its table would freeze for good
-                if done is not None and not done.done():
-                    done.set_exception(error)
-                else:
-                    self.ctx.crash(where=type(self).__name__, error=error)
-            else:
-                if done is not None and not done.done():
-                    done.set_result(result)
+            queued = await self._commands.get()
+            self._queued_keys.discard(queued.key)
+            await self._run(queued=queued)
+
+    async def _run(self, *, queued: _QueuedCommand) -> None:
+        try:
+            value = queued.command()
+            if isinstance(value, Awaitable):
+                value = await value
+        except Exception as error:  # noqa: BLE001
+            # A command that fails must not end the queue, or the component would never change again.
+            self._fail(queued=queued, error=error)
+        else:
+            if queued.result is not None and not queued.result.done():
+                queued.result.set_result(value)
+
+    def _fail(self, *, queued: _QueuedCommand, error: Exception) -> None:
+        if queued.result is not None and not queued.result.done():
+            queued.result.set_exception(error)
+        else:
+            self.ctx.crash(where=type(self).__name__, error=error)
--- a/src/cinderstair/runtime/context.py
+++ b/src/cinderstair/runtime/context.py
@@ -1,4 +1,4 @@
-"""The one context object: the only way to time, randomness, network and disk."""
+"""The context of a process: its access to time, randomness, network and disk."""
 
 import asyncio
 import logging
@@ -18,13 +18,28 @@
 from .protocol_versions import PROTOCOL_VERSIONS, ProtocolVersions
 
 if TYPE_CHECKING:
-    # why: most daemons write no traces and must not load the library for them
+    # Most processes write no traces, and then do not load the library for them.
     from .traces import Traces
 
 
 @dataclass(kw_only=True)
 class Context:
-    """Stands in place of globals. A test hands in a virtual clock, network and disk."""
+    """Passed to every component in place of globals, so that a test can supply a virtual clock, network and disk.
+
+    :ivar name: the process's name.
+    :ivar site: the site that it runs at.
+    :ivar rng: the only source of randomness.
+    :ivar clock: returns the monotonic time in microseconds.
+    :ivar wall: returns the calendar time in microseconds since 1970.
+    :ivar net: messages between processes, and HTTP.
+    :ivar disk: the data folder.
+    :ivar log: the process's logger.
+    :ivar counters: the process's metrics.
+    :ivar traces: collects traces; None if the process writes none.
+    :ivar protocol_versions: the protocol versions that the process supports.
+    :ivar tasks: the background tasks that have not ended.
+    :ivar peer_client: sends requests to other processes.
+    """
 
     name: str
     site: str
@@ -43,38 +58,54 @@
         self.peer_client = PeerClient(ctx=self)
 
     def now_us(self) -> int:
-        """Monotonic microseconds; says nothing about any other machine's clock."""
+        """Return the monotonic time in microseconds. It can't be compared with that of another process."""
         return self.clock()
 
     def wall_us(self) -> int:
-        """Microseconds since 1970 by this machine's calendar clock; for move windows and traces alone."""
+        """Return the microseconds since 1970 by this machine's calendar clock.
+
+        Only maintenance windows and traces use it: the clock may be wrong or jump.
+        """
         return self.wall()
 
     async def sleep(self, *, duration_us: int) -> None:
+        """Suspend the current task for this many microseconds."""
         await asyncio.sleep(duration_us / 1_000_000)
 
     def spawn(self, *, work: Coroutine[Any, Any, Any], name: str = "") -> asyncio.Task[Any]:
-        """Starts a task and keeps hold of it until it ends."""
+        """Start a background task; an exception that ends it is counted and logged.
+
+        :param work: the coroutine to run.
+        :param name: names the task in the log; empty for a generated name.
+        """
         task = asyncio.get_running_loop().create_task(work, name=name or None)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
-        # why: an exception nobody awaits would vanish, and with it the reason why a duty stopped
+        # Nobody awaits the task, so its exception would be lost.
         if not task.cancelled() and task.exception() is not None:
             self.crash(where=task.get_name(), error=task.exception())
 
     def crash(self, *, where: str, error: BaseException | None) -> None:
+        """Count and log an unexpected exception, which is a fault in the code.
+
+        :param where: the component or task that raised it.
+        """
         self.counters.add(name="internal.crashes")
         self.log.error("crash in %s: %r", where, error, exc_info=error)
 
     def timer(self, *, every_us: int) -> reactivex.Observable[int]:
-        """A stream of ticks on the process's one loop."""
+        """Return an observable that emits 0, 1, 2, ... on the running event loop.
+
+        :param every_us: the interval in microseconds; the first number comes after one interval.
+        """
         scheduler = AsyncIOScheduler(asyncio.get_running_loop())
         return reactivex.interval(timedelta(microseconds=every_us), scheduler=scheduler)
 
     def close(self) -> None:
+        """Cancel all background tasks."""
         for task in list(self.tasks):
             task.cancel()
--- a/src/cinderstair/runtime/disk.py
+++ b/src/cinderstair/runtime/disk.py
@@ -1,24 +1,30 @@
-"""What our processes may ask of a disk. A file lasts only once it has been synced."""
+"""The disk interface that the other packages depend on."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
 
 class Disk(Protocol):
-    """Files by name in one data folder. Calls raise OSError as a real disk does."""
+    """The files in one data folder, by name. Every method may raise OSError.
+
+    What a method has written survives a power loss once the method has returned.
+    """
 
     def read(self, *, name: str) -> bytes | None:
-        """The whole file, or None where there is none."""
+        """Return the content of a file, or None if it does not exist."""
         ...
 
     def write(self, *, name: str, data: bytes) -> None:
-        """Replaces the file's content and syncs it and the folder."""
+        """Replace the content of a file, and sync the file and the folder."""
         ...
 
     def append(self, *, name: str, data: bytes) -> None:
-        """Adds to the file's end and syncs it."""
+        """Append to a file, which is created if it does not exist, and sync it."""
         ...
 
-    def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
-        """Runs calls of this disk so that the loop need not wait for them; one piece of work after the other."""
+    def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
+        """Run a function that calls this disk without blocking the event loop; one function at a time.
+
+        :returns: an awaitable that ends with the function, and raises what it raises.
+        """
         ...
--- a/src/cinderstair/runtime/real_disk.py
+++ b/src/cinderstair/runtime/real_disk.py
@@ -1,4 +1,4 @@
-"""The data folder on a real disk."""
+"""The data folder of a process on a real disk."""
 
 import asyncio
 import os
@@ -8,17 +8,22 @@
 
 
 class RealDisk:
-    """Writes in place on purpose: two slots written in turn need no rename, and a torn slot is detected."""
+    """Files are overwritten in place, not renamed: the store writes two slots in turn and detects a torn one.
+
+    :param folder: the path of the data folder; it is created if it does not exist.
+    :raises OSError: if the folder can't be created.
+    """
 
     def __init__(self, *, folder: str) -> None:
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.handles: dict[str, int] = {}
-        # why: one thread, whose whole work is to wait: a disk that hangs must hold up nobody but those who need it
-        self.thread = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
+        self._append_handles: dict[str, int] = {}
+        # In a thread of its own a disk that hangs delays only those who wait for it.
+        self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
 
-    def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
-        return asyncio.get_running_loop().run_in_executor(self.thread, work)
+    def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
+        """Run a function in the disk's thread."""
+        return asyncio.get_running_loop().run_in_executor(self._executor, work)
 
     def _sync_folder(self) -> None:
         handle = os.open(self.folder, os.O_RDONLY)
@@ -28,11 +33,13 @@
             os.close(handle)
 
     def read(self, *, name: str) -> bytes | None:
+        """Return the content of a file, or None if it does not exist."""
         path = self.folder / name
         return path.read_bytes() if path.exists() else None
 
     def write(self, *, name: str, data: bytes) -> None:
-        self._forget(name=name)
+        """Replace the content of a file, and sync the file and the folder."""
+        self._close_append_handle(name=name)
         with open(self.folder / name, "wb") as file:
             file.write(data)
             file.flush()
@@ -40,18 +47,23 @@
         self._sync_folder()
 
     def append(self, *, name: str, data: bytes) -> None:
-        handle = self.handles.get(name)
+        """Append to a file, which is created if it does not exist, and sync it."""
+        handle = self._append_handle(name=name)
+        remaining = memoryview(data)
+        # A write may be short.
+        while remaining:
+            remaining = remaining[os.write(handle, remaining) :]
+        os.fsync(handle)
+
+    def _append_handle(self, *, name: str) -> int:
+        handle = self._append_handles.get(name)
         if handle is None:
             handle = os.open(self.folder / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
-            self.handles[name] = handle
+            self._append_handles[name] = handle
             self._sync_folder()
-        left = memoryview(data)
-        # why: a write may be short; what was not taken must be offered again before the sync
-        while left:
-            left = left[os.write(handle, left) :]
-        os.fsync(handle)
+        return handle
 
-    def _forget(self, *, name: str) -> None:
-        handle = self.handles.pop(name, None)
+    def _close_append_handle(self, *, name: str) -> None:
+        handle = self._append_handles.pop(name, None)
         if handle is not None:
             os.close(handle)
--- a/src/cinderstair/simulation/explorer/choice_disk.py
+++ b/src/cinderstair/simulation/explorer/choice_disk.py
@@ -15,7 +15,7 @@
         self.files = files
         self.syncing: asyncio.Future[None] | None = None
 
-    def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
+    def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
         return self._when_reported(work)
 
     async def _when_reported(self, work: Callable[[], None]) -> None:
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -30,7 +30,7 @@
             answer, entries = command()
             future.set_result(answer)
             if entries:
-                await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+                await self.store.disk.run_in_background(work=partial(self.store.save, entries=entries))
 
     return [patch.object(Acceptor, "_work", work)]
 
--- a/src/cinderstair/simulation/sim_disk.py
+++ b/src/cinderstair/simulation/sim_disk.py
@@ -16,7 +16,7 @@
         self.syncs = 0
         self.hangs = 0.0
 
-    def beside(self, *, work: Callable[[], None]) -> Awaitable[None]:
+    def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
         return self._beside(work)
 
     async def _beside(self, work: Callable[[], None]) -> None:
