--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -456,7 +456,7 @@
     unpacker = Unpacker(data=body)
     kind = unpacker.text()
     unpacker.text()
-    return version + Packer().text(value=kind).bytes() + body[unpacker.at :]
+    return version + Packer().text(value=kind).bytes() + body[unpacker.offset :]
 
 
 def answers(*, stage: Stage, dialogue: Dialogue, requested: list[bytes]) -> list[bytes]:
--- a/src/cinderstair/runtime/error_responses.py
+++ b/src/cinderstair/runtime/error_responses.py
@@ -1,4 +1,4 @@
-"""The one table from error kind to answer."""
+"""The HTTP response to each error code."""
 
 from types import MappingProxyType
 from typing import NamedTuple
@@ -7,7 +7,12 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What a caller is told for a kind: HTTP status, outcome, and when to come back (0: do not)."""
+    """What a client is told about an error.
+
+    :ivar status: the HTTP status.
+    :ivar outcome: REJECTED or UNKNOWN.
+    :ivar retry_after_us: after how many microseconds the client may retry; 0 means that a retry is of no use.
+    """
 
     status: int
     outcome: str
@@ -15,7 +20,10 @@
 
 
 REJECTED = "denied"
+"""The request has had no effect."""
+
 UNKNOWN = "unknown"
+"""The request may have had an effect."""
 
 ERROR_RESPONSES = MappingProxyType(
     {
--- a/src/cinderstair/runtime/errors.py
+++ b/src/cinderstair/runtime/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error codes, and the error that every failing Result carries."""
+"""The error codes, and the error that every failed ``Result`` carries."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -6,9 +6,9 @@
 
 
 class ErrorCode(Enum):
-    """Every way in which cinderstair can fail to do what it was asked. Nothing fails outside this list.
+    """Every way in which a request can fail.
 
-    The value is the spelling that clients and operators receive; it never changes.
+    The value is what clients and operators receive; it is part of the public interface and never changes.
     """
 
     MALFORMED = "malformed"
@@ -57,10 +57,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CinderstairError:
-    """The error side of every Result.
+    """The error side of every ``Result``.
 
-    `code` is one of the closed list, `reason` says for people what went wrong, and `details` carries what a caller
-    needs to act on it (for example the address to go to instead).
+    :ivar code: what a program acts on.
+    :ivar reason: describes for people what went wrong, in one line.
+    :ivar details: what a client needs in order to react, for example the address of another proxy.
     """
 
     code: ErrorCode
--- a/src/cinderstair/runtime/http_connection.py
+++ b/src/cinderstair/runtime/http_connection.py
@@ -1,4 +1,4 @@
-"""One explicit httpcore connection to a backend."""
+"""A client's HTTP connection to a backend, over httpcore."""
 
 import asyncio
 import socket
@@ -11,9 +11,19 @@
 from .http_request import HttpRequest
 from .http_response import HttpResponse
 
+FIRST_ERROR_STATUS = 400
+
+# The value of SO_LINGER, on with 0 s, that makes close() send a reset and discard what has not been sent.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+
 
 class HttpConnection:
-    """A connection that we open, use for one job at a time, and close; it never sends anything twice."""
+    """An open connection; see ``net.Connection``. httpcore's own pool would retry requests, so it is not used.
+
+    :param address: the backend's address, as host:port.
+    :param connection: the httpcore connection over the stream.
+    :param stream: the connected stream.
+    """
 
     def __init__(
         self, *, address: str, connection: httpcore.AsyncHTTP11Connection, stream: httpcore.AsyncNetworkStream
@@ -21,34 +31,24 @@
         self.address = address
         self.stream = stream
         self.connection = connection
-        self.broken = False
-        self.closing: asyncio.Task[None] | None = None
-        self.limit: asyncio.Timeout | None = None
+        self._closed = False
+        self._close_task: asyncio.Task[None] | None = None
+        self._timeout: asyncio.Timeout | None = None
 
     @property
     def open(self) -> bool:
-        return not self.broken and not self.connection.is_closed() and not self.connection.has_expired()
+        """Whether the connection can still send requests."""
+        return not self._closed and not self.connection.is_closed() and not self.connection.has_expired()
 
     async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
-        # why: a channel known dead before anything was written proves that the backend saw nothing
+        """Send a request and wait for its response; see ``net.Connection``."""
+        # Nothing has been written yet, so the backend can't have seen the request.
         if not self.open:
             self.close()
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.address}: channel closed"))
-        outgoing = httpcore.Request(
-            request.method,
-            f"http://{self.address}{request.path}",
-            headers=[
-                ("Host", self.address),
-                ("Content-Type", "application/json"),
-                ("Content-Length", str(len(request.body))),
-            ],
-            content=request.body,
-        )
         try:
-            async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
-                response = await self.connection.handle_async_request(outgoing)
-                body = await response.aread()
-                await response.aclose()
+            async with asyncio.timeout(wait_us / 1_000_000) as self._timeout:
+                return Ok(await self._exchange(request=request))
         except (TimeoutError, OSError, RuntimeError, httpcore.ConnectError) as error:
             return self._lost(error=error)
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
@@ -60,29 +60,46 @@
             self.close()
             raise
         finally:
-            self.limit = None
-        # why: of an answer's headers only a denial's say anything that its body does not
-        headers = {} if response.status < 400 else {k.decode().title(): v.decode() for k, v in response.headers}
-        return Ok(HttpResponse(status=response.status, body=body, headers=headers))
+            self._timeout = None
+
+    async def _exchange(self, *, request: HttpRequest) -> HttpResponse:
+        response = await self.connection.handle_async_request(self._encode(request=request))
+        body = await response.aread()
+        await response.aclose()
+        # Only the headers of an error response say anything that its body does not.
+        is_error = response.status >= FIRST_ERROR_STATUS
+        headers = {key.decode().title(): value.decode() for key, value in response.headers} if is_error else {}
+        return HttpResponse(status=response.status, body=body, headers=headers)
+
+    def _encode(self, *, request: HttpRequest) -> httpcore.Request:
+        headers = [
+            ("Host", self.address),
+            ("Content-Type", "application/json"),
+            ("Content-Length", str(len(request.body))),
+        ]
+        url = f"http://{self.address}{request.path}"
+        return httpcore.Request(request.method, url, headers=headers, content=request.body)
 
     def _lost(self, *, error: Exception) -> Result[HttpResponse, CinderstairError]:
         sock = self.stream.get_extra_info("socket")
-        # why: what a cut holds up must not reach the backend long after the job was given up
+        # Reset the connection: what is still in the send buffer must not reach the backend after the request has
+        # been given up.
         if sock is not None and sock.fileno() >= 0:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
-        # why: once bytes may have left, only an answer tells what happened to the job
+        # Once bytes may have been sent, only a response tells what became of the request.
         return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{self.address}: {type(error).__name__}"))
 
     def give_up(self) -> None:
-        # why: between jobs there is no wait to end
-        if self.limit is not None and not self.limit.expired():
-            self.limit.reschedule(asyncio.get_running_loop().time())
+        """End the wait of the request in flight, if there is one, as if its time were up."""
+        if self._timeout is not None and not self._timeout.expired():
+            self._timeout.reschedule(asyncio.get_running_loop().time())
 
     def close(self) -> None:
-        if not self.broken:
-            self.broken = True
-            self.closing = asyncio.get_running_loop().create_task(self._close())
+        """Close the connection in the background; a request in flight fails."""
+        if not self._closed:
+            self._closed = True
+            self._close_task = asyncio.get_running_loop().create_task(self._close())
 
     async def _close(self) -> None:
         try:
--- a/src/cinderstair/runtime/position.py
+++ b/src/cinderstair/runtime/position.py
@@ -1,13 +1,18 @@
-"""A place in a backend's log."""
+"""Positions in the log of a backend."""
 
 from typing import NamedTuple
 
 
 class Position(NamedTuple):
-    """Ordered by term, then by the number of the commit."""
+    """A position in a backend's log, ordered by term and then by commit.
+
+    :ivar term: the term of the primary that made the commit.
+    :ivar number: the number of the commit.
+    """
 
     term: int
     number: int
 
 
 START = Position(0, 0)
+"""The position before the first commit."""
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -1,4 +1,4 @@
-"""The network of real processes: TCP records, an aiohttp server, explicit httpcore connections."""
+"""The network of a real process: messages over TCP, an HTTP server (aiohttp) and HTTP clients (httpcore)."""
 
 import asyncio
 
@@ -10,20 +10,24 @@
 from .errors import CinderstairError, ErrorCode
 from .http_connection import HttpConnection
 from .http_request import HttpRequest, Line
+from .http_response import HttpResponse
 from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport, split_address
 
-MOST_BODY_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
+KEEPALIVE_S = 120
+SHUTDOWN_S = 2
 
 
 class RealLine(Line):
-    """Tells a server whether the connection that a job came in on has ended."""
+    """The client connection of a request, by its asyncio transport."""
 
     def __init__(self, *, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     @property
     def closed(self) -> bool:
+        """Whether the connection is closed or closing."""
         return self.transport.is_closing()
 
     def __eq__(self, other: object) -> bool:
@@ -34,10 +38,15 @@
 
 
 class RealNet:
+    """Implements ``net.Net``; see there.
+
+    :param counters: counts as ``RecordTransport`` does.
+    """
+
     def __init__(self, *, counters: Counters) -> None:
         self.counters = counters
         self.transport = RecordTransport(counters=counters)
-        self.runners: list[web.AppRunner] = []
+        self._runners: list[web.AppRunner] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         return await self.transport.request(address=address, body=body, wait_us=wait_us)
@@ -60,36 +69,40 @@
         host, port = split_address(address=address)
 
         async def handle(request: web.Request) -> web.Response:
-            try:
-                body = await request.read()
-            except web.HTTPRequestEntityTooLarge:
-                # why: the filters give the closed kind for it, so they are told by a body over their limit
-                body = b"\0" * (MOST_BODY_BYTES + 1)
-            # why: a request whose connection is already gone still needs a line, one that counts as closed
-            line = Line() if request.transport is None else RealLine(transport=request.transport)
-            http_request = HttpRequest(
-                method=request.method, path=request.path, body=body, query=dict(request.query), line=line
-            )
-            response = await handler(http_request)
-            headers = {"Content-Type": "application/json", **response.headers}
-            answered = web.Response(status=response.status, body=response.body, headers=headers)
-            if headers.get("Connection") == "close":
-                answered.force_close()
-            return answered
-
-        app = web.Application(client_max_size=MOST_BODY_BYTES)
+            return _encode_response(response=await handler(await _decode_request(request=request)))
+
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_route("*", "/{rest:.*}", handle)
-        runner = web.AppRunner(app, access_log=None, keepalive_timeout=120)
+        runner = web.AppRunner(app, access_log=None, keepalive_timeout=KEEPALIVE_S)
         await runner.setup()
-        await web.TCPSite(runner, host, port, reuse_address=True, shutdown_timeout=2).start()
-        self.runners.append(runner)
+        await web.TCPSite(runner, host, port, reuse_address=True, shutdown_timeout=SHUTDOWN_S).start()
+        self._runners.append(runner)
 
     async def refuse(self) -> None:
-        for runner in self.runners:
+        for runner in self._runners:
             for site in list(runner.sites):
                 await site.stop()
 
     async def close(self) -> None:
         await self.transport.close()
-        for runner in self.runners:
+        for runner in self._runners:
             await runner.cleanup()
+
+
+async def _decode_request(*, request: web.Request) -> HttpRequest:
+    try:
+        body = await request.read()
+    except web.HTTPRequestEntityTooLarge:
+        # The handler rejects a body above the limit with an error code of its own, so it is given one.
+        body = b"\0" * (MAX_BODY_BYTES + 1)
+    # The client may have disconnected already; the base class stands for a closed connection.
+    line = Line() if request.transport is None else RealLine(transport=request.transport)
+    return HttpRequest(method=request.method, path=request.path, body=body, query=dict(request.query), line=line)
+
+
+def _encode_response(*, response: HttpResponse) -> web.Response:
+    headers = {"Content-Type": "application/json", **response.headers}
+    encoded = web.Response(status=response.status, body=response.body, headers=headers)
+    if headers.get("Connection") == "close":
+        encoded.force_close()
+    return encoded
--- a/src/cinderstair/runtime/traces.py
+++ b/src/cinderstair/runtime/traces.py
@@ -1,4 +1,4 @@
-"""Traces in the OpenTelemetry JSON form: one span a job, one line a batch. Off unless a sink is given."""
+"""Traces in OpenTelemetry's JSON encoding: one span per request, one line per batch."""
 
 import base64
 import json
@@ -12,28 +12,43 @@
 from opentelemetry.proto.trace.v1.trace_pb2 import ResourceSpans, ScopeSpans, Span, Status, TracesData
 
 Sink = Callable[[bytes], None]
-MOST_SPANS = 2_000
-IDS = ("traceId", "spanId", "parentSpanId")
+"""Takes one line, with its line feed."""
 
+MAX_SPANS = 2_000
 
-def attribute(*, key: str, value: str | int) -> KeyValue:
-    held = AnyValue(int_value=value) if isinstance(value, int) else AnyValue(string_value=value)
-    return KeyValue(key=key, value=held)
+NANOSECONDS_PER_MICROSECOND = 1_000
 
+_ID_KEYS = ("traceId", "spanId", "parentSpanId")
 
-def hex_ids(*, value: Any) -> Any:
-    """The JSON form writes ids in hex, where the library's general rule for bytes is base64."""
+
+def _attribute(*, key: str, value: str | int) -> KeyValue:
+    any_value = AnyValue(int_value=value) if isinstance(value, int) else AnyValue(string_value=value)
+    return KeyValue(key=key, value=any_value)
+
+
+def _hex_id(*, value: str) -> str:
+    return base64.b64decode(value).hex()
+
+
+def _hex_ids(*, value: Any) -> Any:
+    """Return the JSON value with its ids in hex, as OpenTelemetry has them; protobuf encodes bytes as base64."""
     if isinstance(value, dict):
         return {
-            key: base64.b64decode(inner).hex() if key in IDS else hex_ids(value=inner) for key, inner in value.items()
+            key: _hex_id(value=inner) if key in _ID_KEYS else _hex_ids(value=inner) for key, inner in value.items()
         }
     if isinstance(value, list):
-        return [hex_ids(value=inner) for inner in value]
+        return [_hex_ids(value=inner) for inner in value]
     return value
 
 
 class Traces:
-    """Keeps spans until they are flushed; what is too much is counted and dropped, never waited for."""
+    """Keeps spans until they are flushed; above ``MAX_SPANS`` they are counted and dropped.
+
+    :param service: the name of the process in the traces.
+    :param rng: generates the ids.
+    :param sink: takes the lines; None turns traces off.
+    :ivar dropped: how many spans have been dropped.
+    """
 
     def __init__(self, *, service: str, rng: random.Random, sink: Sink | None = None) -> None:
         self.service = service
@@ -43,10 +58,16 @@
         self.dropped = 0
 
     def span(self, *, name: str, wall_us: int, took_us: int, attributes: dict[str, str | int], failed: bool) -> None:
+        """Add the span of a request that has ended.
+
+        :param name: the kind of request.
+        :param wall_us: when it began, in microseconds since 1970.
+        :param took_us: how long it took, in microseconds.
+        :param failed: whether its status is an error.
+        """
         if self.sink is None:
             return
-        # why: traces are a convenience, and must not cost a daemon its memory
-        if len(self.spans) >= MOST_SPANS:
+        if len(self.spans) >= MAX_SPANS:
             self.dropped += 1
             return
         self.spans.append(
@@ -55,20 +76,21 @@
                 span_id=self.rng.getrandbits(64).to_bytes(8, "big"),
                 name=name,
                 kind=Span.SPAN_KIND_SERVER,
-                start_time_unix_nano=wall_us * 1_000,
-                end_time_unix_nano=(wall_us + took_us) * 1_000,
-                attributes=[attribute(key=key, value=value) for key, value in attributes.items()],
+                start_time_unix_nano=wall_us * NANOSECONDS_PER_MICROSECOND,
+                end_time_unix_nano=(wall_us + took_us) * NANOSECONDS_PER_MICROSECOND,
+                attributes=[_attribute(key=key, value=value) for key, value in attributes.items()],
                 status=Status(code=Status.STATUS_CODE_ERROR if failed else Status.STATUS_CODE_OK),
             )
         )
 
     def flush(self) -> None:
+        """Pass all spans to the sink as one line; does nothing if there are none."""
         if self.sink is None or not self.spans:
             return
         spans, self.spans = self.spans, []
-        resource = Resource(attributes=[attribute(key="service.name", value=self.service)])
+        resource = Resource(attributes=[_attribute(key="service.name", value=self.service)])
         scope = ScopeSpans(scope=InstrumentationScope(name="cinderstair"), spans=spans)
         data = TracesData(resource_spans=[ResourceSpans(resource=resource, scope_spans=[scope])])
-        # why: the JSON form writes enumerations as their numbers
-        value = hex_ids(value=MessageToDict(data, use_integers_for_enums=True))
+        # OpenTelemetry's JSON encoding has enumerations as numbers.
+        value = _hex_ids(value=MessageToDict(data, use_integers_for_enums=True))
         self.sink(json.dumps(value, separators=(",", ":")).encode() + b"\n")
