--- a/src/cinderstair/consensus/group_commit.py
+++ b/src/cinderstair/consensus/group_commit.py
@@ -67,7 +67,7 @@
     async def _save(self, *, entries: list[bytes]) -> bool:
         """Whether the entries are on the disk; after a failed sync nobody knows, and no answer may leave."""
         try:
-            await self.store.disk.beside(work=partial(self.store.save, entries=entries))
+            await self.store.disk.run_in_background(work=partial(self.store.save, entries=entries))
         except OSError as error:
             self.halted = True
             self.halt(f"disk failed: {error}")
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -32,7 +32,7 @@
             result = command.apply()
             command.answer.set_result(result.answer)
             if result.entries:
-                await self.store.disk.beside(work=partial(self.store.save, entries=result.entries))
+                await self.store.disk.run_in_background(work=partial(self.store.save, entries=result.entries))
 
     return [patch.object(GroupCommit, "_process_commands", work)]
 
