--- a/src/cinderstair/__main__.py
+++ b/src/cinderstair/__main__.py
@@ -9,6 +9,7 @@
 from .cli.check_commands import CheckCommand, FormatCommand
 from .cli.controller_commands import ControllerCommand, ShardsCommand
 from .cli.daemon_commands import HttpProxyCommand, RegisterReplicaCommand
+from .cli.exit_code import ExitCode
 from .cli.operator_commands import (
     CountersCommand,
     DrainCommand,
@@ -21,8 +22,6 @@
 from .cli.shard_commands import ShardsAbandonCommand, ShardsBeginCommand, ShardsPlanCommand, ShardsWatchCommand
 from .cli.simulate_command import SimulateCommand
 
-USAGE = 2
-
 
 def main() -> None:
     app = Application("cinderstair", VERSION)
@@ -56,9 +55,9 @@
         code = app.run()
     except CleoError as error:
         print(f"{error}\nSee 'cinderstair --help', or 'cinderstair VERB --help'.", file=sys.stderr)
-        code = USAGE
+        code = ExitCode.USAGE
     except KeyboardInterrupt:
-        code = 130
+        code = ExitCode.INTERRUPTED
     sys.exit(code)
 
 
--- a/src/cinderstair/cli/check_commands.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -3,14 +3,15 @@
 import json
 import sys
 
-from cleo.commands.command import Command
 from cleo.helpers import argument
 
 from ..config.formatter import format_program, format_selector
-from .document_mixin import DONE, DocumentMixin
+from .base_command import BaseCommand
+from .document_mixin import DocumentMixin
+from .exit_code import ExitCode
 
 
-class CheckCommand(DocumentMixin, Command):
+class CheckCommand(DocumentMixin, BaseCommand):
     name = "check"
     description = "Check a configuration document; needs no running system"
     arguments = [argument("file", "the configuration document (JSON)")]
@@ -29,10 +30,10 @@
             "windows": len(configuration.windows),
         }
         print(json.dumps(counts))
-        return DONE
+        return ExitCode.DONE
 
 
-class FormatCommand(DocumentMixin, Command):
+class FormatCommand(DocumentMixin, BaseCommand):
     name = "format"
     description = "Print a configuration document with its language in its one true form"
     arguments = [argument("file", "the configuration document (JSON)")]
@@ -50,4 +51,4 @@
         for window in document.get("windows", []):
             window["empties"] = format_selector(text=window["empties"]).ok
         print(json.dumps(document, indent=2))
-        return DONE
+        return ExitCode.DONE
--- a/src/cinderstair/cli/controller_commands.py
+++ b/src/cinderstair/cli/controller_commands.py
@@ -1,10 +1,8 @@
 """The verbs of operators that speak to a running controller, by records."""
 
 import asyncio
-import sys
 from pathlib import Path
 
-from cleo.commands.command import Command
 from cleo.helpers import argument, option
 from expression import Result
 
@@ -15,8 +13,9 @@
 from ..runtime.record_transport import RecordTransport
 from ..runtime.settings_validation import address_error
 from ..runtime.unpacker import Unpacker
+from .base_command import BaseCommand
+from .exit_code import ExitCode
 
-DONE, REJECTED, USAGE, UNKNOWN = 0, 1, 2, 3
 WAIT_US = 5_000_000
 AT = option("at", "a", "records address of any controller", flag=False, default="127.0.0.1:7101")
 
@@ -30,23 +29,20 @@
         await wire.close()
 
 
-class RecordCommand(Command):
+class RecordCommand(BaseCommand):
     """Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown."""
 
     options = [AT]
 
-    def fail(self, *, why: str, code: int) -> int:
-        print(why, file=sys.stderr)
-        return code
-
     def put(self, *, body: bytes, changes: bool) -> int:
         problem = address_error(value=self.option("at"))
         if problem:
-            return self.fail(why=f"--at: {problem}", code=USAGE)
+            return self.fail(message=f"--at: {problem}", code=ExitCode.USAGE)
         result = asyncio.run(ask(address=self.option("at"), body=body))
         if result.is_error():
             return self.fail(
-                why=f"{result.error.code.value}: {result.error.reason}", code=UNKNOWN if changes else REJECTED
+                message=f"{result.error.code.value}: {result.error.reason}",
+                code=ExitCode.UNKNOWN if changes else ExitCode.FAILED,
             )
         try:
             unpacker = Unpacker(data=result.ok)
@@ -54,12 +50,12 @@
             unpacker.done()
         except ValueError:
             return self.fail(
-                why="an answer that can't be read: is this a controller's records address?", code=REJECTED
+                message="an answer that can't be read: is this a controller's records address?", code=ExitCode.FAILED
             )
         if kind:
-            return self.fail(why=f"{kind}: {words}", code=REJECTED)
+            return self.fail(message=f"{kind}: {words}", code=ExitCode.FAILED)
         print(words)
-        return DONE
+        return ExitCode.DONE
 
 
 class ShardsCommand(RecordCommand):
@@ -73,7 +69,7 @@
             try:
                 raw = Path(self.argument("file")).read_bytes()
             except OSError as error:
-                return self.fail(why=f"{self.argument('file')}: {error.strerror}", code=USAGE)
+                return self.fail(message=f"{self.argument('file')}: {error.strerror}", code=ExitCode.USAGE)
         return self.put(body=Packer().u8(value=SHARDS).blob(value=raw).bytes(), changes=bool(raw))
 
 
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -16,9 +16,9 @@
 from ..runtime.settings import LIVE, Settings, may_change_live, read_settings
 from ..runtime.traces import Sink, Traces
 from .container import Container
+from .exit_code import ExitCode
 
 WATCH_US = 1_000_000
-STOPPED, FAILED, USAGE = 0, 1, 2
 
 
 class DaemonRole(Protocol):
@@ -49,7 +49,7 @@
         self.settings = settings
         self.make = make
         self.stop = asyncio.Event()
-        self.code = STOPPED
+        self.code = ExitCode.DONE
         self.stamp = self._stamp()
         self.log = logging.getLogger(settings.name)
 
@@ -64,7 +64,7 @@
         """The end when going on would be wrong: no deregistration, no flush, nothing more is answered."""
         self.log.critical("halts: %s", why)
         logging.shutdown()
-        os._exit(FAILED)
+        os._exit(ExitCode.FAILED)
 
     async def run(self) -> int:
         market = Container()
@@ -88,10 +88,10 @@
             started = await trader.start()
         except OSError as error:
             print(f"{self.path or 'flags'}: can't start: {error}", file=sys.stderr)
-            return USAGE
+            return ExitCode.USAGE
         if started.is_error():
             print(f"{self.path or 'flags'}: {started.error.reason}", file=sys.stderr)
-            return FAILED
+            return ExitCode.FAILED
         ctx.timer(every_us=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
         await self.stop.wait()
         self.log.info("stops")
--- a/src/cinderstair/cli/daemon_commands.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -7,14 +7,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from cleo.commands.command import Command
 from cleo.helpers import option
 
 from ..consensus.register_replica import RegisterReplica
 from ..http_frontend.http_proxy import HttpProxy
 from ..runtime.context import Context
 from ..runtime.settings import Settings, read_settings
-from .daemon import USAGE, Daemon, DaemonRole
+from .base_command import BaseCommand
+from .daemon import Daemon, DaemonRole
+from .exit_code import ExitCode
 
 FLAGS = (
     ("name", "this process's name"),
@@ -28,7 +29,7 @@
 )
 
 
-class DaemonCommand(Command):
+class DaemonCommand(BaseCommand):
     """Reads and checks the settings, then runs one role until it is told to stop."""
 
     options = [
@@ -57,25 +58,21 @@
             flags["foundingVaults"] = int(self.option("foundingVaults"))
         return flags
 
-    def _refuse(self, *, why: str) -> int:
-        print(why, file=sys.stderr)
-        return USAGE
-
     def handle(self) -> int:
         path = self.option("settings") or ""
         flags = self._flags()
         if isinstance(flags, str):
-            return self._refuse(why=f"flags: {flags}")
+            return self.fail(message=f"flags: {flags}", code=ExitCode.USAGE)
         read = read_settings(path=path, flags=flags)
         if read.is_error():
-            return self._refuse(why=read.error.reason)
+            return self.fail(message=read.error.reason, code=ExitCode.USAGE)
         settings, where = read.ok, path or "flags"
         if self.needs_http and not settings.http:
-            return self._refuse(why=f"{where}: http: an address is needed for this role")
+            return self.fail(message=f"{where}: http: an address is needed for this role", code=ExitCode.USAGE)
         if self.needs_folder:
             problem = folder_error(folder=settings.folder)
             if problem:
-                return self._refuse(why=f"{where}: folder: {problem}")
+                return self.fail(message=f"{where}: folder: {problem}", code=ExitCode.USAGE)
         logging.basicConfig(
             level=settings.logLevel.upper(),
             format="%(asctime)s %(levelname)s %(name)s %(message)s",
@@ -105,8 +102,9 @@
 
 
 class HttpProxyCommand(DaemonCommand):
-    name = "stall"
-    description = "Run a front daemon: sessions, channels, share"
+    name = "http-proxy"
+    aliases = ["stall"]
+    description = "Run an HTTP proxy: sessions, and connections to its subset of the backends"
     needs_http = True
 
     def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
@@ -114,8 +112,9 @@
 
 
 class RegisterReplicaCommand(DaemonCommand):
-    name = "vault"
-    description = "Run a daemon on a disk machine: one vote of the register"
+    name = "register-replica"
+    aliases = ["vault"]
+    description = "Run a register replica on a machine with a disk: one vote of the register"
     needs_folder = True
 
     def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
--- a/src/cinderstair/cli/document_mixin.py
+++ b/src/cinderstair/cli/document_mixin.py
@@ -5,8 +5,7 @@
 
 from ..config.check import check_configuration
 from ..config.configuration import Configuration
-
-DONE, REJECTED, USAGE = 0, 1, 2
+from .exit_code import ExitCode
 
 
 class DocumentMixin:
@@ -23,10 +22,10 @@
         """The configuration, or the exit code."""
         raw = self.read_file(path=path)
         if raw is None:
-            return USAGE
+            return ExitCode.USAGE
         checked = check_configuration(raw=raw)
         if checked.is_error():
             for line in checked.error.details.get("errors", [checked.error.reason]):
                 print(f"{path}: {line}", file=sys.stderr)
-            return REJECTED
+            return ExitCode.FAILED
         return checked.ok
--- a/src/cinderstair/cli/operator_commands.py
+++ b/src/cinderstair/cli/operator_commands.py
@@ -5,31 +5,28 @@
 from pathlib import Path
 from typing import Any
 
-from cleo.commands.command import Command
 from cleo.helpers import argument, option
 
 from ..runtime.http_response import HttpResponse
+from .base_command import BaseCommand
 from .edge import ask_now
+from .exit_code import ExitCode
 
-DONE, REJECTED, USAGE, UNKNOWN = 0, 1, 2, 3
 AT = option("at", "a", "HTTP address of any HTTP proxy", flag=False, default="127.0.0.1:7200")
 
 
-class OperatorCommand(Command):
+class OperatorCommand(BaseCommand):
     """Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown."""
 
     options = [AT]
 
-    def fail(self, *, why: str, code: int) -> int:
-        print(why, file=sys.stderr)
-        return code
-
     def speak(self, *, method: str, path: str, value: Any = None, body: bytes = b"") -> HttpResponse | int:
         result = ask_now(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_error():
             unsure = result.error.code.value == "wireUnsure" and method != "GET"
             return self.fail(
-                why=f"{result.error.code.value}: {result.error.reason}", code=UNKNOWN if unsure else REJECTED
+                message=f"{result.error.code.value}: {result.error.reason}",
+                code=ExitCode.UNKNOWN if unsure else ExitCode.FAILED,
             )
         return result.ok
 
@@ -38,11 +35,11 @@
         value = response.json()
         if value.get("outcome") == "done":
             print(json.dumps(value))
-            return DONE
+            return ExitCode.DONE
         print(f"{value.get('kind')}: {value.get('why')}", file=sys.stderr)
         for line in value.get("errors", []):
             print(f"  {line}", file=sys.stderr)
-        return UNKNOWN if value.get("outcome") == "unknown" else REJECTED
+        return ExitCode.UNKNOWN if value.get("outcome") == "unknown" else ExitCode.FAILED
 
 
 class SubmitCommand(OperatorCommand):
@@ -54,7 +51,7 @@
         try:
             raw = Path(self.argument("file")).read_bytes()
         except OSError as error:
-            return self.fail(why=f"{self.argument('file')}: {error.strerror}", code=USAGE)
+            return self.fail(message=f"{self.argument('file')}: {error.strerror}", code=ExitCode.USAGE)
         response = self.speak(method="PUT", path="/v1/configuration", body=raw)
         return response if isinstance(response, int) else self.verdict(response=response)
 
@@ -71,7 +68,7 @@
             return self.verdict(response=response)
         sys.stdout.buffer.write(response.body)
         sys.stdout.buffer.flush()
-        return DONE
+        return ExitCode.DONE
 
 
 class StatusCommand(OperatorCommand):
@@ -88,7 +85,7 @@
             print(json.dumps(value, indent=1))
         else:
             print(status_text(value=value))
-        return DONE
+        return ExitCode.DONE
 
 
 def with_others(*, value: dict[str, Any]) -> dict[str, Any]:
@@ -176,7 +173,7 @@
             return response
         for key, number in response.json().items():
             print(f"{key} {number}")
-        return DONE
+        return ExitCode.DONE
 
 
 class DrainCommand(OperatorCommand):
@@ -205,7 +202,8 @@
 
 
 class ReplaceReplicaCommand(OperatorCommand):
-    name = "replace-vault"
+    name = "replace-replica"
+    aliases = ["replace-vault"]
     description = "Let a new register replica take the place of one that is gone for good"
     arguments = [
         argument("leaves", "the register replica that is gone"),
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -11,7 +11,8 @@
 from ..runtime.packer import Packer
 from ..runtime.settings_validation import address_error
 from ..runtime.unpacker import Unpacker
-from .controller_commands import AT, DONE, REJECTED, UNKNOWN, USAGE, RecordCommand, ask
+from .controller_commands import AT, RecordCommand, ask
+from .exit_code import ExitCode
 
 LOOK_EVERY_S = 0.2
 MOST_WAIT_S = 3_600
@@ -28,9 +29,9 @@
         try:
             raw = Path(self.argument("file")).read_bytes()
         except OSError as error:
-            return self.fail(why=f"{self.argument('file')}: {error.strerror}", code=USAGE)
+            return self.fail(message=f"{self.argument('file')}: {error.strerror}", code=ExitCode.USAGE)
         if not raw:
-            return self.fail(why=f"{self.argument('file')}: empty", code=USAGE)
+            return self.fail(message=f"{self.argument('file')}: empty", code=ExitCode.USAGE)
         return self.put(body=Packer().u8(value=self.kind).blob(value=raw).bytes(), changes=self.changes)
 
 
@@ -55,7 +56,7 @@
     def handle(self) -> int:
         version = self.argument("version")
         if not version.isdigit() or not 0 < int(version) < 2**63:
-            return self.fail(why="version: a whole number above 0 is needed", code=USAGE)
+            return self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE)
         body = Packer().u8(value=SHARDS_ABANDON).u64(value=int(version)).bytes()
         return self.put(body=body, changes=True)
 
@@ -71,12 +72,14 @@
     def handle(self) -> int:
         version, wait, at = self.argument("version"), self.option("wait"), self.option("at")
         if not version.isdigit() or not 0 < int(version) < 2**63:
-            return self.fail(why="version: a whole number above 0 is needed", code=USAGE)
+            return self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE)
         if not wait.isdigit() or not 0 < int(wait) <= MOST_WAIT_S:
-            return self.fail(why=f"--wait: a whole number of seconds from 1 to {MOST_WAIT_S} is needed", code=USAGE)
+            return self.fail(
+                message=f"--wait: a whole number of seconds from 1 to {MOST_WAIT_S} is needed", code=ExitCode.USAGE
+            )
         problem = address_error(value=at)
         if problem:
-            return self.fail(why=f"--at: {problem}", code=USAGE)
+            return self.fail(message=f"--at: {problem}", code=ExitCode.USAGE)
         return asyncio.run(self._follow(version=int(version), until_s=time.monotonic() + int(wait), at=at))
 
     async def _follow(self, *, version: int, until_s: float, at: str) -> int:
@@ -92,14 +95,14 @@
                     words, code = read_progress(data=result.ok, version=version)
                 except ValueError:
                     why = "an answer that can't be read: is this a controller's records address?"
-                    return self.fail(why=why, code=REJECTED)
+                    return self.fail(message=why, code=ExitCode.FAILED)
             if words != said:
                 print(words, flush=True)
                 said = words
             if code is not None:
                 return code
             await asyncio.sleep(LOOK_EVERY_S)
-        return self.fail(why=f"map {version} is neither in force nor withdrawn yet", code=UNKNOWN)
+        return self.fail(message=f"map {version} is neither in force nor withdrawn yet", code=ExitCode.UNKNOWN)
 
 
 def read_progress(*, data: bytes, version: int) -> tuple[str, int | None]:
@@ -108,11 +111,11 @@
     kind, words = unpacker.text(), unpacker.text()
     if kind:
         unpacker.done()
-        return f"{kind}: {words}", REJECTED
+        return f"{kind}: {words}", ExitCode.FAILED
     phase, _, stands, why = ShardPhase(unpacker.u8()), unpacker.u64(), unpacker.u64(), unpacker.text()
     unpacker.done()
     if stands >= version:
-        return words, DONE
+        return words, ExitCode.DONE
     if phase == ShardPhase.steady:
-        return words if why else f"{words}; no change is on its way", REJECTED
+        return words if why else f"{words}; no change is on its way", ExitCode.FAILED
     return words, None
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -83,7 +83,7 @@
             "platform": self.http(name="platform"),
             **changes,
         }
-        if name.startswith("vault"):
+        if name in self.register_replica_names:
             values["folder"] = str(self.folder / name)
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
         self.settings_path(name=name).write_text(text)
@@ -112,7 +112,7 @@
                 "--http-proxies",
                 ",".join(self.http(name=http_proxy) for http_proxy in self.http_proxy_names),
             ]
-        role = name.partition("-")[0]
+        role = "register-replica" if name in self.register_replica_names else "http-proxy"
         return [sys.executable, "-m", "cinderstair", role, "-s", str(self.settings_path(name=name))]
 
     def start(self, *, name: str) -> None:
