--- a/features/simulation/fleet.feature
+++ b/features/simulation/fleet.feature
@@ -32,9 +32,9 @@
 
     Examples:
       | words                                                          | code | line                                   |
-      | stall                                                          | 2    | flags: name: Missing data              |
-      | vault --name v --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 | 2 | flags: folder: a data folder is needed |
-      | vault --name v --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 --folder /proc/none | 2 | can't be written |
-      | stall --name s --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 | 2 | flags: http: an address is needed |
-      | stall --settings /nowhere.toml                                 | 2    | /nowhere.toml: can't be read           |
+      | http-proxy                                                          | 2    | flags: name: Missing data              |
+      | register-replica --name v --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 | 2 | flags: folder: a data folder is needed |
+      | register-replica --name v --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 --folder /proc/none | 2 | can't be written |
+      | http-proxy --name s --site k --records 127.0.0.1:1 --seeds 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3 | 2 | flags: http: an address is needed |
+      | http-proxy --settings /nowhere.toml                                 | 2    | /nowhere.toml: can't be read           |
       | submit /nowhere.json                                           | 2    | /nowhere.json: No such file            |
