--- a/features/steps/architecture_steps.py
+++ b/features/steps/architecture_steps.py
@@ -11,7 +11,7 @@
 # may only shrink
 ALLOWED: dict[str, set[str]] = {
     "cli": {"config", "consensus", "failover", "http_frontend", "maintenance", "runtime", "simulation"},
-    "config": {"consensus", "maintenance", "runtime"},
+    "config": {"runtime"},
     "consensus": {"membership", "runtime"},
     "control_plane": {"config", "consensus", "failover", "membership", "runtime"},
     "failover": {"config", "consensus", "http_frontend", "maintenance", "membership", "runtime"},
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -74,7 +74,7 @@
 @then(r'it picks (?P<picked>[0-9 ]*)\s*of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"')
 def then_picks(context: Any, picked: str) -> None:
     assert context.result.is_ok(), context.result
-    found = [str(n) for n, labels in enumerate(MACHINES, start=1) if context.result.ok.picks(labels=labels)]
+    found = [str(n) for n, labels in enumerate(MACHINES, start=1) if context.result.ok.matches(labels=labels)]
     assert " ".join(found) == picked.strip(), found
 
 
@@ -83,7 +83,7 @@
     first = context.result.ok
     second = compile_selector(text=first.text).ok
     assert first.text == second.text, (first.text, second.text)
-    assert [first.picks(labels=m) for m in MACHINES] == [second.picks(labels=m) for m in MACHINES]
+    assert [first.matches(labels=m) for m in MACHINES] == [second.matches(labels=m) for m in MACHINES]
 
 
 @when(r"the program (?P<text>.*) is compiled")
--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -11,9 +11,9 @@
 
 from cinderstair.config.check import check_configuration
 from cinderstair.config.compiler import compile_selector
+from cinderstair.config.window import Window
 from cinderstair.maintenance.leaving import leaving
 from cinderstair.maintenance.whatif import open_states
-from cinderstair.maintenance.window import Window
 from cinderstair.maintenance.window_states import WindowStates, read_window_states
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -16,7 +16,7 @@
 from stage import Stage, plan
 
 from cinderstair.config.check import check_configuration
-from cinderstair.config.configuration_store import CONFIGURATION_KEY
+from cinderstair.config.configuration import CONFIGURATION_KEY
 from cinderstair.config.service_plan import PLAN_KEY, read_service_plan
 from cinderstair.config.shard_map import check_shard_map
 from cinderstair.consensus.acceptor import ROSTER_KEY
--- a/src/cinderstair/config/backend.py
+++ b/src/cinderstair/config/backend.py
@@ -5,7 +5,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Backend:
-    """One database server: where it answers, how many channels it takes, and its labels."""
+    """One database server.
+
+    :ivar address: `host:port` at which it answers
+    :ivar cap: the most connections that it takes, from all HTTP proxies together
+    """
 
     name: str
     address: str
--- a/src/cinderstair/config/check.py
+++ b/src/cinderstair/config/check.py
@@ -1,122 +1,127 @@
-"""Checks a configuration document whole: a Charter, or every error with its place."""
+"""Checks a configuration document whole: a Configuration, or every error with its place."""
 
 import json
+from collections import Counter
+from collections.abc import Collection, Mapping
+from dataclasses import dataclass, replace
 from typing import Any
 
 from expression import Error, Ok, Result
 from marshmallow import ValidationError
 
-from ..maintenance.window import Window, moment_us
 from ..runtime.errors import CinderstairError, ErrorCode
 from .backend import Backend
-from .compiler import Program, compile_program, compile_selector
+from .compiler import compile_program, compile_selector
 from .configuration import Configuration
+from .program_builder import Program
 from .route import Policy, Route
-from .schema import ConfigurationSchema, check_language
+from .schema import ConfigurationSchema, join_lines
+from .selector import Selector
+from .window import Window, moment_us
 
-MOST_BYTES = 1024 * 1024
+MAX_DOCUMENT_BYTES = 1024 * 1024
+#: So many errors go into the reason; the details list them all.
+REASON_ERRORS = 3
+#: Steps that marshmallow puts into the path of an error and that the document doesn't have.
+MARSHMALLOW_STEPS = ("value", "key", "_schema")
 
 
-def broken(*, errors: list[str]) -> Result[Configuration, CinderstairError]:
-    return Error(
-        CinderstairError(
-            code=ErrorCode.BROKEN_CONFIGURATION, reason="; ".join(errors[:3]), details={"errors": errors}
-        )
-    )
+def _invalid(*, errors: list[str]) -> Result[Any, CinderstairError]:
+    reason = "; ".join(errors[:REASON_ERRORS])
+    return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason=reason, details={"errors": errors}))
 
 
-def flatten(*, messages: Any, path: str) -> list[str]:
-    if isinstance(messages, dict):
-        return [
-            line
-            for key, inner in messages.items()
-            # why: marshmallow sets 'value' between a map's key and its errors; operators know no such step
-            for line in flatten(messages=inner, path=path if key in ("value", "key", "_schema") else f"{path}/{key}")
-        ]
-    return [f"{path or '/'}: {message}" for message in messages]
+def _schema_errors(*, messages: Any, path: str) -> list[str]:
+    """One line for each message in marshmallow's nested errors, each with its path in the document."""
+    if not isinstance(messages, dict):
+        return [f"{path or '/'}: {message}" for message in messages]
+    lines: list[str] = []
+    for key, inner in messages.items():
+        inner_path = path if key in MARSHMALLOW_STEPS else f"{path}/{key}"
+        lines += _schema_errors(messages=inner, path=inner_path)
+    return lines
 
 
-def no_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # why: a key written twice would silently lose one of the two
-    names = [name for name, _ in pairs]
-    for name in names:
-        if names.count(name) > 1:
+def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    # JSON would silently keep the last of two values under one key.
+    for name, count in Counter(name for name, _ in pairs).items():
+        if count > 1:
             raise ValueError(f"the key '{name}' stands twice")
     return dict(pairs)
 
 
-def read_document(*, raw: bytes) -> Result[Any, CinderstairError]:
-    if len(raw) > MOST_BYTES:
-        return broken(errors=[f"the document is larger than {MOST_BYTES} bytes"])
+def _read_document(*, raw: bytes) -> Result[dict[str, Any], CinderstairError]:
+    if len(raw) > MAX_DOCUMENT_BYTES:
+        return _invalid(errors=[f"the document is larger than {MAX_DOCUMENT_BYTES} bytes"])
     try:
-        text = raw.decode()
-        document = json.loads(text, object_pairs_hook=no_duplicates)
+        document = json.loads(raw.decode(), object_pairs_hook=_unique_keys)
     except UnicodeDecodeError as error:
-        return broken(errors=[f"not UTF-8 at byte {error.start}"])
+        return _invalid(errors=[f"not UTF-8 at byte {error.start}"])
     except json.JSONDecodeError as error:
-        return broken(errors=[f"line {error.lineno}, column {error.colno}: {error.msg}"])
+        return _invalid(errors=[f"line {error.lineno}, column {error.colno}: {error.msg}"])
     except (ValueError, RecursionError) as error:
-        return broken(errors=[str(error)])
+        return _invalid(errors=[str(error)])
     if not isinstance(document, dict):
-        return broken(errors=["/: not an object"])
+        return _invalid(errors=["/: not an object"])
     return Ok(document)
 
 
 def check_configuration(*, raw: bytes) -> Result[Configuration, CinderstairError]:
-    """Everything is checked and compiled here, before a version can be written to the register."""
-    document = read_document(raw=raw)
+    """Checks and compiles a document, so that only a valid one is ever written to the register.
+
+    :param raw: the operator's document, JSON in UTF-8
+    :returns: the compiled configuration with its warnings; or BROKEN_CONFIGURATION, whose details hold one line for
+        each error under `errors`
+    """
+    document = _read_document(raw=raw)
     if document.is_error():
         return Error(document.error)
     try:
         loaded = ConfigurationSchema().load(document.ok)
     except ValidationError as error:
-        return broken(errors=flatten(messages=error.normalized_messages(), path=""))
+        return _invalid(errors=_schema_errors(messages=error.normalized_messages(), path=""))
     errors: list[str] = []
-    backends = collect_backends(loaded=loaded, errors=errors)
-    program = collect_program(loaded=loaded, errors=errors)
-    windows = collect_windows(loaded=loaded, errors=errors)
-    databases = set(loaded["databases"])
-    statements: list[Route | Policy] = [*program.routes, *program.policies]
-    for statement in statements:
-        for name in statement.databases or ():
-            if name not in databases:
-                errors.append(f"/language: line {statement.line}: no database '{name}'")
-    if errors:
-        return broken(errors=errors)
     configuration = Configuration(
         version=loaded["version"],
         raw=raw,
-        backends=backends,
-        databases={
-            name: tuple(sorted(b["name"] for b in database["backends"]))
-            for name, database in loaded["databases"].items()
-        },
+        backends=_collect_backends(loaded=loaded, errors=errors),
+        databases=_backend_names(loaded=loaded),
         http_proxy_labels=loaded["stalls"],
-        program=program,
-        windows=windows,
+        program=_collect_program(loaded=loaded, errors=errors),
+        windows=_collect_windows(loaded=loaded, errors=errors),
     )
-    return Ok(with_warnings(configuration=configuration))
+    errors += _unknown_databases(configuration=configuration)
+    if errors:
+        return _invalid(errors=errors)
+    return Ok(replace(configuration, warnings=_warnings(configuration=configuration)))
+
+
+def _backend_names(*, loaded: dict[str, Any]) -> dict[str, tuple[str, ...]]:
+    return {
+        database: tuple(sorted(backend["name"] for backend in entry["backends"]))
+        for database, entry in loaded["databases"].items()
+    }
 
 
-def collect_backends(*, loaded: dict[str, Any], errors: list[str]) -> dict[str, Backend]:
+def _collect_backends(*, loaded: dict[str, Any], errors: list[str]) -> dict[str, Backend]:
     backends: dict[str, Backend] = {}
     addresses: set[str] = set()
     for database, entry in loaded["databases"].items():
-        for index, one in enumerate(entry["backends"]):
+        for index, fields in enumerate(entry["backends"]):
             path = f"/databases/{database}/backends/{index}"
-            # why: news and leads know a backend by its name alone
-            if one["name"] in backends:
-                errors.append(f"{path}/name: '{one['name']}' stands twice")
-            if one["address"] in addresses:
-                errors.append(f"{path}/address: '{one['address']}' stands twice")
-            addresses.add(one["address"])
-            backends[one["name"]] = Backend(database=database, **one)
+            # Heartbeats and primaries name a backend without its database, so names are unique among all databases.
+            if fields["name"] in backends:
+                errors.append(f"{path}/name: '{fields['name']}' stands twice")
+            if fields["address"] in addresses:
+                errors.append(f"{path}/address: '{fields['address']}' stands twice")
+            addresses.add(fields["address"])
+            backends[fields["name"]] = Backend(database=database, **fields)
     return backends
 
 
-def collect_program(*, loaded: dict[str, Any], errors: list[str]) -> Program:
+def _collect_program(*, loaded: dict[str, Any], errors: list[str]) -> Program:
     try:
-        text = check_language(loaded["language"])
+        text = join_lines(loaded["language"])
     except ValidationError as error:
         errors.append(f"/language: {error.messages[0]}")
         return Program()
@@ -127,40 +132,77 @@
     return program.ok
 
 
-def collect_windows(*, loaded: dict[str, Any], errors: list[str]) -> tuple[Window, ...]:
+def _unknown_databases(*, configuration: Configuration) -> list[str]:
+    statements: list[Route | Policy] = [*configuration.program.routes, *configuration.program.policies]
+    return [
+        f"/language: line {statement.line}: no database '{name}'"
+        for statement in statements
+        for name in statement.databases or ()
+        if name not in configuration.databases
+    ]
+
+
+def _collect_windows(*, loaded: dict[str, Any], errors: list[str]) -> tuple[Window, ...]:
     windows: dict[str, Window] = {}
     for index, entry in enumerate(loaded["windows"]):
         path = f"/windows/{index}"
-        starts, ends = moment_us(text=entry["starts"]), moment_us(text=entry["ends"])
-        selector = compile_selector(text=entry["empties"])
-        if starts.is_error():
-            errors.append(f"{path}/starts: {starts.error}")
-        if ends.is_error():
-            errors.append(f"{path}/ends: {ends.error}")
-        if selector.is_error():
-            errors.append(f"{path}/empties: {selector.error.reason}")
-        if entry["name"] in windows:
-            errors.append(f"{path}/name: '{entry['name']}' stands twice")
-        if starts.is_error() or ends.is_error() or selector.is_error():
-            continue
-        if ends.ok <= starts.ok:
-            errors.append(f"{path}/ends: not after its start")
-        windows[entry["name"]] = Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, empties=selector.ok)
+        window = _read_window(entry=entry, path=path, known=windows.keys(), errors=errors)
+        if window is not None:
+            windows[window.name] = window
     return tuple(windows.values())
 
 
-def with_warnings(*, configuration: Configuration) -> Configuration:
-    """Unknown labels and selectors that match nothing are no errors, and still worth a word."""
-    things = [
+def _read_window(*, entry: dict[str, str], path: str, known: Collection[str], errors: list[str]) -> Window | None:
+    """A window as declared; None where a part of it can't be read, which `errors` then says.
+
+    :param known: names of the windows before it
+    """
+    starts, ends = moment_us(text=entry["starts"]), moment_us(text=entry["ends"])
+    selector = compile_selector(text=entry["empties"])
+    if starts.is_error():
+        errors.append(f"{path}/starts: {starts.error}")
+    if ends.is_error():
+        errors.append(f"{path}/ends: {ends.error}")
+    if selector.is_error():
+        errors.append(f"{path}/empties: {selector.error.reason}")
+    if entry["name"] in known:
+        errors.append(f"{path}/name: '{entry['name']}' stands twice")
+    if starts.is_error() or ends.is_error() or selector.is_error():
+        return None
+    if ends.ok <= starts.ok:
+        errors.append(f"{path}/ends: not after its start")
+    return Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, empties=selector.ok)
+
+
+@dataclass(frozen=True, kw_only=True)
+class _UsedSelector:
+    """A selector, and what uses it as operators call that."""
+
+    user: str
+    selector: Selector
+
+
+def _used_selectors(*, configuration: Configuration) -> list[_UsedSelector]:
+    return [
+        *(_UsedSelector(user=f"window {window.name}", selector=window.empties) for window in configuration.windows),
+        *(
+            _UsedSelector(user=f"language line {route.line}", selector=route.where)
+            for route in configuration.program.routes
+        ),
+    ]
+
+
+def _warnings(*, configuration: Configuration) -> tuple[str, ...]:
+    """Unknown labels and selectors that match nothing are allowed, and probably mistakes."""
+    labelled: list[Mapping[str, str]] = [
         *(backend.labels for backend in configuration.backends.values()),
         *configuration.http_proxy_labels.values(),
     ]
-    known = {key for labels in things for key in labels}
+    known_keys = {key for labels in labelled for key in labels}
     warnings: list[str] = []
-    selectors = [(f"window {window.name}", window.empties) for window in configuration.windows]
-    selectors += [(f"language line {route.line}", route.where) for route in configuration.program.routes]
-    for where, selector in selectors:
-        warnings += [f"{where}: no label '{key}' anywhere" for key in sorted(selector.keys - known)]
-        if not any(selector.picks(labels=labels) for labels in things):
-            warnings.append(f"{where}: selects nothing")
-    return Configuration(**{**vars(configuration), "warnings": tuple(warnings)})
+    for used in _used_selectors(configuration=configuration):
+        unknown_keys = sorted(used.selector.keys - known_keys)
+        warnings += [f"{used.user}: no label '{key}' anywhere" for key in unknown_keys]
+        if not any(used.selector.matches(labels=labels) for labels in labelled):
+            warnings.append(f"{used.user}: selects nothing")
+    return tuple(warnings)
--- a/src/cinderstair/config/formatter.py
+++ b/src/cinderstair/config/formatter.py
@@ -1,63 +1,73 @@
-"""Writes the small language in its one true form; comments stay."""
+"""Writes the configuration language in its canonical form; comments stay."""
+
+from dataclasses import dataclass
 
 from expression import Error, Ok, Result
 
 from ..runtime.errors import CinderstairError
-from .compiler import POLICIES, UNITS, compile_program, compile_selector
+from .compiler import compile_program, compile_selector
+from .policy_kinds import DURATION_UNITS_US, POLICY_KINDS, ValueKind
 from .route import Policy, Route
 
 
-def names(*, databases: tuple[str, ...] | None) -> str:
+def _database_names(*, databases: tuple[str, ...] | None) -> str:
     return "*" if databases is None else ", ".join(databases)
 
 
-def amount_text(*, policy: Policy) -> str:
-    if POLICIES[policy.name][0] != "duration":
+def _amount_text(*, policy: Policy) -> str:
+    if POLICY_KINDS[policy.name].value_kind != ValueKind.DURATION:
         return str(policy.amount)
-    amount = int(policy.amount)
-    unit = next(unit for unit in ("s", "ms", "us") if amount % UNITS[unit] == 0)
-    return f"{amount // UNITS[unit]}{unit}"
+    amount_us = int(policy.amount)
+    unit = next(unit for unit in ("s", "ms", "us") if amount_us % DURATION_UNITS_US[unit] == 0)
+    return f"{amount_us // DURATION_UNITS_US[unit]}{unit}"
 
 
-def route_text(*, route: Route) -> str:
+def _route_text(*, route: Route) -> str:
     where = f" where {route.where.text}" if route.where.text else ""
-    return f"route {', '.join(route.kinds)} on {names(databases=route.databases)} to {route.target}{where}"
+    return f"route {', '.join(route.kinds)} on {_database_names(databases=route.databases)} to {route.target}{where}"
+
+
+def _policy_text(*, policy: Policy) -> str:
+    return f"policy {policy.name} on {_database_names(databases=policy.databases)} is {_amount_text(policy=policy)}"
+
 
+@dataclass(frozen=True, kw_only=True)
+class _SourceLine:
+    """A line's statements, and its comment with the '#'; either may be empty."""
 
-def policy_text(*, policy: Policy) -> str:
-    return f"policy {policy.name} on {names(databases=policy.databases)} is {amount_text(policy=policy)}"
+    statements: str
+    comment: str = ""
 
 
-def split_comment(*, line: str) -> tuple[str, str]:
-    """The code and the comment of a line; a '#' inside a text is no comment."""
-    in_text = False
-    for place, letter in enumerate(line):
-        if letter == '"':
-            in_text = not in_text
-        elif letter == "#" and not in_text:
-            return line[:place], line[place:].strip()
-    return line, ""
+def _split_comment(*, line: str) -> _SourceLine:
+    in_quotes = False
+    for index, character in enumerate(line):
+        if character == '"':
+            in_quotes = not in_quotes
+        elif character == "#" and not in_quotes:
+            return _SourceLine(statements=line[:index], comment=line[index:].strip())
+    return _SourceLine(statements=line)
 
 
-def format_line(*, line: str) -> Result[str, CinderstairError]:
-    code, comment = split_comment(line=line)
-    compiled = compile_program(text=code)
+def _format_line(*, line: str) -> Result[str, CinderstairError]:
+    source = _split_comment(line=line)
+    compiled = compile_program(text=source.statements)
     if compiled.is_error():
         return Error(compiled.error)
     program = compiled.ok
-    texts = [route_text(route=route) for route in program.routes]
-    texts += [policy_text(policy=policy) for policy in program.policies]
-    return Ok("  ".join(part for part in ("; ".join(texts), comment) if part))
+    texts = [_route_text(route=route) for route in program.routes]
+    texts += [_policy_text(policy=policy) for policy in program.policies]
+    return Ok("  ".join(part for part in ("; ".join(texts), source.comment) if part))
 
 
 def format_program(*, text: str) -> Result[str, CinderstairError]:
-    """The whole text line by line; it must have compiled as a whole before."""
+    """The text in its canonical form, line by line, or the first error of the text as a whole."""
     whole = compile_program(text=text)
     if whole.is_error():
         return Error(whole.error)
     lines = []
     for line in text.splitlines():
-        formatted = format_line(line=line)
+        formatted = _format_line(line=line)
         if formatted.is_error():
             return Error(formatted.error)
         lines.append(formatted.ok)
@@ -65,4 +75,5 @@
 
 
 def format_selector(*, text: str) -> Result[str, CinderstairError]:
+    """A selector in its canonical form, or its error."""
     return compile_selector(text=text).map(lambda selector: selector.text)
--- /dev/null
+++ b/src/cinderstair/config/policy_kinds.py
@@ -0,0 +1,50 @@
+"""The policies that the language knows: the kind of value each takes, and its bounds."""
+
+from dataclasses import dataclass
+from enum import Enum
+
+#: Microseconds in one unit of a duration, as the language spells the unit.
+DURATION_UNITS_US = {"us": 1, "ms": 1_000, "s": 1_000_000}
+SITES = ("near", "any")
+
+
+class ValueKind(Enum):
+    """What a policy's value is; the value is the word that error messages use."""
+
+    DURATION = "duration"
+    WHOLE = "whole"
+    WORD = "word"
+
+
+@dataclass(frozen=True, kw_only=True)
+class PolicyKind:
+    """The values that one policy accepts.
+
+    :ivar minimum: the smallest value, in microseconds for a duration; unused for a word
+    :ivar maximum: the largest value, in the same unit
+    """
+
+    value_kind: ValueKind
+    minimum: int = 0
+    maximum: int = 0
+
+
+def _duration(*, minimum_us: int, maximum_us: int) -> PolicyKind:
+    return PolicyKind(value_kind=ValueKind.DURATION, minimum=minimum_us, maximum=maximum_us)
+
+
+def _whole(*, minimum: int, maximum: int) -> PolicyKind:
+    return PolicyKind(value_kind=ValueKind.WHOLE, minimum=minimum, maximum=maximum)
+
+
+# Margins beyond the contract's bounds would let a policy break a promise, so they can't be written.
+POLICY_KINDS = {
+    "liveAge": _duration(minimum_us=50_000, maximum_us=1_300_000),
+    "freshAge": _duration(minimum_us=50_000, maximum_us=2_300_000),
+    "commitWait": _duration(minimum_us=10_000, maximum_us=5_000_000),
+    "subsetSize": _whole(minimum=0, maximum=10_000),
+    "active": _whole(minimum=1, maximum=100_000),
+    "closeWait": _duration(minimum_us=0, maximum_us=3_000_000),
+    "inSync": _whole(minimum=1, maximum=16),
+    "site": PolicyKind(value_kind=ValueKind.WORD),
+}
--- /dev/null
+++ b/src/cinderstair/config/program_builder.py
@@ -0,0 +1,193 @@
+"""Builds routes, policies and selectors from the parse tree of the configuration language."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from lark import Token, Transformer, v_args
+
+from .policy_kinds import DURATION_UNITS_US, POLICY_KINDS, SITES, PolicyKind, ValueKind
+from .route import KINDS, Policy, Route
+from .selector import EVERYTHING, Labels, Selector
+
+#: Kinds of statement that only the primary can serve.
+PRIMARY_KINDS = ("primary", "write")
+
+
+@dataclass(frozen=True, kw_only=True)
+class Program:
+    """All routes and policies of a configuration, in the order of its text."""
+
+    routes: tuple[Route, ...] = ()
+    policies: tuple[Policy, ...] = ()
+
+
+class LanguageError(Exception):
+    """An error at one place of the text; line and column count from 1, and are 0 where the place is not known."""
+
+    def __init__(self, *, token: Token, reason: str) -> None:
+        super().__init__(reason)
+        self.line = token.line or 0
+        self.column = token.column or 0
+        self.reason = f"'{token}': {reason}"
+
+
+@dataclass(frozen=True, kw_only=True)
+class Amount:
+    """A policy's value as written; a duration is in microseconds. The token says where it stands."""
+
+    kind: ValueKind
+    value: int | str
+    token: Token
+
+
+def quoted(*, value: str) -> str:
+    """A label's value as the language writes it: in quotes where it isn't a plain name."""
+    plain = value.replace("-", "_").replace(".", "_").isidentifier()
+    return value if plain else f'"{value}"'
+
+
+def _joined(*, parts: tuple[Selector, ...], operator: str, test: Callable[[Labels], bool]) -> Selector:
+    # A single part needs no brackets, and formatting twice must give the same text.
+    if len(parts) == 1:
+        return parts[0]
+    texts = [f"({part.text})" if " and " in part.text or " or " in part.text else part.text for part in parts]
+    keys = frozenset().union(*(part.keys for part in parts))
+    return Selector(test=test, text=operator.join(texts), keys=keys)
+
+
+@v_args(inline=True)
+class ProgramBuilder(Transformer[Token, Any]):
+    """Turns a parse tree into typed values, from the leaves up; each method is a rule of `language.lark`.
+
+    Raises LanguageError where a statement parses and still means nothing.
+    """
+
+    # -- selectors --
+
+    def value(self, token: Token) -> str:
+        return str(token).strip('"')
+
+    def equal(self, key: Token, value: str) -> Selector:
+        name = str(key)
+        return Selector(
+            test=lambda labels: labels.get(name) == value,
+            text=f"{name} = {quoted(value=value)}",
+            keys=frozenset([name]),
+        )
+
+    def unequal(self, key: Token, value: str) -> Selector:
+        name = str(key)
+        return Selector(
+            test=lambda labels: labels.get(name) != value,
+            text=f"{name} != {quoted(value=value)}",
+            keys=frozenset([name]),
+        )
+
+    def among(self, key: Token, *values: str) -> Selector:
+        name, wanted = str(key), frozenset(values)
+        listed = ", ".join(quoted(value=value) for value in sorted(wanted))
+        return Selector(
+            test=lambda labels: labels.get(name) in wanted,
+            text=f"{name} in ({listed})",
+            keys=frozenset([name]),
+        )
+
+    def present(self, key: Token) -> Selector:
+        name = str(key)
+        return Selector(test=lambda labels: name in labels, text=f"has {name}", keys=frozenset([name]))
+
+    def negated(self, inner: Selector) -> Selector:
+        return Selector(test=lambda labels: not inner.test(labels), text=f"not ({inner.text})", keys=inner.keys)
+
+    def both(self, *parts: Selector) -> Selector:
+        return _joined(parts=parts, operator=" and ", test=lambda labels: all(part.test(labels) for part in parts))
+
+    def either(self, *parts: Selector) -> Selector:
+        return _joined(parts=parts, operator=" or ", test=lambda labels: any(part.test(labels) for part in parts))
+
+    def selection(self, selector: Selector) -> Selector:
+        return selector
+
+    # -- routes --
+
+    def where(self, selector: Selector) -> Selector:
+        return selector
+
+    def kinds(self, *names: Token) -> tuple[Token, ...]:
+        return names
+
+    def everydb(self) -> None:
+        return None
+
+    def somedbs(self, *names: Token) -> tuple[str, ...]:
+        return tuple(str(name) for name in names)
+
+    def primary(self) -> str:
+        return "primary"
+
+    def replica(self) -> str:
+        return "replica"
+
+    def anyone(self) -> str:
+        return "any"
+
+    def rejected(self) -> str:
+        return "deny"
+
+    def route(
+        self, kinds: tuple[Token, ...], databases: tuple[str, ...] | None, target: str, where: Selector | None = None
+    ) -> Route:
+        names = tuple(str(kind) for kind in kinds)
+        for kind in kinds:
+            if str(kind) not in KINDS:
+                raise LanguageError(token=kind, reason=f"expected one of {', '.join(KINDS)}")
+        # Only the primary can keep the promises of these kinds, so no route may send them elsewhere.
+        if target in ("replica", "any") and any(name in PRIMARY_KINDS for name in names):
+            raise LanguageError(token=kinds[0], reason="kinds primary and write go to primary or deny")
+        return Route(
+            kinds=names, databases=databases, target=target, where=where or EVERYTHING, line=kinds[0].line or 0
+        )
+
+    # -- policies --
+
+    def duration(self, token: Token) -> Amount:
+        digits = "".join(character for character in token if character.isdigit())
+        unit = token[len(digits) :]
+        return Amount(kind=ValueKind.DURATION, value=int(digits) * DURATION_UNITS_US[unit], token=token)
+
+    def whole(self, token: Token) -> Amount:
+        return Amount(kind=ValueKind.WHOLE, value=int(token), token=token)
+
+    def word(self, token: Token) -> Amount:
+        return Amount(kind=ValueKind.WORD, value=str(token), token=token)
+
+    def policy(self, name: Token, databases: tuple[str, ...] | None, amount: Amount) -> Policy:
+        kind = POLICY_KINDS.get(str(name))
+        if kind is None:
+            raise LanguageError(token=name, reason=f"expected one of {', '.join(sorted(POLICY_KINDS))}")
+        _check_amount(name=name, kind=kind, amount=amount)
+        return Policy(name=str(name), databases=databases, amount=amount.value, line=name.line or 0)
+
+    # -- the whole text --
+
+    def statement(self, inner: Route | Policy) -> Route | Policy:
+        return inner
+
+    def start(self, *statements: Any) -> Program:
+        return Program(
+            routes=tuple(each for each in statements if isinstance(each, Route)),
+            policies=tuple(each for each in statements if isinstance(each, Policy)),
+        )
+
+
+def _check_amount(*, name: Token, kind: PolicyKind, amount: Amount) -> None:
+    """Raises LanguageError where a policy can't take that value."""
+    if amount.kind != kind.value_kind:
+        raise LanguageError(token=amount.token, reason=f"{name} takes a {kind.value_kind.value}")
+    if isinstance(amount.value, str):
+        if amount.value not in SITES:
+            raise LanguageError(token=amount.token, reason=f"expected one of {', '.join(SITES)}")
+    elif not kind.minimum <= amount.value <= kind.maximum:
+        bounds = f"from {kind.minimum} to {kind.maximum} (us or whole)"
+        raise LanguageError(token=amount.token, reason=f"{name} must be {bounds}")
--- a/src/cinderstair/config/schema.py
+++ b/src/cinderstair/config/schema.py
@@ -12,6 +12,8 @@
 
 
 class BackendSchema(Schema):
+    """One backend of a database."""
+
     name = fields.String(required=True, validate=NAME)
     address = fields.String(required=True, validate=check_address)
     site = fields.String(required=True, validate=NAME)
@@ -20,12 +22,16 @@
 
 
 class DatabaseSchema(Schema):
+    """One database."""
+
     backends = fields.List(
         fields.Nested(BackendSchema), required=True, validate=validate.Length(min=1, error="no backends")
     )
 
 
 class WindowSchema(Schema):
+    """One maintenance window; times and the selector are compiled after."""
+
     name = fields.String(required=True, validate=NAME)
     starts = fields.String(required=True)
     ends = fields.String(required=True)
@@ -33,7 +39,7 @@
 
 
 class ConfigurationSchema(Schema):
-    """The document's shape; what holds between its parts is checked after."""
+    """The document as a whole; relations between its parts are checked after."""
 
     version = fields.Integer(required=True, strict=True, validate=validate.Range(min=1, max=2**62))
     databases = fields.Dict(
@@ -47,8 +53,11 @@
     windows = fields.List(fields.Nested(WindowSchema), load_default=list)
 
 
-def check_language(value: object) -> str:
-    """The language's text is one string, or a list with a string a line, which reads better in JSON."""
+def join_lines(value: object) -> str:
+    """The language's text from one string, or from a list with a string a line, which reads better in JSON.
+
+    Raises ValidationError for any other value.
+    """
     if isinstance(value, str):
         return value
     if isinstance(value, list) and all(isinstance(line, str) and "\n" not in line for line in value):
--- a/src/cinderstair/config/selector.py
+++ b/src/cinderstair/config/selector.py
@@ -8,13 +8,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Selector:
-    """A compiled selector: the test, the text in its one true form, and the labels it speaks of."""
+    """A compiled selector.
+
+    :ivar test: whether the selector matches a set of labels
+    :ivar text: the selector in its canonical form; empty for the one that matches everything
+    :ivar keys: the labels that it mentions
+    """
 
     test: Callable[[Labels], bool]
     text: str
     keys: frozenset[str]
 
-    def picks(self, *, labels: Labels) -> bool:
+    def matches(self, *, labels: Labels) -> bool:
+        """Whether whatever carries these labels is selected."""
         return self.test(labels)
 
 
--- a/src/cinderstair/config/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -1,4 +1,4 @@
-"""A configuration by service: which database names lead to which service, and under which promises."""
+"""A configuration by service: which database names lead to which service, and under which guarantees."""
 
 import hashlib
 import zlib
@@ -9,13 +9,16 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
+#: The register's key for the plan in force.
 PLAN_KEY = "plan"
-MOST_BYTES = 32 * 1024 * 1024
-# why: digests can't be compressed, and go with each change to every register replica
+MAX_PLAN_BYTES = 32 * 1024 * 1024
+# Digests can't be compressed, and go with each change to every register replica, so they are short.
 DIGEST_BYTES = 4
-# of the versions that were acknowledged, so many are known by their content
-ACCEPTED_MOST = 256
-MODULUS = 2**64
+#: So many of the acknowledged versions are known by their digests.
+MAX_ACCEPTED = 256
+VERSION_MODULUS = 2**64
+#: The version stands uncompressed ahead of the rest.
+VERSION_BYTES = 8
 
 
 class Consistency(IntEnum):
@@ -32,7 +35,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DatabaseRoute:
-    """Where one database name leads. Rank 0 goes first when there is too much to do."""
+    """Where one database name leads.
+
+    :ivar time_limit_us: how long one statement may take
+    :ivar rank: 0 is served first under overload
+    :ivar max_age_us: how old a read may be under `bounded` and `session`
+    """
 
     database: str
     service: str
@@ -42,19 +50,25 @@
     max_age_us: int = 0
 
     def write(self, *, packer: Packer) -> None:
+        """Appends it to a record."""
         packer.text(value=self.database).text(value=self.service).u8(value=self.consistency)
         packer.u64(value=self.time_limit_us).u32(value=self.rank).u64(value=self.max_age_us)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """A group of backends that hold the same data: one primary and its copies."""
+    """A group of backends that hold the same data: one primary and its replicas.
+
+    :ivar link_cap: the most connections that each of its backends takes
+    :ivar confirmations: how many replicas must confirm a commit
+    """
 
     name: str
     link_cap: int
     confirmations: int
 
     def write(self, *, packer: Packer) -> None:
+        """Appends it to a record."""
         packer.text(value=self.name).u32(value=self.link_cap).u32(value=self.confirmations)
 
 
@@ -67,10 +81,10 @@
 
 
 def _write_accepted(*, packer: Packer, accepted: tuple[AcceptedVersion, ...]) -> None:
-    """All steps from version to version first, since these are much alike, then all digests."""
+    # Steps from version to version come first and together, since they are much alike and compress well.
     packer.u64(value=accepted[0].version if accepted else 0)
     steps = [after.version - before.version for before, after in pairwise(accepted)]
-    packer.many(values=steps, each=lambda p, step: p.u64(value=step % MODULUS))
+    packer.many(values=steps, each=lambda p, step: p.u64(value=step % VERSION_MODULUS))
     packer.blob(value=b"".join(each.digest for each in accepted))
 
 
@@ -78,10 +92,10 @@
     first = unpacker.u64()
     steps = unpacker.many(each=lambda u: u.u64())
     digests = unpacker.blob()
-    versions = accumulate([first, *steps], lambda version, step: (version + step) % MODULUS)
+    versions = accumulate([first, *steps], lambda version, step: (version + step) % VERSION_MODULUS)
     parts = [digests[at : at + DIGEST_BYTES] for at in range(0, len(digests), DIGEST_BYTES)]
     if len(parts) > len(steps) + 1 or any(len(part) != DIGEST_BYTES for part in parts):
-        raise ValueError("digests of no version")
+        raise ValueError("digests without versions, or of another length")
     return tuple(
         AcceptedVersion(version=version, digest=part) for version, part in zip(versions, parts, strict=False)
     )
@@ -89,10 +103,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServicePlan:
-    """What is in force. `document` keeps the operator's own bytes, for reading back.
-
-    `accepted` lists the last versions that were acknowledged, this one among them, in that order. A version that was
-    overtaken before it was taken is acknowledged and noted too, so that its number stands for one content.
+    """The configuration in force.
+
+    :ivar routes: by database
+    :ivar services: by name
+    :ivar rest_limit_us: how long a session may be idle
+    :ivar document: the operator's own bytes, for reading back
+    :ivar accepted: the last versions that were acknowledged, this one among them, in that order. A version that was
+        superseded before it came into force is acknowledged and listed too, so that its number stands for one content
     """
 
     version: int
@@ -104,6 +122,7 @@
 
     @property
     def digest(self) -> bytes:
+        """A short digest of the document."""
         return hashlib.blake2b(self.document, digest_size=DIGEST_BYTES).digest()
 
     def following(self, *, standing: "ServicePlan | None") -> "ServicePlan":
@@ -114,7 +133,7 @@
     def with_accepted(self, *, other: "ServicePlan") -> "ServicePlan":
         """This plan, which stays in force, with another one noted as acknowledged under its number."""
         noted = AcceptedVersion(version=other.version, digest=other.digest)
-        return replace(self, accepted=(*self.accepted, noted)[-ACCEPTED_MOST:])
+        return replace(self, accepted=(*self.accepted, noted)[-MAX_ACCEPTED:])
 
     def digest_of(self, *, version: int) -> bytes | None:
         """The digest of the document that was acknowledged under a version; None where that is not known."""
@@ -123,13 +142,14 @@
         return next((each.digest for each in self.accepted if each.version == version), None)
 
     def bytes(self, *, with_document: bool = True) -> bytes:
+        """The plan as it stands in the register; proxies get it without the document and the digests."""
         packer = Packer().u64(value=self.rest_limit_us)
         packer.many(values=self.routes.values(), each=lambda p, r: r.write(packer=p))
         packer.many(values=self.services.values(), each=lambda p, s: s.write(packer=p))
         packer.blob(value=self.document if with_document else b"")
         _write_accepted(packer=packer, accepted=self.accepted if with_document else ())
         body = packer.bytes()
-        # why: a plan goes whole to every register replica, and routes are much alike
+        # A plan goes whole to every register replica, and routes are much alike
         return Packer().u64(value=self.version).bytes() + zlib.compress(body)
 
 
@@ -151,24 +171,24 @@
 def _inflated(*, data: bytes) -> bytes:
     inflater = zlib.decompressobj()
     try:
-        body = inflater.decompress(data, MOST_BYTES)
+        body = inflater.decompress(data, MAX_PLAN_BYTES)
     except zlib.error as error:
-        raise ValueError("no plan") from error
-    # why: a few bytes may swell to gigabytes, and what is cut short or followed by more is no plan of ours
+        raise ValueError("a plan that can't be decompressed") from error
+    # A few bytes may inflate to gigabytes, and no plan is cut short or followed by more.
     if not inflater.eof or inflater.unused_data:
-        raise ValueError("no plan")
+        raise ValueError("a plan that is too large, cut short or followed by other bytes")
     return body
 
 
 def read_service_plan(*, data: bytes) -> ServicePlan:
-    """Raises ValueError where the bytes are no plan."""
+    """What ServicePlan.bytes gave; raises ValueError where the bytes are no plan."""
     version = plan_version(data=data)
-    unpacker = Unpacker(data=_inflated(data=data[8:]))
+    unpacker = Unpacker(data=_inflated(data=data[VERSION_BYTES:]))
     rest_limit_us = unpacker.u64()
     routes = unpacker.many(each=_read_route)
     services = unpacker.many(each=_read_service)
     document = unpacker.blob()
-    # why: what was written before digests were kept ends here
+    # What was written before digests were kept ends here.
     accepted = _read_accepted(unpacker=unpacker) if unpacker.more else ()
     unpacker.done()
     return ServicePlan(
--- a/src/cinderstair/config/shard_check.py
+++ b/src/cinderstair/config/shard_check.py
@@ -1,25 +1,57 @@
-"""A shard map held against the configuration and the map in force: what it would lose, double, or send nowhere."""
+"""Checks a shard map against the configuration and the map in force."""
+
+from dataclasses import dataclass
 
 from .service_plan import ServicePlan
 from .shard_map import ShardMap, line_of_name
 
 
-def shard_map_problems(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[str]:
-    """Every reason against a map, each with the line it is about; none where it may be put."""
-    problems: list[tuple[int, str]] = []
+@dataclass(frozen=True, kw_only=True, order=True)
+class _Problem:
+    """A reason against a map; line 0 where the document doesn't name the database."""
 
-    def problem(database: str, words: str) -> None:
-        line = line_of_name(text=text, name=database)
-        problems.append((line, f"line {line}: {words}" if line else words))
+    line: int
+    reason: str
 
+    def text(self) -> str:
+        return f"line {self.line}: {self.reason}" if self.line else self.reason
+
+
+def _wanted_problems(*, text: str, wanted: ShardMap, plan: ServicePlan) -> list[_Problem]:
+    """What the map names and the configuration doesn't know."""
+    problems: list[_Problem] = []
     for database, service in wanted.places.items():
+        line = line_of_name(text=text, name=database)
         if database not in plan.routes:
-            problem(database, f"'{database}' is no database of configuration {plan.version}")
+            reason = f"'{database}' is no database of configuration {plan.version}"
+            problems.append(_Problem(line=line, reason=reason))
         if service not in plan.services:
-            problem(database, f"'{database}': '{service}' is no service of configuration {plan.version}")
-    for database, service in current.places.items():
-        # why: where a map is silent the plan's word holds, and what the database holds by now is not there
-        if database in plan.routes and database not in wanted.places:
-            words = f"'{database}' is lost: map {current.version} has it at '{service}'; name its place"
-            problem(database, words)
-    return [words for _, words in sorted(problems)]
+            reason = f"'{database}': '{service}' is no service of configuration {plan.version}"
+            problems.append(_Problem(line=line, reason=reason))
+    return problems
+
+
+def _lost_databases(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[_Problem]:
+    """What has moved and the map doesn't name: the plan's service would be asked, which doesn't hold the data."""
+    return [
+        _Problem(
+            line=line_of_name(text=text, name=database),
+            reason=f"'{database}' is lost: map {current.version} has it at '{service}'; name its place",
+        )
+        for database, service in current.places.items()
+        if database in plan.routes and database not in wanted.places
+    ]
+
+
+def shard_map_problems(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[str]:
+    """Every reason against a map, in the order of its document.
+
+    :param text: the document of `wanted`, in which lines are looked up
+    :param current: the map in force
+    :returns: one line each; empty where the map may come into force
+    """
+    problems = [
+        *_wanted_problems(text=text, wanted=wanted, plan=plan),
+        *_lost_databases(text=text, wanted=wanted, current=current, plan=plan),
+    ]
+    return [problem.text() for problem in sorted(problems)]
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -1,6 +1,6 @@
 """Answers the platform, the backends' beats and the operators."""
 
-from ...config.configuration_store import CONFIGURATION_KEY, ConfigurationStore
+from ...config.configuration import CONFIGURATION_KEY
 from ...consensus.succession import Succession
 from ...failover.database_failover import DatabaseFailover
 from ...membership.heartbeat import heartbeat_from_json
@@ -8,6 +8,7 @@
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
 from ...runtime.http_response import HttpResponse, json_response
+from ..configuration_store import ConfigurationStore
 from ..reject_mixin import RejectMixin
 from ..request import Request
 from ..status_page import StatusPage
@@ -77,7 +78,7 @@
         result = await self.configuration_store.submit(raw=request.http.body)
         if result.is_error():
             return self.reject_with(fault=result.error)
-        configuration, found = result.ok
+        configuration, found = result.ok.configuration, result.ok.found
         self.view.take_own(key=CONFIGURATION_KEY, result=type(result).Ok(found))
         return self.done(value={"version": configuration.version, "warnings": list(configuration.warnings)})
 
--- a/src/cinderstair/http_frontend/filters/forward_filter.py
+++ b/src/cinderstair/http_frontend/filters/forward_filter.py
@@ -267,7 +267,7 @@
             if name not in tried
             and (name != lead.primary or route.target == "any")
             and self.connection_pools.usable(name=name)
-            and route.where.picks(labels=self.configuration.backends[name].labels)
+            and route.where.matches(labels=self.configuration.backends[name].labels)
         ]
 
         def weight(name: str) -> tuple[int, float]:
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -6,7 +6,6 @@
 
 from expression import Ok, Result
 
-from ..config.configuration_store import ConfigurationStore
 from ..consensus.register import Register
 from ..failover.database_failover import DatabaseFailover
 from ..failover.platform import Platform
@@ -24,6 +23,7 @@
 from ..runtime.settings import Settings
 from .backend_reachability import BackendReachability
 from .commit_watermarks import CommitWatermarks
+from .configuration_store import ConfigurationStore
 from .connection_pools import ConnectionPools
 from .filters.body_filter import BodyFilter
 from .filters.control_filter import ControlFilter
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -1,8 +1,7 @@
 """An HTTP proxy's view of the register: the configuration, the slots, the windows and the leads."""
 
 from ..config.check import check_configuration
-from ..config.configuration import Configuration
-from ..config.configuration_store import CONFIGURATION_KEY
+from ..config.configuration import CONFIGURATION_KEY, Configuration
 from ..consensus.register import Register
 from ..consensus.register_view import LEASE_US, RegisterView
 from ..failover.database_primary import DatabasePrimary, read_database_primary
--- a/src/cinderstair/maintenance/leaving.py
+++ b/src/cinderstair/maintenance/leaving.py
@@ -24,11 +24,11 @@
         return Leaving()
     opened = [window for window in configuration.windows if states.stage(window=window) == Stage.open]
     backends = {
-        name: tuple(w.name for w in opened if w.empties.picks(labels=backend.labels))
+        name: tuple(w.name for w in opened if w.empties.matches(labels=backend.labels))
         for name, backend in configuration.backends.items()
     }
     http_proxies = {
-        name: tuple(w.name for w in opened if w.empties.picks(labels=labels))
+        name: tuple(w.name for w in opened if w.empties.matches(labels=labels))
         for name, labels in configuration.http_proxy_labels.items()
     }
     return Leaving(
--- a/src/cinderstair/maintenance/window_states.py
+++ b/src/cinderstair/maintenance/window_states.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from ..config.window import Window
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
-from .window import Window
 
 WINDOWS_KEY = "windows"
 
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -10,11 +10,13 @@
 
 from expression import Ok
 
-from ..config import configuration_store
+from ..config.check import check_configuration
+from ..config.configuration import CONFIGURATION_KEY
 from ..consensus.store import Store
 from ..failover import database_failover
 from ..http_frontend import connection_pools, view
 from ..http_frontend.commit_watermarks import CommitWatermarks
+from ..http_frontend.configuration_store import AcceptedConfiguration, ConfigurationStore
 from ..http_frontend.filters import session_filter
 from ..http_frontend.filters.forward_filter import ForwardFilter
 from ..http_frontend.filters.session_state_filter import SessionStateFilter
@@ -87,13 +89,15 @@
 def no_versions() -> Patches:
     """A configuration is written whatever stands."""
 
-    class Anything(configuration_store.ConfigurationStore):
+    class Anything(ConfigurationStore):
         async def submit(self, *, raw: bytes) -> Any:
-            checked = configuration_store.check_configuration(raw=raw)
-            found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
-            return Ok((checked.ok, found.ok)) if checked.is_ok() and found.is_ok() else checked
+            checked = check_configuration(raw=raw)
+            found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
+            if checked.is_error() or found.is_error():
+                return checked
+            return Ok(AcceptedConfiguration(configuration=checked.ok, found=found.ok))
 
-    return [patch.object(configuration_store.ConfigurationStore, "submit", Anything.submit)]
+    return [patch.object(ConfigurationStore, "submit", Anything.submit)]
 
 
 def forgetful_register_replica() -> Patches:
@@ -175,10 +179,11 @@
     """A configuration is accepted whatever it says."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
-        found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
-        return Ok((SimpleNamespace(version=0, warnings=()), found.ok)) if found.is_ok() else found
+        found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
+        configuration = SimpleNamespace(version=0, warnings=())
+        return Ok(SimpleNamespace(configuration=configuration, found=found.ok)) if found.is_ok() else found
 
-    return [patch.object(configuration_store.ConfigurationStore, "submit", submit)]
+    return [patch.object(ConfigurationStore, "submit", submit)]
 
 
 def older_again() -> Patches:
@@ -194,13 +199,13 @@
 
 def altered_read_back() -> Patches:
     """A configuration is given back as this code would write it, and not as it came."""
-    original = configuration_store.ConfigurationStore.fetch
+    original = ConfigurationStore.fetch
 
     async def fetch(self: Any) -> Any:
         found = await original(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(configuration_store.ConfigurationStore, "fetch", fetch)]
+    return [patch.object(ConfigurationStore, "fetch", fetch)]
 
 
 def deaf_to_quiet() -> Patches:
