--- a/features/steps/controller_command_steps.py
+++ b/features/steps/controller_command_steps.py
@@ -11,13 +11,14 @@
 from behave import given, then, when
 from cleo.application import Application
 
-from cinderstair.cli.controller_commands import ControllerCommand, ShardsCommand
+from cinderstair.cli.controller_command import ControllerCommand
 from cinderstair.cli.shard_commands import (
     ShardsAbandonCommand,
     ShardsBeginCommand,
+    ShardsCommand,
     ShardsPlanCommand,
-    ShardsWatchCommand,
 )
+from cinderstair.cli.shards_watch_command import ShardsWatchCommand
 from cinderstair.failover.shard_state import ShardPhase
 from cinderstair.runtime.counters import Counters
 from cinderstair.runtime.packer import Packer
--- a/src/cinderstair/__main__.py
+++ b/src/cinderstair/__main__.py
@@ -1,4 +1,4 @@
-"""One program; the role is a subcommand."""
+"""The command line: daemons, operators' commands and tools are commands of one program."""
 
 import sys
 
@@ -7,54 +7,52 @@
 
 from . import VERSION
 from .cli.check_commands import CheckCommand, FormatCommand
-from .cli.controller_commands import ControllerCommand, ShardsCommand
+from .cli.configuration_commands import FetchCommand, SubmitCommand
+from .cli.controller_command import ControllerCommand
 from .cli.daemon_commands import HttpProxyCommand, RegisterReplicaCommand
 from .cli.exit_code import ExitCode
-from .cli.operator_commands import (
+from .cli.operator_commands import CountersCommand, DrainCommand, OverrideCommand, ReplaceReplicaCommand
+from .cli.shard_commands import ShardsAbandonCommand, ShardsBeginCommand, ShardsCommand, ShardsPlanCommand
+from .cli.shards_watch_command import ShardsWatchCommand
+from .cli.simulate_command import SimulateCommand
+from .cli.status_command import StatusCommand
+
+COMMANDS = (
+    HttpProxyCommand,
+    RegisterReplicaCommand,
+    SubmitCommand,
+    FetchCommand,
+    StatusCommand,
     CountersCommand,
     DrainCommand,
-    FetchCommand,
     OverrideCommand,
     ReplaceReplicaCommand,
-    StatusCommand,
-    SubmitCommand,
+    CheckCommand,
+    FormatCommand,
+    SimulateCommand,
+    ShardsCommand,
+    ShardsPlanCommand,
+    ShardsBeginCommand,
+    ShardsWatchCommand,
+    ShardsAbandonCommand,
+    ControllerCommand,
 )
-from .cli.shard_commands import ShardsAbandonCommand, ShardsBeginCommand, ShardsPlanCommand, ShardsWatchCommand
-from .cli.simulate_command import SimulateCommand
 
 
 def main() -> None:
+    """Runs the command that the arguments name, and exits with its code."""
     app = Application("cinderstair", VERSION)
-    for verb in (
-        HttpProxyCommand,
-        RegisterReplicaCommand,
-        SubmitCommand,
-        FetchCommand,
-        StatusCommand,
-        CountersCommand,
-        DrainCommand,
-        OverrideCommand,
-        ReplaceReplicaCommand,
-        CheckCommand,
-        FormatCommand,
-        SimulateCommand,
-        ShardsCommand,
-        ShardsPlanCommand,
-        ShardsBeginCommand,
-        ShardsWatchCommand,
-        ShardsAbandonCommand,
-        ControllerCommand,
-    ):
-        app.add(verb())
+    for command in COMMANDS:
+        app.add(command())
     app.auto_exits(False)
     app.catch_exceptions(False)
-    # why: asked for help alone, cleo explains its list verb; an operator wants the list itself
+    # Asked for help alone, cleo explains its list command; an operator wants the list itself.
     if sys.argv[1:] in (["--help"], ["-h"]):
         sys.argv[1:] = ["list"]
     try:
         code = app.run()
     except CleoError as error:
-        print(f"{error}\nSee 'cinderstair --help', or 'cinderstair VERB --help'.", file=sys.stderr)
+        print(f"{error}\nSee 'cinderstair --help', or 'cinderstair COMMAND --help'.", file=sys.stderr)
         code = ExitCode.USAGE
     except KeyboardInterrupt:
         code = ExitCode.INTERRUPTED
--- a/src/cinderstair/cli/base_command.py
+++ b/src/cinderstair/cli/base_command.py
@@ -1,9 +1,11 @@
 """What every command of the program shares."""
 
 import sys
+from pathlib import Path
 
 from cleo.commands.command import Command
 from cleo.io.io import IO
+from expression import Error, Ok, Result
 
 from .exit_code import ExitCode
 
@@ -32,3 +34,10 @@
         """
         print(message, file=sys.stderr)
         return code
+
+    def read_file(self, *, path: str) -> Result[bytes, ExitCode]:
+        """The bytes of a file; where it can't be read the reason is printed, and the exit code returned."""
+        try:
+            return Ok(Path(path).read_bytes())
+        except OSError as error:
+            return Error(self.fail(message=f"{path}: {error.strerror}", code=ExitCode.USAGE))
--- a/src/cinderstair/cli/check_commands.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -1,26 +1,29 @@
-"""The verbs that check and format a document; they need no running system."""
+"""Commands that check and format a configuration document; they need no running system."""
 
 import json
 import sys
+from typing import Any
 
 from cleo.helpers import argument
 
 from ..config.formatter import format_program, format_selector
-from .base_command import BaseCommand
-from .document_mixin import DocumentMixin
+from .document_command import DocumentCommand
 from .exit_code import ExitCode
 
 
-class CheckCommand(DocumentMixin, BaseCommand):
+class CheckCommand(DocumentCommand):
+    """Prints what a document holds; its errors and warnings go to standard error."""
+
     name = "check"
     description = "Check a configuration document; needs no running system"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
         path = self.argument("file")
-        configuration = self.read_configuration(path=path)
-        if isinstance(configuration, int):
-            return configuration
+        read = self.read_configuration(path=path)
+        if read.is_error():
+            return read.error
+        configuration = read.ok
         for warning in configuration.warnings:
             print(f"{path}: warning: {warning}", file=sys.stderr)
         counts = {
@@ -33,22 +36,29 @@
         return ExitCode.DONE
 
 
-class FormatCommand(DocumentMixin, BaseCommand):
+class FormatCommand(DocumentCommand):
+    """Prints a document with its routes, policies and selectors in canonical form."""
+
     name = "format"
-    description = "Print a configuration document with its language in its one true form"
+    description = "Print a configuration document with its language in its canonical form"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
-        # why: what does not compile has no true form, and a guess at one would change its meaning
-        configuration = self.read_configuration(path=self.argument("file"))
-        if isinstance(configuration, int):
-            return configuration
-        document = json.loads(configuration.raw)
-        language = document.get("language", "")
-        text = language if isinstance(language, str) else "\n".join(language)
-        if text:
-            document["language"] = format_program(text=text).ok.splitlines()
-        for window in document.get("windows", []):
-            window["empties"] = format_selector(text=window["empties"]).ok
+        # What does not compile has no canonical form, and a guess at one would change its meaning.
+        read = self.read_configuration(path=self.argument("file"))
+        if read.is_error():
+            return read.error
+        document = formatted(document=json.loads(read.ok.raw))
         print(json.dumps(document, indent=2))
         return ExitCode.DONE
+
+
+def formatted(*, document: dict[str, Any]) -> dict[str, Any]:
+    """A valid document with its language in canonical form."""
+    language = document.get("language", "")
+    text = language if isinstance(language, str) else "\n".join(language)
+    if text:
+        document["language"] = format_program(text=text).ok.splitlines()
+    for window in document.get("windows", []):
+        window["empties"] = format_selector(text=window["empties"]).ok
+    return document
--- a/src/cinderstair/cli/container.py
+++ b/src/cinderstair/cli/container.py
@@ -1,4 +1,4 @@
-"""Puts a real process's context together."""
+"""Wires the context of a real process."""
 
 import logging
 import random
@@ -14,15 +14,17 @@
 
 
 def monotonic_us() -> int:
+    """The monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
 def calendar_us() -> int:
+    """The calendar clock, in microseconds since 1970."""
     return time.time_ns() // 1_000
 
 
 class Container(containers.DeclarativeContainer):
-    """The real clock, luck, network and disk; another container may put others in their places."""
+    """The real clocks, randomness, network and disk; the simulator wires its own."""
 
     config = providers.Configuration()
     counters = providers.Singleton(Counters)
--- /dev/null
+++ b/src/cinderstair/cli/controller_command.py
@@ -0,0 +1,16 @@
+"""The command that shows a controller's state."""
+
+from ..runtime.message_types import CONTROLLER
+from ..runtime.packer import Packer
+from .record_command import RecordCommand
+
+
+class ControllerCommand(RecordCommand):
+    """Prints a controller's own report."""
+
+    name = "controller"
+    aliases = ["guildhall"]
+    description = "Show what a controller knows: register replicas, leads, backends, proxies, duties, counters"
+
+    def handle(self) -> int:
+        return self.ask_controller(body=Packer().u8(value=CONTROLLER).bytes(), changes=False)
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon as a process: signals, settings that change, and an orderly end."""
+"""Runs a daemon as a process: signals, changed settings, and an orderly shutdown."""
 
 import asyncio
 import logging
@@ -6,7 +6,7 @@
 import signal
 import sys
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
 from expression import Result
@@ -18,23 +18,46 @@
 from .container import Container
 from .exit_code import ExitCode
 
-WATCH_US = 1_000_000
+#: How often the settings file is looked at.
+WATCH_INTERVAL_US = 1_000_000
 
 
 class DaemonRole(Protocol):
-    """What a role must be able to do."""
+    """What a daemon runs: an HTTP proxy or a register replica."""
 
-    async def start(self) -> Result[None, CinderstairError]: ...
+    async def start(self) -> Result[None, CinderstairError]:
+        """Begins to serve; raises OSError where an address can't be listened on."""
 
-    async def drain(self) -> None: ...
+    async def drain(self) -> None:
+        """Ends in an orderly way: hands on what others can take over."""
 
-    def resettle(self, *, settings: Settings) -> None: ...
+    def resettle(self, *, settings: Settings) -> None:
+        """Takes settings of which those in LIVE may have changed."""
 
 
-Make = Callable[[Context, Settings, Callable[[str], None]], DaemonRole]
+RoleFactory = Callable[[Context, Settings, Callable[[str], None]], DaemonRole]
+
+
+@dataclass(frozen=True, kw_only=True)
+class FileVersion:
+    """Tells whether a file has changed; both are 0 where there is no file."""
+
+    modified_ns: int = 0
+    size: int = 0
+
+
+def file_version(*, path: str) -> FileVersion:
+    """The version of a file at this moment."""
+    try:
+        status = os.stat(path)
+    except OSError:
+        return FileVersion()
+    return FileVersion(modified_ns=status.st_mtime_ns, size=status.st_size)
 
 
 def file_sink(*, path: str) -> Sink:
+    """A sink that appends to a file."""
+
     def sink(data: bytes) -> None:
         with open(path, "ab") as file:
             file.write(data)
@@ -43,32 +66,49 @@
 
 
 class Daemon:
-    def __init__(self, *, path: str, flags: dict[str, Any], settings: Settings, make: Make) -> None:
+    """Runs one role until SIGTERM or SIGINT, and rereads its settings file when that changes or on SIGHUP.
+
+    :param path: the settings file; empty where all settings are flags
+    :param flags: settings from the command line, which win over the file
+    """
+
+    def __init__(self, *, path: str, flags: dict[str, Any], settings: Settings, make_role: RoleFactory) -> None:
         self.path = path
         self.flags = flags
         self.settings = settings
-        self.make = make
+        self.make_role = make_role
         self.stop = asyncio.Event()
-        self.code = ExitCode.DONE
-        self.stamp = self._stamp()
+        self.settings_version = file_version(path=path)
         self.log = logging.getLogger(settings.name)
 
-    def _stamp(self) -> tuple[int, int]:
-        try:
-            status = os.stat(self.path)
-        except OSError:
-            return 0, 0
-        return status.st_mtime_ns, status.st_size
-
-    def halt(self, why: str) -> None:
-        """The end when going on would be wrong: no deregistration, no flush, nothing more is answered."""
-        self.log.critical("halts: %s", why)
+    def halt(self, reason: str) -> None:
+        """Ends the process at once where going on would be wrong: nothing is handed on, flushed or answered."""
+        self.log.critical("halts: %s", reason)
         logging.shutdown()
         os._exit(ExitCode.FAILED)
 
-    async def run(self) -> int:
-        market = Container()
-        market.config.from_dict(
+    async def run(self) -> ExitCode:
+        """Serves until a signal, and then drains; where the role can't start the reason is printed."""
+        ctx = self._context()
+        role = self.make_role(ctx, self.settings, self.halt)
+        self._handle_signals(role=role)
+        source = self.path or "flags"
+        try:
+            started = await role.start()
+        except OSError as error:
+            print(f"{source}: can't start: {error}", file=sys.stderr)
+            return ExitCode.USAGE
+        if started.is_error():
+            print(f"{source}: {started.error.reason}", file=sys.stderr)
+            return ExitCode.FAILED
+        ctx.timer(every_us=WATCH_INTERVAL_US).subscribe(lambda _: self._watch_settings(role=role))
+        await self.stop.wait()
+        await self._shut_down(ctx=ctx, role=role)
+        return ExitCode.DONE
+
+    def _context(self) -> Context:
+        container = Container()
+        container.config.from_dict(
             {
                 "name": self.settings.name,
                 "site": self.settings.site,
@@ -76,51 +116,45 @@
                 "disk_kind": "real" if self.settings.folder else "none",
             }
         )
-        ctx = market.context()
+        ctx: Context = container.context()
         if self.settings.traces:
-            ctx.traces = Traces(service=self.settings.name, rng=ctx.rng, sink=file_sink(path=self.settings.traces))
+            sink = file_sink(path=self.settings.traces)
+            ctx.traces = Traces(service=self.settings.name, rng=ctx.rng, sink=sink)
+        return ctx
+
+    def _handle_signals(self, *, role: DaemonRole) -> None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGINT, self.stop.set)
-        trader: DaemonRole = self.make(ctx, self.settings, self.halt)
-        loop.add_signal_handler(signal.SIGHUP, lambda: self._reread(trader=trader, why="signal"))
-        try:
-            started = await trader.start()
-        except OSError as error:
-            print(f"{self.path or 'flags'}: can't start: {error}", file=sys.stderr)
-            return ExitCode.USAGE
-        if started.is_error():
-            print(f"{self.path or 'flags'}: {started.error.reason}", file=sys.stderr)
-            return ExitCode.FAILED
-        ctx.timer(every_us=WATCH_US).subscribe(lambda _: self._watch(trader=trader))
-        await self.stop.wait()
+        loop.add_signal_handler(signal.SIGHUP, lambda: self._reread_settings(role=role, cause="signal"))
+
+    async def _shut_down(self, *, ctx: Context, role: DaemonRole) -> None:
         self.log.info("stops")
-        await trader.drain()
+        await role.drain()
         await ctx.net.close()
         ctx.close()
         self.log.info("counters %s", ctx.counters.snapshot())
-        return self.code
 
-    def _watch(self, *, trader: DaemonRole) -> None:
-        stamp = self._stamp()
-        # why: a file that is read while it is being written is seen again at the next tick
-        if self.path and stamp != self.stamp and stamp != (0, 0):
-            self.stamp = stamp
-            self._reread(trader=trader, why="file changed")
+    def _watch_settings(self, *, role: DaemonRole) -> None:
+        version = file_version(path=self.path)
+        # A file that is read while it is being written is seen again at the next tick.
+        if self.path and version not in (self.settings_version, FileVersion()):
+            self.settings_version = version
+            self._reread_settings(role=role, cause="file changed")
 
-    def _reread(self, *, trader: DaemonRole, why: str) -> None:
+    def _reread_settings(self, *, role: DaemonRole, cause: str) -> None:
         read = read_settings(path=self.path, flags=self.flags)
         if read.is_error():
-            self.log.error("settings not changed (%s): %s", why, read.error.reason)
+            self.log.error("settings not changed (%s): %s", cause, read.error.reason)
             return
         fixed = may_change_live(old=self.settings, new=read.ok)
-        # why: half a change would leave the process in a place that no file describes
+        # Half a change would leave the process in a state that no file describes.
         if fixed:
-            self.log.error("settings not changed (%s): %s need a restart", why, ", ".join(fixed))
+            self.log.error("settings not changed (%s): %s need a restart", cause, ", ".join(fixed))
             return
         if read.ok == self.settings:
             return
         self.settings = replace(self.settings, **{key: getattr(read.ok, key) for key in LIVE})
         logging.getLogger().setLevel(self.settings.logLevel.upper())
-        trader.resettle(settings=self.settings)
-        self.log.info("settings changed (%s)", why)
+        role.resettle(settings=self.settings)
+        self.log.info("settings changed (%s)", cause)
--- a/src/cinderstair/cli/daemon_commands.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -1,4 +1,4 @@
-"""The verbs that run a daemon."""
+"""Commands that run a daemon."""
 
 import asyncio
 import logging
@@ -8,6 +8,7 @@
 from typing import Any
 
 from cleo.helpers import option
+from expression import Error, Ok, Result
 
 from ..consensus.register_replica import RegisterReplica
 from ..http_frontend.http_proxy import HttpProxy
@@ -17,6 +18,7 @@
 from .daemon import Daemon, DaemonRole
 from .exit_code import ExitCode
 
+#: Settings that flags may set, with their descriptions.
 FLAGS = (
     ("name", "this process's name"),
     ("site", "its site"),
@@ -30,64 +32,74 @@
 
 
 class DaemonCommand(BaseCommand):
-    """Reads and checks the settings, then runs one role until it is told to stop."""
+    """Reads and checks the settings, then runs one role until it is told to stop.
+
+    :cvar needs_http: whether the role needs an HTTP address
+    :cvar needs_folder: whether the role needs a data folder
+    """
 
     options = [
         option("settings", "s", "settings file (TOML)", flag=False),
-        *(option(name, None, words, flag=False) for name, words in FLAGS),
+        *(option(name, None, description, flag=False) for name, description in FLAGS),
         option("seeds", None, "three seed addresses with commas between", flag=False),
         option("foundingVaults", None, "how many register replicas found the system", flag=False),
     ]
     needs_http = False
     needs_folder = False
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+    def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+        """The role that this command runs.
+
+        :param halt: ends the process at once, with a reason for the log
+        """
         raise NotImplementedError
 
-    def _flags(self) -> dict[str, Any] | str:
-        flags: dict[str, Any] = {}
-        for name, _ in FLAGS:
-            value = self.option(name)
-            if value is not None:
-                flags[name] = value
+    def _flags(self) -> Result[dict[str, Any], str]:
+        """The settings on the command line, or what is wrong with them."""
+        flags: dict[str, Any] = {name: self.option(name) for name, _ in FLAGS if self.option(name) is not None}
         if self.option("seeds"):
             flags["seeds"] = self.option("seeds").split(",")
-        if self.option("foundingVaults"):
-            if not self.option("foundingVaults").isdigit():
-                return "foundingVaults: a whole number is needed"
-            flags["foundingVaults"] = int(self.option("foundingVaults"))
-        return flags
+        founding = self.option("foundingVaults")
+        if founding and not founding.isdigit():
+            return Error("foundingVaults: a whole number is needed")
+        if founding:
+            flags["foundingVaults"] = int(founding)
+        return Ok(flags)
+
+    def _role_error(self, *, settings: Settings) -> str:
+        """What the role needs and the settings lack; empty where there is nothing."""
+        if self.needs_http and not settings.http:
+            return "http: an address is needed for this role"
+        problem = folder_error(folder=settings.folder) if self.needs_folder else ""
+        return f"folder: {problem}" if problem else ""
 
     def handle(self) -> int:
         path = self.option("settings") or ""
         flags = self._flags()
-        if isinstance(flags, str):
-            return self.fail(message=f"flags: {flags}", code=ExitCode.USAGE)
-        read = read_settings(path=path, flags=flags)
+        if flags.is_error():
+            return self.fail(message=f"flags: {flags.error}", code=ExitCode.USAGE)
+        read = read_settings(path=path, flags=flags.ok)
         if read.is_error():
             return self.fail(message=read.error.reason, code=ExitCode.USAGE)
-        settings, where = read.ok, path or "flags"
-        if self.needs_http and not settings.http:
-            return self.fail(message=f"{where}: http: an address is needed for this role", code=ExitCode.USAGE)
-        if self.needs_folder:
-            problem = folder_error(folder=settings.folder)
-            if problem:
-                return self.fail(message=f"{where}: folder: {problem}", code=ExitCode.USAGE)
+        settings = read.ok
+        problem = self._role_error(settings=settings)
+        if problem:
+            return self.fail(message=f"{path or 'flags'}: {problem}", code=ExitCode.USAGE)
         logging.basicConfig(
             level=settings.logLevel.upper(),
             format="%(asctime)s %(levelname)s %(name)s %(message)s",
             stream=sys.stderr,
         )
+        return asyncio.run(self._run(path=path, flags=flags.ok, settings=settings))
 
-        async def main() -> int:
-            daemon = Daemon(path=path, flags=flags, settings=settings, make=self.make)
-            return await daemon.run()
-
-        return asyncio.run(main())
+    async def _run(self, *, path: str, flags: dict[str, Any], settings: Settings) -> ExitCode:
+        # The daemon's event belongs to the running loop, so the daemon is made within it.
+        daemon = Daemon(path=path, flags=flags, settings=settings, make_role=self.make_role)
+        return await daemon.run()
 
 
 def folder_error(*, folder: str) -> str:
-    """Why a data folder can't be used; empty where it can."""
+    """Why a data folder can't be used; empty where it can. It is created where there is none."""
     if not folder:
         return "a data folder is needed for this role"
     try:
@@ -102,20 +114,24 @@
 
 
 class HttpProxyCommand(DaemonCommand):
+    """Runs an HTTP proxy."""
+
     name = "http-proxy"
     aliases = ["stall"]
     description = "Run an HTTP proxy: sessions, and connections to its subset of the backends"
     needs_http = True
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+    def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
         return HttpProxy(ctx=ctx, settings=settings)
 
 
 class RegisterReplicaCommand(DaemonCommand):
+    """Runs a register replica."""
+
     name = "register-replica"
     aliases = ["vault"]
     description = "Run a register replica on a machine with a disk: one vote of the register"
     needs_folder = True
 
-    def make(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+    def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
         return RegisterReplica(ctx=ctx, settings=settings, halt=halt)
--- a/src/cinderstair/cli/edge.py
+++ b/src/cinderstair/cli/http_client.py
@@ -1,4 +1,4 @@
-"""Asks a running HTTP proxy over its HTTP edge, for the operators' verbs."""
+"""Asks a running HTTP proxy over HTTP, for the operators' commands."""
 
 import asyncio
 import json
@@ -17,6 +17,7 @@
 
 
 async def ask(*, address: str, method: str, path: str, body: bytes = b"") -> Result[HttpResponse, CinderstairError]:
+    """Sends one request on a connection of its own; WIRE_UNSURE where nobody knows whether it was served."""
     net = RealNet(counters=Counters())
     dialled = await net.dial(address=address, wait_us=DIAL_WAIT_US)
     if dialled.is_error():
@@ -24,6 +25,7 @@
     request = HttpRequest(method=method, path=path, body=body)
     result = await dialled.ok.send_request(request=request, wait_us=ANSWER_WAIT_US)
     dialled.ok.close()
+    # lets the transport close before the loop ends
     await asyncio.sleep(0)
     return result
 
@@ -31,5 +33,9 @@
 def ask_now(
     *, address: str, method: str, path: str, value: Any = None, body: bytes = b""
 ) -> Result[HttpResponse, CinderstairError]:
+    """As `ask`, from code that runs no event loop.
+
+    :param value: sent as JSON in place of `body`, where it isn't None
+    """
     data = body if value is None else json.dumps(value).encode()
     return asyncio.run(ask(address=address, method=method, path=path, body=data))
--- /dev/null
+++ b/src/cinderstair/cli/record_command.py
@@ -0,0 +1,59 @@
+"""The base of commands that ask a controller by records."""
+
+import asyncio
+
+from cleo.helpers import option
+from expression import Error, Ok, Result
+
+from ..runtime.errors import CinderstairError
+from ..runtime.settings_validation import address_error
+from .base_command import BaseCommand
+from .exit_code import ExitCode
+from .record_client import ask, read_answer
+
+CONTROLLER_ADDRESS = option("at", "a", "records address of any controller", flag=False, default="127.0.0.1:7101")
+UNREADABLE_ANSWER = "an answer that can't be read: is this a controller's records address?"
+
+
+def error_text(*, error: CinderstairError) -> str:
+    """An error as one line for operators."""
+    return f"{error.code.value}: {error.reason}"
+
+
+class RecordCommand(BaseCommand):
+    """Asks one question of a controller and prints the answer.
+
+    Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown.
+    """
+
+    options = [CONTROLLER_ADDRESS]
+
+    def controller_address(self) -> Result[str, ExitCode]:
+        """The value of `--at`; where it is no address that is printed, and the exit code returned."""
+        address = self.option("at")
+        problem = address_error(value=address)
+        if problem:
+            return Error(self.fail(message=f"--at: {problem}", code=ExitCode.USAGE))
+        return Ok(address)
+
+    def ask_controller(self, *, body: bytes, changes: bool) -> ExitCode:
+        """Sends a request and prints the answer.
+
+        :param body: the request's record
+        :param changes: whether the request changes anything, so that a lost answer leaves its outcome unknown
+        """
+        address = self.controller_address()
+        if address.is_error():
+            return address.error
+        result = asyncio.run(ask(address=address.ok, body=body))
+        if result.is_error():
+            code = ExitCode.UNKNOWN if changes else ExitCode.FAILED
+            return self.fail(message=error_text(error=result.error), code=code)
+        try:
+            answer = read_answer(data=result.ok)
+        except ValueError:
+            return self.fail(message=UNREADABLE_ANSWER, code=ExitCode.FAILED)
+        if answer.kind:
+            return self.fail(message=answer.message, code=ExitCode.FAILED)
+        print(answer.text)
+        return ExitCode.DONE
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -1,121 +1,94 @@
-"""The verbs that plan, begin, watch and abandon a change of the shard map."""
+"""Commands that show, plan, begin and abandon a change of the shard map."""
 
-import asyncio
-import time
-from pathlib import Path
+from cleo.helpers import argument
+from expression import Error, Ok, Result
 
-from cleo.helpers import argument, option
-
-from ..failover.shard_state import ShardPhase
-from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN, SHARDS_PROGRESS
+from ..runtime.message_types import SHARDS, SHARDS_ABANDON, SHARDS_PLAN
 from ..runtime.packer import Packer
-from ..runtime.settings_validation import address_error
-from ..runtime.unpacker import Unpacker
-from .controller_commands import AT, RecordCommand, ask
 from .exit_code import ExitCode
+from .record_command import RecordCommand
+
+MAX_VERSION = 2**63 - 1
+
 
-LOOK_EVERY_S = 0.2
-MOST_WAIT_S = 3_600
+class ShardsCommand(RecordCommand):
+    """Without a file the same question shows the map in force."""
+
+    name = "shards"
+    description = "Show the shard map, or submit a new one to the proxies"
+    arguments = [argument("file", "the new map (JSON); none: show the one in force", optional=True)]
+
+    def handle(self) -> int:
+        raw = b""
+        if self.argument("file"):
+            read = self.read_file(path=self.argument("file"))
+            if read.is_error():
+                return read.error
+            raw = read.ok
+        return self.ask_controller(body=Packer().u8(value=SHARDS).blob(value=raw).bytes(), changes=bool(raw))
 
 
 class ShardMapCommand(RecordCommand):
-    """Sends a map that stands in a file."""
+    """Sends the map that a file holds.
+
+    :cvar message_type: the record that carries the map
+    :cvar changes: whether the request changes anything
+    """
 
     arguments = [argument("file", "the new map (JSON)")]
-    kind = 0
+    message_type = 0
     changes = False
 
     def handle(self) -> int:
-        try:
-            raw = Path(self.argument("file")).read_bytes()
-        except OSError as error:
-            return self.fail(message=f"{self.argument('file')}: {error.strerror}", code=ExitCode.USAGE)
-        if not raw:
-            return self.fail(message=f"{self.argument('file')}: empty", code=ExitCode.USAGE)
-        return self.put(body=Packer().u8(value=self.kind).blob(value=raw).bytes(), changes=self.changes)
+        path = self.argument("file")
+        read = self.read_file(path=path)
+        if read.is_error():
+            return read.error
+        # An empty map would be taken as the question for the one in force.
+        if not read.ok:
+            return self.fail(message=f"{path}: empty", code=ExitCode.USAGE)
+        body = Packer().u8(value=self.message_type).blob(value=read.ok).bytes()
+        return self.ask_controller(body=body, changes=self.changes)
 
 
 class ShardsPlanCommand(ShardMapCommand):
+    """Asks what a map would change."""
+
     name = "shards plan"
-    description = "Check a shard map against what stands, and foretell how long writes would wait; changes nothing"
-    kind = SHARDS_PLAN
+    description = "Check a shard map and predict how long writes would wait; changes nothing"
+    message_type = SHARDS_PLAN
 
 
 class ShardsBeginCommand(ShardMapCommand):
+    """Begins the change to a map."""
+
     name = "shards begin"
-    description = "Put a shard map to the proxies"
-    kind = SHARDS
+    description = "Submit a shard map to the proxies"
+    message_type = SHARDS
     changes = True
 
 
-class ShardsAbandonCommand(RecordCommand):
-    name = "shards abandon"
-    description = "Give up the change of the shard map that is on its way, before anything was taken over"
-    arguments = [argument("version", "the version that is on its way")]
+class MapVersionCommand(RecordCommand):
+    """Takes the version of a map as its argument."""
 
-    def handle(self) -> int:
+    def map_version(self) -> Result[int, ExitCode]:
+        """The argument `version`; where it is none that is printed, and the exit code returned."""
         version = self.argument("version")
-        if not version.isdigit() or not 0 < int(version) < 2**63:
-            return self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE)
-        body = Packer().u8(value=SHARDS_ABANDON).u64(value=int(version)).bytes()
-        return self.put(body=body, changes=True)
+        if not version.isdigit() or not 0 < int(version) <= MAX_VERSION:
+            return Error(self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE))
+        return Ok(int(version))
 
 
-class ShardsWatchCommand(RecordCommand):
-    """Exit codes: 0 the map stands, 1 it was withdrawn, 2 usage, 3 neither within the time given."""
+class ShardsAbandonCommand(MapVersionCommand):
+    """Withdraws a map that is not in force yet."""
 
-    name = "shards watch"
-    description = "Follow the change of the shard map until it is done or withdrawn"
-    arguments = [argument("version", "the version that is awaited")]
-    options = [AT, option("wait", "w", "seconds to follow it at most", flag=False, default="60")]
+    name = "shards abandon"
+    description = "Abandon the shard map's change that is in progress, before any proxy has applied it"
+    arguments = [argument("version", "the version of the map that is to be abandoned")]
 
     def handle(self) -> int:
-        version, wait, at = self.argument("version"), self.option("wait"), self.option("at")
-        if not version.isdigit() or not 0 < int(version) < 2**63:
-            return self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE)
-        if not wait.isdigit() or not 0 < int(wait) <= MOST_WAIT_S:
-            return self.fail(
-                message=f"--wait: a whole number of seconds from 1 to {MOST_WAIT_S} is needed", code=ExitCode.USAGE
-            )
-        problem = address_error(value=at)
-        if problem:
-            return self.fail(message=f"--at: {problem}", code=ExitCode.USAGE)
-        return asyncio.run(self._follow(version=int(version), until_s=time.monotonic() + int(wait), at=at))
-
-    async def _follow(self, *, version: int, until_s: float, at: str) -> int:
-        said = ""
-        while time.monotonic() < until_s:
-            result = await ask(address=at, body=Packer().u8(value=SHARDS_PROGRESS).bytes())
-            words, code = "", None
-            if result.is_error():
-                # why: a controller may be restarted meanwhile, and the change goes on without it
-                words = f"{result.error.code.value}: {result.error.reason}"
-            else:
-                try:
-                    words, code = read_progress(data=result.ok, version=version)
-                except ValueError:
-                    why = "an answer that can't be read: is this a controller's records address?"
-                    return self.fail(message=why, code=ExitCode.FAILED)
-            if words != said:
-                print(words, flush=True)
-                said = words
-            if code is not None:
-                return code
-            await asyncio.sleep(LOOK_EVERY_S)
-        return self.fail(message=f"map {version} is neither in force nor withdrawn yet", code=ExitCode.UNKNOWN)
-
-
-def read_progress(*, data: bytes, version: int) -> tuple[str, int | None]:
-    """Words, and the verb's exit code once it is known. Raises ValueError where the bytes are none."""
-    unpacker = Unpacker(data=data)
-    kind, words = unpacker.text(), unpacker.text()
-    if kind:
-        unpacker.done()
-        return f"{kind}: {words}", ExitCode.FAILED
-    phase, _, stands, why = ShardPhase(unpacker.u8()), unpacker.u64(), unpacker.u64(), unpacker.text()
-    unpacker.done()
-    if stands >= version:
-        return words, ExitCode.DONE
-    if phase == ShardPhase.steady:
-        return words if why else f"{words}; no change is on its way", ExitCode.FAILED
-    return words, None
+        version = self.map_version()
+        if version.is_error():
+            return version.error
+        body = Packer().u8(value=SHARDS_ABANDON).u64(value=version.ok).bytes()
+        return self.ask_controller(body=body, changes=True)
--- a/src/cinderstair/cli/simulate_command.py
+++ b/src/cinderstair/cli/simulate_command.py
@@ -1,20 +1,22 @@
-"""The verb that answers what-if questions."""
+"""The command that answers what-if questions.
+
+It is the only command that imports the simulator: `--rehearse` plays the scenario with the daemons' own code on
+virtual time, so its answer does not rest on a second model of them. No daemon imports the simulator.
+"""
 
 import json
-import sys
 
 from cleo.helpers import argument, option
 
 from ..maintenance.scenario import read_scenario
 from ..maintenance.whatif import what_if
 from ..simulation.dry_run import run_dry
-from .base_command import BaseCommand
-from .document_mixin import DocumentMixin
+from .document_command import DocumentCommand
 from .exit_code import ExitCode
 
 
-class SimulateCommand(DocumentMixin, BaseCommand):
-    """Exit codes: 0 answered and nothing holds back, 1 something does, 2 unreadable input."""
+class SimulateCommand(DocumentCommand):
+    """Exit codes: 0 every window finishes, 1 something holds one back, 2 unreadable input."""
 
     name = "simulate"
     description = "Answer what-if questions from a configuration and a scenario; needs no running system"
@@ -25,18 +27,18 @@
     options = [option("rehearse", "r", "also run the real daemons through it in the simulator")]
 
     def handle(self) -> int:
-        configuration = self.read_configuration(path=self.argument("configuration"))
+        read = self.read_configuration(path=self.argument("configuration"))
         raw = self.read_file(path=self.argument("scenario"))
-        # why: exit code 1 says that something holds back, so a document that can't be used has another
-        if isinstance(configuration, int) or raw is None:
+        # Exit code 1 says that something holds a window back, so an unusable document has another one.
+        if read.is_error() or raw.is_error():
             return ExitCode.USAGE
-        scenario = read_scenario(raw=raw, configuration=configuration)
+        scenario = read_scenario(raw=raw.ok, configuration=read.ok)
         if scenario.is_error():
-            print(f"{self.argument('scenario')}: {scenario.error.reason}", file=sys.stderr)
-            return ExitCode.USAGE
-        answer = what_if(configuration=configuration, scenario=scenario.ok)
+            message = f"{self.argument('scenario')}: {scenario.error.reason}"
+            return self.fail(message=message, code=ExitCode.USAGE)
+        answer = what_if(configuration=read.ok, scenario=scenario.ok)
         if self.option("rehearse"):
-            answer["rehearsal"] = run_dry(configuration=configuration, scenario=scenario.ok)
+            answer["rehearsal"] = run_dry(configuration=read.ok, scenario=scenario.ok)
         print(json.dumps(answer, indent=1))
-        held = not all(step["finishes"] for step in answer["windows"].values())
-        return ExitCode.FAILED if held else ExitCode.DONE
+        finished = all(window["finishes"] for window in answer["windows"].values())
+        return ExitCode.DONE if finished else ExitCode.FAILED
--- /dev/null
+++ b/src/cinderstair/cli/status_report.py
@@ -0,0 +1,110 @@
+"""The status of all HTTP proxies put together, as JSON and as text.
+
+The keys are those of the HTTP interface (docs/interface.md), where an HTTP proxy is called `stall`.
+"""
+
+from typing import Any
+
+from .http_client import ask_now
+
+PROXY_ROLE = "stall"
+
+
+def with_other_proxies(*, value: dict[str, Any]) -> dict[str, Any]:
+    """One proxy's status with what every other one says of itself, under `byDaemon`.
+
+    What holds a duty back (`held`) and the duties of all proxies are added too.
+    """
+    by_daemon = {value["stall"]: _proxy_summary(value=value)}
+    for member in value["members"]:
+        name = member["name"]
+        if member["role"] != PROXY_ROLE or name in by_daemon or member["standing"] != "alive":
+            continue
+        result = ask_now(address=member["http"], method="GET", path="/status")
+        # That an HTTP proxy does not answer is part of the status.
+        if result.is_error():
+            by_daemon[name] = {"configuration": None, "answers": False}
+            continue
+        other = result.ok.json()
+        by_daemon[name] = _proxy_summary(value=other)
+        value["held"] |= other["held"]
+        value["duties"] += [f"{duty} (at {name})" for duty in other["duties"]]
+    return {**value, "byDaemon": by_daemon}
+
+
+def _proxy_summary(*, value: dict[str, Any]) -> dict[str, Any]:
+    connections = [backend["channels"] for backend in value["backends"].values()]
+    return {
+        "configuration": value["configuration"],
+        "answers": True,
+        "viewCurrent": value["viewCurrent"],
+        "sessions": value["sessions"],
+        # an HTTP proxy of the version before does not report it
+        "sessionsOnOneStall": value.get("sessionsOnOneStall", value["sessions"]),
+        "channelsOpened": sum(each["opened"] for each in connections),
+        "channelsClosed": sum(each["closed"] for each in connections),
+    }
+
+
+def status_text(*, value: dict[str, Any]) -> str:
+    """A status with other proxies' summaries, for people."""
+    lines = [
+        *_head_lines(value=value),
+        *(_database_line(name=name, lead=lead) for name, lead in value["leads"].items()),
+        *(_proxy_line(name=name, summary=summary) for name, summary in value["byDaemon"].items()),
+        *(f"HELD {database}: {reason}" for database, reason in value["held"].items()),
+        *(_backend_line(name=name, backend=backend) for name, backend in value["backends"].items()),
+        *(_window_line(name=name, window=window) for name, window in value["windows"].items()),
+        *(f"warning: {warning}" for warning in value["warnings"]),
+    ]
+    return "\n".join(lines)
+
+
+def _view_text(*, current: bool) -> str:
+    return "current" if current else "NOT CURRENT"
+
+
+def _head_lines(*, value: dict[str, Any]) -> list[str]:
+    roster = value["roster"]
+    return [
+        f"HTTP proxy {value['stall']} at {value['site']}, slot {value['slot']}, "
+        f"view {_view_text(current=value['viewCurrent'])}, "
+        f"configuration {value['configuration']}, {value['sessions']} sessions",
+        f"register replicas (epoch {roster.get('epoch')}): {' '.join(roster.get('vaults', []))}",
+        "members: " + " ".join(f"{member['name']}={member['standing']}" for member in value["members"]),
+        "slots: " + " ".join(f"{slot['id']}={slot['name']}" for slot in value["slots"]),
+    ]
+
+
+def _database_line(*, name: str, lead: dict[str, Any]) -> str:
+    return (
+        f"{name}: term {lead['term']} {lead['state']}, primary {lead['primary']}, "
+        f"in sync {' '.join(lead['inSync']) or '-'}, joining {' '.join(lead['joining']) or '-'}"
+    )
+
+
+def _proxy_line(*, name: str, summary: dict[str, Any]) -> str:
+    if not summary["answers"]:
+        return f"{name}: does not answer"
+    return (
+        f"{name}: configuration {summary['configuration']}, view {_view_text(current=summary['viewCurrent'])}, "
+        f"{summary['sessions']} sessions, {summary['sessionsOnOneStall']} of them on one HTTP proxy only, "
+        f"channels opened {summary['channelsOpened']}, closed {summary['channelsClosed']}"
+    )
+
+
+def _backend_line(*, name: str, backend: dict[str, Any]) -> str:
+    connections = backend["channels"]
+    return (
+        f"{name}: {backend['state']}{'' if backend['fit'] else ' UNFIT'}, channels {connections['open']} of "
+        f"{connections['limit']}, opened {connections['opened']}, closed {connections['closed']}"
+    )
+
+
+def _window_line(*, name: str, window: dict[str, Any]) -> str:
+    remaining = "; ".join(window["left"]) or ("nothing left" if window["stage"] == "open" else "-")
+    return (
+        f"window {name}: {window['stage']}, empties {window['empties']}, backends "
+        f"{' '.join(window['backends']) or '-'}, HTTP proxies {' '.join(window['stalls']) or '-'}; "
+        f"still there: {remaining}"
+    )
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from ..cli.container import Container
-from ..cli.edge import ask
+from ..cli.http_client import ask
 from ..runtime.context import Context
 from . import checks
 from .caller import Caller
