--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -12,7 +12,7 @@
 from cinderstair.config.check import check_configuration
 from cinderstair.config.compiler import compile_selector
 from cinderstair.config.window import Window
-from cinderstair.maintenance.leaving import leaving
+from cinderstair.maintenance.drain_targets import drain_targets
 from cinderstair.maintenance.whatif import open_states
 from cinderstair.maintenance.window_states import WindowStates, read_window_states
 
@@ -34,9 +34,9 @@
 def when_turned(context: Any, times: str) -> None:
     context.stages = []
     for time in times.split():
-        turned = context.states.turned(windows=(context.window,), wall_us=int(time))
-        # why: what is turned is what the next holder reads back from the register
-        context.states = read_window_states(data=turned.bytes())
+        advanced = context.states.advanced(windows=(context.window,), wall_us=int(time))
+        # The next scheduler reads back what this one wrote.
+        context.states = read_window_states(data=advanced.bytes())
         context.stages.append(context.states.stage(window=context.window).name)
 
 
@@ -72,13 +72,13 @@
 @when("the windows {names} are open")
 def when_open(context: Any, names: str) -> None:
     states = open_states(configuration=context.configuration, names=tuple(names.split()))
-    context.leaving = leaving(configuration=context.configuration, states=states)
+    context.targets = drain_targets(configuration=context.configuration, states=states)
 
 
 @then("the backends {backends} and the HTTP proxies {http_proxies} are to stand empty")
 def then_leaving(context: Any, backends: str, http_proxies: str) -> None:
     wanted = [set() if names == "none" else set(names.split()) for names in (backends, http_proxies)]
-    assert [set(context.leaving.backends), set(context.leaving.http_proxies)] == wanted, context.leaving
+    assert [set(context.targets.backends), set(context.targets.http_proxies)] == wanted, context.targets
 
 
 def simulate(*, scenario: Path, words: tuple[str, ...] = ()) -> subprocess.CompletedProcess[str]:
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -25,7 +25,7 @@
 from cinderstair.http_frontend.session import Session, read_session
 from cinderstair.http_frontend.session_token import UNMARKED, SessionToken, Tag, parse_session_token
 from cinderstair.maintenance.window_states import Stage as WindowStage
-from cinderstair.maintenance.window_states import WindowStates, read_window_states
+from cinderstair.maintenance.window_states import WindowState, WindowStates, read_window_states
 from cinderstair.membership.announcement import GONE, Announcement, read_announcement
 from cinderstair.membership.heartbeat import EMPTYING, READY, STARTING, Heartbeat, read_heartbeat
 from cinderstair.membership.member import Member, Standing, read_member
@@ -181,7 +181,12 @@
 
 def window_states() -> WindowStates:
     stages = (WindowStage.booked, WindowStage.open, WindowStage.ended)
-    return WindowStates(stages=tuple((f"window-{n}", 1_000 + n, 2_000 + n, stage) for n, stage in enumerate(stages)))
+    return WindowStates(
+        states=tuple(
+            WindowState(name=f"window-{n}", starts_us=1_000 + n, ends_us=2_000 + n, stage=stage)
+            for n, stage in enumerate(stages)
+        )
+    )
 
 
 def relay_question(*, vote: Vote) -> RelayQuestion:
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -193,7 +193,7 @@
 
     async def _obey_window(self, *, database: str, lead: DatabasePrimary) -> bool:
         """Begins a planned move where a window wants the primary empty; True where it has begun."""
-        why = self.view.leaving.why(name=lead.primary)
+        why = self.view.leaving.reason(name=lead.primary)
         if not why:
             self.window_holds.pop(database, None)
             return False
@@ -207,7 +207,7 @@
 
     async def _close(self, *, database: str, configuration: Configuration, lead: DatabasePrimary) -> None:
         """Open transactions may still finish; then the lead moves. A window that is gone is obeyed no more."""
-        why = self.view.leaving.why(name=lead.primary)
+        why = self.view.leaving.reason(name=lead.primary)
         if not why or not self._staying(names=lead.in_sync):
             await self._put(database=database, old=lead, new=replace(lead, state=SETTLED, planned=False))
             return
--- a/src/cinderstair/failover/window_scheduler.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -32,13 +32,13 @@
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current or configuration is None:
             return
         wall_us = self.ctx.wall_us()
-        wanted = self.view.window_states.turned(windows=configuration.windows, wall_us=wall_us)
+        wanted = self.view.window_states.advanced(windows=configuration.windows, wall_us=wall_us)
         if wanted == self.view.window_states:
             return
 
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
             # why: another holder's clock may have turned a window meanwhile, and its word stands
-            turned = read_window_states(data=data).turned(windows=configuration.windows, wall_us=wall_us)
+            turned = read_window_states(data=data).advanced(windows=configuration.windows, wall_us=wall_us)
             if turned.bytes() == data:
                 return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="turned already"))
             return Ok(turned.bytes())
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -220,7 +220,7 @@
 
     def _obey_window(self) -> None:
         """Stands empty while an open window wants it, as long as another HTTP proxy that stays can serve."""
-        why = self.view.leaving.why(name=self.ctx.name)
+        why = self.view.leaving.reason(name=self.ctx.name)
         staying = [
             name
             for _, name in self.view.proxy_ids.names
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -6,7 +6,7 @@
 from ..consensus.register_view import LEASE_US, RegisterView
 from ..failover.database_primary import DatabasePrimary, read_database_primary
 from ..failover.proxy_ids import PROXY_IDS_KEY, ProxyIds, read_proxy_ids
-from ..maintenance.leaving import Leaving, leaving
+from ..maintenance.drain_targets import DrainTargets, drain_targets
 from ..maintenance.window_states import WINDOWS_KEY, WindowStates, read_window_states
 from ..runtime.context import Context
 
@@ -20,7 +20,7 @@
         self.configuration: Configuration | None = None
         self.proxy_ids = ProxyIds()
         self.window_states = WindowStates()
-        self.leaving = Leaving()
+        self.leaving = DrainTargets()
         self.leads: dict[str, DatabasePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.planned_since_us: dict[str, int] = {}
@@ -33,7 +33,9 @@
             self.proxy_ids = read_proxy_ids(data=value)
         elif key == WINDOWS_KEY:
             self.window_states = read_window_states(data=value)
-            self.ctx.log.info("windows: %s", ", ".join(f"{n} {s.name}" for n, _, _, s in self.window_states.stages))
+            self.ctx.log.info(
+                "windows: %s", ", ".join(f"{state.name} {state.stage.name}" for state in self.window_states.states)
+            )
             self._reckon()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
@@ -62,7 +64,7 @@
         return True
 
     def _reckon(self) -> None:
-        self.leaving = leaving(configuration=self.configuration, states=self.window_states)
+        self.leaving = drain_targets(configuration=self.configuration, states=self.window_states)
 
     def lead(self, *, database: str) -> DatabasePrimary | None:
         return self.leads.get(database)
--- a/src/cinderstair/maintenance/__init__.py
+++ b/src/cinderstair/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Move windows and dry runs of them."""
+"""Maintenance windows, and what-if answers about them."""
--- /dev/null
+++ b/src/cinderstair/maintenance/drain_targets.py
@@ -0,0 +1,47 @@
+"""What open windows select to be drained. A pure function of the configuration, so it is the same on every daemon."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from ..config.configuration import Configuration
+from ..config.selector import Labels
+from ..config.window import Window
+from .window_states import Stage, WindowStates
+
+
+@dataclass(frozen=True, kw_only=True)
+class DrainTargets:
+    """Backends and HTTP proxies that must be drained, each with the names of the windows that select it."""
+
+    backends: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    http_proxies: dict[str, tuple[str, ...]] = field(default_factory=dict)
+
+    def reason(self, *, name: str) -> str:
+        """Why a backend or HTTP proxy must be drained, for people; empty where it needn't be."""
+        windows = self.backends.get(name) or self.http_proxies.get(name) or ()
+        return f"window {', '.join(windows)}" if windows else ""
+
+
+def drain_targets(*, configuration: Configuration | None, states: WindowStates) -> DrainTargets:
+    """Overlapping windows add up: whatever any open window selects must be drained.
+
+    :param configuration: None where none is known yet; nothing is drained then
+    """
+    if configuration is None:
+        return DrainTargets()
+    open_windows = [window for window in configuration.windows if states.stage(window=window) == Stage.open]
+    backend_labels = {name: backend.labels for name, backend in configuration.backends.items()}
+    return DrainTargets(
+        backends=_selected(windows=open_windows, labels_by_name=backend_labels),
+        http_proxies=_selected(windows=open_windows, labels_by_name=configuration.http_proxy_labels),
+    )
+
+
+def _selected(*, windows: list[Window], labels_by_name: Mapping[str, Labels]) -> dict[str, tuple[str, ...]]:
+    """The windows that select each name; names that none selects are left out."""
+    selected: dict[str, tuple[str, ...]] = {}
+    for name, labels in labels_by_name.items():
+        names = tuple(window.name for window in windows if window.empties.matches(labels=labels))
+        if names:
+            selected[name] = names
+    return selected
--- a/src/cinderstair/maintenance/scenario.py
+++ b/src/cinderstair/maintenance/scenario.py
@@ -1,4 +1,4 @@
-"""A what-if scenario: who is there, what is lost or joins, which windows are open."""
+"""A what-if scenario: which HTTP proxies run, what is lost or joins, and which windows are open."""
 
 import json
 from dataclasses import dataclass, field
@@ -13,11 +13,15 @@
 
 
 class LeadSchema(Schema):
+    """The primary of one database and the replicas in sync with it."""
+
     primary = fields.String(required=True, validate=NAME)
     inSync = fields.List(fields.String(validate=NAME), load_default=list)
 
 
 class ScenarioSchema(Schema):
+    """The document's shape; what the configuration must know of it is checked after."""
+
     stalls = fields.List(
         fields.String(validate=NAME),
         required=True,
@@ -32,9 +36,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """HTTP proxies hold their slots in the order given.
+    """A scenario that fits a configuration.
 
-    `joins` and `lost` say what happens to them and to backends.
+    :ivar http_proxies: names of HTTP proxies, by id
+    :ivar joins: HTTP proxies that are started
+    :ivar lost: HTTP proxies and backends that fail
+    :ivar windows: names of the windows that are open
+    :ivar primaries: the primary of each database
+    :ivar in_sync: the replicas in sync with it
     """
 
     http_proxies: tuple[str, ...]
@@ -46,61 +55,110 @@
     seed: int = 1
 
 
-def broken(*, why: str) -> Result[Scenario, CinderstairError]:
-    return Error(CinderstairError(code=ErrorCode.MALFORMED, reason=why))
+def _invalid(*, reason: str) -> Result[Any, CinderstairError]:
+    return Error(CinderstairError(code=ErrorCode.MALFORMED, reason=reason))
 
 
 def read_scenario(*, raw: bytes, configuration: Configuration) -> Result[Scenario, CinderstairError]:
-    """A scenario that fits a configuration, or the place where it doesn't."""
+    """Reads and checks a scenario.
+
+    :param raw: the document, JSON in UTF-8
+    :returns: a scenario that fits the configuration, or MALFORMED with the first error and its place
+    """
+    read = _read_document(raw=raw)
+    if read.is_error():
+        return Error(read.error)
+    document = read.ok
+    problem = _problem(document=document, configuration=configuration)
+    if problem:
+        return _invalid(reason=problem)
+    primaries = _primaries(document=document, configuration=configuration)
+    return Ok(
+        Scenario(
+            http_proxies=tuple(document["stalls"]),
+            joins=tuple(document["joins"]),
+            lost=tuple(document["lost"]),
+            windows=tuple(document["windows"]),
+            primaries=primaries,
+            in_sync=_in_sync(document=document, configuration=configuration, primaries=primaries),
+            seed=document["seed"],
+        )
+    )
+
+
+def _read_document(*, raw: bytes) -> Result[dict[str, Any], CinderstairError]:
     try:
         value = json.loads(raw)
     except UnicodeDecodeError as error:
-        return broken(why=f"not UTF-8 at byte {error.start}")
+        return _invalid(reason=f"not UTF-8 at byte {error.start}")
     except json.JSONDecodeError as error:
-        return broken(why=f"line {error.lineno}, column {error.colno}: {error.msg}")
+        return _invalid(reason=f"line {error.lineno}, column {error.colno}: {error.msg}")
     try:
-        loaded: dict[str, Any] = ScenarioSchema().load(value)
+        return Ok(ScenarioSchema().load(value))
     except ValidationError as error:
-        key, reason = next(iter(error.normalized_messages().items()))
-        while isinstance(reason, dict):
-            step, reason = next(iter(reason.items()))
-            key = f"{key}/{step}"
-        return broken(why=f"/{key}: {reason[0]}")
-    known = {*loaded["stalls"], *configuration.backends}
-    windows = {window.name for window in configuration.windows}
-    for path, names, among in (
-        ("lost", loaded["lost"], known),
-        ("windows", loaded["windows"], windows),
-        ("leads", list(loaded["leads"]), set(configuration.databases)),
-    ):
-        for index, name in enumerate(names):
-            if name not in among:
-                return broken(why=f"/{path}/{index}: '{name}' is not known")
-    for database, lead in loaded["leads"].items():
+        return _invalid(reason=_first_schema_error(error=error))
+
+
+def _first_schema_error(*, error: ValidationError) -> str:
+    path, messages = next(iter(error.normalized_messages().items()))
+    while isinstance(messages, dict):
+        step, messages = next(iter(messages.items()))
+        path = f"{path}/{step}"
+    return f"/{path}: {messages[0]}"
+
+
+def _problem(*, document: dict[str, Any], configuration: Configuration) -> str:
+    """The first thing that doesn't fit the configuration, with its place; empty where everything fits."""
+    return (
+        _unknown_name(document=document, configuration=configuration)
+        or _wrong_backend(document=document, configuration=configuration)
+        or _duplicate_proxy(document=document)
+    )
+
+
+def _unknown_name(*, document: dict[str, Any], configuration: Configuration) -> str:
+    known_names: dict[str, set[str]] = {
+        "lost": {*document["stalls"], *configuration.backends},
+        "windows": {window.name for window in configuration.windows},
+        "leads": set(configuration.databases),
+    }
+    for key, known in known_names.items():
+        for index, name in enumerate(document[key]):
+            if name not in known:
+                return f"/{key}/{index}: '{name}' is not known"
+    return ""
+
+
+def _wrong_backend(*, document: dict[str, Any], configuration: Configuration) -> str:
+    for database, lead in document["leads"].items():
         for name in (lead["primary"], *lead["inSync"]):
             if name not in configuration.databases[database]:
-                return broken(why=f"/leads/{database}: '{name}' is no backend of it")
-    every = [*loaded["stalls"], *loaded["joins"]]
-    if len(set(every)) != len(every):
-        return broken(why="/stalls: a name stands twice")
-    primaries = {
-        d: loaded["leads"].get(d, {}).get("primary", names[0]) for d, names in configuration.databases.items()
-    }
-    in_sync = {
-        d: tuple(loaded["leads"][d]["inSync"])
-        if d in loaded["leads"]
-        # why: said nothing else, the usual state is assumed: as many in sync as the policy wants
-        else tuple(n for n in names if n != primaries[d])[: configuration.amount(name="inSync", database=d)]
-        for d, names in configuration.databases.items()
+                return f"/leads/{database}: '{name}' is no backend of it"
+    return ""
+
+
+def _duplicate_proxy(*, document: dict[str, Any]) -> str:
+    names = [*document["stalls"], *document["joins"]]
+    return "/stalls: a name stands twice" if len(set(names)) != len(names) else ""
+
+
+def _primaries(*, document: dict[str, Any], configuration: Configuration) -> dict[str, str]:
+    """The primary of each database; its first backend where the scenario names none."""
+    return {
+        database: document["leads"].get(database, {}).get("primary", backends[0])
+        for database, backends in configuration.databases.items()
     }
-    return Ok(
-        Scenario(
-            http_proxies=tuple(loaded["stalls"]),
-            joins=tuple(loaded["joins"]),
-            lost=tuple(loaded["lost"]),
-            windows=tuple(loaded["windows"]),
-            primaries=primaries,
-            in_sync=in_sync,
-            seed=loaded["seed"],
-        )
-    )
+
+
+def _in_sync(
+    *, document: dict[str, Any], configuration: Configuration, primaries: dict[str, str]
+) -> dict[str, tuple[str, ...]]:
+    """The replicas in sync of each database; as many as its policy asks for where the scenario names none."""
+    in_sync: dict[str, tuple[str, ...]] = {}
+    for database, backends in configuration.databases.items():
+        if database in document["leads"]:
+            in_sync[database] = tuple(document["leads"][database]["inSync"])
+            continue
+        replicas = tuple(name for name in backends if name != primaries[database])
+        in_sync[database] = replicas[: configuration.amount(name="inSync", database=database)]
+    return in_sync
--- a/src/cinderstair/maintenance/window_states.py
+++ b/src/cinderstair/maintenance/window_states.py
@@ -1,4 +1,4 @@
-"""Which windows are open, as written in the register by the one that has the duty."""
+"""Which windows are open, as the window scheduler writes it into the register."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,52 +7,83 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
+#: The register's key for the states of windows.
 WINDOWS_KEY = "windows"
 
 
 class Stage(IntEnum):
-    """A window goes one way: booked, open, ended."""
+    """A window goes one way: booked, open, ended. The names are shown in JSON and the numbers are on disk."""
 
     booked = 0
     open = 1
     ended = 2
 
 
+@dataclass(frozen=True, kw_only=True, order=True)
+class WindowState:
+    """The stage of one window; a window whose times were changed is another window."""
+
+    name: str
+    starts_us: int
+    ends_us: int
+    stage: Stage
+
+    def describes(self, *, window: Window) -> bool:
+        """Whether this is the state of a declared window."""
+        return (self.name, self.starts_us, self.ends_us) == (window.name, window.starts_us, window.ends_us)
+
+    def write(self, *, packer: Packer) -> None:
+        """Appends it to a record."""
+        packer.text(value=self.name).u64(value=self.starts_us).u64(value=self.ends_us).u8(value=self.stage)
+
+
 @dataclass(frozen=True, kw_only=True)
 class WindowStates:
-    """Stages by a window's name and times; a window with other times is another window."""
+    """The states of all windows that have been opened; any other window is booked."""
 
-    stages: tuple[tuple[str, int, int, Stage], ...] = ()
+    states: tuple[WindowState, ...] = ()
 
     def stage(self, *, window: Window) -> Stage:
-        key = (window.name, window.starts_us, window.ends_us)
-        return next((stage for *known, stage in self.stages if tuple(known) == key), Stage.booked)
+        """The stage of a declared window."""
+        return next((state.stage for state in self.states if state.describes(window=window)), Stage.booked)
+
+    def advanced(self, *, windows: tuple[Window, ...], wall_us: int) -> "WindowStates":
+        """The states at a calendar time, in microseconds since 1970.
 
-    def turned(self, *, windows: tuple[Window, ...], wall_us: int) -> "WindowStates":
-        """The stages at a calendar time. None goes back, so two clocks that differ can't make one flap."""
-        stages = []
+        No stage goes back, so schedulers whose clocks differ can't make a window open and close in turns.
+        """
+        states = []
         for window in windows:
-            stage = self.stage(window=window)
-            # why: a clock behind the one that opened or ended a window must not undo it
-            if stage < Stage.open and window.starts_us <= wall_us:
-                stage = Stage.open
-            if stage < Stage.ended and window.ends_us <= wall_us:
-                stage = Stage.ended
+            stage = self._stage_at(window=window, wall_us=wall_us)
             if stage != Stage.booked:
-                stages.append((window.name, window.starts_us, window.ends_us, stage))
-        return WindowStates(stages=tuple(sorted(stages)))
+                states.append(
+                    WindowState(name=window.name, starts_us=window.starts_us, ends_us=window.ends_us, stage=stage)
+                )
+        return WindowStates(states=tuple(sorted(states)))
+
+    def _stage_at(self, *, window: Window, wall_us: int) -> Stage:
+        """The later one of the known stage and that of the calendar."""
+        if window.ends_us <= wall_us:
+            return Stage.ended
+        by_calendar = Stage.open if window.starts_us <= wall_us else Stage.booked
+        return max(self.stage(window=window), by_calendar)
 
     def bytes(self) -> bytes:
-        def each(packer: Packer, entry: tuple[str, int, int, Stage]) -> None:
-            packer.text(value=entry[0]).u64(value=entry[1]).u64(value=entry[2]).u8(value=entry[3])
+        """The states as they are in the register."""
+        return Packer().many(values=self.states, each=lambda p, state: state.write(packer=p)).bytes()
+
 
-        return Packer().many(values=self.stages, each=each).bytes()
+def _read_window_state(unpacker: Unpacker) -> WindowState:
+    return WindowState(
+        name=unpacker.text(), starts_us=unpacker.u64(), ends_us=unpacker.u64(), stage=Stage(unpacker.u8())
+    )
 
 
 def read_window_states(*, data: bytes) -> WindowStates:
+    """What WindowStates.bytes gave, or no states for no bytes; raises ValueError where the bytes are no states."""
     if not data:
         return WindowStates()
     unpacker = Unpacker(data=data)
-    stages = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Stage(u.u8())))
+    states = unpacker.many(each=_read_window_state)
     unpacker.done()
-    return WindowStates(stages=tuple(stages))
+    return WindowStates(states=tuple(states))
--- a/src/cinderstair/simulation/dry_run.py
+++ b/src/cinderstair/simulation/dry_run.py
@@ -78,7 +78,7 @@
     """Whether nothing that an open window selects is led from, waited for, or holds a session."""
     for name in world.ups():
         http_proxy = world.http_proxy(name=name)
-        stages = [stage for *_, stage in http_proxy.view.window_states.stages]
+        stages = [state.stage for state in http_proxy.view.window_states.states]
         if Stage.open not in stages:
             return False
         if name in http_proxy.view.leaving.http_proxies and http_proxy.sessions.open:
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -31,7 +31,7 @@
 from ..http_frontend.session_token import SessionToken, Tag, parse_session_token
 from ..http_frontend.sessions import Sessions
 from ..http_frontend.view import View
-from ..maintenance.leaving import Leaving
+from ..maintenance.drain_targets import DrainTargets
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.peer_client import PeerClient
@@ -142,7 +142,7 @@
 
 def deaf_to_windows() -> Patches:
     """Open windows select nothing."""
-    return [patch.object(view, "leaving", lambda **_: Leaving())]
+    return [patch.object(view, "drain_targets", lambda **_: DrainTargets())]
 
 
 def lose_sessions() -> Patches:
