--- a/features/cli/controller_commands.feature
+++ b/features/cli/controller_commands.feature
@@ -1,12 +1,12 @@
-Feature: Operators' verbs that speak to a controller
+Feature: Operators' commands that ask a controller
 
-  Scenario Outline: <verb> with <answer> ends with <code> and says "<words>"
+  Scenario Outline: <command> with <answer> ends with <code> and says "<words>"
     Given a controller's address that answers <answer>
-    When an operator runs "<verb>"
+    When an operator runs "<command>"
     Then it ends with <code> and says "<words>"
 
     Examples:
-      | verb            | answer                    | code | words                    |
+      | command         | answer                    | code | words                    |
       | controller       | text "all is well"        | 0    | all is well              |
       | shards          | text "map 3: a at s"      | 0    | map 3: a at s            |
       | shards MAP      | text "put to the proxies"  | 0    | put to the proxies        |
@@ -29,11 +29,11 @@
       | shards watch 3     | bytes of another shape     | 1 | records address          |
 
   Scenario Outline: An address that is none, or at which nobody answers
-    When an operator runs "<verb>" at <address>
+    When an operator runs "<command>" at <address>
     Then it ends with <code> and says "<words>"
 
     Examples:
-      | verb       | address      | code | words             |
+      | command    | address      | code | words             |
       | controller  | somewhere    | 2    | is not an address |
       | controller  | 127.0.0.1:1  | 1    | wireUnsure        |
       | shards MAP | 127.0.0.1:1  | 3    | wireUnsure        |
--- a/features/config/check.feature
+++ b/features/config/check.feature
@@ -1,12 +1,12 @@
 Feature: Checking a configuration
   Whole documents, checked and compiled entirely, every error with its path or its place.
 
-  Scenario: A good document compiles
-    When the good document is checked
+  Scenario: A valid document compiles
+    When the valid document is checked
     Then it is accepted with 2 databases, 6 backends and 1 window
 
   Scenario Outline: <change> is denied
-    When the good document is checked with <change>
+    When the valid document is checked with <change>
     Then it is denied with "<words>"
 
     Examples: shapes
@@ -47,5 +47,5 @@
       | \xff\xfe                      | not UTF-8 at byte 0            |
 
   Scenario: Unknown labels and selectors that match nothing are warned of
-    When the good document is checked with windows/0/empties="hal = old"
+    When the valid document is checked with windows/0/empties="hal = old"
     Then it is accepted with the warnings "no label 'hal' anywhere" and "selects nothing"
--- a/features/config/compiler.feature
+++ b/features/config/compiler.feature
@@ -1,4 +1,4 @@
-Feature: The small language
+Feature: The configuration language
   Selectors, routes and policies; every error with its line, its column and what was expected.
 
   Scenario Outline: <text> selects by labels
@@ -22,7 +22,7 @@
 
   Scenario Outline: Formatting <text> twice gives the same as once, and the same choice
     When the selector <text> is compiled
-    Then its one true form compiles to itself
+    Then its canonical form compiles to itself
 
     Examples:
       | text                                     |
--- a/features/config/formatter.feature
+++ b/features/config/formatter.feature
@@ -1,5 +1,5 @@
 Feature: The formatter
-  One true form for the language; comments stay, the meaning stays, formatting twice changes nothing.
+  One canonical form; comments and meaning stay, and formatting twice changes nothing.
 
   Scenario Outline: <text> becomes <form>
     Then formatting "<text>" gives "<form>"
@@ -14,6 +14,6 @@
       | # only words                                | # only words                                      |
       | policy site on * is near;policy inSync on * is 2 | policy site on * is near; policy inSync on * is 2 |
 
-  Scenario: The verb prints the document formatted, and a broken one is named by its place
-    Then the format verb prints the example with the same meaning, and printing that again changes nothing
-    And a document whose language is broken is refused with its place
+  Scenario: The command prints the formatted document, and reports an invalid one with the place of its error
+    Then the format command prints the example with the same meaning, and printing that again changes nothing
+    And a document whose language is invalid is refused with the place of its error
--- a/features/maintenance/whatif.feature
+++ b/features/maintenance/whatif.feature
@@ -1,5 +1,5 @@
 Feature: What-if questions
-  The simulate verb answers from a configuration and a scenario, by the functions that the daemons run.
+  The simulate command answers from a configuration and a scenario, by the functions that the daemons run.
 
   Scenario: The example's window moves one database whole and is held back at the other
     When the example is simulated
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -18,7 +18,7 @@
 MACHINES = ({"hall": "old", "rack": "a"}, {"hall": "new", "rack": "b"}, {"rack": "c", "tier": "gold"})
 
 
-def good() -> dict[str, Any]:
+def valid_document() -> dict[str, Any]:
     return {
         "version": 1,
         "databases": {
@@ -78,7 +78,7 @@
     assert " ".join(found) == picked.strip(), found
 
 
-@then(r"its one true form compiles to itself")
+@then(r"its canonical form compiles to itself")
 def then_form(context: Any) -> None:
     first = context.result.ok
     second = compile_selector(text=first.text).ok
@@ -94,19 +94,19 @@
 @then(r'it fails at line (?P<line>\d+), column (?P<column>\d+) with the words "(?P<words>.*)"')
 def then_fails(context: Any, line: str, column: str, words: str) -> None:
     assert context.result.is_error(), context.result
-    fault = context.result.error
-    assert (fault.details["line"], fault.details["column"]) == (int(line), int(column)), fault
-    assert words in fault.reason, fault.reason
+    error = context.result.error
+    assert (error.details["line"], error.details["column"]) == (int(line), int(column)), error
+    assert words in error.reason, error.reason
 
 
-@when(r"the good document is checked")
+@when(r"the valid document is checked")
 def when_good(context: Any) -> None:
-    context.result = check_configuration(raw=json.dumps(good()).encode())
+    context.result = check_configuration(raw=json.dumps(valid_document()).encode())
 
 
-@when(r"the good document is checked with (?P<change>.+)")
+@when(r"the valid document is checked with (?P<change>.+)")
 def when_changed(context: Any, change: str) -> None:
-    document = changed(document=good(), change=change)
+    document = changed(document=valid_document(), change=change)
     context.result = check_configuration(raw=json.dumps(document).encode())
 
 
@@ -143,14 +143,14 @@
     assert result.is_ok() and result.ok == form, result
 
 
-def format_verb(*, path: Path) -> subprocess.CompletedProcess[str]:
+def run_format(*, path: Path) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "cinderstair", "format", str(path)]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
-@then(r"the format verb prints the example with the same meaning, and printing that again changes nothing")
-def then_verb(context: Any) -> None:
-    first = format_verb(path=EXAMPLE)
+@then(r"the format command prints the example with the same meaning, and printing that again changes nothing")
+def then_format_command(context: Any) -> None:
+    first = run_format(path=EXAMPLE)
     before, after = (
         check_configuration(raw=EXAMPLE.read_bytes()).ok,
         check_configuration(raw=first.stdout.encode()).ok,
@@ -160,15 +160,15 @@
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(first.stdout)
         file.flush()
-        assert format_verb(path=Path(file.name)).stdout == first.stdout
+        assert run_format(path=Path(file.name)).stdout == first.stdout
 
 
-@then(r"a document whose language is broken is refused with its place")
-def then_broken(context: Any) -> None:
+@then(r"a document whose language is invalid is refused with the place of its error")
+def then_invalid(context: Any) -> None:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        file.write(json.dumps({**good(), "language": "route live on * to"}))
+        file.write(json.dumps({**valid_document(), "language": "route live on * to"}))
         file.flush()
-        result = format_verb(path=Path(file.name))
+        result = run_format(path=Path(file.name))
     assert result.returncode == 1 and "/language: line 1, column 19" in result.stderr, result
 
 
--- a/features/steps/controller_command_steps.py
+++ b/features/steps/controller_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the verbs that speak to a controller, on real sockets of loopback."""
+"""Steps for the commands that ask a controller, on real sockets of loopback."""
 
 import asyncio
 import contextlib
@@ -10,6 +10,7 @@
 
 from behave import given, then, when
 from cleo.application import Application
+from cleo.io.inputs.argv_input import ArgvInput
 
 from cinderstair.cli.controller_command import ControllerCommand
 from cinderstair.cli.shard_commands import (
@@ -25,8 +26,18 @@
 from cinderstair.runtime.record_transport import RecordTransport
 from cinderstair.simulation.fleet import free_ports
 
+COMMANDS = (
+    ShardsCommand,
+    ControllerCommand,
+    ShardsPlanCommand,
+    ShardsBeginCommand,
+    ShardsWatchCommand,
+    ShardsAbandonCommand,
+)
+
 
 def answer_of(*, words: str) -> bytes:
+    """The record of an answer that a feature describes."""
     if words.startswith("text "):
         return Packer().text(value="").text(value=words.removeprefix("text ").strip('"')).bytes()
     if words.startswith("progress "):
@@ -44,22 +55,22 @@
 def given_controller(context: Any, words: str) -> None:
     port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
-    wire = RecordTransport(counters=Counters())
+    transport = RecordTransport(counters=Counters())
 
     async def answer(body: bytes) -> bytes:
         return answer_of(words=words)
 
-    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", answer=answer))
-    # why: the verb runs a loop of its own and waits in it, so its controller needs another thread
+    loop.run_until_complete(transport.listen(address=f"127.0.0.1:{port}", answer=answer))
+    # The command runs a loop of its own and waits in it, so its controller needs another thread.
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
 
-    def ends() -> None:
-        asyncio.run_coroutine_threadsafe(wire.close(), loop).result()
+    def stop() -> None:
+        asyncio.run_coroutine_threadsafe(transport.close(), loop).result()
         loop.call_soon_threadsafe(loop.stop)
         thread.join()
 
-    context.add_cleanup(ends)
+    context.add_cleanup(stop)
     context.address = f"127.0.0.1:{port}"
 
 
@@ -71,20 +82,11 @@
         given = {"MAP": str(path), "MISSING": str(Path(folder, "missing.json"))}
         argv = [given.get(word, word) for word in words.split()] + ["--at", address]
         app = Application("cinderstair", "0")
-        app.add(ShardsCommand())
-        for verb in (
-            ControllerCommand,
-            ShardsPlanCommand,
-            ShardsBeginCommand,
-            ShardsWatchCommand,
-            ShardsAbandonCommand,
-        ):
-            app.add(verb())
+        for command in COMMANDS:
+            app.add(command())
         app.auto_exits(False)
         said = io.StringIO()
         with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
-            from cleo.io.inputs.argv_input import ArgvInput
-
             context.code = app.run(input=ArgvInput(["cinderstair", *argv]))
         context.said = said.getvalue()
 
--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -30,8 +30,8 @@
     context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=context.window.empties)
 
 
-@when("it is turned at the times {times}")
-def when_turned(context: Any, times: str) -> None:
+@when("it is advanced at the times {times}")
+def when_advanced(context: Any, times: str) -> None:
     context.stages = []
     for time in times.split():
         advanced = context.states.advanced(windows=(context.window,), wall_us=int(time))
@@ -45,18 +45,16 @@
     assert context.stages == stages.split(), context.stages
 
 
-@given("a configuration with halls and windows over each other")
-def given_controllers(context: Any) -> None:
+@given("a configuration with overlapping windows")
+def given_overlapping_windows(context: Any) -> None:
     times = {"starts": "2026-12-04T22:00:00Z", "ends": "2026-12-05T22:00:00Z"}
     document = {
         "version": 1,
         "databases": {
             "db": {
                 "backends": [
-                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": controller}}
-                    for i, (n, controller) in enumerate(
-                        (("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1
-                    )
+                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": hall}}
+                    for i, (n, hall) in enumerate((("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1)
                 ]
             }
         },
@@ -75,8 +73,8 @@
     context.targets = drain_targets(configuration=context.configuration, states=states)
 
 
-@then("the backends {backends} and the HTTP proxies {http_proxies} are to stand empty")
-def then_leaving(context: Any, backends: str, http_proxies: str) -> None:
+@then("the backends {backends} and the HTTP proxies {http_proxies} must be drained")
+def then_drained(context: Any, backends: str, http_proxies: str) -> None:
     wanted = [set() if names == "none" else set(names.split()) for names in (backends, http_proxies)]
     assert [set(context.targets.backends), set(context.targets.http_proxies)] == wanted, context.targets
 
