--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -11,9 +11,9 @@
 
 from cinderstair.config.check import check_configuration
 from cinderstair.config.compiler import compile_selector
-from cinderstair.maintenance.leaving import leaving
+from cinderstair.config.window import Window
+from cinderstair.maintenance.drain_targets import drain_targets
 from cinderstair.maintenance.whatif import open_states
-from cinderstair.maintenance.window import Window
 from cinderstair.maintenance.window_states import WindowStates, read_window_states
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
@@ -30,13 +30,13 @@
     context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=context.window.empties)
 
 
-@when("it is turned at the times {times}")
-def when_turned(context: Any, times: str) -> None:
+@when("it is advanced at the times {times}")
+def when_advanced(context: Any, times: str) -> None:
     context.stages = []
     for time in times.split():
-        turned = context.states.turned(windows=(context.window,), wall_us=int(time))
-        # why: what is turned is what the next holder reads back from the register
-        context.states = read_window_states(data=turned.bytes())
+        advanced = context.states.advanced(windows=(context.window,), wall_us=int(time))
+        # The next scheduler reads back what this one wrote.
+        context.states = read_window_states(data=advanced.bytes())
         context.stages.append(context.states.stage(window=context.window).name)
 
 
@@ -45,18 +45,16 @@
     assert context.stages == stages.split(), context.stages
 
 
-@given("a configuration with halls and windows over each other")
-def given_controllers(context: Any) -> None:
+@given("a configuration with overlapping windows")
+def given_overlapping_windows(context: Any) -> None:
     times = {"starts": "2026-12-04T22:00:00Z", "ends": "2026-12-05T22:00:00Z"}
     document = {
         "version": 1,
         "databases": {
             "db": {
                 "backends": [
-                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": controller}}
-                    for i, (n, controller) in enumerate(
-                        (("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1
-                    )
+                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": hall}}
+                    for i, (n, hall) in enumerate((("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1)
                 ]
             }
         },
@@ -72,13 +70,13 @@
 @when("the windows {names} are open")
 def when_open(context: Any, names: str) -> None:
     states = open_states(configuration=context.configuration, names=tuple(names.split()))
-    context.leaving = leaving(configuration=context.configuration, states=states)
+    context.targets = drain_targets(configuration=context.configuration, states=states)
 
 
-@then("the backends {backends} and the HTTP proxies {http_proxies} are to stand empty")
-def then_leaving(context: Any, backends: str, http_proxies: str) -> None:
+@then("the backends {backends} and the HTTP proxies {http_proxies} must be drained")
+def then_drained(context: Any, backends: str, http_proxies: str) -> None:
     wanted = [set() if names == "none" else set(names.split()) for names in (backends, http_proxies)]
-    assert [set(context.leaving.backends), set(context.leaving.http_proxies)] == wanted, context.leaving
+    assert [set(context.targets.backends), set(context.targets.http_proxies)] == wanted, context.targets
 
 
 def simulate(*, scenario: Path, words: tuple[str, ...] = ()) -> subprocess.CompletedProcess[str]:
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -113,7 +113,7 @@
             if database not in self.active:
                 self.active.add(database)
                 self.ctx.spawn(
-                    work=self._run(database=database, configuration=configuration), name=f"failover.{database}"
+                    work=self._run_step(database=database, configuration=configuration), name=f"failover.{database}"
                 )
 
     def _forget_holds(self) -> None:
@@ -124,7 +124,7 @@
 
     # -- one database --
 
-    async def _run(self, *, database: str, configuration: Configuration) -> None:
+    async def _run_step(self, *, database: str, configuration: Configuration) -> None:
         try:
             await self._step(database=database, configuration=configuration)
         finally:
--- a/src/cinderstair/failover/maintenance_switchover.py
+++ b/src/cinderstair/failover/maintenance_switchover.py
@@ -17,7 +17,7 @@
     async def begin(self, *, database: str, assignment: DatabasePrimary) -> bool:
         """Announces a switchover where a window asks for one; whether that is written."""
         failover, primary = self.failover, assignment.primary
-        window = failover.view.leaving.why(name=primary)
+        window = failover.view.leaving.reason(name=primary)
         if not window:
             self.holds.pop(database, None)
             return False
@@ -33,7 +33,7 @@
 
     async def window_to_obey(self, *, database: str, assignment: DatabasePrimary) -> str:
         """The window for which an announced switchover goes on; empty where it was taken back, for want of one."""
-        window = self.failover.view.leaving.why(name=assignment.primary)
+        window = self.failover.view.leaving.reason(name=assignment.primary)
         if window and self.failover.staying(names=assignment.in_sync):
             return window
         settled = replace(assignment, state=SETTLED, planned=False)
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -142,7 +142,7 @@
         for service in self.plan.services.values():
             if service.name not in self.active:
                 self.active.add(service.name)
-                self.ctx.spawn(work=self._run(service=service), name=f"failover.{service.name}")
+                self.ctx.spawn(work=self._run_step(service=service), name=f"failover.{service.name}")
 
     async def _take_fence_number(self) -> bool:
         """Takes a number above that of every earlier holder, by which the platform refuses their late calls."""
@@ -157,7 +157,7 @@
 
     # -- one service --
 
-    async def _run(self, *, service: Service) -> None:
+    async def _run_step(self, *, service: Service) -> None:
         try:
             if self.failover.may_retry(service=service.name):
                 await self._step(service=service)
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -10,12 +10,14 @@
 
 from expression import Ok
 
-from ..config import configuration_store
+from ..config.check import check_configuration
+from ..config.configuration import CONFIGURATION_KEY
 from ..consensus.store import Store
 from ..failover import database_assignments
 from ..failover.database_primary_monitor import DatabasePrimaryMonitor
 from ..http_frontend import connection_pools, view
 from ..http_frontend.commit_watermarks import CommitWatermarks
+from ..http_frontend.configuration_store import AcceptedConfiguration, ConfigurationStore
 from ..http_frontend.filters import session_filter
 from ..http_frontend.filters.forward_filter import ForwardFilter
 from ..http_frontend.filters.session_state_filter import SessionStateFilter
@@ -30,7 +32,7 @@
 from ..http_frontend.session_token import SessionToken, Tag, parse_session_token
 from ..http_frontend.sessions import Sessions
 from ..http_frontend.view import View
-from ..maintenance.leaving import Leaving
+from ..maintenance.drain_targets import DrainTargets
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.peer_client import PeerClient
@@ -88,13 +90,15 @@
 def no_versions() -> Patches:
     """A configuration is written whatever stands."""
 
-    class Anything(configuration_store.ConfigurationStore):
+    class Anything(ConfigurationStore):
         async def submit(self, *, raw: bytes) -> Any:
-            checked = configuration_store.check_configuration(raw=raw)
-            found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
-            return Ok((checked.ok, found.ok)) if checked.is_ok() and found.is_ok() else checked
+            checked = check_configuration(raw=raw)
+            found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
+            if checked.is_error() or found.is_error():
+                return checked
+            return Ok(AcceptedConfiguration(configuration=checked.ok, found=found.ok))
 
-    return [patch.object(configuration_store.ConfigurationStore, "submit", Anything.submit)]
+    return [patch.object(ConfigurationStore, "submit", Anything.submit)]
 
 
 def forgetful_register_replica() -> Patches:
@@ -139,7 +143,7 @@
 
 def deaf_to_windows() -> Patches:
     """Open windows select nothing."""
-    return [patch.object(view, "leaving", lambda **_: Leaving())]
+    return [patch.object(view, "drain_targets", lambda **_: DrainTargets())]
 
 
 def lose_sessions() -> Patches:
@@ -176,10 +180,11 @@
     """A configuration is accepted whatever it says."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
-        found = await self.register.change(key=configuration_store.CONFIGURATION_KEY, decide=lambda _: Ok(raw))
-        return Ok((SimpleNamespace(version=0, warnings=()), found.ok)) if found.is_ok() else found
+        found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
+        configuration = SimpleNamespace(version=0, warnings=())
+        return Ok(SimpleNamespace(configuration=configuration, found=found.ok)) if found.is_ok() else found
 
-    return [patch.object(configuration_store.ConfigurationStore, "submit", submit)]
+    return [patch.object(ConfigurationStore, "submit", submit)]
 
 
 def older_again() -> Patches:
@@ -195,13 +200,13 @@
 
 def altered_read_back() -> Patches:
     """A configuration is given back as this code would write it, and not as it came."""
-    original = configuration_store.ConfigurationStore.fetch
+    original = ConfigurationStore.fetch
 
     async def fetch(self: Any) -> Any:
         found = await original(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(configuration_store.ConfigurationStore, "fetch", fetch)]
+    return [patch.object(ConfigurationStore, "fetch", fetch)]
 
 
 def deaf_to_quiet() -> Patches:
