--- a/features/runtime/dispatcher.feature
+++ b/features/runtime/dispatcher.feature
@@ -1,6 +1,6 @@
-Feature: One record address a process
+Feature: Dispatch of requests by their message type
 
-  Scenario: What is answered is counted by kind, with its bytes
-    Given a desk that answers heartbeats with 30 bytes
-    When it is asked for heartbeats with 10 bytes, twice, and once for what it does not know
-    Then its counters say 2 records of heartbeats and 80 bytes, and nothing else was answered
+  Scenario: Handled requests are counted by type, with their bytes
+    Given a dispatcher whose handler of heartbeats responds with 30 bytes
+    When it gets two requests of 10 bytes for heartbeats, and one of a type without a handler
+    Then its counters hold 2 responses of type heartbeats and 80 bytes, and nothing else
--- a/features/runtime/error_responses.feature
+++ b/features/runtime/error_responses.feature
@@ -1,7 +1,7 @@
-Feature: The closed list of error kinds
-  One table from kind to answer, and the interface page says the same.
+Feature: The responses to error codes
+  The table in the code and the one in the interface page agree.
 
-  Scenario: Every kind has its one answer, and a client can tell the three outcomes apart
-    Then every kind stands in the table once, as denied or unknown with an error status
-    And only kinds whose job may have run are unknown
-    And the interface page lists every kind that can leave an edge, with its status
+  Scenario: Every error code has one response, and a client can tell the three outcomes apart
+    Then every error code has a response, with the outcome denied or unknown and an error status
+    And the outcome is unknown only where the request may have run
+    And the interface page lists every error code that a client can get, with its status
--- a/features/runtime/record_transport.feature
+++ b/features/runtime/record_transport.feature
@@ -1,28 +1,28 @@
-Feature: Records over TCP
-  One lasting connection a pair; what can't be read is dropped, what has gone silent is dialled anew.
+Feature: Messages over TCP
+  One lasting connection per peer; malformed input is dropped, a silent connection is replaced.
 
-  Scenario: A connection that has gone silent is given up, and the next one is answered
-    Given a listener that never answers its first connection
-    When it is asked again and again
-    Then it is answered over a second connection
+  Scenario: A connection without responses is replaced, and the new one works
+    Given a server that never responds on its first connection
+    When requests are sent to it one after the other
+    Then a response arrives over a second connection
 
-  Scenario: Bytes that are no record end their connection and harm no other
-    Given a listener that answers with what it is asked
+  Scenario: Bytes that are not a frame end their connection and harm no other
+    Given a server that responds with the request itself
     When 50 connections send it random bytes
-    Then it still answers, and has counted what it could not read
+    Then it still responds, and has counted the malformed requests
 
-  Scenario: A dial that hangs in a cut is given up, so that the first question after the cut is answered soon
-    Given a network whose dials hang for 10 s and are answered after that
-    When it is asked every 100 ms of virtual time
-    Then it is answered within 1000 ms of the end of the cut
+  Scenario: A connection attempt that hangs in a partition is given up, so that a response arrives soon after the partition
+    Given a network whose connection attempts hang for 10 s and succeed after that
+    When a request is sent every 100 ms of virtual time
+    Then a response arrives within 1000 ms of the end of the partition
 
-  Scenario: Answers find their askers, in whatever order they come and at whatever byte connections end
-    Given a listener that answers out of order, late, in part or not at all
-    When 600 questions are asked of it, 40 at a time
-    Then each answer that was given is the one to its question, and no question reached the listener twice
-    And some questions were answered, and some were not
+  Scenario: Responses are matched with their requests, in whatever order they come and wherever connections end
+    Given a server that responds out of order, late, in part or not at all
+    When 600 requests are sent to it, 40 at a time
+    Then each response is that to its request, and no request reached the server twice
+    And some requests got a response, and some did not
 
-  Scenario: A wire that takes answers in their order is seen to mix them up
-    Given a listener that answers out of order, late, in part or not at all
-    When 600 questions are asked of it, 40 at a time, over a wire that takes answers in their order
-    Then some answer was given to another question
+  Scenario: The check finds a client that matches responses by order
+    Given a server that responds out of order, late, in part or not at all
+    When 600 requests are sent to it, 40 at a time, by a client that matches responses by order
+    Then some response was given to another request
--- a/features/steps/dispatcher_steps.py
+++ b/features/steps/dispatcher_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the desk of one record address."""
+"""Steps for the dispatcher."""
 
 from typing import Any
 
@@ -10,32 +10,32 @@
 from cinderstair.runtime.unpacker import Unpacker
 
 
-@given("a desk that answers heartbeats with 30 bytes")
+@given("a dispatcher whose handler of heartbeats responds with 30 bytes")
 def given_dispatcher(context: Any) -> None:
     context.stage = Stage(context=context)
     context.dispatcher = Dispatcher(ctx=context.stage.ctx)
 
-    async def answer(unpacker: Unpacker) -> bytes:
+    async def handler(unpacker: Unpacker) -> bytes:
         return bytes(30)
 
-    context.dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=answer)
+    context.dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=handler)
 
 
-@when("it is asked for heartbeats with 10 bytes, twice, and once for what it does not know")
-def when_asked(context: Any) -> None:
-    async def ask() -> None:
+@when("it gets two requests of 10 bytes for heartbeats, and one of a type without a handler")
+def when_requested(context: Any) -> None:
+    async def send() -> None:
         for _ in range(2):
             await context.dispatcher.dispatch(bytes([MessageType.HEARTBEATS]) + bytes(9))
         try:
             await context.dispatcher.dispatch(bytes([MessageType.PROBE]))
         except ValueError:
             return
-        raise AssertionError("it answered what it does not know")
+        raise AssertionError("it responded to a type without a handler")
 
-    context.stage.run(work=ask())
+    context.stage.run(work=send())
 
 
-@then("its counters say 2 records of heartbeats and 80 bytes, and nothing else was answered")
+@then("its counters hold 2 responses of type heartbeats and 80 bytes, and nothing else")
 def then_counted(context: Any) -> None:
     counts = context.stage.ctx.counters.snapshot()
     assert counts == {"records.answered.heartbeats": 2, "records.bytes.heartbeats": 80}, counts
--- a/features/steps/error_response_steps.py
+++ b/features/steps/error_response_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the table of answers."""
+"""Steps for the responses to error codes."""
 
 from pathlib import Path
 from typing import Any
@@ -9,20 +9,20 @@
 from cinderstair.runtime.errors import ErrorCode
 
 PAGE = Path(__file__).parents[2] / "docs" / "interface.md"
-INSIDE = {ErrorCode.BAD_SETTINGS, ErrorCode.DISK_DAMAGED}
+INTERNAL_CODES = {ErrorCode.BAD_SETTINGS, ErrorCode.DISK_DAMAGED}
 
 
-@then("every kind stands in the table once, as denied or unknown with an error status")
+@then("every error code has a response, with the outcome denied or unknown and an error status")
 def then_table(context: Any) -> None:
     assert set(ERROR_RESPONSES) == set(ErrorCode), set(ErrorCode) ^ set(ERROR_RESPONSES)
-    for kind, answer in ERROR_RESPONSES.items():
-        assert answer.outcome in (REJECTED, UNKNOWN) and 400 <= answer.status <= 599, kind
+    for code, response in ERROR_RESPONSES.items():
+        assert response.outcome in (REJECTED, UNKNOWN) and 400 <= response.status <= 599, code
 
 
-@then("only kinds whose job may have run are unknown")
+@then("the outcome is unknown only where the request may have run")
 def then_unknown(context: Any) -> None:
-    unknown = {kind for kind, answer in ERROR_RESPONSES.items() if answer.outcome == UNKNOWN}
-    # why: a backend that answers with an error of its own may have run the job, whatever it calls the error
+    unknown = {code for code, response in ERROR_RESPONSES.items() if response.outcome == UNKNOWN}
+    # A backend that responds with an error of its own may have run the request, whatever it calls the error.
     assert unknown == {
         ErrorCode.OUTCOME_UNKNOWN,
         ErrorCode.REGISTER_UNSURE,
@@ -32,12 +32,12 @@
     }, unknown
 
 
-@then("the interface page lists every kind that can leave an edge, with its status")
+@then("the interface page lists every error code that a client can get, with its status")
 def then_page(context: Any) -> None:
     page = PAGE.read_text()
     missing = [
-        kind.value
-        for kind in ErrorCode
-        if kind not in INSIDE and f"| `{kind.value}` | {ERROR_RESPONSES[kind].status}" not in page
+        code.value
+        for code in ErrorCode
+        if code not in INTERNAL_CODES and f"| `{code.value}` | {ERROR_RESPONSES[code].status}" not in page
     ]
     assert not missing, missing
--- a/features/steps/peer_client_steps.py
+++ b/features/steps/peer_client_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the versions of the records."""
+"""Steps for the negotiation of protocol versions."""
 
 import random
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 def open_dispatcher(*, context: Any, name: str, versions: str) -> Dispatcher:
-    """A desk that answers with the version and the word that it was asked with."""
+    """A dispatcher whose response holds the version and the text of the request."""
     ctx = new_context(context=context, name=name, versions=versions)
     dispatcher = Dispatcher(ctx=ctx)
 
@@ -43,52 +43,52 @@
     return dispatcher
 
 
-def ask_again(*, context: Any, times: int) -> None:
+def send_requests(*, context: Any, times: int) -> None:
     body = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
     for _ in range(times):
         result = context.world.run(
-            work=context.asker.peer_client.request(address=ADDRESS, body=body, wait_us=100_000)
+            work=context.client.peer_client.request(address=ADDRESS, body=body, wait_us=100_000)
         )
         context.world.advance(for_us=1_500_000)
         context.results.append(result)
 
 
-@when("a daemon of versions {one} asks a daemon of versions {other} three times")
-def when_asks(context: Any, one: str, other: str) -> None:
+@when("a process that supports versions {one} sends three requests to a process that supports versions {other}")
+def when_requested(context: Any, one: str, other: str) -> None:
     new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
     context.results = []
     open_dispatcher(context=context, name="other-1", versions=other)
-    context.asker = new_context(context=context, name="one-1", versions=one)
-    ask_again(context=context, times=3)
+    context.client = new_context(context=context, name="one-1", versions=one)
+    send_requests(context=context, times=3)
 
 
-@when("the other is replaced by one of versions {other}, and asked six times")
+@when("the other is replaced by one that supports versions {other}, and is sent six requests")
 def when_replaced(context: Any, other: str) -> None:
     open_dispatcher(context=context, name="other-2", versions=other)
-    ask_again(context=context, times=6)
+    send_requests(context=context, times=6)
 
 
-@then("it is answered in version {version:d}")
-def then_answered(context: Any, version: int) -> None:
+@then("the response has version {version:d}")
+def then_version(context: Any, version: int) -> None:
     assert context.results[-1].ok == Packer().u8(value=version).text(value="word").bytes(), context.results
 
 
-@then("it is denied, with both versions named, logged once and counted")
-def then_denied(context: Any) -> None:
+@then("the request is rejected; the error gives both ranges, and is logged once and counted")
+def then_rejected(context: Any) -> None:
     error = context.results[-1].error
     assert error.code == ErrorCode.OTHER_VERSION, error
     assert "3 to 4" in error.reason and "1 to 2" in error.reason, error.reason
-    assert len(context.asker.peer_client.logged_mismatches) == 1, context.asker.peer_client.logged_mismatches
-    assert context.asker.counters.counts["records.otherVersion"] >= 2
+    assert len(context.client.peer_client.logged_mismatches) == 1, context.client.peer_client.logged_mismatches
+    assert context.client.counters.counts["records.otherVersion"] >= 2
 
 
-@when("a desk of versions {versions} is given {count:d} records made by seed {seed:d}")
-def when_given(context: Any, versions: str, count: int, seed: int) -> None:
+@when("a dispatcher that supports versions {versions} gets {count:d} requests generated from seed {seed:d}")
+def when_generated(context: Any, versions: str, count: int, seed: int) -> None:
     new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
     dispatcher = open_dispatcher(context=context, name="other-1", versions=versions)
     rng = random.Random(seed)
     whole = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
-    context.fates = {"malformed": 0, "denied": 0, "answered": 0}
+    context.outcomes = {"malformed": 0, "rejected": 0, "answered": 0}
     for _ in range(count):
         body = bytes([VERSION_FLAG | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
         how = rng.choice(["as it is", "cut", "longer", "twice", "flipped"])
@@ -104,15 +104,15 @@
         try:
             answer = context.world.run(work=dispatcher.dispatch(body))
         except ValueError:
-            context.fates["malformed"] += 1
+            context.outcomes["malformed"] += 1
             continue
         rejected = answer == bytes([VERSION_FLAG, 1, 2])
-        # why: only a whole record of a version that is spoken may be answered, and only by what it asked
+        # Only a complete request of a supported version may get a response, and only that to what it asked.
         sound = answer[-4:] != b"word" or body[-4:] == b"word"
         assert rejected or sound, (body, answer)
-        context.fates["denied" if rejected else "answered"] += 1
+        context.outcomes["rejected" if rejected else "answered"] += 1
 
 
-@then("each is dropped as malformed, denied by its version, or answered as it should be")
-def then_fates(context: Any) -> None:
-    assert all(count > 50 for count in context.fates.values()), context.fates
+@then("each is dropped as malformed, rejected for its version, or gets the response to what it asked")
+def then_outcomes(context: Any) -> None:
+    assert all(count > 50 for count in context.outcomes.values()), context.outcomes
--- a/features/steps/record_transport_steps.py
+++ b/features/steps/record_transport_steps.py
@@ -1,4 +1,4 @@
-"""Steps for records over TCP, on real sockets."""
+"""Steps for the record transport, on real sockets."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 from cinderstair.simulation.fleet import free_ports
 
 
-@given("a listener that never answers its first connection")
+@given("a server that never responds on its first connection")
 def given_silent(context: Any) -> None:
     context.port = free_ports(count=1)[0]
     context.connections = 0
@@ -41,12 +41,12 @@
     run(context=context, work=listen())
 
 
-@when("it is asked again and again")
+@when("requests are sent to it one after the other")
 def when_asked(context: Any) -> None:
     wire = RecordTransport(counters=Counters())
 
     async def go() -> None:
-        # why: bounded by count, each ask ends by itself; what is awaited is the first answer
+        # The number of requests is bounded, and each ends by itself; the first response ends the loop.
         for _ in range(200):
             result = await wire.request(address=f"127.0.0.1:{context.port}", body=b"x", wait_us=100_000)
             if result.is_ok():
@@ -59,12 +59,12 @@
     run(context=context, work=go())
 
 
-@then("it is answered over a second connection")
+@then("a response arrives over a second connection")
 def then_second(context: Any) -> None:
     assert context.answer == b"x" and context.connections == 2, (context.answer, context.connections)
 
 
-@given("a listener that answers with what it is asked")
+@given("a server that responds with the request itself")
 def given_echo(context: Any) -> None:
     context.port = free_ports(count=1)[0]
     context.counters = Counters()
@@ -85,14 +85,14 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", context.port)
             writer.write(rng.randbytes(rng.randrange(16, 200)))
             await writer.drain()
-            # why: the other side's closing is the event that says it has read and refused
+            # The server closes the connection once it has read and refused the bytes.
             assert await reader.read() == b""
             writer.close()
 
     run(context=context, work=go())
 
 
-@then("it still answers, and has counted what it could not read")
+@then("it still responds, and has counted the malformed requests")
 def then_answers(context: Any) -> None:
     other = RecordTransport(counters=Counters())
 
@@ -122,14 +122,14 @@
     abort = close
 
 
-@given("a network whose dials hang for {cut_s:d} s and are answered after that")
+@given("a network whose connection attempts hang for {cut_s:d} s and succeed after that")
 def given_cut(context: Any, cut_s: int) -> None:
     context.stage = Stage(context=context)
     loop = context.stage.loop
     context.healed = loop.time() + cut_s
 
     async def dial(host: str, port: int) -> tuple[asyncio.StreamReader, EchoWriter]:
-        # why: as a system does, a dial into a cut asks again after 1, 2, 4 and more seconds, and not in between
+        # Like TCP, an attempt in a partition retransmits after 1, 2, 4 and more seconds, and not in between.
         wait_s = 1.0
         while loop.time() < context.healed:
             await asyncio.sleep(wait_s)
@@ -140,7 +140,7 @@
     context.dial = dial
 
 
-@when("it is asked every {every_ms:d} ms of virtual time")
+@when("a request is sent every {every_ms:d} ms of virtual time")
 def when_asked_virtually(context: Any, every_ms: int) -> None:
     loop = context.stage.loop
     wire = RecordTransport(counters=Counters())
@@ -159,21 +159,21 @@
         loop.run_until_complete(go())
 
 
-@then("it is answered within {most_ms:d} ms of the end of the cut")
+@then("a response arrives within {most_ms:d} ms of the end of the partition")
 def then_soon(context: Any, most_ms: int) -> None:
     assert context.answered is not None
     late_ms = (context.answered - context.healed) * 1_000
     assert 0 <= late_ms <= most_ms, late_ms
 
 
-# -- answers and their questions --
+# -- responses and their requests --
 
 WAIT_US = 40_000
 LATE_S = 0.06
 READ_RESPONSES = RecordConnection.read_responses
 
 
-@given("a listener that answers out of order, late, in part or not at all")
+@given("a server that responds out of order, late, in part or not at all")
 def given_unruly(context: Any) -> None:
     context.port = free_ports(count=1)[0]
     context.arrived = collections.Counter()
@@ -226,16 +226,16 @@
     run(context=context, work=go())
 
 
-@when("{count:d} questions are asked of it, {together:d} at a time")
+@when("{count:d} requests are sent to it, {together:d} at a time")
 def when_many(context: Any, count: int, together: int) -> None:
     ask_many(context=context, count=count, together=together)
 
 
-@when("{count:d} questions are asked of it, {together:d} at a time, over a wire that takes answers in their order")
+@when("{count:d} requests are sent to it, {together:d} at a time, by a client that matches responses by order")
 def when_many_in_order(context: Any, count: int, together: int) -> None:
     class InOrder(dict[int, Any]):
         def pop(self, number: int, default: Any = None) -> Any:  # type: ignore[override]
-            # why: an asker's own clearing away comes when its future is done; an answer comes before
+            # A request removes itself when its future is done; a response does so before.
             mine = self.get(number)
             first = next(iter(self), number) if mine is not None and not mine.done() else number
             return super().pop(first, default)
@@ -248,7 +248,7 @@
         ask_many(context=context, count=count, together=together)
 
 
-@then("each answer that was given is the one to its question, and no question reached the listener twice")
+@then("each response is that to its request, and no request reached the server twice")
 def then_own_answers(context: Any) -> None:
     wrong = [(body, found) for body, found in context.answers if found is not None and found != b"to " + body]
     assert not wrong, wrong[:5]
@@ -256,12 +256,12 @@
     assert not twice, twice[:5]
 
 
-@then("some questions were answered, and some were not")
+@then("some requests got a response, and some did not")
 def then_some(context: Any) -> None:
     answered = sum(found is not None for _, found in context.answers)
     assert 0 < answered < len(context.answers), answered
 
 
-@then("some answer was given to another question")
+@then("some response was given to another request")
 def then_mixed_up(context: Any) -> None:
     assert any(found is not None and found != b"to " + body for body, found in context.answers)
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -49,12 +49,15 @@
         self._runners: list[web.AppRunner] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        """Send a message to another process; see ``RecordTransport.request``."""
         return await self.transport.request(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        """Respond to messages that arrive at this address."""
         await self.transport.listen(address=address, handler=handler)
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
+        """Open an HTTP connection."""
         host, port = split_address(address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
@@ -66,6 +69,7 @@
         return Ok(HttpConnection(address=address, connection=connection, stream=stream))
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        """Serve HTTP at this address."""
         host, port = split_address(address=address)
 
         async def handle(request: web.Request) -> web.Response:
@@ -79,11 +83,13 @@
         self._runners.append(runner)
 
     async def refuse(self) -> None:
+        """Close the listening HTTP sockets; open connections are kept."""
         for runner in self._runners:
             for site in list(runner.sites):
                 await site.stop()
 
     async def close(self) -> None:
+        """Close all connections and listening sockets."""
         await self.transport.close()
         for runner in self._runners:
             await runner.cleanup()
--- a/src/cinderstair/runtime/record_net.py
+++ b/src/cinderstair/runtime/record_net.py
@@ -18,19 +18,24 @@
         self.transport = RecordTransport(counters=counters)
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        """Send a message to another process; see ``RecordTransport.request``."""
         return await self.transport.request(address=address, body=body, wait_us=wait_us)
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        """Respond to messages that arrive at this address."""
         await self.transport.listen(address=address, handler=handler)
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
+        """Raise NotImplementedError."""
         raise NotImplementedError("this process has no HTTP client")
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        """Raise NotImplementedError."""
         raise NotImplementedError("this process has no HTTP server")
 
     async def refuse(self) -> None:
         """Do nothing: there are no HTTP connections."""
 
     async def close(self) -> None:
+        """Close all connections and listening sockets."""
         await self.transport.close()
