--- a/src/cinderstair/pooler/read_candidates.py
+++ b/src/cinderstair/pooler/read_candidates.py
@@ -1,6 +1,5 @@
 """The backends to which a session may send a read."""
 
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from ..config.service_plan import Consistency, DatabaseRoute
@@ -20,22 +19,23 @@
     at_least: Position | None
 
 
-@dataclass(frozen=True, kw_only=True, slots=True)
-class Candidates:
+class Candidates(NamedTuple):
     """The candidates, best first; `fault` says why there are none, and is None where there are some."""
 
     found: list[Candidate]
     fault: CinderstairError | None = None
 
 
-@dataclass(kw_only=True, slots=True)
 class CandidateSequence:
     """Offers one statement's candidates in turn.
 
     Their order changes with their load, so those that were tried are kept by name and not by index.
     """
 
-    tried: set[str] = field(default_factory=set)
+    __slots__ = ("tried",)
+
+    def __init__(self) -> None:
+        self.tried: set[str] = set()
 
     def next(self, *, candidates: list[Candidate]) -> Candidate:
         """The best candidate not yet tried; once all were tried, the round begins again."""
