--- a/features/platform/adapter/backend_link.feature
+++ b/features/platform/adapter/backend_link.feature
@@ -30,21 +30,21 @@
     When the link asks `PUT 1 x / FETCH 2`
     And the backend says `<says>` <how>
     Then the answers to the link are `<answers>`
-    And the link is open, and was told lost 0 times
+    And the link is open, and was reported lost 0 times
 
     Examples:
-      | says                                                          | how | answers                                       |
-      | DONE s\r\nREADY I 3.5\r\n                                     | at once | 0 rows s I 3.5 / owed                         |
-      | DONE s\r\nREADY I 3.5\r\nROW a b\r\nROW \r\nDONE t\r\nREADY I 3.6\r\n | at once | 0 rows s I 3.5 / 2 rows t I 3.6           |
-      | DONE s\r\nREADY I 3.5\r\nROW a b\r\nROW \r\nDONE t\r\nREADY I 3.6\r\n | byte by byte | 0 rows s I 3.5 / 2 rows t I 3.6 |
-      | ERROR FAILED so\r\nREADY E 3.5\r\nDONE t\r\nREADY I -\r\n     | at once | FAILED so retriable E 3.5 / 0 rows t I -      |
-      | ERROR BUSY\r\nREADY T 3.5\r\n                                 | at once | BUSY not run T 3.5 / owed                     |
-      | ERROR LAGGING -\r\nREADY I 3.5\r\n                            | at once | LAGGING - not run I 3.5 / owed                |
-      | ERROR READONLY srv-2\r\nREADY E 3.5\r\n                         | at once | READONLY srv-2 not run E 3.5 / owed             |
-      | ERROR TIMEOUT\r\nREADY I 3.5\r\n                              | at once | TIMEOUT retriable I 3.5 / owed                |
-      | ERROR BUSYX\r\nREADY I 3.5\r\n                                | at once | BUSYX I 3.5 / owed                            |
-      | DONE s\r\nREADY I                                             | at once | owed / owed                                   |
-      | DONE s\r\nREADY I what\r\n                                    | at once | 0 rows s I - / owed                           |
+      | says                                                                  | how          | answers                                  |
+      | DONE s\r\nREADY I 3.5\r\n                                             | at once      | 0 rows s I 3.5 / pending                 |
+      | DONE s\r\nREADY I 3.5\r\nROW a b\r\nROW \r\nDONE t\r\nREADY I 3.6\r\n | at once      | 0 rows s I 3.5 / 2 rows t I 3.6          |
+      | DONE s\r\nREADY I 3.5\r\nROW a b\r\nROW \r\nDONE t\r\nREADY I 3.6\r\n | byte by byte | 0 rows s I 3.5 / 2 rows t I 3.6          |
+      | ERROR FAILED so\r\nREADY E 3.5\r\nDONE t\r\nREADY I -\r\n             | at once      | FAILED so retriable E 3.5 / 0 rows t I - |
+      | ERROR BUSY\r\nREADY T 3.5\r\n                                         | at once      | BUSY not run T 3.5 / pending             |
+      | ERROR LAGGING -\r\nREADY I 3.5\r\n                                    | at once      | LAGGING - not run I 3.5 / pending        |
+      | ERROR READONLY srv-2\r\nREADY E 3.5\r\n                               | at once      | READONLY srv-2 not run E 3.5 / pending   |
+      | ERROR TIMEOUT\r\nREADY I 3.5\r\n                                      | at once      | TIMEOUT retriable I 3.5 / pending        |
+      | ERROR BUSYX\r\nREADY I 3.5\r\n                                        | at once      | BUSYX I 3.5 / pending                    |
+      | DONE s\r\nREADY I                                                     | at once      | pending / pending                        |
+      | DONE s\r\nREADY I what\r\n                                            | at once      | 0 rows s I - / pending                   |
 
   Scenario: A link that is lost fails all that it owes, and nothing that it gave
     Given a link to a backend
@@ -52,7 +52,7 @@
     And the backend says `DONE s\r\nREADY I 3.5\r\nROW a\r\nDONE`
     And the link is cut
     Then the answers to the link are `0 rows s I 3.5 / lost / lost`
-    And the link is closed, and was told lost 1 times
+    And the link is closed, and was reported lost 1 times
     When the link asks `FETCH 4`
     Then the answers to the link are `0 rows s I 3.5 / lost / lost / lost`
 
@@ -61,16 +61,16 @@
     When the link asks `<asks>`
     And the backend says `<says>`
     Then the answers to the link are `<answers>`
-    And the link is closed, and was told lost 0 times
+    And the link is closed, and was reported lost 0 times
 
     Examples:
-      | asks      | says                                                    | answers                |
-      | FETCH 1   | HELLO\r\n                                               | lost                   |
-      | FETCH 1   | \r\n                                                    | lost                   |
-      | FETCH 1   | done s\r\n                                              | lost                   |
-      | FETCH 1   | DONE s\r\nREADY X 3.5\r\n                               | lost                   |
-      | FETCH 1   | DONE s\r\nREADY\r\n                                     | lost                   |
-      | FETCH 1   | DONE s\r\nREADY I 3.5\r\nREADY I 3.5\r\n                | 0 rows s I 3.5         |
+      | asks    | says                                     | answers        |
+      | FETCH 1 | HELLO\r\n                                | lost           |
+      | FETCH 1 | \r\n                                     | lost           |
+      | FETCH 1 | done s\r\n                               | lost           |
+      | FETCH 1 | DONE s\r\nREADY X 3.5\r\n                | lost           |
+      | FETCH 1 | DONE s\r\nREADY\r\n                      | lost           |
+      | FETCH 1 | DONE s\r\nREADY I 3.5\r\nREADY I 3.5\r\n | 0 rows s I 3.5 |
 
   Scenario: A link that owes an answer is reset, so that what has not arrived yet never will
     Given a link to a backend
@@ -101,14 +101,14 @@
     And the backend says `ERROR UNNAMED p0\r\nREADY I 3.5\r\n`
     Then the answers to the link are `UNNAMED p0 not run I 3.5`
     And the link holds the values "a=1" and has prepared "none"
-    And the link is open, and was told lost 0 times
+    And the link is open, and was reported lost 0 times
 
   Scenario Outline: A link whose own statements failed serves nobody any more
     Given a link to a backend
     When the link asks `<own> / PUT 1 x`
     And the backend says `ERROR BUSY\r\nREADY I 3.5\r\n`
     Then the answers to the link are `lost`
-    And the link is closed, and was told lost 0 times
+    And the link is closed, and was reported lost 0 times
 
     Examples:
       | own           |
@@ -123,52 +123,52 @@
     And the connection that was dialled is <word>
 
     Examples: one that is full is there; one that is another refuses itself
-      | script                                    | result     | word   |
-      | READY I 3.5\r\n                           | a link     | open   |
-      | REA + DY I 3.5\r + \n                     | a link     | open   |
-      | ERROR FULL\r\n + close                    | crowded    | closed |
-      | ERROR BUSY come later\r\n + close         | crowded    | closed |
-      | ERROR WRONGHOST srv-2\r\n + close           | wireUnsent | closed |
-      | ERROR FULL\r\nREADY I -\r\n               | crowded    | closed |
-      | ERROR WRONGHOST srv-2\r\nREADY I -\r\n      | noBackend  | closed |
-      | close                                     | wireUnsent | closed |
-      | NOISE\r\n                                 | wireUnsent | closed |
-      | silence                                   | wireUnsure | closed |
+      | script                                 | result     | word   |
+      | READY I 3.5\r\n                        | a link     | open   |
+      | REA + DY I 3.5\r + \n                  | a link     | open   |
+      | ERROR FULL\r\n + close                 | crowded    | closed |
+      | ERROR BUSY come later\r\n + close      | crowded    | closed |
+      | ERROR WRONGHOST srv-2\r\n + close      | wireUnsent | closed |
+      | ERROR FULL\r\nREADY I -\r\n            | crowded    | closed |
+      | ERROR WRONGHOST srv-2\r\nREADY I -\r\n | noBackend  | closed |
+      | close                                  | wireUnsent | closed |
+      | NOISE\r\n                              | wireUnsent | closed |
+      | silence                                | wireUnsure | closed |
 
   Scenario: A backend that is not reached
     When a backend is dialled, and answers `refuse`
     Then the result is wireUnsent
 
   Scenario Outline: A command, and the state that answers it
-    When a backend is told to <command>, and answers `READY I 3.5\r\n + <script>`
+    When a backend is commanded to <command>, and answers `READY I 3.5\r\n + <script>`
     Then the result is <result>
     And it was sent `<sent>` after the greeting
     And the connection that was dialled is closed
 
     Examples:
-      | command   | script                                                    | result             | sent              |
-      | state     | ROW primary 4 4.91 4 0 1 9\r\nDONE -\r\nREADY I 4.91\r\n | leads 4 4.91 4 | ASK - STATE       |
-      | state     | ROW copy 4 4.91 0 15 1 9\r\nDONE -\r\nREADY I 4.90\r\n | follows 4 4.91 0 | ASK - STATE       |
-      | pause     | ROW copy 3 3.12 4 15 1 9\r\nDONE -\r\nREADY I 3.11\r\n   | follows 3 3.12 4   | ASK - PAUSE 4     |
-      | resume    | ROW copy 3 - 0 15 1 9 new\r\nDONE -\r\nREADY I -\r\n     | follows 3 0.0 0    | ASK - CONTINUE    |
-      | step_down | ROW copy 5 3.12 5 15 1 9\r\nDONE -\r\nREADY I 3.12\r\n   | follows 5 3.12 5   | ASK - STEPDOWN 5  |
-      | state     | ERROR BUSY\r\nREADY I 3.5\r\n                             | wireUnsure         | ASK - STATE       |
-      | state     | DONE -\r\nREADY I 3.5\r\n                                 | wireUnsure         | ASK - STATE       |
-      | state     | ROW copy 3\r\nDONE -\r\nREADY I 3.5\r\n                   | wireUnsure         | ASK - STATE       |
-      | state     | ROW copy x 3.1 0\r\nDONE -\r\nREADY I 3.5\r\n             | wireUnsure         | ASK - STATE       |
-      | state     | silence                                                   | wireUnsure         | ASK - STATE       |
-      | state     | ROW copy + close                                          | wireUnsure         | ASK - STATE       |
-
-  Scenario Outline: A backend that can't be told anything
-    When a backend is told to state, and answers `<script>`
+      | command   | script                                                   | result           | sent             |
+      | state     | ROW primary 4 4.91 4 0 1 9\r\nDONE -\r\nREADY I 4.91\r\n | leads 4 4.91 4   | ASK - STATE      |
+      | state     | ROW copy 4 4.91 0 15 1 9\r\nDONE -\r\nREADY I 4.90\r\n   | follows 4 4.91 0 | ASK - STATE      |
+      | pause     | ROW copy 3 3.12 4 15 1 9\r\nDONE -\r\nREADY I 3.11\r\n   | follows 3 3.12 4 | ASK - PAUSE 4    |
+      | resume    | ROW copy 3 - 0 15 1 9 new\r\nDONE -\r\nREADY I -\r\n     | follows 3 0.0 0  | ASK - CONTINUE   |
+      | step_down | ROW copy 5 3.12 5 15 1 9\r\nDONE -\r\nREADY I 3.12\r\n   | follows 5 3.12 5 | ASK - STEPDOWN 5 |
+      | state     | ERROR BUSY\r\nREADY I 3.5\r\n                            | wireUnsure       | ASK - STATE      |
+      | state     | DONE -\r\nREADY I 3.5\r\n                                | wireUnsure       | ASK - STATE      |
+      | state     | ROW copy 3\r\nDONE -\r\nREADY I 3.5\r\n                  | wireUnsure       | ASK - STATE      |
+      | state     | ROW copy x 3.1 0\r\nDONE -\r\nREADY I 3.5\r\n            | wireUnsure       | ASK - STATE      |
+      | state     | silence                                                  | wireUnsure       | ASK - STATE      |
+      | state     | ROW copy + close                                         | wireUnsure       | ASK - STATE      |
+
+  Scenario Outline: A backend that can't be commanded
+    When a backend is commanded to state, and answers `<script>`
     Then the result is <result>
 
     Examples:
-      | script                          | result     |
-      | refuse                          | wireUnsent |
-      | close                           | wireUnsent |
-      | silence                         | wireUnsure |
-      | ERROR FULL\r\n + close          | crowded    |
+      | script                 | result     |
+      | refuse                 | wireUnsent |
+      | close                  | wireUnsent |
+      | silence                | wireUnsure |
+      | ERROR FULL\r\n + close | crowded    |
 
   Scenario Outline: Whether the one that was meant has surely ended
     When a backend is dialled, and answers `<script>`
--- a/features/platform/adapter/client_door.feature
+++ b/features/platform/adapter/client_connection.feature
@@ -26,9 +26,9 @@
     Given a client's connection
     And no configuration yet
     When it sends `GREET db1 u1\r\n`
-    And 1300 ms pass at the door
+    And 1300 ms pass on the connection
     Then it receives nothing
-    When 200 ms pass at the door
+    When 200 ms pass on the connection
     Then it receives
       """
       ERROR BUSY come back in 500 ms
@@ -42,7 +42,7 @@
     Then it receives nothing
     And the connection is closed
 
-  Scenario: A session that rests is not closed
+  Scenario: An idle session is not closed
     Given a client's connection that was greeted
     When the time for a greeting is over
     Then the connection is open
@@ -130,7 +130,7 @@
     Given a client's connection that was greeted
     When the client vanishes while <what>
     Then the proxy has ended sessions in "<state>"
-    And nothing at the door has crashed
+    And the connection has not crashed
 
     Examples:
       | what               | state |
--- a/features/platform/adapter/control_edge.feature
+++ b/features/platform/adapter/control_api.feature
@@ -1,12 +1,12 @@
-Feature: Backends' beats and operators' configurations
+Feature: The control API: heartbeats and configurations
 
   Background:
-    Given a control edge
+    Given a control API
 
-  Scenario: A heartbeat is heard and acknowledged
+  Scenario: A heartbeat is received and acknowledged
     When a backend sends a heartbeat
     Then the answer is 200 with `{}`
-    And 1 beats were heard
+    And 1 heartbeats were received
     And the last heartbeat has name srv-1
     And the last heartbeat has service s1
     And the last heartbeat has number 6
@@ -18,7 +18,7 @@
     When a backend sends a heartbeat with <field> as <value>
     Then the answer is 200
     And the last heartbeat has <kept> <as>
-    And whatever was heard can be told to others
+    And every heartbeat received can be written as a record
 
     Examples:
       | field     | value      | kept  | as       |
@@ -28,14 +28,14 @@
       | revision  | missing    | name  | srv-1      |
       | new       | {"a": 1}   | name  | srv-1      |
 
-  Scenario: A heartbeat from another zone is told of a nearer address
+  Scenario: A heartbeat from another zone is redirected to a closer address
     When a backend sends a heartbeat with zone as "yard-b"
     Then the answer is 200 with `{"beat_to": "10.2.0.2:5001"}`
 
-  Scenario Outline: What is no beat is refused and not heard
+  Scenario Outline: A malformed heartbeat is refused and not received
     When a backend sends a heartbeat with <field> as <value>
     Then the answer is 400
-    And 0 beats were heard
+    And 0 heartbeats were received
 
     Examples:
       | field      | value     |
@@ -69,7 +69,7 @@
   Scenario Outline: Bodies and calls that are not known
     When <method> <target> is called with `<body>`
     Then the answer is <status>
-    And 0 beats were heard
+    And 0 heartbeats were received
 
     Examples:
       | method | target                    | body    | status |
@@ -86,17 +86,17 @@
       | DELETE | /cinderstair/settings     | (empty) | 405    |
       | POST   | /cinderstair/settings     | {}      | 405    |
 
-  Scenario: A backend's deregistration is taken, whatever it said before
+  Scenario: A backend's deregistration is accepted, whatever it has sent before
     When a backend sends a heartbeat with db_role as "primary"
     And DELETE /cinderstair/servers/srv-1 is called
     Then the answer is 200 with `{}`
-    And the deregistration of srv-1 was taken
+    And the deregistration of srv-1 was received
 
-  Scenario Outline: What no majority can be told is not acknowledged, so that the backend goes on to another daemon
+  Scenario Outline: What reaches no majority is not acknowledged, so that the backend goes on to another daemon
     Given a controller out of touch with a majority
     When a backend sends a heartbeat with standing as <standing>
     Then the answer is 503
-    And 1 beats were heard
+    And 1 heartbeats were received
     When DELETE /cinderstair/servers/srv-1 is called
     Then the answer is 503
 
@@ -127,7 +127,7 @@
       | registerUnreachable | 503 |
       | registerUnsure      | 503 |
 
-  Scenario: Another content under a number that is taken is refused at once
+  Scenario: Another content under a number that is in use is refused at once
     Given a controller that answers versionTaken
     When the operator puts a valid document
     Then the answer is 409
--- a/features/platform/adapter/words.feature
+++ b/features/platform/adapter/error_words.feature
@@ -1,7 +1,7 @@
-Feature: The platform's words
+Feature: Error words, positions and replies on the wire
 
-  Scenario Outline: What a session may say, and the word that a client is told
-    Then <kind> is told as <word>
+  Scenario Outline: What a session may say, and the word that a client is sent
+    Then <kind> is reported as <word>
 
     Examples: promises that nothing is kept, for kinds that are used only where that is so
       | kind            | word    |
@@ -56,7 +56,7 @@
       | a.b    | -      |
 
   Scenario: Success, with rows and a stamp
-    Then a reply of 2 rows, stamp st.9, in state I at 4.91 is told as
+    Then a reply of 2 rows, stamp st.9, in state I at 4.91 is written as
       """
       ROW row 0
       ROW row 1
@@ -65,28 +65,28 @@
       """
 
   Scenario: What the system answers itself
-    Then a reply of 0 rows, done, in state T at - is told as
+    Then a reply of 0 rows, done, in state T at - is written as
       """
       DONE -
       READY T -
       """
 
   Scenario: A backend's own error, in its words
-    Then a reply of 0 rows, native READONLY srv-2, in state E at 4.91 is told as
+    Then a reply of 0 rows, native READONLY srv-2, in state E at 4.91 is written as
       """
       ERROR READONLY srv-2
       READY E 4.91
       """
 
   Scenario: A refusal says when to come back
-    Then a reply of 0 rows, crowded 500, in state I at - is told as
+    Then a reply of 0 rows, crowded 500, in state I at - is written as
       """
       ERROR BUSY come back in 500 ms
       READY I -
       """
 
   Scenario: A refusal that nobody should come back from
-    Then a reply of 0 rows, transactionFailed, in state E at - is told as
+    Then a reply of 0 rows, transactionFailed, in state E at - is written as
       """
       ERROR GARBLED -
       READY E -
--- a/features/platform/adapter/http_edge.feature
+++ b/features/platform/adapter/http.feature
@@ -1,4 +1,4 @@
-Feature: HTTP at the platform's edges
+Feature: The adapter's HTTP server and client
 
   Scenario Outline: Requests are answered one after the other, in their order
     Given an HTTP server that echoes
--- a/features/platform/adapter/lines.feature
+++ b/features/platform/adapter/line_splitter.feature
@@ -20,7 +20,7 @@
     Then 300 seeded streams make the same lines however they are split
 
   Scenario Outline: A line may have 1 MiB
-    Then a line of 1 MiB is taken, split <place>
+    Then a line of 1 MiB is accepted, split <place>
 
     Examples:
       | place         |
--- a/features/platform/adapter/operator_document.feature
+++ b/features/platform/adapter/operator_document.feature
@@ -3,8 +3,8 @@
   Background:
     Given a valid document
 
-  Scenario: A valid document is taken, and its bytes are kept
-    Then it is taken
+  Scenario: A valid document is accepted, and its bytes are kept
+    Then it is accepted
     And its database db1 leads to s1 as primary within 650000 us, 1100000 us old at most
     And its database db2 leads to s2 as bounded within 500 us, 1100000 us old at most
     And its version is 21, its service s1 has 40 links and 1 confirmations
@@ -12,7 +12,7 @@
 
   Scenario Outline: What may be left out or be added
     When the document has its <place> as <value>
-    Then it is taken
+    Then it is accepted
 
     Examples: fields that are not known are none of our business
       | place                | value         |
--- a/features/platform/adapter/settings_file.feature
+++ b/features/platform/adapter/settings_file.feature
@@ -3,7 +3,7 @@
   Background:
     Given a good platform settings file
 
-  Scenario Outline: What a process is told
+  Scenario Outline: The settings of a process
     Then the machine has <field> "<value>"
 
     Examples:
@@ -101,7 +101,7 @@
       | 9      | [zones          |
 
   Scenario: A file that is only half written never tells half a field
-    Then every beginning of it is refused, or tells nothing of the machine that the whole does not
+    Then every beginning of it is refused, or says nothing of the machine that the whole does not
 
   Scenario: What can't be read
     Then a file that is not there, and one of noise, are refused
--- a/features/steps/http_edge_steps.py
+++ b/features/steps/adapter_http_steps.py
@@ -1,18 +1,20 @@
-"""Steps for HTTP at the platform's edges."""
+"""Steps for the adapter's HTTP server and client."""
 
 import asyncio
 import json
 from typing import Any
 
 import h11
-from adapter.http_edge import MOST_BODY_BYTES, HttpServer, post
+from adapter.http_client import post
+from adapter.http_messages import HttpAnswer, HttpRequest
+from adapter.http_server import MAX_BODY_BYTES, HttpServer
 from adapter.promotion_call import PromotionCall
 from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
 from stage import Stage
 
 
-def responses(*, data: bytes, methods: list[str]) -> list[tuple[int, bytes]]:
+def responses(*, data: bytes, methods: list[str]) -> list[HttpAnswer]:
     """Reads answers the way a client would."""
     wire, found = h11.Connection(h11.CLIENT), []
     for method in methods:
@@ -29,7 +31,7 @@
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-        found.append((status, body))
+        found.append(HttpAnswer(status=status, body=body))
         if wire.our_state is not h11.DONE or wire.their_state is not h11.DONE:
             return found
         wire.start_next_cycle()
@@ -42,12 +44,13 @@
     context.handled = []
     context.wait_s = 0.0
 
-    async def echo(method: str, target: str, body: bytes) -> tuple[int, bytes]:
-        context.handled.append(f"{method} {target} {body[:40].decode(errors='replace')}".strip())
-        if target == "/crash":
+    async def echo(request: HttpRequest) -> HttpAnswer:
+        text = request.body[:40].decode(errors="replace")
+        context.handled.append(f"{request.method} {request.target} {text}".strip())
+        if request.target == "/crash":
             raise RuntimeError("crash")
-        await asyncio.sleep(0.05 if target == "/slow" else 0.001)
-        return 200, body
+        await asyncio.sleep(0.05 if request.target == "/slow" else 0.001)
+        return HttpAnswer(status=200, body=request.body)
 
     connect(context=context, make=lambda: HttpServer(ctx=context.stage.ctx, handle=echo))
 
@@ -74,7 +77,7 @@
 @then('the answers are "{texts}"')
 def then_answers(context: Any, texts: str) -> None:
     found = responses(data=context.transport.sent, methods=context.methods)
-    text = ", ".join(f"{status} {body.decode()}".strip() for status, body in found)
+    text = ", ".join(f"{answer.status} {answer.body.decode()}".strip() for answer in found)
     assert text == texts, text
 
 
@@ -99,7 +102,7 @@
 
 @when("a body of {size} bytes comes in chunks of {chunk:d}")
 def when_body(context: Any, size: str, chunk: int) -> None:
-    length = MOST_BODY_BYTES + int(size.removeprefix("4 MiB +"))
+    length = MAX_BODY_BYTES + int(size.removeprefix("4 MiB +"))
     context.methods = ["PUT"]
     head = f"PUT /big HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n".encode()
     context.stage.call(call=lambda: context.transport.feed(head))
@@ -112,7 +115,7 @@
 
 @then("the statuses are {statuses}")
 def then_statuses(context: Any, statuses: str) -> None:
-    found = " ".join(str(status) for status, _ in responses(data=context.transport.sent, methods=context.methods))
+    found = " ".join(str(answer.status) for answer in responses(data=context.transport.sent, methods=context.methods))
     assert found == statuses, (found, context.transport.sent[:200])
 
 
@@ -133,7 +136,8 @@
             context.stage.call(call=lambda part=part: context.transport.feed(part))
         context.stage.advance(for_us=20_000)
         found = responses(data=context.transport.sent, methods=["PUT", "GET", "PUT"])
-        assert found == [(200, b"one"), (200, b""), (200, b"three")], (cut, found)
+        wanted = [HttpAnswer(status=200, body=body) for body in (b"one", b"", b"three")]
+        assert found == wanted, (cut, found)
 
 
 @when("a post is answered by `{script}`")
--- a/features/steps/backend_link_steps.py
+++ b/features/steps/backend_link_steps.py
@@ -3,7 +3,9 @@
 import asyncio
 from typing import Any
 
-from adapter.backend_link import BackendCommands, BackendDialer, BackendLink
+from adapter.backend_commands import BackendCommands
+from adapter.backend_dialer import BackendDialer
+from adapter.backend_link import BackendLink
 from adapter.statements import read_statement
 from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
@@ -96,7 +98,7 @@
 
 def outcome(*, future: asyncio.Future[Reply]) -> str:
     if not future.done():
-        return "owed"
+        return "pending"
     if future.exception() is not None:
         return "lost" if isinstance(future.exception(), ConnectionError) else repr(future.exception())
     reply = future.result()
@@ -111,7 +113,7 @@
     assert found == texts, found
 
 
-@then("the link is {word}, and was told lost {count:d} times")
+@then("the link is {word}, and was reported lost {count:d} times")
 def then_link(context: Any, word: str, count: int) -> None:
     context.stage.advance(for_us=1_000)
     assert (context.protocol.open, context.lost) == (word == "open", count), (context.protocol.open, context.lost)
@@ -165,7 +167,7 @@
     assert context.streams.transports[0].closing == (word == "closed")
 
 
-@when("a backend is told to {command}, and answers `{script}`")
+@when("a backend is commanded to {command}, and answers `{script}`")
 def when_command(context: Any, command: str, script: str) -> None:
     context.stage = Stage(context=context)
     context.streams = MemoryStreams(script=[script])
@@ -189,6 +191,6 @@
     assert found == [raw(text=text)], found
 
 
-@then("a position that was never told counts as the start")
+@then("a position that was never sent counts as the start")
 def then_start(context: Any) -> None:
     assert Position(0, 0) == START
--- a/features/steps/client_door_steps.py
+++ b/features/steps/client_connection_steps.py
@@ -1,9 +1,9 @@
-"""Steps for the door that clients come in by."""
+"""Steps for the connections of clients."""
 
 from typing import Any
 
-from adapter.client_door import GREETING_US, MOST_ASKED, ClientDoor
-from adapter.lines import MOST_BYTES
+from adapter.client_connection import HANDSHAKE_TIMEOUT_US, MAX_QUEUED_MESSAGES, ClientConnection
+from adapter.line_splitter import MAX_LINE_BYTES
 from adapter_common import connect, raw
 from behave import given, then, when
 from stage import Stage
@@ -57,14 +57,16 @@
 
 
 @given("a client's connection")
-def given_door(context: Any) -> None:
+def given_connection(context: Any) -> None:
     context.stage = Stage(context=context)
     context.proxy = FakeProxy(stage=context.stage)
-    context.doors = set()
+    context.connections = set()
     context.counted = []
     connect(
         context=context,
-        make=lambda: ClientDoor(proxy=context.proxy, doors=context.doors, count=context.counted.append),
+        make=lambda: ClientConnection(
+            proxy=context.proxy, connections=context.connections, count=context.counted.append
+        ),
     )
 
 
@@ -91,7 +93,7 @@
 
 @when("it sends a line of more than 1 MiB")
 def when_sends_long(context: Any) -> None:
-    context.stage.call(call=lambda: context.transport.feed(b"ASK 1 PUT a " + b"x" * MOST_BYTES))
+    context.stage.call(call=lambda: context.transport.feed(b"ASK 1 PUT a " + b"x" * MAX_LINE_BYTES))
     context.stage.advance(for_us=100_000)
 
 
@@ -117,7 +119,7 @@
     context.stage.advance(for_us=10_000)
     found = ", ".join(state.name for state in context.proxy.ended) or "none"
     assert found == states, found
-    assert not context.doors
+    assert not context.connections
 
 
 @given("no configuration yet")
@@ -125,14 +127,14 @@
     context.proxy.view.plan = None
 
 
-@when("{wait_ms:d} ms pass at the door")
-def when_pass_at_door(context: Any, wait_ms: int) -> None:
+@when("{wait_ms:d} ms pass on the connection")
+def when_pass(context: Any, wait_ms: int) -> None:
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
 @when("the time for a greeting is over")
 def when_greeting_over(context: Any) -> None:
-    context.stage.advance(for_us=GREETING_US + 1_000)
+    context.stage.advance(for_us=HANDSHAKE_TIMEOUT_US + 1_000)
 
 
 @when("a client that does not read sends {count:d} asks")
@@ -147,7 +149,7 @@
 @then("no more than {count:d} is run, and reading is paused")
 def then_paused(context: Any, count: int) -> None:
     assert len(context.proxy.ran) <= count, context.proxy.ran
-    assert context.transport.paused and len(context.protocol.requested) > MOST_ASKED // 2
+    assert context.transport.paused and len(context.protocol.queue) > MAX_QUEUED_MESSAGES // 2
 
 
 @when("it reads again")
@@ -172,6 +174,6 @@
     context.stage.advance(for_us=100_000)
 
 
-@then("nothing at the door has crashed")
-def then_door_not_crashed(context: Any) -> None:
+@then("the connection has not crashed")
+def then_not_crashed(context: Any) -> None:
     assert not context.stage.crashed, context.stage.crashes
--- a/features/steps/control_edge_steps.py
+++ b/features/steps/control_api_steps.py
@@ -1,9 +1,10 @@
-"""Steps for backends' beats and operators' configurations over HTTP."""
+"""Steps for backends' heartbeats and operators' configurations over HTTP."""
 
 import json
 from typing import Any
 
-from adapter.control_edge import ControlEdge
+from adapter.control_api import ControlApi
+from adapter.http_messages import HttpRequest
 from adapter_common import document, raw
 from behave import given, then, when
 from expression import Error, Ok, Result
@@ -18,7 +19,7 @@
 
 class FakeController:
     def __init__(self) -> None:
-        self.heard: list[Announcement] = []
+        self.received: list[Announcement] = []
         self.submitted: list[ServicePlan] = []
         self.submits: Result[bool, CinderstairError] = Ok(True)
         self.document: Result[bytes, CinderstairError] = Error(
@@ -29,7 +30,7 @@
         self.orders = self
 
     async def receive(self, *, announcement: Announcement) -> bool:
-        self.heard.append(announcement)
+        self.received.append(announcement)
         return self.in_touch
 
     async def depart(self, *, name: str) -> bool:
@@ -57,16 +58,18 @@
 }
 
 
-@given("a control edge")
+@given("a control API")
 def given_edge(context: Any) -> None:
     context.stage = Stage(context=context)
     context.controller = FakeController()
-    nearer = {"yard-b": "10.2.0.2:5001"}
-    context.edge = ControlEdge(controller=context.controller, heartbeat_to=lambda site: nearer.get(site, ""))
+    closer = {"yard-b": "10.2.0.2:5001"}
+    context.control_api = ControlApi(controller=context.controller, closer_address=lambda site: closer.get(site, ""))
 
 
 def handle(*, context: Any, method: str, target: str, body: bytes = b"") -> None:
-    context.status, context.body = context.stage.run(work=context.edge.handle(method, target, body))
+    request = HttpRequest(method=method, target=target, body=body)
+    answer = context.stage.run(work=context.control_api.handle(request))
+    context.status, context.body = answer.status, answer.body
 
 
 @when("a backend sends a heartbeat")
@@ -108,7 +111,7 @@
     context.controller.in_touch = False
 
 
-@then("the deregistration of {name} was taken")
+@then("the deregistration of {name} was received")
 def then_departed(context: Any, name: str) -> None:
     assert context.controller.departed == [name], context.controller.departed
 
@@ -134,19 +137,19 @@
     assert context.status == status, (context.status, context.body)
 
 
-@then("{count:d} beats were heard")
-def then_heard(context: Any, count: int) -> None:
-    assert len(context.controller.heard) == count, context.controller.heard
+@then("{count:d} heartbeats were received")
+def then_received(context: Any, count: int) -> None:
+    assert len(context.controller.received) == count, context.controller.received
 
 
 @then("the last heartbeat has {field} {value}")
 def then_last_heartbeat(context: Any, field: str, value: str) -> None:
-    assert str(getattr(context.controller.heard[-1], field)) == value, context.controller.heard[-1]
+    assert str(getattr(context.controller.received[-1], field)) == value, context.controller.received[-1]
 
 
-@then("whatever was heard can be told to others")
+@then("every heartbeat received can be written as a record")
 def then_packable(context: Any) -> None:
-    for each in context.controller.heard:
+    for each in context.controller.received:
         packer = Packer()
         each.write(packer=packer)
         assert read_announcement(unpacker=Unpacker(data=packer.bytes())) == each
--- a/features/steps/word_steps.py
+++ b/features/steps/error_word_steps.py
@@ -1,10 +1,11 @@
-"""Steps for positions and words of the platform's wire."""
+"""Steps for error words, positions and replies of the platform's wire."""
 
 import re
 from typing import Any
 
-from adapter.client_door import encode
-from adapter.words import position_text, read_position, word
+from adapter.client_connection import encode
+from adapter.error_words import error_word
+from adapter.ready_fields import format_position, parse_position
 from adapter_common import raw
 from behave import then
 from stage import position, shown
@@ -16,32 +17,32 @@
 STATES = {"I": State.idle, "T": State.open, "E": State.failed}
 
 
-@then("{kind} is told as {text}")
+@then("{kind} is reported as {text}")
 def then_word(context: Any, kind: str, text: str) -> None:
-    found = word(kind=ErrorCode(kind)).decode()
+    found = error_word(code=ErrorCode(kind)).decode()
     assert found == text, found
 
 
 @then('no promise is made for "{kinds}"')
 def then_no_promise(context: Any, kinds: str) -> None:
-    reported = {kind: word(kind=ErrorCode(kind)).decode() for kind in kinds.split(", ")}
+    reported = {kind: error_word(code=ErrorCode(kind)).decode() for kind in kinds.split(", ")}
     assert not any(found.encode() in PROMISES for found in reported.values()), reported
 
 
 @then("every kind has a word")
 def then_all_words(context: Any) -> None:
-    assert all(re.fullmatch(rb"[A-Z]+", word(kind=kind)) for kind in ErrorCode)
+    assert all(re.fullmatch(rb"[A-Z]+", error_word(code=kind)) for kind in ErrorCode)
 
 
 @then('the position "{text}" reads as {found}')
 def then_position(context: Any, text: str, found: str) -> None:
-    read = read_position(text=raw(text=text))
+    read = parse_position(text=raw(text=text))
     assert shown(at=read) == found, read
     if read is not None:
-        assert read_position(text=position_text(position=read)) == read
+        assert parse_position(text=format_position(position=read)) == read
 
 
-@then("a reply of {rows:d} rows, {outcome}, in state {state} at {at} is told as")
+@then("a reply of {rows:d} rows, {outcome}, in state {state} at {at} is written as")
 def then_encoded(context: Any, rows: int, outcome: str, state: str, at: str) -> None:
     reply = Reply(rows=[b"row %d" % n for n in range(rows)], state=STATES[state], position=position(text=at))
     kind, _, rest = outcome.partition(" ")
--- a/features/steps/line_steps.py
+++ b/features/steps/line_splitter_steps.py
@@ -1,16 +1,16 @@
-"""Steps for lines of the platform's wire."""
+"""Steps for the splitting of a byte stream into lines."""
 
 import random
 from typing import Any
 
-from adapter.lines import MOST_BYTES, Lines
+from adapter.line_splitter import MAX_LINE_BYTES, LineSplitter
 from adapter_common import raw
 from behave import then
 
 
 def feed_all(*, chunks: list[bytes]) -> list[bytes]:
-    lines = Lines()
-    return [line for chunk in chunks for line in lines.feed(chunk)]
+    splitter = LineSplitter()
+    return [line for chunk in chunks for line in splitter.feed(chunk)]
 
 
 @then('the chunks "{chunks}" make the lines "{lines}"')
@@ -34,13 +34,15 @@
 
 
 def long_line(*, over: int) -> bytes:
-    return b"x" * (MOST_BYTES + over)
+    return b"x" * (MAX_LINE_BYTES + over)
 
 
-@then("a line of 1 MiB is taken, split {place}")
-def then_mebibyte(context: Any, place: str) -> None:
+@then("a line of 1 MiB is accepted, split {where}")
+def then_mebibyte(context: Any, where: str) -> None:
     stream = long_line(over=0) + b"\r\n"
-    ends = {"nowhere": [], "in its middle": [1000], "before CR": [MOST_BYTES], "before LF": [MOST_BYTES + 1]}[place]
+    ends = {"nowhere": [], "in its middle": [1000], "before CR": [MAX_LINE_BYTES], "before LF": [MAX_LINE_BYTES + 1]}[
+        where
+    ]
     parts = [stream[a:b] for a, b in zip([0, *ends], [*ends, len(stream)], strict=True)]
     assert feed_all(chunks=parts) == [long_line(over=0)]
 
@@ -50,7 +52,7 @@
     end = {"before it ends": b"", "when it ends": b"\r\n", "after another": b"\r\nx\r\n"}[when]
     # why: a CR may be the first half of an end, and must not count
     try:
-        Lines().feed(long_line(over=2) + end)
+        LineSplitter().feed(long_line(over=2) + end)
     except ValueError:
         return
-    raise AssertionError("taken")
+    raise AssertionError("accepted")
--- a/features/steps/operator_document_steps.py
+++ b/features/steps/operator_document_steps.py
@@ -16,10 +16,10 @@
     context.document = document()
 
 
-@when("the document has its {place} as {value}")
-def when_changed(context: Any, place: str, value: str) -> None:
+@when("the document has its {path} as {value}")
+def when_changed(context: Any, path: str, value: str) -> None:
     at: Any = context.document
-    *steps, last = [int(step) if step.isdigit() else step for step in place.split(".")]
+    *steps, last = [int(step) if step.isdigit() else step for step in path.split(".")]
     for step in steps:
         at = at[step]
     if value == "missing":
@@ -33,8 +33,8 @@
     return read_document(raw=context.raw)
 
 
-@then("it is taken")
-def then_taken(context: Any) -> None:
+@then("it is accepted")
+def then_accepted(context: Any) -> None:
     context.plan = read_changed(context=context)
     assert context.plan.is_ok(), context.plan
     context.plan = context.plan.ok
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -5,21 +5,25 @@
 import tempfile
 from typing import Any
 
-from adapter.backend_link import BackendCommands, BackendDialer, BackendLink
-from adapter.client_door import ClientDoor, encode
-from adapter.control_edge import ControlEdge
-from adapter.http_edge import HttpServer
-from adapter.lines import Lines
+from adapter.backend_commands import BackendCommands
+from adapter.backend_dialer import BackendDialer
+from adapter.backend_link import BackendLink
+from adapter.client_connection import ClientConnection, encode
+from adapter.control_api import ControlApi
+from adapter.error_words import error_word
+from adapter.http_messages import HttpAnswer, HttpRequest
+from adapter.http_server import HttpServer
+from adapter.line_splitter import LineSplitter
 from adapter.operator_document import read_document
 from adapter.promotion_call import PromotionCall
 from adapter.proxy_role import ProxyRole
-from adapter.settings_file import Machine, read_machine
+from adapter.ready_fields import format_position, parse_position
+from adapter.settings_file import MachineSettings, read_machine_settings
 from adapter.statements import read_statement, text_for
-from adapter.words import position_text, read_position, word
 from adapter_common import MemoryStreams, connect
 from behave import then
-from client_door_steps import FakeProxy
-from control_edge_steps import FakeController
+from client_connection_steps import FakeProxy
+from control_api_steps import FakeController
 from expression import Error, Ok
 from frozen_data import check_same, check_same_list, load
 from stage import NoNet, Stage, announcement
@@ -66,7 +70,7 @@
 
 def error_words() -> dict[str, str]:
     """The word that a client is told for each error kind."""
-    return {kind.value: as_text(data=word(kind=kind)) for kind in ErrorCode}
+    return {kind.value: as_text(data=error_word(code=kind)) for kind in ErrorCode}
 
 
 @then("the frozen error words are sent to clients")
@@ -100,9 +104,9 @@
     """What each text reads as, and how that is written again."""
     found: dict[str, Any] = {}
     for text in texts:
-        position = read_position(text=as_bytes(text=text))
+        position = parse_position(text=as_bytes(text=text))
         numbers = None if position is None else list(position)
-        found[text] = {"numbers": numbers, "written": as_text(data=position_text(position=position))}
+        found[text] = {"numbers": numbers, "written": as_text(data=format_position(position=position))}
     return found
 
 
@@ -136,8 +140,8 @@
 
 def split_lines(*, chunks: list[str]) -> list[str]:
     """The lines that chunks of bytes make."""
-    lines = Lines()
-    return [as_text(data=line) for chunk in chunks for line in lines.feed(as_bytes(text=chunk))]
+    splitter = LineSplitter()
+    return [as_text(data=line) for chunk in chunks for line in splitter.feed(as_bytes(text=chunk))]
 
 
 @then("the frozen chunks make the recorded lines")
@@ -154,7 +158,7 @@
     if not configured:
         proxy.view.plan = None
     counted: list[str] = []
-    connect(context=context, make=lambda: ClientDoor(proxy=proxy, doors=set(), count=counted.append))
+    connect(context=context, make=lambda: ClientConnection(proxy=proxy, connections=set(), count=counted.append))
     found = []
     for text in sends:
         data = as_bytes(text=text)
@@ -275,14 +279,15 @@
         controller.submits = controller.document = fault
     elif "document" in exchange:
         controller.document = Ok(as_bytes(text=exchange["document"]))
-    nearer = {"yard-b": "10.2.0.2:5001"}
-    edge = ControlEdge(controller=controller, heartbeat_to=lambda site: nearer.get(site, ""))  # type: ignore[arg-type]
+    closer = {"yard-b": "10.2.0.2:5001"}
+    api = ControlApi(controller=controller, closer_address=lambda site: closer.get(site, ""))  # type: ignore[arg-type]
     body = as_bytes(text=exchange.get("body", ""))
-    status, answer = stage.run(work=edge.handle(exchange["method"], exchange["target"], body))
+    request = HttpRequest(method=exchange["method"], target=exchange["target"], body=body)
+    answer = stage.run(work=api.handle(request))
     return {
-        "status": status,
-        "body": as_text(data=answer),
-        "heard": [heard_form(each=each) for each in controller.heard],
+        "status": answer.status,
+        "body": as_text(data=answer.body),
+        "heard": [heard_form(each=each) for each in controller.received],
         "departed": controller.departed,
     }
 
@@ -340,8 +345,9 @@
     """The bytes of an answer at an HTTP edge."""
     context.stage = Stage(context=context)
 
-    async def handle(method: str, target: str, body: bytes) -> tuple[int, bytes]:
-        return 409, json.dumps({"error": f"{method} {target}"}).encode()
+    async def handle(request: HttpRequest) -> HttpAnswer:
+        body = json.dumps({"error": f"{request.method} {request.target}"}).encode()
+        return HttpAnswer(status=409, body=body)
 
     connect(context=context, make=lambda: HttpServer(ctx=context.stage.ctx, handle=handle))
     request = b"PUT /cinderstair/settings HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
@@ -386,7 +392,7 @@
     context.stage = Stage(context=context)
     context.stage.ctx.net = QuietNet()
     streams = ServingStreams()
-    machine = Machine(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
+    machine = MachineSettings(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
     role = ProxyRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
     context.stage.run(work=role.start())
     if ready:
@@ -430,7 +436,7 @@
 # -- settings --
 
 
-def machine_form(*, machine: Machine) -> dict[str, Any]:
+def machine_form(*, machine: MachineSettings) -> dict[str, Any]:
     """What a settings file says, by the file's own keys; times are microseconds."""
     return {
         "node": machine.name,
@@ -461,7 +467,7 @@
     handle, path = tempfile.mkstemp(suffix=".toml")
     try:
         os.write(handle, text.encode())
-        read = read_machine(path=path)
+        read = read_machine_settings(path=path)
     finally:
         os.close(handle)
         os.unlink(path)
--- a/features/steps/settings_file_steps.py
+++ b/features/steps/settings_file_steps.py
@@ -4,7 +4,7 @@
 import tempfile
 from typing import Any
 
-from adapter.settings_file import read_machine
+from adapter.settings_file import read_machine_settings
 from adapter_common import raw
 from behave import given, then, when
 
@@ -44,7 +44,7 @@
     context.path = path
     try:
         os.write(handle, text)
-        return read_machine(path=path)
+        return read_machine_settings(path=path)
     finally:
         os.close(handle)
         os.unlink(path)
@@ -94,7 +94,7 @@
     assert found.is_error() and "not TOML" in found.error.reason, found
 
 
-@then("every beginning of it is refused, or tells nothing of the machine that the whole does not")
+@then("every beginning of it is refused, or says nothing of the machine that the whole does not")
 def then_half(context: Any) -> None:
     text = "\n".join(context.lines).encode()
     whole = read_text(context=context, text=text).ok
@@ -111,5 +111,5 @@
 
 @then("a file that is not there, and one of noise, are refused")
 def then_not_there(context: Any) -> None:
-    assert read_machine(path="/nowhere/at/all.toml").error.code == ErrorCode.BAD_SETTINGS
+    assert read_machine_settings(path="/nowhere/at/all.toml").error.code == ErrorCode.BAD_SETTINGS
     assert read_text(context=context, text=b"\xff\xfe\x00").error.code == ErrorCode.BAD_SETTINGS
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -250,15 +250,15 @@
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
         """The adapter's door with a session behind it, over a transport in memory."""
         use_adapter()
-        from adapter.client_door import ClientDoor
+        from adapter.client_connection import ClientConnection
 
         proxy = self._proxy(databases=3)
-        doors: set[Any] = set()
+        connections: set[Any] = set()
         transports: list[MemoryTransport] = []
         gc.collect()
         before = rss_bytes()
         for number in range(sessions):
-            door = ClientDoor(proxy=proxy, doors=doors, count=lambda name: None)
+            door = ClientConnection(proxy=proxy, connections=connections, count=lambda name: None)
             transport = MemoryTransport(door=door)
             transports.append(transport)
             door.connection_made(transport)
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -14,18 +14,18 @@
     def __init__(self, *, options: dict[str, Any]) -> None:
         use_adapter()
         from adapter.controller_role import ControllerRole
-        from adapter.settings_file import Machine
-        from adapter.streams import RealStreams
+        from adapter.settings_file import MachineSettings
+        from adapter.tcp_streams import TcpStreams
 
         self.http = [0, 0]
 
-        class MeteredStreams(RealStreams):
+        class MeteredStreams(TcpStreams):
             async def serve(streams, *, address: str, protocol: Any) -> None:
                 await super().serve(
                     address=address, protocol=lambda: MeteredProtocol(inner=protocol(), count=self._count)
                 )
 
-        machine = Machine(
+        machine = MachineSettings(
             name=options["name"],
             site=options["site"],
             ip="127.0.0.1",
--- a/src/cinderstair/simulation/platformsim/control_mix.py
+++ b/src/cinderstair/simulation/platformsim/control_mix.py
@@ -160,7 +160,7 @@
         world = self.world
         self.rng.shuffle(world.controls)
         for name, role in world.roles.items():
-            role.resettle(machine=world.machine(name=name))
+            role.apply_settings(machine=world.machine(name=name))
 
     def crash(self) -> None:
         ready = [each for each in self.world.backends.values() if each.up and not each.emptying]
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -212,10 +212,10 @@
 
     def machine(self, *, name: str) -> Any:
         """What the settings file of a machine says now."""
-        from adapter.settings_file import Machine
+        from adapter.settings_file import MachineSettings
 
         proxy = name in self.proxies
-        return Machine(
+        return MachineSettings(
             name=name,
             site=self.zones[name],
             ip=self.addresses[name],
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -31,10 +31,10 @@
 
 def answer_to_nothing() -> Patches:
     """Each answer to a client is followed by another."""
-    from adapter import client_door
+    from adapter import client_connection
 
-    encode = client_door.encode
-    return [patch.object(client_door, "encode", lambda reply: encode(reply) + b"READY I -\r\n")]
+    encode = client_connection.encode
+    return [patch.object(client_connection, "encode", lambda reply: encode(reply) + b"READY I -\r\n")]
 
 
 def other_text() -> Patches:
@@ -72,15 +72,15 @@
 
 def rows_kept() -> Patches:
     """An answer's rows are given twice."""
-    from adapter import client_door
+    from adapter import client_connection
 
-    encode = client_door.encode
+    encode = client_connection.encode
 
     def doubled(reply: Any) -> bytes:
         reply.rows = reply.rows * 2
         return encode(reply)
 
-    return [patch.object(client_door, "encode", doubled)]
+    return [patch.object(client_connection, "encode", doubled)]
 
 
 def any_values() -> Patches:
@@ -111,10 +111,10 @@
 
 def promise_unknown() -> Patches:
     """Where nobody knows the outcome, the client is promised that nothing is kept."""
-    from adapter import words
+    from adapter import error_words
 
-    mild = MappingProxyType({**words.WORDS, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
-    return [patch.object(words, "WORDS", mild)]
+    mild = MappingProxyType({**error_words.WORD_BY_CODE, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
+    return [patch.object(error_words, "WORD_BY_CODE", mild)]
 
 
 def view_forever() -> Patches:
@@ -177,9 +177,9 @@
 
 def drop_at_stop() -> Patches:
     """A planned stop closes every connection, whatever is under way on it."""
-    from adapter.client_door import ClientDoor
+    from adapter.client_connection import ClientConnection
 
-    return [patch.object(ClientDoor, "at_rest", property(lambda self: True))]
+    return [patch.object(ClientConnection, "idle", property(lambda self: True))]
 
 
 def deaf_to_emptying() -> Patches:
@@ -217,15 +217,15 @@
 
 def take_anything() -> Patches:
     """A configuration that is no valid one is acknowledged."""
-    from adapter.control_edge import ControlEdge
+    from adapter.control_api import DONE, ControlApi
 
-    put = ControlEdge._put
+    put = ControlApi._put_settings
 
     async def took(self: Any, *, body: bytes) -> Any:
-        status, answer = await put(self, body=body)
-        return (200, b"{}") if status == 400 else (status, answer)
+        answer = await put(self, body=body)
+        return DONE if answer.status == 400 else answer
 
-    return [patch.object(ControlEdge, "_put", took)]
+    return [patch.object(ControlApi, "_put_settings", took)]
 
 
 def older_again() -> Patches:
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -46,5 +46,5 @@
         listener = Listener(host=self.host, boot=self.boot, context=self.context, protocol=protocol)
         self.fabric.listen(address=address, listener=listener)
 
-    async def refuse(self) -> None:
+    async def stop_listening(self) -> None:
         self.fabric.deafen(host=self.host, boot=self.boot)
