--- a/src/cinderstair/http_frontend/backend_reachability.py
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -27,10 +27,12 @@
 
     @property
     def blind(self) -> bool:
-        # why: a process that stood still has seen nothing meanwhile, which is no sign of anything
+        """Whether no backend has answered for BLIND_US."""
+        # a process that stood still has seen nothing meanwhile, which is no sign of anything
         return self.looked_us - self.seen_us > BLIND_US
 
     def seen(self) -> None:
+        """Records that a backend has answered just now."""
         self.seen_us = max(self.seen_us, self.ctx.now_us())
 
     async def _look(self) -> None:
@@ -43,7 +45,7 @@
             for name in self.connection_pools.pools
             if self.heartbeat_table.fit(name=name) and self.connection_pools.open(name=name)
         ]
-        # why: where the news call nobody fit there is nobody to be seen
+        # where the news call nobody fit there is nobody to be seen
         if not fit:
             self.seen()
         elif now_us - self.seen_us > LOOK_EVERY_US:
--- a/src/cinderstair/http_frontend/commit_watermarks.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -1,4 +1,4 @@
-"""The waterlines of all replicas: when a commit may be acknowledged."""
+"""The watermarks of all replicas: when a commit may be acknowledged."""
 
 import asyncio
 
@@ -20,6 +20,7 @@
         self.lines: dict[str, ReplicaWatermark] = {}
 
     def line(self, *, name: str) -> ReplicaWatermark:
+        """The watermark of a replica, created when it is first needed."""
         if name not in self.lines:
             self.lines[name] = ReplicaWatermark(ctx=self.ctx, connection_pools=self.connection_pools, name=name)
         return self.lines[name]
@@ -34,13 +35,13 @@
         requested: set[str] = set()
         while True:
             lead = self.view.lead(database=database)
-            # why: once another term has begun, nothing of this one may be acknowledged any more
+            # once another term has begun, nothing of this one may be acknowledged any more
             if lead is None or lead.term != term or not lead.serves:
                 return False
             missing = [
                 name for name in lead.confirmers if not self.line(name=name).covers(term=term, position=position)
             ]
-            # why: with nobody in sync a commit would stand on one disk alone
+            # with nobody in sync a commit would stand on one disk alone
             if lead.in_sync and not missing and self.view.current:
                 return True
             left_us = until_us - self.ctx.now_us()
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -1,8 +1,9 @@
-"""All of an HTTP proxy's pools, sized by the share."""
+"""All of an HTTP proxy's connection pools, sized by its share of the backends."""
 
 from collections.abc import Iterable
 
 from ..config.backend import Backend
+from ..config.configuration import Configuration
 from ..failover.database_primary import DatabasePrimary
 from ..membership.heartbeat_table import QUIET_US, HeartbeatTable
 from ..runtime.command_queue import CommandQueueMixin
@@ -12,7 +13,7 @@
 from .view import View
 
 TIMER_PERIOD_US = 250_000
-# why: growth waits until every HTTP proxy has either shrunk or lost its view, so the cap holds in between
+# growth waits until every HTTP proxy has either shrunk or lost its view, so the cap holds in between
 GROW_MARGIN_US = 300_000
 UNFIT_GRACE_US = 3_000_000
 
@@ -38,15 +39,17 @@
         self.every(every_us=TIMER_PERIOD_US, command=self.refresh, name="refresh")
 
     def pool(self, *, name: str) -> Pool | None:
+        """The pool of a backend; None where it isn't configured."""
         return self.pools.get(name)
 
     def share(self, *, database: str) -> tuple[str, ...]:
+        """The backends of a database that are in this HTTP proxy's subset."""
         return self.shares.get(database, ())
 
     def usable(self, *, name: str) -> bool:
-        """May new jobs go there?"""
+        """Whether new jobs may be sent to a backend."""
         pool = self.pools.get(name)
-        # why: what a window empties keeps what it still leads, until the lead has moved, and gets nothing else
+        # what a window empties keeps what it still leads, until the lead has moved, and gets nothing else
         if name in self.view.leaving.backends and not self._leads(name=name):
             return False
         return pool is not None and pool.limit > 0 and self.heartbeat_table.fit(name=name) and not pool.shunned
@@ -60,14 +63,15 @@
         return pool is not None and pool.limit > 0
 
     def reachable(self, *, name: str) -> bool:
-        """May anything at all still be sent there?"""
-        # why: by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
+        """Whether anything at all may still be sent to a backend."""
+        # by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
         if self.heartbeat_table.age_us(name=name) > QUIET_US + UNFIT_GRACE_US:
             return False
         since_us = self.unfit_since_us.get(name)
         return since_us is None or self.ctx.now_us() - since_us < UNFIT_GRACE_US
 
     def refresh(self) -> None:
+        """Brings the pools up to the configuration, the proxy ids, the leads and the backends' fitness."""
         configuration = self.view.configuration
         if configuration is None:
             return
@@ -77,7 +81,7 @@
                 self.unfit_since_us.pop(name, None)
             else:
                 self.unfit_since_us.setdefault(name, now_us)
-                # why: a backend that empties or fell silent is left alone as soon as no job is under way
+                # a backend that empties or fell silent is left alone as soon as no job is under way
                 if name in self.pools:
                     self.pools[name].shut_idle()
         self._give_up(names=configuration.backends)
@@ -86,7 +90,7 @@
         inputs = (configuration.version, self.view.proxy_ids, away, held)
         if inputs != self.inputs:
             self.inputs = inputs
-            self._compute()
+            self._compute(configuration=configuration)
         self._grow()
 
     def _give_up(self, *, names: Iterable[str]) -> None:
@@ -97,13 +101,11 @@
         for database, lead in self.view.leads.items():
             before = self.led.get(database, lead)
             self.led[database] = lead
-            # why: whatever the old primary answers now belongs to a term that is over
+            # whatever the old primary answers now belongs to a term that is over
             if before.term < lead.term and before.primary != lead.primary and before.primary in self.pools:
                 self.pools[before.primary].give_up()
 
-    def _compute(self) -> None:
-        configuration = self.view.configuration
-        assert configuration is not None
+    def _compute(self, *, configuration: Configuration) -> None:
         self.computed += 1
         my_id = self.view.proxy_ids.id_of(name=self.ctx.name)
         ids = self.view.proxy_ids.ids
@@ -118,7 +120,7 @@
             self.shares[database] = () if my_id is None else subsets[my_id]
             lead = self.view.leads.get(database)
             for name in names:
-                # why: every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
+                # every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
                 leads = lead is not None and name in (lead.primary, *lead.confirmers)
                 user_ids = [n for n, held in subsets.items() if leads or name in held]
                 part = (
@@ -126,7 +128,7 @@
                     if my_id is None
                     else allotment(cap=configuration.backends[name].cap, user_ids=user_ids, http_proxy_id=my_id)
                 )
-                # why: the source's flow control, a bound on one backend's active jobs from one HTTP proxy
+                # the source's flow control, a bound on one backend's active jobs from one HTTP proxy
                 wanted[name] = min(part, configuration.amount(name="active", database=database))
         self._resize(wanted=wanted, backends=configuration.backends)
 
@@ -134,7 +136,7 @@
         now_us = self.ctx.now_us()
         for name, backend in backends.items():
             pool = self.pools.get(name)
-            # why: a backend declared at another address is another server; its old channels lead astray
+            # a backend declared at another address is another server; its old channels lead astray
             if pool is None or pool.address != backend.address:
                 if pool is not None:
                     pool.resize(limit=0)
@@ -156,5 +158,6 @@
                 pool.resize(limit=wanted)
 
     def stop(self) -> None:
+        """Closes all channels; those in use when they are given back."""
         for pool in self.pools.values():
             pool.resize(limit=0)
--- a/src/cinderstair/http_frontend/filters/body_filter.py
+++ b/src/cinderstair/http_frontend/filters/body_filter.py
@@ -1,4 +1,4 @@
-"""Reads a job's JSON body."""
+"""Parses the JSON body of a request."""
 
 import json
 
@@ -8,19 +8,22 @@
 from ..reject_mixin import RejectMixin
 from ..request import Request
 
-MOST_BODY_BYTES = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 NO_BODY = frozenset(["ready", "drain", "counters", "status", "fetch", "close", "unprepare"])
 RAW_BODY = frozenset(["submit"])
 
 
 class BodyFilter(RejectMixin):
+    """Sets `request.body`, for verbs that have a JSON body."""
+
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        if len(request.http.body) > MOST_BODY_BYTES:
-            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a body holds {MOST_BODY_BYTES} bytes at the most")
-        # why: a configuration is kept to the byte, so it is not taken apart here
+        """Rejects a body that is too large, or no JSON object; else None."""
+        if len(request.http.body) > MAX_BODY_BYTES:
+            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a body holds {MAX_BODY_BYTES} bytes at the most")
+        # a configuration is kept to the byte, so it is not taken apart here
         if request.verb in NO_BODY or request.verb in RAW_BODY:
             return None
         try:
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -1,4 +1,4 @@
-"""Answers the platform, the backends' beats and the operators."""
+"""Answers readiness probes, heartbeats of backends, and the operators' requests."""
 
 from ...config.configuration_store import CONFIGURATION_KEY, ConfigurationStore
 from ...consensus.succession import Succession
@@ -16,6 +16,11 @@
 
 
 class ControlFilter(RejectMixin):
+    """Answers every request that isn't for a session.
+
+    :param foundingVaults: how many voters founded the register; a replacement keeps at least as many.
+    """
+
     def __init__(
         self,
         *,
@@ -38,6 +43,7 @@
         self.leads = leads
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Answers by the verb; None for those of sessions."""
         if request.verb == "ready":
             return self._ready()
         if request.verb == "drain":
@@ -60,9 +66,9 @@
         return None
 
     def _ready(self) -> HttpResponse:
-        reason = self.ready.unready()
-        if reason is not None:
-            return self.reject(kind=reason[0], why=reason[1])
+        not_ready = self.ready.unready()
+        if not_ready is not None:
+            return self.reject(kind=not_ready.code, why=not_ready.reason)
         return self.done(value={"stall": self.ctx.name})
 
     def _heartbeat(self, *, request: Request) -> HttpResponse:
@@ -85,7 +91,7 @@
         result = await self.configuration_store.fetch()
         if result.is_error():
             return self.reject_with(fault=result.error)
-        # why: read back to the byte, so it leaves as it came and not as we would write it
+        # read back to the byte, so it leaves as it came and not as we would write it
         return HttpResponse(status=200, body=result.ok)
 
     async def _replace_register_replica(self, *, request: Request) -> HttpResponse:
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -1,4 +1,4 @@
-"""Every job of a client says how much time it has left."""
+"""Reads the time left of timed requests (`timeLeftUs`, microseconds)."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
@@ -10,10 +10,13 @@
 
 
 class DeadlineFilter(RejectMixin):
+    """Sets `request.until_us`."""
+
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Rejects a time left that is missing, malformed or spent; else None."""
         if request.verb not in TIMED:
             return None
         left = request.body.get("timeLeftUs")
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -0,0 +1,150 @@
+"""What single statements and transactions share: the lead to use, one run on one backend, the acknowledgement."""
+
+from expression import Result
+
+from ...config.configuration import Configuration
+from ...failover.database_primary import SETTLED, DatabasePrimary
+from ...membership.heartbeat_table import HeartbeatTable
+from ...runtime.context import Context
+from ...runtime.errors import CinderstairError, ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..commit_watermarks import CommitWatermarks
+from ..connection_pools import ConnectionPools
+from ..forward_mixin import FULL, NOT_RUN, ForwardMixin, Reply
+from ..request import Request
+from ..samples import Samples
+from ..sessions import Sessions
+from ..view import View
+from .retry_mixin import RetryMixin
+
+# what a read gets at least of its time left, before it is sent to another backend
+READ_WAIT_US = 250_000
+
+
+class ForwardBase(RetryMixin, ForwardMixin):
+    """Answers only what the replies of backends prove."""
+
+    def __init__(
+        self,
+        *,
+        ctx: Context,
+        view: View,
+        connection_pools: ConnectionPools,
+        heartbeat_table: HeartbeatTable,
+        samples: Samples,
+        book: CommitWatermarks,
+        sessions: Sessions,
+    ) -> None:
+        self.ctx = ctx
+        self.view = view
+        self.connection_pools = connection_pools
+        self.heartbeat_table = heartbeat_table
+        self.samples = samples
+        self.book = book
+        self.sessions = sessions
+
+    @property
+    def configuration(self) -> Configuration:
+        """The configuration in force; the route filter has rejected requests without one."""
+        configuration = self.view.configuration
+        if configuration is None:
+            raise LookupError("no configuration is in force")
+        return configuration
+
+    def _lead_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
+        """The lead that new jobs of a database go to; an error where none can be acknowledged now."""
+        lead = self.view.lead(database=database)
+        if lead is None:
+            return Result.Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
+        # while a planned move closes, reads go on; what is new and would write waits for the move's end
+        if not lead.serves or (writes and lead.state != SETTLED):
+            return Result.Error(
+                CinderstairError(code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {lead.primary}")
+            )
+        if not self.connection_pools.usable(name=lead.primary):
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {lead.primary} is not fit")
+            )
+        # what could not be acknowledged in the end is denied before it is sent
+        if writes and not any(self.heartbeat_table.fit(name=name) for name in lead.in_sync):
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
+            )
+        unasked = [name for name in lead.confirmers if not self.connection_pools.open(name=name)]
+        if writes and unasked:
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unasked[0]}")
+            )
+        return Result.Ok(lead)
+
+    async def _run_once(
+        self, *, name: str, request: Request, term: int, tried: set[str]
+    ) -> Result[Reply, CinderstairError]:
+        """Runs a job outside of transactions on one backend, which is added to `tried`."""
+        pool = self.connection_pools.pool(name=name)
+        tried.add(name)
+        if pool is None:
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name} is not in this HTTP proxy's share")
+            )
+        taken = await pool.take(wait_us=self._left_us(request=request))
+        if taken.is_error():
+            return Result.Error(taken.error)
+        connection = taken.ok
+        # the wait for a channel may have outlasted the view, the term, or the backend's fitness
+        if not self.view.current or not self.connection_pools.usable(name=name):
+            pool.give(connection=connection)
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view ran out while the job waited")
+            )
+        result = await self.pass_to(
+            connection=connection,
+            request=request,
+            step="alone",
+            term=term,
+            wait_us=self._reply_wait_us(request=request),
+        )
+        pool.give(connection=connection, keep=result.is_ok())
+        if result.is_error():
+            pool.blame()
+            # a read leaves nothing behind, so a lost answer to it leaves nothing unknown
+            if request.kind != "write":
+                return Result.Error(
+                    CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{result.error.reason}; nothing was written")
+                )
+        return result
+
+    def _reply_wait_us(self, *, request: Request) -> int:
+        left_us = self._left_us(request=request)
+        if request.kind == "write":
+            return left_us
+        # a read may be sent again to another backend, so a silent one must not use up all of its time
+        return max(left_us // 2, min(left_us, READ_WAIT_US))
+
+    def _rejected(self, *, reply: Reply) -> HttpResponse | CinderstairError:
+        """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
+        if reply.reason in NOT_RUN:
+            code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_LEAD
+            return CinderstairError(code=code, reason=reply.why)
+        return self.reject(kind=ErrorCode.STATEMENT_DENIED, why=reply.why)
+
+    def _unknown(self, *, why: str) -> HttpResponse:
+        return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why)
+
+    async def _acknowledge(self, *, request: Request, reply: Reply, term: int) -> HttpResponse:
+        """A commit is acknowledged only once it can't be lost; else its outcome is unknown."""
+        database = request.bound.database
+        if reply.term != term:
+            return self._unknown(why="the primary answered in another term")
+        if not reply.wrote:
+            # nothing was written, so only what was read must still hold
+            if not self.book.holds(database=database, term=term):
+                return self.reject(kind=ErrorCode.NOT_CURRENT, why="the lead moved meanwhile; nothing was written")
+            return self.done(value={"rows": reply.rows})
+        wait_us = self.configuration.amount(name="commitWait", database=database)
+        until_us = min(request.until_us, self.ctx.now_us() + wait_us)
+        if not await self.book.durable(database=database, term=term, position=reply.position, until_us=until_us):
+            return self._unknown(why="run, and not known to be held by every replica in sync")
+        request.bound.floor = max(request.bound.floor, reply.position)
+        self.ctx.counters.add(name="commits.acknowledged")
+        return self.done(value={"rows": reply.rows, "position": reply.position})
--- a/src/cinderstair/http_frontend/filters/path_filter.py
+++ b/src/cinderstair/http_frontend/filters/path_filter.py
@@ -1,4 +1,4 @@
-"""What a path and a method ask for."""
+"""Maps a path and a method to a verb."""
 
 import re
 
@@ -33,10 +33,13 @@
 
 
 class PathFilter(RejectMixin):
+    """Sets the request's `verb`, `session_id` and `name`."""
+
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Rejects unknown paths and wrong methods; else None."""
         for pattern, methods in PATHS:
             match = pattern.match(request.http.path)
             if match is None:
--- a/src/cinderstair/http_frontend/filters/ready_filter.py
+++ b/src/cinderstair/http_frontend/filters/ready_filter.py
@@ -1,5 +1,6 @@
-"""An HTTP proxy that can't know what is in force passes nothing on."""
+"""Whether this HTTP proxy may take jobs: it must know the configuration in force and reach a backend."""
 
+from dataclasses import dataclass
 from typing import Any
 
 from ...membership.membership import Membership
@@ -11,8 +12,25 @@
 from ..view import View
 from .deadline_filter import TIMED
 
+# addresses that a client is given at most
+MAX_ELSEWHERE = 3
+
+
+@dataclass(frozen=True, slots=True)
+class NotReady:
+    """Why an HTTP proxy can't take jobs."""
+
+    code: ErrorCode
+    reason: str
+
 
 class ReadyFilter(RejectMixin):
+    """Rejects timed jobs while this HTTP proxy isn't ready.
+
+    `draining` is set by a planned stop, `emptied_by` by a maintenance window (its name), `blind` while no backend
+    answers.
+    """
+
     def __init__(self, *, ctx: Context, view: View, membership: Membership) -> None:
         self.ctx = ctx
         self.view = view
@@ -26,33 +44,34 @@
         """Whether sessions are to go elsewhere, for a stop or for a window."""
         return self.draining or bool(self.emptied_by) or self.blind
 
-    def unready(self) -> tuple[ErrorCode, str] | None:
+    def unready(self) -> NotReady | None:
         """Why no job may pass now; None where jobs may."""
         if self.draining:
-            return ErrorCode.DRAINING, "this HTTP proxy is emptying"
+            return NotReady(ErrorCode.DRAINING, "this HTTP proxy is emptying")
         if self.emptied_by:
-            return ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.emptied_by}"
+            return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.emptied_by}")
         if self.blind:
-            return ErrorCode.NO_BACKEND, "this HTTP proxy reaches no backend"
+            return NotReady(ErrorCode.NO_BACKEND, "this HTTP proxy reaches no backend")
         if not self.view.current:
-            return ErrorCode.NOT_CURRENT, "this HTTP proxy's view of the register is not current"
+            return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy's view of the register is not current")
         if self.view.configuration is None:
-            return ErrorCode.NO_CONFIGURATION, "no configuration has been accepted yet"
+            return NotReady(ErrorCode.NO_CONFIGURATION, "no configuration has been accepted yet")
         if self.view.proxy_ids.id_of(name=self.ctx.name) is None:
-            return ErrorCode.NOT_CURRENT, "this HTTP proxy holds no slot yet"
+            return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy holds no slot yet")
         return None
 
     def elsewhere(self) -> dict[str, Any]:
-        """Where else the client may go."""
+        """A response's details: the addresses of other HTTP proxies, for the client to go to."""
         others = [member.http for member in self.membership.alive(role="stall")]
         self.ctx.rng.shuffle(others)
-        return {"elsewhere": others[:3]}
+        return {"elsewhere": others[:MAX_ELSEWHERE]}
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Rejects a timed job; jobs that end a transaction pass while sessions are handed over."""
         if request.verb not in TIMED:
             return None
-        reason = self.unready()
-        # why: an open transaction may end here even while the HTTP proxy empties; nothing new may begin
-        if reason is not None and not (self.leaving and request.verb in ("statement", "commit", "rollback")):
-            return self.reject(kind=reason[0], why=reason[1], details=self.elsewhere())
+        not_ready = self.unready()
+        # an open transaction may end here even while the HTTP proxy empties; nothing new may begin
+        if not_ready is not None and not (self.leaving and request.verb in ("statement", "commit", "rollback")):
+            return self.reject(kind=not_ready.code, why=not_ready.reason, details=self.elsewhere())
         return None
--- a/src/cinderstair/http_frontend/filters/route_filter.py
+++ b/src/cinderstair/http_frontend/filters/route_filter.py
@@ -1,4 +1,4 @@
-"""Checks a statement and finds where its kind goes."""
+"""Validates a statement's body, and rejects kinds that a route denies."""
 
 from ...config.route import KINDS
 from ...runtime.context import Context
@@ -10,11 +10,14 @@
 
 
 class RouteFilter(RejectMixin):
+    """Sets `request.kind`; begin, commit and rollback count as writes."""
+
     def __init__(self, *, ctx: Context, view: View) -> None:
         self.ctx = ctx
         self.view = view
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Rejects what can't be forwarded; else None."""
         configuration = self.view.configuration
         if configuration is None or request.bound.database not in configuration.databases:
             return self.reject(
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -1,4 +1,4 @@
-"""Finds the session that a job is for; one job of a session at a time."""
+"""Finds the session that a request is for; a session runs one request at a time."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
@@ -13,6 +13,8 @@
 
 
 class SessionFilter(RejectMixin):
+    """Binds a request to its session, or answers what became of the session."""
+
     def __init__(self, *, ctx: Context, sessions: Sessions, ready: ReadyFilter, handover: Handover) -> None:
         self.ctx = ctx
         self.sessions = sessions
@@ -20,11 +22,12 @@
         self.handover = handover
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Sets `request.session` and marks it busy; `HttpProxy.answer` ends that."""
         if not request.session_id:
             return None
         handle = parse_session_token(text=request.session_id)
         session = self.sessions.find(ident=handle.ident)
-        # why: the client was promised a later state than the one here, so this HTTP proxy was away for too long
+        # the client was promised a later state than the one here, so this HTTP proxy was away for too long
         if session is not None and handle.tag.edition >= session.tag.edition and not session.known(tag=handle.tag):
             self.sessions.close(session=session)
             session = None
@@ -34,9 +37,9 @@
             return self._older(request=request, handle=handle, session=session)
         if session.busy:
             return self.reject(kind=ErrorCode.SESSION_BUSY, why="another job of this session is under way")
-        reason = self.ready.unready()
-        if reason is not None and session.transaction is None and request.verb != "close":
-            return self.reject(kind=reason[0], why=reason[1], details=self.ready.elsewhere())
+        not_ready = self.ready.unready()
+        if not_ready is not None and session.transaction is None and request.verb != "close":
+            return self.reject(kind=not_ready.code, why=not_ready.reason, details=self.ready.elsewhere())
         request.session = session
         session.busy = True
         session.used_us = self.ctx.now_us()
@@ -52,19 +55,19 @@
             return self._renamed(
                 request=request, session=sought.session, why="its HTTP proxy was lost; it was taken over here"
             )
-        # why: final only when everyone who might have it has said no
+        # final only when everyone who might have it has said no
         if sought.unsure:
             return self.reject(
                 kind=ErrorCode.SESSION_SOUGHT, why="not found yet; some HTTP proxies have not answered"
             )
-        # why: a session is never quietly opened anew; its values and transaction would be gone unnoticed
+        # a session is never quietly opened anew; its values and transaction would be gone unnoticed
         return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="no such session here; it is gone, open a new one")
 
     def _older(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
         """A handle that is not the newest one."""
         if handle.tag != session.was:
             return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="a handle from before; the session has gone on")
-        # why: nobody may go on in the middle of what it does not know to be over
+        # nobody may go on in the middle of what it does not know to be over
         if not session.busy:
             self.sessions.abandon(session=session)
             session.lost = False
@@ -78,7 +81,7 @@
             self.sessions.close(session=session)
             return self.done()
         details = {"session": session.handle}
-        # why: a commit may have been sent before, by the HTTP proxy that was lost, and nobody here can know
+        # a commit may have been sent before, by the HTTP proxy that was lost, and nobody here can know
         if request.verb == "commit":
             why = f"{why}; its commit may have been kept, or not"
             return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why, details=details)
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -1,4 +1,4 @@
-"""What a session keeps at its HTTP proxy: opening, closing, values and prepared texts."""
+"""Opens and closes sessions, and changes their values and prepared texts."""
 
 from dataclasses import replace
 from typing import Any
@@ -12,11 +12,15 @@
 from ..sessions import Sessions
 from ..view import View
 
-MOST_KEPT = 256
+# of a session: values, and as many prepared texts
+MAX_KEPT = 256
+# for a replica of a change that has no deadline of its own
 KEEP_WAIT_US = 1_000_000
 
 
 class SessionStateFilter(RejectMixin):
+    """Answers the requests that concern the session itself and reach no backend."""
+
     def __init__(
         self, *, ctx: Context, sessions: Sessions, view: View, session_replicator: SessionReplicator
     ) -> None:
@@ -26,6 +30,7 @@
         self.view = view
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Answers by the verb; None for statements and transactions."""
         if request.verb == "open":
             return await self._open(request=request)
         if request.verb == "close":
@@ -78,9 +83,9 @@
         values = request.body.get("values")
         if not isinstance(values, dict):
             return self.reject(kind=ErrorCode.MALFORMED, why="values: an object is needed")
-        if len(request.bound.values | values) > MOST_KEPT:
-            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MOST_KEPT} values at the most")
-        # why: setting a value to null is how it is taken away
+        if len(request.bound.values | values) > MAX_KEPT:
+            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MAX_KEPT} values at the most")
+        # setting a value to null is how it is taken away
         kept = {key: value for key, value in (request.bound.values | values).items() if value is not None}
         return await self._change(request=request, values=kept, prepared=request.bound.prepared)
 
@@ -88,10 +93,8 @@
         text = request.body.get("text")
         if not isinstance(text, str):
             return self.reject(kind=ErrorCode.MALFORMED, why="text: a text is needed")
-        if len(request.bound.prepared) >= MOST_KEPT and request.name not in request.bound.prepared:
-            return self.reject(
-                kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MOST_KEPT} prepared texts at the most"
-            )
+        if len(request.bound.prepared) >= MAX_KEPT and request.name not in request.bound.prepared:
+            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MAX_KEPT} prepared texts at the most")
         return await self._change(
             request=request, values=request.bound.values, prepared={**request.bound.prepared, request.name: text}
         )
--- /dev/null
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -0,0 +1,130 @@
+"""Transactions: each has a channel of its own from its begin to its end."""
+
+from expression import Result
+
+from ...runtime.errors import CinderstairError, ErrorCode
+from ...runtime.http_response import HttpResponse
+from ..forward_mixin import NOT_RUN, Reply
+from ..request import Request
+from ..session import Session, Transaction
+from .forward_base import ForwardBase
+
+# a backend's word that it has no such transaction (any more)
+NO_TRANSACTION = "noTransaction"
+
+
+class TransactionMixin(ForwardBase):
+    """Begin, statements, commit and rollback."""
+
+    def _without_transaction(self, *, session: Session) -> HttpResponse:
+        if session.lost:
+            session.lost = False
+            return self.reject(
+                kind=ErrorCode.TRANSACTION_LOST, why="the transaction was ended; nothing of it was kept"
+            )
+        return self.reject(kind=ErrorCode.NO_TRANSACTION, why="no transaction is open")
+
+    async def _begin(self, *, request: Request) -> HttpResponse:
+        session = request.bound
+        if session.transaction is not None:
+            return self.reject(kind=ErrorCode.IN_TRANSACTION, why="a transaction is open already")
+        session.lost = False
+        return await self._retry(request=request, attempt=self._begin_once)
+
+    async def _begin_once(self, *, request: Request, tried: set[str]) -> HttpResponse | CinderstairError:
+        session = request.bound
+        found = self._lead_for(database=session.database, writes=True)
+        if found.is_error():
+            return found.error
+        lead = found.ok
+        pool = self.connection_pools.pool(name=lead.primary)
+        if pool is None:
+            raise LookupError(f"no pool for the usable backend {lead.primary}")
+        taken = await pool.take(wait_us=self._left_us(request=request))
+        if taken.is_error():
+            return taken.error
+        connection = taken.ok
+        result = await self.pass_to(
+            connection=connection,
+            request=request,
+            step="begin",
+            term=lead.term,
+            wait_us=self._left_us(request=request),
+        )
+        if result.is_error() or not result.ok.ran:
+            # a begin whose answer was lost leaves nothing behind once its channel is closed
+            pool.give(connection=connection, keep=False)
+            if result.is_error():
+                pool.blame()
+                return CinderstairError(code=ErrorCode.NO_BACKEND, reason=result.error.reason)
+            return self._rejected(reply=result.ok)
+        session.transaction = Transaction(
+            pool=pool, connection=connection, term=lead.term, database=session.database, used_us=self.ctx.now_us()
+        )
+        return self.done()
+
+    def _lose(self, *, session: Session, why: str) -> HttpResponse:
+        self.sessions.abandon(session=session)
+        session.lost = False
+        return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=why)
+
+    def _holds(self, *, transaction: Transaction) -> bool:
+        return self.connection_pools.reachable(name=transaction.pool.name) and self.book.holds(
+            database=transaction.database, term=transaction.term
+        )
+
+    async def _pass_open(
+        self, *, request: Request, transaction: Transaction, step: str
+    ) -> Result[Reply, CinderstairError]:
+        """A step of an open transaction, over the channel that is its own."""
+        if not self._holds(transaction=transaction):
+            return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the lead moved"))
+        left_us = self._left_us(request=request)
+        result = await self.pass_to(
+            connection=transaction.connection, request=request, step=step, term=transaction.term, wait_us=left_us
+        )
+        transaction.used_us = self.ctx.now_us()
+        if result.is_error():
+            transaction.pool.blame()
+        return result
+
+    async def _run_in_transaction(self, *, request: Request, transaction: Transaction) -> HttpResponse:
+        session = request.bound
+        result = await self._pass_open(request=request, transaction=transaction, step="in")
+        if result.is_error():
+            return self._lose(session=session, why=f"{result.error.reason}; nothing of the transaction was kept")
+        if not result.ok.ran and (result.ok.reason in NOT_RUN or result.ok.reason == NO_TRANSACTION):
+            return self._lose(session=session, why=f"{result.ok.why}; nothing of the transaction was kept")
+        if not result.ok.ran:
+            return self.reject(kind=ErrorCode.STATEMENT_DENIED, why=result.ok.why)
+        # what was read inside the transaction must be as new as any other read of the primary
+        if result.ok.term != transaction.term or not self._holds(transaction=transaction):
+            return self._lose(session=session, why="the lead moved; nothing of the transaction was kept")
+        # a client must be able to tell that what it wrote is not kept until it commits
+        return self.done(value={"rows": result.ok.rows, "transaction": True})
+
+    def _end(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
+        """The transaction is over; its channel goes on only if the backend has said so."""
+        session.transaction = None
+        transaction.pool.give(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
+
+    async def _commit(self, *, request: Request, transaction: Transaction) -> HttpResponse:
+        session = request.bound
+        result = await self._pass_open(request=request, transaction=transaction, step="commit")
+        self._end(session=session, transaction=transaction, result=result)
+        if result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
+            return self.reject(
+                kind=ErrorCode.TRANSACTION_LOST, why=f"{result.error.reason}; the commit was never sent"
+            )
+        if result.is_error():
+            return self._unknown(why=f"the answer to the commit was lost: {result.error.reason}")
+        if not result.ok.ran:
+            return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=f"{result.ok.why}; nothing was kept")
+        return await self._acknowledge(request=request, reply=result.ok, term=transaction.term)
+
+    async def _rollback(self, *, request: Request, transaction: Transaction) -> HttpResponse:
+        session = request.bound
+        result = await self._pass_open(request=request, transaction=transaction, step="rollback")
+        # closing the channel rolls back as surely as the word does, so a rollback is always done
+        self._end(session=session, transaction=transaction, result=result)
+        return self.done()
--- a/src/cinderstair/http_frontend/forward_mixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -1,4 +1,4 @@
-"""Sending one job over one channel, and what its answer proves."""
+"""Sends one job over one channel to a backend, and parses the reply."""
 
 import json
 from dataclasses import dataclass
@@ -11,13 +11,14 @@
 from ..runtime.net import Connection
 from .request import Request
 
-# why: these words of a backend say that it has not run the job, so that it may be sent again elsewhere
-NOT_RUN = frozenset(["term", "notLeading", "emptying", "full"])
+FULL = "full"
+# with these reasons a backend says that it has not run the job, so that it may be sent again elsewhere
+NOT_RUN = frozenset(["term", "notLeading", "emptying", FULL])
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What a backend said."""
+    """A backend's reply. `reason` and `why` say why it has not run the job; `wrote`: it changed something."""
 
     ran: bool
     reason: str
@@ -29,6 +30,7 @@
 
 
 def read_reply(*, value: Any) -> Reply:
+    """Parses a reply's JSON; raises one of the built-in errors where it is none."""
     return Reply(
         ran=bool(value["ok"]),
         reason=str(value.get("reason", "")),
@@ -41,11 +43,15 @@
 
 
 class ForwardMixin:
-    """Gives the text of a job to a backend unchanged, with the session's values beside it."""
+    """Sends the text of a job unchanged, with the session's values beside it."""
 
     async def pass_to(
         self, *, connection: Connection, request: Request, step: str, term: int, wait_us: int
     ) -> Result[Reply, CinderstairError]:
+        """Sends one step (`alone`, `begin`, `in`, `commit` or `rollback`) of a term.
+
+        :returns: the reply; an error of the connection, or WIRE_UNSURE where the reply can't be read.
+        """
         prepared = request.body.get("prepared")
         body: dict[str, Any] = {
             "step": step,
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -1,4 +1,4 @@
-"""Hands sessions to another HTTP proxy when this one stops or has to stand empty, and finds those handed on."""
+"""Hands sessions over to another HTTP proxy when this one stops or drains, and finds those handed over."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -56,7 +56,7 @@
         self.membership = membership
         self.sessions = sessions
         self.ready = ready
-        # why: a client that comes back to its old HTTP proxy is told where its session is now
+        # a client that comes back to its old HTTP proxy is told where its session is now
         self.gone: dict[str, str] = {}
         self.reported_us: dict[str, int] = {}
         dispatcher.add_handler(message_type=HANDOVER, handler=self._offered)
@@ -65,20 +65,20 @@
     async def _offered(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
-        # why: an offer that is repeated because its answer was lost finds the session here already
+        # an offer that is repeated because its answer was lost finds the session here already
         known = self.sessions.find(ident=session.ident)
         if known is not None and known.tag.edition >= session.tag.edition:
             return Packer().u8(value=YES).bytes()
         if self.ready.unready() is not None:
             return Packer().u8(value=NO).bytes()
-        # why: a daemon of the first version changes what a session keeps without changing the handle
+        # a daemon of the first version changes what a session keeps without changing the handle
         if unpacker.version == 1 and session.tag != UNMARKED:
             session.was, session.tag = session.tag, session.next(rng=self.ctx.rng)
         self.gone.pop(session.ident, None)
         self.session_replicas.take(ident=session.ident)
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
-        # why: whoever hands it on may end as soon as it hears that it stands here
+        # whoever hands it on may end as soon as it hears that it stands here
         await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
@@ -112,10 +112,10 @@
         return len(self.sessions.open)
 
     async def _hand(self, *, session: Session) -> None:
-        # why: while others were handed on it may have been taken up, or handed on already
+        # while others were handed on it may have been taken up, or handed on already
         if session.busy or session.transaction is not None or session.ident not in self.sessions.open:
             return
-        # why: from here on no job of it is run here, whatever becomes of the offer
+        # from here on no job of it is run here, whatever becomes of the offer
         session.busy = True
 
         def body(version: int) -> bytes:
@@ -141,7 +141,7 @@
 
     def _remember(self, *, ident: str, http: str) -> None:
         self.gone[ident] = http
-        # why: an HTTP proxy that runs for long hands on more sessions than it needs to remember
+        # an HTTP proxy that runs for long hands on more sessions than it needs to remember
         if len(self.gone) > MOST_GONE:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
@@ -152,7 +152,7 @@
         members = self.membership.alive(role="stall")
         known = self.gone.get(handle.ident)
         reported_us = self.reported_us.pop(handle.ident, -REPORTED_US)
-        # why: whoever is back so soon has not found it there, so everyone is asked and not remembered
+        # whoever is back so soon has not found it there, so everyone is asked and not remembered
         if known in [member.http for member in members] and self.ctx.now_us() - reported_us > REPORTED_US:
             self.reported_us[handle.ident] = self.ctx.now_us()
             return Sought(where=str(known))
@@ -168,18 +168,18 @@
             for member in members
         ]
         answers = dict(zip(members, await asyncio.gather(*asks), strict=True))
-        # why: another job of the same session may have taken it over while this one was asking
+        # another job of the same session may have taken it over while this one was asking
         live = self.sessions.find(ident=handle.ident)
         if live is not None and live.known(tag=handle.tag):
             return Sought(session=live)
         for wanted in (YES, COPIED):
-            # why: what is alive elsewhere stays there; of copies our own is the nearest
+            # what is alive elsewhere stays there; of copies our own is the nearest
             if wanted == COPIED and self._fits(handle=handle) == COPIED:
                 return Sought(session=await self._take_over(handle=handle))
             for member, result in answers.items():
                 if result.is_ok() and result.ok == bytes([wanted]):
                     return Sought(where=member.http)
-        # why: asked in the first version nobody tells of copies
+        # asked in the first version nobody tells of copies
         return Sought(
             unsure=any(
                 result.is_error() or self.ctx.peer_client.doubtful(address=member.records)
@@ -189,9 +189,10 @@
 
     async def _take_over(self, *, handle: SessionToken) -> Session:
         session = self.session_replicas.take(ident=handle.ident)
-        assert session is not None
+        if session is None:
+            raise LookupError(f"no replica of session {handle.ident}")
         older = session.tag
-        # why: an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
+        # an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
         # nothing that either does can be taken for the other's
         session.was, session.tag = handle.tag, session.next(rng=self.ctx.rng)
         session.second, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -14,7 +14,7 @@
 from ..failover.window_scheduler import WindowScheduler
 from ..membership.heartbeat import Heartbeat
 from ..membership.heartbeat_table import HeartbeatTable
-from ..membership.member import Member, Standing
+from ..membership.member import Member
 from ..membership.membership import Membership
 from ..runtime.context import Context
 from ..runtime.dispatcher import Dispatcher
@@ -37,7 +37,9 @@
 from .handover import Handover
 from .reject_mixin import RejectMixin
 from .request import Request
+from .request_trace import trace_request
 from .samples import Samples
+from .session_drain import SessionDrain
 from .session_replicas import SessionReplicas
 from .session_replicator import SessionReplicator
 from .sessions import Sessions
@@ -45,17 +47,23 @@
 from .status_page import StatusPage
 from .view import View
 
-TEND_US = 250_000
-LINGER_US = 600_000
-LAST_US = 200_000
+TEND_EVERY_US = 250_000
+DRAIN_POLL_US = 50_000
+# a stopping proxy answers until no client has come for so long; for the last answers at least LAST_ANSWERS_US
+QUIET_US = 600_000
+LAST_ANSWERS_US = 200_000
 
 
 class Filter(Protocol):
-    async def answer(self, *, request: Request) -> HttpResponse | None: ...
+    """One step on a request's way."""
+
+    async def answer(self, *, request: Request) -> HttpResponse | None:
+        """A response ends the request's way; None passes it on to the next filter."""
+        ...
 
 
 class HttpProxy(RejectMixin):
-    """Wires the tables' owners and the chain of filters together."""
+    """Creates the proxy's parts and its chain of filters, answers requests, and drains at a planned stop."""
 
     def __init__(self, *, ctx: Context, settings: Settings) -> None:
         self.ctx = ctx
@@ -75,6 +83,38 @@
             ctx=ctx, dispatcher=self.dispatcher, membership=self.membership
         )
         self.view = View(ctx=ctx, register=self.register)
+        # the order of creation is the order of the timers
+        self._create_backend_parts()
+        self.sessions = Sessions(
+            ctx=ctx, idleTransactionUs=settings.idleTransactionUs, idleSessionUs=settings.idleSessionUs
+        )
+        self._create_duties()
+        self._create_session_parts()
+        self.status = StatusPage(
+            ctx=ctx,
+            view=self.view,
+            membership=self.membership,
+            heartbeat_table=self.heartbeat_table,
+            connection_pools=self.connection_pools,
+            sessions=self.sessions,
+            leads=self.database_failover,
+            session_replicator=self.session_replicator,
+            session_replicas=self.session_replicas,
+        )
+        self.session_drain = SessionDrain(
+            ctx=ctx,
+            view=self.view,
+            membership=self.membership,
+            sessions=self.sessions,
+            ready=self.ready,
+            handover=self.handover,
+        )
+        # when a client last asked for something
+        self.requested_us = 0
+        self.chain = self._chain()
+
+    def _create_backend_parts(self) -> None:
+        ctx, settings = self.ctx, self.settings
         self.connection_pools = ConnectionPools(
             ctx=ctx, view=self.view, heartbeat_table=self.heartbeat_table, queueMost=settings.queueMost
         )
@@ -86,9 +126,10 @@
             ctx=ctx, view=self.view, connection_pools=self.connection_pools, reachability=self.reachability
         )
         self.book = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
-        self.sessions = Sessions(
-            ctx=ctx, idleTransactionUs=settings.idleTransactionUs, idleSessionUs=settings.idleSessionUs
-        )
+
+    def _create_duties(self) -> None:
+        """What one proxy at a time does for all, under a lease each."""
+        ctx, settings = self.ctx, self.settings
         self.proxy_id_reclaimer = ProxyIdReclaimer(
             ctx=ctx, register=self.register, view=self.view, membership=self.membership
         )
@@ -102,6 +143,9 @@
             platform=Platform(ctx=ctx, address=settings.platform),
         )
         self.window_scheduler = WindowScheduler(ctx=ctx, register=self.register, view=self.view)
+
+    def _create_session_parts(self) -> None:
+        ctx = self.ctx
         self.ready = ReadyFilter(ctx=ctx, view=self.view, membership=self.membership)
         self.session_replicas = SessionReplicas(
             ctx=ctx, dispatcher=self.dispatcher, sessions=self.sessions, ready=self.ready
@@ -116,21 +160,6 @@
             session_replicas=self.session_replicas,
             session_replicator=self.session_replicator,
         )
-        self.status = StatusPage(
-            ctx=ctx,
-            view=self.view,
-            membership=self.membership,
-            heartbeat_table=self.heartbeat_table,
-            connection_pools=self.connection_pools,
-            sessions=self.sessions,
-            leads=self.database_failover,
-            session_replicator=self.session_replicator,
-            session_replicas=self.session_replicas,
-        )
-        self.requested_us = 0
-        self.handing = False
-        self.window_held = ""
-        self.chain = self._chain()
 
     def _chain(self) -> tuple[Filter, ...]:
         ctx, view = self.ctx, self.view
@@ -166,24 +195,25 @@
         )
 
     async def start(self) -> Result[None, CinderstairError]:
+        """Listens for other daemons and for clients."""
         await self.ctx.net.listen(address=self.settings.records, answer=self.dispatcher.answer)
         await self.ctx.net.serve(address=self.settings.http, answer=self.answer)
-        self.ctx.timer(every_us=TEND_US).subscribe(lambda _: self._tend())
+        self.ctx.timer(every_us=TEND_EVERY_US).subscribe(lambda _: self._tend())
         self.ctx.log.info("HTTP proxy %s at %s", self.settings.name, self.settings.http)
         return Ok(None)
 
     async def answer(self, http: HttpRequest) -> HttpResponse:
-        """The way of a job: each filter may answer, and the first answer counts."""
+        """Passes a request through the filters; the first response counts."""
         request = Request(http=http, start_us=self.ctx.now_us())
         try:
             for each in self.chain:
                 response = await each.answer(request=request)
                 if response is not None:
-                    self._trace(request=request, response=response)
-                    return self._parting(response=response)
+                    trace_request(ctx=self.ctx, request=request, response=response)
+                    return self._close_if_leaving(response=response)
             return self.reject(kind=ErrorCode.UNKNOWN_PATH, why="nobody answers for this")
         except Exception as error:  # noqa: BLE001
-            # why: one job that breaks must not take others with it, and it may have reached a backend
+            # one job that breaks must not take others with it, and it may have reached a backend
             self.ctx.crash(where=f"job {request.verb}", error=error)
             return self.reject(kind=ErrorCode.INTERNAL, why="an error of ours; it is logged")
         finally:
@@ -192,93 +222,56 @@
             if request.session_id or request.verb == "open":
                 self.requested_us = self.ctx.now_us()
 
-    def _trace(self, *, request: Request, response: HttpResponse) -> None:
-        traces = self.ctx.traces
-        # why: beats and the platform's questions would bury the jobs
-        if traces is None or not request.session_id:
-            return
-        took_us = self.ctx.now_us() - request.start_us
-        attributes: dict[str, str | int] = {
-            "cinderstair.kind": request.kind,
-            "cinderstair.site": self.ctx.site,
-            "cinderstair.database": "" if request.session is None else request.session.database,
-            "http.response.status_code": response.status,
-        }
-        traces.span(
-            name=request.verb,
-            wall_us=self.ctx.wall_us() - took_us,
-            took_us=took_us,
-            attributes=attributes,
-            failed=response.status >= 500,
-        )
-
-    def _parting(self, *, response: HttpResponse) -> HttpResponse:
-        # why: a client told to close its connection now will not find it closed under its next job
+    def _close_if_leaving(self, *, response: HttpResponse) -> HttpResponse:
+        # a client told to close its connection now will not find it closed under its next job
         if not self.ready.leaving:
             return response
         return replace(response, headers={**response.headers, "Connection": "close"})
 
-    def _obey_window(self) -> None:
-        """Stands empty while an open window wants it, as long as another HTTP proxy that stays can serve."""
-        why = self.view.leaving.why(name=self.ctx.name)
-        staying = [
-            name
-            for _, name in self.view.proxy_ids.names
-            if name not in self.view.leaving.http_proxies and name != self.ctx.name
-            if self.membership.standing(name=name) == Standing.alive
-        ]
-        # why: a window never leaves nobody to serve; without another HTTP proxy this one stays, or comes back
-        wanted = why if staying else ""
-        self.window_held = f"{why} holds back: no other HTTP proxy stays" if why and not staying else ""
-        if wanted != self.ready.emptied_by:
-            self.ctx.log.info("emptied by %s" if wanted else "no longer emptied%s", wanted)
-            self.ready.emptied_by = wanted
-        # why: also where the platform has said so, since it may end this process as soon as it stands empty
-        if self.ready.leaving and self.sessions.open and not self.handing:
-            self.handing = True
-            self.ctx.spawn(work=self._hand_on(), name="hand.on")
-
-    async def _hand_on(self) -> None:
-        try:
-            await self.handover.hand_all()
-        finally:
-            self.handing = False
+    @property
+    def window_held(self) -> str:
+        """Why an open window can't empty this proxy; empty where nothing holds it back."""
+        return self.session_drain.held_back
 
     def _tend(self) -> None:
         if self.ready.blind != self.reachability.blind:
             self.ctx.log.warning("reaches no backend" if self.reachability.blind else "reaches backends again")
             self.ready.blind = self.reachability.blind
-        self._obey_window()
+        self.session_drain.follow_windows()
         if self.ctx.traces is not None:
             self.ctx.traces.flush()
+        self._claim_proxy_id()
+        self._abandon_unreachable()
+
+    def _claim_proxy_id(self) -> None:
         if self.view.current and self.view.proxy_ids.id_of(name=self.ctx.name) is None and not self.ready.draining:
             self.proxy_id_reclaimer.post(
                 command=lambda: self.proxy_id_reclaimer.claim(name=self.ctx.name), once="claim"
             )
+
+    def _abandon_unreachable(self) -> None:
+        """Ends transactions on backends that have to be left, before anything more is sent there."""
         for session in list(self.sessions.open.values()):
             transaction = session.transaction
-            # why: a transaction on a backend that has to be left is ended before anything more reaches it
-            if (
-                transaction is not None
-                and not session.busy
-                and not self.connection_pools.reachable(name=transaction.pool.name)
-            ):
+            if transaction is None or session.busy:
+                continue
+            if not self.connection_pools.reachable(name=transaction.pool.name):
                 self.sessions.abandon(session=session)
 
     async def drain(self) -> None:
-        """A planned stop: takes nothing new, lets what is under way finish, then deregisters."""
+        """A planned stop: hands the sessions over, answers what is under way, then deregisters."""
         self.ready.draining = True
         until_us = self.ctx.now_us() + self.settings.drainWaitUs
-        # why: copies are held for others, who need a moment to place them elsewhere, or are gone themselves
+        # copies are held for others, who need a moment to place them elsewhere, or are gone themselves
         while (await self.handover.hand_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
             self.session_replicas.adopt()
-            await self.ctx.sleep(duration_us=50_000)
-        # why: who comes from now on finds nobody and goes elsewhere at once; who is in already is still answered
+            await self.ctx.sleep(duration_us=DRAIN_POLL_US)
+        # who comes from now on finds nobody and goes elsewhere at once; who is in already is still answered
         await self.ctx.net.refuse()
-        self.requested_us = max(self.requested_us, self.ctx.now_us() - LINGER_US + LAST_US)
-        # why: clients that still come are told where their sessions are; the end waits until none has for a while
-        while self.ctx.now_us() < min(until_us, self.requested_us + LINGER_US):
-            await self.ctx.sleep(duration_us=50_000)
+        self.requested_us = max(self.requested_us, self.ctx.now_us() - QUIET_US + LAST_ANSWERS_US)
+        # clients that still come are told where their sessions are; the end waits until none has for a while
+        while self.ctx.now_us() < min(until_us, self.requested_us + QUIET_US):
+            await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         await asyncio.gather(
             self.database_failover.lease.drop(),
             self.proxy_id_reclaimer.lease.drop(),
@@ -290,7 +283,7 @@
             self.ctx.traces.flush()
 
     def resettle(self, *, settings: Settings) -> None:
-        """Takes the settings that may change while the process runs."""
+        """Takes over the settings that may change while the process runs."""
         self.settings = settings
         self.sessions.idleTransactionUs = settings.idleTransactionUs
         self.sessions.idleSessionUs = settings.idleSessionUs
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -1,4 +1,4 @@
-"""One HTTP proxy's channels to one backend."""
+"""One HTTP proxy's connections (channels) to one backend."""
 
 import asyncio
 from collections import deque
@@ -10,10 +10,14 @@
 from ..runtime.net import Connection
 
 DIAL_WAIT_US = 400_000
-IDLE_US = 45_000_000
-ERRORS_US = 10_000_000
+# idle channels are not used again after this
+MAX_IDLE_US = 45_000_000
+# how long an error counts in the weight, and as how many jobs
+ERROR_MEMORY_US = 10_000_000
 ERROR_WEIGHT = 4
+# how long a backend is not dialled after a failure to connect
 SHUN_US = 500_000
+MIN_RETRY_US = 100_000
 
 
 class Pool:
@@ -37,25 +41,28 @@
 
     @property
     def open(self) -> int:
+        """How many channels exist, in use or idle."""
         return self.taken + len(self.idle)
 
     @property
     def weight(self) -> int:
         """Least is best: jobs under way and waiting, and each recent error counts as several."""
         now_us = self.ctx.now_us()
-        while self.errors and self.errors[0] < now_us - ERRORS_US:
+        while self.errors and self.errors[0] < now_us - ERROR_MEMORY_US:
             self.errors.popleft()
         return self.taken + len(self.waiting) + ERROR_WEIGHT * len(self.errors)
 
     @property
     def shunned(self) -> bool:
+        """Whether the last connection failed moments ago."""
         return self.ctx.now_us() < self.shun_until_us
 
     def blame(self) -> None:
+        """Records an error of the backend, which adds to its weight for a while."""
         self.errors.append(self.ctx.now_us())
 
     def _room(self, *, gauge: bool) -> bool:
-        # why: a gauge that waits behind jobs would make every freshness promise wait with it
+        # a gauge that waits behind jobs would make every freshness promise wait with it
         spare = 0 if gauge or self.limit < 2 else 1
         return self.taken < self.limit - spare
 
@@ -68,10 +75,10 @@
         entered_us = self.ctx.now_us()
         if not self._room(gauge=gauge):
             expected_us = self._expected_us(gauge=gauge)
-            # why: who is not likely to be served in time is told so now, and when to come back, not when it is too
+            # who is not likely to be served in time is told so now, and when to come back, not when it is too
             # late; twice the expected wait, since jobs differ widely
             if len(self.waiting) >= self.queueMost or wait_us <= 2 * (expected_us + self._hold_us()):
-                details = {"retryAfterUs": max(100_000, expected_us)}
+                details = {"retryAfterUs": max(MIN_RETRY_US, expected_us)}
                 return Error(
                     CinderstairError(
                         code=ErrorCode.OVERLOADED, reason=f"{self.name}: too many wait already", details=details
@@ -100,7 +107,7 @@
                 return Error(
                     CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.name}: left this HTTP proxy's share")
                 )
-            # why: what would most likely run out of time at the backend is better not sent, while nothing is kept
+            # what would most likely run out of time at the backend is better not sent, while nothing is kept
             if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
                 self._wake()
                 return Error(
@@ -111,7 +118,7 @@
         self.taken += 1
         while self.idle:
             connection, since_us = self.idle.pop()
-            if connection.open and self.ctx.now_us() - since_us < IDLE_US:
+            if connection.open and self.ctx.now_us() - since_us < MAX_IDLE_US:
                 return self._out(connection=connection)
             self._shut(connection=connection)
         return await self._dial(wait_us=wait_us)
@@ -150,7 +157,7 @@
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
         _, since_us = self.out.pop(id(connection), (None, 0))
         if since_us:
-            # why: a sliding mean, in which one long transaction does not count for a membership
+            # a sliding mean, in which one long transaction does not count for a membership
             self.held_us += (self.ctx.now_us() - since_us - self.held_us) // 4
         if keep and connection.open and self.open <= self.limit:
             self.idle.append((connection, self.ctx.now_us()))
@@ -175,13 +182,15 @@
         self.ctx.counters.add(name="channels.closed")
 
     def resize(self, *, limit: int) -> None:
+        """Changes how many channels may exist; at 0 whoever waits is refused."""
         self.limit = limit
-        # why: idle channels go at once; those at work go when they are given back
+        # idle channels go at once; those at work go when they are given back
         while self.idle and self.open > limit:
             self._shut(connection=self.idle.popleft()[0])
         self._wake()
 
     def shut_idle(self) -> None:
+        """Closes the idle channels."""
         while self.idle:
             self._shut(connection=self.idle.popleft()[0])
 
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -1,4 +1,4 @@
-"""Asks backends how far they are."""
+"""Asks backends for their positions in the log."""
 
 import json
 from dataclasses import dataclass
@@ -29,7 +29,8 @@
 ) -> Result[BackendPosition, CinderstairError]:
     """One question to one backend, over its pool's spare channel; the backend may hold it for a while.
 
-    The steward asks `direct`: also where its own HTTP proxy's share has no channels, or the news call it unfit.
+    :param at_least: the backend answers once it has received this position, or after `hold_us`.
+    :param direct: also where the share has no channels to the backend, or its heartbeats call it unfit.
     """
     pool = connection_pools.pool(name=name)
     if pool is None or not (direct or connection_pools.reachable(name=name)):
@@ -68,6 +69,7 @@
 
 
 def read_answer(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
+    """Parses an answer; WIRE_UNSURE where it is no position."""
     try:
         value = response.json()
         reading = BackendPosition(
--- a/src/cinderstair/http_frontend/reject_mixin.py
+++ b/src/cinderstair/http_frontend/reject_mixin.py
@@ -1,4 +1,4 @@
-"""Answers from the one table."""
+"""Responses of the HTTP proxy: `done`, and errors by the table of `error_responses`."""
 
 from typing import Any
 
@@ -9,16 +9,20 @@
 
 
 class RejectMixin:
-    """Gives a filter the words for everything that is not done."""
+    """Gives a filter its responses; each is counted."""
 
     ctx: Context
 
     def reject(self, *, kind: ErrorCode, why: str, details: dict[str, Any] | None = None) -> HttpResponse:
+        """An error response.
+
+        :param details: further fields; `retryAfterUs` also replaces the table's.
+        """
         answer = ERROR_RESPONSES[kind]
         self.ctx.counters.add(name=f"answers.{kind.value}")
         value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": why}
         headers = {}
-        # why: whoever may come back is told when, at once, instead of being held until then
+        # whoever may come back is told when, at once, instead of being held until then
         if answer.retry_after_us:
             retry_us = int((details or {}).get("retryAfterUs", answer.retry_after_us))
             value["retryAfterUs"] = retry_us
@@ -26,8 +30,10 @@
         return json_response(status=answer.status, value={**value, **(details or {})}, headers=headers)
 
     def reject_with(self, *, fault: CinderstairError) -> HttpResponse:
+        """The response of an error value."""
         return self.reject(kind=fault.code, why=fault.reason, details=fault.details)
 
     def done(self, *, value: dict[str, Any] | None = None, status: int = 200) -> HttpResponse:
+        """A response of a job that was done, with further fields."""
         self.ctx.counters.add(name="answers.done")
         return json_response(status=status, value={"outcome": "done", **(value or {})})
--- a/src/cinderstair/http_frontend/replica_watermark.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -1,4 +1,4 @@
-"""How far one replica has durably received the log, and who waits for it to get further."""
+"""How far one replica has durably received the log, and the commits that wait for it to get further."""
 
 import asyncio
 
@@ -24,9 +24,11 @@
         self.changed = asyncio.Event()
 
     def covers(self, *, term: int, position: int) -> bool:
+        """Whether the replica is known to hold a position of a term."""
         return self.term == term and self.received >= position
 
     def want(self, *, term: int, position: int) -> None:
+        """Has the replica asked until it covers a position; `changed` is set at each answer."""
         self.wanted.append((term, position))
         if not self.asking:
             self.asking = True
@@ -39,13 +41,13 @@
     async def _ask(self) -> None:
         misses = 0
         try:
-            # why: a replica that does not answer is the steward's to drop; the commits have their own limits
+            # a replica that does not answer is the steward's to drop; the commits have their own limits
             while (position := self._still_wanted()) and misses < 20:
                 reading = await query_position(
                     connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
                 )
                 if reading.is_ok():
-                    # why: a position counts only within its own term, so both are replaced together
+                    # a position counts only within its own term, so both are replaced together
                     self.term, self.received = reading.ok.term, reading.ok.received
                     self.changed.set()
                     self.changed = asyncio.Event()
--- /dev/null
+++ b/src/cinderstair/http_frontend/request_trace.py
@@ -0,0 +1,28 @@
+"""Trace spans of the HTTP proxy's requests."""
+
+from ..runtime.context import Context
+from ..runtime.http_response import HttpResponse
+from .request import Request
+
+# the first status that counts as a failure of the proxy's side
+FIRST_SERVER_ERROR = 500
+
+
+def trace_request(*, ctx: Context, request: Request, response: HttpResponse) -> None:
+    """Records a span where traces are on; of sessions' requests only, since heartbeats and probes would bury them."""
+    if ctx.traces is None or not request.session_id:
+        return
+    took_us = ctx.now_us() - request.start_us
+    attributes: dict[str, str | int] = {
+        "cinderstair.kind": request.kind,
+        "cinderstair.site": ctx.site,
+        "cinderstair.database": "" if request.session is None else request.session.database,
+        "http.response.status_code": response.status,
+    }
+    ctx.traces.span(
+        name=request.verb,
+        wall_us=ctx.wall_us() - took_us,
+        took_us=took_us,
+        attributes=attributes,
+        failed=response.status >= FIRST_SERVER_ERROR,
+    )
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -43,6 +43,7 @@
             self.ctx.spawn(work=self.sample(database=database), name="sample")
 
     async def sample(self, *, database: str) -> None:
+        """Asks the primary of a database for its position, and keeps the answer as a sample."""
         lead = self.view.lead(database=database)
         if lead is None or not lead.serves:
             return
@@ -50,7 +51,7 @@
         reading = await query_position(connection_pools=self.connection_pools, name=lead.primary)
         if reading.is_error() or not reading.ok.leads or reading.ok.term != lead.term:
             return
-        # why: only while nobody else can have been made to lead is the primary's position the newest
+        # only while nobody else can have been made to lead is the primary's position the newest
         if not self.view.current or not self._same(database=database, lead=lead):
             return
         self.reachability.seen()
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -37,13 +37,14 @@
     transaction: Transaction | None = None
     lost: bool = False
     tag: Tag = UNMARKED
-    # why: the state before the last change is the one that a client knows whose answer was lost
+    # the state before the last change is the one that a client knows whose answer was lost
     was: Tag = UNMARKED
     second: str = ""
     taken_us: int = 0
 
     @property
     def handle(self) -> str:
+        """The text that the client is given: the name with the newest tag."""
         return str(SessionToken(self.ident, self.tag))
 
     def next(self, *, rng: random.Random) -> Tag:
@@ -55,7 +56,8 @@
         return tag in (self.tag, self.was)
 
     def write(self, *, packer: Packer, version: int, now_us: int) -> Packer:
-        # why: a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
+        """Writes the session as a record of a version."""
+        # a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
         packer.text(value=self.handle if version == 1 else self.ident).text(value=self.database)
         packer.text(value=json.dumps(self.values)).text(value=json.dumps(self.prepared)).u64(value=self.floor)
         if version > 1:
@@ -66,7 +68,10 @@
 
 
 def read_session(*, unpacker: Unpacker, now_us: int) -> Session:
-    """Raises ValueError where the record is none of ours."""
+    """Reads a record of a session.
+
+    :raises ValueError: where it is none.
+    """
     ident, database = unpacker.text(), unpacker.text()
     values, prepared = json.loads(unpacker.text()), json.loads(unpacker.text())
     if not isinstance(values, dict) or not isinstance(prepared, dict):
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -50,7 +50,7 @@
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
-        # why: what leaves or has the session itself is no second place, and a late copy must not undo a newer one
+        # what leaves or has the session itself is no second place, and a late copy must not undo a newer one
         older = known is not None and known.session.tag.edition > session.tag.edition
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
@@ -66,7 +66,7 @@
         now_us = self.ctx.now_us()
         self.seen_us[owner] = now_us
         for ident, replica in list(self.held.items()):
-            # why: a copy that was sent after the list was written is not on it
+            # a copy that was sent after the list was written is not on it
             if replica.owner == owner and ident not in named and replica.number <= up_to:
                 del self.held[ident]
         lacking = []
@@ -75,7 +75,7 @@
             if held is None or held.owner != owner or held.session.tag.edition < edition:
                 lacking.append(ident)
             else:
-                # why: its owner vouches for it; only when nobody does any more its age counts
+                # its owner vouches for it; only when nobody does any more its age counts
                 held.session.used_us = now_us
         packer = Packer().u8(value=int(self.ready.leaving))
         return packer.many(values=lacking, each=lambda p, ident: p.text(value=ident)).bytes()
@@ -85,7 +85,7 @@
         owner, ident, edition = unpacker.u64(), unpacker.text(), unpacker.u64()
         unpacker.done()
         held, live = self.held.get(ident), self.sessions.find(ident=ident)
-        # why: an owner that has handed it on speaks of its own copy, and not of the next owner's
+        # an owner that has handed it on speaks of its own copy, and not of the next owner's
         if held is not None and owner in (held.owner, ANYONE) and held.session.tag.edition <= edition:
             del self.held[ident]
         if live is not None and owner == ANYONE and live.tag.edition <= edition:
@@ -115,7 +115,7 @@
     def _sweep(self) -> None:
         now_us = self.ctx.now_us()
         for ident, replica in list(self.held.items()):
-            # why: its owner may be long gone, and its client as well
+            # its owner may be long gone, and its client as well
             if now_us - replica.session.used_us > self.sessions.idleSessionUs:
                 del self.held[ident]
         owners = {replica.owner for replica in self.held.values()}
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -17,7 +17,7 @@
 REPLICA_WAIT_US = 300_000
 TOUCH_EVERY_US = 1_000_000
 TOUCH_WAIT_US = 500_000
-# why: few enough that an HTTP proxy's touches don't grow with the fleet, enough that a lost HTTP proxy's clients
+# few enough that an HTTP proxy's touches don't grow with the fleet, enough that a lost HTTP proxy's clients
 # spread
 SECONDS = 3
 MEND_MOST = 64
@@ -36,7 +36,7 @@
         self.ctx = ctx
         self.membership = membership
         self.sessions = sessions
-        # why: an HTTP proxy that was started again has none of its sessions, and must not be taken for its former
+        # an HTTP proxy that was started again has none of its sessions, and must not be taken for its former
         # self
         self.run = ctx.rng.getrandbits(62) | 1
         self.touched: set[str] = set()
@@ -96,7 +96,7 @@
         finally:
             self.under_way.discard(number)
         stands = result.is_ok() and result.ok == bytes([YES])
-        # why: one that leaves, or stands empty for a window, would be tried in vain again and again
+        # one that leaves, or stands empty for a window, would be tried in vain again and again
         if not stands:
             self.refused_us[member.name] = self.ctx.now_us()
         self.ctx.counters.add(name="copies.sent" if stands else "copies.failed")
@@ -137,13 +137,13 @@
                 by[session.second].append(session)
             else:
                 session.second = ""
-        # why: one that has no session of ours any more must hear that once, or it would keep its copies
+        # one that has no session of ours any more must hear that once, or it would keep its copies
         self.touched &= set(members)
         requested = [name for name, sessions in by.items() if sessions or name in self.touched]
         await asyncio.gather(*(self._ask(member=members[name], sessions=by[name]) for name in requested))
         alone = [session for session in self.sessions.open.values() if not session.second and not session.busy]
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
-        # why: at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
+        # at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
         if members:
             await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MEND_MOST]))
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.alone)
@@ -155,7 +155,7 @@
         result = await self.ctx.peer_client.request(
             address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US
         )
-        # why: silence proves nothing; when it lasts the member is removed, and its sessions get another place
+        # silence proves nothing; when it lasts the member is removed, and its sessions get another place
         if result.is_error():
             return
         self.touched.discard(member.name)
--- a/src/cinderstair/http_frontend/session_token.py
+++ b/src/cinderstair/http_frontend/session_token.py
@@ -20,11 +20,13 @@
         return f"{self.edition}-{self.mark}"
 
 
-# why: a session that came from a daemon which knows no handles goes by its name alone until its first change
+# a session that came from a daemon which knows no handles goes by its name alone until its first change
 UNMARKED = Tag(0, "")
 
 
 class SessionToken(NamedTuple):
+    """A session's name and the state that the client knows; its text is what clients send."""
+
     ident: str
     tag: Tag
 
@@ -33,6 +35,7 @@
 
 
 def parse_session_token(*, text: str) -> SessionToken:
+    """Parses a client's text; one without a tag is a name alone."""
     match = SHAPE.match(text)
     if match is None:
         return SessionToken(text, UNMARKED)
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -7,7 +7,7 @@
 from .session import Session
 
 SWEEP_US = 500_000
-MOST_SESSIONS = 20_000
+MAX_SESSIONS = 20_000
 
 
 class Sessions(CommandQueueMixin):
@@ -23,9 +23,10 @@
         self.every(every_us=SWEEP_US, command=self._sweep, name="sweep")
 
     def add(self, *, database: str) -> Session | None:
-        if len(self.open) >= MOST_SESSIONS:
+        """Opens a session; None where MAX_SESSIONS are open."""
+        if len(self.open) >= MAX_SESSIONS:
             return None
-        # why: a session's name is its key; nobody may guess another's
+        # a session's name is its key; nobody may guess another's
         ident = f"{self.ctx.name}.{self.ctx.rng.getrandbits(96):024x}"
         session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
         session.tag = session.next(rng=self.ctx.rng)
@@ -33,9 +34,11 @@
         return session
 
     def find(self, *, ident: str) -> Session | None:
+        """The open session of a name; None where there is none."""
         return self.open.get(ident)
 
     def close(self, *, session: Session) -> None:
+        """Closes a session, with its transaction, and publishes that on `closed`."""
         self.open.pop(session.ident, None)
         self.abandon(session=session)
         self.closed.on_next(session)
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -37,7 +37,7 @@
             reading = await query_position(connection_pools=self.connection_pools, name=name)
         finally:
             self.asking.discard(name)
-        # why: a slow statement is no sign of anything while its backend still answers other questions
+        # a slow statement is no sign of anything while its backend still answers other questions
         if reading.is_ok() or reading.error.code not in (ErrorCode.WIRE_UNSURE, ErrorCode.WIRE_UNSENT):
             self.misses.pop(name, None)
             return
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -1,4 +1,4 @@
-"""What an HTTP proxy tells operators of itself and of the system as it sees it."""
+"""The status page: an HTTP proxy's state, and the system's as this proxy sees it."""
 
 from typing import Any
 
@@ -14,6 +14,8 @@
 
 
 class StatusPage:
+    """Collects the fields of `GET /status`."""
+
     def __init__(
         self,
         *,
@@ -38,6 +40,7 @@
         self.leads = leads
 
     def value(self) -> dict[str, Any]:
+        """The page, as JSON values."""
         configuration, roster = self.view.configuration, self.view.register.roster
         return {
             "stall": self.ctx.name,
@@ -76,7 +79,7 @@
         }
 
     def held(self) -> dict[str, str]:
-        """Why anything can't go on, as far as this HTTP proxy's duties know."""
+        """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
         held = {database: why for database, why in self.leads.reasons.items() if why}
         return {**held, **self.leads.sync_holds, **self.leads.window_holds}
 
--- a/src/cinderstair/http_frontend/subsetting.py
+++ b/src/cinderstair/http_frontend/subsetting.py
@@ -6,13 +6,14 @@
 
 
 def rank(*, seed: int, name: str) -> bytes:
-    """A name's place in one round's order, the same on every machine and in every version of Python."""
+    """A name's sort key in one round's order, the same on every machine and in every version of Python."""
     return hashlib.sha256(b"cinderstair share %d/" % seed + name.encode()).digest()
 
 
 @lru_cache(maxsize=4096)
 def allocated(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
-    # why: drawing a rank for each name shuffles as well as swapping does, and leaves all other names in
+    """`shuffled`, cached."""
+    # drawing a rank for each name shuffles as well as swapping does, and leaves all other names in
     # their order when one is listed or struck off, so that a change of the list moves few channels
     return tuple(sorted(names, key=lambda name: (rank(seed=seed, name=name), name)))
 
@@ -23,7 +24,8 @@
 
 
 def subset_count(*, listed: int, subset_size: int) -> int:
-    # why: a list shorter than a subset is still one subset, or its backends would serve nobody
+    """How many subsets one round of a list makes."""
+    # a list shorter than a subset is still one subset, or its backends would serve nobody
     return max(1, listed // subset_size) if subset_size > 0 else 0
 
 
@@ -57,7 +59,7 @@
     count = subset_count(listed=len(names), subset_size=subset_size)
     order = shuffled(names=names, seed=http_proxy_id // count)
     _, end = bounds(listed=len(names), count=count, index=http_proxy_id % count)
-    # why: going on from the subset's own end gives each subset of a round another replacement first
+    # going on from the subset's own end gives each subset of a round another replacement first
     spare = [name for name in (*order[end:], *order[:end]) if name not in own and name not in unfit]
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
 
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -1,4 +1,4 @@
-"""An HTTP proxy's view of the register: the configuration, the slots, the windows and the leads."""
+"""An HTTP proxy's view of the register: the configuration, the proxy ids, the windows and the leads."""
 
 from ..config.check import check_configuration
 from ..config.configuration import Configuration
@@ -35,7 +35,7 @@
         elif key == WINDOWS_KEY:
             self.window_states = read_window_states(data=value)
             self.ctx.log.info("windows: %s", ", ".join(f"{n} {s.name}" for n, _, _, s in self.window_states.stages))
-            self._reckon()
+            self._compute_leaving()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
             before, lead = self.leads.get(database), read_database_primary(data=value)
@@ -49,7 +49,7 @@
 
     def _apply_configuration(self, *, raw: bytes) -> bool:
         checked = check_configuration(raw=raw)
-        # why: a configuration that this version can't read is not in force here, so the view can't be current
+        # a configuration that this version can't read is not in force here, so the view can't be current
         if checked.is_error():
             self.ctx.counters.add(name="view.unreadable")
             self.ctx.log.error("accepted configuration can't be read here: %s", checked.error.reason)
@@ -58,12 +58,13 @@
             self.ctx.counters.add(name="view.backwards")
             return False
         self.configuration = checked.ok
-        self._reckon()
+        self._compute_leaving()
         self.ctx.log.info("configuration %d in force", checked.ok.version)
         return True
 
-    def _reckon(self) -> None:
+    def _compute_leaving(self) -> None:
         self.leaving = leaving(configuration=self.configuration, states=self.window_states)
 
     def lead(self, *, database: str) -> DatabasePrimary | None:
+        """The lead of a database; None where none has been elected."""
         return self.leads.get(database)
