--- a/src/cinderstair/http_frontend/backend_reachability.py
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -1,4 +1,4 @@
-"""Whether this HTTP proxy reaches any backend at all, though the news call some of them fit."""
+"""Whether this HTTP proxy reaches any backend at all, though the heartbeats call some of them fit."""
 
 from ..membership.heartbeat_table import HeartbeatTable
 from ..runtime.command_queue import CommandQueueMixin
@@ -6,7 +6,8 @@
 from .connection_pools import ConnectionPools
 from .position_query import query_position
 
-LOOK_EVERY_US = 500_000
+CHECK_EVERY_US = 500_000
+# without an answer for so long, this proxy counts as cut off from all backends
 BLIND_US = 4_000_000
 
 
@@ -21,34 +22,34 @@
         self.connection_pools = connection_pools
         self.heartbeat_table = heartbeat_table
         self.seen_us = ctx.now_us()
-        self.looked_us = ctx.now_us()
+        self.checked_us = ctx.now_us()
         self.open_queue()
-        self.every(every_us=LOOK_EVERY_US, command=self._look, name="sight")
+        self.every(every_us=CHECK_EVERY_US, command=self._check, name="sight")
 
     @property
     def blind(self) -> bool:
         """Whether no backend has answered for BLIND_US."""
-        # a process that stood still has seen nothing meanwhile, which is no sign of anything
-        return self.looked_us - self.seen_us > BLIND_US
+        # measured between checks: a process that stood still has received nothing meanwhile, which proves nothing
+        return self.checked_us - self.seen_us > BLIND_US
 
     def seen(self) -> None:
         """Records that a backend has answered just now."""
         self.seen_us = max(self.seen_us, self.ctx.now_us())
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         now_us = self.ctx.now_us()
-        if now_us - self.looked_us > 2 * LOOK_EVERY_US:
-            self.seen_us += now_us - self.looked_us
-        self.looked_us = now_us
+        if now_us - self.checked_us > 2 * CHECK_EVERY_US:
+            self.seen_us += now_us - self.checked_us
+        self.checked_us = now_us
         fit = [
             name
             for name in self.connection_pools.pools
             if self.heartbeat_table.fit(name=name) and self.connection_pools.open(name=name)
         ]
-        # where the news call nobody fit there is nobody to be seen
+        # where no backend is fit, none can answer
         if not fit:
             self.seen()
-        elif now_us - self.seen_us > LOOK_EVERY_US:
+        elif now_us - self.seen_us > CHECK_EVERY_US:
             self.ctx.spawn(work=self._ask(name=self.ctx.rng.choice(fit)), name="sight.ask")
 
     async def _ask(self, *, name: str) -> None:
--- a/src/cinderstair/http_frontend/commit_watermarks.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -7,7 +7,8 @@
 from .replica_watermark import ReplicaWatermark
 from .view import View
 
-LOOK_AGAIN_US = 50_000
+# the lead and the view are looked at this often while a commit waits
+RECHECK_US = 50_000
 
 
 class CommitWatermarks:
@@ -31,7 +32,10 @@
         return self.view.current and lead is not None and lead.term == term and lead.serves
 
     async def durable(self, *, database: str, term: int, position: int, until_us: int) -> bool:
-        """Waits until every in-sync and joining replica holds the position and the term is still in force."""
+        """Waits until every in-sync and joining replica holds a position.
+
+        :returns: whether they do, in a term that is still in force; false at `until_us`.
+        """
         requested: set[str] = set()
         while True:
             lead = self.view.lead(database=database)
@@ -51,7 +55,7 @@
                 if name not in requested or not self.line(name=name).asking:
                     requested.add(name)
                     self.line(name=name).want(term=term, position=position)
-            await self._change(names=missing, wait_us=min(left_us, LOOK_AGAIN_US))
+            await self._change(names=missing, wait_us=min(left_us, RECHECK_US))
 
     async def _change(self, *, names: list[str], wait_us: int) -> None:
         waits = [self.ctx.spawn(work=self._one(name=name, wait_us=wait_us), name="line") for name in names]
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -12,9 +12,10 @@
 from .subsetting import allotment, with_replacements
 from .view import View
 
-TIMER_PERIOD_US = 250_000
+REFRESH_EVERY_US = 250_000
 # growth waits until every HTTP proxy has either shrunk or lost its view, so the cap holds in between
 GROW_MARGIN_US = 300_000
+# what is under way at a backend goes on for so long after it has become unfit
 UNFIT_GRACE_US = 3_000_000
 
 
@@ -36,7 +37,7 @@
         self.inputs: object = None
         self.open_queue()
         view.changes.subscribe(lambda _: self.post(command=self.refresh, once="refresh"))
-        self.every(every_us=TIMER_PERIOD_US, command=self.refresh, name="refresh")
+        self.every(every_us=REFRESH_EVERY_US, command=self.refresh, name="refresh")
 
     def pool(self, *, name: str) -> Pool | None:
         """The pool of a backend; None where it isn't configured."""
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -4,7 +4,7 @@
 from ...runtime.errors import ErrorCode
 from ...runtime.http_response import HttpResponse
 from ..reject_mixin import RejectMixin
-from ..request import MOST_TIME_LEFT_US, Request
+from ..request import MAX_TIME_LEFT_US, Request
 
 TIMED = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
 
@@ -22,7 +22,7 @@
         left = request.body.get("timeLeftUs")
         if left is None:
             return self.reject(kind=ErrorCode.TIME_LEFT_MISSING, why="timeLeftUs is needed: whole microseconds")
-        if not isinstance(left, int) or isinstance(left, bool) or left > MOST_TIME_LEFT_US:
+        if not isinstance(left, int) or isinstance(left, bool) or left > MAX_TIME_LEFT_US:
             return self.reject(
                 kind=ErrorCode.MALFORMED, why="timeLeftUs: whole microseconds, ten minutes at the most"
             )
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -18,18 +18,26 @@
 from .session_token import UNMARKED, SessionToken, Tag, parse_session_token
 from .sessions import Sessions
 
-HAND_WAIT_US = 600_000
+OFFER_WAIT_US = 600_000
 SEEK_WAIT_US = 400_000
-TRIES = 3
-AT_ONCE = 16
+# HTTP proxies that a session is offered to, and how often to each
+MAX_ATTEMPTS = 3
+# sessions that are handed over at the same time
+MAX_CONCURRENT = 16
+# answers: not here; here and in service; here as a replica
 NO, YES, COPIED = 0, 1, 2
-MOST_GONE = 60_000
-REPORTED_US = 3_000_000
+# sessions whose new proxy is remembered
+MAX_REMEMBERED = 60_000
+# a client that is back sooner hasn't found its session at the proxy that it was referred to
+REFERRED_US = 3_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sought:
-    """What came of looking for a session: where it is, or itself; or nothing, surely or not."""
+    """The result of a search: the address of the proxy that has the session, or the session, or neither.
+
+    `unsure`: some proxies that may have it have not answered.
+    """
 
     where: str = ""
     session: Session | None = None
@@ -37,7 +45,7 @@
 
 
 class Handover:
-    """A session is taken out of service here before it is offered, and its client is told of one place only."""
+    """A session is taken out of service here before it is offered, so that one proxy at a time runs its requests."""
 
     def __init__(
         self,
@@ -56,9 +64,9 @@
         self.membership = membership
         self.sessions = sessions
         self.ready = ready
-        # a client that comes back to its old HTTP proxy is told where its session is now
+        # by session: the address of the HTTP proxy it was handed to, for clients that come back here
         self.gone: dict[str, str] = {}
-        self.reported_us: dict[str, int] = {}
+        self.referred_us: dict[str, int] = {}
         dispatcher.add_handler(message_type=HANDOVER, handler=self._offered)
         dispatcher.add_handler(message_type=SEEK, handler=self._sought)
 
@@ -78,8 +86,8 @@
         self.session_replicas.take(ident=session.ident)
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
-        # whoever hands it on may end as soon as it hears that it stands here
-        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
+        # the proxy that hands it over may end as soon as this one has answered
+        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
     async def _sought(self, unpacker: Unpacker) -> bytes:
@@ -105,14 +113,14 @@
         return sorted(others, key=lambda member: member.site != self.ctx.site)
 
     async def hand_all(self) -> int:
-        """Hands on every session that is idle; how many are still here."""
+        """Hands over every idle session; returns how many are still here."""
         idle = [s for s in self.sessions.open.values() if not s.busy and s.transaction is None]
-        for start in range(0, len(idle), AT_ONCE):
-            await asyncio.gather(*(self._hand(session=each) for each in idle[start : start + AT_ONCE]))
+        for start in range(0, len(idle), MAX_CONCURRENT):
+            await asyncio.gather(*(self._hand(session=each) for each in idle[start : start + MAX_CONCURRENT]))
         return len(self.sessions.open)
 
     async def _hand(self, *, session: Session) -> None:
-        # while others were handed on it may have been taken up, or handed on already
+        # while others were handed over it may have become busy, or been handed over already
         if session.busy or session.transaction is not None or session.ident not in self.sessions.open:
             return
         # from here on no job of it is run here, whatever becomes of the offer
@@ -122,7 +130,7 @@
             packer = Packer().u8(value=HANDOVER)
             return session.write(packer=packer, version=version, now_us=self.ctx.now_us()).bytes()
 
-        for target in self._targets()[:TRIES]:
+        for target in self._targets()[:MAX_ATTEMPTS]:
             if await self._offer(target=target, body=body):
                 self.sessions.open.pop(session.ident, None)
                 self._remember(ident=session.ident, http=target.http)
@@ -133,8 +141,8 @@
         session.busy = False
 
     async def _offer(self, *, target: Member, body: Body) -> bool:
-        for _ in range(TRIES):
-            result = await self.ctx.peer_client.request(address=target.records, body=body, wait_us=HAND_WAIT_US)
+        for _ in range(MAX_ATTEMPTS):
+            result = await self.ctx.peer_client.request(address=target.records, body=body, wait_us=OFFER_WAIT_US)
             if result.is_ok():
                 return result.ok == bytes([YES])
         return False
@@ -142,19 +150,19 @@
     def _remember(self, *, ident: str, http: str) -> None:
         self.gone[ident] = http
         # an HTTP proxy that runs for long hands on more sessions than it needs to remember
-        if len(self.gone) > MOST_GONE:
+        if len(self.gone) > MAX_REMEMBERED:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
-            self.reported_us.pop(oldest, None)
+            self.referred_us.pop(oldest, None)
 
     async def find(self, *, handle: SessionToken) -> Sought:
         """A session that isn't alive here: where it is, or taken over from its copy, or not found."""
         members = self.membership.alive(role="stall")
         known = self.gone.get(handle.ident)
-        reported_us = self.reported_us.pop(handle.ident, -REPORTED_US)
-        # whoever is back so soon has not found it there, so everyone is asked and not remembered
-        if known in [member.http for member in members] and self.ctx.now_us() - reported_us > REPORTED_US:
-            self.reported_us[handle.ident] = self.ctx.now_us()
+        referred_us = self.referred_us.pop(handle.ident, -REFERRED_US)
+        # a client that is back so soon has not found it there, so all proxies are asked
+        if known in [member.http for member in members] and self.ctx.now_us() - referred_us > REFERRED_US:
+            self.referred_us[handle.ident] = self.ctx.now_us()
             return Sought(where=str(known))
 
         def body(version: int) -> bytes:
@@ -179,7 +187,7 @@
             for member, result in answers.items():
                 if result.is_ok() and result.ok == bytes([wanted]):
                     return Sought(where=member.http)
-        # asked in the first version nobody tells of copies
+        # the first version of the protocol has no replicas
         return Sought(
             unsure=any(
                 result.is_error() or self.ctx.peer_client.doubtful(address=member.records)
@@ -201,5 +209,5 @@
         self.session_replicator.forget(
             session=replace(session, tag=older), members=self.membership.alive(role="stall")
         )
-        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + HAND_WAIT_US)
+        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return session
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -62,6 +62,18 @@
         ...
 
 
+def own_member(*, settings: Settings) -> Member:
+    """This HTTP proxy, as the membership's other members know it."""
+    return Member(
+        name=settings.name,
+        role="stall",
+        site=settings.site,
+        records=settings.records,
+        http=settings.http,
+        incarnation=1,
+    )
+
+
 class HttpProxy(RejectMixin):
     """Creates the proxy's parts and its chain of filters, answers requests, and drains at a planned stop."""
 
@@ -70,15 +82,9 @@
         self.settings = settings
         self.dispatcher = Dispatcher(ctx=ctx)
         self.register = Register(ctx=ctx, seeds=settings.seeds)
-        me = Member(
-            name=settings.name,
-            role="stall",
-            site=settings.site,
-            records=settings.records,
-            http=settings.http,
-            incarnation=1,
+        self.membership = Membership(
+            ctx=ctx, dispatcher=self.dispatcher, me=own_member(settings=settings), seeds=settings.seeds
         )
-        self.membership = Membership(ctx=ctx, dispatcher=self.dispatcher, me=me, seeds=settings.seeds)
         self.heartbeat_table: HeartbeatTable[Heartbeat] = HeartbeatTable(
             ctx=ctx, dispatcher=self.dispatcher, membership=self.membership
         )
@@ -223,7 +229,7 @@
                 self.requested_us = self.ctx.now_us()
 
     def _close_if_leaving(self, *, response: HttpResponse) -> HttpResponse:
-        # a client told to close its connection now will not find it closed under its next job
+        # so the client's next request doesn't meet a connection that is being closed
         if not self.ready.leaving:
             return response
         return replace(response, headers={**response.headers, "Connection": "close"})
@@ -262,14 +268,14 @@
         """A planned stop: hands the sessions over, answers what is under way, then deregisters."""
         self.ready.draining = True
         until_us = self.ctx.now_us() + self.settings.drainWaitUs
-        # copies are held for others, who need a moment to place them elsewhere, or are gone themselves
+        # replicas held for others: their owners need a moment to replicate elsewhere, or are lost
         while (await self.handover.hand_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
             self.session_replicas.adopt()
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
-        # who comes from now on finds nobody and goes elsewhere at once; who is in already is still answered
+        # new connections are refused, and their clients go elsewhere; those that are open are still answered
         await self.ctx.net.refuse()
         self.requested_us = max(self.requested_us, self.ctx.now_us() - QUIET_US + LAST_ANSWERS_US)
-        # clients that still come are told where their sessions are; the end waits until none has for a while
+        # clients with open connections are answered where their sessions are, until none has come for a while
         while self.ctx.now_us() < min(until_us, self.requested_us + QUIET_US):
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         await asyncio.gather(
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections import deque
+from dataclasses import dataclass
 
 from expression import Error, Ok, Result
 
@@ -9,6 +10,7 @@
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.net import Connection
 
+US_PER_S = 1_000_000
 DIAL_WAIT_US = 400_000
 # idle channels are not used again after this
 MAX_IDLE_US = 45_000_000
@@ -18,10 +20,23 @@
 # how long a backend is not dialled after a failure to connect
 SHUN_US = 500_000
 MIN_RETRY_US = 100_000
+# one job's part of the sliding mean is 1 / MEAN_WEIGHT
+MEAN_WEIGHT = 4
+
+
+@dataclass(frozen=True, slots=True)
+class Channel:
+    """A connection, and since when it has been idle, or in use."""
+
+    connection: Connection
+    since_us: int
 
 
 class Pool:
-    """Owns the channels. Jobs wait in order; one channel is kept for gauges, which jump the queue."""
+    """Owns the channels. Jobs wait in order; one channel is kept for gauges, which jump the queue.
+
+    :param queueMost: how many may wait for a channel.
+    """
 
     def __init__(self, *, ctx: Context, name: str, address: str, queueMost: int) -> None:
         self.ctx = ctx
@@ -29,14 +44,16 @@
         self.address = address
         self.queueMost = queueMost
         self.limit = 0
-        self.idle: deque[tuple[Connection, int]] = deque()
+        self.idle: deque[Channel] = deque()
         self.taken = 0
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.errors: deque[int] = deque()
         self.opened = 0
         self.closed = 0
         self.shun_until_us = 0
-        self.out: dict[int, tuple[Connection, int]] = {}
+        # by the connection's identity
+        self.in_use: dict[int, Channel] = {}
+        # how long jobs hold a channel: a sliding mean
         self.held_us = 0
 
     @property
@@ -67,105 +84,110 @@
         return self.taken < self.limit - spare
 
     async def take(self, *, wait_us: int, gauge: bool = False) -> Result[Connection, CinderstairError]:
-        """A channel for one job or one transaction; the taker gives it back."""
+        """A channel for one job or one transaction, to be given back by `give`.
+
+        :param gauge: a position query, which goes ahead of jobs and may use the channel that is kept for it.
+        :returns: NO_BACKEND where the pool has no channels; OVERLOADED where none is likely to be free in time; an
+            error of the connection.
+        """
         if self.limit == 0:
-            return Error(
-                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.name}: not in this HTTP proxy's share")
-            )
-        entered_us = self.ctx.now_us()
+            return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's share"))
         if not self._room(gauge=gauge):
-            expected_us = self._expected_us(gauge=gauge)
-            # who is not likely to be served in time is told so now, and when to come back, not when it is too
-            # late; twice the expected wait, since jobs differ widely
-            if len(self.waiting) >= self.queueMost or wait_us <= 2 * (expected_us + self._hold_us()):
-                details = {"retryAfterUs": max(MIN_RETRY_US, expected_us)}
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: too many wait already", details=details
-                    )
-                )
-            turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            if gauge:
-                self.waiting.appendleft(turn)
-            else:
-                self.waiting.append(turn)
-            try:
-                async with asyncio.timeout(wait_us / 1_000_000):
-                    await turn
-            except TimeoutError:
-                if turn.done() and not turn.cancelled():
-                    self._wake()
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: no channel within the time left"
-                    )
-                )
-            finally:
-                if turn in self.waiting:
-                    self.waiting.remove(turn)
-            if self.limit == 0:
-                return Error(
-                    CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.name}: left this HTTP proxy's share")
-                )
-            # what would most likely run out of time at the backend is better not sent, while nothing is kept
-            if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
-                self._wake()
-                return Error(
-                    CinderstairError(
-                        code=ErrorCode.OVERLOADED, reason=f"{self.name}: too little time is left after the wait"
-                    )
-                )
+            waited = await self._wait_for_room(wait_us=wait_us, gauge=gauge)
+            if waited.is_error():
+                return Error(waited.error)
         self.taken += 1
         while self.idle:
-            connection, since_us = self.idle.pop()
-            if connection.open and self.ctx.now_us() - since_us < MAX_IDLE_US:
-                return self._out(connection=connection)
-            self._shut(connection=connection)
+            channel = self.idle.pop()
+            if channel.connection.open and self.ctx.now_us() - channel.since_us < MAX_IDLE_US:
+                return self._lend(connection=channel.connection)
+            self._shut(connection=channel.connection)
         return await self._dial(wait_us=wait_us)
 
+    def _error(self, *, code: ErrorCode, reason: str, details: dict[str, int] | None = None) -> CinderstairError:
+        return CinderstairError(code=code, reason=f"{self.name}: {reason}", details=details or {})
+
+    async def _wait_for_room(self, *, wait_us: int, gauge: bool) -> Result[None, CinderstairError]:
+        entered_us = self.ctx.now_us()
+        expected_us = self._expected_us(gauge=gauge)
+        # whoever is not likely to be served in time is rejected now, with the time to come back, and not when it is
+        # too late; twice the expected wait, since jobs differ widely
+        if len(self.waiting) >= self.queueMost or wait_us <= 2 * (expected_us + self._hold_us()):
+            details = {"retryAfterUs": max(MIN_RETRY_US, expected_us)}
+            return Error(self._error(code=ErrorCode.OVERLOADED, reason="too many wait already", details=details))
+        if not await self._queue(wait_us=wait_us, gauge=gauge):
+            return Error(self._error(code=ErrorCode.OVERLOADED, reason="no channel within the time left"))
+        if self.limit == 0:
+            return Error(self._error(code=ErrorCode.NO_BACKEND, reason="left this HTTP proxy's share"))
+        # what would most likely run out of time at the backend is better not sent, while nothing is kept
+        if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
+            self._wake()
+            return Error(self._error(code=ErrorCode.OVERLOADED, reason="too little time is left after the wait"))
+        return Ok(None)
+
+    async def _queue(self, *, wait_us: int, gauge: bool) -> bool:
+        """Waits for a turn; false where none came in time."""
+        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        if gauge:
+            self.waiting.appendleft(turn)
+        else:
+            self.waiting.append(turn)
+        try:
+            async with asyncio.timeout(wait_us / US_PER_S):
+                await turn
+        except TimeoutError:
+            # a turn that came with the timeout goes to the next
+            if turn.done() and not turn.cancelled():
+                self._wake()
+            return False
+        finally:
+            if turn in self.waiting:
+                self.waiting.remove(turn)
+        return True
+
     def _expected_us(self, *, gauge: bool) -> int:
-        """How long a joining replica would wait, by how long channels were held of late."""
+        """How long one more job would wait, by how long channels were held of late."""
         ahead = 0 if gauge else len(self.waiting)
         return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if gauge else 1))
 
     def _hold_us(self) -> int:
         """How long a job holds a channel; those under way count too, so a backend that turns slow shows early."""
         now_us = self.ctx.now_us()
-        ages = [now_us - since_us for _, since_us in self.out.values()]
+        ages = [now_us - channel.since_us for channel in self.in_use.values()]
         return max(self.held_us, sum(ages) // len(ages) if ages else 0)
 
-    def _out(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
-        self.out[id(connection)] = connection, self.ctx.now_us()
+    def _lend(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
+        self.in_use[id(connection)] = Channel(connection, self.ctx.now_us())
         return Ok(connection)
 
     async def _dial(self, *, wait_us: int) -> Result[Connection, CinderstairError]:
         try:
             dialled = await self.ctx.net.dial(address=self.address, wait_us=min(wait_us, DIAL_WAIT_US))
         except BaseException:
-            self._leave()
+            self._release()
             raise
         if dialled.is_error():
             self.blame()
             self.shun_until_us = self.ctx.now_us() + SHUN_US
-            self._leave()
+            self._release()
             return dialled
         self.opened += 1
         self.ctx.counters.add(name="channels.opened")
-        return self._out(connection=dialled.ok)
+        return self._lend(connection=dialled.ok)
 
     def give(self, *, connection: Connection, keep: bool = True) -> None:
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
-        _, since_us = self.out.pop(id(connection), (None, 0))
-        if since_us:
-            # a sliding mean, in which one long transaction does not count for a membership
-            self.held_us += (self.ctx.now_us() - since_us - self.held_us) // 4
+        channel = self.in_use.pop(id(connection), None)
+        if channel is not None:
+            # a sliding mean, in which one long transaction doesn't count for long
+            self.held_us += (self.ctx.now_us() - channel.since_us - self.held_us) // MEAN_WEIGHT
         if keep and connection.open and self.open <= self.limit:
-            self.idle.append((connection, self.ctx.now_us()))
+            self.idle.append(Channel(connection, self.ctx.now_us()))
         else:
             self._shut(connection=connection)
-        self._leave()
+        self._release()
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         self.taken -= 1
         self._wake()
 
@@ -186,20 +208,20 @@
         self.limit = limit
         # idle channels go at once; those at work go when they are given back
         while self.idle and self.open > limit:
-            self._shut(connection=self.idle.popleft()[0])
+            self._shut(connection=self.idle.popleft().connection)
         self._wake()
 
     def shut_idle(self) -> None:
         """Closes the idle channels."""
         while self.idle:
-            self._shut(connection=self.idle.popleft()[0])
+            self._shut(connection=self.idle.popleft().connection)
 
     @property
     def oldest_us(self) -> int:
         """For how long the channel that has been out longest has been out."""
-        return max((self.ctx.now_us() - since_us for _, since_us in self.out.values()), default=0)
+        return max((self.ctx.now_us() - channel.since_us for channel in self.in_use.values()), default=0)
 
     def give_up(self) -> None:
         """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
-        for connection, _ in list(self.out.values()):
-            connection.give_up()
+        for channel in list(self.in_use.values()):
+            channel.connection.give_up()
--- a/src/cinderstair/http_frontend/reject_mixin.py
+++ b/src/cinderstair/http_frontend/reject_mixin.py
@@ -22,7 +22,7 @@
         self.ctx.counters.add(name=f"answers.{kind.value}")
         value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": why}
         headers = {}
-        # whoever may come back is told when, at once, instead of being held until then
+        # a client that may retry is told when, instead of being kept waiting until then
         if answer.retry_after_us:
             retry_us = int((details or {}).get("retryAfterUs", answer.retry_after_us))
             value["retryAfterUs"] = retry_us
--- a/src/cinderstair/http_frontend/replica_watermark.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -1,13 +1,24 @@
 """How far one replica has durably received the log, and the commits that wait for it to get further."""
 
 import asyncio
+from dataclasses import dataclass
 
 from ..runtime.context import Context
 from .connection_pools import ConnectionPools
 from .position_query import query_position
 
+# how long a replica may hold a question until it covers the position
 HOLD_US = 200_000
-AGAIN_US = 20_000
+RETRY_PAUSE_US = 20_000
+MAX_MISSES = 20
+
+
+@dataclass(frozen=True, slots=True)
+class WantedPosition:
+    """A position that a commit waits for."""
+
+    term: int
+    position: int
 
 
 class ReplicaWatermark:
@@ -19,7 +30,7 @@
         self.name = name
         self.term = 0
         self.received = 0
-        self.wanted: list[tuple[int, int]] = []
+        self.wanted: list[WantedPosition] = []
         self.asking = False
         self.changed = asyncio.Event()
 
@@ -29,20 +40,25 @@
 
     def want(self, *, term: int, position: int) -> None:
         """Has the replica asked until it covers a position; `changed` is set at each answer."""
-        self.wanted.append((term, position))
+        self.wanted.append(WantedPosition(term, position))
         if not self.asking:
             self.asking = True
             self.ctx.spawn(work=self._ask(), name=f"waterline.{self.name}")
 
     def _still_wanted(self) -> int:
-        self.wanted = [(t, p) for t, p in self.wanted if not self.covers(term=t, position=p) and t >= self.term]
-        return min((p for _, p in self.wanted), default=0)
+        """The lowest position that is still waited for; 0 where none is."""
+        self.wanted = [
+            each
+            for each in self.wanted
+            if not self.covers(term=each.term, position=each.position) and each.term >= self.term
+        ]
+        return min((each.position for each in self.wanted), default=0)
 
     async def _ask(self) -> None:
         misses = 0
         try:
-            # a replica that does not answer is the steward's to drop; the commits have their own limits
-            while (position := self._still_wanted()) and misses < 20:
+            # a replica that does not answer is the failover's to drop; the commits have their own limits
+            while (position := self._still_wanted()) and misses < MAX_MISSES:
                 reading = await query_position(
                     connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
                 )
@@ -53,9 +69,9 @@
                     self.changed = asyncio.Event()
                 else:
                     misses += 1
-                    await self.ctx.sleep(duration_us=AGAIN_US * 2)
+                    await self.ctx.sleep(duration_us=RETRY_PAUSE_US * 2)
                 await self.ctx.sleep(
-                    duration_us=0 if reading.is_ok() and reading.ok.received >= position else AGAIN_US
+                    duration_us=0 if reading.is_ok() and reading.ok.received >= position else RETRY_PAUSE_US
                 )
         finally:
             self.wanted = []
--- a/src/cinderstair/http_frontend/request.py
+++ b/src/cinderstair/http_frontend/request.py
@@ -7,7 +7,7 @@
 from .session import Session
 
 # ten minutes, of `timeLeftUs`
-MOST_TIME_LEFT_US = 600_000_000
+MAX_TIME_LEFT_US = 600_000_000
 
 
 @dataclass(kw_only=True)
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -1,4 +1,4 @@
-"""Samples of the primary's position: how old a replica's answer may be, told without comparing clocks."""
+"""Samples of the primary's position: they bound the age of a replica's answer without comparing clocks."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,6 +12,7 @@
 from .view import View
 
 SAMPLE_EVERY_US = 250_000
+# older samples are dropped; reads that may be older use the oldest one
 KEEP_US = 3_000_000
 
 
@@ -65,6 +66,6 @@
         return now is not None and now.term == lead.term and now.serves
 
     def floor(self, *, database: str, term: int, since_us: int) -> int | None:
-        """The position that covers all that was acknowledged before `since_us`; None where nobody can tell."""
+        """The position that covers all that was acknowledged before `since_us`; None where no sample covers it."""
         fitting = [s for s in self.taken.get(database, ()) if s.term == term and s.began_us >= since_us]
         return min((sample.position for sample in fitting), default=None)
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -25,7 +25,10 @@
 
 @dataclass(kw_only=True)
 class Session:
-    """Values and prepared texts live here, not in any backend, so channels hold nothing between jobs."""
+    """Values and prepared texts live here, not in any backend, so channels hold nothing between jobs.
+
+    `floor` is the position that fresh reads must cover; `lost` is set when its transaction was abandoned.
+    """
 
     ident: str
     database: str
@@ -37,9 +40,11 @@
     transaction: Transaction | None = None
     lost: bool = False
     tag: Tag = UNMARKED
-    # the state before the last change is the one that a client knows whose answer was lost
+    # the tag before the last change: a client whose answer was lost knows this one
     was: Tag = UNMARKED
+    # the HTTP proxy that holds the replica; empty where none does
     second: str = ""
+    # when it was taken over from a replica; 0 where it was not
     taken_us: int = 0
 
     @property
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
+"""Replicas of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
 
 from dataclasses import dataclass
 
@@ -13,15 +13,17 @@
 from .sessions import Sessions
 
 NO, YES = 0, 1
+# in place of an owner: whoever has sent the replica
 ANYONE = 0
-SWEEP_US = 5_000_000
+SWEEP_EVERY_US = 5_000_000
+# an owner that has not touched its replicas for so long counts as lost
 ORPHAN_US = 2_500_000
 MAX_SESSION_REPLICAS = 60_000
 
 
 @dataclass(kw_only=True)
 class SessionReplica:
-    """A session as its owner, in one run of it, last sent it."""
+    """A session as its owner last sent it: `owner` is one run of an HTTP proxy, `number` its count of replicas."""
 
     owner: int
     number: int
@@ -29,7 +31,7 @@
 
 
 class SessionReplicas(CommandQueueMixin):
-    """Owns the copies. A copy becomes a session only when its client comes with a handle that fits it."""
+    """Owns the replicas. One becomes a session when its client comes with a token that fits it, or at `adopt`."""
 
     def __init__(self, *, ctx: Context, dispatcher: Dispatcher, sessions: Sessions, ready: ReadyFilter) -> None:
         self.ctx = ctx
@@ -41,7 +43,7 @@
         dispatcher.add_handler(message_type=TOUCH, handler=self._touched)
         dispatcher.add_handler(message_type=FORGET, handler=self._forgot)
         self.open_queue()
-        self.every(every_us=SWEEP_US, command=self._sweep, name="copies")
+        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="copies")
 
     async def _copied(self, unpacker: Unpacker) -> bytes:
         owner, number = unpacker.u64(), unpacker.u64()
@@ -50,7 +52,7 @@
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
-        # what leaves or has the session itself is no second place, and a late copy must not undo a newer one
+        # a proxy that leaves, or has the session, can't hold its replica; a late one must not replace a newer one
         older = known is not None and known.session.tag.edition > session.tag.edition
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
@@ -59,7 +61,7 @@
         return Packer().u8(value=YES).bytes()
 
     async def _touched(self, unpacker: Unpacker) -> bytes:
-        """An owner says what it takes to stand here: what it does not name is dropped, what is lacking is told."""
+        """An owner names the replicas that it expects here; others of it are dropped, missing ones are answered."""
         owner, up_to = unpacker.u64(), unpacker.u64()
         named = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
         unpacker.done()
@@ -94,7 +96,7 @@
         return Packer().u8(value=YES).bytes()
 
     def take(self, *, ident: str) -> Session | None:
-        """The copy, which from now on is a session of this HTTP proxy's own."""
+        """Removes and returns a replica, for it to become a session here; None where there is none."""
         replica = self.held.pop(ident, None)
         return None if replica is None else replica.session
 
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -1,4 +1,4 @@
-"""Sees to it that what this HTTP proxy's sessions keep stands at a second HTTP proxy as well."""
+"""Replicates the state of this HTTP proxy's sessions to a second HTTP proxy."""
 
 import asyncio
 import zlib
@@ -17,27 +17,27 @@
 REPLICA_WAIT_US = 300_000
 TOUCH_EVERY_US = 1_000_000
 TOUCH_WAIT_US = 500_000
-# few enough that an HTTP proxy's touches don't grow with the fleet, enough that a lost HTTP proxy's clients
-# spread
-SECONDS = 3
-MEND_MOST = 64
+# HTTP proxies that hold this one's replicas: few, so that touches don't grow with the fleet, and enough to spread
+# a lost proxy's clients
+SECONDARIES = 3
+# sessions without a replica that are replicated again at a time
+MAX_REPAIRS = 64
+# an HTTP proxy that has refused a replica is tried last for so long
 REFUSED_US = 3_000_000
+# the first version of the protocol that has replicas
 VERSION = 2
+# the answer that a replica is held
 YES = 1
 
 
 class SessionReplicator(CommandQueueMixin):
-    """A change is answered when its copy stands.
-
-    With no second HTTP proxy to be had, it says that it stands on one.
-    """
+    """A change of a session is answered once its replica is held; without a second HTTP proxy, the answer says so."""
 
     def __init__(self, *, ctx: Context, membership: Membership, sessions: Sessions) -> None:
         self.ctx = ctx
         self.membership = membership
         self.sessions = sessions
-        # an HTTP proxy that was started again has none of its sessions, and must not be taken for its former
-        # self
+        # identifies this run of the process: one that was restarted has none of its former sessions
         self.run = ctx.rng.getrandbits(62) | 1
         self.touched: set[str] = set()
         self.refused_us: dict[str, int] = {}
@@ -47,7 +47,7 @@
         self.open_queue()
         self.every(every_us=TOUCH_EVERY_US, command=self._touch, name="touch")
 
-    def _seconds(self) -> list[Member]:
+    def _secondaries(self) -> list[Member]:
         """Those that may hold copies, other sites first, each HTTP proxy's own order of them."""
         speaking = [
             member
@@ -64,18 +64,18 @@
 
         return sorted(speaking, key=order)
 
-    def _places(self, *, session: Session) -> list[Member]:
+    def _secondaries_for(self, *, session: Session) -> list[Member]:
         """The second HTTP proxies to try for a session: the one it has, then those that follow by its own name."""
-        members = self._seconds()
-        first = members[:SECONDS]
+        members = self._secondaries()
+        first = members[:SECONDARIES]
         if first:
             turn = zlib.crc32(session.ident.encode()) % len(first)
-            members = [*first[turn:], *first[:turn], *members[SECONDS:]]
+            members = [*first[turn:], *first[:turn], *members[SECONDARIES:]]
         return sorted(members, key=lambda member: member.name != session.second)
 
     async def keep(self, *, session: Session, until_us: int) -> bool:
-        """Copies the session; whether it now stands at a second HTTP proxy."""
-        for member in self._places(session=session)[:2]:
+        """Replicates a session; whether a second HTTP proxy now holds it."""
+        for member in self._secondaries_for(session=session)[:2]:
             wait_us = min(REPLICA_WAIT_US, (until_us - self.ctx.now_us()) // 3)
             if wait_us <= 0:
                 break
@@ -104,7 +104,7 @@
         return stands
 
     def forget(self, *, session: Session, members: list[Member], mine: bool = False) -> None:
-        """Tells others that nothing of a session up to this state, or of what we copied of it, is worth keeping."""
+        """Has others drop replicas of a session up to this state; with `mine`, only those that this process sent."""
         body = (
             Packer()
             .u8(value=FORGET)
@@ -130,7 +130,7 @@
 
     async def _touch(self) -> None:
         """Asks each second HTTP proxy whether it still has what it should, and copies anew what is nowhere else."""
-        members = {member.name: member for member in self._seconds()}
+        members = {member.name: member for member in self._secondaries()}
         by: dict[str, list[Session]] = {name: [] for name in members}
         for session in self.sessions.open.values():
             if session.second in by:
@@ -145,7 +145,7 @@
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
         # at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
         if members:
-            await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MEND_MOST]))
+            await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MAX_REPAIRS]))
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.alone)
 
     async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -6,7 +6,7 @@
 from ..runtime.context import Context
 from .session import Session
 
-SWEEP_US = 500_000
+SWEEP_EVERY_US = 500_000
 MAX_SESSIONS = 20_000
 
 
@@ -20,7 +20,7 @@
         self.idleTransactionUs = idleTransactionUs
         self.open: dict[str, Session] = {}
         self.open_queue()
-        self.every(every_us=SWEEP_US, command=self._sweep, name="sweep")
+        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="sweep")
 
     def add(self, *, database: str) -> Session | None:
         """Opens a session; None where MAX_SESSIONS are open."""
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -1,4 +1,4 @@
-"""Whether a backend that keeps a job waiting can be reached from here at all."""
+"""Probes backends that keep a job waiting, and gives their jobs up where they can't be reached."""
 
 from collections import Counter
 
@@ -8,13 +8,15 @@
 from .connection_pools import ConnectionPools
 from .position_query import query_position
 
-LOOK_EVERY_US = 500_000
-DOUBT_US = 2_500_000
-MISSES = 2
+CHECK_EVERY_US = 500_000
+# a channel in use for so long has its backend probed
+SILENT_US = 2_500_000
+# probes in a row without an answer, after which the backend's jobs are given up
+MAX_MISSES = 2
 
 
 class SilentBackendProbe(CommandQueueMixin):
-    """Owns the doubts. The news may call a backend fit that this one HTTP proxy is cut off from."""
+    """Owns the missed probes. Heartbeats may call a backend fit that this one HTTP proxy is cut off from."""
 
     def __init__(self, *, ctx: Context, connection_pools: ConnectionPools) -> None:
         self.ctx = ctx
@@ -22,17 +24,17 @@
         self.misses: Counter[str] = Counter()
         self.asking: set[str] = set()
         self.open_queue()
-        self.every(every_us=LOOK_EVERY_US, command=self._look, name="doubts")
+        self.every(every_us=CHECK_EVERY_US, command=self._check, name="doubts")
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         for name, pool in self.connection_pools.pools.items():
-            if pool.oldest_us < DOUBT_US:
+            if pool.oldest_us < SILENT_US:
                 self.misses.pop(name, None)
             elif name not in self.asking:
                 self.asking.add(name)
-                self.ctx.spawn(work=self._ask(name=name), name=f"doubt.{name}")
+                self.ctx.spawn(work=self._probe(name=name), name=f"doubt.{name}")
 
-    async def _ask(self, *, name: str) -> None:
+    async def _probe(self, *, name: str) -> None:
         try:
             reading = await query_position(connection_pools=self.connection_pools, name=name)
         finally:
@@ -43,6 +45,6 @@
             return
         self.misses[name] += 1
         pool = self.connection_pools.pool(name=name)
-        if self.misses[name] >= MISSES and pool is not None:
+        if self.misses[name] >= MAX_MISSES and pool is not None:
             self.ctx.counters.add(name="jobs.givenUp")
             pool.give_up()
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -106,12 +106,12 @@
         return windows
 
     def _backend(self, *, name: str) -> dict[str, Any]:
-        pool, heard = self.connection_pools.pools[name], self.heartbeat_table.latest(name=name)
+        pool, latest = self.connection_pools.pools[name], self.heartbeat_table.latest(name=name)
         return {
-            "state": "unheard" if heard is None else heard.heartbeat.state,
+            "state": "unheard" if latest is None else latest.heartbeat.state,
             "fit": self.heartbeat_table.fit(name=name),
-            "ageUs": None if heard is None else self.heartbeat_table.age_us(name=name),
-            "position": None if heard is None else heard.heartbeat.position,
+            "ageUs": None if latest is None else self.heartbeat_table.age_us(name=name),
+            "position": None if latest is None else latest.heartbeat.position,
             "channels": {
                 "limit": pool.limit,
                 "open": pool.open,
