--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -96,17 +96,7 @@
         )
         self._create_duties()
         self._create_session_parts()
-        self.status = StatusPage(
-            ctx=ctx,
-            view=self.view,
-            membership=self.membership,
-            heartbeat_table=self.heartbeat_table,
-            connection_pools=self.connection_pools,
-            sessions=self.sessions,
-            leads=self.database_failover,
-            session_replicator=self.session_replicator,
-            session_replicas=self.session_replicas,
-        )
+        self.status = self._create_status()
         self.session_drain = SessionDrain(
             ctx=ctx,
             view=self.view,
@@ -167,6 +157,19 @@
             session_replicator=self.session_replicator,
         )
 
+    def _create_status(self) -> StatusPage:
+        return StatusPage(
+            ctx=self.ctx,
+            view=self.view,
+            membership=self.membership,
+            heartbeat_table=self.heartbeat_table,
+            connection_pools=self.connection_pools,
+            sessions=self.sessions,
+            leads=self.database_failover,
+            session_replicator=self.session_replicator,
+            session_replicas=self.session_replicas,
+        )
+
     def _chain(self) -> tuple[Filter, ...]:
         ctx, view = self.ctx, self.view
         return (
