--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -160,7 +160,7 @@
     """A front end without sessions. Needs a running loop."""
     dispatcher = Dispatcher(ctx=ctx)
     membership = Membership(ctx=ctx, dispatcher=dispatcher, me=me, seeds=())
-    sessions = Sessions(ctx=ctx, idleTransactionUs=10_000_000, idleSessionUs=86_400_000_000)
+    sessions = Sessions(ctx=ctx, idle_transaction_us=10_000_000, idle_session_us=86_400_000_000)
     no_view: Any = None
     ready = ReadyFilter(ctx=ctx, view=no_view, membership=membership)
     replicas = SessionReplicas(ctx=ctx, dispatcher=dispatcher, sessions=sessions, ready=ready)
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -1,25 +1,28 @@
-"""Every job of a client says how much time it has left."""
+"""Reads the time left of timed requests (`timeLeftUs`, microseconds)."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
 from ...runtime.http_response import HttpResponse
 from ..reject_mixin import RejectMixin
-from ..request import MOST_TIME_LEFT_US, Request
+from ..request import MAX_TIME_LEFT_US, Request
 
 TIMED = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
 
 
 class DeadlineFilter(RejectMixin):
+    """Sets `request.until_us`."""
+
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
+        """Rejects a time left that is missing, malformed or spent; else None."""
         if request.verb not in TIMED:
             return None
         left = request.body.get("timeLeftUs")
         if left is None:
             return self.reject(kind=ErrorCode.TIME_LEFT_MISSING, why="timeLeftUs is needed: whole microseconds")
-        if not isinstance(left, int) or isinstance(left, bool) or left > MOST_TIME_LEFT_US:
+        if not isinstance(left, int) or isinstance(left, bool) or left > MAX_TIME_LEFT_US:
             return self.reject(
                 kind=ErrorCode.MALFORMED, why="timeLeftUs: whole microseconds, ten minutes at the most"
             )
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -25,7 +25,10 @@
 
 @dataclass(kw_only=True)
 class Session:
-    """Values and prepared texts live here, not in any backend, so channels hold nothing between jobs."""
+    """Values and prepared texts live here, not in any backend, so channels hold nothing between jobs.
+
+    `floor` is the position that fresh reads must cover; `lost` is set when its transaction was abandoned.
+    """
 
     ident: str
     database: str
@@ -37,13 +40,16 @@
     transaction: Transaction | None = None
     lost: bool = False
     tag: Tag = UNMARKED
-    # why: the state before the last change is the one that a client knows whose answer was lost
+    # the tag before the last change: a client whose answer was lost knows this one
     was: Tag = UNMARKED
+    # the HTTP proxy that holds the replica; empty where none does
     second: str = ""
+    # when it was taken over from a replica; 0 where it was not
     taken_us: int = 0
 
     @property
     def handle(self) -> str:
+        """The text that the client is given: the name with the newest tag."""
         return str(SessionToken(self.ident, self.tag))
 
     def next(self, *, rng: random.Random) -> Tag:
@@ -55,7 +61,8 @@
         return tag in (self.tag, self.was)
 
     def write(self, *, packer: Packer, version: int, now_us: int) -> Packer:
-        # why: a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
+        """Writes the session as a record of a version."""
+        # a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
         packer.text(value=self.handle if version == 1 else self.ident).text(value=self.database)
         packer.text(value=json.dumps(self.values)).text(value=json.dumps(self.prepared)).u64(value=self.floor)
         if version > 1:
@@ -66,7 +73,10 @@
 
 
 def read_session(*, unpacker: Unpacker, now_us: int) -> Session:
-    """Raises ValueError where the record is none of ours."""
+    """Reads a record of a session.
+
+    :raises ValueError: where it is none.
+    """
     ident, database = unpacker.text(), unpacker.text()
     values, prepared = json.loads(unpacker.text()), json.loads(unpacker.text())
     if not isinstance(values, dict) or not isinstance(prepared, dict):
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
+"""Replicas of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
 
 from dataclasses import dataclass
 
@@ -13,15 +13,17 @@
 from .sessions import Sessions
 
 NO, YES = 0, 1
+# in place of an owner: whoever has sent the replica
 ANYONE = 0
-SWEEP_US = 5_000_000
+SWEEP_EVERY_US = 5_000_000
+# an owner that has not touched its replicas for so long counts as lost
 ORPHAN_US = 2_500_000
 MAX_SESSION_REPLICAS = 60_000
 
 
 @dataclass(kw_only=True)
 class SessionReplica:
-    """A session as its owner, in one run of it, last sent it."""
+    """A session as its owner last sent it: `owner` is one run of an HTTP proxy, `number` its count of replicas."""
 
     owner: int
     number: int
@@ -29,7 +31,7 @@
 
 
 class SessionReplicas(CommandQueueMixin):
-    """Owns the copies. A copy becomes a session only when its client comes with a handle that fits it."""
+    """Owns the replicas. One becomes a session when its client comes with a token that fits it, or at `adopt`."""
 
     def __init__(self, *, ctx: Context, dispatcher: Dispatcher, sessions: Sessions, ready: ReadyFilter) -> None:
         self.ctx = ctx
@@ -41,7 +43,7 @@
         dispatcher.add_handler(message_type=MessageType.TOUCH, handler=self._touched)
         dispatcher.add_handler(message_type=MessageType.FORGET, handler=self._forgot)
         self.open_queue()
-        self.every(every_us=SWEEP_US, command=self._sweep, name="copies")
+        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="copies")
 
     async def _copied(self, unpacker: Unpacker) -> bytes:
         owner, number = unpacker.u64(), unpacker.u64()
@@ -50,7 +52,7 @@
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
-        # why: what leaves or has the session itself is no second place, and a late copy must not undo a newer one
+        # a proxy that leaves, or has the session, can't hold its replica; a late one must not replace a newer one
         older = known is not None and known.session.tag.edition > session.tag.edition
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
@@ -59,14 +61,14 @@
         return Packer().u8(value=YES).bytes()
 
     async def _touched(self, unpacker: Unpacker) -> bytes:
-        """An owner says what it takes to stand here: what it does not name is dropped, what is lacking is told."""
+        """An owner names the replicas that it expects here; others of it are dropped, missing ones are answered."""
         owner, up_to = unpacker.u64(), unpacker.u64()
         named = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
         unpacker.done()
         now_us = self.ctx.now_us()
         self.seen_us[owner] = now_us
         for ident, replica in list(self.held.items()):
-            # why: a copy that was sent after the list was written is not on it
+            # a copy that was sent after the list was written is not on it
             if replica.owner == owner and ident not in named and replica.number <= up_to:
                 del self.held[ident]
         lacking = []
@@ -75,7 +77,7 @@
             if held is None or held.owner != owner or held.session.tag.edition < edition:
                 lacking.append(ident)
             else:
-                # why: its owner vouches for it; only when nobody does any more its age counts
+                # its owner vouches for it; only when nobody does any more its age counts
                 held.session.used_us = now_us
         packer = Packer().u8(value=int(self.ready.leaving))
         return packer.many(values=lacking, each=lambda p, ident: p.text(value=ident)).bytes()
@@ -85,7 +87,7 @@
         owner, ident, edition = unpacker.u64(), unpacker.text(), unpacker.u64()
         unpacker.done()
         held, live = self.held.get(ident), self.sessions.find(ident=ident)
-        # why: an owner that has handed it on speaks of its own copy, and not of the next owner's
+        # an owner that has handed it on speaks of its own copy, and not of the next owner's
         if held is not None and owner in (held.owner, ANYONE) and held.session.tag.edition <= edition:
             del self.held[ident]
         if live is not None and owner == ANYONE and live.tag.edition <= edition:
@@ -94,7 +96,7 @@
         return Packer().u8(value=YES).bytes()
 
     def take(self, *, ident: str) -> Session | None:
-        """The copy, which from now on is a session of this HTTP proxy's own."""
+        """Removes and returns a replica, for it to become a session here; None where there is none."""
         replica = self.held.pop(ident, None)
         return None if replica is None else replica.session
 
@@ -115,8 +117,8 @@
     def _sweep(self) -> None:
         now_us = self.ctx.now_us()
         for ident, replica in list(self.held.items()):
-            # why: its owner may be long gone, and its client as well
-            if now_us - replica.session.used_us > self.sessions.idleSessionUs:
+            # its owner may be long gone, and its client as well
+            if now_us - replica.session.used_us > self.sessions.idle_session_us:
                 del self.held[ident]
         owners = {replica.owner for replica in self.held.values()}
         self.seen_us = {owner: at_us for owner, at_us in self.seen_us.items() if owner in owners}
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -6,26 +6,27 @@
 from ..runtime.context import Context
 from .session import Session
 
-SWEEP_US = 500_000
-MOST_SESSIONS = 20_000
+SWEEP_EVERY_US = 500_000
+MAX_SESSIONS = 20_000
 
 
 class Sessions(CommandQueueMixin):
     """Owns the sessions. An abandoned transaction is ended by closing its channel, so the backend rolls back."""
 
-    def __init__(self, *, ctx: Context, idleTransactionUs: int, idleSessionUs: int) -> None:
+    def __init__(self, *, ctx: Context, idle_transaction_us: int, idle_session_us: int) -> None:
         self.ctx = ctx
-        self.idleSessionUs = idleSessionUs
+        self.idle_session_us = idle_session_us
         self.closed: Subject[Session] = Subject()
-        self.idleTransactionUs = idleTransactionUs
+        self.idle_transaction_us = idle_transaction_us
         self.open: dict[str, Session] = {}
         self.open_queue()
-        self.every(every_us=SWEEP_US, command=self._sweep, name="sweep")
+        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="sweep")
 
     def add(self, *, database: str) -> Session | None:
-        if len(self.open) >= MOST_SESSIONS:
+        """Opens a session; None where MAX_SESSIONS are open."""
+        if len(self.open) >= MAX_SESSIONS:
             return None
-        # why: a session's name is its key; nobody may guess another's
+        # a session's name is its key; nobody may guess another's
         ident = f"{self.ctx.name}.{self.ctx.rng.getrandbits(96):024x}"
         session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
         session.tag = session.next(rng=self.ctx.rng)
@@ -33,9 +34,11 @@
         return session
 
     def find(self, *, ident: str) -> Session | None:
+        """The open session of a name; None where there is none."""
         return self.open.get(ident)
 
     def close(self, *, session: Session) -> None:
+        """Closes a session, with its transaction, and publishes that on `closed`."""
         self.open.pop(session.ident, None)
         self.abandon(session=session)
         self.closed.on_next(session)
@@ -55,8 +58,8 @@
             if session.busy:
                 continue
             transaction = session.transaction
-            if transaction is not None and now_us - transaction.used_us > self.idleTransactionUs:
+            if transaction is not None and now_us - transaction.used_us > self.idle_transaction_us:
                 self.abandon(session=session)
-            if now_us - session.used_us > self.idleSessionUs:
+            if now_us - session.used_us > self.idle_session_us:
                 self.close(session=session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.open))
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -1,4 +1,4 @@
-"""What an HTTP proxy tells operators of itself and of the system as it sees it."""
+"""The status page: an HTTP proxy's state, and the system's as this proxy sees it."""
 
 from typing import Any
 
@@ -14,6 +14,8 @@
 
 
 class StatusPage:
+    """Collects the fields of `GET /status`."""
+
     def __init__(
         self,
         *,
@@ -38,6 +40,7 @@
         self.leads = leads
 
     def value(self) -> dict[str, Any]:
+        """The page, as JSON values."""
         configuration, roster = self.view.configuration, self.view.register.roster
         return {
             "stall": self.ctx.name,
@@ -72,11 +75,11 @@
             "sessions": len(self.sessions.open),
             "sessionsOnOneStall": self.session_replicator.alone,
             "copies": len(self.session_replicas.held),
-            "queueMost": self.connection_pools.queueMost,
+            "queueMost": self.connection_pools.queue_limit,
         }
 
     def held(self) -> dict[str, str]:
-        """Why anything can't go on, as far as this HTTP proxy's duties know."""
+        """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
         held = {database: why for database, why in self.leads.reasons.items() if why}
         return {**held, **self.leads.sync_holds, **self.leads.window_holds}
 
@@ -103,12 +106,12 @@
         return windows
 
     def _backend(self, *, name: str) -> dict[str, Any]:
-        pool, heard = self.connection_pools.pools[name], self.heartbeat_table.latest(name=name)
+        pool, latest = self.connection_pools.pools[name], self.heartbeat_table.latest(name=name)
         return {
-            "state": "unheard" if heard is None else heard.heartbeat.state,
+            "state": "unheard" if latest is None else latest.heartbeat.state,
             "fit": self.heartbeat_table.healthy(name=name),
-            "ageUs": None if heard is None else self.heartbeat_table.age_us(name=name),
-            "position": None if heard is None else heard.heartbeat.position,
+            "ageUs": None if latest is None else self.heartbeat_table.age_us(name=name),
+            "position": None if latest is None else latest.heartbeat.position,
             "channels": {
                 "limit": pool.limit,
                 "open": pool.open,
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -133,7 +133,7 @@
         for n in world.http_proxy_names
         for p in world.http_proxy(name=n).connection_pools.pools.values()
     )
-    if waiting > world.http_proxy(name="stall-0").connection_pools.queueMost:
+    if waiting > world.http_proxy(name="stall-0").connection_pools.queue_limit:
         trial.verdict.wrong.append(f"{waiting} jobs wait in one queue")
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 2_000
