--- a/src/cinderstair/cli/check_commands.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -19,6 +19,7 @@
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         path = self.argument("file")
         read = self.read_configuration(path=path)
         if read.is_error():
@@ -44,6 +45,7 @@
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         # What does not compile has no canonical form, and a guess at one would change its meaning.
         read = self.read_configuration(path=self.argument("file"))
         if read.is_error():
--- a/src/cinderstair/cli/configuration_commands.py
+++ b/src/cinderstair/cli/configuration_commands.py
@@ -19,6 +19,7 @@
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         raw = self.read_file(path=self.argument("file"))
         if raw.is_error():
             return raw.error
@@ -32,6 +33,7 @@
     description = "Read back the newest accepted configuration, to the byte"
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         response = self.request(method="GET", path=CONFIGURATION_PATH)
         if response.is_error():
             return response.error
--- a/src/cinderstair/cli/controller_command.py
+++ b/src/cinderstair/cli/controller_command.py
@@ -13,4 +13,5 @@
     description = "Show what a controller knows: register replicas, leads, backends, proxies, duties, counters"
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         return self.ask_controller(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
--- a/src/cinderstair/cli/daemon_commands.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -74,6 +74,7 @@
         return f"folder: {problem}" if problem else ""
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         path = self.option("settings") or ""
         flags = self._flags()
         if flags.is_error():
@@ -122,6 +123,7 @@
     needs_http = True
 
     def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+        """Returns the role that this command runs."""
         return HttpProxy(ctx=ctx, settings=settings)
 
 
@@ -134,4 +136,5 @@
     needs_folder = True
 
     def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
+        """Returns the role that this command runs."""
         return RegisterReplica(ctx=ctx, settings=settings, halt=halt)
--- a/src/cinderstair/cli/operator_commands.py
+++ b/src/cinderstair/cli/operator_commands.py
@@ -13,6 +13,7 @@
     description = "Show an HTTP proxy's counters"
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         response = self.request(method="GET", path="/counters")
         if response.is_error():
             return response.error
@@ -28,6 +29,7 @@
     description = "Make an HTTP proxy take nothing new"
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         return self.change(method="POST", path="/drain")
 
 
@@ -40,6 +42,7 @@
     options = [PROXY_ADDRESS, option("i-accept-loss", None, "say so, or nothing is done")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         value = {
             "database": self.argument("database"),
             "backend": self.argument("backend"),
@@ -60,5 +63,6 @@
     ]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         value = {"leaves": self.argument("leaves"), "enters": self.argument("enters")}
         return self.change(method="POST", path="/v1/vaults", value=value)
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -19,6 +19,7 @@
     arguments = [argument("file", "the new map (JSON); none: show the one in force", optional=True)]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         raw = b""
         if self.argument("file"):
             read = self.read_file(path=self.argument("file"))
@@ -41,6 +42,7 @@
     changes = False
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         path = self.argument("file")
         read = self.read_file(path=path)
         if read.is_error():
@@ -88,6 +90,7 @@
     arguments = [argument("version", "the version of the map that is to be abandoned")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         version = self.map_version()
         if version.is_error():
             return version.error
--- a/src/cinderstair/cli/shards_watch_command.py
+++ b/src/cinderstair/cli/shards_watch_command.py
@@ -38,6 +38,7 @@
     options = [CONTROLLER_ADDRESS, option("wait", "w", "seconds to follow it at most", flag=False, default="60")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         version = self.map_version()
         if version.is_error():
             return version.error
--- a/src/cinderstair/cli/simulate_command.py
+++ b/src/cinderstair/cli/simulate_command.py
@@ -27,6 +27,7 @@
     options = [option("rehearse", "r", "also run the real daemons through it in the simulator")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         read = self.read_configuration(path=self.argument("configuration"))
         raw = self.read_file(path=self.argument("scenario"))
         # Exit code 1 says that something holds a window back, so an unusable document has another one.
--- a/src/cinderstair/cli/status_command.py
+++ b/src/cinderstair/cli/status_command.py
@@ -17,6 +17,7 @@
     options = [PROXY_ADDRESS, option("json", None, "as JSON")]
 
     def handle(self) -> int:
+        """Runs the command; returns its exit code."""
         response = self.request(method="GET", path="/status")
         if response.is_error():
             return response.error
--- a/src/cinderstair/consensus/messages.py
+++ b/src/cinderstair/consensus/messages.py
@@ -63,12 +63,14 @@
     ballot: Ballot
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.message_type).u32(value=self.epoch).text(value=self.key)
         self.ballot.write(packer=packer)
         return packer.bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         request = cls(epoch=unpacker.u32(), key=unpacker.text(), ballot=read_ballot(unpacker=unpacker))
         unpacker.done()
         return request
@@ -85,12 +87,14 @@
     value: bytes
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.message_type).u32(value=self.epoch).text(value=self.key)
         self.ballot.write(packer=packer)
         return packer.blob(value=self.value).bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         request = cls(
             epoch=unpacker.u32(),
             key=unpacker.text(),
@@ -112,10 +116,12 @@
     key: str
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         return Packer().u8(value=self.message_type).u32(value=self.epoch).text(value=self.key).bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         request = cls(epoch=unpacker.u32(), key=unpacker.text())
         unpacker.done()
         return request
@@ -134,6 +140,7 @@
     known: tuple[SourceEdition, ...] | None = None
 
     def encode(self, *, version: int) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.message_type).u32(value=self.epoch)
         if version > 1:
             packer.many(
@@ -144,6 +151,7 @@
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         epoch = unpacker.u32()
         known = None
         if unpacker.version > 1:
@@ -165,11 +173,13 @@
     length_us: int
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.message_type).u32(value=self.epoch).text(value=self.lease)
         return packer.u64(value=self.holder).u64(value=self.length_us).bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         request = cls(epoch=unpacker.u32(), lease=unpacker.text(), holder=unpacker.u64(), length_us=unpacker.u64())
         unpacker.done()
         return request
@@ -183,10 +193,12 @@
     roster: Roster
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         return Packer().u8(value=self.message_type).blob(value=self.roster.bytes()).bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         data = unpacker.blob()
         unpacker.done()
         return cls(roster=read_roster(data=data))
@@ -200,12 +212,14 @@
     sender: Voter
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.message_type)
         write_voter(packer=packer, voter=self.sender)
         return packer.bytes()
 
     @classmethod
     def decode(cls, *, unpacker: Unpacker) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         request = cls(sender=read_voter(unpacker=unpacker))
         unpacker.done()
         return request
@@ -227,6 +241,7 @@
     status: Status
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         return Packer().u8(value=self.status).bytes()
 
 
@@ -237,10 +252,12 @@
     roster: Roster
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         return Packer().u8(value=Status.STALE).blob(value=self.roster.bytes()).bytes()
 
     @classmethod
     def decode(cls, *, data: bytes) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         unpacker = Unpacker(data=data)
         unpacker.u8()
         return cls(roster=read_roster(data=unpacker.blob()))
@@ -256,6 +273,7 @@
     value: bytes = b""
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         packer = Packer().u8(value=self.status)
         self.promised.write(packer=packer)
         self.accepted.write(packer=packer)
@@ -263,6 +281,7 @@
 
     @classmethod
     def decode(cls, *, data: bytes) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         unpacker = Unpacker(data=data)
         status = Status(unpacker.u8())
         if status not in (Status.OK, Status.BEATEN):
@@ -293,6 +312,7 @@
     ballots: Mapping[str, Ballot] = field(default_factory=dict)
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         if self.known is None:
             packer = Packer().u8(value=Status.OK)
         else:
@@ -301,6 +321,7 @@
 
     @classmethod
     def decode(cls, *, data: bytes) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         unpacker = Unpacker(data=data)
         known = None
         if unpacker.u8() == Status.SINCE:
@@ -318,6 +339,7 @@
     candidates: tuple[Voter, ...] = ()
 
     def encode(self) -> bytes:
+        """Returns the message's bytes."""
         roster = b"" if self.roster is None else self.roster.bytes()
         packer = Packer().u8(value=Status.OK).blob(value=roster)
         packer.many(values=self.candidates, each=lambda p, voter: write_voter(packer=p, voter=voter))
@@ -325,6 +347,7 @@
 
     @classmethod
     def decode(cls, *, data: bytes) -> Self:
+        """Reads the message. Raises ValueError where the bytes are none."""
         unpacker = Unpacker(data=data)
         unpacker.u8()
         roster = unpacker.blob()
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -89,6 +89,7 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
+        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
         self.ctx.log.info(
             "this HTTP proxy has gained the lease of database failover and keeps the primaries from now on"
         )
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -129,6 +129,7 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
+        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
         self.ctx.log.info("this daemon has gained the lease of service failover and keeps the primaries from now on")
         self.fencing.assume_all_fenced()
         self.fence_number = 0
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -168,6 +168,7 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
+        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
         # What went by before is not known to this holder, so it waits anew.
         self.since_us = self.ctx.now_us()
 
--- a/src/cinderstair/failover/shard_votes.py
+++ b/src/cinderstair/failover/shard_votes.py
@@ -23,7 +23,9 @@
         ...
 
     @property
-    def vote(self) -> Vote: ...
+    def vote(self) -> Vote:
+        """What the proxy said."""
+        ...
 
 
 # gathers the votes of all proxies by name, from all control daemons
--- a/src/cinderstair/pooler/link.py
+++ b/src/cinderstair/pooler/link.py
@@ -87,4 +87,6 @@
     Errors: OVERLOADED where the backend takes no more links; any other where it can't be reached.
     """
 
-    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]: ...
+    async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
+        """Opens a link to a backend; an error where none is open within `wait_us`."""
+        ...
