--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -413,7 +413,7 @@
     with ExitStack() as stack:
         # why: what is to lie held up must leave right before the closing, so the closing waits for it
         for duty in duties:
-            stack.enter_context(patch.object(duty, "_count", AsyncMock()))
+            stack.enter_context(patch.object(duty, "_count_agreement", AsyncMock()))
         world.advance(for_ms=2_300)
         if not also_deaf:
             world.cut(ones=[proxy], others=[old])
