--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -212,7 +212,7 @@
 def deaf_to_quiet() -> Patches:
     """Nobody is ever held to have fallen silent."""
     return [
-        patch.object(HeartbeatTable, "quiet", lambda self, *, name: False),
+        patch.object(HeartbeatTable, "silent", lambda self, *, name: False),
         patch.object(HeartbeatTable, "age_us", lambda self, *, name: 0),
     ]
 
