--- a/features/steps/backend_link_steps.py
+++ b/features/steps/backend_link_steps.py
@@ -158,7 +158,7 @@
 
 
 @then("its greeting was `{text}`")
-def then_greeting(context: Any, text: str) -> None:
+def then_handshake(context: Any, text: str) -> None:
     assert context.streams.transports[0].sent == raw(text=text), context.streams.transports[0].sent
 
 
--- a/features/steps/client_connection_steps.py
+++ b/features/steps/client_connection_steps.py
@@ -71,7 +71,7 @@
 
 
 @given("a client's connection that was greeted")
-def given_greeted(context: Any) -> None:
+def given_handshake_done(context: Any) -> None:
     context.execute_steps("Given a client's connection")
     context.stage.call(call=lambda: context.transport.feed(b"GREET db1 u1\r\n"))
     context.stage.advance(for_us=1_000)
@@ -133,7 +133,7 @@
 
 
 @when("the time for a greeting is over")
-def when_greeting_over(context: Any) -> None:
+def when_handshake_over(context: Any) -> None:
     context.stage.advance(for_us=HANDSHAKE_TIMEOUT_US + 1_000)
 
 
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -21,10 +21,10 @@
 
 def note_all(*, context: Any, text: str) -> None:
     for each in text.split():
-        asked_ms, _, at = each.partition(":")
+        requested_ms, _, at = each.partition(":")
         found = position(text=at)
         assert found is not None
-        context.fresh.note(requested_us=int(asked_ms) * 1_000, position=found)
+        context.fresh.note(requested_us=int(requested_ms) * 1_000, position=found)
 
 
 @when('a late answer is noted: "{text}"')
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -228,7 +228,7 @@
 
 
 @then("those denied were told crowded within {millis:d} milliseconds, with when to come back")
-def then_crowded(context: Any, millis: int) -> None:
+def then_overloaded(context: Any, millis: int) -> None:
     rejected = [(took_us, answer) for took_us, status, answer in context.answers if status != 200]
     assert len(rejected) >= 30, len(rejected)
     for _, answer in rejected:
--- a/features/steps/link_allocation_steps.py
+++ b/features/steps/link_allocation_steps.py
@@ -62,7 +62,7 @@
 
 
 @given('a backend "{name}" in "{site}" that takes {room:d} links')
-def given_backend_spot(context: Any, name: str, site: str, room: int) -> None:
+def given_backend_location(context: Any, name: str, site: str, room: int) -> None:
     context.backend_location, context.cap = locations(text=site)[0], room
     context.links = links_of(context=context, proxies=context.proxy_locations, backend=name)
 
--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -53,8 +53,10 @@
         "databases": {
             "db": {
                 "backends": [
-                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": hall}}
-                    for i, (n, hall) in enumerate((("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1)
+                    {"name": n, "address": f"10.0.0.{i}:1", "site": "k", "cap": 9, "labels": {"hall": old_or_new}}
+                    for i, (n, old_or_new) in enumerate(
+                        (("a", "old"), ("b", "old"), ("c", "mid"), ("d", "new")), start=1
+                    )
                 ]
             }
         },
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -60,7 +60,7 @@
     client = stage.context(name="client", seed=3)
     net = DispatcherNet()
     client.net = net
-    net.desks[ADDRESS] = replica_dispatcher(stage=stage)
+    net.dispatchers[ADDRESS] = replica_dispatcher(stage=stage)
     register = Register(ctx=client, seeds=(ADDRESS,))
     lease = Lease(ctx=client, register=register, name="slots", seekers=lambda: 1)
     stage.run(work=use_register(register=register, lease=lease))
@@ -102,7 +102,7 @@
         )
         self.census = ProxyCensus(ctx=ctx, dispatcher=dispatcher, relay=relay, peers=lambda: [ADDRESS])
         self.view = RelayedView(ctx=ctx, site="near", seeds=lambda: (ADDRESS,))
-        self.teller = AddressAnnouncer(
+        self.address_announcer = AddressAnnouncer(
             ctx=ctx, view=self.view, place=ProxyAddress(site="near", records=SECOND_ADDRESS)
         )
 
@@ -116,7 +116,7 @@
         await self.view.pull()
         self.view.controller = ADDRESS
         await self.ctx.sleep(duration_us=PAUSE_US)
-        self.teller.on_timer()
+        self.address_announcer.on_timer()
         await self.ctx.sleep(duration_us=1)
         assert await self.census.gather(every_us=0)
         assert await self.census.gather_addresses(every_us=0)
@@ -130,7 +130,7 @@
     ctx = stage.context(name="client", seed=3)
     net = DispatcherNet()
     ctx.net = net
-    net.desks[ADDRESS] = dispatcher
+    net.dispatchers[ADDRESS] = dispatcher
     client = stage.call(call=lambda: ControlClient(ctx=ctx))
     stage.run(work=client.use())
     return net.carried
@@ -161,7 +161,7 @@
     peer = Member(name="front-2", role="stall", site="far", records=SECOND_ADDRESS, http="", incarnation=1)
     first = stage.call(call=lambda: front_end(ctx=ctx, me=me))
     second = stage.call(call=lambda: front_end(ctx=other, me=peer))
-    net.desks[SECOND_ADDRESS] = second.dispatcher
+    net.dispatchers[SECOND_ADDRESS] = second.dispatcher
     stage.run(work=use_sessions(ctx=ctx, first=first, second=second))
     return net.carried
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -75,11 +75,11 @@
     """Carries records to the desks that it knows, and keeps each with its answer."""
 
     def __init__(self) -> None:
-        self.desks: dict[str, Dispatcher] = {}
+        self.dispatchers: dict[str, Dispatcher] = {}
         self.carried: list[tuple[bytes, bytes]] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        dispatcher = self.desks.get(address)
+        dispatcher = self.dispatchers.get(address)
         if dispatcher is None:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="nobody is there"))
         try:
@@ -140,7 +140,7 @@
     )
     started = stage.run(work=control.start())
     assert started.is_ok(), started
-    net.desks[ADDRESS] = control.register_replica.dispatcher
+    net.dispatchers[ADDRESS] = control.register_replica.dispatcher
     return control.register_replica.dispatcher
 
 
@@ -245,7 +245,7 @@
     return Packer().u8(value=MessageType.ADOPT).blob(value=roster(epoch=epoch).bytes()).bytes()
 
 
-def parley_request(*, lowest: int, highest: int) -> bytes:
+def handshake_request(*, lowest: int, highest: int) -> bytes:
     return Packer().u8(value=MessageType.HANDSHAKE).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
 
 
@@ -290,8 +290,8 @@
         Request(name="lease, given back, version 2", data=second(lease_request(holder=8, length_us=0))),
         Request(name="hello", data=hello_request(voter=roster(epoch=EPOCH).voters[2])),
         Request(name="hello of an asker, version 2", data=second(hello_request(voter=asker))),
-        Request(name="parley", data=parley_request(lowest=1, highest=2)),
-        Request(name="parley, nothing in common", data=parley_request(lowest=8, highest=9)),
+        Request(name="parley", data=handshake_request(lowest=1, highest=2)),
+        Request(name="parley, nothing in common", data=handshake_request(lowest=8, highest=9)),
         Request(
             name="read, a version that is not spoken",
             data=add_version_header(version=9, body=read_request(key="plan")),
--- a/features/steps/record_transport_steps.py
+++ b/features/steps/record_transport_steps.py
@@ -42,7 +42,7 @@
 
 
 @when("requests are sent to it one after the other")
-def when_asked(context: Any) -> None:
+def when_requested(context: Any) -> None:
     wire = RecordTransport(counters=Counters())
 
     async def go() -> None:
@@ -141,7 +141,7 @@
 
 
 @when("a request is sent every {every_ms:d} ms of virtual time")
-def when_asked_virtually(context: Any, every_ms: int) -> None:
+def when_requested_virtually(context: Any, every_ms: int) -> None:
     loop = context.stage.loop
     wire = RecordTransport(counters=Counters())
     context.answered = None
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -174,6 +174,6 @@
 
 
 @then('within {within_ms:d} ms it was asked by "{names}"')
-def then_asked_by(context: Any, within_ms: int, names: str) -> None:
+def then_requested_by(context: Any, within_ms: int, names: str) -> None:
     seen = context.controller.relay.recent_proxies(within_us=within_ms * 1_000)
     assert (" ".join(sorted(entry.name for entry in seen)) or "none") == names, seen
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -134,14 +134,14 @@
 def when_begins(context: Any, name: str, term: int) -> None:
     proxy = context.proxies[name]
     proxy.asking = term, proxy.machine.ctx.now_us()
-    context.asked_true_us = context.time.us
+    context.requested_true_us = context.time.us
 
 
 @when('"{name}" is shown {at} by the primary that it asked')
 def when_shown(context: Any, name: str, at: str) -> None:
     proxy, found = context.proxies[name], position(text=at)
     term, requested_us = proxy.asking
-    context.true_us[found] = context.asked_true_us
+    context.true_us[found] = context.requested_true_us
     proxy.pool.saw(service=SERVICE, term=term, requested_us=requested_us, position=found)
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -278,7 +278,7 @@
 
 
 @when('"{name}" is in trouble')
-def when_trouble(context: Any, name: str) -> None:
+def when_fault_struck(context: Any, name: str) -> None:
     context.stage.call(call=context.router.pools[name].report_trouble)
 
 
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -167,7 +167,7 @@
 
 
 @when("the controller that it asks is silent for {wait_ms:d} ms")
-def when_asked_silent(context: Any, wait_ms: int) -> None:
+def when_requested_silent(context: Any, wait_ms: int) -> None:
     context.relays[context.view.controller].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
--- a/src/cinderstair/simulation/platformsim/platform_client.py
+++ b/src/cinderstair/simulation/platformsim/platform_client.py
@@ -231,18 +231,18 @@
 
     async def _answer(self, *, line: bytes, until_us: int, handshake: bool = False) -> ClientAnswer | None:
         """None after silence or a cut, after which the session is closed."""
-        wire, asked_us = self.wire, self.now_us
+        wire, requested_us = self.wire, self.now_us
         assert wire is not None
         try:
-            async with asyncio.timeout(max(0.001, (until_us - asked_us) / 1_000_000)):
+            async with asyncio.timeout(max(0.001, (until_us - requested_us) / 1_000_000)):
                 answer = await wire.request(line=line, handshake=handshake)
-            self.answered(self.proxy, asked_us, line[:40].decode())
+            self.answered(self.proxy, requested_us, line[:40].decode())
             return answer
         except TimeoutError:
             wire.close()
             return None
         except ConnectionError:
-            self.dropped(self.proxy, asked_us, line[:40].decode())
+            self.dropped(self.proxy, requested_us, line[:40].decode())
             return None
 
     # -- one try --
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -399,29 +399,29 @@
             if each.scope == name or (each.scope in self.controllers and each.scope not in self.minority)
         )
 
-    def _excused(self, *, asked_us: int) -> bool:
+    def _excused(self, *, requested_us: int) -> bool:
         """Whether anything unplanned befell anybody at about that time."""
         return any(
-            not each.planned and each.touches(from_us=asked_us - QUIET_US, until_us=self.now_us)
+            not each.planned and each.touches(from_us=requested_us - QUIET_US, until_us=self.now_us)
             for each in self.disruptions
         )
 
-    def answered(self, proxy: str, asked_us: int, what: str) -> None:
+    def answered(self, proxy: str, requested_us: int, what: str) -> None:
         """A client got its answer; it counts where a planned stop might have cost it."""
         planned = any(
-            each.planned and each.touches(from_us=asked_us, until_us=self.now_us) for each in self.disruptions
+            each.planned and each.touches(from_us=requested_us, until_us=self.now_us) for each in self.disruptions
         )
-        if planned and not self._excused(asked_us=asked_us):
+        if planned and not self._excused(requested_us=requested_us):
             self.referee.lost.answered(whole=True, what=what)
 
-    def dropped(self, proxy: str, asked_us: int, what: str) -> None:
+    def dropped(self, proxy: str, requested_us: int, what: str) -> None:
         """A connection closed while a client waited for an answer."""
         now_us = self.now_us
-        excused = self._excused(asked_us=asked_us)
+        excused = self._excused(requested_us=requested_us)
         ident = what.split(" ")[1].encode() if what.startswith("ASK") else b""
-        if excused or (now_us - asked_us <= SLACK_US and ident not in self.referee.handed):
+        if excused or (now_us - requested_us <= SLACK_US and ident not in self.referee.handed):
             return
-        self.referee.lost.answered(whole=False, what=f"{proxy} closed on {what} of {asked_us} at {now_us}")
+        self.referee.lost.answered(whole=False, what=f"{proxy} closed on {what} of {requested_us} at {now_us}")
 
     # -- backends --
 
--- a/src/cinderstair/simulation/window_trials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -18,7 +18,7 @@
     }
 
 
-def asked_since(*, trial: Trial, name: str, since_us: int) -> bool:
+def requested_since(*, trial: Trial, name: str, since_us: int) -> bool:
     return any(arrival.at_us > since_us for arrival in trial.world.wires.arrivals[name])
 
 
@@ -29,7 +29,9 @@
     for name in old:
         if name in world.http_proxy_names and world.up(name=name) and world.http_proxy(name=name).sessions.open:
             wrong.append(f"{name} still has sessions")
-        if name in world.backend_names() and asked_since(trial=trial, name=name, since_us=world.now_us - 2_000_000):
+        if name in world.backend_names() and requested_since(
+            trial=trial, name=name, since_us=world.now_us - 2_000_000
+        ):
             wrong.append(f"{name} is still asked")
     return wrong
 
@@ -83,7 +85,7 @@
     world = trial.world
     if name in world.http_proxy_names:
         return world.http_proxy(name=name).ready.unready() is None
-    return asked_since(trial=trial, name=name, since_us=world.now_us - 3_000_000)
+    return requested_since(trial=trial, name=name, since_us=world.now_us - 3_000_000)
 
 
 def data_centre_moved_amid_crashes(*, trial: Trial) -> None:
