--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -1,9 +1,9 @@
 """Replicates the state of a leaving backend to a majority of the voters before it is acknowledged."""
 
-import asyncio
 from collections.abc import Callable
 from dataclasses import replace
 
+from ..consensus.majority import count_until_majority
 from ..membership.announcement import GONE, Announcement, read_announcement
 from ..membership.heartbeat import READY
 from ..membership.heartbeat_table import HeartbeatTable
@@ -57,11 +57,9 @@
         body = Packer().u8(value=MessageType.ANNOUNCE).bytes() + self._encoded(announcement=announcement)
         voters = self.voters()
         majority = len(voters) // 2 + 1
-        pending = {self.ctx.spawn(work=self._send(address=address, body=body), name="announce") for address in voters}
-        acknowledged = 0
-        while pending and acknowledged < majority:
-            done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            acknowledged += sum(task.result() for task in done)
+        sends = (self._send(address=address, body=body) for address in voters)
+        requests = {self.ctx.spawn(work=send, name="announce") for send in sends}
+        acknowledged = await count_until_majority(requests=requests, majority=majority)
         if not voters or acknowledged < majority:
             self.ctx.counters.add(name="announcements.unspread")
             return False
