--- a/features/platform/adapter/control_api.feature
+++ b/features/platform/adapter/control_api.feature
@@ -11,7 +11,7 @@
     And the last heartbeat has service s1
     And the last heartbeat has number 6
     And the last heartbeat has state ready
-    And the last heartbeat has leads False
+    And the last heartbeat has is_primary False
     And the last heartbeat has room 3
 
   Scenario Outline: What a heartbeat may say
@@ -23,7 +23,7 @@
     Examples:
       | field     | value      | kept  | as       |
       | standing  | "emptying" | state | emptying |
-      | db_role   | "primary"  | leads | True     |
+      | db_role   | "primary"  | is_primary | True     |
       | call_room | missing    | room  | 0        |
       | revision  | missing    | name  | srv-1      |
       | new       | {"a": 1}   | name  | srv-1      |
--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -51,7 +51,13 @@
 
 def announcement_as(*, state: str, number: int = 4) -> Announcement:
     return Announcement(
-        name="srv-1", number=number, service="s1", address="10.0.0.9:1", site="hall", state=STATES[state], leads=False
+        name="srv-1",
+        number=number,
+        service="s1",
+        address="10.0.0.9:1",
+        site="hall",
+        state=STATES[state],
+        is_primary=False,
     )
 
 
--- a/features/steps/backend_link_steps.py
+++ b/features/steps/backend_link_steps.py
@@ -180,7 +180,7 @@
     assert context.stage.now_us - began_us <= 310_000
     if context.result.is_ok():
         state = context.result.ok
-        role = "leads" if state.leads else "follows"
+        role = "leads" if state.is_primary else "follows"
         context.result = Ok(f"{role} {state.term} {shown(at=state.received)} {state.term_held}")
     context.stage.advance(for_us=1_000)
 
--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -110,15 +110,15 @@
 class SimulatedBackend:
     """A backend of a service: its state, and how it answers to requests."""
 
-    def __init__(self, *, name: str, leads: bool, at: Position) -> None:
+    def __init__(self, *, name: str, is_primary: bool, at: Position) -> None:
         self.name = name
-        self.leads = leads
+        self.is_primary = is_primary
         self.term = at.term
         self.at = at
         self.held = 0
         self.paused = False
         self.standing = READY
-        self.role_reported = leads
+        self.role_reported = is_primary
         self.up = True
         self.heartbeats = True
         self.reach = "yes"
@@ -136,7 +136,7 @@
 
     def __init__(self, *, stage: Stage, names: tuple[str, ...], at: Position, confirmations: int) -> None:
         self.stage = stage
-        self.backends = {name: SimulatedBackend(name=name, leads=name == names[0], at=at) for name in names}
+        self.backends = {name: SimulatedBackend(name=name, is_primary=name == names[0], at=at) for name in names}
         self.confirmations = confirmations
         self.acknowledged = at
         self.lost: list[str] = []
@@ -157,7 +157,7 @@
         if backend.up and backend.heartbeats:
             backend.number += 1
             heartbeat = announcement(
-                name=backend.name, state=backend.standing, leads=backend.leads, number=backend.number
+                name=backend.name, state=backend.standing, is_primary=backend.is_primary, number=backend.number
             )
             for receive in self.heartbeat_listeners:
                 receive(heartbeat)
@@ -167,7 +167,7 @@
             await asyncio.sleep(COMMIT_US / 1_000_000)
             if not self.writing:
                 continue
-            for primary in [each for each in self.backends.values() if each.leads and each.up]:
+            for primary in [each for each in self.backends.values() if each.is_primary and each.up]:
                 made = Position(primary.term, primary.at.number + 1)
                 primary.at = made
                 took = [
@@ -175,7 +175,7 @@
                     for replica in self.backends.values()
                     if replica is not primary
                     and replica.up
-                    and not replica.leads
+                    and not replica.is_primary
                     and not replica.paused
                     and replica.held <= made.term
                 ]
@@ -185,7 +185,11 @@
                     self.acknowledged = max(self.acknowledged, made)
 
     def _state(self, backend: SimulatedBackend) -> Result[BackendState, CinderstairError]:
-        return Ok(BackendState(leads=backend.leads, term=backend.term, received=backend.at, term_held=backend.held))
+        return Ok(
+            BackendState(
+                is_primary=backend.is_primary, term=backend.term, received=backend.at, term_held=backend.held
+            )
+        )
 
     async def _reported(self, *, name: str, text: str, wait_us: int) -> SimulatedBackend | CinderstairError:
         backend = self.backends[name]
@@ -213,7 +217,7 @@
             return Error(found)
         if not found.pausable:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="BUSY"))
-        if term > found.held and not found.leads:
+        if term > found.held and not found.is_primary:
             found.held, found.paused = term, True
         return self._state(found)
 
@@ -230,10 +234,10 @@
         found = await self._reported(name=backend.name, text=f"step down {term}", wait_us=wait_us)
         if isinstance(found, CinderstairError):
             return Error(found)
-        if found.leads and found.term < term and found.steps_down:
+        if found.is_primary and found.term < term and found.steps_down:
             for replica in [each for each in self.backends.values() if each.follows_us]:
                 self.stage.loop.call_later(replica.follows_us / 1_000_000, setattr, replica, "at", found.at)
-            found.leads, found.stepped_us = False, self.stage.now_us
+            found.is_primary, found.stepped_us = False, self.stage.now_us
             self.send_heartbeat(backend=found)
         return self._state(found)
 
@@ -245,21 +249,21 @@
         found = self.backends[backend]
         if not found.up or backend in self.refuses:
             return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="409"))
-        if found.promotable and not found.leads:
+        if found.promotable and not found.is_primary:
             self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._lead, found)
         return Ok(None)
 
     def _lead(self, backend: SimulatedBackend) -> None:
-        if not backend.up or backend.leads:
+        if not backend.up or backend.is_primary:
             return
         if backend.at < self.acknowledged:
             self.lost.append(f"{backend.name} has {backend.at}, acknowledged was {self.acknowledged}")
-        backend.leads, backend.paused, backend.held = True, False, 0
+        backend.is_primary, backend.paused, backend.held = True, False, 0
         backend.term = max(each.term for each in self.backends.values()) + 1
         backend.at = Position(backend.term, backend.at.number)
         for other in self.backends.values():
             # Replicas that were ahead are cut back to what the new primary has.
-            if other is not backend and not other.leads:
+            if other is not backend and not other.is_primary:
                 other.at = min(other.at, Position(backend.at.term, backend.at.number))
         self.send_heartbeat(backend=backend)
 
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -69,7 +69,7 @@
     )
     reported.plan(plan=plan(routes=(route(),)))
     reported.proxy_ids(names=("holder", "booth-1"))
-    reported.tell(backends=tuple(announcement(name=name, leads=name == "a") for name in ("a", "b")))
+    reported.tell(backends=tuple(announcement(name=name, is_primary=name == "a") for name in ("a", "b")))
     reported.lead(primary="a")
     return router
 
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -247,7 +247,7 @@
 def when_language(context: Any, language: str) -> None:
     world = context.world
     configuration = world.http_proxy(name="stall-0").view.configuration
-    context.old = world.http_proxy(name="stall-0").view.leads["db0"].in_sync[0]
+    context.old = world.http_proxy(name="stall-0").view.primaries["db0"].in_sync[0]
     body = world.configuration(version=configuration.version + 1, old=(context.old,), language=language)
     status, answer = ask(world=world, method="PUT", path="/v1/configuration", body=body)
     assert status == 200, answer
@@ -281,7 +281,7 @@
 @then("{count:d} live reads all run at the primary")
 def then_primary(context: Any, count: int) -> None:
     found = read_where(context=context, kind="live", count=count)
-    assert found[context.world.http_proxy(name="stall-0").view.leads["db0"].primary] == count, found
+    assert found[context.world.http_proxy(name="stall-0").view.primaries["db0"].primary] == count, found
 
 
 @then("a live read is denied with routeDenied, and a fresh read still runs")
@@ -300,7 +300,7 @@
 
 @when("both replicas apply 3 seconds late and something is written")
 def when_late(context: Any) -> None:
-    for name in context.world.http_proxy(name="stall-0").view.leads["db0"].in_sync:
+    for name in context.world.http_proxy(name="stall-0").view.primaries["db0"].in_sync:
         context.world.backend(name=name).apply_us = 3_000_000
     status, answer = statement(context=context, kind="write", text="append k x")
     assert status == 200, answer
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -301,7 +301,7 @@
         "address": each.address,
         "zone": each.site,
         "standing": each.state,
-        "primary": each.leads,
+        "primary": each.is_primary,
         "call_room": each.room,
     }
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -82,7 +82,7 @@
     return found
 
 
-def announcement(*, state: str, leads: bool = False) -> Announcement:
+def announcement(*, state: str, is_primary: bool = False) -> Announcement:
     return Announcement(
         name="db-1",
         number=7,
@@ -90,14 +90,14 @@
         address="10.3.0.1:5432",
         site="near",
         state=state,
-        leads=leads,
+        is_primary=is_primary,
         room=12,
     )
 
 
 def heartbeat(*, state: str) -> Heartbeat:
     return Heartbeat(
-        name="db-1", incarnation=3, number=9, site="near", state=state, leads=True, term=4, position=1_234
+        name="db-1", incarnation=3, number=9, site="near", state=state, is_primary=True, term=4, position=1_234
     )
 
 
@@ -211,7 +211,7 @@
         age_us=150_000,
         whole=True,
         values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
-        backends=(RelayedBackend(announcement=announcement(state=READY, leads=True), silent=True),),
+        backends=(RelayedBackend(announcement=announcement(state=READY, is_primary=True), silent=True),),
         controllers=("10.1.0.1:7100", "10.1.0.2:7100"),
         answered_us=88,
         samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), edition=5),),
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -99,7 +99,7 @@
     """A control of backends that reaches every one of them."""
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        return Ok(BackendState(leads=False, term=1, received=Position(1, 5), term_held=1))
+        return Ok(BackendState(is_primary=False, term=1, received=Position(1, 5), term_held=1))
 
 
 def settings() -> Settings:
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -60,7 +60,7 @@
         address=text(rng),
         site=text(rng),
         state=rng.choice(STATES),
-        leads=rng.random() < 0.5,
+        is_primary=rng.random() < 0.5,
         room=u32(rng),
     )
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -64,7 +64,7 @@
 
 @when('the backends "{names}" send heartbeats as {what}')
 def when_heartbeat_as(context: Any, names: str, what: str) -> None:
-    changes = {"primary": {"leads": True}, "emptying": {"state": EMPTYING}, "gone": {"state": GONE}}[what]
+    changes = {"primary": {"is_primary": True}, "emptying": {"state": EMPTYING}, "gone": {"state": GONE}}[what]
     heartbeat_all(context=context, names=names, **changes)
 
 
@@ -107,7 +107,7 @@
         " ".join(
             sorted(
                 each.announcement.name
-                + ("!" if each.announcement.leads else "")
+                + ("!" if each.announcement.is_primary else "")
                 + ("" if each.announcement.state == READY else f"-{each.announcement.state}")
                 + ("?" if each.silent else "")
                 for each in answer.backends
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -212,7 +212,7 @@
         return assignment is not None and assignment.primary == name and assignment.state == PrimaryState.settled
 
     wait_for(context=context, test=settled, within_us=most_ms * 1_000)
-    assert context.cluster.backends[name].leads
+    assert context.cluster.backends[name].is_primary
     context.stage.advance(for_us=1_200_000)
 
 
@@ -243,7 +243,7 @@
 @then("nobody but one leads, and no replica is paused")
 def then_one_leads(context: Any) -> None:
     up = [each for each in context.cluster.backends.values() if each.up]
-    assert sum(each.leads for each in up) == 1, [(each.name, each.leads) for each in up]
+    assert sum(each.is_primary for each in up) == 1, [(each.name, each.is_primary) for each in up]
     assert not any(each.paused for each in up), [each.name for each in up if each.paused]
 
 
@@ -270,7 +270,7 @@
 
 @when("the replicas are paused")
 def when_paused(context: Any) -> None:
-    replicas = [each for each in context.cluster.backends.values() if not each.leads]
+    replicas = [each for each in context.cluster.backends.values() if not each.is_primary]
     wait_for(context=context, test=lambda: any(each.paused for each in replicas), within_us=10_000_000)
 
 
@@ -308,7 +308,7 @@
     put(context=context, key=service_primary_key(service="s"), value=assignment.bytes())
     context.written = assignment
     for each in context.cluster.backends.values():
-        each.leads = each.name == name
+        each.is_primary = each.name == name
         each.term = term
         context.stage.call(call=lambda each=each: context.cluster.send_heartbeat(backend=each))
 
@@ -359,7 +359,9 @@
         "when the replicas are paused": paused,
         "when the assignment is moving": moving,
         "when the platform has been asked": lambda: bool(context.cluster.calls),
-        "when another leads": lambda: any(each.leads and each.term > 3 for each in context.cluster.backends.values()),
+        "when another leads": lambda: any(
+            each.is_primary and each.term > 3 for each in context.cluster.backends.values()
+        ),
     }
     test = tests[moment]
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -64,7 +64,7 @@
     )
     context.reported.plan(plan=plan(routes=(route(),)))
     context.reported.proxy_ids(names=("booth-1",))
-    context.reported.tell(backends=tuple(announcement(name=n, leads=n == primary) for n in context.names))
+    context.reported.tell(backends=tuple(announcement(name=n, is_primary=n == primary) for n in context.names))
     context.reported.lead(primary=primary)
     context.numbers = dict.fromkeys(context.names, 1)
     context.session = Session(ctx=stage.ctx, router=context.router, database="db")
@@ -99,7 +99,9 @@
     context.distances[site] = distance
     context.numbers[name] += 1
     context.reported.tell(
-        backends=(announcement(name=name, site=site, number=context.numbers[name], leads=name == context.primary),)
+        backends=(
+            announcement(name=name, site=site, number=context.numbers[name], is_primary=name == context.primary),
+        )
     )
 
 
@@ -237,7 +239,9 @@
     states = {"ready": READY, "emptying": EMPTYING, "gone": GONE}
     context.reported.tell(
         backends=(
-            announcement(name=name, state=states[state], number=context.numbers[name], leads=name == context.primary),
+            announcement(
+                name=name, state=states[state], number=context.numbers[name], is_primary=name == context.primary
+            ),
         )
     )
 
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -343,10 +343,10 @@
 
 
 def announcement(
-    *, name: str, service: str = "s", state: str = READY, leads: bool = False, number: int = 1, site: str = SITE
+    *, name: str, service: str = "s", state: str = READY, is_primary: bool = False, number: int = 1, site: str = SITE
 ) -> Announcement:
     return Announcement(
-        name=name, number=number, service=service, address=f"{name}:1", site=site, state=state, leads=leads
+        name=name, number=number, service=service, address=f"{name}:1", site=site, state=state, is_primary=is_primary
     )
 
 
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -83,7 +83,7 @@
         known = await self._last_announcement(name=name)
         if known.state == GONE:
             return await self.spread(announcement=known)
-        gone = replace(known, state=GONE, leads=False, number=known.number + 1)
+        gone = replace(known, state=GONE, is_primary=False, number=known.number + 1)
         self.heartbeat_table.receive(heartbeat=gone)
         return await self.spread(announcement=gone)
 
@@ -96,5 +96,5 @@
             received = self.heartbeat_table.latest(name=name)
         if received is None:
             # a proxy may still route to a backend that no controller remembers, so it is deregistered all the same
-            return Announcement(name=name, number=0, service="", address="", site="", state=READY, leads=False)
+            return Announcement(name=name, number=0, service="", address="", site="", state=READY, is_primary=False)
         return received.heartbeat
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -177,7 +177,7 @@
     return (
         one.silent == other.silent
         and first.state == second.state
-        and first.leads == second.leads
+        and first.is_primary == second.is_primary
         and first.address == second.address
         and first.service == second.service
     )
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -63,7 +63,7 @@
 
 def _backend_line(*, backend: BackendStatus) -> str:
     announcement = backend.announcement
-    marks = (" and leads" if announcement.leads else "") + (", QUIET" if backend.silent else "")
+    marks = (" and leads" if announcement.is_primary else "") + (", QUIET" if backend.silent else "")
     return f"backend {announcement.name} of {announcement.service}: {announcement.state}{marks}"
 
 
--- a/src/cinderstair/failover/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -15,13 +15,13 @@
 class BackendState:
     """A backend's own account of itself.
 
-    :param leads: whether it is a primary.
+    :param is_primary: whether it is a primary.
     :param term: the term in which it leads, or whose primary it follows.
     :param received: the end of its log.
     :param term_held: the highest term for which it was paused: it receives nothing of any lower one. 0 for none.
     """
 
-    leads: bool
+    is_primary: bool
     term: int
     received: Position
     term_held: int
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -162,7 +162,7 @@
             return
         best = max(
             sorted(positions),
-            key=lambda name: (positions[name].term, positions[name].received, positions[name].leads),
+            key=lambda name: (positions[name].term, positions[name].received, positions[name].is_primary),
         )
         assignment = DatabasePrimary(
             term=max(position.term for position in positions.values()) + 1,
--- a/src/cinderstair/failover/database_promotion.py
+++ b/src/cinderstair/failover/database_promotion.py
@@ -74,7 +74,7 @@
         position = await query_position(
             connection_pools=failover.connection_pools, name=assignment.primary, direct=True
         )
-        if position.is_error() or not position.ok.leads or position.ok.term != assignment.term:
+        if position.is_error() or not position.ok.is_primary or position.ok.term != assignment.term:
             await self._assign_another(
                 database=database, configuration=configuration, assignment=assignment, promoted=promoted
             )
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -97,7 +97,7 @@
     async def _is_followed(self, *, primary: Announcement, replicas: list[Announcement]) -> bool:
         """Whether a replica that stays holds all that the primary held after the others had ended."""
         leading = await self.control.state(backend=primary, wait_us=PROBE_WAIT_US)
-        if leading.is_error() or not leading.ok.leads:
+        if leading.is_error() or not leading.ok.is_primary:
             return False
         staying = [each for each in replicas if each.state == READY and each.name != primary.name]
         requests = [self.control.state(backend=each, wait_us=PROBE_WAIT_US) for each in staying]
--- a/src/cinderstair/failover/in_sync_tracker.py
+++ b/src/cinderstair/failover/in_sync_tracker.py
@@ -48,7 +48,7 @@
         names = configuration.databases.get(database, ())
         positions = await self._positions(names=names, assignment=assignment)
         primary = positions.get(assignment.primary)
-        if primary is None or not primary.leads or primary.term != assignment.term:
+        if primary is None or not primary.is_primary or primary.term != assignment.term:
             return
         mark = self._mark(database=database, term=assignment.term, received=primary.received, now_us=now_us)
         following = _arrived(positions=positions, term=assignment.term, mark=mark)
--- a/src/cinderstair/failover/primary_monitor.py
+++ b/src/cinderstair/failover/primary_monitor.py
@@ -51,11 +51,11 @@
         if member.state == GONE:
             # Some deregister first and serve on. While such a one leads it can step down, which loses no commit.
             state = await self.control.state(backend=member, wait_us=PROBE_WAIT_US)
-            return MoveReason.EMPTYING if state.is_ok() and state.ok.leads else MoveReason.GONE
+            return MoveReason.EMPTYING if state.is_ok() and state.ok.is_primary else MoveReason.GONE
         quiet = self.heartbeat_table.silent(name=primary) and self.heartbeat_table.connected
         if member.state != READY:
             return await self._reason_while_leaving(member=member, quiet=quiet)
-        demoted = not member.leads and not quiet
+        demoted = not member.is_primary and not quiet
         if not quiet and not demoted and primary not in self.suspects_us:
             return None
         reason = await self._examine(member=member, quiet=quiet)
@@ -76,7 +76,7 @@
         )
         self.ctx.counters.add(name="promotion.examined")
         if own.is_ok():
-            return None if own.ok.leads else MoveReason.DEMOTED
+            return None if own.ok.is_primary else MoveReason.DEMOTED
         unreachable = own.error.code == ErrorCode.WIRE_UNSENT
         # A silent primary that takes connections may only be slow, so its heartbeats must be missed as well.
         if not unreachable and not quiet:
--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -76,7 +76,7 @@
             if not await self._request(service=service, assignment=assignment, attempt=attempt):
                 break
             state = await self._probe(member=member, attempt=attempt)
-            if state is not None and state.leads:
+            if state is not None and state.is_primary:
                 return state
             deregistered = member is not None and member.state == GONE
             unreachable = ctx.now_us() - attempt.reached_us > UNREACHABLE_US
@@ -115,7 +115,7 @@
         if member is None:
             return None
         state = await self.failover.control.state(backend=member, wait_us=PROBE_WAIT_US)
-        if state.is_ok() and state.ok.leads:
+        if state.is_ok() and state.ok.is_primary:
             return state.ok
         if state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT:
             attempt.reached_us = self.failover.ctx.now_us()
--- a/src/cinderstair/failover/replica_fencing.py
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -122,7 +122,7 @@
     async def _resume_member(self, *, member: Announcement, term: int) -> bool:
         control = self.failover.control
         resumed = await control.resume(backend=member, wait_us=PAUSE_WAIT_US)
-        if resumed.is_ok() and resumed.ok.leads:
+        if resumed.is_ok() and resumed.ok.is_primary:
             resumed = await control.step_down(backend=member, term=term, wait_us=PAUSE_WAIT_US)
         return resumed.is_ok()
 
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -197,9 +197,9 @@
     async def _adopt_first_primary(self, *, service: str) -> None:
         """Where nothing was ever assigned, assigns the backend that leads by its own account in the highest term."""
         members = self.failover.members.of_service(service=service)
-        candidates = [each for each in members if each.leads and each.state == READY]
+        candidates = [each for each in members if each.is_primary and each.state == READY]
         states = await self.failover.poller.states(members=candidates)
-        leading = {name: state for name, state in states.items() if state.leads}
+        leading = {name: state for name, state in states.items() if state.is_primary}
         if not leading:
             self.failover.blocking.report(name=service, reason="no backend says that it leads")
             self.failover.retry_later(service=service)
--- a/src/cinderstair/failover/successor.py
+++ b/src/cinderstair/failover/successor.py
@@ -34,7 +34,7 @@
 
 def leading_or_furthest(*, states: dict[str, BackendState]) -> str:
     """A backend that leads already, else the one with the longest log."""
-    return max(sorted(states), key=lambda name: (states[name].leads, states[name].received))
+    return max(sorted(states), key=lambda name: (states[name].is_primary, states[name].received))
 
 
 async def inheriting_successor(
@@ -46,8 +46,8 @@
     """
     if old is None or old.state != GONE:
         return None
-    candidates = [each for each in others if each.address == old.address and each.leads and each.state == READY]
+    candidates = [each for each in others if each.address == old.address and each.is_primary and each.state == READY]
     for name, state in (await poller.states(members=candidates)).items():
-        if state.leads and state.term >= assignment.term:
+        if state.is_primary and state.term >= assignment.term:
             return Successor(term=state.term, name=name, fence=state.received)
     return None
--- a/src/cinderstair/failover/switchover.py
+++ b/src/cinderstair/failover/switchover.py
@@ -54,7 +54,7 @@
                 service=service, assignment=assignment, primary_answered=primary is not None
             )
             return None
-        if assignment.state == PrimaryState.settled and primary.leads:
+        if assignment.state == PrimaryState.settled and primary.is_primary:
             announced = await self._announce(service=service, assignment=assignment)
             if announced is None:
                 return None
@@ -92,7 +92,7 @@
     ) -> Position | None:
         """Where the log of the primary ends after its step down; None where it did not step down."""
         stepped = await self.failover.control.step_down(backend=old, term=term, wait_us=PAUSE_WAIT_US)
-        if stepped.is_ok() and not stepped.ok.leads:
+        if stepped.is_ok() and not stepped.ok.is_primary:
             return stepped.ok.received
         self.failover.blocking.report(name=service, reason=f"{assignment.primary} does not step down")
         self.failover.retry_later(service=service, wait_us=STEP_DOWN_RETRY_US)
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -56,7 +56,7 @@
         return pool is not None and pool.limit > 0 and self.heartbeat_table.healthy(name=name) and not pool.shunned
 
     def _leads(self, *, name: str) -> bool:
-        return any(lead.primary == name for lead in self.view.leads.values())
+        return any(lead.primary == name for lead in self.view.primaries.values())
 
     def open(self, *, name: str) -> bool:
         """Whether this HTTP proxy may have channels there at all."""
@@ -86,7 +86,7 @@
                 if name in self.pools:
                     self.pools[name].shut_idle()
         self._give_up(names=configuration.backends)
-        held = frozenset((lead.primary, lead.confirmers) for lead in self.view.leads.values())
+        held = frozenset((lead.primary, lead.confirmers) for lead in self.view.primaries.values())
         away = frozenset(self.unfit_since_us), frozenset(self.view.leaving.backends)
         inputs = (configuration.version, self.view.proxy_ids, away, held)
         if inputs != self.inputs:
@@ -99,7 +99,7 @@
         for name in names:
             if name in self.pools and not self.reachable(name=name):
                 self.pools[name].give_up()
-        for database, lead in self.view.leads.items():
+        for database, lead in self.view.primaries.items():
             before = self.led.get(database, lead)
             self.led[database] = lead
             # whatever the old primary answers now belongs to a term that is over
@@ -119,11 +119,11 @@
                 for number in ids
             }
             self.shares[database] = () if my_id is None else subsets[my_id]
-            lead = self.view.leads.get(database)
+            lead = self.view.primaries.get(database)
             for name in names:
                 # every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
-                leads = lead is not None and name in (lead.primary, *lead.confirmers)
-                user_ids = [n for n, held in subsets.items() if leads or name in held]
+                assigned = lead is not None and name in (lead.primary, *lead.confirmers)
+                user_ids = [n for n, held in subsets.items() if assigned or name in held]
                 part = (
                     0
                     if my_id is None
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -31,7 +31,7 @@
         configuration_store: ConfigurationStore,
         ready: ReadyFilter,
         status: StatusPage,
-        leads: DatabaseFailover,
+        database_failover: DatabaseFailover,
         founding_replicas: int,
     ) -> None:
         self.founding_replicas = founding_replicas
@@ -41,7 +41,7 @@
         self.configuration_store = configuration_store
         self.ready = ready
         self.status = status
-        self.leads = leads
+        self.database_failover = database_failover
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Answers by the verb; None for those of sessions."""
@@ -114,7 +114,7 @@
         database, backend = str(request.body.get("database")), str(request.body.get("backend"))
         if request.body.get("iAcceptLoss") is not True:
             return self.reject(kind=ErrorCode.MALFORMED, why="iAcceptLoss: must be true; commits may be lost by this")
-        result = await self.leads.override(database=database, backend=backend)
+        result = await self.database_failover.override(database=database, backend=backend)
         if result.is_error():
             return self.reject_with(fault=result.error)
         return self.done(value={"term": result.ok.term})
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -165,7 +165,7 @@
             heartbeat_table=self.heartbeat_table,
             connection_pools=self.connection_pools,
             sessions=self.sessions,
-            leads=self.database_failover,
+            database_failover=self.database_failover,
             session_replicator=self.session_replicator,
             session_replicas=self.session_replicas,
         )
@@ -182,7 +182,7 @@
                 configuration_store=ConfigurationStore(ctx=ctx, register=self.register),
                 ready=self.ready,
                 status=self.status,
-                leads=self.database_failover,
+                database_failover=self.database_failover,
                 founding_replicas=self.settings.founding_replicas,
             ),
             DeadlineFilter(ctx=ctx),
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -20,7 +20,7 @@
     term: int
     received: int
     applied: int
-    leads: bool
+    is_primary: bool
     incarnation: int
 
 
@@ -76,7 +76,7 @@
             term=int(value["term"]),
             received=int(value["received"]),
             applied=int(value["applied"]),
-            leads=bool(value["leads"]),
+            is_primary=bool(value["leads"]),
             incarnation=int(value["incarnation"]),
         )
     except (ValueError, KeyError, TypeError):
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -40,7 +40,7 @@
         self.every(every_us=SAMPLE_EVERY_US, command=self._on_timer, name="sample")
 
     def _on_timer(self) -> None:
-        for database in self.view.leads:
+        for database in self.view.primaries:
             self.ctx.spawn(work=self.sample(database=database), name="sample")
 
     async def sample(self, *, database: str) -> None:
@@ -50,7 +50,7 @@
             return
         began_us = self.ctx.now_us()
         reading = await query_position(connection_pools=self.connection_pools, name=lead.primary)
-        if reading.is_error() or not reading.ok.leads or reading.ok.term != lead.term:
+        if reading.is_error() or not reading.ok.is_primary or reading.ok.term != lead.term:
             return
         # only while nobody else can have been made to lead is the primary's position the newest
         if not self.view.current or not self._same(database=database, lead=lead):
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -25,7 +25,7 @@
         heartbeat_table: HeartbeatTable,
         connection_pools: ConnectionPools,
         sessions: Sessions,
-        leads: DatabaseFailover,
+        database_failover: DatabaseFailover,
         session_replicator: SessionReplicator,
         session_replicas: SessionReplicas,
     ) -> None:
@@ -37,7 +37,7 @@
         self.heartbeat_table = heartbeat_table
         self.connection_pools = connection_pools
         self.sessions = sessions
-        self.leads = leads
+        self.database_failover = database_failover
 
     def value(self) -> dict[str, Any]:
         """The page, as JSON values."""
@@ -65,11 +65,11 @@
                     "inSync": list(lead.in_sync),
                     "joining": list(lead.joining),
                 }
-                for database, lead in sorted(self.view.leads.items())
+                for database, lead in sorted(self.view.primaries.items())
             },
             "held": {database: why for database, why in self.held().items()},
             "windows": self._windows(),
-            "duties": ["lead"] if self.leads.lease.held else [],
+            "duties": ["lead"] if self.database_failover.lease.held else [],
             "backends": {name: self._backend(name=name) for name in sorted(self.connection_pools.pools)},
             "shares": {database: list(names) for database, names in self.connection_pools.shares.items()},
             "sessions": len(self.sessions.open),
@@ -80,8 +80,8 @@
 
     def held(self) -> dict[str, str]:
         """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
-        held = {database: why for database, why in self.leads.reasons.items() if why}
-        return {**held, **self.leads.sync_holds, **self.leads.window_holds}
+        held = {database: why for database, why in self.database_failover.reasons.items() if why}
+        return {**held, **self.database_failover.sync_holds, **self.database_failover.window_holds}
 
     def _windows(self) -> dict[str, Any]:
         """Each booked window: its stage, what it still has to empty, and what holds it back."""
@@ -92,7 +92,7 @@
             mine = [name for name, ws in leaving.backends.items() if window.name in ws]
             left = [
                 f"{name} {'leads' if lead.primary == name else 'is in sync for'} {database}"
-                for database, lead in sorted(self.view.leads.items())
+                for database, lead in sorted(self.view.primaries.items())
                 for name in mine
                 if name in (lead.primary, *lead.confirmers)
             ]
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -21,7 +21,7 @@
         self.proxy_ids = ProxyIds()
         self.window_states = WindowStates()
         self.leaving = DrainTargets()
-        self.leads: dict[str, DatabasePrimary] = {}
+        self.primaries: dict[str, DatabasePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.planned_since_us: dict[str, int] = {}
         super().__init__(ctx=ctx, register=register)
@@ -39,10 +39,10 @@
             self._compute_leaving()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
-            before, lead = self.leads.get(database), read_database_primary(data=value)
+            before, lead = self.primaries.get(database), read_database_primary(data=value)
             if lead.planned and (before is None or not before.planned):
                 self.planned_since_us[database] = self.ctx.now_us()
-            self.leads[database] = lead
+            self.primaries[database] = lead
             self.lead_since_us[database] = self.ctx.now_us()
         else:
             return super()._apply(key=key, value=value)
@@ -68,4 +68,4 @@
 
     def lead(self, *, database: str) -> DatabasePrimary | None:
         """The lead of a database; None where none has been elected."""
-        return self.leads.get(database)
+        return self.primaries.get(database)
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -14,7 +14,7 @@
 class Announcement:
     """One heartbeat; `number` orders the announcements of one backend.
 
-    `leads` says whether the backend takes itself for its service's primary. `room` is how many calls it has
+    `is_primary` says whether the backend takes itself for its service's primary. `room` is how many calls it has
     room for, 0 where it does not say.
     """
 
@@ -24,7 +24,7 @@
     address: str
     site: str
     state: str
-    leads: bool
+    is_primary: bool
     room: int = 0
 
     @property
@@ -36,7 +36,7 @@
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.number).text(value=self.service).text(value=self.address)
-        packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.leads))
+        packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.is_primary))
         packer.u32(value=self.room)
 
 
@@ -44,9 +44,9 @@
     """Raises ValueError where the record is none."""
     name, number = unpacker.text(), unpacker.u64()
     service, address, site = unpacker.text(), unpacker.text(), unpacker.text()
-    state, leads = unpacker.u8(), unpacker.u8()
-    if state >= len(STATES) or leads > 1:
-        raise ValueError(f"state {state} or leads {leads} is out of range")
+    state, is_primary = unpacker.u8(), unpacker.u8()
+    if state >= len(STATES) or is_primary > 1:
+        raise ValueError(f"state {state} or leads {is_primary} is out of range")
     return Announcement(
         name=name,
         number=number,
@@ -54,6 +54,6 @@
         address=address,
         site=site,
         state=STATES[state],
-        leads=bool(leads),
+        is_primary=bool(is_primary),
         room=unpacker.u32(),
     )
--- a/src/cinderstair/membership/heartbeat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -23,7 +23,7 @@
 class Heartbeat:
     """One heartbeat; those of one backend are ordered by its incarnation, then by their number.
 
-    `leads` says whether the backend takes itself for the primary of `term`; `position` is the end of its log.
+    `is_primary` says whether the backend takes itself for the primary of `term`; `position` is the end of its log.
     """
 
     name: str
@@ -31,7 +31,7 @@
     number: int
     site: str
     state: str
-    leads: bool
+    is_primary: bool
     term: int
     position: int
 
@@ -43,23 +43,23 @@
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.incarnation).u64(value=self.number)
-        packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.leads))
+        packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.is_primary))
         packer.u64(value=self.term).u64(value=self.position)
 
 
 def read_heartbeat(*, unpacker: Unpacker) -> Heartbeat:
     """Raises ValueError where the record is none."""
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
-    site, state, leads = unpacker.text(), unpacker.u8(), unpacker.u8()
-    if state >= len(STATES) or leads > 1:
-        raise ValueError(f"state {state} or leads {leads} is out of range")
+    site, state, is_primary = unpacker.text(), unpacker.u8(), unpacker.u8()
+    if state >= len(STATES) or is_primary > 1:
+        raise ValueError(f"state {state} or leads {is_primary} is out of range")
     return Heartbeat(
         name=name,
         incarnation=incarnation,
         number=number,
         site=site,
         state=STATES[state],
-        leads=bool(leads),
+        is_primary=bool(is_primary),
         term=unpacker.u64(),
         position=unpacker.u64(),
     )
@@ -80,7 +80,7 @@
         name=name,
         site=site,
         state=state,
-        leads=_flag_field(value=value, field="leads"),
+        is_primary=_flag_field(value=value, field="leads"),
         incarnation=incarnation,
         number=number,
         term=term,
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -41,7 +41,7 @@
         ...
 
     @property
-    def leads(self) -> bool:
+    def is_primary(self) -> bool:
         """Whether the backend takes itself for a primary."""
         ...
 
@@ -159,12 +159,12 @@
 
     def _log_change(self, *, old: ReceivedHeartbeat[B] | None, new: ReceivedHeartbeat[B]) -> None:
         heartbeat = new.heartbeat
-        if old is None or (old.heartbeat.state, old.heartbeat.leads) != (heartbeat.state, heartbeat.leads):
+        if old is None or (old.heartbeat.state, old.heartbeat.is_primary) != (heartbeat.state, heartbeat.is_primary):
             self.ctx.log.info(
                 "backend %s is now %s%s by its newest heartbeat",
                 heartbeat.name,
                 heartbeat.state,
-                " and leads" * heartbeat.leads,
+                " and leads" * heartbeat.is_primary,
             )
 
     def latest(self, *, name: str) -> ReceivedHeartbeat[B] | None:
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -69,7 +69,7 @@
         plan = self.view.plan
         if plan is None or service not in plan.services:
             return
-        names, lead = self.backends_by_service[service], self.view.leads.get(service)
+        names, lead = self.backends_by_service[service], self.view.primaries.get(service)
         replicas = sorted(name for name in names if lead is None or name != lead.primary)
         proxy_id = self.view.proxy_ids.id_of(name=self.ctx.name)
         self.replica_subsets[service] = subset(names=replicas, http_proxy_id=proxy_id or 0, subset_size=SUBSET_SIZE)
@@ -90,7 +90,7 @@
                 self._set_limit(pool=pool, limit=0 if unassigned else max(1, share))
             # With fewer links than proxies each keeps one link to one replica, and others only while in use.
             pool.set_on_demand(on_demand=scarce and not forwards and name != kept)
-            self._follow_backend_state(name=name, leads=lead is not None and lead.primary == name)
+            self._follow_backend_state(name=name, is_primary=lead is not None and lead.primary == name)
 
     def _cap_share(self, *, cap: int) -> int:
         """This proxy's part of a cap; the same for all services with that cap."""
@@ -198,7 +198,7 @@
         """
         return max(self.drain_us // 2, self.drain_us - DRAIN_NOTICE_US)
 
-    def _follow_backend_state(self, *, name: str, leads: bool) -> None:
+    def _follow_backend_state(self, *, name: str, is_primary: bool) -> None:
         """Closes a draining backend's pool; a primary's only once another leads, or the drain limit is reached."""
         pool = self.pools[name]
         if pool.backend.state == READY:
@@ -207,5 +207,5 @@
                 pool.reopen(backend=pool.backend)
             return
         since_us = self.draining_since_us.setdefault(name, self.ctx.now_us())
-        if not pool.closed and (not leads or self.ctx.now_us() - since_us > self.drain_limit_us):
+        if not pool.closed and (not is_primary or self.ctx.now_us() - since_us > self.drain_limit_us):
             pool.shut()
--- a/src/cinderstair/pooler/position_sampling.py
+++ b/src/cinderstair/pooler/position_sampling.py
@@ -25,7 +25,7 @@
         :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
         """
         pool.record_answer()
-        lead = self.view.leads.get(service)
+        lead = self.view.primaries.get(service)
         if reply.position is None or lead is None or lead.primary != pool.backend.name:
             return
         # Whether the view was current was checked when it was asked; here only the primary must still be the same.
@@ -94,7 +94,7 @@
     def _probe_quiet_primaries(self) -> None:
         """Where one backend has fallen silent others may have; a probe finds that out at no client's cost."""
         now_us, probes = self.ctx.now_us(), 0
-        for service, lead in self.view.leads.items():
+        for service, lead in self.view.primaries.items():
             pool = self.pools.get(lead.primary)
             quiet = (
                 pool is not None
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -27,7 +27,7 @@
 
         Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; their detail `left_us` says when to ask again.
         """
-        lead = self.view.leads.get(service)
+        lead = self.view.primaries.get(service)
         if lead is None:
             return _refuse(code=ErrorCode.NO_LEAD, reason=f"{service}: nobody leads yet", left_us=VIEW_LAPSE_US)
         if not self.view.current:
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -42,7 +42,7 @@
         self.proxy_ids = ProxyIds()
         self.places: dict[str, ProxyAddress] = {}
         self.shards = ShardState()
-        self.leads: dict[str, ServicePrimary] = {}
+        self.primaries: dict[str, ServicePrimary] = {}
         self.lead_since_us: dict[str, int] = {}
         self.backends: dict[str, RelayedBackend] = {}
         self.changes: Subject[str] = Subject()
@@ -84,7 +84,7 @@
             if entry.announcement.state == GONE and not entry.announcement.service:
                 if known is None:
                     continue
-                entry = replace(entry, announcement=replace(known.announcement, state=GONE, leads=False))
+                entry = replace(entry, announcement=replace(known.announcement, state=GONE, is_primary=False))
             self.backends[entry.announcement.name] = entry
 
     def _take_value(self, *, entry: RelayedValue) -> None:
@@ -112,7 +112,7 @@
         elif key.startswith(PREFIX):
             lead = read_service_primary(data=value)
             service = key.removeprefix(PREFIX)
-            self.leads[service] = lead
+            self.primaries[service] = lead
             self.lead_since_us[service] = self.ctx.now_us()
             self.ctx.log.info("%s: term %d %s %s", service, lead.term, lead.primary, lead.state.name)
 
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -44,7 +44,7 @@
         """Follows a change of the view."""
         if key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
-            lead = self.view.leads[service]
+            lead = self.view.primaries[service]
             if lead.state == PrimaryState.moving:
                 self.freshness(service=service).fence(as_of_us=-(1 << 60), position=lead.fence)
             # With thousands of services, one primary's move must not cost a rebuild of all others.
@@ -65,8 +65,8 @@
         if plan is None:
             return
         for name in self.draining_since_us:
-            lead = self.view.leads.get(self.pools[name].backend.service)
-            self._follow_backend_state(name=name, leads=lead is not None and lead.primary == name)
+            lead = self.view.primaries.get(self.pools[name].backend.service)
+            self._follow_backend_state(name=name, is_primary=lead is not None and lead.primary == name)
         self._check_pools()
         for service in self._services_this_turn(names=list(plan.services)):
             self._maintain_service(service=service)
@@ -91,7 +91,7 @@
 
     def _maintain_detour(self, *, pool: LinkPool) -> None:
         """Only a primary needs a detour; instead of a replica another one is read from."""
-        lead = self.view.leads.get(pool.backend.service)
+        lead = self.view.primaries.get(pool.backend.service)
         if lead is not None and lead.state == PrimaryState.settled and lead.primary == pool.backend.name:
             self.detours.maintain(pool=pool, service=pool.backend.service)
         else:
@@ -99,7 +99,7 @@
 
     def _maintain_service(self, *, service: str) -> None:
         """Keeps a link to the primary and to the best replica open, and the samples recent."""
-        lead = self.view.leads.get(service)
+        lead = self.view.primaries.get(service)
         if lead is None:
             return
         primary = self.pools.get(lead.primary)
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -86,7 +86,7 @@
         if plan is None:
             return False
         for database, service in places.places.items():
-            lead = self.view.leads.get(service)
+            lead = self.view.primaries.get(service)
             known = service in plan.services and lead is not None and lead.state == PrimaryState.settled
             if database not in plan.routes or not known:
                 return False
--- a/src/cinderstair/pooler/single_write.py
+++ b/src/cinderstair/pooler/single_write.py
@@ -76,8 +76,8 @@
             )
         link = acquired.ok
         # The primary may have changed during the wait for a link, and a write must not reach a former primary.
-        leads = is_primary_pool(router=self.router, pool=pool, service=route.service)
-        if not (leads and self._on_same_service(route=route)):
+        is_primary = is_primary_pool(router=self.router, pool=pool, service=route.service)
+        if not (is_primary and self._on_same_service(route=route)):
             pool.release(link=link)
             return WriteAttempt(resend=Resend.PRIMARY_CHANGED)
         reply = await self._write_on(link=link, pool=pool, statement=statement, route=route, until_us=until_us)
--- a/src/cinderstair/simulation/backend_trials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -106,8 +106,8 @@
         world.kill(name=gone)
 
         def in_place(comes: str = comes) -> bool:
-            leads = [world.http_proxy(name=name).view.leads["db0"] for name in world.ups()]
-            return all(comes in (lead.primary, *lead.in_sync) and lead.state == "settled" for lead in leads)
+            assignments = [world.http_proxy(name=name).view.primaries["db0"] for name in world.ups()]
+            return all(comes in (lead.primary, *lead.in_sync) and lead.state == "settled" for lead in assignments)
 
         world.await_that(test=in_place, within_us=25_000_000, what=f"{comes} is in sync")
         trial.go(for_us=2_000_000)
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -71,7 +71,7 @@
             view.backends[each.name] = RelayedBackend(announcement=each, silent=False)
         for database in range(databases):
             value = lead_value(database=database)
-            view.leads[value.key.partition("/")[2]] = read_service_primary(data=value.value)
+            view.primaries[value.key.partition("/")[2]] = read_service_primary(data=value.value)
             view.lead_since_us[value.key.partition("/")[2]] = 0
             view.ballots[value.key] = value.ballot
         return router
--- a/src/cinderstair/simulation/capacity/hollow_control.py
+++ b/src/cinderstair/simulation/capacity/hollow_control.py
@@ -19,9 +19,9 @@
 
     def _state(self, *, backend: Announcement, term: int = 0) -> Result[BackendState, CinderstairError]:
         lead = self.lead(backend.service)
-        leads = backend.leads if lead is None else lead.primary == backend.name
+        is_primary = backend.is_primary if lead is None else lead.primary == backend.name
         own = 1 if lead is None else lead.term
-        return Ok(BackendState(leads=leads, term=own, received=Position(own, 1), term_held=max(own, term)))
+        return Ok(BackendState(is_primary=is_primary, term=own, received=Position(own, 1), term_held=max(own, term)))
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
         return self._state(backend=backend)
--- a/src/cinderstair/simulation/capacity/hollow_proxy.py
+++ b/src/cinderstair/simulation/capacity/hollow_proxy.py
@@ -43,7 +43,7 @@
             self._mark(key=f"plan {view.plan.version}")
         elif key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
-            self._mark(key=f"lead {service} {view.leads[service].term}")
+            self._mark(key=f"lead {service} {view.primaries[service].term}")
         elif key == PROXY_IDS_KEY and self.watched() and view.proxy_ids.id_of(name=self.watched()) is not None:
             self._mark(key=f"slot {self.watched()}")
 
@@ -55,7 +55,7 @@
         view = self.proxy.view
         return (
             view.plan is not None
-            and len(view.leads) >= databases
+            and len(view.primaries) >= databases
             and len(view.backends) >= 3 * databases
             and view.proxy_ids.id_of(name=self.name) is not None
         )
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -50,7 +50,7 @@
             address=f"10.{database // 250}.{database % 250}.{number + 1}:6000",
             site=zone_of(number=database + 3 * number),
             state="ready",
-            leads=number == 0,
+            is_primary=number == 0,
             room=100,
         )
         for database in range(databases)
@@ -72,13 +72,13 @@
         key=PLAN_KEY, ballot=BALLOT, value=plan_of(version=1, databases=databases).bytes(with_document=False)
     )
     slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=slots_of(proxies=proxies).bytes())
-    leads = [lead_value(database=database) for database in range(databases)]
+    assignments = [lead_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
         edition=1,
         age_us=0,
         whole=True,
-        values=(plan, *leads, slots),
+        values=(plan, *assignments, slots),
         backends=tuple(
             RelayedBackend(announcement=each, silent=False) for each in announcements_of(databases=databases)
         ),
--- a/src/cinderstair/simulation/day.py
+++ b/src/cinderstair/simulation/day.py
@@ -84,8 +84,8 @@
         if self._hurt(names=self.world.databases[database]):
             return False
         views = [self.world.http_proxy(name=name).view for name in self.world.ups()]
-        leads = [view.lead(database=database) for view in views if view.lead(database=database) is not None]
-        lead = max(leads, key=lambda each: each.term, default=None)
+        assignments = [view.lead(database=database) for view in views if view.lead(database=database) is not None]
+        lead = max(assignments, key=lambda each: each.term, default=None)
         return lead is not None and lead.state == "settled" and len(lead.in_sync) >= 2
 
     def http_proxy(self, *, rng: random.Random, for_us: int) -> str:
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -169,10 +169,10 @@
             if not self.running(name=name):
                 continue
             status = await self.status(name=name)
-            leads = status.get("leads", {})
-            if not await self.is_ready(name=name) or len(leads) < len(self.databases):
+            primaries = status.get("leads", {})
+            if not await self.is_ready(name=name) or len(primaries) < len(self.databases):
                 return False
-            for lead in leads.values():
+            for lead in primaries.values():
                 backend = status["backends"].get(lead["primary"], {})
                 needed = (lead["primary"], *lead["inSync"], *lead["joining"])
                 fit = backend.get("fit") and all(status["backends"][n]["channels"]["limit"] for n in needed)
--- a/src/cinderstair/simulation/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -234,7 +234,7 @@
             self._error(b"BUSY " + own)
         elif not has:
             self._error(b"LAGGING " + own)
-        elif behind == b"BEGIN" and not self.backend.leads:
+        elif behind == b"BEGIN" and not self.backend.is_primary:
             self._error(b"READONLY " + own)
         else:
             self.state, self.plain = b"T", behind == b"BEGIN"
@@ -250,11 +250,11 @@
 
         def run() -> None:
             term = int(rest) if rest else 0
-            if word == b"PAUSE" and not backend.leads and term > backend.term and term >= backend.term_held:
+            if word == b"PAUSE" and not backend.is_primary and term > backend.term and term >= backend.term_held:
                 backend.paused, backend.term_held = True, term
             elif word == b"CONTINUE":
                 backend.paused, backend.term_held = False, 0
-            elif word == b"STEPDOWN" and backend.leads and backend.term < term:
+            elif word == b"STEPDOWN" and backend.is_primary and backend.term < term:
                 backend.give_way()
             self._ready(b"ROW " + backend.state_row() + b"\r\nDONE -\r\n")
 
@@ -284,7 +284,7 @@
             self._error(b"UNNAMED", fails=True)
         elif backend.busy:
             self._error(b"BUSY " + own)
-        elif lost or (writes and (not backend.leads or (self.state == b"T" and not self.plain))):
+        elif lost or (writes and (not backend.is_primary or (self.state == b"T" and not self.plain))):
             self._error(b"READONLY " + own, fails=True)
         elif not has:
             self._error(b"LAGGING " + own, fails=True)
@@ -326,7 +326,7 @@
     def _write(self, statement: ClientStatement) -> None:
         backend = self.backend
         if self.state == b"I":
-            if not backend.leads:
+            if not backend.is_primary:
                 self._error(b"READONLY " + backend.name.encode())
                 return
             backend.referee.ran(statement=statement, door=self)
--- a/src/cinderstair/simulation/platformsim/heartbeat_sender.py
+++ b/src/cinderstair/simulation/platformsim/heartbeat_sender.py
@@ -51,7 +51,7 @@
                 "call_room": backend.slots.count,
                 "standing": "emptying" if backend.emptying else "ready",
                 "cold_left_ms": 0,
-                "db_role": "primary" if backend.leads else "copy",
+                "db_role": "primary" if backend.is_primary else "copy",
                 "call_count": self.count,
             }
         ).encode()
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -103,7 +103,7 @@
             service.on_promoted.append(lambda backend, lost: self.referee.promoted(backend=backend, lost=lost))
             self.services[service.name] = service
             for index in range(backends):
-                self._backend(service=service, index=index, leads=index == 0)
+                self._backend(service=service, index=index, is_primary=index == 0)
         self.handover = StandInHandover(services=self.services, referee=self.referee)
         self.controls = [self.address(name=name, door="control") for name in self.controllers]
         self.platform = StandInPlatform(
@@ -164,7 +164,7 @@
         return SimStreams(fabric=self.fabric, host=name, boot=boot)
 
     def _backend(
-        self, *, service: StandInService, index: int, leads: bool, old: StandInBackend | None = None
+        self, *, service: StandInService, index: int, is_primary: bool, old: StandInBackend | None = None
     ) -> StandInBackend:
         self.replaced += old is not None
         name = f"{service.name}-b{index}" + (f"r{self.replaced}" if old is not None else "")
@@ -178,14 +178,14 @@
             fabric=self.fabric,
             referee=self.referee,
             rng=self.rng_for(name=name),
-            leads=leads,
+            is_primary=is_primary,
             # why: a primary's log passes to whoever comes to its address; a copy takes its own along
-            log=old.log if old is not None and old.leads else None,
+            log=old.log if old is not None and old.is_primary else None,
         )
         if old is not None:
             backend.term = old.term
         service.backends[name] = self.backends[name] = backend
-        if leads:
+        if is_primary:
             service.last = backend
         return backend
 
@@ -472,8 +472,8 @@
             del service.backends[backend.name]
             index = int(backend.name.partition("-b")[2].partition("r")[0])
             # why: where nobody took its place, whoever gets the log of a primary leads with it
-            leads = backend.leads and backend.term == service.term
-            self.heartbeat(backend=self._backend(service=service, index=index, leads=leads, old=backend))
+            is_primary = backend.is_primary and backend.term == service.term
+            self.heartbeat(backend=self._backend(service=service, index=index, is_primary=is_primary, old=backend))
 
         self.fabric.call(replaced())
 
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -184,7 +184,7 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend that says it is leaving gets as much as before."""
-    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, leads: None)]
+    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, is_primary: None)]
 
 
 def first_plan_forever() -> Patches:
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -41,7 +41,7 @@
         fabric: StreamFabric,
         referee: Referee,
         rng: random.Random,
-        leads: bool,
+        is_primary: bool,
         log: list[LogEntry] | None = None,
         slots: int = 4,
     ) -> None:
@@ -53,7 +53,7 @@
         self.referee = referee
         self.rng = rng
         self.costs = Costs()
-        self.leads = leads
+        self.is_primary = is_primary
         self.term = service.term
         self.term_held = 0
         self.paused = False
@@ -87,8 +87,8 @@
         self.life += 1
         self.term_held, self.paused = 0, False
         # why: one that crashed comes back with its log, and as a copy where another was promoted meanwhile
-        if self.leads and self.term < self.service.term:
-            self.leads = False
+        if self.is_primary and self.term < self.service.term:
+            self.is_primary = False
             self.lead_life += 1
         self.applied = len(self.log)
         listener = Listener(
@@ -168,13 +168,13 @@
         upto, term = len(self.log), self.term
 
         def arrive() -> None:
-            if self.up and self.leads and self.term == term:
+            if self.up and self.is_primary and self.term == term:
                 replica.receive(leader=self, upto=upto)
 
         self.fabric.later(call=arrive, source=self.name, target=replica.name)
 
     def receive(self, *, leader: "StandInBackend", upto: int) -> None:
-        if not self.up or self.leads or self.paused or self.deaf or leader.term < self.service.term:
+        if not self.up or self.is_primary or self.paused or self.deaf or leader.term < self.service.term:
             return
         if self.term < leader.term:
             self._align(leader=leader)
@@ -196,7 +196,7 @@
             self.applied = max(self.applied, min(upto, len(self.log)))
 
     def confirmed(self, *, replica: str, upto: int) -> None:
-        if not self.leads:
+        if not self.is_primary:
             return
         left = []
         for entry, done in self.pending:
@@ -222,7 +222,7 @@
     # -- who leads --
 
     def lead(self, *, term: int) -> None:
-        self.leads, self.term = True, term
+        self.is_primary, self.term = True, term
         self.lead_life += 1
         self.applied = len(self.log)
         self.newer_since_us = None
@@ -230,9 +230,9 @@
 
     def give_way(self) -> None:
         """From primary to copy; whoever waits for a confirmation gets none."""
-        if not self.leads:
+        if not self.is_primary:
             return
-        self.leads = False
+        self.is_primary = False
         self.lead_life += 1
         pending, self.pending = self.pending, []
         for door in [door for door in self.doors if any(entry is door.committing for entry, _ in pending)]:
@@ -242,7 +242,7 @@
     def on_timer(self) -> None:
         for door in list(self.doors):
             door.check(dark_us=DARK_US)
-        if self.leads and self.term < self.service.term:
+        if self.is_primary and self.term < self.service.term:
             newer = self.service.primary
             if newer is not None and self.in_reach(other=newer):
                 since_us = self.newer_since_us = self.newer_since_us or self.now_us
@@ -250,12 +250,12 @@
                     self.give_way()
             else:
                 self.newer_since_us = None
-        if not self.leads:
+        if not self.is_primary:
             leader = self.service.leader_for(backend=self)
             if leader is not None and (self.term < leader.term or len(self.log) < len(leader.log) or leader.pending):
                 leader._ship(replica=self)
 
     def state_row(self) -> bytes:
-        role = b"primary" if self.leads else b"copy"
+        role = b"primary" if self.is_primary else b"copy"
         fields = (role, b"%d" % self.term, b"%d.%d" % self.received, b"%d" % self.term_held)
         return b" ".join((*fields, b"%d %d %d" % (self.lag_us // 1_000, self.slots.busy, len(self.doors))))
--- a/src/cinderstair/simulation/platformsim/stand_in_platform.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_platform.py
@@ -92,12 +92,12 @@
         backend = None if found is None else found.backends.get(name)
         if found is None or backend is None or not backend.up:
             return 409
-        if backend.leads and backend.term == found.term:
+        if backend.is_primary and backend.term == found.term:
             return 200
         life = backend.life
 
         def take() -> None:
-            if backend.up and backend.life == life and not (backend.leads and backend.term == found.term):
+            if backend.up and backend.life == life and not (backend.is_primary and backend.term == found.term):
                 found.take_lead(backend=backend, now_us=self.fabric.now_us)
 
         self.fabric.loop.call_later(found.promote_us / 1_000_000, take)
--- a/src/cinderstair/simulation/platformsim/stand_in_service.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_service.py
@@ -30,14 +30,14 @@
     @property
     def primary(self) -> "StandInBackend | None":
         """Whoever leads the newest term, running or not."""
-        leads = [each for each in self.backends.values() if each.leads]
-        return max(leads, key=lambda each: each.term, default=None)
+        primaries = [each for each in self.backends.values() if each.is_primary]
+        return max(primaries, key=lambda each: each.term, default=None)
 
     def leader_for(self, *, backend: "StandInBackend") -> "StandInBackend | None":
         """Whom a copy receives from: the newest primary, once it is in reach, and never an older one again."""
         best: StandInBackend | None = None
         for each in self.backends.values():
-            if each is not backend and each.leads and each.up and each.term >= max(backend.term, self.term):
+            if each is not backend and each.is_primary and each.up and each.term >= max(backend.term, self.term):
                 if backend.in_reach(other=each) and (best is None or each.term > best.term):
                     best = each
         return best
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -70,7 +70,7 @@
         # why: told of a term, a replica may still hold what another term overwrote; it vouches for its
         # positions in the new term only once its log has been matched with the leader's
         self.matched_term = 0
-        self.leads = False
+        self.is_primary = False
         self.incarnation = 0
         self.state = "ready"
         self.emptied_us: int | None = None
@@ -179,7 +179,7 @@
             self.state, self.emptied_us = "ready", None
             return json_response(status=200, value={"ok": True})
         if request.path == "/dump":
-            value = {"state": self.current, "term": self.term, "leads": self.leads, "received": self.received}
+            value = {"state": self.current, "term": self.term, "leads": self.is_primary, "received": self.received}
             value["ran"] = [[*each, count] for each, count in self.ran.items()]
             return json_response(status=200, value=value)
         return json_response(status=404, value={"ok": False})
@@ -204,7 +204,7 @@
             "term": self.matched_term,
             "received": self.received,
             "applied": self.applied,
-            "leads": self.leads,
+            "leads": self.is_primary,
             "incarnation": self.incarnation,
         }
         return json_response(status=200, value=value)
@@ -212,7 +212,7 @@
     async def _run(self, *, body: dict[str, Any], line: Line) -> HttpResponse:
         step, kind = body["step"], body["kind"]
         primary = kind in ("write", "primary") or step != "alone"
-        if primary and (not self.leads or body["term"] != self.term):
+        if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
             return self._no(reason="notLeading", why="does not lead in this term")
         if not primary and body["term"] != self.matched_term:
@@ -221,7 +221,7 @@
         if not primary and body["term"] != self.matched_term:
             return self._no(reason="term", why="follows another term")
         # why: much may have changed while the statement waited for its turn on the processor
-        if primary and (not self.leads or body["term"] != self.term):
+        if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
             return self._no(reason="notLeading", why="does not lead in this term")
         if step == "begin":
@@ -293,8 +293,8 @@
     def _promote(self, *, term: int) -> HttpResponse:
         if term < self.term:
             return self._no(reason="term", why="has seen a later term")
-        if not (self.leads and term == self.term):
-            self.term, self.matched_term, self.leads, self.leader = term, term, True, ""
+        if not (self.is_primary and term == self.term):
+            self.term, self.matched_term, self.is_primary, self.leader = term, term, True, ""
             self._save_meta()
             self.open.clear()
             self._add(entries=[Entry(position=self.received + 1, term=term, writes=())])
@@ -305,15 +305,15 @@
         if term < self.term:
             return self._no(reason="term", why="has seen a later term")
         if term > self.term:
-            self.term, self.leads = term, False
+            self.term, self.is_primary = term, False
             self._save_meta()
             self.open.clear()
-        if not self.leads:
+        if not self.is_primary:
             self.leader = leader
         return json_response(status=200, value={"ok": True, "term": self.term})
 
     async def _pull(self, *, body: dict[str, Any]) -> HttpResponse:
-        if not self.leads or body["term"] != self.term:
+        if not self.is_primary or body["term"] != self.term:
             return self._no(reason="notLeading", why="does not lead in this term")
         after = body["after"]
         if after > self.received or (after and self.entries[after - 1].term != body["afterTerm"]):
@@ -325,7 +325,7 @@
             except TimeoutError:
                 pass
         entries = [[e.position, e.term, e.writes] for e in self.entries[after : after + 500]]
-        if not self.leads:
+        if not self.is_primary:
             entries = []
         return json_response(status=200, value={"ok": True, "term": self.term, "entries": entries})
 
@@ -334,7 +334,7 @@
         at = ""
         while True:
             leader, term = self.leader, self.term
-            if self.leads or not leader or self.deaf:
+            if self.is_primary or not leader or self.deaf:
                 await self.ctx.sleep(duration_us=50_000)
                 continue
             if connection is None or not connection.open or at != leader:
@@ -360,7 +360,7 @@
 
     def _take(self, *, value: dict[str, Any], term: int, after: int) -> None:
         # why: the answer may belong to a term that ended while it was on its way
-        if self.leads or self.term != term or value["term"] != term or self.received != after or self.deaf:
+        if self.is_primary or self.term != term or value["term"] != term or self.received != after or self.deaf:
             return
         if value.get("mismatch"):
             last = self.entries[-1].term if self.entries else 0
@@ -393,7 +393,7 @@
             "number": self.number,
             "site": self.ctx.site,
             "state": self.state,
-            "leads": self.leads,
+            "leads": self.is_primary,
             "term": self.term,
             "position": self.received,
         }
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -75,12 +75,12 @@
         return self.primary_of(database="db0")
 
     def primary_of(self, *, database: str) -> str:
-        leads = [
+        assignments = [
             lead
             for name in self.world.ups()
             if (lead := self.world.http_proxy(name=name).view.lead(database=database)) is not None
         ]
-        return max(leads, key=lambda lead: lead.term).primary
+        return max(assignments, key=lambda lead: lead.term).primary
 
     @property
     def in_sync(self) -> tuple[str, ...]:
@@ -318,7 +318,7 @@
     def _final(self, *, database: str) -> dict[str, Any]:
         primary = self.primary_of(database=database)
         backend = self.world.backend(name=primary)
-        if not backend.leads:
+        if not backend.is_primary:
             self.verdict.wrong.append(f"{primary} does not lead {database} in the end")
         return backend.current
 
--- a/src/cinderstair/simulation/window_trials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -112,9 +112,9 @@
     trial.fault()
     trial.go(for_us=8_000_000)
     held = [world.http_proxy(name=name).window_held for name in world.http_proxy_names]
-    leads = [text for name in world.http_proxy_names for text in world.http_proxy(name=name).status.held().values()]
-    if not all(held) or not any("holds back" in text for text in leads):
-        trial.verdict.wrong.append(f"nobody says what holds back: {held} {leads}")
+    texts = [text for name in world.http_proxy_names for text in world.http_proxy(name=name).status.held().values()]
+    if not all(held) or not any("holds back" in text for text in texts):
+        trial.verdict.wrong.append(f"nobody says what holds back: {held} {texts}")
     trial.go(for_us=8_000_000)
 
 
@@ -130,5 +130,5 @@
     for name in world.http_proxy_names:
         if world.http_proxy(name=name).ready.unready() is not None:
             trial.verdict.wrong.append(f"{name} is not ready after the window was cancelled")
-    if not any(world.http_proxy(name=n).view.leads["db0"].state == "settled" for n in world.http_proxy_names):
+    if not any(world.http_proxy(name=n).view.primaries["db0"].state == "settled" for n in world.http_proxy_names):
         trial.verdict.wrong.append("the lead is not settled after the window was cancelled")
