--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -63,7 +63,7 @@
     session = next(iter(http_proxy.sessions.open.values()))
     return (
         world.ask(name="stall-0", method="GET", path="/v1/configuration")[1],
-        {database: lead.bytes() for database, lead in http_proxy.view.primaries.items()},
+        {database: assignment.bytes() for database, assignment in http_proxy.view.primaries.items()},
         (session.handle, dict(session.values), dict(session.prepared), session.transaction),
         sorted(http_proxy.sessions.open),
         sorted(world.backend(name=http_proxy.view.primaries["db0"].primary).current),
@@ -108,8 +108,8 @@
 @when("a backend's {count:d} heartbeats that end with emptying come twice each, in an order drawn by seed {seed:d}")
 def when_heartbeats(context: Any, count: int, seed: int) -> None:
     world = context.world
-    lead = world.http_proxy(name="stall-0").view.primaries["db0"]
-    context.name = lead.in_sync[0]
+    assignment = world.http_proxy(name="stall-0").view.primaries["db0"]
+    context.name = assignment.in_sync[0]
     backend = world.backend(name=context.name)
     backend.beating = False
     heartbeats = [backend.heartbeat() for _ in range(count)]
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -104,18 +104,18 @@
 
 def first_values() -> dict[str, bytes]:
     """What the register holds under the first roster, by key."""
-    lead = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, turn=1)
+    assignment = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, turn=1)
     return {
         ROSTER_KEY: roster(epoch=1).bytes(),
         PLAN_KEY: plan(version=1).bytes(),
-        service_primary_key(service="alpha"): lead.bytes(),
+        service_primary_key(service="alpha"): assignment.bytes(),
         PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"),)).bytes(),
     }
 
 
 def later_values() -> dict[str, bytes]:
     """What is written under the second roster, by key."""
-    lead = ServicePrimary(
+    assignment = ServicePrimary(
         term=2,
         primary="db-2",
         state=PrimaryState.moving,
@@ -137,7 +137,7 @@
         why="too few agreed",
     )
     return {
-        service_primary_key(service="alpha"): lead.bytes(),
+        service_primary_key(service="alpha"): assignment.bytes(),
         PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(1, "pooler-2"))).bytes(),
         PROXY_ADDRESSES_KEY: ProxyAddresses(places=places).bytes(),
         SHARDS_KEY: shards.bytes(),
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -51,9 +51,9 @@
 @when("the primary's process is killed")
 def when_primary(context: Any) -> None:
     async def go() -> None:
-        lead = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
-        context.term, context.primary = lead["term"], lead["primary"]
-        context.fleet.kill(name=lead["primary"])
+        assignment = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
+        context.term, context.primary = assignment["term"], assignment["primary"]
+        context.fleet.kill(name=assignment["primary"])
 
     run(context=context, work=go())
 
@@ -61,8 +61,12 @@
 @then("another leads, and commits are acknowledged again")
 def then_another(context: Any) -> None:
     async def moved() -> bool:
-        lead = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
-        return lead["term"] > context.term and lead["state"] == "settled" and lead["primary"] != context.primary
+        assignment = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
+        return (
+            assignment["term"] > context.term
+            and assignment["state"] == "settled"
+            and assignment["primary"] != context.primary
+        )
 
     async def go() -> None:
         await context.fleet.await_that(test=moved, within_us=LONG_US, what="another leads")
@@ -219,10 +223,10 @@
     fleet = context.fleet
 
     async def moved() -> bool:
-        lead = (await fleet.status(name="stall-0"))["leads"]["db0"]
-        held = (lead["primary"], *lead["inSync"], *lead["joining"])
+        assignment = (await fleet.status(name="stall-0"))["leads"]["db0"]
+        held = (assignment["primary"], *assignment["inSync"], *assignment["joining"])
         emptied = await fleet.status(name="stall-2")
-        return lead["state"] == "settled" and context.primary not in held and emptied["sessions"] == 0
+        return assignment["state"] == "settled" and context.primary not in held and emptied["sessions"] == 0
 
     async def go() -> None:
         await fleet.await_that(test=moved, within_us=LONG_US, what="the old hall stands empty")
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -70,7 +70,7 @@
     reported.plan(plan=plan(routes=(route(),)))
     reported.proxy_ids(names=("holder", "booth-1"))
     reported.tell(backends=tuple(announcement(name=name, is_primary=name == "a") for name in ("a", "b")))
-    reported.lead(primary="a")
+    reported.assign_primary(primary="a")
     return router
 
 
@@ -177,7 +177,7 @@
 
 @when('the holder has heard that "{name}" leads')
 def when_holder_hears(context: Any, name: str) -> None:
-    context.holder_reported.lead(primary=name, term=4)
+    context.holder_reported.assign_primary(primary=name, term=4)
 
 
 @when("the holder stands still")
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -195,7 +195,7 @@
         for _, key, value in context.store.writes
         if key.startswith("service/") and read_service_primary(data=value).state == PrimaryState.moving
     ]
-    assert moving and all(lead.fence.term == 3 for lead in moving), moving
+    assert moving and all(assignment.fence.term == 3 for assignment in moving), moving
     before = position(text=context.acknowledged)
     assert before is not None and moving[0].fence >= before, (shown(at=moving[0].fence), context.acknowledged)
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -148,7 +148,7 @@
     )
 
 
-def lead(*, state: str) -> DatabasePrimary:
+def database_primary(*, state: str) -> DatabasePrimary:
     return DatabasePrimary(
         term=6,
         primary="db-1",
@@ -338,7 +338,7 @@
 def lead_examples() -> dict[str, Example]:
     found = {}
     for name, state in {"settled": SETTLED, "closing": CLOSING, "moving": MOVING}.items():
-        value = lead(state=state)
+        value = database_primary(state=state)
         found[f"database lead, {name}"] = bytes_example(
             value=value, read=lambda data: read_database_primary(data=data)
         )
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -60,8 +60,8 @@
 
     def __init__(self, *, machine: Machine) -> None:
         self.machine = machine
-        self.lead = ServicePrimary(term=3, primary="a", state=PrimaryState.settled)
-        self.pool = SamplePool(ctx=machine.ctx, lead=lambda service: self.lead)
+        self.assignment = ServicePrimary(term=3, primary="a", state=PrimaryState.settled)
+        self.pool = SamplePool(ctx=machine.ctx, assignment=lambda service: self.assignment)
         self.pool.wanted = lambda: (SERVICE,)
         self.pool.note = lambda service, requested_us, at: self.noted.append((requested_us, at))
         self.noted: list[tuple[int, Position]] = []
@@ -167,7 +167,7 @@
 
 @given('"{name}" says that the lead is {state} under term {term:d}')
 def given_lead(context: Any, name: str, state: str, term: int) -> None:
-    context.proxies[name].lead = ServicePrimary(term=term, primary="a", state=PrimaryState[state])
+    context.proxies[name].assignment = ServicePrimary(term=term, primary="a", state=PrimaryState[state])
 
 
 @when('"{name}" wants nothing')
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -65,7 +65,7 @@
     context.reported.plan(plan=plan(routes=(route(),)))
     context.reported.proxy_ids(names=("booth-1",))
     context.reported.tell(backends=tuple(announcement(name=n, is_primary=n == primary) for n in context.names))
-    context.reported.lead(primary=primary)
+    context.reported.assign_primary(primary=primary)
     context.numbers = dict.fromkeys(context.names, 1)
     context.session = Session(ctx=stage.ctx, router=context.router, database="db")
     context.replies = []
@@ -201,12 +201,14 @@
 
 @when('the lead moves to "{name}" at {fence}, to be ready in {ready_ms:d} ms')
 def when_moves(context: Any, name: str, fence: str, ready_ms: int) -> None:
-    context.reported.lead(primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000)
+    context.reported.assign_primary(
+        primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000
+    )
 
 
 @when("the lead is closing")
 def when_closing(context: Any) -> None:
-    context.reported.lead(primary=context.primary, state=PrimaryState.closing)
+    context.reported.assign_primary(primary=context.primary, state=PrimaryState.closing)
 
 
 @when('the lead settles on "{name}" after {wait_ms:d} ms')
@@ -222,8 +224,10 @@
 
 
 def settled_answer(*, reported: ReportedView, primary: str) -> RelayAnswer:
-    lead = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
-    value = RelayedValue(key=service_primary_key(service="s"), ballot=Ballot(reported.turn, 1), value=lead.bytes())
+    assignment = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
+    value = RelayedValue(
+        key=service_primary_key(service="s"), ballot=Ballot(reported.turn, 1), value=assignment.bytes()
+    )
     return RelayAnswer(source=1, edition=reported.turn, age_us=0, whole=False, values=(value,))
 
 
@@ -333,7 +337,7 @@
         reported.tell(backends=tuple(announcement(name=each) for each in context.names))
         reported.proxy_ids(names=tuple(f"booth-{each}" for each in range(allocated)))
         reported.plan(plan=plan(link_cap=cap))
-        reported.lead(primary=context.primary)
+        reported.assign_primary(primary=context.primary)
         context.routers.append(router)
         limits.append({each: router.pools[each].limit for each in context.names})
     return limits
@@ -416,7 +420,7 @@
     )
     context.router.forwarder = Forwarder(ctx=stage.ctx)
     context.reported.tell(backends=(announcement(name="a"),))
-    context.reported.lead(primary="a")
+    context.reported.assign_primary(primary="a")
     allocate_ids(context=context, count=count)
     context.reported.plan(plan=plan(link_cap=room + CONTROL_LINKS))
 
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -420,7 +420,7 @@
 
         self.stage.call(call=take)
 
-    def lead(
+    def assign_primary(
         self,
         *,
         primary: str,
@@ -432,8 +432,8 @@
     ) -> None:
         at = position(text=fence)
         assert at is not None
-        lead = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
-        self.tell(values={service_primary_key(service=service): lead.bytes()})
+        assignment = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
+        self.tell(values={service_primary_key(service=service): assignment.bytes()})
 
     def plan(self, *, plan: ServicePlan) -> None:
         self.tell(values={PLAN_KEY: plan.bytes()})
--- a/src/cinderstair/cli/status_report.py
+++ b/src/cinderstair/cli/status_report.py
@@ -50,7 +50,7 @@
     """A status with other proxies' summaries, for people."""
     lines = [
         *_head_lines(value=value),
-        *(_database_line(name=name, lead=lead) for name, lead in value["leads"].items()),
+        *(_database_line(name=name, assignment=assignment) for name, assignment in value["leads"].items()),
         *(_proxy_line(name=name, summary=summary) for name, summary in value["byDaemon"].items()),
         *(f"HELD {database}: {reason}" for database, reason in value["held"].items()),
         *(_backend_line(name=name, backend=backend) for name, backend in value["backends"].items()),
@@ -76,10 +76,10 @@
     ]
 
 
-def _database_line(*, name: str, lead: dict[str, Any]) -> str:
+def _database_line(*, name: str, assignment: dict[str, Any]) -> str:
     return (
-        f"{name}: term {lead['term']} {lead['state']}, primary {lead['primary']}, "
-        f"in sync {' '.join(lead['inSync']) or '-'}, joining {' '.join(lead['joining']) or '-'}"
+        f"{name}: term {assignment['term']} {assignment['state']}, primary {assignment['primary']}, "
+        f"in sync {' '.join(assignment['inSync']) or '-'}, joining {' '.join(assignment['joining']) or '-'}"
     )
 
 
--- a/src/cinderstair/control_plane/suspicion_reporter.py
+++ b/src/cinderstair/control_plane/suspicion_reporter.py
@@ -34,7 +34,7 @@
     def report(self, *, backend: str) -> None:
         """Takes a proxy's failure to reach a backend; only the loss of a primary asks for failover."""
         now_us = self.ctx.now_us()
-        if not any(lead.primary == backend for lead in self.service_failover.primaries.values()):
+        if not any(assignment.primary == backend for assignment in self.service_failover.primaries.values()):
             return
         if now_us - self.reported_at_us.get(backend, -REPORT_EVERY_US) < REPORT_EVERY_US:
             return
--- a/src/cinderstair/failover/database_assignments.py
+++ b/src/cinderstair/failover/database_assignments.py
@@ -25,11 +25,11 @@
 
     def get(self, *, database: str) -> DatabasePrimary | None:
         """The present assignment; None where nothing was ever assigned."""
-        return self.view.lead(database=database)
+        return self.view.assignment(database=database)
 
     def since_us(self, *, database: str) -> int:
         """When the present assignment was seen first, on this machine's monotonic clock."""
-        return self.view.lead_since_us[database]
+        return self.view.assigned_since_us[database]
 
     def age_us(self, *, database: str) -> int:
         """For how long the present assignment has been known here."""
--- a/src/cinderstair/http_frontend/commit_watermarks.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -28,8 +28,8 @@
 
     def holds(self, *, database: str, term: int) -> bool:
         """The term is still the one in force, by a view that is current now."""
-        lead = self.view.lead(database=database)
-        return self.view.current and lead is not None and lead.term == term and lead.serves
+        assignment = self.view.assignment(database=database)
+        return self.view.current and assignment is not None and assignment.term == term and assignment.serves
 
     async def durable(self, *, database: str, term: int, position: int, until_us: int) -> bool:
         """Waits until every in-sync and joining replica holds a position.
@@ -38,15 +38,17 @@
         """
         requested: set[str] = set()
         while True:
-            lead = self.view.lead(database=database)
+            assignment = self.view.assignment(database=database)
             # once another term has begun, nothing of this one may be acknowledged any more
-            if lead is None or lead.term != term or not lead.serves:
+            if assignment is None or assignment.term != term or not assignment.serves:
                 return False
             missing = [
-                name for name in lead.confirmers if not self.line(name=name).covers(term=term, position=position)
+                name
+                for name in assignment.confirmers
+                if not self.line(name=name).covers(term=term, position=position)
             ]
             # with nobody in sync a commit would stand on one disk alone
-            if lead.in_sync and not missing and self.view.current:
+            if assignment.in_sync and not missing and self.view.current:
                 return True
             left_us = until_us - self.ctx.now_us()
             if left_us <= 0:
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -32,7 +32,7 @@
         self.unfit_since_us: dict[str, int] = {}
         self.grow_at_us: dict[str, int] = {}
         self.wanted: dict[str, int] = {}
-        self.led: dict[str, DatabasePrimary] = {}
+        self.last_assignments: dict[str, DatabasePrimary] = {}
         self.computed = 0
         self.inputs: object = None
         self.open_queue()
@@ -56,7 +56,7 @@
         return pool is not None and pool.limit > 0 and self.heartbeat_table.healthy(name=name) and not pool.shunned
 
     def _leads(self, *, name: str) -> bool:
-        return any(lead.primary == name for lead in self.view.primaries.values())
+        return any(assignment.primary == name for assignment in self.view.primaries.values())
 
     def open(self, *, name: str) -> bool:
         """Whether this HTTP proxy may have channels there at all."""
@@ -86,7 +86,7 @@
                 if name in self.pools:
                     self.pools[name].shut_idle()
         self._give_up(names=configuration.backends)
-        held = frozenset((lead.primary, lead.confirmers) for lead in self.view.primaries.values())
+        held = frozenset((assignment.primary, assignment.confirmers) for assignment in self.view.primaries.values())
         away = frozenset(self.unfit_since_us), frozenset(self.view.leaving.backends)
         inputs = (configuration.version, self.view.proxy_ids, away, held)
         if inputs != self.inputs:
@@ -99,11 +99,15 @@
         for name in names:
             if name in self.pools and not self.reachable(name=name):
                 self.pools[name].give_up()
-        for database, lead in self.view.primaries.items():
-            before = self.led.get(database, lead)
-            self.led[database] = lead
+        for database, assignment in self.view.primaries.items():
+            before = self.last_assignments.get(database, assignment)
+            self.last_assignments[database] = assignment
             # whatever the old primary answers now belongs to a term that is over
-            if before.term < lead.term and before.primary != lead.primary and before.primary in self.pools:
+            if (
+                before.term < assignment.term
+                and before.primary != assignment.primary
+                and before.primary in self.pools
+            ):
                 self.pools[before.primary].give_up()
 
     def _compute(self, *, configuration: Configuration) -> None:
@@ -119,10 +123,10 @@
                 for number in ids
             }
             self.shares[database] = () if my_id is None else subsets[my_id]
-            lead = self.view.primaries.get(database)
+            assignment = self.view.primaries.get(database)
             for name in names:
                 # every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
-                assigned = lead is not None and name in (lead.primary, *lead.confirmers)
+                assigned = assignment is not None and name in (assignment.primary, *assignment.confirmers)
                 user_ids = [n for n, held in subsets.items() if assigned or name in held]
                 part = (
                     0
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -51,31 +51,33 @@
             raise LookupError("no configuration is in force")
         return configuration
 
-    def _lead_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
+    def _assignment_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
         """The lead that new jobs of a database go to; an error where none can be acknowledged now."""
-        lead = self.view.lead(database=database)
-        if lead is None:
+        assignment = self.view.assignment(database=database)
+        if assignment is None:
             return Result.Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
         # while a planned move closes, reads go on; what is new and would write waits for the move's end
-        if not lead.serves or (writes and lead.state != SETTLED):
+        if not assignment.serves or (writes and assignment.state != SETTLED):
             return Result.Error(
-                CinderstairError(code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {lead.primary}")
+                CinderstairError(
+                    code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {assignment.primary}"
+                )
             )
-        if not self.connection_pools.usable(name=lead.primary):
+        if not self.connection_pools.usable(name=assignment.primary):
             return Result.Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {lead.primary} is not fit")
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {assignment.primary} is not fit")
             )
         # what could not be acknowledged in the end is denied before it is sent
-        if writes and not any(self.heartbeat_table.healthy(name=name) for name in lead.in_sync):
+        if writes and not any(self.heartbeat_table.healthy(name=name) for name in assignment.in_sync):
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
             )
-        unasked = [name for name in lead.confirmers if not self.connection_pools.open(name=name)]
+        unasked = [name for name in assignment.confirmers if not self.connection_pools.open(name=name)]
         if writes and unasked:
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unasked[0]}")
             )
-        return Result.Ok(lead)
+        return Result.Ok(assignment)
 
     async def _run_once(
         self, *, name: str, request: Request, term: int, tried: set[str]
--- a/src/cinderstair/http_frontend/filters/retry_mixin.py
+++ b/src/cinderstair/http_frontend/filters/retry_mixin.py
@@ -53,16 +53,16 @@
     async def _wait_for_move(self, *, request: Request) -> bool:
         """Waits for a planned move to end; false where it doesn't, at once where the job has too little time left."""
         database = request.bound.database
-        lead = self.view.lead(database=database)
-        if lead is None or not lead.planned:
+        assignment = self.view.assignment(database=database)
+        if assignment is None or not assignment.planned:
             return False
         ends_us = self.view.planned_since_us.get(database, self.ctx.now_us()) + PLANNED_MOVE_US
         # a job that can't outlast the move is rejected now, not after it has waited in vain
         if request.until_us < ends_us or self.ctx.now_us() > ends_us:
             return False
         while self.ctx.now_us() < ends_us:
-            lead = self.view.lead(database=database)
-            if lead is not None and lead.state == SETTLED:
+            assignment = self.view.assignment(database=database)
+            if assignment is not None and assignment.state == SETTLED:
                 return True
             await self.ctx.sleep(duration_us=RETRY_PAUSE_US)
         return False
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -33,13 +33,13 @@
 
     async def _begin_once(self, *, request: Request, tried: set[str]) -> HttpResponse | CinderstairError:
         session = request.bound
-        found = self._lead_for(database=session.database, writes=True)
+        found = self._assignment_for(database=session.database, writes=True)
         if found.is_error():
             return found.error
-        lead = found.ok
-        pool = self.connection_pools.pool(name=lead.primary)
+        assignment = found.ok
+        pool = self.connection_pools.pool(name=assignment.primary)
         if pool is None:
-            raise LookupError(f"no pool for the usable backend {lead.primary}")
+            raise LookupError(f"no pool for the usable backend {assignment.primary}")
         taken = await pool.take(wait_us=self._left_us(request=request))
         if taken.is_error():
             return taken.error
@@ -48,7 +48,7 @@
             connection=connection,
             request=request,
             step="begin",
-            term=lead.term,
+            term=assignment.term,
             wait_us=self._left_us(request=request),
         )
         if result.is_error() or not result.ok.ran:
@@ -59,7 +59,11 @@
                 return CinderstairError(code=ErrorCode.NO_BACKEND, reason=result.error.reason)
             return self._rejected(reply=result.ok)
         session.transaction = Transaction(
-            pool=pool, connection=connection, term=lead.term, database=session.database, used_us=self.ctx.now_us()
+            pool=pool,
+            connection=connection,
+            term=assignment.term,
+            database=session.database,
+            used_us=self.ctx.now_us(),
         )
         return self.done()
 
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -45,25 +45,25 @@
 
     async def sample(self, *, database: str) -> None:
         """Asks the primary of a database for its position, and keeps the answer as a sample."""
-        lead = self.view.lead(database=database)
-        if lead is None or not lead.serves:
+        assignment = self.view.assignment(database=database)
+        if assignment is None or not assignment.serves:
             return
         began_us = self.ctx.now_us()
-        reading = await query_position(connection_pools=self.connection_pools, name=lead.primary)
-        if reading.is_error() or not reading.ok.is_primary or reading.ok.term != lead.term:
+        reading = await query_position(connection_pools=self.connection_pools, name=assignment.primary)
+        if reading.is_error() or not reading.ok.is_primary or reading.ok.term != assignment.term:
             return
         # only while nobody else can have been made to lead is the primary's position the newest
-        if not self.view.current or not self._same(database=database, lead=lead):
+        if not self.view.current or not self._same(database=database, assignment=assignment):
             return
         self.reachability.seen()
         taken = self.taken.setdefault(database, deque())
-        taken.append(Sample(began_us=began_us, term=lead.term, position=reading.ok.received))
+        taken.append(Sample(began_us=began_us, term=assignment.term, position=reading.ok.received))
         while taken and taken[0].began_us < self.ctx.now_us() - KEEP_US:
             taken.popleft()
 
-    def _same(self, *, database: str, lead: DatabasePrimary) -> bool:
-        now = self.view.lead(database=database)
-        return now is not None and now.term == lead.term and now.serves
+    def _same(self, *, database: str, assignment: DatabasePrimary) -> bool:
+        now = self.view.assignment(database=database)
+        return now is not None and now.term == assignment.term and now.serves
 
     def floor(self, *, database: str, term: int, since_us: int) -> int | None:
         """The position that covers all that was acknowledged before `since_us`; None where no sample covers it."""
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -59,13 +59,13 @@
             "slots": [{"id": number, "name": name} for number, name in self.view.proxy_ids.names],
             "leads": {
                 database: {
-                    "term": lead.term,
-                    "primary": lead.primary,
-                    "state": lead.state,
-                    "inSync": list(lead.in_sync),
-                    "joining": list(lead.joining),
+                    "term": assignment.term,
+                    "primary": assignment.primary,
+                    "state": assignment.state,
+                    "inSync": list(assignment.in_sync),
+                    "joining": list(assignment.joining),
                 }
-                for database, lead in sorted(self.view.primaries.items())
+                for database, assignment in sorted(self.view.primaries.items())
             },
             "held": {database: why for database, why in self.held().items()},
             "windows": self._windows(),
@@ -91,10 +91,10 @@
         for window in () if configuration is None else configuration.windows:
             mine = [name for name, ws in leaving.backends.items() if window.name in ws]
             left = [
-                f"{name} {'leads' if lead.primary == name else 'is in sync for'} {database}"
-                for database, lead in sorted(self.view.primaries.items())
+                f"{name} {'leads' if assignment.primary == name else 'is in sync for'} {database}"
+                for database, assignment in sorted(self.view.primaries.items())
                 for name in mine
-                if name in (lead.primary, *lead.confirmers)
+                if name in (assignment.primary, *assignment.confirmers)
             ]
             windows[window.name] = {
                 "stage": self.view.window_states.stage(window=window).name,
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -22,7 +22,7 @@
         self.window_states = WindowStates()
         self.leaving = DrainTargets()
         self.primaries: dict[str, DatabasePrimary] = {}
-        self.lead_since_us: dict[str, int] = {}
+        self.assigned_since_us: dict[str, int] = {}
         self.planned_since_us: dict[str, int] = {}
         super().__init__(ctx=ctx, register=register)
 
@@ -39,11 +39,11 @@
             self._compute_leaving()
         elif key.startswith("lead/"):
             database = key.removeprefix("lead/")
-            before, lead = self.primaries.get(database), read_database_primary(data=value)
-            if lead.planned and (before is None or not before.planned):
+            before, assignment = self.primaries.get(database), read_database_primary(data=value)
+            if assignment.planned and (before is None or not before.planned):
                 self.planned_since_us[database] = self.ctx.now_us()
-            self.primaries[database] = lead
-            self.lead_since_us[database] = self.ctx.now_us()
+            self.primaries[database] = assignment
+            self.assigned_since_us[database] = self.ctx.now_us()
         else:
             return super()._apply(key=key, value=value)
         return True
@@ -66,6 +66,6 @@
     def _compute_leaving(self) -> None:
         self.leaving = drain_targets(configuration=self.configuration, states=self.window_states)
 
-    def lead(self, *, database: str) -> DatabasePrimary | None:
+    def assignment(self, *, database: str) -> DatabasePrimary | None:
         """The lead of a database; None where none has been elected."""
         return self.primaries.get(database)
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -69,8 +69,8 @@
         plan = self.view.plan
         if plan is None or service not in plan.services:
             return
-        names, lead = self.backends_by_service[service], self.view.primaries.get(service)
-        replicas = sorted(name for name in names if lead is None or name != lead.primary)
+        names, assignment = self.backends_by_service[service], self.view.primaries.get(service)
+        replicas = sorted(name for name in names if assignment is None or name != assignment.primary)
         proxy_id = self.view.proxy_ids.id_of(name=self.ctx.name)
         self.replica_subsets[service] = subset(names=replicas, http_proxy_id=proxy_id or 0, subset_size=SUBSET_SIZE)
         cap = max(1, plan.services[service].link_cap - CONTROL_LINKS)
@@ -90,7 +90,7 @@
                 self._set_limit(pool=pool, limit=0 if unassigned else max(1, share))
             # With fewer links than proxies each keeps one link to one replica, and others only while in use.
             pool.set_on_demand(on_demand=scarce and not forwards and name != kept)
-            self._follow_backend_state(name=name, is_primary=lead is not None and lead.primary == name)
+            self._follow_backend_state(name=name, is_primary=assignment is not None and assignment.primary == name)
 
     def _cap_share(self, *, cap: int) -> int:
         """This proxy's part of a cap; the same for all services with that cap."""
--- a/src/cinderstair/pooler/position_sampling.py
+++ b/src/cinderstair/pooler/position_sampling.py
@@ -25,16 +25,18 @@
         :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
         """
         pool.record_answer()
-        lead = self.view.primaries.get(service)
-        if reply.position is None or lead is None or lead.primary != pool.backend.name:
+        assignment = self.view.primaries.get(service)
+        if reply.position is None or assignment is None or assignment.primary != pool.backend.name:
             return
         # Whether the view was current was checked when it was asked; here only the primary must still be the same.
-        if lead.state == PrimaryState.moving or reply.position.term > lead.term:
+        if assignment.state == PrimaryState.moving or reply.position.term > assignment.term:
             return
         self.freshness(service=service).note(requested_us=requested_us, position=reply.position)
         # A sample asked for before this state of the lead was known may lie past a fence set in between.
-        if requested_us >= self.view.lead_since_us[service]:
-            self.view.samples.saw(service=service, term=lead.term, requested_us=requested_us, position=reply.position)
+        if requested_us >= self.view.assigned_since_us[service]:
+            self.view.samples.saw(
+                service=service, term=assignment.term, requested_us=requested_us, position=reply.position
+            )
 
     async def sample(self, *, service: str) -> None:
         """Asks the primary for its position; gives up silently where that fails."""
@@ -59,12 +61,12 @@
         pool.release(link=link)
         self.record_reply(pool=pool, service=service, requested_us=requested_us, reply=reply)
 
-    def _sample_if_due(self, *, service: str, lead: ServicePrimary) -> None:
+    def _sample_if_due(self, *, service: str, assignment: ServicePrimary) -> None:
         """Asks the primary where reads will want its position and no statement has shown it lately."""
         freshness = self.freshness(service=service)
         now_us = self.ctx.now_us()
-        if lead.state == PrimaryState.moving and lead.fence.term:
-            freshness.fence(as_of_us=self.view.as_of_us, position=lead.fence)
+        if assignment.state == PrimaryState.moving and assignment.fence.term:
+            freshness.fence(as_of_us=self.view.as_of_us, position=assignment.fence)
         ahead_us = max(SAMPLE_AHEAD_US, freshness.wanted_age_us - AGE_MARGIN_US - SAMPLE_SPAN_US)
         if now_us - freshness.wanted_us > SAMPLES_WANTED_FOR_US or now_us - freshness.newest_us < ahead_us:
             return
@@ -94,8 +96,8 @@
     def _probe_quiet_primaries(self) -> None:
         """Where one backend has fallen silent others may have; a probe finds that out at no client's cost."""
         now_us, probes = self.ctx.now_us(), 0
-        for service, lead in self.view.primaries.items():
-            pool = self.pools.get(lead.primary)
+        for service, assignment in self.view.primaries.items():
+            pool = self.pools.get(assignment.primary)
             quiet = (
                 pool is not None
                 and not pool.silent
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -27,8 +27,8 @@
 
         Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; their detail `left_us` says when to ask again.
         """
-        lead = self.view.primaries.get(service)
-        if lead is None:
+        assignment = self.view.primaries.get(service)
+        if assignment is None:
             return _refuse(code=ErrorCode.NO_LEAD, reason=f"{service}: nobody leads yet", left_us=VIEW_LAPSE_US)
         if not self.view.current:
             return _refuse(
@@ -36,12 +36,12 @@
                 reason="out of touch with the register",
                 left_us=self._view_expected_in_us(),
             )
-        if lead.state != PrimaryState.settled:
-            left_us = self.view.lead_since_us[service] + lead.ready_in_us - self.ctx.now_us()
+        if assignment.state != PrimaryState.settled:
+            left_us = self.view.assigned_since_us[service] + assignment.ready_in_us - self.ctx.now_us()
             # An overdue move may take as long again, and a client is not held until its time is up for it.
             left_us = max(MIN_MOVE_WAIT_US, abs(left_us))
             return _refuse(code=ErrorCode.MOVING, reason=f"{service}: its lead moves", left_us=left_us)
-        return self._reachable_primary(service=service, lead=lead)
+        return self._reachable_primary(service=service, assignment=assignment)
 
     def _view_expected_in_us(self) -> int:
         """When the view should be current again.
@@ -54,16 +54,18 @@
             return VIEW_LAPSE_US
         return ERROR_RESPONSES[ErrorCode.NOT_CURRENT].retry_after_us * 2
 
-    def _reachable_primary(self, *, service: str, lead: ServicePrimary) -> Result[LinkPool, CinderstairError]:
-        pool = self.pools.get(lead.primary)
+    def _reachable_primary(self, *, service: str, assignment: ServicePrimary) -> Result[LinkPool, CinderstairError]:
+        pool = self.pools.get(assignment.primary)
         if pool is None or pool.closed:
-            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: {lead.primary} is not there"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: {assignment.primary} is not there")
+            )
         detour = self.detours.detour(pool=pool) if pool.unreachable else None
         if detour is not None:
             return Ok(detour)
         if pool.silent:
             # A statement sent to a silent backend may have been run, so its client would not know the outcome.
-            reason = f"{service}: {lead.primary} is silent"
+            reason = f"{service}: {assignment.primary} is silent"
             return _refuse(code=ErrorCode.NO_BACKEND, reason=reason, left_us=SILENT_RETRY_US)
         return Ok(pool)
 
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -28,8 +28,8 @@
     """Holds the newest values that any controller has relayed; they never go back.
 
     `changes` tells the key of each value that was taken. `source` and `edition` name what the last answer contained.
-    `plan` is None before the first configuration was relayed. `lead_since_us`: when each service's lead was relayed,
-    by this proxy's clock.
+    `plan` is None before the first configuration was relayed. `assigned_since_us`: when each service's
+    primary was relayed, by this proxy's clock.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -43,7 +43,7 @@
         self.places: dict[str, ProxyAddress] = {}
         self.shards = ShardState()
         self.primaries: dict[str, ServicePrimary] = {}
-        self.lead_since_us: dict[str, int] = {}
+        self.assigned_since_us: dict[str, int] = {}
         self.backends: dict[str, RelayedBackend] = {}
         self.changes: Subject[str] = Subject()
         self._waiting: list[asyncio.Future[None]] = []
@@ -110,11 +110,13 @@
         elif key == SHARDS_KEY:
             self.shards = read_shard_state(data=value)
         elif key.startswith(PREFIX):
-            lead = read_service_primary(data=value)
+            assignment = read_service_primary(data=value)
             service = key.removeprefix(PREFIX)
-            self.primaries[service] = lead
-            self.lead_since_us[service] = self.ctx.now_us()
-            self.ctx.log.info("%s: term %d %s %s", service, lead.term, lead.primary, lead.state.name)
+            self.primaries[service] = assignment
+            self.assigned_since_us[service] = self.ctx.now_us()
+            self.ctx.log.info(
+                "%s: term %d %s %s", service, assignment.term, assignment.primary, assignment.state.name
+            )
 
     def _apply_plan(self, *, plan: ServicePlan) -> None:
         # The register never goes back to an earlier configuration, and neither does anything that follows it.
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -83,7 +83,7 @@
         self.controller = ""
         self.as_of_us = -LEASE_US
         self.answered_us = ctx.now_us()
-        self.samples = SamplePool(ctx=ctx, lead=self.primaries.get)
+        self.samples = SamplePool(ctx=ctx, assignment=self.primaries.get)
         self.vote: Callable[[], ShardVote] = lambda: ShardVote(0, Vote.silent)
         self.ask: Callable[[str], None] = lambda service: None
         self.troubled: Callable[[], tuple[str, ...]] = tuple
@@ -126,7 +126,7 @@
 
     def _moving(self) -> bool:
         """Whether any primary or the shard map is being moved."""
-        moving = any(lead.state != PrimaryState.settled for lead in self.primaries.values())
+        moving = any(assignment.state != PrimaryState.settled for assignment in self.primaries.values())
         return moving or self.shards.phase != ShardPhase.steady
 
     # -- the choice of a controller --
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -44,9 +44,9 @@
         """Follows a change of the view."""
         if key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
-            lead = self.view.primaries[service]
-            if lead.state == PrimaryState.moving:
-                self.freshness(service=service).fence(as_of_us=-(1 << 60), position=lead.fence)
+            assignment = self.view.primaries[service]
+            if assignment.state == PrimaryState.moving:
+                self.freshness(service=service).fence(as_of_us=-(1 << 60), position=assignment.fence)
             # With thousands of services, one primary's move must not cost a rebuild of all others.
             if service in self.backends_by_service:
                 self._rebuild_service(service=service)
@@ -65,8 +65,8 @@
         if plan is None:
             return
         for name in self.draining_since_us:
-            lead = self.view.primaries.get(self.pools[name].backend.service)
-            self._follow_backend_state(name=name, is_primary=lead is not None and lead.primary == name)
+            assignment = self.view.primaries.get(self.pools[name].backend.service)
+            self._follow_backend_state(name=name, is_primary=assignment is not None and assignment.primary == name)
         self._check_pools()
         for service in self._services_this_turn(names=list(plan.services)):
             self._maintain_service(service=service)
@@ -91,24 +91,28 @@
 
     def _maintain_detour(self, *, pool: LinkPool) -> None:
         """Only a primary needs a detour; instead of a replica another one is read from."""
-        lead = self.view.primaries.get(pool.backend.service)
-        if lead is not None and lead.state == PrimaryState.settled and lead.primary == pool.backend.name:
+        assignment = self.view.primaries.get(pool.backend.service)
+        if (
+            assignment is not None
+            and assignment.state == PrimaryState.settled
+            and assignment.primary == pool.backend.name
+        ):
             self.detours.maintain(pool=pool, service=pool.backend.service)
         else:
             self.detours.forget(name=pool.backend.name)
 
     def _maintain_service(self, *, service: str) -> None:
         """Keeps a link to the primary and to the best replica open, and the samples recent."""
-        lead = self.view.primaries.get(service)
-        if lead is None:
+        assignment = self.view.primaries.get(service)
+        if assignment is None:
             return
-        primary = self.pools.get(lead.primary)
-        if primary is not None and lead.state == PrimaryState.settled and not primary.on_demand:
+        primary = self.pools.get(assignment.primary)
+        if primary is not None and assignment.state == PrimaryState.settled and not primary.on_demand:
             primary.warm(count=1)
         replicas = self.replicas(service=service)
         if replicas and not replicas[0].on_demand:
             replicas[0].warm(count=1)
-        self._sample_if_due(service=service, lead=lead)
+        self._sample_if_due(service=service, assignment=assignment)
 
     def _services_this_turn(self, *, names: list[str]) -> list[str]:
         """The services that were read from lately, and of all others a part each turn."""
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -38,9 +38,9 @@
     moment by this proxy's clock, and the position. `told_us`: by service, the newest sample that the controller has.
     """
 
-    def __init__(self, *, ctx: Context, lead: Callable[[str], ServicePrimary | None]) -> None:
+    def __init__(self, *, ctx: Context, assignment: Callable[[str], ServicePrimary | None]) -> None:
         self.ctx = ctx
-        self.lead = lead
+        self.assignment = assignment
         self.wanted: Callable[[], Iterable[str]] = tuple
         self.note: Callable[[str, int, Position], None] = lambda service, requested_us, position: None
         self.own: dict[str, OwnSample] = {}
@@ -56,9 +56,9 @@
             self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
     def _counts(self, *, service: str, term: int) -> bool:
-        lead = self.lead(service)
+        assignment = self.assignment(service)
         # A position seen under another lead may lie past a fence that has cut it off.
-        return lead is not None and lead.state == PrimaryState.settled and lead.term == term
+        return assignment is not None and assignment.state == PrimaryState.settled and assignment.term == term
 
     def reported(self, *, source: int) -> tuple[ReportedSample, ...]:
         """The samples that a controller does not have yet, with their moments by its clock.
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -86,8 +86,8 @@
         if plan is None:
             return False
         for database, service in places.places.items():
-            lead = self.view.primaries.get(service)
-            known = service in plan.services and lead is not None and lead.state == PrimaryState.settled
+            assignment = self.view.primaries.get(service)
+            known = service in plan.services and assignment is not None and assignment.state == PrimaryState.settled
             if database not in plan.routes or not known:
                 return False
         return True
--- a/src/cinderstair/simulation/backend_trials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -107,7 +107,10 @@
 
         def in_place(comes: str = comes) -> bool:
             assignments = [world.http_proxy(name=name).view.primaries["db0"] for name in world.ups()]
-            return all(comes in (lead.primary, *lead.in_sync) and lead.state == "settled" for lead in assignments)
+            return all(
+                comes in (assignment.primary, *assignment.in_sync) and assignment.state == "settled"
+                for assignment in assignments
+            )
 
         world.await_that(test=in_place, within_us=25_000_000, what=f"{comes} is in sync")
         trial.go(for_us=2_000_000)
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -28,7 +28,7 @@
 from ...runtime.unpacker import Unpacker
 from .child import Child, metered_context, rss_bytes, use_adapter
 from .hollow_link import hollow_dialer
-from .made_up import BALLOT, announcements_of, lead_value, plan_of, slots_of, whole_answer
+from .made_up import BALLOT, announcements_of, assignment_value, plan_of, slots_of, whole_answer
 from .memory_transport import MemoryTransport
 from .naming import proxy_name
 
@@ -70,9 +70,9 @@
         for each in announcements_of(databases=databases):
             view.backends[each.name] = RelayedBackend(announcement=each, silent=False)
         for database in range(databases):
-            value = lead_value(database=database)
+            value = assignment_value(database=database)
             view.primaries[value.key.partition("/")[2]] = read_service_primary(data=value.value)
-            view.lead_since_us[value.key.partition("/")[2]] = 0
+            view.assigned_since_us[value.key.partition("/")[2]] = 0
             view.ballots[value.key] = value.ballot
         return router
 
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -47,7 +47,7 @@
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
         controller.register_replica.register.own = controller.settings.records
-        hollow = HollowControl(lead=lambda service: controller.duty.primaries.get(service))
+        hollow = HollowControl(assignment=lambda service: controller.duty.primaries.get(service))
         controller.control = controller.promoter = hollow
         self.controller = controller
         self.net = self.ctx.net
--- a/src/cinderstair/simulation/capacity/hollow_control.py
+++ b/src/cinderstair/simulation/capacity/hollow_control.py
@@ -14,13 +14,13 @@
 class HollowControl:
     """Whoever the register names leads; before it names anybody, the backend that says so in its heartbeats."""
 
-    def __init__(self, *, lead: Callable[[str], ServicePrimary | None]) -> None:
-        self.lead = lead
+    def __init__(self, *, assignment: Callable[[str], ServicePrimary | None]) -> None:
+        self.assignment = assignment
 
     def _state(self, *, backend: Announcement, term: int = 0) -> Result[BackendState, CinderstairError]:
-        lead = self.lead(backend.service)
-        is_primary = backend.is_primary if lead is None else lead.primary == backend.name
-        own = 1 if lead is None else lead.term
+        assignment = self.assignment(backend.service)
+        is_primary = backend.is_primary if assignment is None else assignment.primary == backend.name
+        own = 1 if assignment is None else assignment.term
         return Ok(BackendState(is_primary=is_primary, term=own, received=Position(own, 1), term_held=max(own, term)))
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -36,7 +36,7 @@
     return ProxyIds(names=tuple(ProxyId(number, proxy_name(number=number)) for number in range(proxies)))
 
 
-def lead_of(*, database: int, term: int = 1) -> ServicePrimary:
+def assignment_of(*, database: int, term: int = 1) -> ServicePrimary:
     primary = backend_name(service=database, replica=REPLICAS[0])
     return ServicePrimary(term=term, primary=primary, state=PrimaryState.settled)
 
@@ -58,11 +58,11 @@
     ]
 
 
-def lead_value(*, database: int, term: int = 1) -> RelayedValue:
+def assignment_value(*, database: int, term: int = 1) -> RelayedValue:
     return RelayedValue(
         key=service_primary_key(service=service_name(number=database)),
         ballot=Ballot(BALLOT.turn + term, BALLOT.proposer),
-        value=lead_of(database=database, term=term).bytes(),
+        value=assignment_of(database=database, term=term).bytes(),
     )
 
 
@@ -72,7 +72,7 @@
         key=PLAN_KEY, ballot=BALLOT, value=plan_of(version=1, databases=databases).bytes(with_document=False)
     )
     slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=slots_of(proxies=proxies).bytes())
-    assignments = [lead_value(database=database) for database in range(databases)]
+    assignments = [assignment_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
         edition=1,
--- a/src/cinderstair/simulation/capacity/measurement.py
+++ b/src/cinderstair/simulation/capacity/measurement.py
@@ -203,12 +203,12 @@
         old = read_service_primary(data=found.ok.value)
         names = [backend_name(service=database, replica=replica) for replica in REPLICAS]
         primary = names[(names.index(old.primary) + 1) % len(names)]
-        lead = ServicePrimary(term=old.term + 1, primary=primary, state=PrimaryState.settled)
+        assignment = ServicePrimary(term=old.term + 1, primary=primary, state=PrimaryState.settled)
         await self.system.heartbeats.ask(do="lead", database=database, name=primary)
-        written = await register.change(key=key, decide=always(value=lead.bytes()))
+        written = await register.change(key=key, decide=always(value=assignment.bytes()))
         if written.is_error():
             raise Unsettled(f"{key}: {written.error.reason}")
-        return lead.term, self.system.ctx.now_us()
+        return assignment.term, self.system.ctx.now_us()
 
     async def _restarts(self, *, count: int) -> None:
         """Proxies end without a word and begin anew under their names."""
--- a/src/cinderstair/simulation/day.py
+++ b/src/cinderstair/simulation/day.py
@@ -84,9 +84,11 @@
         if self._hurt(names=self.world.databases[database]):
             return False
         views = [self.world.http_proxy(name=name).view for name in self.world.ups()]
-        assignments = [view.lead(database=database) for view in views if view.lead(database=database) is not None]
-        lead = max(assignments, key=lambda each: each.term, default=None)
-        return lead is not None and lead.state == "settled" and len(lead.in_sync) >= 2
+        assignments = [
+            view.assignment(database=database) for view in views if view.assignment(database=database) is not None
+        ]
+        assignment = max(assignments, key=lambda each: each.term, default=None)
+        return assignment is not None and assignment.state == "settled" and len(assignment.in_sync) >= 2
 
     def http_proxy(self, *, rng: random.Random, for_us: int) -> str:
         """One to strike, the holder of the duty of leads by preference."""
--- a/src/cinderstair/simulation/dry_run.py
+++ b/src/cinderstair/simulation/dry_run.py
@@ -83,7 +83,7 @@
             return False
         if name in http_proxy.view.leaving.http_proxies and http_proxy.sessions.open:
             return False
-        for lead in http_proxy.view.primaries.values():
-            if any(each in http_proxy.view.leaving.backends for each in (lead.primary, *lead.confirmers)):
+        for assignment in http_proxy.view.primaries.values():
+            if any(each in http_proxy.view.leaving.backends for each in (assignment.primary, *assignment.confirmers)):
                 return False
     return True
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -172,11 +172,11 @@
             primaries = status.get("leads", {})
             if not await self.is_ready(name=name) or len(primaries) < len(self.databases):
                 return False
-            for lead in primaries.values():
-                backend = status["backends"].get(lead["primary"], {})
-                needed = (lead["primary"], *lead["inSync"], *lead["joining"])
+            for assignment in primaries.values():
+                backend = status["backends"].get(assignment["primary"], {})
+                needed = (assignment["primary"], *assignment["inSync"], *assignment["joining"])
                 fit = backend.get("fit") and all(status["backends"][n]["channels"]["limit"] for n in needed)
-                if lead["state"] != "settled" or not lead["inSync"] or not fit:
+                if assignment["state"] != "settled" or not assignment["inSync"] or not fit:
                     return False
         return True
 
--- a/src/cinderstair/simulation/platformsim/failover_trials.py
+++ b/src/cinderstair/simulation/platformsim/failover_trials.py
@@ -197,11 +197,11 @@
     def come() -> bool:
         name = holder(world=world)
         duty = world.roles[name].controller.duty if name in world.roles else None
-        lead = None if duty is None else duty.primaries.get("ledger0")
+        assignment = None if duty is None else duty.primaries.get("ledger0")
         return {
             "examining": duty is not None and bool(duty.monitor.suspects_us or duty.active),
             "fencing": any(each.paused for each in service.backends.values()),
-            "moving": lead is not None and lead.state == 2,
+            "moving": assignment is not None and assignment.state == 2,
             "promoting": any(call[1] == "ledger0" for call in world.platform.calls),
             "leading": service.term > 1,
         }[moment]
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -447,8 +447,8 @@
         return found
 
     def replicas(self, *, service: str = "ledger0") -> list[StandInBackend]:
-        lead = self.services[service].last
-        return [each for each in self.services[service].backends.values() if each is not lead and each.up]
+        primary = self.services[service].last
+        return [each for each in self.services[service].backends.values() if each is not primary and each.up]
 
     def crash(self, *, backend: StandInBackend, dark: bool = False, again_us: int | None = 3_000_000) -> None:
         self.note(name=backend.name, for_us=0)
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -221,7 +221,7 @@
 
     # -- who leads --
 
-    def lead(self, *, term: int) -> None:
+    def become_primary(self, *, term: int) -> None:
         self.is_primary, self.term = True, term
         self.lead_life += 1
         self.applied = len(self.log)
--- a/src/cinderstair/simulation/platformsim/stand_in_service.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_service.py
@@ -57,7 +57,7 @@
         lost = [entry for entry in self.entries if not entry.cut and id(entry) not in kept]
         for entry in lost:
             entry.cut = True
-        backend.lead(term=self.term)
+        backend.become_primary(term=self.term)
         for notice in self.on_promoted:
             notice(backend, lost)
         for each in self.backends.values():
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -76,17 +76,17 @@
 
     def primary_of(self, *, database: str) -> str:
         assignments = [
-            lead
+            assignment
             for name in self.world.ups()
-            if (lead := self.world.http_proxy(name=name).view.lead(database=database)) is not None
+            if (assignment := self.world.http_proxy(name=name).view.assignment(database=database)) is not None
         ]
-        return max(assignments, key=lambda lead: lead.term).primary
+        return max(assignments, key=lambda assignment: assignment.term).primary
 
     @property
     def in_sync(self) -> tuple[str, ...]:
         for name in self.world.ups():
-            lead = self.world.http_proxy(name=name).view.lead(database="db0")
-            return () if lead is None else lead.in_sync
+            assignment = self.world.http_proxy(name=name).view.assignment(database="db0")
+            return () if assignment is None else assignment.in_sync
         return ()
 
     @property
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -347,11 +347,11 @@
         return bool(ups) and all(
             http_proxy.ready.unready() is None
             and all(
-                (lead := http_proxy.view.lead(database=database)) is not None
-                and lead.state == "settled"
-                and lead.in_sync
-                and http_proxy.connection_pools.usable(name=lead.primary)
-                and all(http_proxy.connection_pools.open(name=name) for name in lead.confirmers)
+                (assignment := http_proxy.view.assignment(database=database)) is not None
+                and assignment.state == "settled"
+                and assignment.in_sync
+                and http_proxy.connection_pools.usable(name=assignment.primary)
+                and all(http_proxy.connection_pools.open(name=name) for name in assignment.confirmers)
                 for database in self.databases
             )
             for http_proxy in ups
