--- a/features/control_plane/proxy_id_assigner.feature
+++ b/features/control_plane/proxy_id_assigner.feature
@@ -45,20 +45,20 @@
 
   Scenario: A controller knows which step of the shard map the others have reached
     Given 3 controllers that assign proxy ids
-    And core-1 knows turn 4 and phase 2 of the shard map
-    And core-2 knows turn 4 and phase 2 of the shard map
-    And core-3 knows turn 4 and phase 1 of the shard map
-    Then core-1 knows that all others are at turn 4 and phase 2: no
-    When core-3 knows turn 4 and phase 2 of the shard map
-    Then core-1 knows that all others are at turn 4 and phase 2: yes
-    And core-1 knows that all others are at turn 5 and phase 2: no
+    And core-1 knows proposal 4 and phase 2 of the shard map
+    And core-2 knows proposal 4 and phase 2 of the shard map
+    And core-3 knows proposal 4 and phase 1 of the shard map
+    Then core-1 knows that all others are at proposal 4 and phase 2: no
+    When core-3 knows proposal 4 and phase 2 of the shard map
+    Then core-1 knows that all others are at proposal 4 and phase 2: yes
+    And core-1 knows that all others are at proposal 5 and phase 2: no
 
   Scenario: A controller that does not answer has reached no step
     Given 3 controllers that assign proxy ids
-    And core-1 knows turn 4 and phase 2 of the shard map
-    And core-2 knows turn 4 and phase 2 of the shard map
+    And core-1 knows proposal 4 and phase 2 of the shard map
+    And core-2 knows proposal 4 and phase 2 of the shard map
     When core-3 answers nobody
-    Then core-1 knows that all others are at turn 4 and phase 2: no
+    Then core-1 knows that all others are at proposal 4 and phase 2: no
 
   Scenario: A controller tells the others which proxies ask it, and how they vote
     Given 1 controllers that assign proxy ids
--- a/features/pooler/relayed_view.feature
+++ b/features/pooler/relayed_view.feature
@@ -66,23 +66,23 @@
     Then the view is current
 
   Scenario: The register never goes back, whatever a controller that lags says
-    Given "g1, g2" tell the plan of version 7 under turn 3
+    Given "g1, g2" tell the plan of version 7 under round 3
     When the view keeps itself for 500 ms
     Then the view's plan is 7
-    Given "g1, g2" tell the plan of version 9 under turn 2
+    Given "g1, g2" tell the plan of version 9 under round 2
     When the view keeps itself for 500 ms
     Then the view's plan is 7
-    Given "g1, g2" tell the plan of version 6 under turn 4
+    Given "g1, g2" tell the plan of version 6 under round 4
     When the view keeps itself for 500 ms
     Then the view's plan is 7
-    Given "g1, g2" tell the plan of version 8 under turn 5
+    Given "g1, g2" tell the plan of version 8 under round 5
     When the view keeps itself for 500 ms
     Then the view's plan is 8
 
   Scenario Outline: An answer that can't be read does not end the asking
     Given "g1, g2" tell <what>
     When the view keeps itself for 1000 ms
-    Given "g1, g2" tell the plan of version 8 under turn 5
+    Given "g1, g2" tell the plan of version 8 under round 5
     When the view keeps itself for 3000 ms
     Then the view is current
     And the view's plan is 8
--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.values: dict[str, VersionedValue] = {}
-        self.turn = 0
+        self.round = 0
         self.leases: dict[str, tuple[int, int]] = {}
         self.writes: list[tuple[int, str, bytes]] = []
         self.refused: set[str] = set()
@@ -86,8 +86,8 @@
             return Error(decided.error)
         if key in self.store.refused:
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNSURE, reason="cut short"))
-        self.store.turn += 1
-        made = VersionedValue(ballot=Ballot(self.store.turn, self.proposer), value=decided.ok)
+        self.store.round += 1
+        made = VersionedValue(ballot=Ballot(self.store.round, self.proposer), value=decided.ok)
         self.store.values[key] = made
         self.store.writes.append((self.ctx.now_us(), key, decided.ok))
         await self.ctx.sleep(duration_us=2_000)
@@ -332,5 +332,5 @@
 
 
 def put(*, context: Any, key: str, value: bytes) -> None:
-    context.store.turn += 1
-    context.store.values[key] = VersionedValue(ballot=Ballot(context.store.turn, 99), value=value)
+    context.store.round += 1
+    context.store.values[key] = VersionedValue(ballot=Ballot(context.store.round, 99), value=value)
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -104,7 +104,7 @@
 
 def first_values() -> dict[str, bytes]:
     """What the register holds under the first roster, by key."""
-    assignment = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, turn=1)
+    assignment = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, revision=1)
     return {
         ROSTER_KEY: roster(epoch=1).bytes(),
         PLAN_KEY: plan(version=1).bytes(),
@@ -122,7 +122,7 @@
         fence=Position(1, 4_096),
         ready_in_us=700_000,
         planned=True,
-        turn=2,
+        revision=2,
     )
     places = {
         "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
@@ -133,7 +133,7 @@
         current=ShardMap(version=1, places={"orders": "alpha"}),
         following=ShardMap(version=2, places={"orders": "beta"}, agree_percent=75),
         ready_in_us=900_000,
-        turn=3,
+        proposal=3,
         why="too few agreed",
     )
     return {
@@ -151,7 +151,7 @@
         self.stage = Stage(context=context)
         self.stage.ctx.disk = disk
         self.disk = disk
-        self.turn = 0
+        self.round = 0
         self.epoch = 0
         self.acceptor: Acceptor | None = None
 
@@ -179,8 +179,8 @@
     async def promise(self, *, key: str) -> Ballot:
         """Has it promise the next ballot for a key."""
         assert self.acceptor is not None
-        self.turn += 1
-        ballot = Ballot(self.turn, PROPOSER)
+        self.round += 1
+        ballot = Ballot(self.round, PROPOSER)
         data = self._head(key=key, ballot=ballot).bytes()
         answer = await self.acceptor.prepare(Unpacker(data=data))
         assert answer[0] == 0, answer
@@ -282,8 +282,8 @@
     """A replica's state in the plain form that is kept beside the files."""
     cells = {
         key: {
-            "promise": [f"{number:016x}" for number in (cell.promised.turn, cell.promised.proposer)],
-            "vote": [f"{number:016x}" for number in (cell.accepted.turn, cell.accepted.proposer)],
+            "promise": [f"{number:016x}" for number in (cell.promised.round, cell.promised.proposer)],
+            "vote": [f"{number:016x}" for number in (cell.accepted.round, cell.accepted.proposer)],
             "content": cell.value.hex(),
         }
         for key, cell in sorted(held.cells.items())
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -36,9 +36,9 @@
         self.requested_us.update(dict.fromkeys(self.asking, now_us))
         found = []
         for name, us in self.requested_us.items():
-            turn, vote = self.votes.get(name, (0, Vote.silent))
+            proposal, vote = self.votes.get(name, (0, Vote.silent))
             if now_us - us <= within_us:
-                found.append(ProxyContact(name=name, age_us=now_us - us, turn=turn, vote=vote))
+                found.append(ProxyContact(name=name, age_us=now_us - us, proposal=proposal, vote=vote))
         return found
 
 
@@ -142,10 +142,10 @@
     assert len(writes) == count, len(writes)
 
 
-@given("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
-@when("{name} knows turn {turn:d} and phase {phase:d} of the shard map")
-def when_knows(context: Any, name: str, turn: int, phase: int) -> None:
-    context.shard_map_steps[name] = ShardMapStep(turn=turn, phase=phase)
+@given("{name} knows proposal {proposal:d} and phase {phase:d} of the shard map")
+@when("{name} knows proposal {proposal:d} and phase {phase:d} of the shard map")
+def when_knows(context: Any, name: str, proposal: int, phase: int) -> None:
+    context.shard_map_steps[name] = ShardMapStep(proposal=proposal, phase=phase)
 
 
 @when("{name} answers nobody")
@@ -153,11 +153,13 @@
     context.dispatchers.pop(name)
 
 
-@then("{name} knows that all others are at turn {turn:d} and phase {phase:d}: {answer}")
-def then_others_at_step(context: Any, name: str, turn: int, phase: int, answer: str) -> None:
+@then("{name} knows that all others are at proposal {proposal:d} and phase {phase:d}: {answer}")
+def then_others_at_step(context: Any, name: str, proposal: int, phase: int, answer: str) -> None:
     census = context.censuses[name]
     context.stage.run(work=census.gather(every_us=0))
-    assert census.peers_agree(step=ShardMapStep(turn=turn, phase=phase)) == (answer == "yes"), census.peer_steps
+    assert census.peers_agree(step=ShardMapStep(proposal=proposal, phase=phase)) == (answer == "yes"), (
+        census.peer_steps
+    )
 
 
 @when("the controller that holds the lease dies, and its proxies find another after {seconds:d} s")
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -163,7 +163,7 @@
 
 def service_primary(*, state: PrimaryState) -> ServicePrimary:
     return ServicePrimary(
-        term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, turn=8
+        term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, revision=8
     )
 
 
@@ -173,7 +173,7 @@
         current=ShardMap(version=1, places={"orders": "alpha"}),
         following=ShardMap(version=2, places={"orders": "beta", "reports": "beta"}, agree_percent=75),
         ready_in_us=900_000,
-        turn=3,
+        proposal=3,
         under_way_us=2_900_000,
         why="too few agreed",
     )
@@ -196,7 +196,7 @@
         source=0x1234,
         edition=17,
         suspected=("db-1", "db-2"),
-        turn=3,
+        proposal=3,
         vote=vote,
         samples=(ReportedSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
         wanted=(WantedSample(service="beta", edition=4),),
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -213,9 +213,9 @@
     return dispatcher
 
 
-def vote_request(*, kind: int, key: str, turn: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
+def vote_request(*, kind: int, key: str, round: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
     packer = Packer().u8(value=kind).u32(value=epoch).text(value=key)
-    Ballot(turn, PROPOSER).write(packer=packer)
+    Ballot(round, PROPOSER).write(packer=packer)
     return (packer if value is None else packer.blob(value=value)).bytes()
 
 
@@ -259,25 +259,27 @@
     asker = Voter(ident=0, name="", address="")
     return [
         Request(name="hello, no voters yet", data=hello_request(voter=roster(epoch=EPOCH).voters[1])),
-        Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=1, epoch=0)),
+        Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", round=1, epoch=0)),
         Request(name="adopt", data=adopt_request(epoch=EPOCH)),
         Request(name="adopt an older one, version 2", data=second(adopt_request(epoch=EPOCH - 1))),
-        Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=5)),
-        Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=4)),
-        Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=5, value=plan().bytes())),
-        Request(name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=4, value=b"late")),
-        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", turn=6))),
+        Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", round=5)),
+        Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", round=4)),
+        Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=5, value=plan().bytes())),
+        Request(
+            name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=4, value=b"late")
+        ),
+        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", round=6))),
         Request(
             name="prepare, older voters",
-            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH - 1),
+            data=vote_request(kind=MessageType.PREPARE, key="plan", round=9, epoch=EPOCH - 1),
         ),
         Request(
             name="prepare, newer voters",
-            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH + 1),
+            data=vote_request(kind=MessageType.PREPARE, key="plan", round=9, epoch=EPOCH + 1),
         ),
         Request(
             name="accept, version 2",
-            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", turn=7, value=b"v")),
+            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", round=7, value=b"v")),
         ),
         Request(name="read", data=read_request(key="plan")),
         Request(name="read, nothing there", data=read_request(key="slots")),
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -122,8 +122,8 @@
     found = position(text=at)
     assert found is not None
     now_us = context.stage.now_us
-    context.reported.turn += 1
-    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.reported.turn)
+    context.reported.revision += 1
+    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.reported.revision)
     context.reported.view.samples.answered(source=1, answered_us=7_000_000, requested_us=now_us, samples=(sample,))
 
 
@@ -216,7 +216,7 @@
     async def settle() -> None:
         await asyncio.sleep(wait_ms / 1_000)
         reported = context.reported
-        reported.turn += 1
+        reported.revision += 1
         reported.view._take(answer=settled_answer(reported=reported, primary=name))
         reported.view._wake()
 
@@ -226,9 +226,9 @@
 def settled_answer(*, reported: ReportedView, primary: str) -> RelayAnswer:
     assignment = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
     value = RelayedValue(
-        key=service_primary_key(service="s"), ballot=Ballot(reported.turn, 1), value=assignment.bytes()
+        key=service_primary_key(service="s"), ballot=Ballot(reported.revision, 1), value=assignment.bytes()
     )
-    return RelayAnswer(source=1, edition=reported.turn, age_us=0, whole=False, values=(value,))
+    return RelayAnswer(source=1, edition=reported.revision, age_us=0, whole=False, values=(value,))
 
 
 @when("the proxy has been out of touch for {wait_ms:d} ms")
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -71,7 +71,7 @@
             current=made_up(rng=rng),
             following=made_up(rng=rng),
             ready_in_us=rng.randrange(2**40),
-            turn=rng.randrange(2**40),
+            proposal=rng.randrange(2**40),
             under_way_us=rng.randrange(2**40),
             why=rng.choice(("", "too few agree")),
         )
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -384,7 +384,7 @@
 
     def __init__(self, *, stage: Stage, name: str = "booth-1") -> None:
         self.stage = stage
-        self.turn = 0
+        self.revision = 0
         self.number = 1
         self.in_touch = True
         self.view = RelayedView(ctx=stage.ctx, site=SITE, seeds=tuple)
@@ -400,13 +400,14 @@
     def tell(
         self, *, values: dict[str, bytes] | None = None, backends: tuple[Announcement, ...] = (), quiet: bool = False
     ) -> None:
-        self.turn += 1
+        self.revision += 1
         entries = [
-            RelayedValue(key=key, ballot=Ballot(self.turn, 1), value=value) for key, value in (values or {}).items()
+            RelayedValue(key=key, ballot=Ballot(self.revision, 1), value=value)
+            for key, value in (values or {}).items()
         ]
         answer = RelayAnswer(
             source=1,
-            edition=self.turn,
+            edition=self.revision,
             age_us=0,
             whole=False,
             values=tuple(entries),
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -85,17 +85,17 @@
         context.relays[name].age_us = age_ms * 1_000
 
 
-def tell(*, context: Any, names: str, key: str, value: bytes, turn: int) -> None:
+def tell(*, context: Any, names: str, key: str, value: bytes, round: int) -> None:
     for name in names.split(", "):
         relay = context.relays[name]
         relay.noise = False
         relay.edition += 1
-        relay.values = (RelayedValue(key=key, ballot=Ballot(turn, 1), value=value),)
+        relay.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
 
 
-@given('"{names}" tell the plan of version {version:d} under turn {turn:d}')
-def given_tell_plan(context: Any, names: str, version: int, turn: int) -> None:
-    tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), turn=turn)
+@given('"{names}" tell the plan of version {version:d} under round {round:d}')
+def given_tell_plan(context: Any, names: str, version: int, round: int) -> None:
+    tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), round=round)
 
 
 @given('"{names}" tell noise')
@@ -107,7 +107,7 @@
 @given('"{names}" tell a {what} that is none')
 def given_tell_none(context: Any, names: str, what: str) -> None:
     key = {"plan": PLAN_KEY, "lead": service_primary_key(service="s")}[what]
-    tell(context=context, names=names, key=key, value=b"\x01\x02\x03", turn=1)
+    tell(context=context, names=names, key=key, value=b"\x01\x02\x03", round=1)
 
 
 @when("the view keeps itself for {wait_ms:d} ms")
--- a/src/cinderstair/consensus/ballot.py
+++ b/src/cinderstair/consensus/ballot.py
@@ -7,14 +7,14 @@
 
 
 class Ballot(NamedTuple):
-    """Ordered by turn, then by the proposer's number, so no two proposers ever use the same one."""
+    """Ordered by round, then by the proposer's number, so no two proposers ever use the same one."""
 
-    turn: int
+    round: int
     proposer: int
 
     def write(self, *, packer: Packer) -> None:
         """Appends its 16 bytes."""
-        packer.u64(value=self.turn).u64(value=self.proposer)
+        packer.u64(value=self.round).u64(value=self.proposer)
 
 
 # lower than any ballot that is proposed
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -45,7 +45,7 @@
     def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own: str = "") -> None:
         super().__init__(ctx=ctx, seeds=seeds, own=own)
         self.proposer = ctx.rng.getrandbits(63) | 1
-        # the highest turn of any ballot seen or used
+        # the highest round of any ballot seen or used
         self.count = 0
 
     def _next_ballot(self) -> Ballot:
@@ -104,7 +104,7 @@
         request = PrepareRequest(epoch=roster.epoch, key=key, ballot=ballot)
         votes = await self.votes(roster=roster, body=request.encode())
         for vote in votes:
-            self.count = max(self.count, vote.promised.turn)
+            self.count = max(self.count, vote.promised.round)
         return granted(votes=votes)
 
     async def _accept(self, *, key: str, ballot: Ballot, value: bytes, roster: Roster) -> bool:
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -235,4 +235,4 @@
 
 
 def _shard_map_step(state: ShardState) -> ShardMapStep:
-    return ShardMapStep(turn=state.turn, phase=state.phase)
+    return ShardMapStep(proposal=state.proposal, phase=state.phase)
--- a/src/cinderstair/control_plane/proxy_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -21,22 +21,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardMapStep:
-    """How far a controller knows a change of the shard map to have come: the proposal's turn, and the phase."""
+    """How far a controller knows a change of the shard map to have come: the proposal's number, and the phase."""
 
-    turn: int = 0
+    proposal: int = 0
     phase: int = 0
 
     def write(self, *, packer: Packer) -> Packer:
         """Appends the step's fields in their order on the wire."""
-        return packer.u64(value=self.turn).u8(value=self.phase)
+        return packer.u64(value=self.proposal).u8(value=self.phase)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LastContact:
-    """When a proxy last asked any controller, by the local clock; `turn` is the proposal that `vote` is about."""
+    """When a proxy last asked any controller, by the local clock; `vote` is about proposal number `proposal`."""
 
     at_us: int
-    turn: int
+    proposal: int
     vote: Vote
 
 
@@ -140,7 +140,7 @@
         try:
             unpacker = Unpacker(data=data)
             contacts = unpacker.many(each=read_proxy_contact)
-            step = ShardMapStep(turn=unpacker.u64(), phase=unpacker.u8())
+            step = ShardMapStep(proposal=unpacker.u64(), phase=unpacker.u8())
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return
@@ -153,7 +153,7 @@
         at_us = now_us - contact.age_us
         known = self.contacts.get(contact.name)
         if known is None or at_us > known.at_us:
-            self.contacts[contact.name] = LastContact(at_us=at_us, turn=contact.turn, vote=contact.vote)
+            self.contacts[contact.name] = LastContact(at_us=at_us, proposal=contact.proposal, vote=contact.vote)
 
     async def gather_addresses(self, *, every_us: int) -> dict[str, ProxyAddress]:
         """Addresses that proxies reported lately; the other controllers are asked every `every_us` at most."""
--- a/src/cinderstair/control_plane/proxy_contact.py
+++ b/src/cinderstair/control_plane/proxy_contact.py
@@ -9,18 +9,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyContact:
-    """`age_us` is how long ago the proxy asked; `turn` is the proposal that `vote` is about."""
+    """`age_us` is how long ago the proxy asked; `vote` is about proposal number `proposal`."""
 
     name: str
     age_us: int
-    turn: int
+    proposal: int
     vote: Vote
 
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
-        packer.text(value=self.name).u64(value=self.age_us).u64(value=self.turn).u8(value=self.vote)
+        packer.text(value=self.name).u64(value=self.age_us).u64(value=self.proposal).u8(value=self.vote)
 
 
 def read_proxy_contact(unpacker: Unpacker) -> ProxyContact:
     """Raises ValueError where the fields are none of a contact."""
-    return ProxyContact(name=unpacker.text(), age_us=unpacker.u64(), turn=unpacker.u64(), vote=Vote(unpacker.u8()))
+    return ProxyContact(
+        name=unpacker.text(), age_us=unpacker.u64(), proposal=unpacker.u64(), vote=Vote(unpacker.u8())
+    )
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyQuestion:
-    """When a proxy last asked, and its vote on the shard map that was proposed in `turn`."""
+    """When a proxy last asked, and its vote on the shard map of proposal number `proposal`."""
 
     at_us: int
-    turn: int
+    proposal: int
     vote: Vote
 
 
@@ -125,7 +125,9 @@
         return self._changes_for(question=question).bytes()
 
     def _take_question(self, *, question: RelayQuestion) -> None:
-        self.proxies[question.proxy] = ProxyQuestion(at_us=self.ctx.now_us(), turn=question.turn, vote=question.vote)
+        self.proxies[question.proxy] = ProxyQuestion(
+            at_us=self.ctx.now_us(), proposal=question.proposal, vote=question.vote
+        )
         for name in question.suspected:
             self.on_link_failure(name, question.proxy)
         # moments given out by an earlier process of this controller mean nothing by this one's clock
@@ -165,7 +167,7 @@
         now_us = self.ctx.now_us()
         self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry.at_us < KEEP_US}
         return [
-            ProxyContact(name=name, age_us=now_us - entry.at_us, turn=entry.turn, vote=entry.vote)
+            ProxyContact(name=name, age_us=now_us - entry.at_us, proposal=entry.proposal, vote=entry.vote)
             for name, entry in self.proxies.items()
             if now_us - entry.at_us <= within_us
         ]
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -108,10 +108,10 @@
         return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is given up")
 
     async def _on_progress(self, unpacker: Unpacker) -> bytes:
-        """A text, then the phase, the turn, the version in force, and why the last proposal was withdrawn."""
+        """A text, then the phase, the proposal, the version in force, and why the last proposal was withdrawn."""
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
         packer = operator_answer(text=progress.summary())
-        packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
+        packer.u8(value=state.phase).u64(value=state.proposal).u64(value=state.current.version).text(value=state.why)
         return packer.bytes()
--- a/src/cinderstair/failover/service_assignments.py
+++ b/src/cinderstair/failover/service_assignments.py
@@ -37,8 +37,8 @@
         service = key.removeprefix(PREFIX)
         assignment, before = read_service_primary(data=found.value), self.primaries.get(service)
         # The first assignment that is not settled starts the expiry of the views that let clients at the primary.
-        # A turn that was missed may have been a settled one, after which such views were made anew.
-        if before is None or before.state == PrimaryState.settled or assignment.turn > before.turn + 1:
+        # A revision that was missed may have been a settled one, after which such views were made anew.
+        if before is None or before.state == PrimaryState.settled or assignment.revision > before.revision + 1:
             self.unsettled_since_us[service] = self.ctx.now_us()
         self.primaries[service] = assignment
         self.since_us[service] = self.ctx.now_us()
@@ -51,7 +51,7 @@
         if not self.lease.held:
             return False
         if old is not None and new != old:
-            new = replace(new, turn=old.turn + 1)
+            new = replace(new, revision=old.revision + 1)
         accepted = (b"" if old is None else old.bytes(), new.bytes())
         result = await compare_and_set(
             register=self.register,
--- a/src/cinderstair/failover/service_primary.py
+++ b/src/cinderstair/failover/service_primary.py
@@ -37,7 +37,7 @@
     :param fence: while moving, a position at or past every commit that was ever acknowledged; the primary has it.
     :param ready_in_us: how long the move is expected to take from this assignment on, in microseconds; an estimate.
     :param planned: whether the old primary was asked to step down.
-    :param turn: rises with each change of the assignment, so that two equal ones are told apart.
+    :param revision: rises with each change of the assignment, so that two equal ones are told apart.
     """
 
     term: int
@@ -46,13 +46,13 @@
     fence: Position = START
     ready_in_us: int = 0
     planned: bool = False
-    turn: int = 0
+    revision: int = 0
 
     def bytes(self) -> bytes:
         """The assignment as it is kept in the register."""
         packer = Packer().u64(value=self.term).text(value=self.primary).u8(value=self.state)
         packer.u64(value=self.fence.term).u64(value=self.fence.number).u64(value=self.ready_in_us)
-        return packer.u8(value=int(self.planned)).u64(value=self.turn).bytes()
+        return packer.u8(value=int(self.planned)).u64(value=self.revision).bytes()
 
 
 def read_service_primary(*, data: bytes) -> ServicePrimary:
@@ -65,7 +65,7 @@
         fence=Position(unpacker.u64(), unpacker.u64()),
         ready_in_us=unpacker.u64(),
         planned=bool(unpacker.u8()),
-        turn=unpacker.u64(),
+        revision=unpacker.u64(),
     )
     unpacker.done()
     return assignment
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -225,7 +225,7 @@
         return self.lease_us + self.lease_us // 10 + GIVE_UP_US + under_way_us
 
     def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
-        return ShardVotes(proxies=proxies, turn=self.state.turn, now_us=self.ctx.now_us())
+        return ShardVotes(proxies=proxies, proposal=self.state.proposal, now_us=self.ctx.now_us())
 
     def _participants(self) -> set[str]:
         """The names of the proxies that have an id."""
@@ -257,7 +257,7 @@
         complete = await self._handover_complete(state=state)
         self.handover_us = self.ctx.now_us() - requested_us
         if complete:
-            new = ShardState(current=state.following, turn=state.turn, under_way_us=state.under_way_us)
+            new = ShardState(current=state.following, proposal=state.proposal, under_way_us=state.under_way_us)
             if await self._compare_and_set(old=state, new=new):
                 self.closing_us = self.ctx.now_us() - began_us
                 self.ctx.counters.add(name="shards.moved")
@@ -300,5 +300,7 @@
             state.current.version,
         )
         self.ctx.counters.add(name="shards.withdrawn")
-        steady = ShardState(current=state.current, turn=state.turn, under_way_us=state.under_way_us, why=reason)
+        steady = ShardState(
+            current=state.current, proposal=state.proposal, under_way_us=state.under_way_us, why=reason
+        )
         await self._compare_and_set(old=state, new=steady)
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -46,7 +46,7 @@
     :param current: the map in force; the empty one where none was ever put in force.
     :param following: the map that is to follow; the empty one while steady.
     :param ready_in_us: an estimate of how long the closing phase takes, for clients; 0 in other phases.
-    :param turn: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
+    :param proposal: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
     :param under_way_us: for how long a write that has left may still take effect after its connection was lost. It is
         part of the state, so that all reckon with the same figure.
     :param why: what became of the last proposal, where it was withdrawn; else empty.
@@ -56,7 +56,7 @@
     current: ShardMap = field(default_factory=ShardMap)
     following: ShardMap = field(default_factory=ShardMap)
     ready_in_us: int = 0
-    turn: int = 0
+    proposal: int = 0
     under_way_us: int = UNDER_WAY_US
     why: str = ""
 
@@ -71,7 +71,7 @@
         packer = Packer().u8(value=self.phase)
         self.current.write(packer=packer)
         self.following.write(packer=packer)
-        packer.u64(value=self.ready_in_us).u64(value=self.turn).u64(value=self.under_way_us)
+        packer.u64(value=self.ready_in_us).u64(value=self.proposal).u64(value=self.under_way_us)
         return packer.text(value=self.why).bytes()
 
 
@@ -87,7 +87,7 @@
         current=current,
         following=following,
         ready_in_us=unpacker.u64(),
-        turn=unpacker.u64(),
+        proposal=unpacker.u64(),
         under_way_us=unpacker.u64(),
         why=unpacker.text(),
     )
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -31,7 +31,7 @@
             phase=ShardPhase.proposed,
             current=state.current,
             following=wanted,
-            turn=state.turn + 1,
+            proposal=state.proposal + 1,
             under_way_us=under_way_us,
         )
     )
--- a/src/cinderstair/failover/shard_votes.py
+++ b/src/cinderstair/failover/shard_votes.py
@@ -18,7 +18,7 @@
         ...
 
     @property
-    def turn(self) -> int:
+    def proposal(self) -> int:
         """The proposal that the vote is about."""
         ...
 
@@ -38,10 +38,10 @@
     Invariant: a vote counts only where it was seen lately and is about exactly this proposal.
     """
 
-    def __init__(self, *, proxies: dict[str, ProxyVote], turn: int, now_us: int) -> None:
-        self.turn = turn
+    def __init__(self, *, proxies: dict[str, ProxyVote], proposal: int, now_us: int) -> None:
+        self.proposal = proposal
         self.seen = {name: vote for name, vote in proxies.items() if now_us - vote.at_us < SEEN_LATELY_US}
 
     def with_vote(self, *, vote: Vote) -> set[str]:
         """The names of the proxies that cast this vote."""
-        return {name for name, seen in self.seen.items() if seen.turn == self.turn and seen.vote == vote}
+        return {name for name, seen in self.seen.items() if seen.proposal == self.proposal and seen.vote == vote}
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -126,23 +126,23 @@
         return Ok(None)
 
     async def _queue(self, *, wait_us: int, gauge: bool) -> bool:
-        """Waits for a turn; false where none came in time."""
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        """Waits for a connection; false where none came in time."""
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if gauge:
-            self.waiting.appendleft(turn)
+            self.waiting.appendleft(waiter)
         else:
-            self.waiting.append(turn)
+            self.waiting.append(waiter)
         try:
             async with asyncio.timeout(wait_us / US_PER_S):
-                await turn
+                await waiter
         except TimeoutError:
-            # a turn that came with the timeout goes to the next
-            if turn.done() and not turn.cancelled():
+            # a connection that came with the timeout goes to the next waiter
+            if waiter.done() and not waiter.cancelled():
                 self._wake()
             return False
         finally:
-            if turn in self.waiting:
-                self.waiting.remove(turn)
+            if waiter in self.waiting:
+                self.waiting.remove(waiter)
         return True
 
     def _expected_us(self, *, gauge: bool) -> int:
@@ -193,9 +193,9 @@
 
     def _wake(self) -> None:
         while self.waiting and (self._room(gauge=False) or self.limit == 0):
-            turn = self.waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self.waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
     def _shut(self, *, connection: Connection) -> None:
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -69,8 +69,8 @@
         members = self._secondaries()
         first = members[:SECONDARIES]
         if first:
-            turn = zlib.crc32(session.ident.encode()) % len(first)
-            members = [*first[turn:], *first[:turn], *members[SECONDARIES:]]
+            offset = zlib.crc32(session.ident.encode()) % len(first)
+            members = [*first[offset:], *first[:offset], *members[SECONDARIES:]]
         return sorted(members, key=lambda member: member.name != session.second)
 
     async def keep(self, *, session: Session, until_us: int) -> bool:
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -22,7 +22,7 @@
     """A proxy's question.
 
     `source` and `edition` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
-    that the proxy can't reach. `vote` is on the shard map that was proposed in `turn`. `samples` are for this source
+    that the proxy can't reach. `vote` is on the shard map proposal number `proposal`. `samples` are for this source
     alone, by whose clock their moments are; `wanted` are the samples that the proxy asks for. A `brief` question asks
     for the age, the source and the site alone.
     """
@@ -32,7 +32,7 @@
     source: int = 0
     edition: int = 0
     suspected: tuple[str, ...] = ()
-    turn: int = 0
+    proposal: int = 0
     vote: Vote = Vote.silent
     samples: tuple[ReportedSample, ...] = ()
     wanted: tuple[WantedSample, ...] = ()
@@ -42,7 +42,7 @@
         """Appends the question's fields in their order on the wire."""
         packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.edition)
         packer.many(values=self.suspected, each=lambda p, name: p.text(value=name))
-        packer.u64(value=self.turn).u8(value=self.vote)
+        packer.u64(value=self.proposal).u8(value=self.vote)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
         packer.many(values=self.wanted, each=lambda p, want: want.write(packer=p))
         return packer.u8(value=int(self.brief))
@@ -56,7 +56,7 @@
         source=unpacker.u64(),
         edition=unpacker.u64(),
         suspected=tuple(unpacker.many(each=lambda u: u.text())),
-        turn=unpacker.u64(),
+        proposal=unpacker.u64(),
         vote=Vote(unpacker.u8()),
         samples=tuple(unpacker.many(each=read_reported_sample)),
         wanted=tuple(unpacker.many(each=read_wanted_sample)),
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -47,9 +47,9 @@
 
 
 class ShardVote(NamedTuple):
-    """What this proxy says of the shard map that was proposed in a turn; turn 0: nothing is proposed."""
+    """What this proxy says of the shard map of a proposal; 0: nothing is proposed."""
 
-    turn: int
+    proposal: int
     vote: Vote
 
 
@@ -176,14 +176,14 @@
     # -- pulling --
 
     def _question(self, *, whole: bool) -> RelayQuestion:
-        turn, vote = self.vote()
+        proposal, vote = self.vote()
         return RelayQuestion(
             proxy=self.ctx.name,
             site=self.site,
             source=0 if whole else self.source,
             edition=0 if whole else self.edition,
             suspected=self.troubled(),
-            turn=turn,
+            proposal=proposal,
             vote=vote,
             samples=() if whole else self.samples.reported(source=self.source),
             wanted=() if whole else self.samples.wants(),
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -12,7 +12,7 @@
 
 # Controllers of an earlier version publish no table of addresses; a proxy that has none by then does without.
 ADDRESSES_WAIT_US = 10_000_000
-SERVICES_PER_TURN = 50
+SERVICES_PER_ROUND = 50
 ALLOCATION_KEYS = (PROXY_IDS_KEY, PROXY_ADDRESSES_KEY)
 POOL_KEYS = (PLAN_KEY, PROXY_IDS_KEY, PROXY_ADDRESSES_KEY, "backends")
 
@@ -68,7 +68,7 @@
             assignment = self.view.primaries.get(self.pools[name].backend.service)
             self._follow_backend_state(name=name, is_primary=assignment is not None and assignment.primary == name)
         self._check_pools()
-        for service in self._services_this_turn(names=list(plan.services)):
+        for service in self._services_to_sample(names=list(plan.services)):
             self._maintain_service(service=service)
 
     def _check_addresses(self) -> None:
@@ -114,9 +114,9 @@
             replicas[0].warm(count=1)
         self._sample_if_due(service=service, assignment=assignment)
 
-    def _services_this_turn(self, *, names: list[str]) -> list[str]:
-        """The services that were read from lately, and of all others a part each turn."""
-        turns = len(names) // SERVICES_PER_TURN + 1
-        self.turn = (self.turn + 1) % turns
-        services = (*self._services_wanting_samples(), *names[self.turn :: turns])
+    def _services_to_sample(self, *, names: list[str]) -> list[str]:
+        """The services that were read from lately, and of all others a part each round."""
+        rounds = len(names) // SERVICES_PER_ROUND + 1
+        self.sampling_round = (self.sampling_round + 1) % rounds
+        services = (*self._services_wanting_samples(), *names[self.sampling_round :: rounds])
         return [*dict.fromkeys(name for name in services if name in self.backends_by_service)]
--- a/src/cinderstair/pooler/router_base.py
+++ b/src/cinderstair/pooler/router_base.py
@@ -67,7 +67,7 @@
         self.reallocated_us: int | None = None
         self.increase_pending = False
         self.addresses_unavailable = False
-        self.turn = 0
+        self.sampling_round = 0
         self.shards = Shards(ctx=ctx, view=view, open_=open_)
         self._connect_view()
 
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -50,13 +50,13 @@
             self.changed_us = self.ctx.now_us()
             self.update()
             if self.view.shards.phase == ShardPhase.closing:
-                self.ctx.spawn(work=self._abandon_late(turn=self.view.shards.turn), name="shards.give_up")
+                self.ctx.spawn(work=self._abandon_late(proposal=self.view.shards.proposal), name="shards.give_up")
 
-    async def _abandon_late(self, *, turn: int) -> None:
+    async def _abandon_late(self, *, proposal: int) -> None:
         """Abandons writes that are unanswered when the map has been closing for long; a partition may hold them."""
         await self.ctx.sleep(duration_us=GIVE_UP_US)
         state = self.view.shards
-        if state.turn == turn and state.phase == ShardPhase.closing:
+        if state.proposal == proposal and state.phase == ShardPhase.closing:
             self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
 
     def update(self) -> None:
@@ -98,8 +98,8 @@
         if state.phase == ShardPhase.steady:
             return ShardVote(0, Vote.silent)
         if state.phase == ShardPhase.proposed:
-            return ShardVote(state.turn, Vote.agrees if self._applicable(state=state) else Vote.disagrees)
-        return ShardVote(state.turn, Vote.silent if self._busy() else Vote.closed)
+            return ShardVote(state.proposal, Vote.agrees if self._applicable(state=state) else Vote.disagrees)
+        return ShardVote(state.proposal, Vote.silent if self._busy() else Vote.closed)
 
     def _busy(self) -> bool:
         """Whether anything may still take effect at the moving databases' old services."""
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -61,7 +61,7 @@
 def assignment_value(*, database: int, term: int = 1) -> RelayedValue:
     return RelayedValue(
         key=service_primary_key(service=service_name(number=database)),
-        ballot=Ballot(BALLOT.turn + term, BALLOT.proposer),
+        ballot=Ballot(BALLOT.round + term, BALLOT.proposer),
         value=assignment_of(database=database, term=term).bytes(),
     )
 
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -28,7 +28,7 @@
 
     async def move(self: Any, *, state: Any, proxies: Any) -> None:
         if await self._handover_complete(state=state):
-            await self._compare_and_set(old=state, new=type(state)(current=state.following, turn=state.turn))
+            await self._compare_and_set(old=state, new=type(state)(current=state.following, proposal=state.proposal))
 
     return [
         patch.object(ShardMapCoordinator, "_put_in_force", move),
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -190,7 +190,7 @@
 
     def come() -> bool:
         states = [world.roles[name].controller.shards.state for name in world.controllers if name in world.roles]
-        return any(state.phase == phase and state.turn for state in states)
+        return any(state.phase == phase and state.proposal for state in states)
 
     world.await_that(test=come, within_ms=6_000, what=f"the map is {phase.name}")
 
