--- a/features/consensus/known_vectors.feature
+++ b/features/consensus/known_vectors.feature
@@ -1,5 +1,5 @@
-Feature: Vectors sent as the changes since an edition
-  A register replica sends a client the ballots that it has accepted since the edition that the client names.
+Feature: Vectors sent as the changes since a revision
+  A register replica sends a client the ballots that it has accepted since the revision that the client names.
 
   Scenario: An idle register sends no keys, a change sends one, a restarted register replica its whole vector
     Given 5 register replicas and 2 proposers, with seed 31
@@ -30,5 +30,5 @@
     Then the last answers together bring at least 120 keys
 
   Scenario: An answer that was overtaken takes nothing back
-    When a source's edition 7 is read before its edition 5
-    Then what edition 7 brought stands
+    When a source's revision 7 is read before its revision 5
+    Then what revision 7 brought stands
--- a/features/control_plane/relay.feature
+++ b/features/control_plane/relay.feature
@@ -37,10 +37,10 @@
   Scenario: A deregistered backend is relayed for half a minute
     Given the backends "a, b" send heartbeats
     When the backends "a" send heartbeats as gone
-    And the proxy asks with the edition of another relay
+    And the proxy asks with the revision of another relay
     Then a proxy that asks gets all: the values "none", the backends "a-gone b", the controllers "10.0.0.1:1"
     When 31000 ms pass at the relay
-    And the proxy asks with the edition of another relay
+    And the proxy asks with the revision of another relay
     Then a proxy that asks gets all: the values "none", the backends "b?", the controllers "10.0.0.1:1"
 
   Scenario Outline: A proxy that knows another relay, or an earlier process of this one, gets all
@@ -51,8 +51,8 @@
 
     Examples:
       | what            |
-      | the edition     |
-      | a later edition |
+      | the revision     |
+      | a later revision |
 
   Scenario: The list of controllers is relayed when it changes
     Then a proxy that asks gets all: the values "none", the backends "none", the controllers "10.0.0.1:1"
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -194,12 +194,12 @@
         proxy="pooler-1",
         site="near",
         source=0x1234,
-        edition=17,
+        revision=17,
         suspected=("db-1", "db-2"),
         proposal=3,
         vote=vote,
         samples=(ReportedSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
-        wanted=(WantedSample(service="beta", edition=4),),
+        wanted=(WantedSample(service="beta", revision=4),),
         brief=vote == Vote.silent,
     )
 
@@ -207,14 +207,14 @@
 def relay_answer() -> RelayAnswer:
     return RelayAnswer(
         source=0x1234,
-        edition=18,
+        revision=18,
         age_us=150_000,
         whole=True,
         values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
         backends=(RelayedBackend(announcement=announcement(state=READY, is_primary=True), silent=True),),
         controllers=("10.1.0.1:7100", "10.1.0.2:7100"),
         answered_us=88,
-        samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), edition=5),),
+        samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), revision=5),),
         ask=("alpha",),
         site="far",
     )
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -388,7 +388,7 @@
     held.ident = ident
     first_version = text_request(kind=MessageType.SEEK, texts=(held.handle,))
     packer = (
-        Packer().u8(value=MessageType.SEEK).text(value=ident).u64(value=held.tag.edition).text(value=held.tag.mark)
+        Packer().u8(value=MessageType.SEEK).text(value=ident).u64(value=held.tag.revision).text(value=held.tag.mark)
     )
     return [
         Request(name=f"seek {ident}, version 1", data=first_version),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -109,7 +109,7 @@
         proxy=text(rng),
         site=text(rng),
         source=u64(rng),
-        edition=u64(rng),
+        revision=u64(rng),
         suspected=tuple(text(rng) for _ in range(rng.randrange(4))),
         samples=tuple(
             ReportedSample(
@@ -117,7 +117,7 @@
             )
             for _ in range(rng.randrange(4))
         ),
-        wanted=tuple(WantedSample(service=text(rng), edition=u64(rng)) for _ in range(rng.randrange(4))),
+        wanted=tuple(WantedSample(service=text(rng), revision=u64(rng)) for _ in range(rng.randrange(4))),
         brief=rng.random() < 0.5,
     )
 
@@ -125,7 +125,7 @@
 def answer(rng: random.Random) -> RelayAnswer:
     return RelayAnswer(
         source=u64(rng),
-        edition=u64(rng),
+        revision=u64(rng),
         age_us=u64(rng),
         whole=rng.random() < 0.5,
         values=tuple(
@@ -143,7 +143,7 @@
                 term=u64(rng),
                 age_us=u64(rng),
                 position=Position(u64(rng), u64(rng)),
-                edition=u64(rng),
+                revision=u64(rng),
             )
             for _ in range(rng.randrange(4))
         ),
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -40,7 +40,7 @@
         )
 
     context.stage.call(call=work)
-    context.source = context.edition = 0
+    context.source = context.revision = 0
     context.numbers = {}
     context.stage.advance(for_us=500_000)
 
@@ -88,11 +88,11 @@
 
 def ask_relay(*, context: Any, proxy: str = "booth-1", suspected: tuple[str, ...] = ()) -> RelayAnswer:
     question = RelayQuestion(
-        proxy=proxy, site="kingston", source=context.source, edition=context.edition, suspected=suspected
+        proxy=proxy, site="kingston", source=context.source, revision=context.revision, suspected=suspected
     )
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.dispatch(body)))
-    context.source, context.edition = answer.source, answer.edition
+    context.source, context.revision = answer.source, answer.revision
     return answer
 
 
@@ -121,7 +121,7 @@
 
 @when("the proxy asks with {what} of another relay")
 def when_other_relay(context: Any, what: str) -> None:
-    context.source, context.edition = {"the edition": (12345, 2), "a later edition": (context.source, 10**9)}[what]
+    context.source, context.revision = {"the revision": (12345, 2), "a later revision": (context.source, 10**9)}[what]
 
 
 @then("the answer is between {least_ms:d} and {most_ms:d} ms old")
@@ -146,7 +146,7 @@
         service="s", term=3, moment_us=context.controller.ctx.now_us() - 1_000, position=Position(3, 7)
     )
     source = context.source + (what == "another")
-    question = RelayQuestion(proxy="booth-1", site="kingston", source=source, edition=1, samples=(sample,))
+    question = RelayQuestion(proxy="booth-1", site="kingston", source=source, revision=1, samples=(sample,))
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     context.stage.run(work=context.controller.dispatcher.dispatch(body))
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -123,7 +123,7 @@
     assert found is not None
     now_us = context.stage.now_us
     context.reported.revision += 1
-    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.reported.revision)
+    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, revision=context.reported.revision)
     context.reported.view.samples.answered(source=1, answered_us=7_000_000, requested_us=now_us, samples=(sample,))
 
 
@@ -228,7 +228,7 @@
     value = RelayedValue(
         key=service_primary_key(service="s"), ballot=Ballot(reported.revision, 1), value=assignment.bytes()
     )
-    return RelayAnswer(source=1, edition=reported.revision, age_us=0, whole=False, values=(value,))
+    return RelayAnswer(source=1, revision=reported.revision, age_us=0, whole=False, values=(value,))
 
 
 @when("the proxy has been out of touch for {wait_ms:d} ms")
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -407,7 +407,7 @@
         ]
         answer = RelayAnswer(
             source=1,
-            edition=self.revision,
+            revision=self.revision,
             age_us=0,
             whole=False,
             values=tuple(entries),
--- a/features/steps/vector_steps.py
+++ b/features/steps/vector_steps.py
@@ -1,4 +1,4 @@
-"""Steps for vectors that are sent as the changes since an edition."""
+"""Steps for vectors that are sent as the changes since a revision."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 from cinderstair.consensus.ballot import BLANK, Ballot, read_ballot
 from cinderstair.consensus.known_vectors import KnownVectors
-from cinderstair.consensus.messages import SourceEdition, Status
+from cinderstair.consensus.messages import SourceRevision, Status
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.protocol_versions import ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
@@ -131,8 +131,8 @@
     request_vector(context=context, times=2)
 
 
-def reported(*, edition: int, keys: dict[str, Ballot]) -> bytes:
-    packer = Packer().u8(value=Status.SINCE).u64(value=9).u64(value=edition)
+def reported(*, revision: int, keys: dict[str, Ballot]) -> bytes:
+    packer = Packer().u8(value=Status.SINCE).u64(value=9).u64(value=revision)
 
     def each(p: Packer, entry: tuple[str, Ballot]) -> None:
         entry[1].write(packer=p.text(value=entry[0]))
@@ -140,15 +140,15 @@
     return packer.many(values=list(keys.items()), each=each).bytes()
 
 
-@when("a source's edition 7 is read before its edition 5")
+@when("a source's revision 7 is read before its revision 5")
 def when_overtaken(context: Any) -> None:
     known = KnownVectors()
-    known.read(answers=[reported(edition=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
-    context.vector = known.read(answers=[reported(edition=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
-    context.editions = known.editions()
+    known.read(answers=[reported(revision=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
+    context.vector = known.read(answers=[reported(revision=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
+    context.revisions = known.revisions()
 
 
-@then("what edition 7 brought stands")
+@then("what revision 7 brought stands")
 def then_stands(context: Any) -> None:
     assert context.vector == {"a": Ballot(9, 1), "b": Ballot(2, 1)}, context.vector
-    assert context.editions == (SourceEdition(9, 7),), context.editions
+    assert context.revisions == (SourceRevision(9, 7),), context.revisions
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -22,7 +22,7 @@
 
     def __init__(self, *, number: int) -> None:
         self.number = number
-        self.edition = 1
+        self.revision = 1
         self.age_us = 0
         self.silent = False
         self.away_us = 2_000
@@ -35,18 +35,18 @@
         question = read_relay_question(unpacker=Unpacker(data=body[1:]))
         if question.brief:
             return RelayAnswer(
-                source=self.number, edition=self.edition, age_us=self.age_us, whole=False, site=self.site
+                source=self.number, revision=self.revision, age_us=self.age_us, whole=False, site=self.site
             ).bytes()
-        self.requested.append(question.edition if question.source == self.number else 0)
+        self.requested.append(question.revision if question.source == self.number else 0)
         whole = question.source != self.number
         if self.noise:
             return b"\xff" * 40
         return RelayAnswer(
             source=self.number,
-            edition=self.edition,
+            revision=self.revision,
             age_us=self.age_us,
             whole=whole,
-            values=self.values if whole or question.edition < self.edition else (),
+            values=self.values if whole or question.revision < self.revision else (),
             controllers=("g1", "g2"),
         ).bytes()
 
@@ -89,7 +89,7 @@
     for name in names.split(", "):
         relay = context.relays[name]
         relay.noise = False
-        relay.edition += 1
+        relay.revision += 1
         relay.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
 
 
@@ -194,7 +194,7 @@
 def then_stayed(context: Any) -> None:
     requested = sorted((relay.requested for relay in context.relays.values()), key=len)
     assert not requested[0] and len(requested[1]) >= 4, requested
-    assert [edition == 0 for edition in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
+    assert [revision == 0 for revision in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
 
 
 @then("the view's plan is {version:d}")
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -15,7 +15,7 @@
     LeaseRequest,
     PrepareRequest,
     ReadRequest,
-    SourceEdition,
+    SourceRevision,
     StaleAnswer,
     Status,
     StatusAnswer,
@@ -38,10 +38,10 @@
         self.ctx = ctx
         self.state = store.state
         self.roster: Roster | None = read_roster(data=self.state.roster) if self.state.roster else None
-        # each run of the process counts its editions from the start, and must not be taken for an earlier one
+        # each run of the process counts its revisions from the start, and must not be taken for an earlier one
         self.source = ctx.rng.getrandbits(62) | 1
-        self.edition = 1
-        self.editions: dict[str, int] = {}
+        self.revision = 1
+        self.revisions: dict[str, int] = {}
         # grants made before a restart are forgotten, so nothing is granted until the longest of them has ended
         self.grants = LeaseGrants(from_us=ctx.now_us() + (0 if fresh else MAX_LEASE_US))
         self.commits = GroupCommit(ctx=ctx, store=store, halt=halt)
@@ -75,8 +75,8 @@
         """Replaces a cell; the log entry that makes it durable."""
         known = self.state.cells.get(key)
         if known is None or known.accepted != cell.accepted:
-            self.edition += 1
-            self.editions[key] = self.edition
+            self.revision += 1
+            self.revisions[key] = self.revision
         self.state.cells[key] = cell
         return cell_entry(key=key, cell=cell)
 
@@ -140,7 +140,7 @@
         return Applied(answer=vote_answer(status=Status.OK, cell=self._cell(key=request.key)))
 
     async def vector(self, unpacker: Unpacker) -> bytes:
-        """The ballot that each key was accepted at, or what changed since the edition that the requester has."""
+        """The ballot that each key was accepted at, or what changed since the revision that the requester has."""
         request = VectorRequest.decode(unpacker=unpacker)
         return await self.commits.execute(command=lambda: self._vector(request=request))
 
@@ -149,13 +149,13 @@
         if refusal is not None:
             return refusal
         since = dict(request.known or ()).get(self.source, 0)
-        # cells loaded from the disk have no edition; the first answer to each requester holds them all
+        # cells loaded from the disk have no revision; the first answer to each requester holds them all
         ballots = {
             key: cell.accepted
             for key, cell in self.state.cells.items()
-            if cell.value and (not since or self.editions.get(key, 0) > since)
+            if cell.value and (not since or self.revisions.get(key, 0) > since)
         }
-        known = None if request.known is None else SourceEdition(self.source, self.edition)
+        known = None if request.known is None else SourceRevision(self.source, self.revision)
         return Applied(answer=VectorAnswer(known=known, ballots=ballots).encode())
 
     # -- leases --
--- a/src/cinderstair/consensus/messages.py
+++ b/src/cinderstair/consensus/messages.py
@@ -34,7 +34,7 @@
     AHEAD = 3
     # the replica is not a voter of its roster
     NO_VOTE = 4
-    # a vector that holds the changes since an edition
+    # a vector that holds the changes since a revision
     SINCE = 5
 
 
@@ -46,11 +46,11 @@
     return answer[0] if answer else Status.AHEAD
 
 
-class SourceEdition(NamedTuple):
+class SourceRevision(NamedTuple):
     """How much of a source's vector is known. A source is one run of one replica's process."""
 
     source: int
-    edition: int
+    revision: int
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -131,13 +131,13 @@
 class VectorRequest:
     """Asks for the accepted ballot of every key.
 
-    `known` are the editions that the requester has, of which only later changes are wanted. It is None where the
+    `known` are the revisions that the requester has, of which only later changes are wanted. It is None where the
     request came in the protocol's first version, which always gives the whole vector.
     """
 
     message_type: ClassVar[MessageType] = MessageType.VECTOR
     epoch: int
-    known: tuple[SourceEdition, ...] | None = None
+    known: tuple[SourceRevision, ...] | None = None
 
     def encode(self, *, version: int) -> bytes:
         """Returns the message's bytes."""
@@ -145,7 +145,7 @@
         if version > 1:
             packer.many(
                 values=self.known or (),
-                each=lambda p, known: p.u64(value=known.source).u64(value=known.edition),
+                each=lambda p, known: p.u64(value=known.source).u64(value=known.revision),
             )
         return packer.bytes()
 
@@ -155,7 +155,7 @@
         epoch = unpacker.u32()
         known = None
         if unpacker.version > 1:
-            known = tuple(unpacker.many(each=lambda u: SourceEdition(u.u64(), u.u64())))
+            known = tuple(unpacker.many(each=lambda u: SourceRevision(u.u64(), u.u64())))
         unpacker.done()
         if known is not None and len(known) > MAX_SOURCES:
             raise ValueError("too many sources")
@@ -305,10 +305,10 @@
 class VectorAnswer:
     """The accepted ballot of each key.
 
-    `known` is the replica's present edition, or None in the protocol's first version, where the vector is whole.
+    `known` is the replica's present revision, or None in the protocol's first version, where the vector is whole.
     """
 
-    known: SourceEdition | None
+    known: SourceRevision | None
     ballots: Mapping[str, Ballot] = field(default_factory=dict)
 
     def encode(self) -> bytes:
@@ -316,7 +316,7 @@
         if self.known is None:
             packer = Packer().u8(value=Status.OK)
         else:
-            packer = Packer().u8(value=Status.SINCE).u64(value=self.known.source).u64(value=self.known.edition)
+            packer = Packer().u8(value=Status.SINCE).u64(value=self.known.source).u64(value=self.known.revision)
         return packer.many(values=self.ballots.items(), each=_write_ballot).bytes()
 
     @classmethod
@@ -325,7 +325,7 @@
         unpacker = Unpacker(data=data)
         known = None
         if unpacker.u8() == Status.SINCE:
-            known = SourceEdition(unpacker.u64(), unpacker.u64())
+            known = SourceRevision(unpacker.u64(), unpacker.u64())
         ballots = dict(unpacker.many(each=lambda u: (u.text(), read_ballot(unpacker=u))))
         unpacker.done()
         return cls(known=known, ballots=ballots)
--- a/src/cinderstair/consensus/snapshot.py
+++ b/src/cinderstair/consensus/snapshot.py
@@ -33,7 +33,7 @@
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
 
         def body(version: int) -> bytes:
-            known = self.known.editions() if version > 1 else None
+            known = self.known.revisions() if version > 1 else None
             return VectorRequest(epoch=roster.epoch, known=known).encode(version=version)
 
         answers = await self.poll(
--- a/src/cinderstair/control_plane/position_samples.py
+++ b/src/cinderstair/control_plane/position_samples.py
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PositionSample:
-    """A primary's position at a moment of the controller's clock; `edition` orders the samples of one controller."""
+    """A primary's position at a moment of the controller's clock; `revision` orders the samples of one controller."""
 
     term: int
     moment_us: int
     position: Position
-    edition: int
+    revision: int
 
 
 class PositionSamples:
@@ -28,7 +28,7 @@
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
-        self.edition = 0
+        self.revision = 0
         self.samples: dict[str, PositionSample] = {}
         self.ask_sent_us: dict[str, int] = {}
 
@@ -43,9 +43,9 @@
             known = self.samples.get(sample.service)
             if known is not None and (known.term, known.moment_us) >= (sample.term, sample.moment_us):
                 continue
-            self.edition += 1
+            self.revision += 1
             self.samples[sample.service] = PositionSample(
-                term=sample.term, moment_us=sample.moment_us, position=sample.position, edition=self.edition
+                term=sample.term, moment_us=sample.moment_us, position=sample.position, revision=self.revision
             )
             self.ctx.counters.add(name="samples.told")
 
@@ -62,13 +62,13 @@
     def newer_than(self, *, wanted: tuple[WantedSample, ...], same_source: bool) -> tuple[PooledSample, ...]:
         """The wanted services' samples that the asker lacks.
 
-        :param same_source: whether the asker's editions were given out by this process; if not, they don't count.
+        :param same_source: whether the asker's revisions were given out by this process; if not, they don't count.
         """
         now_us = self.ctx.now_us()
         found = []
         for want in wanted:
             sample = self.samples.get(want.service)
-            if sample is None or (same_source and sample.edition <= want.edition):
+            if sample is None or (same_source and sample.revision <= want.revision):
                 continue
             found.append(
                 PooledSample(
@@ -76,7 +76,7 @@
                     term=sample.term,
                     age_us=max(0, now_us - sample.moment_us),
                     position=sample.position,
-                    edition=sample.edition,
+                    revision=sample.revision,
                 )
             )
         return tuple(found)
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -29,10 +29,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BackendEdition:
-    """What proxies are told of a backend, and the edition with which it last changed."""
+class BackendRevision:
+    """What proxies are told of a backend, and the revision with which it last changed."""
 
-    edition: int
+    revision: int
     backend: RelayedBackend
 
 
@@ -46,7 +46,7 @@
 
 
 class Relay:
-    """Numbers every change by an edition of its own; an asker that knows another relay gets everything.
+    """Numbers every change by a revision of its own; an asker that knows another relay gets everything.
 
     :param on_link_failure: called with a backend and the proxy that can't reach it.
     :param shorten: turns a key's value into the form in which proxies get it.
@@ -70,20 +70,20 @@
         self.on_link_failure = on_link_failure
         self.shorten = shorten
         self.source = ctx.rng.getrandbits(62) | 1
-        self.edition = 1
+        self.revision = 1
         self.position_samples = PositionSamples(ctx=ctx)
-        self.value_editions: dict[str, int] = {}
-        self.backends: dict[str, BackendEdition] = {}
+        self.value_revisions: dict[str, int] = {}
+        self.backends: dict[str, BackendRevision] = {}
         self.proxies: dict[str, ProxyQuestion] = {}
         self.relayed_controllers: tuple[str, ...] = ()
-        self.controllers_edition = 0
+        self.controllers_revision = 0
         dispatcher.add_handler(message_type=MessageType.RELAY, handler=self.answer)
         view.changes.subscribe(self._on_value_change)
         ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.refresh())
 
     def _on_value_change(self, key: str) -> None:
-        self.edition += 1
-        self.value_editions[key] = self.edition
+        self.revision += 1
+        self.value_revisions[key] = self.revision
 
     def refresh(self) -> None:
         """Takes over what has changed of the backends and the controllers since the last turn."""
@@ -92,8 +92,8 @@
         self._forget_backends()
         controllers = self.controllers()
         if controllers != self.relayed_controllers:
-            self.edition += 1
-            self.relayed_controllers, self.controllers_edition = controllers, self.edition
+            self.revision += 1
+            self.relayed_controllers, self.controllers_revision = controllers, self.revision
 
     def _refresh_backends(self) -> None:
         now_us = self.ctx.now_us()
@@ -104,8 +104,8 @@
             backend = RelayedBackend(announcement=announcement, silent=self.heartbeat_table.silent(name=name))
             known = self.backends.get(name)
             if known is None or not same_for_proxies(known.backend, backend):
-                self.edition += 1
-                self.backends[name] = BackendEdition(edition=self.edition, backend=backend)
+                self.revision += 1
+                self.backends[name] = BackendRevision(revision=self.revision, backend=backend)
 
     def _forget_backends(self) -> None:
         for name, entry in list(self.backends.items()):
@@ -119,7 +119,7 @@
         if question.brief:
             # a proxy that looks for the nearest controller asks them all, and becomes a user of only one
             return RelayAnswer(
-                source=self.source, edition=self.edition, age_us=self._age_us(), whole=False, site=self.ctx.site
+                source=self.source, revision=self.revision, age_us=self._age_us(), whole=False, site=self.ctx.site
             ).bytes()
         self._take_question(question=question)
         return self._changes_for(question=question).bytes()
@@ -136,21 +136,21 @@
 
     def _changes_for(self, *, question: RelayQuestion) -> RelayAnswer:
         same_source = question.source == self.source
-        whole = not same_source or question.edition > self.edition
-        since = 0 if whole else question.edition
+        whole = not same_source or question.revision > self.revision
+        since = 0 if whole else question.revision
         self.ctx.counters.add(name="relay.whole" if whole else "relay.changes")
         return RelayAnswer(
             source=self.source,
-            edition=self.edition,
+            revision=self.revision,
             age_us=self._age_us(),
             whole=whole,
             values=tuple(
                 self._value(key=key, found=found)
                 for key, found in self.view.known.items()
-                if whole or self.value_editions.get(key, 0) > since
+                if whole or self.value_revisions.get(key, 0) > since
             ),
-            backends=tuple(entry.backend for entry in self.backends.values() if entry.edition > since),
-            controllers=self.relayed_controllers if whole or self.controllers_edition > since else (),
+            backends=tuple(entry.backend for entry in self.backends.values() if entry.revision > since),
+            controllers=self.relayed_controllers if whole or self.controllers_revision > since else (),
             answered_us=self.ctx.now_us(),
             samples=self.position_samples.newer_than(wanted=question.wanted, same_source=same_source),
             ask=self.position_samples.assign_asks(wanted=question.wanted),
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -28,7 +28,7 @@
         handle = parse_session_token(text=request.session_id)
         session = self.sessions.find(ident=handle.ident)
         # the client was promised a later state than the one here, so this HTTP proxy was away for too long
-        if session is not None and handle.tag.edition >= session.tag.edition and not session.known(tag=handle.tag):
+        if session is not None and handle.tag.revision >= session.tag.revision and not session.known(tag=handle.tag):
             self.sessions.close(session=session)
             session = None
         if session is None:
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -75,7 +75,7 @@
         unpacker.done()
         # an offer that is repeated because its answer was lost finds the session here already
         known = self.sessions.find(ident=session.ident)
-        if known is not None and known.tag.edition >= session.tag.edition:
+        if known is not None and known.tag.revision >= session.tag.revision:
             return Packer().u8(value=YES).bytes()
         if self.ready.unready() is not None:
             return Packer().u8(value=NO).bytes()
@@ -169,7 +169,7 @@
             packer = Packer().u8(value=MessageType.SEEK)
             if version == 1:
                 return packer.text(value=str(handle)).bytes()
-            return packer.text(value=handle.ident).u64(value=handle.tag.edition).text(value=handle.tag.mark).bytes()
+            return packer.text(value=handle.ident).u64(value=handle.tag.revision).text(value=handle.tag.mark).bytes()
 
         asks = [
             self.ctx.peer_client.request(address=member.records, body=body, wait_us=SEEK_WAIT_US)
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -54,7 +54,7 @@
 
     def next(self, *, rng: random.Random) -> Tag:
         """The tag of a state that follows this one."""
-        return Tag(self.tag.edition + 1, f"{rng.getrandbits(32):08x}")
+        return Tag(self.tag.revision + 1, f"{rng.getrandbits(32):08x}")
 
     def known(self, *, tag: Tag) -> bool:
         """Whether a client that was promised this state may go on with what is here."""
@@ -68,7 +68,7 @@
         if version > 1:
             packer.u64(value=max(0, now_us - self.used_us))
             for tag in (self.tag, self.was):
-                packer.u64(value=tag.edition).text(value=tag.mark)
+                packer.u64(value=tag.revision).text(value=tag.mark)
         return packer
 
 
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -53,7 +53,7 @@
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
         # a proxy that leaves, or has the session, can't hold its replica; a late one must not replace a newer one
-        older = known is not None and known.session.tag.edition > session.tag.edition
+        older = known is not None and known.session.tag.revision > session.tag.revision
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
         self.held[session.ident] = SessionReplica(owner=owner, number=number, session=session)
@@ -72,9 +72,9 @@
             if replica.owner == owner and ident not in named and replica.number <= up_to:
                 del self.held[ident]
         lacking = []
-        for ident, edition in named.items():
+        for ident, revision in named.items():
             held = self.held.get(ident)
-            if held is None or held.owner != owner or held.session.tag.edition < edition:
+            if held is None or held.owner != owner or held.session.tag.revision < revision:
                 lacking.append(ident)
             else:
                 # its owner vouches for it; only when nobody does any more its age counts
@@ -84,13 +84,13 @@
 
     async def _forgot(self, unpacker: Unpacker) -> bytes:
         """A session that has ended, or goes on elsewhere in a later state: nothing older of it may stay here."""
-        owner, ident, edition = unpacker.u64(), unpacker.text(), unpacker.u64()
+        owner, ident, revision = unpacker.u64(), unpacker.text(), unpacker.u64()
         unpacker.done()
         held, live = self.held.get(ident), self.sessions.find(ident=ident)
         # an owner that has handed it on speaks of its own copy, and not of the next owner's
-        if held is not None and owner in (held.owner, ANYONE) and held.session.tag.edition <= edition:
+        if held is not None and owner in (held.owner, ANYONE) and held.session.tag.revision <= revision:
             del self.held[ident]
-        if live is not None and owner == ANYONE and live.tag.edition <= edition:
+        if live is not None and owner == ANYONE and live.tag.revision <= revision:
             self.ctx.counters.add(name="sessions.superseded")
             self.sessions.close(session=live)
         return Packer().u8(value=YES).bytes()
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -110,7 +110,7 @@
             .u8(value=MessageType.FORGET)
             .u64(value=self.run if mine else ANYONE)
             .text(value=session.ident)
-            .u64(value=session.tag.edition)
+            .u64(value=session.tag.revision)
             .bytes()
         )
         for member in members:
@@ -151,7 +151,7 @@
     async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
         up_to = min(self.under_way, default=self.number + 1) - 1
         packer = Packer().u8(value=MessageType.TOUCH).u64(value=self.run).u64(value=up_to)
-        packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.edition))
+        packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.revision))
         result = await self.ctx.peer_client.request(
             address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US
         )
--- a/src/cinderstair/http_frontend/session_token.py
+++ b/src/cinderstair/http_frontend/session_token.py
@@ -7,17 +7,17 @@
 
 
 class Tag(NamedTuple):
-    """The edition counts the changes of what a session keeps; the mark is drawn anew at each.
+    """The revision counts the changes of what a session keeps; the mark is drawn anew at each.
 
     Two HTTP proxies that each go on from the same state make two marks, so neither's later state can be taken for
     the other's.
     """
 
-    edition: int
+    revision: int
     mark: str
 
     def __str__(self) -> str:
-        return f"{self.edition}-{self.mark}"
+        return f"{self.revision}-{self.mark}"
 
 
 # a session that came from a daemon which knows no handles goes by its name alone until its first change
--- a/src/cinderstair/membership/pooled_sample.py
+++ b/src/cinderstair/membership/pooled_sample.py
@@ -47,19 +47,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedSample:
-    """A service that the asker reads from, and the edition of the sample that it last got of the controller."""
+    """A service that the asker reads from, and the revision of the sample that it last got of the controller."""
 
     service: str
-    edition: int = 0
+    revision: int = 0
 
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
-        packer.text(value=self.service).u64(value=self.edition)
+        packer.text(value=self.service).u64(value=self.revision)
 
 
 def read_wanted_sample(unpacker: Unpacker) -> WantedSample:
     """Raises ValueError where the fields are none of a sample."""
-    return WantedSample(service=unpacker.text(), edition=unpacker.u64())
+    return WantedSample(service=unpacker.text(), revision=unpacker.u64())
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -73,12 +73,12 @@
     term: int
     age_us: int
     position: Position
-    edition: int
+    revision: int
 
     def write(self, *, packer: Packer) -> None:
         """Appends the record's fields in their order on the wire."""
         packer.text(value=self.service).u64(value=self.term).u64(value=self.age_us)
-        packer.u64(value=self.position.term).u64(value=self.position.number).u64(value=self.edition)
+        packer.u64(value=self.position.term).u64(value=self.position.number).u64(value=self.revision)
 
 
 def read_pooled_sample(unpacker: Unpacker) -> PooledSample:
@@ -88,5 +88,5 @@
         term=unpacker.u64(),
         age_us=unpacker.u64(),
         position=Position(unpacker.u64(), unpacker.u64()),
-        edition=unpacker.u64(),
+        revision=unpacker.u64(),
     )
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -21,7 +21,7 @@
 class RelayQuestion:
     """A proxy's question.
 
-    `source` and `edition` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
+    `source` and `revision` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
     that the proxy can't reach. `vote` is on the shard map proposal number `proposal`. `samples` are for this source
     alone, by whose clock their moments are; `wanted` are the samples that the proxy asks for. A `brief` question asks
     for the age, the source and the site alone.
@@ -30,7 +30,7 @@
     proxy: str
     site: str
     source: int = 0
-    edition: int = 0
+    revision: int = 0
     suspected: tuple[str, ...] = ()
     proposal: int = 0
     vote: Vote = Vote.silent
@@ -40,7 +40,7 @@
 
     def write(self, *, packer: Packer) -> Packer:
         """Appends the question's fields in their order on the wire."""
-        packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.edition)
+        packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.revision)
         packer.many(values=self.suspected, each=lambda p, name: p.text(value=name))
         packer.u64(value=self.proposal).u8(value=self.vote)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
@@ -54,7 +54,7 @@
         proxy=unpacker.text(),
         site=unpacker.text(),
         source=unpacker.u64(),
-        edition=unpacker.u64(),
+        revision=unpacker.u64(),
         suspected=tuple(unpacker.many(each=lambda u: u.text())),
         proposal=unpacker.u64(),
         vote=Vote(unpacker.u8()),
@@ -114,7 +114,7 @@
     """
 
     source: int
-    edition: int
+    revision: int
     age_us: int
     whole: bool
     values: tuple[RelayedValue, ...] = ()
@@ -127,7 +127,7 @@
 
     def bytes(self) -> bytes:
         """The answer as it stands on the wire."""
-        packer = Packer().u64(value=self.source).u64(value=self.edition).u64(value=self.age_us)
+        packer = Packer().u64(value=self.source).u64(value=self.revision).u64(value=self.age_us)
         packer.u8(value=int(self.whole))
         packer.many(values=self.values, each=lambda p, entry: entry.write(packer=p))
         packer.many(values=self.backends, each=lambda p, entry: entry.write(packer=p))
@@ -144,7 +144,7 @@
     # the fields are read in the order of these arguments
     answer = RelayAnswer(
         source=unpacker.u64(),
-        edition=unpacker.u64(),
+        revision=unpacker.u64(),
         age_us=unpacker.u64(),
         whole=bool(unpacker.u8()),
         values=tuple(unpacker.many(each=read_relayed_value)),
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -27,7 +27,7 @@
 class RelayedState:
     """Holds the newest values that any controller has relayed; they never go back.
 
-    `changes` tells the key of each value that was taken. `source` and `edition` name what the last answer contained.
+    `changes` tells the key of each value that was taken. `source` and `revision` name what the last answer contained.
     `plan` is None before the first configuration was relayed. `assigned_since_us`: when each service's
     primary was relayed, by this proxy's clock.
     """
@@ -36,7 +36,7 @@
         self.ctx = ctx
         self.controllers: tuple[str, ...] = ()
         self.source = 0
-        self.edition = 0
+        self.revision = 0
         self.ballots: dict[str, Ballot] = {}
         self.plan: ServicePlan | None = None
         self.proxy_ids = ProxyIds()
@@ -60,7 +60,7 @@
         self._take_backends(entries=answer.backends)
         for value in answer.values:
             self._take_value(entry=value)
-        self.source, self.edition = answer.source, answer.edition
+        self.source, self.revision = answer.source, answer.revision
         if answer.backends or answer.whole:
             self.changes.on_next(BACKENDS_CHANGE)
 
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -181,7 +181,7 @@
             proxy=self.ctx.name,
             site=self.site,
             source=0 if whole else self.source,
-            edition=0 if whole else self.edition,
+            revision=0 if whole else self.revision,
             suspected=self.troubled(),
             proposal=proposal,
             vote=vote,
@@ -212,7 +212,7 @@
             # A controller that is taken in haste may be distant, so the choice is made again soon.
             self._choice_interval_us = MIN_CHOICE_INTERVAL_US
             self._choose_from_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
-        # Each controller counts editions for itself, so another one is asked for everything.
+        # Each controller counts revisions for itself, so another one is asked for everything.
         result = await self._ask(address=address, question=self._question(whole=changes))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -46,7 +46,7 @@
         self.own: dict[str, OwnSample] = {}
         self.sending_us: dict[str, int] = {}
         self.told_us: dict[str, int] = {}
-        self.editions: dict[str, int] = {}
+        self.revisions: dict[str, int] = {}
         self.reference: Reference | None = None
 
     def saw(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
@@ -89,8 +89,8 @@
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
     def wants(self) -> tuple[WantedSample, ...]:
-        """The services of which this proxy wants samples, with the edition that it has of each."""
-        return tuple(WantedSample(service=name, edition=self.editions.get(name, 0)) for name in self.wanted())
+        """The services of which this proxy wants samples, with the revision that it has of each."""
+        return tuple(WantedSample(service=name, revision=self.revisions.get(name, 0)) for name in self.wanted())
 
     def answered(
         self, *, source: int, answered_us: int, requested_us: int, samples: tuple[PooledSample, ...]
@@ -102,12 +102,12 @@
         """
         if self.reference is None or source != self.reference.source:
             # Another controller, or a restarted one, knows nothing of what was reported before.
-            self.editions, self.told_us, self.sending_us = {}, {}, {}
+            self.revisions, self.told_us, self.sending_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
         self.told_us.update(self.sending_us)
         self.sending_us = {}
         for sample in samples:
-            self.editions[sample.service] = sample.edition
+            self.revisions[sample.service] = sample.revision
             if not self._counts(service=sample.service, term=sample.term):
                 continue
             at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -155,12 +155,12 @@
         gc.collect()
         held_bytes = rss_bytes() - before
 
-        async def answered(source: int, edition: int) -> bytes:
-            question = RelayQuestion(proxy="booth-0001", site="e1", source=source, edition=edition)
+        async def answered(source: int, revision: int) -> bytes:
+            question = RelayQuestion(proxy="booth-0001", site="e1", source=source, revision=revision)
             return await relay.answer(Unpacker(data=question.write(packer=Packer()).bytes()))
 
         whole = await answered(0, 0)
-        nothing = await answered(relay.source, relay.edition)
+        nothing = await answered(relay.source, relay.revision)
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
@@ -170,7 +170,7 @@
             "look_us": cost_us(relay.refresh),
             "whole_us": await self._cost_us(lambda: answered(0, 0)),
             "whole_bytes": len(whole),
-            "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.edition)),
+            "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.revision)),
             "nothing_bytes": len(nothing),
             "vector_bytes": len(vector.bytes()),
             "news_vector_us": cost_us(heartbeat_table.version_vector),
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -75,7 +75,7 @@
     assignments = [assignment_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
-        edition=1,
+        revision=1,
         age_us=0,
         whole=True,
         values=(plan, *assignments, slots),
