--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -66,12 +66,12 @@
         unpacker = Unpacker(data=body)
         unpacker.u8()
         unpacker.u32()
-        duty, proposer, length_us = unpacker.text(), unpacker.u64(), unpacker.u64()
+        lease, proposer, length_us = unpacker.text(), unpacker.u64(), unpacker.u64()
         now_us = self.ctx.now_us()
-        holder, until_us = self.store.leases.get(duty, (0, 0))
+        holder, until_us = self.store.leases.get(lease, (0, 0))
         if holder != proposer and until_us > now_us:
             return [bytes([Status.BEATEN])]
-        self.store.leases[duty] = (proposer, now_us + length_us)
+        self.store.leases[lease] = (proposer, now_us + length_us)
         return [bytes([Status.OK])]
 
     async def change(
@@ -295,9 +295,9 @@
         await asyncio.sleep(0.005)
         return self.votes
 
-    def add_duty(self, *, cluster: Cluster) -> None:
+    def start_failover(self, *, cluster: Cluster) -> None:
         def work() -> None:
-            self.duty = ServiceFailover(
+            self.service_failover = ServiceFailover(
                 ctx=self.ctx,
                 register=self.register,
                 view=self.view,
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -175,8 +175,8 @@
     moved(world=context.world, version=version)
     for words in ("proposed: map 4 after 0; of 3 proxies 3 agrees", "closing: map 4 after 0; of 3 proxies"):
         assert any(each.startswith(words) for each in context.seen), context.seen
-    duties = [context.world.roles[name].controller.shards for name in context.world.controllers]
-    took_us = [duty.closing_us for duty in duties if duty.closing_us is not None]
+    coordinators = [context.world.roles[name].controller.shards for name in context.world.controllers]
+    took_us = [coordinator.closing_us for coordinator in coordinators if coordinator.closing_us is not None]
     assert len(took_us) == 1 and context.foretold_us // 4 <= took_us[0] <= context.foretold_us, (
         took_us,
         context.foretold_us,
@@ -289,7 +289,7 @@
     world.advance(for_ms=wait_ms)
     controller = world.roles[context.away].controller
     assert controller.register_replica.votes and controller.view.current
-    assert controller.duty.plan.version == context.newest, controller.duty.plan.version
+    assert controller.service_failover.plan.version == context.newest, controller.service_failover.plan.version
     # why: of a copy, since to open a store turns its slots over
     disk = SimDisk(rng=random.Random(0))
     disk.files = dict(world.disks[context.away].files)
--- a/features/steps/record_format_steps.py
+++ b/features/steps/record_format_steps.py
@@ -112,7 +112,7 @@
     cluster = Cluster(stage=context.stage, names=("db-1", "db-2"), at=Position(3, 100), confirmations=1)
     put(context=context, key=PLAN_KEY, value=plan(confirmations=1).bytes())
     put(context=context, key=service_failover.FENCE_KEY, value=before)
-    new_controller(context=context).add_duty(cluster=cluster)
+    new_controller(context=context).start_failover(cluster=cluster)
     context.stage.advance(for_us=TAKEN_US)
     return context.store.values[service_failover.FENCE_KEY].value
 
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -29,7 +29,7 @@
     names = (primary, *replicas.split(", "))
     context.cluster = Cluster(stage=context.stage, names=names, at=Position(3, 100), confirmations=confirmations)
     put(context=context, key=PLAN_KEY, value=plan(confirmations=confirmations).bytes())
-    new_controller(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).start_failover(cluster=context.cluster)
 
 
 @given("the failover lease is held and the assignment settled")
@@ -97,14 +97,14 @@
     context.written = len(context.store.writes)
     first.register.cut = True
     context.store.leases.clear()
-    wait_for(context=context, test=lambda: second.duty.lease.held, within_us=900_000)
+    wait_for(context=context, test=lambda: second.service_failover.lease.held, within_us=900_000)
     context.stage.advance(for_us=50_000)
 
 
 @then("it holds the failover lease, takes what it knows for current, and writes nothing")
 def then_writes_nothing(context: Any) -> None:
     second = context.controller_stages[1]
-    assert second.duty.lease.held and second.view.current
+    assert second.service_failover.lease.held and second.view.current
     assert len(context.store.writes) == context.written, context.store.writes[context.written :]
 
 
@@ -131,7 +131,7 @@
 
 @then('the deregistration of "{name}" is settled: {words}')
 def then_deregistration_settled(context: Any, name: str, words: str) -> None:
-    left = [each.name for each in context.controller_stages[0].duty.departures.unsettled(service="s")]
+    left = [each.name for each in context.controller_stages[0].service_failover.departures.unsettled(service="s")]
     assert (name not in left) == (words == "yes"), left
 
 
@@ -148,7 +148,7 @@
 @when('"{name}" is suspected')
 def when_suspected(context: Any, name: str) -> None:
     for controller in context.controller_stages:
-        context.stage.call(call=lambda controller=controller: controller.duty.suspect(name=name))
+        context.stage.call(call=lambda controller=controller: controller.service_failover.suspect(name=name))
 
 
 @given('"{name}" can\'t be paused')
@@ -297,7 +297,7 @@
 
 @given("another controller seeks the failover lease")
 def given_another(context: Any) -> None:
-    new_controller(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).start_failover(cluster=context.cluster)
     for backend in context.cluster.backends.values():
         context.stage.call(call=lambda backend=backend: context.cluster.send_heartbeat(backend=backend))
 
@@ -374,13 +374,13 @@
         raise AssertionError(moment)
 
     context.stage.run(work=watch())
-    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.service_failover.lease.held)
     holder.kill()
 
 
 @when("the holder of the failover lease is cut off from the register")
 def when_holder_cut(context: Any) -> None:
-    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.service_failover.lease.held)
     holder.register.cut = True
 
 
--- a/src/cinderstair/cli/status_report.py
+++ b/src/cinderstair/cli/status_report.py
@@ -28,7 +28,7 @@
         other = result.ok.json()
         by_daemon[name] = _proxy_summary(value=other)
         value["held"] |= other["held"]
-        value["duties"] += [f"{duty} (at {name})" for duty in other["duties"]]
+        value["duties"] += [f"{lease} (at {name})" for lease in other["duties"]]
     return {**value, "byDaemon": by_daemon}
 
 
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -124,7 +124,7 @@
             control=self.control,
             peers=self.addresses.peers,
         )
-        self.duty = ServiceFailover(
+        self.service_failover = ServiceFailover(
             ctx=self.ctx,
             register=self.register_replica.register,
             view=self.view,
@@ -137,7 +137,7 @@
         self.suspicion_reporter = SuspicionReporter(
             ctx=self.ctx,
             dispatcher=self.register_replica.dispatcher,
-            service_failover=self.duty,
+            service_failover=self.service_failover,
             peers=self.addresses.peers,
         )
 
@@ -183,7 +183,7 @@
             dispatcher=self.register_replica.dispatcher,
             register=self.register_replica.register,
             shards=self.shards,
-            plan=lambda: self.duty.plan,
+            plan=lambda: self.service_failover.plan,
             planned_service=self._planned_service,
             can_move_data=lambda: self.handover is not None,
         )
@@ -193,10 +193,10 @@
             view=self.view,
             heartbeat_table=self.heartbeat_table,
             relay=self.relay,
-            service_failover=self.duty,
+            service_failover=self.service_failover,
             shards=self.shards,
             leases={
-                "promotions": self.duty.lease,
+                "promotions": self.service_failover.lease,
                 "slots": self.proxy_id_assigner.lease,
                 "shards": self.shards.lease,
             },
@@ -207,7 +207,7 @@
 
     def _planned_service(self, database: str) -> str:
         """The service to which the plan routes a database; empty without a plan or a route."""
-        plan = self.duty.plan
+        plan = self.service_failover.plan
         route = None if plan is None else plan.routes.get(database)
         return "" if route is None else route.service
 
@@ -225,7 +225,9 @@
 
     async def drain(self) -> None:
         """A planned stop: gives its leases back, then deregisters."""
-        await asyncio.gather(self.duty.lease.drop(), self.proxy_id_assigner.lease.drop(), self.shards.lease.drop())
+        await asyncio.gather(
+            self.service_failover.lease.drop(), self.proxy_id_assigner.lease.drop(), self.shards.lease.drop()
+        )
         await self.register_replica.drain()
 
     def resettle(self, *, settings: Settings) -> None:
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -94,7 +94,7 @@
         self.sessions = Sessions(
             ctx=ctx, idle_transaction_us=settings.idle_transaction_us, idle_session_us=settings.idle_session_us
         )
-        self._create_duties()
+        self._create_singleton_roles()
         self._create_session_parts()
         self.status = self._create_status()
         self.session_drain = SessionDrain(
@@ -123,7 +123,7 @@
         )
         self.book = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
 
-    def _create_duties(self) -> None:
+    def _create_singleton_roles(self) -> None:
         """What one proxy at a time does for all, under a lease each."""
         ctx, settings = self.ctx, self.settings
         self.proxy_id_reclaimer = ProxyIdReclaimer(
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -47,7 +47,7 @@
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
         controller.register_replica.register.own = controller.settings.records
-        hollow = HollowControl(assignment=lambda service: controller.duty.primaries.get(service))
+        hollow = HollowControl(assignment=lambda service: controller.service_failover.primaries.get(service))
         controller.control = controller.promoter = hollow
         self.controller = controller
         self.net = self.ctx.net
@@ -76,12 +76,12 @@
         return {
             "epoch": 0 if roster is None else roster.epoch,
             "voters": 0 if roster is None else len(roster.voters),
-            "leads": len(controller.duty.primaries),
-            "plan": 0 if controller.duty.plan is None else controller.duty.plan.version,
+            "leads": len(controller.service_failover.primaries),
+            "plan": 0 if controller.service_failover.plan is None else controller.service_failover.plan.version,
             "backends": len(controller.heartbeat_table.newest),
             "quiet": sum(controller.heartbeat_table.silent(name=name) for name in controller.heartbeat_table.newest),
             "current": controller.view.current,
-            "holds": controller.duty.lease.held,
+            "holds": controller.service_failover.lease.held,
             "crashes": self.ctx.counters.counts["internal.crashes"],
             "counters": self.ctx.counters.snapshot(),
         }
--- a/src/cinderstair/simulation/platformsim/failover_trials.py
+++ b/src/cinderstair/simulation/platformsim/failover_trials.py
@@ -23,7 +23,11 @@
 def holder(*, world: PlatformWorld) -> str:
     """The controller that holds the duty of promotions."""
     return next(
-        (name for name in world.controllers if name in world.roles and world.roles[name].controller.duty.lease.held),
+        (
+            name
+            for name in world.controllers
+            if name in world.roles and world.roles[name].controller.service_failover.lease.held
+        ),
         world.controllers[0],
     )
 
@@ -196,10 +200,11 @@
 
     def come() -> bool:
         name = holder(world=world)
-        duty = world.roles[name].controller.duty if name in world.roles else None
-        assignment = None if duty is None else duty.primaries.get("ledger0")
+        service_failover = world.roles[name].controller.service_failover if name in world.roles else None
+        assignment = None if service_failover is None else service_failover.primaries.get("ledger0")
         return {
-            "examining": duty is not None and bool(duty.monitor.suspects_us or duty.active),
+            "examining": service_failover is not None
+            and bool(service_failover.monitor.suspects_us or service_failover.active),
             "fencing": any(each.paused for each in service.backends.values()),
             "moving": assignment is not None and assignment.state == 2,
             "promoting": any(call[1] == "ledger0" for call in world.platform.calls),
--- a/src/cinderstair/simulation/platformsim/shard_growth.py
+++ b/src/cinderstair/simulation/platformsim/shard_growth.py
@@ -9,7 +9,7 @@
 from ...failover.shard_state import ShardPhase
 from .platform_world import PlatformWorld
 from .repository import see_adapter
-from .shard_trials import await_phase, duty_of, moved, propose
+from .shard_trials import await_phase, coordinator_of, moved, propose
 
 CALM_MS = 2_000
 
@@ -50,14 +50,14 @@
         moved(world=world, within_ms=30_000)
         over_us = world.now_us
         change = (requests_sent(world=world) - before) * 1_000_000 // (over_us - from_us)
-        duties = [world.roles[name].controller.shards for name in world.controllers]
+        coordinators = [world.roles[name].controller.shards for name in world.controllers]
         return Growth(
             proxies=proxies,
-            closing_us=max(duty.closing_us or 0 for duty in duties),
+            closing_us=max(coordinator.closing_us or 0 for coordinator in coordinators),
             pause_us=over_us - closes_us,
             calm_a_second=calm,
             change_a_second=change,
-            bytes_of_word=len(duty_of(world=world).state.bytes()),
+            bytes_of_word=len(coordinator_of(world=world).state.bytes()),
             took_s=time.process_time() - began_s,
         )
     finally:
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -22,8 +22,8 @@
         world.referee.shard.watch(database=database, source="ledger0", target=TARGET, now_us=world.now_us)
         world.referee.route.allow(database=database, service=TARGET)
     wanted = ShardMap(version=version, places=dict.fromkeys(MOVING, TARGET), agree_percent=percent)
-    duty = world.roles[world.controllers[at]].controller.shards
-    result = world.run(work=duty.propose(wanted=wanted))
+    coordinator = world.roles[world.controllers[at]].controller.shards
+    result = world.run(work=coordinator.propose(wanted=wanted))
     return "" if result.is_ok() else str(result.error.code.value)
 
 
@@ -125,9 +125,13 @@
     world.advance(for_ms=1_000)
     world.handover.stuck = True
     assert not propose(world=world)
-    duty = world.roles[world.controllers[0]].controller.shards
-    world.await_that(test=lambda: duty.state.phase == ShardPhase.closing, within_ms=4_000, what="the map closes")
-    world.await_that(test=lambda: duty.state.phase == ShardPhase.steady, within_ms=15_000, what="the map goes back")
+    coordinator = world.roles[world.controllers[0]].controller.shards
+    world.await_that(
+        test=lambda: coordinator.state.phase == ShardPhase.closing, within_ms=4_000, what="the map closes"
+    )
+    world.await_that(
+        test=lambda: coordinator.state.phase == ShardPhase.steady, within_ms=15_000, what="the map goes back"
+    )
     assert all_hold(world=world, version=0)
     world.advance(for_ms=3_000)
 
@@ -177,12 +181,12 @@
     assert all_hold(world=world, version=1), "a map that was taken over went back by itself"
 
 
-def duty_of(*, world: PlatformWorld) -> ShardMapCoordinator:
-    """The duty of a controller that runs; its view tells how far the change has come."""
-    duty: ShardMapCoordinator = world.roles[
+def coordinator_of(*, world: PlatformWorld) -> ShardMapCoordinator:
+    """The shard map coordinator of a controller that runs; its view tells how far the change has come."""
+    coordinator: ShardMapCoordinator = world.roles[
         next(name for name in world.controllers if name in world.roles)
     ].controller.shards
-    return duty
+    return coordinator
 
 
 def await_phase(*, world: PlatformWorld, phase: ShardPhase) -> None:
@@ -334,8 +338,8 @@
     assert not propose(world=world)
     await_phase(world=world, phase=phase)
     world.advance(for_ms=world.rng.randrange(0, 250))
-    duty = duty_of(world=world)
-    result = world.run(work=duty.abandon(version=1))
+    coordinator = coordinator_of(world=world)
+    result = world.run(work=coordinator.abandon(version=1))
     if result.is_error():
         # why: it may have been taken over just before, and then nobody can give it up any more
         assert phase == ShardPhase.closing and result.error.code == ErrorCode.VERSION_OLD, result.error
@@ -346,7 +350,7 @@
     world.advance(for_ms=world.rng.randrange(0, 600))
     assert not propose(world=world, at=1)
     moved(world=world, within_ms=14_000)
-    assert world.run(work=duty.abandon(version=1)).error.code == ErrorCode.VERSION_OLD
+    assert world.run(work=coordinator.abandon(version=1)).error.code == ErrorCode.VERSION_OLD
     world.advance(for_ms=1_000)
 
 
@@ -408,12 +412,12 @@
     """What one proxy sends to the old place just before it closes lies in a cut until after the switch."""
     world.advance(for_ms=1_000)
     proxy, old = world.proxies[0], world.primary(service="ledger0").name
-    duties = [world.roles[name].controller.shards for name in world.controllers]
+    coordinators = [world.roles[name].controller.shards for name in world.controllers]
     assert not propose(world=world)
     with ExitStack() as stack:
         # why: what is to lie held up must leave right before the closing, so the closing waits for it
-        for duty in duties:
-            stack.enter_context(patch.object(duty, "_count_agreement", AsyncMock()))
+        for coordinator in coordinators:
+            stack.enter_context(patch.object(coordinator, "_count_agreement", AsyncMock()))
         world.advance(for_ms=2_300)
         if not also_deaf:
             world.cut(ones=[proxy], others=[old])
@@ -429,7 +433,9 @@
         )
         world.cut(ones=[proxy], others=[old])
         await_held_up(world=world, proxy=proxy, backend=old)
-    world.await_that(test=lambda: duties[0].state.phase == ShardPhase.closing, within_ms=4_000, what="it closes")
+    world.await_that(
+        test=lambda: coordinators[0].state.phase == ShardPhase.closing, within_ms=4_000, what="it closes"
+    )
     then(proxy)
     world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=9_000, what="all is brought over")
     world.advance(for_ms=world.rng.randrange(50, 400))
