--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -113,7 +113,7 @@
 
     async def work() -> bool:
         context.heartbeat_table.receive(heartbeat=announcement)
-        return await context.announcer.spread(announcement=announcement)
+        return await context.announcer.replicate(announcement=announcement)
 
     context.acknowledged = context.stage.run(work=work())
 
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -124,14 +124,14 @@
         planned=True,
         revision=2,
     )
-    places = {
+    proxy_addresses = {
         "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
         "pooler-2": ProxyAddress(site="far"),
     }
     shards = ShardState(
         phase=ShardPhase.proposed,
-        current=ShardMap(version=1, places={"orders": "alpha"}),
-        following=ShardMap(version=2, places={"orders": "beta"}, agree_percent=75),
+        current=ShardMap(version=1, placements={"orders": "alpha"}),
+        following=ShardMap(version=2, placements={"orders": "beta"}, agree_percent=75),
         ready_in_us=900_000,
         proposal=3,
         why="too few agreed",
@@ -139,7 +139,7 @@
     return {
         service_primary_key(service="alpha"): assignment.bytes(),
         PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(1, "pooler-2"))).bytes(),
-        PROXY_ADDRESSES_KEY: ProxyAddresses(places=places).bytes(),
+        PROXY_ADDRESSES_KEY: ProxyAddresses(addresses=proxy_addresses).bytes(),
         SHARDS_KEY: shards.bytes(),
     }
 
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -125,8 +125,11 @@
 @then('the proxy addresses are "{words}"')
 def then_addresses(context: Any, words: str) -> None:
     found = context.store.values.get(PROXY_ADDRESSES_KEY)
-    places = {} if found is None else read_proxy_addresses(data=found.value).places
-    text = ", ".join(f"{name} {place.site} {place.records}" for name, place in sorted(places.items())) or "none"
+    proxy_addresses = {} if found is None else read_proxy_addresses(data=found.value).addresses
+    text = (
+        ", ".join(f"{name} {address.site} {address.records}" for name, address in sorted(proxy_addresses.items()))
+        or "none"
+    )
     assert text == words, text
 
 
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -103,14 +103,14 @@
         self.census = ProxyCensus(ctx=ctx, dispatcher=dispatcher, relay=relay, peers=lambda: [ADDRESS])
         self.view = RelayedView(ctx=ctx, site="near", seeds=lambda: (ADDRESS,))
         self.address_announcer = AddressAnnouncer(
-            ctx=ctx, view=self.view, place=ProxyAddress(site="near", records=SECOND_ADDRESS)
+            ctx=ctx, view=self.view, address=ProxyAddress(site="near", records=SECOND_ADDRESS)
         )
 
     async def use(self) -> None:
         """Probes, a backend's word, news, a pull by relay, a place, and what is known of poolers."""
         add_member(membership=self.membership, name="replica-1", role="vault", address=ADDRESS)
         await self.membership.check(name="replica-1")
-        assert await self.announcer.spread(announcement=announcement(state=READY))
+        assert await self.announcer.replicate(announcement=announcement(state=READY))
         await self.heartbeat_table.refresh(peers=(ADDRESS,))
         assert self.heartbeat_table.latest(name="db-1") is not None
         await self.view.pull()
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -170,8 +170,8 @@
 def shard_state(*, phase: ShardPhase) -> ShardState:
     return ShardState(
         phase=phase,
-        current=ShardMap(version=1, places={"orders": "alpha"}),
-        following=ShardMap(version=2, places={"orders": "beta", "reports": "beta"}, agree_percent=75),
+        current=ShardMap(version=1, placements={"orders": "alpha"}),
+        following=ShardMap(version=2, placements={"orders": "beta", "reports": "beta"}, agree_percent=75),
         ready_in_us=900_000,
         proposal=3,
         under_way_us=2_900_000,
@@ -326,7 +326,7 @@
 
 
 def shard_examples() -> dict[str, Example]:
-    shard_map = ShardMap(version=4, places={"orders": "alpha", "reports": "beta"}, agree_percent=60)
+    shard_map = ShardMap(version=4, placements={"orders": "alpha", "reports": "beta"}, agree_percent=60)
     phases = {"steady": ShardPhase.steady, "proposed": ShardPhase.proposed, "closing": ShardPhase.closing}
     found = {"shard map": part_example(value=shard_map, read=lambda u: read_shard_map(unpacker=u))}
     for name, phase in phases.items():
@@ -352,14 +352,17 @@
 def register_examples() -> dict[str, Example]:
     """Every typed value that is kept in the register."""
     proxy_ids = ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(2, "pooler-3")))
-    places = ProxyAddresses(
-        places={"pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"), "pooler-2": ProxyAddress(site="far")}
+    proxy_addresses = ProxyAddresses(
+        addresses={
+            "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
+            "pooler-2": ProxyAddress(site="far"),
+        }
     )
     return {
         "voter list": bytes_example(value=roster(epoch=3), read=lambda data: read_roster(data=data)),
         "service configuration": bytes_example(value=plan(), read=lambda data: read_service_plan(data=data)),
         "slot table": bytes_example(value=proxy_ids, read=lambda data: read_proxy_ids(data=data)),
-        "place table": bytes_example(value=places, read=lambda data: read_proxy_addresses(data=data)),
+        "place table": bytes_example(value=proxy_addresses, read=lambda data: read_proxy_addresses(data=data)),
         "window stages": bytes_example(value=window_states(), read=lambda data: read_window_states(data=data)),
         **lead_examples(),
         **shard_examples(),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -158,7 +158,7 @@
 
 def proxy_addresses(rng: random.Random) -> ProxyAddresses:
     return ProxyAddresses(
-        places={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
+        addresses={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
     )
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -378,8 +378,8 @@
     assert len(found[-1]) == kept, found[-1]
 
 
-def places_of(*, names: list[str]) -> bytes:
-    return ProxyAddresses(places={n: ProxyAddress(site=SITE, records=f"{n}:1") for n in names}).bytes()
+def proxy_addresses_of(*, names: list[str]) -> bytes:
+    return ProxyAddresses(addresses={n: ProxyAddress(site=SITE, records=f"{n}:1") for n in names}).bytes()
 
 
 @then(
@@ -399,7 +399,7 @@
         router.forwarder = Forwarder(ctx=ctx)
         reported.tell(backends=tuple(announcement(name=each) for each in context.names))
         reported.proxy_ids(names=tuple(names))
-        reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
+        reported.tell(values={PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names)})
         reported.plan(plan=plan(link_cap=cap))
         pools[name] = router.pools
     for backend in context.names:
@@ -430,7 +430,7 @@
     context.named = names
     if names:
         context.reported.proxy_ids(names=tuple(names))
-        context.reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
+        context.reported.tell(values={PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names)})
 
 
 def own_part(*, context: Any, names: list[str]) -> int:
@@ -468,7 +468,7 @@
                 context.named = names
                 context.reported.tell(
                     values={
-                        PROXY_ADDRESSES_KEY: places_of(names=names),
+                        PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names),
                         PROXY_IDS_KEY: ProxyIds(names=tuple(ProxyId(*each) for each in enumerate(names))).bytes(),
                     }
                 )
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -24,11 +24,11 @@
         assert checked.is_error() and checked.error.reason.startswith(found.removeprefix("refused: ")), checked
         return
     wanted = checked.ok
-    places = ", ".join(f"{database} at {service}" for database, service in sorted(wanted.places.items()))
-    assert f"version {wanted.version}, {wanted.agree_percent} %, {places or 'nothing'}" == found, wanted
+    placements = ", ".join(f"{database} at {service}" for database, service in sorted(wanted.placements.items()))
+    assert f"version {wanted.version}, {wanted.agree_percent} %, {placements or 'nothing'}" == found, wanted
 
 
-def places_of(*, text: str) -> dict[str, str]:
+def placements_of(*, text: str) -> dict[str, str]:
     return dict(each.split(": ", 1) for each in text.split(", ")) if text else {}  # type: ignore[misc]
 
 
@@ -37,7 +37,7 @@
     context.plan = SimpleNamespace(
         version=7, routes=dict.fromkeys(databases.split(", ")), services=dict.fromkeys(services.split(", "))
     )
-    context.current = ShardMap(version=1, places=places_of(text=stands))
+    context.current = ShardMap(version=1, placements=placements_of(text=stands))
 
 
 @given('databases "{databases}", services "{services}", and a map in force with ""')
@@ -47,7 +47,7 @@
 
 @when('the places "{places}", each on a line of its own, are checked')
 def when_held(context: Any, places: str) -> None:
-    document = json.dumps({"version": 2, "places": places_of(text=places)}, indent=1)
+    document = json.dumps({"version": 2, "places": placements_of(text=places)}, indent=1)
     wanted = check_shard_map(raw=document.encode()).ok
     context.problems = shard_map_problems(text=document, wanted=wanted, current=context.current, plan=context.plan)
 
@@ -59,8 +59,8 @@
 
 def made_up(*, rng: random.Random) -> ShardMap:
     names = [f"database-{number}" for number in range(rng.randrange(6))]
-    places = {name: f"service-{rng.randrange(3)}" for name in names}
-    return ShardMap(version=rng.randrange(2**63), places=places, agree_percent=rng.randrange(51, 101))
+    placements = {name: f"service-{rng.randrange(3)}" for name in names}
+    return ShardMap(version=rng.randrange(2**63), placements=placements, agree_percent=rng.randrange(51, 101))
 
 
 def states(*, count: int) -> list[ShardState]:
--- a/src/cinderstair/config/compiler.py
+++ b/src/cinderstair/config/compiler.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class SourcePlace:
+class SourceLocation:
     """A place in a text; both count from 1."""
 
     line: int
@@ -58,20 +58,20 @@
     return f"found {found}, expected {' or '.join(names)}"
 
 
-def _place(*, error: UnexpectedInput, text: str) -> SourcePlace:
+def _location(*, error: UnexpectedInput, text: str) -> SourceLocation:
     # At the end of the text lark knows no place, and the operator still needs one.
     if isinstance(error, UnexpectedEOF) or error.line < 1:
         lines = text.splitlines() or [""]
-        return SourcePlace(line=len(lines), column=len(lines[-1]) + 1)
-    return SourcePlace(line=error.line, column=error.column)
+        return SourceLocation(line=len(lines), column=len(lines[-1]) + 1)
+    return SourceLocation(line=error.line, column=error.column)
 
 
-def _invalid(*, place: SourcePlace, reason: str) -> Result[Any, CinderstairError]:
+def _invalid(*, location: SourceLocation, reason: str) -> Result[Any, CinderstairError]:
     return Error(
         CinderstairError(
             code=ErrorCode.BROKEN_CONFIGURATION,
-            reason=f"line {place.line}, column {place.column}: {reason}",
-            details={"line": place.line, "column": place.column},
+            reason=f"line {location.line}, column {location.column}: {reason}",
+            details={"line": location.line, "column": location.column},
         )
     )
 
@@ -81,13 +81,13 @@
         tree = _parser(rule=rule).parse(text)
         return Ok(ProgramBuilder().transform(tree))
     except UnexpectedInput as error:
-        return _invalid(place=_place(error=error, text=text), reason=_expectation(error=error))
+        return _invalid(location=_location(error=error, text=text), reason=_expectation(error=error))
     except VisitError as error:
         # lark wraps what a builder's method raises
         cause = error.orig_exc
         if not isinstance(cause, LanguageError):
             raise
-        return _invalid(place=SourcePlace(line=cause.line, column=cause.column), reason=cause.reason)
+        return _invalid(location=SourceLocation(line=cause.line, column=cause.column), reason=cause.reason)
 
 
 def compile_program(*, text: str) -> Result[Program, CinderstairError]:
--- a/src/cinderstair/config/shard_check.py
+++ b/src/cinderstair/config/shard_check.py
@@ -20,7 +20,7 @@
 def _wanted_problems(*, text: str, wanted: ShardMap, plan: ServicePlan) -> list[_Problem]:
     """What the map names and the configuration doesn't know."""
     problems: list[_Problem] = []
-    for database, service in wanted.places.items():
+    for database, service in wanted.placements.items():
         line = line_of_name(text=text, name=database)
         if database not in plan.routes:
             reason = f"'{database}' is no database of configuration {plan.version}"
@@ -38,8 +38,8 @@
             line=line_of_name(text=text, name=database),
             reason=f"'{database}' is lost: map {current.version} has it at '{service}'; name its place",
         )
-        for database, service in current.places.items()
-        if database in plan.routes and database not in wanted.places
+        for database, service in current.placements.items()
+        if database in plan.routes and database not in wanted.placements
     ]
 
 
--- a/src/cinderstair/config/shard_map.py
+++ b/src/cinderstair/config/shard_map.py
@@ -22,29 +22,29 @@
 class ShardMap:
     """Which service holds which database. Version 0 is the empty map: every database is where the plan has it.
 
-    :ivar places: services by database
+    :ivar placements: services by database
     :ivar agree_percent: the share of proxies that must agree before the map comes into force
     """
 
     version: int = 0
-    places: dict[str, str] = field(default_factory=dict)
+    placements: dict[str, str] = field(default_factory=dict)
     agree_percent: int = AGREE_PERCENT
 
-    def place(self, *, database: str, planned: str) -> str:
+    def service_of(self, *, database: str, planned: str) -> str:
         """The service that holds a database; `planned` where the map doesn't name the database."""
-        return self.places.get(database, planned)
+        return self.placements.get(database, planned)
 
     def write(self, *, packer: Packer) -> None:
         """Appends the map to a record."""
         packer.u64(value=self.version).u32(value=self.agree_percent)
-        packer.many(values=sorted(self.places.items()), each=lambda p, e: p.text(value=e[0]).text(value=e[1]))
+        packer.many(values=sorted(self.placements.items()), each=lambda p, e: p.text(value=e[0]).text(value=e[1]))
 
 
 def read_shard_map(*, unpacker: Unpacker) -> ShardMap:
     """What ShardMap.write appended; raises ValueError where the bytes are no map."""
     version, agree_percent = unpacker.u64(), unpacker.u32()
-    places = dict(unpacker.many(each=lambda u: (u.text(), u.text())))
-    return ShardMap(version=version, places=places, agree_percent=agree_percent)
+    placements = dict(unpacker.many(each=lambda u: (u.text(), u.text())))
+    return ShardMap(version=version, placements=placements, agree_percent=agree_percent)
 
 
 def line_of_name(*, text: str, name: str, nth: int = 1) -> int:
@@ -80,7 +80,7 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _are_places(value: Any) -> TypeGuard[dict[str, str]]:
+def _are_placements(value: Any) -> TypeGuard[dict[str, str]]:
     return isinstance(value, dict) and all(
         isinstance(service, str) and service and database for database, service in value.items()
     )
@@ -113,13 +113,13 @@
     unknown = sorted(set(document) - KNOWN_KEYS)
     if unknown:
         return _invalid(reason=f"/{unknown[0]}: not known")
-    version, places = document.get("version"), document.get("places")
+    version, placements = document.get("version"), document.get("places")
     agree_percent = document.get("agree_percent", AGREE_PERCENT)
     if not _is_whole(version) or not 0 < version <= MAX_VERSION:
         return _invalid(reason="/version: a whole number above 0 is needed")
-    if not _are_places(places):
+    if not _are_placements(placements):
         return _invalid(reason="/places: databases and their services are needed")
     # With half or less, two maps could each be agreed to by different proxies.
     if not _is_whole(agree_percent) or not 50 < agree_percent <= 100:
         return _invalid(reason="/agree_percent: a whole number from 51 to 100 is needed")
-    return Ok(ShardMap(version=version, places=places, agree_percent=agree_percent))
+    return Ok(ShardMap(version=version, placements=placements, agree_percent=agree_percent))
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -45,7 +45,7 @@
         self.heartbeat_table.receive(heartbeat=announcement)
         return ACKNOWLEDGEMENT
 
-    async def spread(self, *, announcement: Announcement) -> bool:
+    async def replicate(self, *, announcement: Announcement) -> bool:
         """Replicates a backend's state; the announcement must have been received by the heartbeat table.
 
         :returns: whether a majority of the voters holds it, or a later one of the same backend. False without voters.
@@ -82,10 +82,10 @@
         """Takes a backend's deregistration; whether a majority of the voters holds it."""
         known = await self._last_announcement(name=name)
         if known.state == GONE:
-            return await self.spread(announcement=known)
+            return await self.replicate(announcement=known)
         gone = replace(known, state=GONE, is_primary=False, number=known.number + 1)
         self.heartbeat_table.receive(heartbeat=gone)
-        return await self.spread(announcement=gone)
+        return await self.replicate(announcement=gone)
 
     async def _last_announcement(self, *, name: str) -> Announcement:
         """The backend's newest announcement; the voters are asked where none is known here."""
--- a/src/cinderstair/control_plane/backend_registry.py
+++ b/src/cinderstair/control_plane/backend_registry.py
@@ -28,7 +28,7 @@
         """
         self.heartbeat_table.receive(heartbeat=announcement)
         if announcement.state != READY:
-            return await self.announcer.spread(announcement=announcement)
+            return await self.announcer.replicate(announcement=announcement)
         return self.view.current
 
     async def deregister(self, *, name: str) -> bool:
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -85,7 +85,7 @@
         if wanted(data) == read_addresses(data=data):
             return
         result = await self.register.change(
-            key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(places=wanted(data)).bytes())
+            key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(addresses=wanted(data)).bytes())
         )
         self.view.take_own(key=PROXY_ADDRESSES_KEY, result=result)
 
@@ -108,4 +108,4 @@
 
 def read_addresses(*, data: bytes) -> dict[str, ProxyAddress]:
     """The addresses by proxy; none for an absent value. Raises ValueError where the bytes are no table."""
-    return dict(read_proxy_addresses(data=data).places) if data else {}
+    return dict(read_proxy_addresses(data=data).addresses) if data else {}
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -96,8 +96,8 @@
     def _moves(self, *, wanted: ShardMap) -> list[str]:
         """A line for each database that a map would move to another service."""
         lines = []
-        for database, target in sorted(wanted.places.items()):
-            source = self.shards.state.current.place(database=database, planned=self.planned_service(database))
+        for database, target in sorted(wanted.placements.items()):
+            source = self.shards.state.current.service_of(database=database, planned=self.planned_service(database))
             if source != target:
                 lines.append(f"{database}: from {source} to {target}")
         return lines
--- a/src/cinderstair/failover/proxy_addresses.py
+++ b/src/cinderstair/failover/proxy_addresses.py
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyAddresses:
-    """`places` has each proxy's address by its name."""
+    """`addresses` has each proxy's address by its name."""
 
-    places: dict[str, ProxyAddress] = field(default_factory=dict)
+    addresses: dict[str, ProxyAddress] = field(default_factory=dict)
 
     def bytes(self) -> bytes:
         """The table as it is kept in the register, sorted by name."""
@@ -33,7 +33,7 @@
         def write(packer: Packer, entry: tuple[str, ProxyAddress]) -> None:
             packer.text(value=entry[0]).text(value=entry[1].site).text(value=entry[1].records)
 
-        return Packer().many(values=sorted(self.places.items()), each=write).bytes()
+        return Packer().many(values=sorted(self.addresses.items()), each=write).bytes()
 
 
 def read_proxy_addresses(*, data: bytes) -> ProxyAddresses:
@@ -41,4 +41,4 @@
     unpacker = Unpacker(data=data)
     entries = unpacker.many(each=lambda u: (u.text(), ProxyAddress(site=u.text(), records=u.text())))
     unpacker.done()
-    return ProxyAddresses(places=dict(entries))
+    return ProxyAddresses(addresses=dict(entries))
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -280,12 +280,12 @@
         if self.handover is None:
             raise RuntimeError("a shard map is closing, and this daemon has no handover to ask")
         old, new = state.current, state.following
-        for database in sorted(set(old.places) | set(new.places)):
+        for database in sorted(set(old.placements) | set(new.placements)):
             if not state.moving(database=database):
                 continue
             planned = self.planned(database)
-            source = old.place(database=database, planned=planned)
-            target = new.place(database=database, planned=planned)
+            source = old.service_of(database=database, planned=planned)
+            target = new.service_of(database=database, planned=planned)
             if source != target and not await self.handover.complete(database=database, source=source, target=target):
                 return False
         return True
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -64,7 +64,7 @@
         """Whether the two maps place a database at different services. One that neither has stays where it is."""
         if self.phase == ShardPhase.steady:
             return False
-        return self.current.places.get(database) != self.following.places.get(database)
+        return self.current.placements.get(database) != self.following.placements.get(database)
 
     def bytes(self) -> bytes:
         """The state as it is kept in the register."""
--- a/src/cinderstair/pooler/address_announcer.py
+++ b/src/cinderstair/pooler/address_announcer.py
@@ -14,10 +14,10 @@
 class AddressAnnouncer:
     """Sends one message per interval while the table is wrong, and none after."""
 
-    def __init__(self, *, ctx: Context, view: RelayedView, place: ProxyAddress) -> None:
+    def __init__(self, *, ctx: Context, view: RelayedView, address: ProxyAddress) -> None:
         self.ctx = ctx
         self.view = view
-        self.place = place
+        self.address = address
         # Proxies that start together must not all announce themselves at the same moment.
         offset = int.from_bytes(rank(seed=0, name=ctx.name)[:4])
         self.next_us = ctx.now_us() + offset % (ANNOUNCE_INTERVAL_US // 4)
@@ -25,7 +25,7 @@
     def on_timer(self) -> None:
         """Announces the address where that is due."""
         now_us = self.ctx.now_us()
-        known = self.view.places.get(self.ctx.name) == self.place
+        known = self.view.proxy_addresses.get(self.ctx.name) == self.address
         if known or now_us < self.next_us or not self.view.controller:
             return
         self.next_us = now_us + ANNOUNCE_INTERVAL_US
@@ -33,6 +33,6 @@
 
     async def _announce(self) -> None:
         packer = Packer().u8(value=MessageType.ANNOUNCE_ADDRESS).text(value=self.ctx.name)
-        body = packer.text(value=self.place.site).text(value=self.place.records).bytes()
+        body = packer.text(value=self.address.site).text(value=self.address.records).bytes()
         self.ctx.counters.add(name="places.told")
         await self.ctx.net.request(address=self.view.controller, body=body, wait_us=ANNOUNCE_WAIT_US)
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -76,7 +76,7 @@
         cap = max(1, plan.services[service].link_cap - CONTROL_LINKS)
         share = self._cap_share(cap=cap)
         scarce = cap < len(self.view.proxy_ids.names)
-        addresses_expected = bool(self.view.places) or not self.addresses_unavailable
+        addresses_expected = bool(self.view.proxy_addresses) or not self.addresses_unavailable
         forwards = scarce and self.forwarder is not None and addresses_expected
         # Before any ids are assigned nobody knows among how many proxies the cap is shared.
         unassigned = self.forwarder is not None and not self.view.proxy_ids.names
@@ -108,12 +108,16 @@
 
     def _allocate_links(self, *, pool: LinkPool, cap: int, proxy_id: int | None) -> None:
         """Sets which proxies have links to a backend: this one its part, or else those that forward for it."""
-        places, announcement = self.view.places, pool.backend
-        reachable = [(n, name) for n, name in self.view.proxy_ids.names if name in places and places[name].records]
+        proxy_addresses, announcement = self.view.proxy_addresses, pool.backend
+        reachable = [
+            (n, name)
+            for n, name in self.view.proxy_ids.names
+            if name in proxy_addresses and proxy_addresses[name].records
+        ]
         allocated = self.link_allocations.get((announcement.name, cap))
         if allocated is None:
             allocated = self.link_allocations[(announcement.name, cap)] = allocate_links(
-                proxies=[ProxyLocation(n, self._location(site=places[name].site)) for n, name in reachable],
+                proxies=[ProxyLocation(n, self._location(site=proxy_addresses[name].site)) for n, name in reachable],
                 backend=announcement.name,
                 location=self._location(site=announcement.site),
                 cap=cap,
@@ -123,7 +127,7 @@
             self.reallocated_us = self.ctx.now_us()
         pool.forwarder = self.forwarder
         pool.peer_proxies = tuple(
-            PeerProxy(self.distance(places[name].site), name, places[name].records)
+            PeerProxy(self.distance(proxy_addresses[name].site), name, proxy_addresses[name].records)
             for n, name in reachable
             if n in allocated and name != self.ctx.name
         )
@@ -161,11 +165,11 @@
     def _forwarding_proxies(self, pool: LinkPool) -> tuple[PeerProxy, ...]:
         if pool.forwarder is not None:
             return pool.peer_proxies
-        places = self.view.places
+        proxy_addresses = self.view.proxy_addresses
         return tuple(
-            PeerProxy(self.distance(places[name].site), name, places[name].records)
+            PeerProxy(self.distance(proxy_addresses[name].site), name, proxy_addresses[name].records)
             for _, name in self.view.proxy_ids.names
-            if name in places and places[name].records and name != self.ctx.name
+            if name in proxy_addresses and proxy_addresses[name].records and name != self.ctx.name
         )
 
     def _location(self, *, site: str) -> Location:
@@ -179,8 +183,11 @@
         allocated = self.replica_allocations.get((locations, cap))
         if allocated is None:
             # Services whose replicas have the same locations get the same result, so it is computed once.
-            places = self.view.places
-            sites = ((n, places[name].site if name in places else "") for n, name in self.view.proxy_ids.names)
+            proxy_addresses = self.view.proxy_addresses
+            sites = (
+                (n, proxy_addresses[name].site if name in proxy_addresses else "")
+                for n, name in self.view.proxy_ids.names
+            )
             proxies = [ProxyLocation(n, self._location(site=site)) for n, site in sites]
             allocated = self.replica_allocations[(locations, cap)] = allocate_replicas(
                 proxies=proxies, replicas=locations, cap=cap
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -49,7 +49,9 @@
             region=region,
             drain_us=drain_us,
         )
-        self.place = AddressAnnouncer(ctx=ctx, view=self.view, place=ProxyAddress(site=site, records=records))
+        self.address_announcer = AddressAnnouncer(
+            ctx=ctx, view=self.view, address=ProxyAddress(site=site, records=records)
+        )
         self.records = records
         self.forwarder = Forwarder(ctx=ctx)
         self.dispatcher = Dispatcher(ctx=ctx)
@@ -88,7 +90,7 @@
     def _on_timer(self) -> None:
         """Maintains pools, forwarding and the address, and ends transactions whose clients are idle."""
         self.router.on_timer()
-        self.place.on_timer()
+        self.address_announcer.on_timer()
         self.forwarder.on_timer()
         self.forwards.on_timer()
         if self.ready != self.reported_ready:
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -40,7 +40,7 @@
         self.ballots: dict[str, Ballot] = {}
         self.plan: ServicePlan | None = None
         self.proxy_ids = ProxyIds()
-        self.places: dict[str, ProxyAddress] = {}
+        self.proxy_addresses: dict[str, ProxyAddress] = {}
         self.shards = ShardState()
         self.primaries: dict[str, ServicePrimary] = {}
         self.assigned_since_us: dict[str, int] = {}
@@ -106,7 +106,7 @@
         elif key == PROXY_IDS_KEY:
             self.proxy_ids = read_proxy_ids(data=value)
         elif key == PROXY_ADDRESSES_KEY:
-            self.places = read_proxy_addresses(data=value).places
+            self.proxy_addresses = read_proxy_addresses(data=value).addresses
         elif key == SHARDS_KEY:
             self.shards = read_shard_state(data=value)
         elif key.startswith(PREFIX):
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -58,7 +58,7 @@
     def on_timer(self) -> None:
         """Opens links ahead of need, checks for silent backends, and asks for samples that will be wanted."""
         self.shards.update()
-        if not self.addresses_unavailable and not self.view.places:
+        if not self.addresses_unavailable and not self.view.proxy_addresses:
             self._check_addresses()
         self._apply_pending_increase()
         plan = self.view.plan
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -73,19 +73,19 @@
         if not self._applicable(state=state):
             return
         now_us = self.ctx.now_us()
-        for database in set(state.current.places) | set(self.applied.current.places):
-            if state.current.places.get(database) != self.applied.current.places.get(database):
+        for database in set(state.current.placements) | set(self.applied.current.placements):
+            if state.current.placements.get(database) != self.applied.current.placements.get(database):
                 self.moved_us[database] = now_us
         self.applied = state
         self.ctx.log.info("shard map %d taken over", state.current.version)
 
     def _applicable(self, *, state: ShardState) -> bool:
         """Whether this proxy knows every service of a map and its primary."""
-        places = state.following if state.phase != ShardPhase.steady else state.current
+        shard_map = state.following if state.phase != ShardPhase.steady else state.current
         plan = self.view.plan
         if plan is None:
             return False
-        for database, service in places.places.items():
+        for database, service in shard_map.placements.items():
             assignment = self.view.primaries.get(service)
             known = service in plan.services and assignment is not None and assignment.state == PrimaryState.settled
             if database not in plan.routes or not known:
@@ -110,17 +110,17 @@
 
     def _moving(self) -> frozenset[str]:
         state = self.view.shards
-        names = set(state.current.places) | set(state.following.places)
+        names = set(state.current.placements) | set(state.following.placements)
         return frozenset(name for name in names if state.moving(database=name))
 
     def service_of(self, *, route: DatabaseRoute) -> str:
         """The service to which a route's database belongs by the applied map."""
-        return self.applied.current.place(database=route.database, planned=route.service)
+        return self.applied.current.service_of(database=route.database, planned=route.service)
 
     def _behind(self, *, database: str) -> bool:
         """Whether the register has a later map that can't be applied here and concerns this database."""
         current = self.view.shards.current
-        return current.places.get(database) != self.applied.current.places.get(database)
+        return current.placements.get(database) != self.applied.current.placements.get(database)
 
     def fault(self, *, database: str) -> CinderstairError | None:
         """Why the database takes no writes and no full reads now; None where it does.
--- a/src/cinderstair/runtime/settings.py
+++ b/src/cinderstair/runtime/settings.py
@@ -171,15 +171,15 @@
     from_file, from_flags = rename_old_names(values=file.values), rename_old_names(values=flags)
     for renamed in (from_file, from_flags):
         if renamed.conflict is not None:
-            place = _place(where=where, text=file.text, key=renamed.conflict.old)
+            location = _location(where=where, text=file.text, key=renamed.conflict.old)
             reason = f"{renamed.conflict.old}: is the old name of {renamed.conflict.new}, which is given too"
-            return Error(_bad_settings(where=place, reason=reason))
+            return Error(_bad_settings(where=location, reason=reason))
     try:
         loaded = SettingsSchema().load({**from_file.values, **from_flags.values})
     except ValidationError as error:
         name, reason = _first_problem(error=error)
         key = from_flags.spelling(name=name) if name in from_flags.values else from_file.spelling(name=name)
-        return Error(_bad_settings(where=_place(where=where, text=file.text, key=key), reason=f"{key}: {reason}"))
+        return Error(_bad_settings(where=_location(where=where, text=file.text, key=key), reason=f"{key}: {reason}"))
     if from_file.old_names:
         names = ", ".join(f"{renaming.old} (now {renaming.new})" for renaming in from_file.old_names)
         _log.warning("%s: old names of settings, which the next version will refuse: %s", where, names)
@@ -199,7 +199,7 @@
     return _Problem(name=name, reason=reason[0])
 
 
-def _place(*, where: str, text: str, key: str) -> str:
+def _location(*, where: str, text: str, key: str) -> str:
     line = line_of(text=text, key=key)
     return f"{where}:{line}" if line else where
 
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -255,7 +255,7 @@
         self.heartbeat_table.receive(heartbeat=announcement)
         return True
 
-    return [patch.object(Announcer, "spread", alone)]
+    return [patch.object(Announcer, "replicate", alone)]
 
 
 def serves_alone() -> Patches:
--- a/src/cinderstair/simulation/platformsim/shard_checker.py
+++ b/src/cinderstair/simulation/platformsim/shard_checker.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.places: dict[str, tuple[str, str]] = {}
+        self.moves: dict[str, tuple[str, str]] = {}
         self.moved_us: dict[str, int] = {}
         self.brought: dict[tuple[str, bytes], LogEntry] = {}
         self.acked: dict[str, list[tuple[int, bytes, LogEntry]]] = {}
@@ -32,7 +32,7 @@
 
     def watch(self, *, database: str, source: str, target: str, now_us: int) -> None:
         self.watched_us = self.watched_us or now_us
-        self.places[database] = (source, target)
+        self.moves[database] = (source, target)
 
     def withdrawn(self) -> None:
         """The change was given up, so whatever was brought is nowhere's truth, and the old place goes on."""
@@ -40,12 +40,12 @@
 
     def waited(self, *, database: str, began_us: int, ended_us: int) -> None:
         """An operation that writes, over with all its tries."""
-        if database in self.places and ended_us >= self.watched_us:
+        if database in self.moves and ended_us >= self.watched_us:
             self.waits_us.append((began_us, ended_us))
 
     def figures(self) -> dict[str, int]:
         """How long writes of moving databases took that were under way between the proposal and a second past it."""
-        if not self.places:
+        if not self.moves:
             return {}
         until_us = max(self.moved_us.values(), default=1 << 62) + 1_000_000
         took_us = sorted(ended - began for began, ended in self.waits_us if began <= until_us)
@@ -65,9 +65,9 @@
         acked = [(now_us, statement.ident, entry) for statement in writes]
         self.acked.setdefault(database, []).extend(acked)
         self.own.setdefault(writes[0].attempt.session, []).extend(acked)
-        if database not in self.places:
+        if database not in self.moves:
             return
-        source, target = self.places[database]
+        source, target = self.moves[database]
         self.at_target += entry.service == target
         # why: what is committed at the old place after all of it was brought over is nowhere
         moved_us = self.moved_us.get(database)
@@ -78,11 +78,11 @@
         """Whatever a backend appends, whether or not its client is ever told."""
         for statement in entry.writes:
             database = statement.attempt.database
-            if database not in self.places or entry.late:
+            if database not in self.moves or entry.late:
                 continue
             moved_us = self.moved_us.get(database)
             # why: where the old place takes anything after the new one has begun, two places take writes in one epoch
-            fine = moved_us is None or entry.service != self.places[database][0] or entry.at_us <= moved_us
+            fine = moved_us is None or entry.service != self.moves[database][0] or entry.at_us <= moved_us
             self.judge(
                 fine=fine, what=f"{statement.ident!r} of {database} lands at {entry.service} after it has left"
             )
@@ -90,7 +90,7 @@
     def ran(self, *, statement: ClientStatement, backend: "StandInBackend", sort: str, age_us: int) -> None:
         """A read of a database that moves, or has moved."""
         database = statement.attempt.database
-        if database not in self.places:
+        if database not in self.moves:
             return
         before_us = statement.first_us - (0 if sort == "primary" else age_us)
         acked = self.acked.get(database, [])
@@ -109,7 +109,7 @@
 
     def end(self, *, services: dict[str, "StandInService"]) -> None:
         """Every acknowledged write stands once, where the database is now."""
-        for database, (source, target) in self.places.items():
+        for database, (source, target) in self.moves.items():
             name = target if database in self.moved_us else source
             last = services[name].last
             log = [] if last is None else last.log
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -21,7 +21,7 @@
     for database in MOVING:
         world.referee.shard.watch(database=database, source="ledger0", target=TARGET, now_us=world.now_us)
         world.referee.route.allow(database=database, service=TARGET)
-    wanted = ShardMap(version=version, places=dict.fromkeys(MOVING, TARGET), agree_percent=percent)
+    wanted = ShardMap(version=version, placements=dict.fromkeys(MOVING, TARGET), agree_percent=percent)
     coordinator = world.roles[world.controllers[at]].controller.shards
     result = world.run(work=coordinator.propose(wanted=wanted))
     return "" if result.is_ok() else str(result.error.code.value)
@@ -392,7 +392,7 @@
     statement = [referee.statement.get(fields[1]) for fields in lines]
     return any(
         each is not None
-        and each.attempt.database in referee.shard.places
+        and each.attempt.database in referee.shard.moves
         and (each.kind == "commit" or (each.kind == "write" and each.alone))
         for each in statement
     )
