--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -224,8 +224,8 @@
     """A control daemon's answer in hexadecimal: an error kind or none, words, and a map's progress."""
     packer = Packer().text(value=kind).text(value=words)
     if progress is not None:
-        phase, proposal, stands, why = progress
-        packer.u8(value=phase).u64(value=proposal).u64(value=stands).text(value=why)
+        phase, proposal, stands, reason = progress
+        packer.u8(value=phase).u64(value=proposal).u64(value=stands).text(value=reason)
     return packer.bytes().hex()
 
 
--- a/features/steps/controller_command_steps.py
+++ b/features/steps/controller_command_steps.py
@@ -41,10 +41,14 @@
     if words.startswith("text "):
         return Packer().text(value="").text(value=words.removeprefix("text ").strip('"')).bytes()
     if words.startswith("progress "):
-        phase, stands, why = words.removeprefix("progress ").split(", ")
+        phase, stands, reason = words.removeprefix("progress ").split(", ")
         packer = Packer().text(value="").text(value=f"{phase}: so it is")
         return (
-            packer.u8(value=ShardPhase[phase]).u64(value=2).u64(value=int(stands)).text(value=why.strip('"')).bytes()
+            packer.u8(value=ShardPhase[phase])
+            .u64(value=2)
+            .u64(value=int(stands))
+            .text(value=reason.strip('"'))
+            .bytes()
         )
     if words.startswith("kind "):
         return Packer().text(value=words.removeprefix("kind ")).text(value="so it is").bytes()
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -134,7 +134,7 @@
         following=ShardMap(version=2, placements={"orders": "beta"}, agree_percent=75),
         ready_in_us=900_000,
         proposal=3,
-        why="too few agreed",
+        reason="too few agreed",
     )
     return {
         service_primary_key(service="alpha"): assignment.bytes(),
@@ -162,7 +162,7 @@
         if fresh:
             store.state.ident = IDENTITY
             store.save(entries=[ident_entry(ident=IDENTITY)])
-        self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda why: None)
+        self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda reason: None)
 
     def _head(self, *, key: str, ballot: Ballot) -> Packer:
         packer = Packer().u32(value=self.epoch).text(value=key)
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -69,9 +69,9 @@
     """The answer for each error kind, by the kind's word on the wire."""
     stage = Stage(context=context)
     denier = Denier(ctx=stage.ctx)
-    found = {word: shown(response=denier.reject(kind=ErrorCode(word), why="because")) for word in kinds}
+    found = {word: shown(response=denier.reject(kind=ErrorCode(word), reason="because")) for word in kinds}
     details = {"retryAfterUs": 2_500_000, "elsewhere": ["10.0.0.1:1"]}
-    busy = denier.reject(kind=ErrorCode("crowded"), why="because", details=details)
+    busy = denier.reject(kind=ErrorCode("crowded"), reason="because", details=details)
     return {**found, "crowded with details": shown(response=busy)}
 
 
@@ -80,7 +80,7 @@
     stage = Stage(context=context)
     denier = Denier(ctx=stage.ctx)
     for kind in ErrorCode:
-        denier.reject(kind=kind, why="because")
+        denier.reject(kind=kind, reason="because")
     denier.done()
     return sorted(stage.ctx.counters.snapshot())
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -175,7 +175,7 @@
         ready_in_us=900_000,
         proposal=3,
         under_way_us=2_900_000,
-        why="too few agreed",
+        reason="too few agreed",
     )
 
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -117,7 +117,7 @@
 def replica_dispatcher(*, stage: Stage) -> Dispatcher:
     """A register replica that was restarted and knows no roster."""
     stage.ctx.disk = disk_with_identity()
-    register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda why: None)
+    register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda reason: None)
     opened = stage.call(call=register_replica.open)
     assert opened.is_ok(), opened
     return register_replica.dispatcher
@@ -134,7 +134,7 @@
         settings=settings(),
         control=backends,
         promoter=backends,
-        halt=lambda why: None,
+        halt=lambda reason: None,
         silent_after_us=3_000_000,
         proxy_lease_us=2_000_000,
     )
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -52,9 +52,9 @@
     context.problems = shard_map_problems(text=document, wanted=wanted, current=context.current, plan=context.plan)
 
 
-@then('the reasons are "{why}"')
-def then_reasons(context: Any, why: str) -> None:
-    assert (" / ".join(context.problems) or "none") == why, context.problems
+@then('the reasons are "{reason}"')
+def then_reasons(context: Any, reason: str) -> None:
+    assert (" / ".join(context.problems) or "none") == reason, context.problems
 
 
 def made_up(*, rng: random.Random) -> ShardMap:
@@ -73,7 +73,7 @@
             ready_in_us=rng.randrange(2**40),
             proposal=rng.randrange(2**40),
             under_way_us=rng.randrange(2**40),
-            why=rng.choice(("", "too few agree")),
+            reason=rng.choice(("", "too few agree")),
         )
         for _ in range(count)
     ]
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -113,5 +113,7 @@
         progress = await self.shards.progress()
         state = progress.state
         packer = operator_answer(text=progress.summary())
-        packer.u8(value=state.phase).u64(value=state.proposal).u64(value=state.current.version).text(value=state.why)
+        packer.u8(value=state.phase).u64(value=state.proposal).u64(value=state.current.version).text(
+            value=state.reason
+        )
         return packer.bytes()
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -301,6 +301,6 @@
         )
         self.ctx.counters.add(name="shards.withdrawn")
         steady = ShardState(
-            current=state.current, proposal=state.proposal, under_way_us=state.under_way_us, why=reason
+            current=state.current, proposal=state.proposal, under_way_us=state.under_way_us, reason=reason
         )
         await self._compare_and_set(old=state, new=steady)
--- a/src/cinderstair/failover/shard_progress.py
+++ b/src/cinderstair/failover/shard_progress.py
@@ -23,7 +23,7 @@
         """The progress as operators read it."""
         state = self.state
         if state.phase == ShardPhase.steady:
-            withdrawn = f"; the last one was withdrawn: {state.why}" if state.why else ""
+            withdrawn = f"; the last one was withdrawn: {state.reason}" if state.reason else ""
             return f"steady: map {state.current.version}{withdrawn}"
         votes = ", ".join(f"{self.votes.get(vote, 0)} {vote.name}" for vote in Vote if vote != Vote.silent)
         return (
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -49,7 +49,7 @@
     :param proposal: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
     :param under_way_us: for how long a write that has left may still take effect after its connection was lost. It is
         part of the state, so that all reckon with the same figure.
-    :param why: what became of the last proposal, where it was withdrawn; else empty.
+    :param reason: what became of the last proposal, where it was withdrawn; else empty.
     """
 
     phase: ShardPhase = ShardPhase.steady
@@ -58,7 +58,7 @@
     ready_in_us: int = 0
     proposal: int = 0
     under_way_us: int = UNDER_WAY_US
-    why: str = ""
+    reason: str = ""
 
     def moving(self, *, database: str) -> bool:
         """Whether the two maps place a database at different services. One that neither has stays where it is."""
@@ -72,7 +72,7 @@
         self.current.write(packer=packer)
         self.following.write(packer=packer)
         packer.u64(value=self.ready_in_us).u64(value=self.proposal).u64(value=self.under_way_us)
-        return packer.text(value=self.why).bytes()
+        return packer.text(value=self.reason).bytes()
 
 
 def read_shard_state(*, data: bytes) -> ShardState:
@@ -89,7 +89,7 @@
         ready_in_us=unpacker.u64(),
         proposal=unpacker.u64(),
         under_way_us=unpacker.u64(),
-        why=unpacker.text(),
+        reason=unpacker.text(),
     )
     unpacker.done()
     return state
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -45,8 +45,8 @@
     if state.phase != ShardPhase.steady:
         if state.following.version != version:
             return Error(_under_way(state=state))
-        return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, why=ABANDONED))
-    if state.why == ABANDONED and state.current.version < version:
+        return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, reason=ABANDONED))
+    if state.reason == ABANDONED and state.current.version < version:
         return Ok(state)
     reason = f"map {state.current.version} stands, no other is coming"
     return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
--- a/src/cinderstair/http_frontend/filters/body_filter.py
+++ b/src/cinderstair/http_frontend/filters/body_filter.py
@@ -22,15 +22,15 @@
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Rejects a body that is too large, or no JSON object; else None."""
         if len(request.http.body) > MAX_BODY_BYTES:
-            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a body holds {MAX_BODY_BYTES} bytes at the most")
+            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a body holds {MAX_BODY_BYTES} bytes at the most")
         # a configuration is kept to the byte, so it is not taken apart here
         if request.verb in NO_BODY or request.verb in RAW_BODY:
             return None
         try:
             body = json.loads(request.http.body)
         except (ValueError, RecursionError) as error:
-            return self.reject(kind=ErrorCode.MALFORMED, why=f"the body is not JSON: {error}")
+            return self.reject(kind=ErrorCode.MALFORMED, reason=f"the body is not JSON: {error}")
         if not isinstance(body, dict):
-            return self.reject(kind=ErrorCode.MALFORMED, why="the body is not an object")
+            return self.reject(kind=ErrorCode.MALFORMED, reason="the body is not an object")
         request.body = body
         return None
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -69,14 +69,14 @@
     def _ready(self) -> HttpResponse:
         not_ready = self.ready.unready()
         if not_ready is not None:
-            return self.reject(kind=not_ready.code, why=not_ready.reason)
+            return self.reject(kind=not_ready.code, reason=not_ready.reason)
         return self.done(value={"stall": self.ctx.name})
 
     def _heartbeat(self, *, request: Request) -> HttpResponse:
         try:
             heartbeat = heartbeat_from_json(value=request.body)
         except ValueError as error:
-            return self.reject(kind=ErrorCode.MALFORMED, why=str(error))
+            return self.reject(kind=ErrorCode.MALFORMED, reason=str(error))
         self.heartbeat_table.receive(heartbeat=heartbeat)
         return self.done()
 
@@ -100,7 +100,9 @@
         candidates = await self.configuration_store.register.candidates()
         voter = candidates.get(enters)
         if voter is None:
-            return self.reject(kind=ErrorCode.MALFORMED, why=f"no register replica '{enters}' has greeted the seeds")
+            return self.reject(
+                kind=ErrorCode.MALFORMED, reason=f"no register replica '{enters}' has greeted the seeds"
+            )
         roster = self.configuration_store.register.roster
         max_voters = 0 if roster is None else max(len(roster.voters), self.founding_replicas)
         succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
@@ -113,7 +115,9 @@
     async def _override(self, *, request: Request) -> HttpResponse:
         database, backend = str(request.body.get("database")), str(request.body.get("backend"))
         if request.body.get("iAcceptLoss") is not True:
-            return self.reject(kind=ErrorCode.MALFORMED, why="iAcceptLoss: must be true; commits may be lost by this")
+            return self.reject(
+                kind=ErrorCode.MALFORMED, reason="iAcceptLoss: must be true; commits may be lost by this"
+            )
         result = await self.database_failover.override(database=database, backend=backend)
         if result.is_error():
             return self.reject_with(fault=result.error)
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -21,12 +21,12 @@
             return None
         left = request.body.get("timeLeftUs")
         if left is None:
-            return self.reject(kind=ErrorCode.TIME_LEFT_MISSING, why="timeLeftUs is needed: whole microseconds")
+            return self.reject(kind=ErrorCode.TIME_LEFT_MISSING, reason="timeLeftUs is needed: whole microseconds")
         if not isinstance(left, int) or isinstance(left, bool) or left > MAX_TIME_LEFT_US:
             return self.reject(
-                kind=ErrorCode.MALFORMED, why="timeLeftUs: whole microseconds, ten minutes at the most"
+                kind=ErrorCode.MALFORMED, reason="timeLeftUs: whole microseconds, ten minutes at the most"
             )
         if left <= 0:
-            return self.reject(kind=ErrorCode.TIME_LEFT_SPENT, why="no time was left when the job came in")
+            return self.reject(kind=ErrorCode.TIME_LEFT_SPENT, reason="no time was left when the job came in")
         request.until_us = request.start_us + left
         return None
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -127,26 +127,26 @@
         """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
         if reply.reason in NOT_RUN:
             code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_LEAD
-            return CinderstairError(code=code, reason=reply.why)
-        return self.reject(kind=ErrorCode.STATEMENT_DENIED, why=reply.why)
+            return CinderstairError(code=code, reason=reply.message)
+        return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=reply.message)
 
-    def _unknown(self, *, why: str) -> HttpResponse:
-        return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why)
+    def _unknown(self, *, reason: str) -> HttpResponse:
+        return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason)
 
     async def _acknowledge(self, *, request: Request, reply: Reply, term: int) -> HttpResponse:
         """A commit is acknowledged only once it can't be lost; else its outcome is unknown."""
         database = request.bound.database
         if reply.term != term:
-            return self._unknown(why="the primary answered in another term")
+            return self._unknown(reason="the primary answered in another term")
         if not reply.wrote:
             # nothing was written, so only what was read must still hold
             if not self.book.holds(database=database, term=term):
-                return self.reject(kind=ErrorCode.NOT_CURRENT, why="the lead moved meanwhile; nothing was written")
+                return self.reject(kind=ErrorCode.NOT_CURRENT, reason="the lead moved meanwhile; nothing was written")
             return self.done(value={"rows": reply.rows})
         wait_us = self.configuration.amount(name="commitWait", database=database)
         until_us = min(request.until_us, self.ctx.now_us() + wait_us)
         if not await self.book.durable(database=database, term=term, position=reply.position, until_us=until_us):
-            return self._unknown(why="run, and not known to be held by every replica in sync")
+            return self._unknown(reason="run, and not known to be held by every replica in sync")
         request.bound.floor = max(request.bound.floor, reply.position)
         self.ctx.counters.add(name="commits.acknowledged")
         return self.done(value={"rows": reply.rows, "position": reply.position})
--- a/src/cinderstair/http_frontend/filters/forward_filter.py
+++ b/src/cinderstair/http_frontend/filters/forward_filter.py
@@ -28,7 +28,7 @@
         if session.lost:
             session.lost = False
             return self.reject(
-                kind=ErrorCode.TRANSACTION_LOST, why="the transaction was ended; nothing of it was kept"
+                kind=ErrorCode.TRANSACTION_LOST, reason="the transaction was ended; nothing of it was kept"
             )
         return await self._retry(request=request, attempt=self._attempt_for(request=request))
 
--- a/src/cinderstair/http_frontend/filters/path_filter.py
+++ b/src/cinderstair/http_frontend/filters/path_filter.py
@@ -46,9 +46,11 @@
                 continue
             verb = methods.get(request.http.method)
             if verb is None:
-                return self.reject(kind=ErrorCode.WRONG_METHOD, why=f"{request.http.path} takes {', '.join(methods)}")
+                return self.reject(
+                    kind=ErrorCode.WRONG_METHOD, reason=f"{request.http.path} takes {', '.join(methods)}"
+                )
             request.verb = verb
             found = match.groupdict()
             request.session_id, request.name = found.get("session", ""), found.get("name", "")
             return None
-        return self.reject(kind=ErrorCode.UNKNOWN_PATH, why=f"nothing at {request.http.path}")
+        return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason=f"nothing at {request.http.path}")
--- a/src/cinderstair/http_frontend/filters/ready_filter.py
+++ b/src/cinderstair/http_frontend/filters/ready_filter.py
@@ -73,5 +73,5 @@
         not_ready = self.unready()
         # an open transaction may end here even while the HTTP proxy empties; nothing new may begin
         if not_ready is not None and not (self.leaving and request.verb in ("statement", "commit", "rollback")):
-            return self.reject(kind=not_ready.code, why=not_ready.reason, details=self.elsewhere())
+            return self.reject(kind=not_ready.code, reason=not_ready.reason, details=self.elsewhere())
         return None
--- a/src/cinderstair/http_frontend/filters/route_filter.py
+++ b/src/cinderstair/http_frontend/filters/route_filter.py
@@ -21,21 +21,21 @@
         configuration = self.view.configuration
         if configuration is None or request.bound.database not in configuration.databases:
             return self.reject(
-                kind=ErrorCode.UNKNOWN_DATABASE, why=f"no database '{request.bound.database}' any more"
+                kind=ErrorCode.UNKNOWN_DATABASE, reason=f"no database '{request.bound.database}' any more"
             )
         if request.verb != "statement":
             request.kind = "write"
             return None
         request.kind = str(request.body.get("kind"))
         if request.kind not in KINDS:
-            return self.reject(kind=ErrorCode.UNKNOWN_KIND, why=f"kind: one of {', '.join(KINDS)}")
+            return self.reject(kind=ErrorCode.UNKNOWN_KIND, reason=f"kind: one of {', '.join(KINDS)}")
         prepared = request.body.get("prepared")
         if prepared is not None and prepared not in request.bound.prepared:
-            return self.reject(kind=ErrorCode.UNKNOWN_PREPARED, why=f"nothing prepared as '{prepared}'")
+            return self.reject(kind=ErrorCode.UNKNOWN_PREPARED, reason=f"nothing prepared as '{prepared}'")
         if prepared is None and not isinstance(request.body.get("text"), str):
-            return self.reject(kind=ErrorCode.MALFORMED, why="text: a text is needed, or prepared: a name")
+            return self.reject(kind=ErrorCode.MALFORMED, reason="text: a text is needed, or prepared: a name")
         if not isinstance(request.body.get("params", []), list):
-            return self.reject(kind=ErrorCode.MALFORMED, why="params: a list is needed")
+            return self.reject(kind=ErrorCode.MALFORMED, reason="params: a list is needed")
         if configuration.route(kind=request.kind, database=request.bound.database).target == "deny":
-            return self.reject(kind=ErrorCode.ROUTE_DENIED, why=f"a route denies kind {request.kind}")
+            return self.reject(kind=ErrorCode.ROUTE_DENIED, reason=f"a route denies kind {request.kind}")
         return None
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -36,10 +36,10 @@
         if handle.tag != session.tag:
             return self._older(request=request, handle=handle, session=session)
         if session.busy:
-            return self.reject(kind=ErrorCode.SESSION_BUSY, why="another job of this session is under way")
+            return self.reject(kind=ErrorCode.SESSION_BUSY, reason="another job of this session is under way")
         not_ready = self.ready.unready()
         if not_ready is not None and session.transaction is None and request.verb != "close":
-            return self.reject(kind=not_ready.code, why=not_ready.reason, details=self.ready.elsewhere())
+            return self.reject(kind=not_ready.code, reason=not_ready.reason, details=self.ready.elsewhere())
         request.session = session
         session.busy = True
         session.used_us = self.ctx.now_us()
@@ -49,33 +49,33 @@
         """The session is not here: where it is, or what became of it."""
         sought = await self.handover.find(handle=handle)
         if sought.where:
-            why = "the session is at another HTTP proxy"
-            return self.reject(kind=ErrorCode.SESSION_ELSEWHERE, why=why, details={"elsewhere": [sought.where]})
+            reason = "the session is at another HTTP proxy"
+            return self.reject(kind=ErrorCode.SESSION_ELSEWHERE, reason=reason, details={"elsewhere": [sought.where]})
         if sought.session is not None:
             return self._renamed(
-                request=request, session=sought.session, why="its HTTP proxy was lost; it was taken over here"
+                request=request, session=sought.session, reason="its HTTP proxy was lost; it was taken over here"
             )
         # final only when everyone who might have it has said no
         if sought.unsure:
             return self.reject(
-                kind=ErrorCode.SESSION_SOUGHT, why="not found yet; some HTTP proxies have not answered"
+                kind=ErrorCode.SESSION_SOUGHT, reason="not found yet; some HTTP proxies have not answered"
             )
         # a session is never quietly opened anew; its values and transaction would be gone unnoticed
-        return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="no such session here; it is gone, open a new one")
+        return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="no such session here; it is gone, open a new one")
 
     def _older(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
         """A handle that is not the newest one."""
         if handle.tag != session.was:
-            return self.reject(kind=ErrorCode.UNKNOWN_SESSION, why="a handle from before; the session has gone on")
+            return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="a handle from before; the session has gone on")
         # nobody may go on in the middle of what it does not know to be over
         if not session.busy:
             self.sessions.abandon(session=session)
             session.lost = False
         return self._renamed(
-            request=request, session=session, why="the answer that told of its newest handle was lost"
+            request=request, session=session, reason="the answer that told of its newest handle was lost"
         )
 
-    def _renamed(self, *, request: Request, session: Session, why: str) -> HttpResponse:
+    def _renamed(self, *, request: Request, session: Session, reason: str) -> HttpResponse:
         """Nothing is run before the client knows the handle, so it can't mistake what is gone for what is here."""
         if request.verb == "close":
             self.sessions.close(session=session)
@@ -83,7 +83,7 @@
         details = {"session": session.handle}
         # a commit may have been sent before, by the HTTP proxy that was lost, and nobody here can know
         if request.verb == "commit":
-            why = f"{why}; its commit may have been kept, or not"
-            return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why, details=details)
-        why = f"{why}; an open transaction is gone, and nothing of it was kept unless its commit was sent"
-        return self.reject(kind=ErrorCode.HANDLE_OLD, why=why, details=details)
+            reason = f"{reason}; its commit may have been kept, or not"
+            return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason, details=details)
+        reason = f"{reason}; an open transaction is gone, and nothing of it was kept unless its commit was sent"
+        return self.reject(kind=ErrorCode.HANDLE_OLD, reason=reason, details=details)
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -49,10 +49,10 @@
         database = request.body.get("database")
         configuration = self.view.configuration
         if configuration is None or not isinstance(database, str) or database not in configuration.databases:
-            return self.reject(kind=ErrorCode.UNKNOWN_DATABASE, why=f"no database '{database}'")
+            return self.reject(kind=ErrorCode.UNKNOWN_DATABASE, reason=f"no database '{database}'")
         session = self.sessions.add(database=str(database))
         if session is None:
-            return self.reject(kind=ErrorCode.OVERLOADED, why="as many sessions as this HTTP proxy takes")
+            return self.reject(kind=ErrorCode.OVERLOADED, reason="as many sessions as this HTTP proxy takes")
         session.busy = True
         try:
             stands = await self.session_replicator.keep(session=session, until_us=request.until_us)
@@ -82,9 +82,9 @@
     async def _values(self, *, request: Request) -> HttpResponse:
         values = request.body.get("values")
         if not isinstance(values, dict):
-            return self.reject(kind=ErrorCode.MALFORMED, why="values: an object is needed")
+            return self.reject(kind=ErrorCode.MALFORMED, reason="values: an object is needed")
         if len(request.bound.values | values) > MAX_KEPT:
-            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MAX_KEPT} values at the most")
+            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_KEPT} values at the most")
         # setting a value to null is how it is taken away
         kept = {key: value for key, value in (request.bound.values | values).items() if value is not None}
         return await self._change(request=request, values=kept, prepared=request.bound.prepared)
@@ -92,9 +92,11 @@
     async def _prepare(self, *, request: Request) -> HttpResponse:
         text = request.body.get("text")
         if not isinstance(text, str):
-            return self.reject(kind=ErrorCode.MALFORMED, why="text: a text is needed")
+            return self.reject(kind=ErrorCode.MALFORMED, reason="text: a text is needed")
         if len(request.bound.prepared) >= MAX_KEPT and request.name not in request.bound.prepared:
-            return self.reject(kind=ErrorCode.TOO_LARGE, why=f"a session keeps {MAX_KEPT} prepared texts at the most")
+            return self.reject(
+                kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_KEPT} prepared texts at the most"
+            )
         return await self._change(
             request=request, values=request.bound.values, prepared={**request.bound.prepared, request.name: text}
         )
--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -19,7 +19,7 @@
         result = await self._run_once(name=assignment.primary, request=request, term=assignment.term, tried=tried)
         if result.is_error():
             if result.error.code == ErrorCode.WIRE_UNSURE:
-                return self._unknown(why=f"the answer was lost: {result.error.reason}")
+                return self._unknown(reason=f"the answer was lost: {result.error.reason}")
             return result.error
         reply = result.ok
         if not reply.ran:
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -20,14 +20,14 @@
         if session.lost:
             session.lost = False
             return self.reject(
-                kind=ErrorCode.TRANSACTION_LOST, why="the transaction was ended; nothing of it was kept"
+                kind=ErrorCode.TRANSACTION_LOST, reason="the transaction was ended; nothing of it was kept"
             )
-        return self.reject(kind=ErrorCode.NO_TRANSACTION, why="no transaction is open")
+        return self.reject(kind=ErrorCode.NO_TRANSACTION, reason="no transaction is open")
 
     async def _begin(self, *, request: Request) -> HttpResponse:
         session = request.bound
         if session.transaction is not None:
-            return self.reject(kind=ErrorCode.IN_TRANSACTION, why="a transaction is open already")
+            return self.reject(kind=ErrorCode.IN_TRANSACTION, reason="a transaction is open already")
         session.lost = False
         return await self._retry(request=request, attempt=self._begin_once)
 
@@ -67,10 +67,10 @@
         )
         return self.done()
 
-    def _lose(self, *, session: Session, why: str) -> HttpResponse:
+    def _lose(self, *, session: Session, reason: str) -> HttpResponse:
         self.sessions.abandon(session=session)
         session.lost = False
-        return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=why)
+        return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
     def _holds(self, *, transaction: Transaction) -> bool:
         return self.connection_pools.reachable(name=transaction.pool.name) and self.book.holds(
@@ -96,14 +96,14 @@
         session = request.bound
         result = await self._pass_open(request=request, transaction=transaction, step="in")
         if result.is_error():
-            return self._lose(session=session, why=f"{result.error.reason}; nothing of the transaction was kept")
+            return self._lose(session=session, reason=f"{result.error.reason}; nothing of the transaction was kept")
         if not result.ok.ran and (result.ok.reason in NOT_RUN or result.ok.reason == NO_TRANSACTION):
-            return self._lose(session=session, why=f"{result.ok.why}; nothing of the transaction was kept")
+            return self._lose(session=session, reason=f"{result.ok.message}; nothing of the transaction was kept")
         if not result.ok.ran:
-            return self.reject(kind=ErrorCode.STATEMENT_DENIED, why=result.ok.why)
+            return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=result.ok.message)
         # what was read inside the transaction must be as new as any other read of the primary
         if result.ok.term != transaction.term or not self._holds(transaction=transaction):
-            return self._lose(session=session, why="the lead moved; nothing of the transaction was kept")
+            return self._lose(session=session, reason="the lead moved; nothing of the transaction was kept")
         # a client must be able to tell that what it wrote is not kept until it commits
         return self.done(value={"rows": result.ok.rows, "transaction": True})
 
@@ -118,12 +118,12 @@
         self._end(session=session, transaction=transaction, result=result)
         if result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
             return self.reject(
-                kind=ErrorCode.TRANSACTION_LOST, why=f"{result.error.reason}; the commit was never sent"
+                kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.error.reason}; the commit was never sent"
             )
         if result.is_error():
-            return self._unknown(why=f"the answer to the commit was lost: {result.error.reason}")
+            return self._unknown(reason=f"the answer to the commit was lost: {result.error.reason}")
         if not result.ok.ran:
-            return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=f"{result.ok.why}; nothing was kept")
+            return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.ok.message}; nothing was kept")
         return await self._acknowledge(request=request, reply=result.ok, term=transaction.term)
 
     async def _rollback(self, *, request: Request, transaction: Transaction) -> HttpResponse:
--- a/src/cinderstair/http_frontend/forward_mixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A backend's reply. `reason` and `why` say why it has not run the job; `wrote`: it changed something."""
+    """A backend's reply. `reason` and `message` say why it has not run the job; `wrote`: it changed something."""
 
     ran: bool
     reason: str
-    why: str
+    message: str
     rows: list[Any]
     term: int
     position: int
@@ -34,7 +34,7 @@
     return Reply(
         ran=bool(value["ok"]),
         reason=str(value.get("reason", "")),
-        why=str(value.get("why", "")),
+        message=str(value.get("why", "")),
         rows=list(value.get("rows", [])),
         term=int(value["term"]),
         position=int(value["position"]),
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -220,11 +220,11 @@
                 if response is not None:
                     trace_request(ctx=self.ctx, request=request, response=response)
                     return self._close_if_leaving(response=response)
-            return self.reject(kind=ErrorCode.UNKNOWN_PATH, why="nobody answers for this")
+            return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason="nobody answers for this")
         except Exception as error:  # noqa: BLE001
             # one job that breaks must not take others with it, and it may have reached a backend
             self.ctx.crash(where=f"job {request.verb}", error=error)
-            return self.reject(kind=ErrorCode.INTERNAL, why="an error of ours; it is logged")
+            return self.reject(kind=ErrorCode.INTERNAL, reason="an error of ours; it is logged")
         finally:
             if request.session is not None:
                 request.session.busy = False
--- a/src/cinderstair/http_frontend/reject_mixin.py
+++ b/src/cinderstair/http_frontend/reject_mixin.py
@@ -13,14 +13,14 @@
 
     ctx: Context
 
-    def reject(self, *, kind: ErrorCode, why: str, details: dict[str, Any] | None = None) -> HttpResponse:
+    def reject(self, *, kind: ErrorCode, reason: str, details: dict[str, Any] | None = None) -> HttpResponse:
         """An error response.
 
         :param details: further fields; `retryAfterUs` also replaces the table's.
         """
         answer = ERROR_RESPONSES[kind]
         self.ctx.counters.add(name=f"answers.{kind.value}")
-        value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": why}
+        value: dict[str, Any] = {"outcome": answer.outcome, "kind": kind.value, "why": reason}
         headers = {}
         # a client that may retry is told when, instead of being kept waiting until then
         if answer.retry_after_us:
@@ -31,7 +31,7 @@
 
     def reject_with(self, *, fault: CinderstairError) -> HttpResponse:
         """The response of an error value."""
-        return self.reject(kind=fault.code, why=fault.reason, details=fault.details)
+        return self.reject(kind=fault.code, reason=fault.reason, details=fault.details)
 
     def done(self, *, value: dict[str, Any] | None = None, status: int = 200) -> HttpResponse:
         """A response of a job that was done, with further fields."""
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -67,7 +67,7 @@
                 }
                 for database, assignment in sorted(self.view.primaries.items())
             },
-            "held": {database: why for database, why in self.held().items()},
+            "held": {database: reason for database, reason in self.held().items()},
             "windows": self._windows(),
             "duties": ["lead"] if self.database_failover.lease.held else [],
             "backends": {name: self._backend(name=name) for name in sorted(self.connection_pools.pools)},
@@ -80,7 +80,7 @@
 
     def held(self) -> dict[str, str]:
         """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
-        held = {database: why for database, why in self.database_failover.reasons.items() if why}
+        held = {database: reason for database, reason in self.database_failover.reasons.items() if reason}
         return {**held, **self.database_failover.sync_holds, **self.database_failover.window_holds}
 
     def _windows(self) -> dict[str, Any]:
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -56,8 +56,8 @@
         self.http[0] += came
         self.http[1] += went
 
-    def _halt(self, why: str) -> None:
-        raise SystemExit(why)
+    def _halt(self, reason: str) -> None:
+        raise SystemExit(reason)
 
     async def begin(self) -> None:
         Path(self.ctx.disk.folder).mkdir(parents=True, exist_ok=True)  # type: ignore[attr-defined]
--- a/src/cinderstair/simulation/platformsim/platform_trials.py
+++ b/src/cinderstair/simulation/platformsim/platform_trials.py
@@ -193,7 +193,7 @@
     referee = world.referee
     chances = referee.chances
     wrong = [*referee.breaches, *(f"error: {each}" for each in world.errors)]
-    wrong += [f"{name} halted: {why}" for name, why in world.halted.items()]
+    wrong += [f"{name} halted: {reason}" for name, reason in world.halted.items()]
     wrong += [f"no chance to break {rule}" for rule in (*ALWAYS, *needs) if not chances[rule]]
     if not world.served:
         wrong.append("nothing was served")
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -250,18 +250,18 @@
         streams = self.streams(name=name, boot=boot)
 
         async def run() -> None:
-            role = make(ctx, machine, streams, lambda why: self._halt(name=name, why=why))
+            role = make(ctx, machine, streams, lambda reason: self._halt(name=name, reason=reason))
             if name in self.controllers:
                 role.controller.handover = self.handover
             self.roles[name] = role
             result = await role.start()
             if result.is_error():
-                self._halt(name=name, why=result.error.reason)
+                self._halt(name=name, reason=result.error.reason)
 
         self.wires.run_at(boot=boot, work=run())
 
-    def _halt(self, *, name: str, why: str) -> None:
-        self.halted[name] = why
+    def _halt(self, *, name: str, reason: str) -> None:
+        self.halted[name] = reason
         self.kill(name=name)
 
     def _end(self, *, name: str, dark: bool) -> None:
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -62,8 +62,8 @@
 def send_again() -> Patches:
     """A write whose answer was lost is sent again."""
 
-    def unknown(self: Any, *, why: str) -> Any:
-        return CinderstairError(code=ErrorCode.NO_BACKEND, reason=why)
+    def unknown(self: Any, *, reason: str) -> Any:
+        return CinderstairError(code=ErrorCode.NO_BACKEND, reason=reason)
 
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
@@ -71,8 +71,8 @@
 def say_nothing_kept() -> Patches:
     """An unknown outcome is told as if nothing had been kept."""
 
-    def unknown(self: Any, *, why: str) -> Any:
-        return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=why)
+    def unknown(self: Any, *, reason: str) -> Any:
+        return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -159,7 +159,7 @@
             if request.line not in self.lines:
                 # why: a server takes so many connections and no more
                 if len(self.lines) >= self.cap:
-                    return self._no(reason="full", why="no connection left")
+                    return self._no(reason="full", message="no connection left")
                 self.lines.add(request.line)
                 self.most_lines = max(self.most_lines, len(self.lines))
         if request.path == "/run":
@@ -184,8 +184,8 @@
             return json_response(status=200, value=value)
         return json_response(status=404, value={"ok": False})
 
-    def _no(self, *, reason: str, why: str) -> HttpResponse:
-        value = {"ok": False, "reason": reason, "why": why, "term": self.term, "position": self.applied}
+    def _no(self, *, reason: str, message: str) -> HttpResponse:
+        value = {"ok": False, "reason": reason, "why": message, "term": self.term, "position": self.applied}
         return json_response(status=409, value=value)
 
     def _yes(self, *, rows: list[Any], position: int, wrote: bool) -> HttpResponse:
@@ -214,16 +214,16 @@
         primary = kind in ("write", "primary") or step != "alone"
         if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", why="does not lead in this term")
+            return self._no(reason="notLeading", message="does not lead in this term")
         if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", why="follows another term")
+            return self._no(reason="term", message="follows another term")
         await self.ctx.sleep(duration_us=self.ctx.rng.randrange(self.service_us // 2, self.service_us * 2))
         if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", why="follows another term")
+            return self._no(reason="term", message="follows another term")
         # why: much may have changed while the statement waited for its turn on the processor
         if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", why="does not lead in this term")
+            return self._no(reason="notLeading", message="does not lead in this term")
         if step == "begin":
             self.open[line] = Open()
             return self._yes(rows=[], position=self.applied, wrote=False)
@@ -233,24 +233,24 @@
         if step == "commit":
             transaction = self.open.pop(line, None)
             if transaction is None:
-                return self._no(reason="noTransaction", why="no transaction on this line")
+                return self._no(reason="noTransaction", message="no transaction on this line")
             return self._commit(writes=transaction.writes, rows=[])
         return self._statement(body=body, line=line, step=step)
 
     def _statement(self, *, body: dict[str, Any], line: Line, step: str) -> HttpResponse:
         transaction = self.open.get(line)
         if step == "in" and transaction is None:
-            return self._no(reason="noTransaction", why="no transaction on this line")
+            return self._no(reason="noTransaction", message="no transaction on this line")
         if step == "alone" and transaction is not None:
             self.mixed += 1
-            return self._no(reason="statement", why="a transaction of another is open on this line")
+            return self._no(reason="statement", message="a transaction of another is open on this line")
         self.ran[sent_as(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])] += 1
         try:
             rows, writes = self._evaluate(body=body, own=transaction)
         except StatementError as error:
-            return self._no(reason="statement", why=str(error))
+            return self._no(reason="statement", message=str(error))
         if writes and body["kind"] != "write" and step == "alone":
-            return self._no(reason="statement", why="this kind only reads")
+            return self._no(reason="statement", message="this kind only reads")
         if transaction is not None:
             transaction.writes += writes
             return self._yes(rows=rows, position=self.applied, wrote=False)
@@ -292,7 +292,7 @@
 
     def _promote(self, *, term: int) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", why="has seen a later term")
+            return self._no(reason="term", message="has seen a later term")
         if not (self.is_primary and term == self.term):
             self.term, self.matched_term, self.is_primary, self.leader = term, term, True, ""
             self._save_meta()
@@ -303,7 +303,7 @@
 
     def _reported(self, *, term: int, leader: str) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", why="has seen a later term")
+            return self._no(reason="term", message="has seen a later term")
         if term > self.term:
             self.term, self.is_primary = term, False
             self._save_meta()
@@ -314,7 +314,7 @@
 
     async def _pull(self, *, body: dict[str, Any]) -> HttpResponse:
         if not self.is_primary or body["term"] != self.term:
-            return self._no(reason="notLeading", why="does not lead in this term")
+            return self._no(reason="notLeading", message="does not lead in this term")
         after = body["after"]
         if after > self.received or (after and self.entries[after - 1].term != body["afterTerm"]):
             return json_response(status=200, value={"ok": True, "mismatch": True, "term": self.term})
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -188,8 +188,8 @@
             self.kill(name=name)
 
     def _halter(self, *, name: str) -> Callable[[str], None]:
-        def halt(why: str) -> None:
-            self.halted[name] = why
+        def halt(reason: str) -> None:
+            self.halted[name] = reason
             self.kill(name=name)
 
         return halt
