--- a/features/platform/adapter/control_api.feature
+++ b/features/platform/adapter/control_api.feature
@@ -12,7 +12,7 @@
     And the last heartbeat has number 6
     And the last heartbeat has state ready
     And the last heartbeat has is_primary False
-    And the last heartbeat has room 3
+    And the last heartbeat has capacity 3
 
   Scenario Outline: What a heartbeat may say
     When a backend sends a heartbeat with <field> as <value>
@@ -21,12 +21,12 @@
     And every heartbeat received can be written as a record
 
     Examples:
-      | field     | value      | kept  | as       |
-      | standing  | "emptying" | state | emptying |
+      | field     | value      | kept       | as       |
+      | standing  | "emptying" | state      | emptying |
       | db_role   | "primary"  | is_primary | True     |
-      | call_room | missing    | room  | 0        |
-      | revision  | missing    | name  | srv-1      |
-      | new       | {"a": 1}   | name  | srv-1      |
+      | call_room | missing    | capacity   | 0        |
+      | revision  | missing    | name       | srv-1    |
+      | new       | {"a": 1}   | name       | srv-1    |
 
   Scenario: A heartbeat from another zone is redirected to a closer address
     When a backend sends a heartbeat with zone as "yard-b"
--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -21,13 +21,13 @@
 
 @given("a window from {starts:d} to {ends:d}")
 def given_window(context: Any, starts: int, ends: int) -> None:
-    context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=compile_selector(text="has x").ok)
+    context.window = Window(name="w", starts_us=starts, ends_us=ends, drained=compile_selector(text="has x").ok)
     context.states = WindowStates()
 
 
 @when("its times become {starts:d} to {ends:d}")
 def when_times(context: Any, starts: int, ends: int) -> None:
-    context.window = Window(name="w", starts_us=starts, ends_us=ends, empties=context.window.empties)
+    context.window = Window(name="w", starts_us=starts, ends_us=ends, drained=context.window.drained)
 
 
 @when("it is advanced at the times {times}")
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -302,7 +302,7 @@
         "zone": each.site,
         "standing": each.state,
         "primary": each.is_primary,
-        "call_room": each.room,
+        "call_room": each.capacity,
     }
 
 
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -51,7 +51,7 @@
     assert (await register.read(key="plan")).ok.value == b"value"
     assert (await register.vector()).is_ok()
     assert (await register.vector()).is_ok()
-    assert await lease.seek()
+    assert await lease.try_acquire()
     await lease.drop()
 
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -91,7 +91,7 @@
         site="near",
         state=state,
         is_primary=is_primary,
-        room=12,
+        capacity=12,
     )
 
 
@@ -174,7 +174,7 @@
         following=ShardMap(version=2, placements={"orders": "beta", "reports": "beta"}, agree_percent=75),
         ready_in_us=900_000,
         proposal=3,
-        under_way_us=2_900_000,
+        in_flight_us=2_900_000,
         reason="too few agreed",
     )
 
@@ -209,7 +209,7 @@
         source=0x1234,
         revision=18,
         age_us=150_000,
-        whole=True,
+        full=True,
         values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
         backends=(RelayedBackend(announcement=announcement(state=READY, is_primary=True), silent=True),),
         controllers=("10.1.0.1:7100", "10.1.0.2:7100"),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -61,7 +61,7 @@
         site=text(rng),
         state=rng.choice(STATES),
         is_primary=rng.random() < 0.5,
-        room=u32(rng),
+        capacity=u32(rng),
     )
 
 
@@ -127,7 +127,7 @@
         source=u64(rng),
         revision=u64(rng),
         age_us=u64(rng),
-        whole=rng.random() < 0.5,
+        full=rng.random() < 0.5,
         values=tuple(
             RelayedValue(key=text(rng), ballot=Ballot(u64(rng), u64(rng)), value=rng.randbytes(rng.randrange(50)))
             for _ in range(rng.randrange(4))
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -133,7 +133,7 @@
 
 async def seek_on(*, lease: Lease) -> None:
     while True:
-        await lease.seek()
+        await lease.try_acquire()
         await lease.ctx.sleep(duration_us=400_000)
 
 
@@ -250,9 +250,9 @@
     world.advance(for_us=5_000_000)
     request = first.ctx.net.request
     late = held_back(register=first, test=is_return)
-    assert world.run(work=context.leases[0].seek())
+    assert world.run(work=context.leases[0].try_acquire())
     world.run(work=context.leases[0].drop())
-    world.run(work=context.leases[0].seek())
+    world.run(work=context.leases[0].try_acquire())
     assert len(late) >= 5
     for address, body in list(late):
         world.run(work=request(address=address, body=body, wait_us=500_000))
@@ -260,7 +260,7 @@
 
 @then("one holds it, and not both, when the other has sought it too")
 def then_alone_still(context: Any) -> None:
-    context.world.run(work=context.leases[1].seek())
+    context.world.run(work=context.leases[1].try_acquire())
     assert sum(lease.held for lease in context.leases) == 1
 
 
@@ -272,7 +272,7 @@
     context.lease = Lease(ctx=register.ctx, register=register, name="lease")
 
     async def both() -> None:
-        await asyncio.gather(context.lease.seek(), context.lease.drop())
+        await asyncio.gather(context.lease.try_acquire(), context.lease.drop())
 
     world.run(work=both())
 
@@ -293,7 +293,7 @@
         return answers
 
     register.poll = polled
-    world.run(work=context.lease.seek())
+    world.run(work=context.lease.try_acquire())
 
 
 @then("it is not held")
@@ -311,7 +311,7 @@
     context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (holder, seeker)]
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
-    assert world.run(work=context.leases[0].seek())
+    assert world.run(work=context.leases[0].try_acquire())
     # a register replica that is up would take its place again at once
     for name in ("vault-0", "vault-1"):
         world.kill(name=name)
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -102,7 +102,7 @@
 def then_relay_tells(context: Any, what: str, values: str, backends: str, controllers: str) -> None:
     answer = ask_relay(context=context)
     found = (
-        "all" if answer.whole else "changes",
+        "all" if answer.full else "changes",
         " ".join(sorted(f"{each.key}={each.value.decode()}" for each in answer.values)) or "none",
         " ".join(
             sorted(
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -228,7 +228,7 @@
     value = RelayedValue(
         key=service_primary_key(service="s"), ballot=Ballot(reported.revision, 1), value=assignment.bytes()
     )
-    return RelayAnswer(source=1, revision=reported.revision, age_us=0, whole=False, values=(value,))
+    return RelayAnswer(source=1, revision=reported.revision, age_us=0, full=False, values=(value,))
 
 
 @when("the proxy has been out of touch for {wait_ms:d} ms")
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -72,7 +72,7 @@
             following=made_up(rng=rng),
             ready_in_us=rng.randrange(2**40),
             proposal=rng.randrange(2**40),
-            under_way_us=rng.randrange(2**40),
+            in_flight_us=rng.randrange(2**40),
             reason=rng.choice(("", "too few agree")),
         )
         for _ in range(count)
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -225,7 +225,7 @@
         return sum(not future.done() for future in self.owed)
 
     @property
-    def owed_us(self) -> int:
+    def oldest_wait_us(self) -> int:
         """Counted from the sending of the oldest that is not answered."""
         now = asyncio.get_running_loop().time()
         since = [at for future, at in zip(self.owed, self.sent_at, strict=True) if not future.done()]
@@ -409,7 +409,7 @@
             source=1,
             revision=self.revision,
             age_us=0,
-            whole=False,
+            full=False,
             values=tuple(entries),
             backends=tuple(RelayedBackend(announcement=each, silent=quiet) for each in backends),
         )
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -35,18 +35,18 @@
         question = read_relay_question(unpacker=Unpacker(data=body[1:]))
         if question.brief:
             return RelayAnswer(
-                source=self.number, revision=self.revision, age_us=self.age_us, whole=False, site=self.site
+                source=self.number, revision=self.revision, age_us=self.age_us, full=False, site=self.site
             ).bytes()
         self.requested.append(question.revision if question.source == self.number else 0)
-        whole = question.source != self.number
+        full = question.source != self.number
         if self.noise:
             return b"\xff" * 40
         return RelayAnswer(
             source=self.number,
             revision=self.revision,
             age_us=self.age_us,
-            whole=whole,
-            values=self.values if whole or question.revision < self.revision else (),
+            full=full,
+            values=self.values if full or question.revision < self.revision else (),
             controllers=("g1", "g2"),
         ).bytes()
 
--- a/src/cinderstair/config/check.py
+++ b/src/cinderstair/config/check.py
@@ -171,7 +171,7 @@
         return None
     if ends.ok <= starts.ok:
         errors.append(f"{path}/ends: not after its start")
-    return Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, empties=selector.ok)
+    return Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, drained=selector.ok)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -184,7 +184,7 @@
 
 def _used_selectors(*, configuration: Configuration) -> list[_UsedSelector]:
     return [
-        *(_UsedSelector(user=f"window {window.name}", selector=window.empties) for window in configuration.windows),
+        *(_UsedSelector(user=f"window {window.name}", selector=window.drained) for window in configuration.windows),
         *(
             _UsedSelector(user=f"language line {route.line}", selector=route.where)
             for route in configuration.program.routes
--- a/src/cinderstair/config/window.py
+++ b/src/cinderstair/config/window.py
@@ -14,12 +14,13 @@
 
     :ivar starts_us: the first moment, in microseconds since 1970
     :ivar ends_us: the first moment after the window, likewise
+    :ivar drained: selects what must be drained
     """
 
     name: str
     starts_us: int
     ends_us: int
-    empties: Selector
+    drained: Selector
 
     def open_at(self, *, wall_us: int) -> bool:
         """Whether a calendar time, in microseconds since 1970, lies within the window."""
--- a/src/cinderstair/consensus/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -95,7 +95,7 @@
         holder, self.holder = self.holder, self.holder + 1
         await self._request(holder=holder, length_us=0)
 
-    async def seek(self) -> bool:
+    async def try_acquire(self) -> bool:
         """Takes or renews the lease; whether it is held then."""
         start_us, holder = self.ctx.now_us(), self.holder
         poll = await self._request(holder=holder, length_us=LENGTH_US)
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -163,7 +163,7 @@
             planned=self._planned_service,
             handover=self.handover,
             lease_us=self.proxy_lease_us,
-            under_way_us=self.settings.in_flight_us,
+            in_flight_us=self.settings.in_flight_us,
         )
 
     def _start_backend_registry(self) -> None:
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -42,7 +42,7 @@
     async def _on_timer(self) -> None:
         if self.lease.due:
             held = self.lease.held
-            if await self.lease.seek() and not held:
+            if await self.lease.try_acquire() and not held:
                 self.held_since_us = self.ctx.now_us()
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -119,7 +119,7 @@
         if question.brief:
             # a proxy that looks for the nearest controller asks them all, and becomes a user of only one
             return RelayAnswer(
-                source=self.source, revision=self.revision, age_us=self._age_us(), whole=False, site=self.ctx.site
+                source=self.source, revision=self.revision, age_us=self._age_us(), full=False, site=self.ctx.site
             ).bytes()
         self._take_question(question=question)
         return self._changes_for(question=question).bytes()
@@ -136,21 +136,21 @@
 
     def _changes_for(self, *, question: RelayQuestion) -> RelayAnswer:
         same_source = question.source == self.source
-        whole = not same_source or question.revision > self.revision
-        since = 0 if whole else question.revision
-        self.ctx.counters.add(name="relay.whole" if whole else "relay.changes")
+        full = not same_source or question.revision > self.revision
+        since = 0 if full else question.revision
+        self.ctx.counters.add(name="relay.whole" if full else "relay.changes")
         return RelayAnswer(
             source=self.source,
             revision=self.revision,
             age_us=self._age_us(),
-            whole=whole,
+            full=full,
             values=tuple(
                 self._value(key=key, found=found)
                 for key, found in self.view.known.items()
-                if whole or self.value_revisions.get(key, 0) > since
+                if full or self.value_revisions.get(key, 0) > since
             ),
             backends=tuple(entry.backend for entry in self.backends.values() if entry.revision > since),
-            controllers=self.relayed_controllers if whole or self.controllers_revision > since else (),
+            controllers=self.relayed_controllers if full or self.controllers_revision > since else (),
             answered_us=self.ctx.now_us(),
             samples=self.position_samples.newer_than(wanted=question.wanted, same_source=same_source),
             ask=self.position_samples.assign_asks(wanted=question.wanted),
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -21,8 +21,8 @@
 from .shard_progress import ShardProgress
 from .shard_state import (
     GIVE_UP_US,
+    IN_FLIGHT_US,
     SHARDS_KEY,
-    UNDER_WAY_US,
     UNNOTIFIED_GRACE_US,
     ShardPhase,
     ShardState,
@@ -71,13 +71,13 @@
         planned: PlannedService,
         handover: Handover | None,
         lease_us: int,
-        under_way_us: int = UNDER_WAY_US,
+        in_flight_us: int = IN_FLIGHT_US,
     ) -> None:
         """:param all_controllers_notified: whether every other control daemon knows a state, and has since named the
             proxies that it sees; before that one of them may tell a proxy of an older state.
         :param handover: None where nothing copies data; then no map is accepted.
         :param lease_us: for how long a proxy's view of the register is current, in microseconds.
-        :param under_way_us: see `ShardState`.
+        :param in_flight_us: see `ShardState`.
         """
         self.ctx = ctx
         self.register = register
@@ -87,7 +87,7 @@
         self.planned = planned
         self.handover = handover
         self.lease_us = lease_us
-        self.under_way_us = under_way_us
+        self.in_flight_us = in_flight_us
         self.lease = Lease(ctx=ctx, register=register, name=SHARD_MAP_LEASE, seekers=lambda: CONTROL_DAEMONS)
         self.state = ShardState()
         # when the state was seen first, or the role was gained
@@ -118,7 +118,7 @@
             reason = "nothing here brings a database's data to another place"
             return Error(CinderstairError(code=ErrorCode.ROUTE_DENIED, reason=reason))
         return await self._transition(
-            decide=lambda state: proposed(state=state, wanted=wanted, under_way_us=self.under_way_us)
+            decide=lambda state: proposed(state=state, wanted=wanted, in_flight_us=self.in_flight_us)
         )
 
     async def abandon(self, *, version: int) -> Result[None, CinderstairError]:
@@ -155,7 +155,7 @@
     async def forecast(self) -> ShardForecast:
         """How long the next change will keep writes waiting."""
         progress = await self.progress()
-        expiry_us = self._expiry_us(under_way_us=self.under_way_us)
+        expiry_us = self._expiry_us(in_flight_us=self.in_flight_us)
         return forecast(
             proxies=progress.participants,
             silent=progress.silent,
@@ -217,12 +217,12 @@
     @property
     def expiry_us(self) -> int:
         """After so long nothing that was sent under an older state takes effect any more, whoever sent it."""
-        return self._expiry_us(under_way_us=self.state.under_way_us)
+        return self._expiry_us(in_flight_us=self.state.in_flight_us)
 
-    def _expiry_us(self, *, under_way_us: int) -> int:
+    def _expiry_us(self, *, in_flight_us: int) -> int:
         # The view's lease, a tenth for clocks that run apart, the proxy's giving up, and what is still under way to
         # a backend.
-        return self.lease_us + self.lease_us // 10 + GIVE_UP_US + under_way_us
+        return self.lease_us + self.lease_us // 10 + GIVE_UP_US + in_flight_us
 
     def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
         return ShardVotes(proxies=proxies, proposal=self.state.proposal, now_us=self.ctx.now_us())
@@ -257,7 +257,7 @@
         complete = await self._handover_complete(state=state)
         self.handover_us = self.ctx.now_us() - requested_us
         if complete:
-            new = ShardState(current=state.following, proposal=state.proposal, under_way_us=state.under_way_us)
+            new = ShardState(current=state.following, proposal=state.proposal, in_flight_us=state.in_flight_us)
             if await self._compare_and_set(old=state, new=new):
                 self.closing_us = self.ctx.now_us() - began_us
                 self.ctx.counters.add(name="shards.moved")
@@ -301,6 +301,6 @@
         )
         self.ctx.counters.add(name="shards.withdrawn")
         steady = ShardState(
-            current=state.current, proposal=state.proposal, under_way_us=state.under_way_us, reason=reason
+            current=state.current, proposal=state.proposal, in_flight_us=state.in_flight_us, reason=reason
         )
         await self._compare_and_set(old=state, new=steady)
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -15,7 +15,7 @@
 # adds it.
 GIVE_UP_US = 500_000
 # The usual value of `ShardState.under_way_us`.
-UNDER_WAY_US = 3_000_000
+IN_FLIGHT_US = 3_000_000
 
 
 class ShardPhase(IntEnum):
@@ -47,7 +47,7 @@
     :param following: the map that is to follow; the empty one while steady.
     :param ready_in_us: an estimate of how long the closing phase takes, for clients; 0 in other phases.
     :param proposal: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
-    :param under_way_us: for how long a write that has left may still take effect after its connection was lost. It is
+    :param in_flight_us: for how long a write that has left may still take effect after its connection was lost. It is
         part of the state, so that all reckon with the same figure.
     :param reason: what became of the last proposal, where it was withdrawn; else empty.
     """
@@ -57,7 +57,7 @@
     following: ShardMap = field(default_factory=ShardMap)
     ready_in_us: int = 0
     proposal: int = 0
-    under_way_us: int = UNDER_WAY_US
+    in_flight_us: int = IN_FLIGHT_US
     reason: str = ""
 
     def moving(self, *, database: str) -> bool:
@@ -71,7 +71,7 @@
         packer = Packer().u8(value=self.phase)
         self.current.write(packer=packer)
         self.following.write(packer=packer)
-        packer.u64(value=self.ready_in_us).u64(value=self.proposal).u64(value=self.under_way_us)
+        packer.u64(value=self.ready_in_us).u64(value=self.proposal).u64(value=self.in_flight_us)
         return packer.text(value=self.reason).bytes()
 
 
@@ -88,7 +88,7 @@
         following=following,
         ready_in_us=unpacker.u64(),
         proposal=unpacker.u64(),
-        under_way_us=unpacker.u64(),
+        in_flight_us=unpacker.u64(),
         reason=unpacker.text(),
     )
     unpacker.done()
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -14,7 +14,7 @@
 ABANDONED = "abandoned by an operator"
 
 
-def proposed(*, state: ShardState, wanted: ShardMap, under_way_us: int) -> Result[ShardState, CinderstairError]:
+def proposed(*, state: ShardState, wanted: ShardMap, in_flight_us: int) -> Result[ShardState, CinderstairError]:
     """The state in which `wanted` is proposed. The same map may be proposed again, after an unclear answer.
 
     :returns: versionTaken where another change is under way, versionOld where as new a map is in force.
@@ -32,7 +32,7 @@
             current=state.current,
             following=wanted,
             proposal=state.proposal + 1,
-            under_way_us=under_way_us,
+            in_flight_us=in_flight_us,
         )
     )
 
--- a/src/cinderstair/failover/singleton_role.py
+++ b/src/cinderstair/failover/singleton_role.py
@@ -24,7 +24,7 @@
         if not self.lease.due:
             return
         held = self.lease.held
-        if await self.lease.seek() and not held:
+        if await self.lease.try_acquire() and not held:
             self.on_role_gained()
 
     def on_role_gained(self) -> None:
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -32,7 +32,7 @@
         connection_pools: ConnectionPools,
         heartbeat_table: HeartbeatTable,
         samples: Samples,
-        book: CommitWatermarks,
+        commit_watermarks: CommitWatermarks,
         sessions: Sessions,
     ) -> None:
         self.ctx = ctx
@@ -40,7 +40,7 @@
         self.connection_pools = connection_pools
         self.heartbeat_table = heartbeat_table
         self.samples = samples
-        self.book = book
+        self.commit_watermarks = commit_watermarks
         self.sessions = sessions
 
     @property
@@ -140,12 +140,14 @@
             return self._unknown(reason="the primary answered in another term")
         if not reply.wrote:
             # nothing was written, so only what was read must still hold
-            if not self.book.holds(database=database, term=term):
+            if not self.commit_watermarks.holds(database=database, term=term):
                 return self.reject(kind=ErrorCode.NOT_CURRENT, reason="the lead moved meanwhile; nothing was written")
             return self.done(value={"rows": reply.rows})
         wait_us = self.configuration.amount(name="commitWait", database=database)
         until_us = min(request.until_us, self.ctx.now_us() + wait_us)
-        if not await self.book.durable(database=database, term=term, position=reply.position, until_us=until_us):
+        if not await self.commit_watermarks.durable(
+            database=database, term=term, position=reply.position, until_us=until_us
+        ):
             return self._unknown(reason="run, and not known to be held by every replica in sync")
         request.bound.floor = max(request.bound.floor, reply.position)
         self.ctx.counters.add(name="commits.acknowledged")
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -76,7 +76,7 @@
             session=changed, until_us=request.until_us or self.ctx.now_us() + KEEP_WAIT_US
         )
         session.values, session.prepared = values, prepared
-        session.tag, session.was, session.second = changed.tag, changed.was, changed.second
+        session.tag, session.was, session.replica_holder = changed.tag, changed.was, changed.replica_holder
         return self.done(value={"session": session.handle, "stands": 1 + stands})
 
     async def _values(self, *, request: Request) -> HttpResponse:
--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -38,7 +38,9 @@
         if not result.ok.ran:
             return self._rejected(reply=result.ok)
         # the answer counts only if nobody else can have led at the moment at which it ran
-        if result.ok.term != assignment.term or not self.book.holds(database=database, term=assignment.term):
+        if result.ok.term != assignment.term or not self.commit_watermarks.holds(
+            database=database, term=assignment.term
+        ):
             return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the lead moved while the read ran")
         return self.done(value={"rows": result.ok.rows, "position": result.ok.position})
 
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -73,7 +73,7 @@
         return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
     def _holds(self, *, transaction: Transaction) -> bool:
-        return self.connection_pools.reachable(name=transaction.pool.name) and self.book.holds(
+        return self.connection_pools.reachable(name=transaction.pool.name) and self.commit_watermarks.holds(
             database=transaction.database, term=transaction.term
         )
 
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -134,7 +134,7 @@
             if await self._offer(target=target, body=body):
                 self.sessions.open.pop(session.ident, None)
                 self._remember(ident=session.ident, http=target.http)
-                seconds = [m for m in self._targets() if m.name == session.second and m.name != target.name]
+                seconds = [m for m in self._targets() if m.name == session.replica_holder and m.name != target.name]
                 self.session_replicator.forget(session=session, members=seconds, mine=True)
                 self.ctx.counters.add(name="sessions.handed")
                 return
@@ -203,7 +203,7 @@
         # an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
         # nothing that either does can be taken for the other's
         session.was, session.tag = handle.tag, session.next(rng=self.ctx.rng)
-        session.second, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
+        session.replica_holder, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.takenOver")
         self.session_replicator.forget(
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -121,7 +121,7 @@
         self.samples = Samples(
             ctx=ctx, view=self.view, connection_pools=self.connection_pools, reachability=self.reachability
         )
-        self.book = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
+        self.commit_watermarks = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
 
     def _create_singleton_roles(self) -> None:
         """What one proxy at a time does for all, under a lease each."""
@@ -198,7 +198,7 @@
                 connection_pools=self.connection_pools,
                 heartbeat_table=self.heartbeat_table,
                 samples=self.samples,
-                book=self.book,
+                commit_watermarks=self.commit_watermarks,
                 sessions=self.sessions,
             ),
         )
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -43,7 +43,7 @@
     # the tag before the last change: a client whose answer was lost knows this one
     was: Tag = UNMARKED
     # the HTTP proxy that holds the replica; empty where none does
-    second: str = ""
+    replica_holder: str = ""
     # when it was taken over from a replica; 0 where it was not
     taken_us: int = 0
 
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -110,7 +110,7 @@
         for ident, replica in list(self.held.items()):
             if now_us - self.seen_us.get(replica.owner, 0) > ORPHAN_US:
                 del self.held[ident]
-                replica.session.second = ""
+                replica.session.replica_holder = ""
                 self.sessions.open.setdefault(ident, replica.session)
                 self.ctx.counters.add(name="sessions.adopted")
 
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -71,7 +71,7 @@
         if first:
             offset = zlib.crc32(session.ident.encode()) % len(first)
             members = [*first[offset:], *first[:offset], *members[SECONDARIES:]]
-        return sorted(members, key=lambda member: member.name != session.second)
+        return sorted(members, key=lambda member: member.name != session.replica_holder)
 
     async def keep(self, *, session: Session, until_us: int) -> bool:
         """Replicates a session; whether a second HTTP proxy now holds it."""
@@ -80,9 +80,9 @@
             if wait_us <= 0:
                 break
             if await self._replica(session=session, member=member, wait_us=wait_us):
-                session.second = member.name
+                session.replica_holder = member.name
                 return True
-        session.second = ""
+        session.replica_holder = ""
         return False
 
     async def _replica(self, *, session: Session, member: Member, wait_us: int) -> bool:
@@ -120,28 +120,31 @@
 
     def _gone(self, *, session: Session) -> None:
         self.forget(
-            session=session, members=[m for m in self.membership.alive(role="stall") if m.name == session.second]
+            session=session,
+            members=[m for m in self.membership.alive(role="stall") if m.name == session.replica_holder],
         )
 
     @property
     def alone(self) -> int:
         """How many sessions stand on this HTTP proxy only."""
-        return sum(not session.second for session in self.sessions.open.values())
+        return sum(not session.replica_holder for session in self.sessions.open.values())
 
     async def _touch(self) -> None:
         """Asks each second HTTP proxy whether it still has what it should, and copies anew what is nowhere else."""
         members = {member.name: member for member in self._secondaries()}
         by: dict[str, list[Session]] = {name: [] for name in members}
         for session in self.sessions.open.values():
-            if session.second in by:
-                by[session.second].append(session)
+            if session.replica_holder in by:
+                by[session.replica_holder].append(session)
             else:
-                session.second = ""
+                session.replica_holder = ""
         # one that has no session of ours any more must hear that once, or it would keep its copies
         self.touched &= set(members)
         requested = [name for name, sessions in by.items() if sessions or name in self.touched]
         await asyncio.gather(*(self._ask(member=members[name], sessions=by[name]) for name in requested))
-        alone = [session for session in self.sessions.open.values() if not session.second and not session.busy]
+        alone = [
+            session for session in self.sessions.open.values() if not session.replica_holder and not session.busy
+        ]
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
         # at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
         if members:
@@ -170,5 +173,5 @@
             self.ctx.counters.add(name="records.malformed")
             return
         for session in sessions:
-            if (leaving or session.ident in lacking) and session.second == member.name:
-                session.second = ""
+            if (leaving or session.ident in lacking) and session.replica_holder == member.name:
+                session.replica_holder = ""
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -98,7 +98,7 @@
             ]
             windows[window.name] = {
                 "stage": self.view.window_states.stage(window=window).name,
-                "empties": window.empties.text,
+                "empties": window.drained.text,
                 "backends": mine,
                 "stalls": [name for name, ws in leaving.http_proxies.items() if window.name in ws],
                 "left": left,
--- a/src/cinderstair/maintenance/drain_targets.py
+++ b/src/cinderstair/maintenance/drain_targets.py
@@ -41,7 +41,7 @@
     """The windows that select each name; names that none selects are left out."""
     selected: dict[str, tuple[str, ...]] = {}
     for name, labels in labels_by_name.items():
-        names = tuple(window.name for window in windows if window.empties.matches(labels=labels))
+        names = tuple(window.name for window in windows if window.drained.matches(labels=labels))
         if names:
             selected[name] = names
     return selected
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -14,7 +14,7 @@
 class Announcement:
     """One heartbeat; `number` orders the announcements of one backend.
 
-    `is_primary` says whether the backend takes itself for its service's primary. `room` is how many calls it has
+    `is_primary` says whether the backend takes itself for its service's primary. `capacity` is how many calls it has
     room for, 0 where it does not say.
     """
 
@@ -25,7 +25,7 @@
     site: str
     state: str
     is_primary: bool
-    room: int = 0
+    capacity: int = 0
 
     @property
     def order(self) -> HeartbeatOrder:
@@ -37,7 +37,7 @@
         """Appends the record's fields in their order on the wire."""
         packer.text(value=self.name).u64(value=self.number).text(value=self.service).text(value=self.address)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.is_primary))
-        packer.u32(value=self.room)
+        packer.u32(value=self.capacity)
 
 
 def read_announcement(*, unpacker: Unpacker) -> Announcement:
@@ -55,5 +55,5 @@
         site=site,
         state=STATES[state],
         is_primary=bool(is_primary),
-        room=unpacker.u32(),
+        capacity=unpacker.u32(),
     )
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -108,7 +108,7 @@
     """A controller's answer.
 
     `age_us` is how old the controller's own knowledge of the register is, and `answered_us` is the time of the
-    answer, both by the controller's clock. A `whole` answer replaces all that the proxy has; others add to it.
+    answer, both by the controller's clock. A `full` answer replaces all that the proxy has; others add to it.
     `ask` names the services whose primaries the proxy is to ask for their positions. `site` is the controller's, in
     answers to brief questions; empty in all others.
     """
@@ -116,7 +116,7 @@
     source: int
     revision: int
     age_us: int
-    whole: bool
+    full: bool
     values: tuple[RelayedValue, ...] = ()
     backends: tuple[RelayedBackend, ...] = ()
     controllers: tuple[str, ...] = ()
@@ -128,7 +128,7 @@
     def bytes(self) -> bytes:
         """The answer as it stands on the wire."""
         packer = Packer().u64(value=self.source).u64(value=self.revision).u64(value=self.age_us)
-        packer.u8(value=int(self.whole))
+        packer.u8(value=int(self.full))
         packer.many(values=self.values, each=lambda p, entry: entry.write(packer=p))
         packer.many(values=self.backends, each=lambda p, entry: entry.write(packer=p))
         packer.many(values=self.controllers, each=lambda p, address: p.text(value=address))
@@ -146,7 +146,7 @@
         source=unpacker.u64(),
         revision=unpacker.u64(),
         age_us=unpacker.u64(),
-        whole=bool(unpacker.u8()),
+        full=bool(unpacker.u8()),
         values=tuple(unpacker.many(each=read_relayed_value)),
         backends=tuple(unpacker.many(each=read_relayed_backend)),
         controllers=tuple(unpacker.many(each=lambda u: u.text())),
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -44,7 +44,7 @@
         return len(self.sent_us)
 
     @property
-    def owed_us(self) -> int:
+    def oldest_wait_us(self) -> int:
         """See `Link`."""
         return self.forwarder.ctx.now_us() - min(self.sent_us.values()) if self.sent_us else 0
 
--- a/src/cinderstair/pooler/link.py
+++ b/src/cinderstair/pooler/link.py
@@ -38,7 +38,7 @@
         ...
 
     @property
-    def owed_us(self) -> int:
+    def oldest_wait_us(self) -> int:
         """For how long the oldest of them has waited, in microseconds; 0 where none does."""
         ...
 
--- a/src/cinderstair/pooler/link_dialing.py
+++ b/src/cinderstair/pooler/link_dialing.py
@@ -57,7 +57,7 @@
         """
         own = (each.link for each in self.borrowed.values() if id(each.link) not in self.forwarded)
         unheard_us = self.ctx.now_us() - self.last_answer_us
-        return unheard_us > SILENCE_US and any(link.owed_us > SILENCE_US for link in own)
+        return unheard_us > SILENCE_US and any(link.oldest_wait_us > SILENCE_US for link in own)
 
     # -- dialing --
 
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -55,17 +55,17 @@
         """
         if answer.controllers:
             self.controllers = answer.controllers
-        if answer.whole:
+        if answer.full:
             self._drop_lost_backends(answer=answer)
         self._take_backends(entries=answer.backends)
         for value in answer.values:
             self._take_value(entry=value)
         self.source, self.revision = answer.source, answer.revision
-        if answer.backends or answer.whole:
+        if answer.backends or answer.full:
             self.changes.on_next(BACKENDS_CHANGE)
 
     def _drop_lost_backends(self, *, answer: RelayAnswer) -> None:
-        """Drops silent backends that a whole answer does not name.
+        """Drops silent backends that a full answer does not name.
 
         A controller that has just started knows few of the backends, so others are kept.
         """
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -175,18 +175,18 @@
 
     # -- pulling --
 
-    def _question(self, *, whole: bool) -> RelayQuestion:
+    def _question(self, *, full: bool) -> RelayQuestion:
         proposal, vote = self.vote()
         return RelayQuestion(
             proxy=self.ctx.name,
             site=self.site,
-            source=0 if whole else self.source,
-            revision=0 if whole else self.revision,
+            source=0 if full else self.source,
+            revision=0 if full else self.revision,
             suspected=self.troubled(),
             proposal=proposal,
             vote=vote,
-            samples=() if whole else self.samples.reported(source=self.source),
-            wanted=() if whole else self.samples.wants(),
+            samples=() if full else self.samples.reported(source=self.source),
+            wanted=() if full else self.samples.wants(),
         )
 
     async def _ask(self, *, address: str, question: RelayQuestion) -> Result[TimedAnswer, CinderstairError]:
@@ -213,7 +213,7 @@
             self._choice_interval_us = MIN_CHOICE_INTERVAL_US
             self._choose_from_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
         # Each controller counts revisions for itself, so another one is asked for everything.
-        result = await self._ask(address=address, question=self._question(whole=changes))
+        result = await self._ask(address=address, question=self._question(full=changes))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
             self._avoid(address=address, for_us=UNANSWERED_AVOID_US)
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -103,7 +103,7 @@
 
     def _busy(self) -> bool:
         """Whether anything may still take effect at the moving databases' old services."""
-        moving, within_us = self._moving(), self.view.shards.under_way_us
+        moving, within_us = self._moving(), self.view.shards.in_flight_us
         if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
             return True
         return self.ctx.now_us() - self.changed_us < DRAIN_US and self.open_(moving)
--- a/src/cinderstair/simulation/capacity/hollow_link.py
+++ b/src/cinderstair/simulation/capacity/hollow_link.py
@@ -38,7 +38,7 @@
         return 0
 
     @property
-    def owed_us(self) -> int:
+    def oldest_wait_us(self) -> int:
         return 0
 
     def _answered(self, *, rows: list[bytes]) -> asyncio.Future[Reply]:
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -51,7 +51,7 @@
             site=zone_of(number=database + 3 * number),
             state="ready",
             is_primary=number == 0,
-            room=100,
+            capacity=100,
         )
         for database in range(databases)
         for number, replica in enumerate(REPLICAS)
@@ -77,7 +77,7 @@
         source=1,
         revision=1,
         age_us=0,
-        whole=True,
+        full=True,
         values=(plan, *assignments, slots),
         backends=tuple(
             RelayedBackend(announcement=each, silent=False) for each in announcements_of(databases=databases)
--- a/src/cinderstair/simulation/explorer/lease_model.py
+++ b/src/cinderstair/simulation/explorer/lease_model.py
@@ -10,7 +10,7 @@
 from .recipe import Recipe
 from .register_model import founded, voter_of
 from .replica_actor import ReplicaActor, files_of
-from .seeker_actor import SeekerActor, drop, seek
+from .seeker_actor import SeekerActor, drop, try_acquire
 from .world_state import Budget
 
 # why: together they run apart by a tenth, just less than the margin of 0.3 s in 3 s allows
@@ -26,8 +26,8 @@
     turns = 2
     seeds = ("a:1", "b:1", "c:1")
     ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("seek", seek), ("drop", drop), ("seek again", seek), ("renew", seek)),
-        (("seek", seek), ("seek again", seek)),
+        (("seek", try_acquire), ("drop", drop), ("seek again", try_acquire), ("renew", try_acquire)),
+        (("seek", try_acquire), ("seek again", try_acquire)),
     )
 
     def recipes(self) -> Sequence[Recipe]:
--- a/src/cinderstair/simulation/explorer/lease_roster_model.py
+++ b/src/cinderstair/simulation/explorer/lease_roster_model.py
@@ -9,7 +9,7 @@
 from .register_model import founded, voter_of
 from .replica_actor import ReplicaActor, files_of
 from .roster_model import leave, replace
-from .seeker_actor import SeekerActor, seek
+from .seeker_actor import SeekerActor, try_acquire
 from .world_state import Budget
 
 
@@ -25,10 +25,10 @@
     depth = 400
     turns = 2
     ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("seek", seek),),
+        (("seek", try_acquire),),
         (("strike off b", leave(name="b")),),
         (("replace c by d", replace(leaves="c", enters=voter_of(name="d"))),),
-        (("seek", seek), ("seek again", seek), ("seek once more", seek)),
+        (("seek", try_acquire), ("seek again", try_acquire), ("seek once more", try_acquire)),
     )
 
     def recipes(self) -> Sequence[Recipe]:
--- a/src/cinderstair/simulation/explorer/seeker_actor.py
+++ b/src/cinderstair/simulation/explorer/seeker_actor.py
@@ -33,9 +33,9 @@
         return self.lease.held
 
 
-async def seek(actor: ClientActor) -> Outcome:
+async def try_acquire(actor: ClientActor) -> Outcome:
     assert isinstance(actor, SeekerActor)
-    return ("held" if await actor.lease.seek() else "not held",)
+    return ("held" if await actor.lease.try_acquire() else "not held",)
 
 
 async def drop(actor: ClientActor) -> Outcome:
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -287,7 +287,7 @@
     """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
 
     async def keep(self: Any, *, session: Any, until_us: int) -> bool:
-        session.second = "nobody"
+        session.replica_holder = "nobody"
         return True
 
     return [patch.object(SessionReplicator, "keep", keep)]
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -204,7 +204,7 @@
         thing = self.things.get(name)
         # why: a planned stop ends in a kill as well, after which nobody may miss anything
         if isinstance(thing, HttpProxy):
-            self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.second}
+            self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.replica_holder}
         if not boot.dead and name not in self.stopping:
             self.strikes.append((name, self.now_us, self.now_us))
         self.stopping.discard(name)
