--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -104,42 +104,42 @@
 
 def first_values() -> dict[str, bytes]:
     """What the register holds under the first roster, by key."""
-    lead = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, turn=1)
+    assignment = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, revision=1)
     return {
         ROSTER_KEY: roster(epoch=1).bytes(),
         PLAN_KEY: plan(version=1).bytes(),
-        service_primary_key(service="alpha"): lead.bytes(),
+        service_primary_key(service="alpha"): assignment.bytes(),
         PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"),)).bytes(),
     }
 
 
 def later_values() -> dict[str, bytes]:
     """What is written under the second roster, by key."""
-    lead = ServicePrimary(
+    assignment = ServicePrimary(
         term=2,
         primary="db-2",
         state=PrimaryState.moving,
         fence=Position(1, 4_096),
         ready_in_us=700_000,
         planned=True,
-        turn=2,
+        revision=2,
     )
-    places = {
+    proxy_addresses = {
         "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
         "pooler-2": ProxyAddress(site="far"),
     }
     shards = ShardState(
         phase=ShardPhase.proposed,
-        current=ShardMap(version=1, places={"orders": "alpha"}),
-        following=ShardMap(version=2, places={"orders": "beta"}, agree_percent=75),
+        current=ShardMap(version=1, placements={"orders": "alpha"}),
+        following=ShardMap(version=2, placements={"orders": "beta"}, agree_percent=75),
         ready_in_us=900_000,
-        turn=3,
-        why="too few agreed",
+        proposal=3,
+        reason="too few agreed",
     )
     return {
-        service_primary_key(service="alpha"): lead.bytes(),
+        service_primary_key(service="alpha"): assignment.bytes(),
         PROXY_IDS_KEY: ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(1, "pooler-2"))).bytes(),
-        PROXY_ADDRESSES_KEY: ProxyAddresses(places=places).bytes(),
+        PROXY_ADDRESSES_KEY: ProxyAddresses(addresses=proxy_addresses).bytes(),
         SHARDS_KEY: shards.bytes(),
     }
 
@@ -151,7 +151,7 @@
         self.stage = Stage(context=context)
         self.stage.ctx.disk = disk
         self.disk = disk
-        self.turn = 0
+        self.round = 0
         self.epoch = 0
         self.acceptor: Acceptor | None = None
 
@@ -162,7 +162,7 @@
         if fresh:
             store.state.ident = IDENTITY
             store.save(entries=[ident_entry(ident=IDENTITY)])
-        self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda why: None)
+        self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda reason: None)
 
     def _head(self, *, key: str, ballot: Ballot) -> Packer:
         packer = Packer().u32(value=self.epoch).text(value=key)
@@ -179,8 +179,8 @@
     async def promise(self, *, key: str) -> Ballot:
         """Has it promise the next ballot for a key."""
         assert self.acceptor is not None
-        self.turn += 1
-        ballot = Ballot(self.turn, PROPOSER)
+        self.round += 1
+        ballot = Ballot(self.round, PROPOSER)
         data = self._head(key=key, ballot=ballot).bytes()
         answer = await self.acceptor.prepare(Unpacker(data=data))
         assert answer[0] == 0, answer
@@ -282,8 +282,8 @@
     """A replica's state in the plain form that is kept beside the files."""
     cells = {
         key: {
-            "promise": [f"{number:016x}" for number in (cell.promised.turn, cell.promised.proposer)],
-            "vote": [f"{number:016x}" for number in (cell.accepted.turn, cell.accepted.proposer)],
+            "promise": [f"{number:016x}" for number in (cell.promised.round, cell.promised.proposer)],
+            "vote": [f"{number:016x}" for number in (cell.accepted.round, cell.accepted.proposer)],
             "content": cell.value.hex(),
         }
         for key, cell in sorted(held.cells.items())
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -301,8 +301,8 @@
         "address": each.address,
         "zone": each.site,
         "standing": each.state,
-        "primary": each.leads,
-        "call_room": each.room,
+        "primary": each.is_primary,
+        "call_room": each.capacity,
     }
 
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -82,7 +82,7 @@
     return found
 
 
-def announcement(*, state: str, leads: bool = False) -> Announcement:
+def announcement(*, state: str, is_primary: bool = False) -> Announcement:
     return Announcement(
         name="db-1",
         number=7,
@@ -90,14 +90,14 @@
         address="10.3.0.1:5432",
         site="near",
         state=state,
-        leads=leads,
-        room=12,
+        is_primary=is_primary,
+        capacity=12,
     )
 
 
 def heartbeat(*, state: str) -> Heartbeat:
     return Heartbeat(
-        name="db-1", incarnation=3, number=9, site="near", state=state, leads=True, term=4, position=1_234
+        name="db-1", incarnation=3, number=9, site="near", state=state, is_primary=True, term=4, position=1_234
     )
 
 
@@ -148,7 +148,7 @@
     )
 
 
-def lead(*, state: str) -> DatabasePrimary:
+def database_primary(*, state: str) -> DatabasePrimary:
     return DatabasePrimary(
         term=6,
         primary="db-1",
@@ -163,19 +163,19 @@
 
 def service_primary(*, state: PrimaryState) -> ServicePrimary:
     return ServicePrimary(
-        term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, turn=8
+        term=6, primary="db-2", state=state, fence=Position(5, 4_096), ready_in_us=700_000, planned=True, revision=8
     )
 
 
 def shard_state(*, phase: ShardPhase) -> ShardState:
     return ShardState(
         phase=phase,
-        current=ShardMap(version=1, places={"orders": "alpha"}),
-        following=ShardMap(version=2, places={"orders": "beta", "reports": "beta"}, agree_percent=75),
+        current=ShardMap(version=1, placements={"orders": "alpha"}),
+        following=ShardMap(version=2, placements={"orders": "beta", "reports": "beta"}, agree_percent=75),
         ready_in_us=900_000,
-        turn=3,
-        under_way_us=2_900_000,
-        why="too few agreed",
+        proposal=3,
+        in_flight_us=2_900_000,
+        reason="too few agreed",
     )
 
 
@@ -194,12 +194,12 @@
         proxy="pooler-1",
         site="near",
         source=0x1234,
-        edition=17,
+        revision=17,
         suspected=("db-1", "db-2"),
-        turn=3,
+        proposal=3,
         vote=vote,
         samples=(ReportedSample(service="alpha", term=6, moment_us=77, position=Position(6, 99)),),
-        wanted=(WantedSample(service="beta", edition=4),),
+        wanted=(WantedSample(service="beta", revision=4),),
         brief=vote == Vote.silent,
     )
 
@@ -207,14 +207,14 @@
 def relay_answer() -> RelayAnswer:
     return RelayAnswer(
         source=0x1234,
-        edition=18,
+        revision=18,
         age_us=150_000,
-        whole=True,
+        full=True,
         values=(RelayedValue(key="service/alpha", ballot=Ballot(5, 6), value=b"\x07\x08"),),
-        backends=(RelayedBackend(announcement=announcement(state=READY, leads=True), silent=True),),
+        backends=(RelayedBackend(announcement=announcement(state=READY, is_primary=True), silent=True),),
         controllers=("10.1.0.1:7100", "10.1.0.2:7100"),
         answered_us=88,
-        samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), edition=5),),
+        samples=(PooledSample(service="beta", term=2, age_us=400, position=Position(2, 50), revision=5),),
         ask=("alpha",),
         site="far",
     )
@@ -326,7 +326,7 @@
 
 
 def shard_examples() -> dict[str, Example]:
-    shard_map = ShardMap(version=4, places={"orders": "alpha", "reports": "beta"}, agree_percent=60)
+    shard_map = ShardMap(version=4, placements={"orders": "alpha", "reports": "beta"}, agree_percent=60)
     phases = {"steady": ShardPhase.steady, "proposed": ShardPhase.proposed, "closing": ShardPhase.closing}
     found = {"shard map": part_example(value=shard_map, read=lambda u: read_shard_map(unpacker=u))}
     for name, phase in phases.items():
@@ -338,7 +338,7 @@
 def lead_examples() -> dict[str, Example]:
     found = {}
     for name, state in {"settled": SETTLED, "closing": CLOSING, "moving": MOVING}.items():
-        value = lead(state=state)
+        value = database_primary(state=state)
         found[f"database lead, {name}"] = bytes_example(
             value=value, read=lambda data: read_database_primary(data=data)
         )
@@ -352,14 +352,17 @@
 def register_examples() -> dict[str, Example]:
     """Every typed value that is kept in the register."""
     proxy_ids = ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(2, "pooler-3")))
-    places = ProxyAddresses(
-        places={"pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"), "pooler-2": ProxyAddress(site="far")}
+    proxy_addresses = ProxyAddresses(
+        addresses={
+            "pooler-1": ProxyAddress(site="near", records="10.2.0.1:7200"),
+            "pooler-2": ProxyAddress(site="far"),
+        }
     )
     return {
         "voter list": bytes_example(value=roster(epoch=3), read=lambda data: read_roster(data=data)),
         "service configuration": bytes_example(value=plan(), read=lambda data: read_service_plan(data=data)),
         "slot table": bytes_example(value=proxy_ids, read=lambda data: read_proxy_ids(data=data)),
-        "place table": bytes_example(value=places, read=lambda data: read_proxy_addresses(data=data)),
+        "place table": bytes_example(value=proxy_addresses, read=lambda data: read_proxy_addresses(data=data)),
         "window stages": bytes_example(value=window_states(), read=lambda data: read_window_states(data=data)),
         **lead_examples(),
         **shard_examples(),
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -99,7 +99,7 @@
     """A control of backends that reaches every one of them."""
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        return Ok(BackendState(leads=False, term=1, received=Position(1, 5), term_held=1))
+        return Ok(BackendState(is_primary=False, term=1, received=Position(1, 5), term_held=1))
 
 
 def settings() -> Settings:
@@ -117,7 +117,7 @@
 def replica_dispatcher(*, stage: Stage) -> Dispatcher:
     """A register replica that was restarted and knows no roster."""
     stage.ctx.disk = disk_with_identity()
-    register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda why: None)
+    register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda reason: None)
     opened = stage.call(call=register_replica.open)
     assert opened.is_ok(), opened
     return register_replica.dispatcher
@@ -134,7 +134,7 @@
         settings=settings(),
         control=backends,
         promoter=backends,
-        halt=lambda why: None,
+        halt=lambda reason: None,
         silent_after_us=3_000_000,
         proxy_lease_us=2_000_000,
     )
@@ -213,9 +213,9 @@
     return dispatcher
 
 
-def vote_request(*, kind: int, key: str, turn: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
+def vote_request(*, kind: int, key: str, round: int, epoch: int = EPOCH, value: bytes | None = None) -> bytes:
     packer = Packer().u8(value=kind).u32(value=epoch).text(value=key)
-    Ballot(turn, PROPOSER).write(packer=packer)
+    Ballot(round, PROPOSER).write(packer=packer)
     return (packer if value is None else packer.blob(value=value)).bytes()
 
 
@@ -259,25 +259,27 @@
     asker = Voter(ident=0, name="", address="")
     return [
         Request(name="hello, no voters yet", data=hello_request(voter=roster(epoch=EPOCH).voters[1])),
-        Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=1, epoch=0)),
+        Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", round=1, epoch=0)),
         Request(name="adopt", data=adopt_request(epoch=EPOCH)),
         Request(name="adopt an older one, version 2", data=second(adopt_request(epoch=EPOCH - 1))),
-        Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=5)),
-        Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", turn=4)),
-        Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=5, value=plan().bytes())),
-        Request(name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", turn=4, value=b"late")),
-        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", turn=6))),
+        Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", round=5)),
+        Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", round=4)),
+        Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=5, value=plan().bytes())),
+        Request(
+            name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=4, value=b"late")
+        ),
+        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", round=6))),
         Request(
             name="prepare, older voters",
-            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH - 1),
+            data=vote_request(kind=MessageType.PREPARE, key="plan", round=9, epoch=EPOCH - 1),
         ),
         Request(
             name="prepare, newer voters",
-            data=vote_request(kind=MessageType.PREPARE, key="plan", turn=9, epoch=EPOCH + 1),
+            data=vote_request(kind=MessageType.PREPARE, key="plan", round=9, epoch=EPOCH + 1),
         ),
         Request(
             name="accept, version 2",
-            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", turn=7, value=b"v")),
+            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", round=7, value=b"v")),
         ),
         Request(name="read", data=read_request(key="plan")),
         Request(name="read, nothing there", data=read_request(key="slots")),
@@ -386,7 +388,7 @@
     held.ident = ident
     first_version = text_request(kind=MessageType.SEEK, texts=(held.handle,))
     packer = (
-        Packer().u8(value=MessageType.SEEK).text(value=ident).u64(value=held.tag.edition).text(value=held.tag.mark)
+        Packer().u8(value=MessageType.SEEK).text(value=ident).u64(value=held.tag.revision).text(value=held.tag.mark)
     )
     return [
         Request(name=f"seek {ident}, version 1", data=first_version),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -60,8 +60,8 @@
         address=text(rng),
         site=text(rng),
         state=rng.choice(STATES),
-        leads=rng.random() < 0.5,
-        room=u32(rng),
+        is_primary=rng.random() < 0.5,
+        capacity=u32(rng),
     )
 
 
@@ -109,7 +109,7 @@
         proxy=text(rng),
         site=text(rng),
         source=u64(rng),
-        edition=u64(rng),
+        revision=u64(rng),
         suspected=tuple(text(rng) for _ in range(rng.randrange(4))),
         samples=tuple(
             ReportedSample(
@@ -117,7 +117,7 @@
             )
             for _ in range(rng.randrange(4))
         ),
-        wanted=tuple(WantedSample(service=text(rng), edition=u64(rng)) for _ in range(rng.randrange(4))),
+        wanted=tuple(WantedSample(service=text(rng), revision=u64(rng)) for _ in range(rng.randrange(4))),
         brief=rng.random() < 0.5,
     )
 
@@ -125,9 +125,9 @@
 def answer(rng: random.Random) -> RelayAnswer:
     return RelayAnswer(
         source=u64(rng),
-        edition=u64(rng),
+        revision=u64(rng),
         age_us=u64(rng),
-        whole=rng.random() < 0.5,
+        full=rng.random() < 0.5,
         values=tuple(
             RelayedValue(key=text(rng), ballot=Ballot(u64(rng), u64(rng)), value=rng.randbytes(rng.randrange(50)))
             for _ in range(rng.randrange(4))
@@ -143,7 +143,7 @@
                 term=u64(rng),
                 age_us=u64(rng),
                 position=Position(u64(rng), u64(rng)),
-                edition=u64(rng),
+                revision=u64(rng),
             )
             for _ in range(rng.randrange(4))
         ),
@@ -158,7 +158,7 @@
 
 def proxy_addresses(rng: random.Random) -> ProxyAddresses:
     return ProxyAddresses(
-        places={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
+        addresses={text(rng): ProxyAddress(site=text(rng), records=text(rng)) for _ in range(rng.randrange(5))}
     )
 
 
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -29,7 +29,7 @@
     names = (primary, *replicas.split(", "))
     context.cluster = Cluster(stage=context.stage, names=names, at=Position(3, 100), confirmations=confirmations)
     put(context=context, key=PLAN_KEY, value=plan(confirmations=confirmations).bytes())
-    new_controller(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).start_failover(cluster=context.cluster)
 
 
 @given("the failover lease is held and the assignment settled")
@@ -97,14 +97,14 @@
     context.written = len(context.store.writes)
     first.register.cut = True
     context.store.leases.clear()
-    wait_for(context=context, test=lambda: second.duty.lease.held, within_us=900_000)
+    wait_for(context=context, test=lambda: second.service_failover.lease.held, within_us=900_000)
     context.stage.advance(for_us=50_000)
 
 
 @then("it holds the failover lease, takes what it knows for current, and writes nothing")
 def then_writes_nothing(context: Any) -> None:
     second = context.controller_stages[1]
-    assert second.duty.lease.held and second.view.current
+    assert second.service_failover.lease.held and second.view.current
     assert len(context.store.writes) == context.written, context.store.writes[context.written :]
 
 
@@ -131,7 +131,7 @@
 
 @then('the deregistration of "{name}" is settled: {words}')
 def then_deregistration_settled(context: Any, name: str, words: str) -> None:
-    left = [each.name for each in context.controller_stages[0].duty.departures.unsettled(service="s")]
+    left = [each.name for each in context.controller_stages[0].service_failover.departures.unsettled(service="s")]
     assert (name not in left) == (words == "yes"), left
 
 
@@ -148,7 +148,7 @@
 @when('"{name}" is suspected')
 def when_suspected(context: Any, name: str) -> None:
     for controller in context.controller_stages:
-        context.stage.call(call=lambda controller=controller: controller.duty.suspect(name=name))
+        context.stage.call(call=lambda controller=controller: controller.service_failover.suspect(name=name))
 
 
 @given('"{name}" can\'t be paused')
@@ -212,7 +212,7 @@
         return assignment is not None and assignment.primary == name and assignment.state == PrimaryState.settled
 
     wait_for(context=context, test=settled, within_us=most_ms * 1_000)
-    assert context.cluster.backends[name].leads
+    assert context.cluster.backends[name].is_primary
     context.stage.advance(for_us=1_200_000)
 
 
@@ -243,7 +243,7 @@
 @then("nobody but one leads, and no replica is paused")
 def then_one_leads(context: Any) -> None:
     up = [each for each in context.cluster.backends.values() if each.up]
-    assert sum(each.leads for each in up) == 1, [(each.name, each.leads) for each in up]
+    assert sum(each.is_primary for each in up) == 1, [(each.name, each.is_primary) for each in up]
     assert not any(each.paused for each in up), [each.name for each in up if each.paused]
 
 
@@ -270,7 +270,7 @@
 
 @when("the replicas are paused")
 def when_paused(context: Any) -> None:
-    replicas = [each for each in context.cluster.backends.values() if not each.leads]
+    replicas = [each for each in context.cluster.backends.values() if not each.is_primary]
     wait_for(context=context, test=lambda: any(each.paused for each in replicas), within_us=10_000_000)
 
 
@@ -297,7 +297,7 @@
 
 @given("another controller seeks the failover lease")
 def given_another(context: Any) -> None:
-    new_controller(context=context).add_duty(cluster=context.cluster)
+    new_controller(context=context).start_failover(cluster=context.cluster)
     for backend in context.cluster.backends.values():
         context.stage.call(call=lambda backend=backend: context.cluster.send_heartbeat(backend=backend))
 
@@ -308,7 +308,7 @@
     put(context=context, key=service_primary_key(service="s"), value=assignment.bytes())
     context.written = assignment
     for each in context.cluster.backends.values():
-        each.leads = each.name == name
+        each.is_primary = each.name == name
         each.term = term
         context.stage.call(call=lambda each=each: context.cluster.send_heartbeat(backend=each))
 
@@ -359,7 +359,9 @@
         "when the replicas are paused": paused,
         "when the assignment is moving": moving,
         "when the platform has been asked": lambda: bool(context.cluster.calls),
-        "when another leads": lambda: any(each.leads and each.term > 3 for each in context.cluster.backends.values()),
+        "when another leads": lambda: any(
+            each.is_primary and each.term > 3 for each in context.cluster.backends.values()
+        ),
     }
     test = tests[moment]
 
@@ -372,13 +374,13 @@
         raise AssertionError(moment)
 
     context.stage.run(work=watch())
-    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.service_failover.lease.held)
     holder.kill()
 
 
 @when("the holder of the failover lease is cut off from the register")
 def when_holder_cut(context: Any) -> None:
-    holder = next(controller for controller in context.controller_stages if controller.duty.lease.held)
+    holder = next(controller for controller in context.controller_stages if controller.service_failover.lease.held)
     holder.register.cut = True
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -64,8 +64,8 @@
     )
     context.reported.plan(plan=plan(routes=(route(),)))
     context.reported.proxy_ids(names=("booth-1",))
-    context.reported.tell(backends=tuple(announcement(name=n, leads=n == primary) for n in context.names))
-    context.reported.lead(primary=primary)
+    context.reported.tell(backends=tuple(announcement(name=n, is_primary=n == primary) for n in context.names))
+    context.reported.assign_primary(primary=primary)
     context.numbers = dict.fromkeys(context.names, 1)
     context.session = Session(ctx=stage.ctx, router=context.router, database="db")
     context.replies = []
@@ -99,7 +99,9 @@
     context.distances[site] = distance
     context.numbers[name] += 1
     context.reported.tell(
-        backends=(announcement(name=name, site=site, number=context.numbers[name], leads=name == context.primary),)
+        backends=(
+            announcement(name=name, site=site, number=context.numbers[name], is_primary=name == context.primary),
+        )
     )
 
 
@@ -120,8 +122,8 @@
     found = position(text=at)
     assert found is not None
     now_us = context.stage.now_us
-    context.reported.turn += 1
-    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, edition=context.reported.turn)
+    context.reported.revision += 1
+    sample = PooledSample(service="s", term=term, age_us=age_us, position=found, revision=context.reported.revision)
     context.reported.view.samples.answered(source=1, answered_us=7_000_000, requested_us=now_us, samples=(sample,))
 
 
@@ -199,12 +201,14 @@
 
 @when('the lead moves to "{name}" at {fence}, to be ready in {ready_ms:d} ms')
 def when_moves(context: Any, name: str, fence: str, ready_ms: int) -> None:
-    context.reported.lead(primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000)
+    context.reported.assign_primary(
+        primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000
+    )
 
 
 @when("the lead is closing")
 def when_closing(context: Any) -> None:
-    context.reported.lead(primary=context.primary, state=PrimaryState.closing)
+    context.reported.assign_primary(primary=context.primary, state=PrimaryState.closing)
 
 
 @when('the lead settles on "{name}" after {wait_ms:d} ms')
@@ -212,7 +216,7 @@
     async def settle() -> None:
         await asyncio.sleep(wait_ms / 1_000)
         reported = context.reported
-        reported.turn += 1
+        reported.revision += 1
         reported.view._take(answer=settled_answer(reported=reported, primary=name))
         reported.view._wake()
 
@@ -220,9 +224,11 @@
 
 
 def settled_answer(*, reported: ReportedView, primary: str) -> RelayAnswer:
-    lead = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
-    value = RelayedValue(key=service_primary_key(service="s"), ballot=Ballot(reported.turn, 1), value=lead.bytes())
-    return RelayAnswer(source=1, edition=reported.turn, age_us=0, whole=False, values=(value,))
+    assignment = ServicePrimary(term=4, primary=primary, state=PrimaryState.settled)
+    value = RelayedValue(
+        key=service_primary_key(service="s"), ballot=Ballot(reported.revision, 1), value=assignment.bytes()
+    )
+    return RelayAnswer(source=1, revision=reported.revision, age_us=0, full=False, values=(value,))
 
 
 @when("the proxy has been out of touch for {wait_ms:d} ms")
@@ -237,7 +243,9 @@
     states = {"ready": READY, "emptying": EMPTYING, "gone": GONE}
     context.reported.tell(
         backends=(
-            announcement(name=name, state=states[state], number=context.numbers[name], leads=name == context.primary),
+            announcement(
+                name=name, state=states[state], number=context.numbers[name], is_primary=name == context.primary
+            ),
         )
     )
 
@@ -329,7 +337,7 @@
         reported.tell(backends=tuple(announcement(name=each) for each in context.names))
         reported.proxy_ids(names=tuple(f"booth-{each}" for each in range(allocated)))
         reported.plan(plan=plan(link_cap=cap))
-        reported.lead(primary=context.primary)
+        reported.assign_primary(primary=context.primary)
         context.routers.append(router)
         limits.append({each: router.pools[each].limit for each in context.names})
     return limits
@@ -370,8 +378,8 @@
     assert len(found[-1]) == kept, found[-1]
 
 
-def places_of(*, names: list[str]) -> bytes:
-    return ProxyAddresses(places={n: ProxyAddress(site=SITE, records=f"{n}:1") for n in names}).bytes()
+def proxy_addresses_of(*, names: list[str]) -> bytes:
+    return ProxyAddresses(addresses={n: ProxyAddress(site=SITE, records=f"{n}:1") for n in names}).bytes()
 
 
 @then(
@@ -391,7 +399,7 @@
         router.forwarder = Forwarder(ctx=ctx)
         reported.tell(backends=tuple(announcement(name=each) for each in context.names))
         reported.proxy_ids(names=tuple(names))
-        reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
+        reported.tell(values={PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names)})
         reported.plan(plan=plan(link_cap=cap))
         pools[name] = router.pools
     for backend in context.names:
@@ -412,7 +420,7 @@
     )
     context.router.forwarder = Forwarder(ctx=stage.ctx)
     context.reported.tell(backends=(announcement(name="a"),))
-    context.reported.lead(primary="a")
+    context.reported.assign_primary(primary="a")
     allocate_ids(context=context, count=count)
     context.reported.plan(plan=plan(link_cap=room + CONTROL_LINKS))
 
@@ -422,7 +430,7 @@
     context.named = names
     if names:
         context.reported.proxy_ids(names=tuple(names))
-        context.reported.tell(values={PROXY_ADDRESSES_KEY: places_of(names=names)})
+        context.reported.tell(values={PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names)})
 
 
 def own_part(*, context: Any, names: list[str]) -> int:
@@ -460,7 +468,7 @@
                 context.named = names
                 context.reported.tell(
                     values={
-                        PROXY_ADDRESSES_KEY: places_of(names=names),
+                        PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names),
                         PROXY_IDS_KEY: ProxyIds(names=tuple(ProxyId(*each) for each in enumerate(names))).bytes(),
                     }
                 )
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -225,7 +225,7 @@
         return sum(not future.done() for future in self.owed)
 
     @property
-    def owed_us(self) -> int:
+    def oldest_wait_us(self) -> int:
         """Counted from the sending of the oldest that is not answered."""
         now = asyncio.get_running_loop().time()
         since = [at for future, at in zip(self.owed, self.sent_at, strict=True) if not future.done()]
@@ -343,10 +343,10 @@
 
 
 def announcement(
-    *, name: str, service: str = "s", state: str = READY, leads: bool = False, number: int = 1, site: str = SITE
+    *, name: str, service: str = "s", state: str = READY, is_primary: bool = False, number: int = 1, site: str = SITE
 ) -> Announcement:
     return Announcement(
-        name=name, number=number, service=service, address=f"{name}:1", site=site, state=state, leads=leads
+        name=name, number=number, service=service, address=f"{name}:1", site=site, state=state, is_primary=is_primary
     )
 
 
@@ -384,7 +384,7 @@
 
     def __init__(self, *, stage: Stage, name: str = "booth-1") -> None:
         self.stage = stage
-        self.turn = 0
+        self.revision = 0
         self.number = 1
         self.in_touch = True
         self.view = RelayedView(ctx=stage.ctx, site=SITE, seeds=tuple)
@@ -400,15 +400,16 @@
     def tell(
         self, *, values: dict[str, bytes] | None = None, backends: tuple[Announcement, ...] = (), quiet: bool = False
     ) -> None:
-        self.turn += 1
+        self.revision += 1
         entries = [
-            RelayedValue(key=key, ballot=Ballot(self.turn, 1), value=value) for key, value in (values or {}).items()
+            RelayedValue(key=key, ballot=Ballot(self.revision, 1), value=value)
+            for key, value in (values or {}).items()
         ]
         answer = RelayAnswer(
             source=1,
-            edition=self.turn,
+            revision=self.revision,
             age_us=0,
-            whole=False,
+            full=False,
             values=tuple(entries),
             backends=tuple(RelayedBackend(announcement=each, silent=quiet) for each in backends),
         )
@@ -420,7 +421,7 @@
 
         self.stage.call(call=take)
 
-    def lead(
+    def assign_primary(
         self,
         *,
         primary: str,
@@ -432,8 +433,8 @@
     ) -> None:
         at = position(text=fence)
         assert at is not None
-        lead = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
-        self.tell(values={service_primary_key(service=service): lead.bytes()})
+        assignment = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
+        self.tell(values={service_primary_key(service=service): assignment.bytes()})
 
     def plan(self, *, plan: ServicePlan) -> None:
         self.tell(values={PLAN_KEY: plan.bytes()})
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -22,7 +22,7 @@
 
     def __init__(self, *, number: int) -> None:
         self.number = number
-        self.edition = 1
+        self.revision = 1
         self.age_us = 0
         self.silent = False
         self.away_us = 2_000
@@ -35,18 +35,18 @@
         question = read_relay_question(unpacker=Unpacker(data=body[1:]))
         if question.brief:
             return RelayAnswer(
-                source=self.number, edition=self.edition, age_us=self.age_us, whole=False, site=self.site
+                source=self.number, revision=self.revision, age_us=self.age_us, full=False, site=self.site
             ).bytes()
-        self.requested.append(question.edition if question.source == self.number else 0)
-        whole = question.source != self.number
+        self.requested.append(question.revision if question.source == self.number else 0)
+        full = question.source != self.number
         if self.noise:
             return b"\xff" * 40
         return RelayAnswer(
             source=self.number,
-            edition=self.edition,
+            revision=self.revision,
             age_us=self.age_us,
-            whole=whole,
-            values=self.values if whole or question.edition < self.edition else (),
+            full=full,
+            values=self.values if full or question.revision < self.revision else (),
             controllers=("g1", "g2"),
         ).bytes()
 
@@ -85,17 +85,17 @@
         context.relays[name].age_us = age_ms * 1_000
 
 
-def tell(*, context: Any, names: str, key: str, value: bytes, turn: int) -> None:
+def tell(*, context: Any, names: str, key: str, value: bytes, round: int) -> None:
     for name in names.split(", "):
         relay = context.relays[name]
         relay.noise = False
-        relay.edition += 1
-        relay.values = (RelayedValue(key=key, ballot=Ballot(turn, 1), value=value),)
+        relay.revision += 1
+        relay.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
 
 
-@given('"{names}" tell the plan of version {version:d} under turn {turn:d}')
-def given_tell_plan(context: Any, names: str, version: int, turn: int) -> None:
-    tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), turn=turn)
+@given('"{names}" tell the plan of version {version:d} under round {round:d}')
+def given_tell_plan(context: Any, names: str, version: int, round: int) -> None:
+    tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), round=round)
 
 
 @given('"{names}" tell noise')
@@ -107,7 +107,7 @@
 @given('"{names}" tell a {what} that is none')
 def given_tell_none(context: Any, names: str, what: str) -> None:
     key = {"plan": PLAN_KEY, "lead": service_primary_key(service="s")}[what]
-    tell(context=context, names=names, key=key, value=b"\x01\x02\x03", turn=1)
+    tell(context=context, names=names, key=key, value=b"\x01\x02\x03", round=1)
 
 
 @when("the view keeps itself for {wait_ms:d} ms")
@@ -194,7 +194,7 @@
 def then_stayed(context: Any) -> None:
     requested = sorted((relay.requested for relay in context.relays.values()), key=len)
     assert not requested[0] and len(requested[1]) >= 4, requested
-    assert [edition == 0 for edition in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
+    assert [revision == 0 for revision in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
 
 
 @then("the view's plan is {version:d}")
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -42,7 +42,7 @@
     async def _on_timer(self) -> None:
         if self.lease.due:
             held = self.lease.held
-            if await self.lease.seek() and not held:
+            if await self.lease.try_acquire() and not held:
                 self.held_since_us = self.ctx.now_us()
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
@@ -85,7 +85,7 @@
         if wanted(data) == read_addresses(data=data):
             return
         result = await self.register.change(
-            key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(places=wanted(data)).bytes())
+            key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(addresses=wanted(data)).bytes())
         )
         self.view.take_own(key=PROXY_ADDRESSES_KEY, result=result)
 
@@ -108,4 +108,4 @@
 
 def read_addresses(*, data: bytes) -> dict[str, ProxyAddress]:
     """The addresses by proxy; none for an absent value. Raises ValueError where the bytes are no table."""
-    return dict(read_proxy_addresses(data=data).places) if data else {}
+    return dict(read_proxy_addresses(data=data).addresses) if data else {}
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -29,24 +29,24 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BackendEdition:
-    """What proxies are told of a backend, and the edition with which it last changed."""
+class BackendRevision:
+    """What proxies are told of a backend, and the revision with which it last changed."""
 
-    edition: int
+    revision: int
     backend: RelayedBackend
 
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyQuestion:
-    """When a proxy last asked, and its vote on the shard map that was proposed in `turn`."""
+    """When a proxy last asked, and its vote on the shard map of proposal number `proposal`."""
 
     at_us: int
-    turn: int
+    proposal: int
     vote: Vote
 
 
 class Relay:
-    """Numbers every change by an edition of its own; an asker that knows another relay gets everything.
+    """Numbers every change by a revision of its own; an asker that knows another relay gets everything.
 
     :param on_link_failure: called with a backend and the proxy that can't reach it.
     :param shorten: turns a key's value into the form in which proxies get it.
@@ -70,20 +70,20 @@
         self.on_link_failure = on_link_failure
         self.shorten = shorten
         self.source = ctx.rng.getrandbits(62) | 1
-        self.edition = 1
+        self.revision = 1
         self.position_samples = PositionSamples(ctx=ctx)
-        self.value_editions: dict[str, int] = {}
-        self.backends: dict[str, BackendEdition] = {}
+        self.value_revisions: dict[str, int] = {}
+        self.backends: dict[str, BackendRevision] = {}
         self.proxies: dict[str, ProxyQuestion] = {}
         self.relayed_controllers: tuple[str, ...] = ()
-        self.controllers_edition = 0
+        self.controllers_revision = 0
         dispatcher.add_handler(message_type=MessageType.RELAY, handler=self.answer)
         view.changes.subscribe(self._on_value_change)
         ctx.timer(every_us=TIMER_PERIOD_US).subscribe(lambda _: self.refresh())
 
     def _on_value_change(self, key: str) -> None:
-        self.edition += 1
-        self.value_editions[key] = self.edition
+        self.revision += 1
+        self.value_revisions[key] = self.revision
 
     def refresh(self) -> None:
         """Takes over what has changed of the backends and the controllers since the last turn."""
@@ -92,8 +92,8 @@
         self._forget_backends()
         controllers = self.controllers()
         if controllers != self.relayed_controllers:
-            self.edition += 1
-            self.relayed_controllers, self.controllers_edition = controllers, self.edition
+            self.revision += 1
+            self.relayed_controllers, self.controllers_revision = controllers, self.revision
 
     def _refresh_backends(self) -> None:
         now_us = self.ctx.now_us()
@@ -104,8 +104,8 @@
             backend = RelayedBackend(announcement=announcement, silent=self.heartbeat_table.silent(name=name))
             known = self.backends.get(name)
             if known is None or not same_for_proxies(known.backend, backend):
-                self.edition += 1
-                self.backends[name] = BackendEdition(edition=self.edition, backend=backend)
+                self.revision += 1
+                self.backends[name] = BackendRevision(revision=self.revision, backend=backend)
 
     def _forget_backends(self) -> None:
         for name, entry in list(self.backends.items()):
@@ -119,13 +119,15 @@
         if question.brief:
             # a proxy that looks for the nearest controller asks them all, and becomes a user of only one
             return RelayAnswer(
-                source=self.source, edition=self.edition, age_us=self._age_us(), whole=False, site=self.ctx.site
+                source=self.source, revision=self.revision, age_us=self._age_us(), full=False, site=self.ctx.site
             ).bytes()
         self._take_question(question=question)
         return self._changes_for(question=question).bytes()
 
     def _take_question(self, *, question: RelayQuestion) -> None:
-        self.proxies[question.proxy] = ProxyQuestion(at_us=self.ctx.now_us(), turn=question.turn, vote=question.vote)
+        self.proxies[question.proxy] = ProxyQuestion(
+            at_us=self.ctx.now_us(), proposal=question.proposal, vote=question.vote
+        )
         for name in question.suspected:
             self.on_link_failure(name, question.proxy)
         # moments given out by an earlier process of this controller mean nothing by this one's clock
@@ -134,21 +136,21 @@
 
     def _changes_for(self, *, question: RelayQuestion) -> RelayAnswer:
         same_source = question.source == self.source
-        whole = not same_source or question.edition > self.edition
-        since = 0 if whole else question.edition
-        self.ctx.counters.add(name="relay.whole" if whole else "relay.changes")
+        full = not same_source or question.revision > self.revision
+        since = 0 if full else question.revision
+        self.ctx.counters.add(name="relay.whole" if full else "relay.changes")
         return RelayAnswer(
             source=self.source,
-            edition=self.edition,
+            revision=self.revision,
             age_us=self._age_us(),
-            whole=whole,
+            full=full,
             values=tuple(
                 self._value(key=key, found=found)
                 for key, found in self.view.known.items()
-                if whole or self.value_editions.get(key, 0) > since
+                if full or self.value_revisions.get(key, 0) > since
             ),
-            backends=tuple(entry.backend for entry in self.backends.values() if entry.edition > since),
-            controllers=self.relayed_controllers if whole or self.controllers_edition > since else (),
+            backends=tuple(entry.backend for entry in self.backends.values() if entry.revision > since),
+            controllers=self.relayed_controllers if full or self.controllers_revision > since else (),
             answered_us=self.ctx.now_us(),
             samples=self.position_samples.newer_than(wanted=question.wanted, same_source=same_source),
             ask=self.position_samples.assign_asks(wanted=question.wanted),
@@ -165,7 +167,7 @@
         now_us = self.ctx.now_us()
         self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry.at_us < KEEP_US}
         return [
-            ProxyContact(name=name, age_us=now_us - entry.at_us, turn=entry.turn, vote=entry.vote)
+            ProxyContact(name=name, age_us=now_us - entry.at_us, proposal=entry.proposal, vote=entry.vote)
             for name, entry in self.proxies.items()
             if now_us - entry.at_us <= within_us
         ]
@@ -177,7 +179,7 @@
     return (
         one.silent == other.silent
         and first.state == second.state
-        and first.leads == second.leads
+        and first.is_primary == second.is_primary
         and first.address == second.address
         and first.service == second.service
     )
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -96,8 +96,8 @@
     def _moves(self, *, wanted: ShardMap) -> list[str]:
         """A line for each database that a map would move to another service."""
         lines = []
-        for database, target in sorted(wanted.places.items()):
-            source = self.shards.state.current.place(database=database, planned=self.planned_service(database))
+        for database, target in sorted(wanted.placements.items()):
+            source = self.shards.state.current.service_of(database=database, planned=self.planned_service(database))
             if source != target:
                 lines.append(f"{database}: from {source} to {target}")
         return lines
@@ -108,10 +108,12 @@
         return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is given up")
 
     async def _on_progress(self, unpacker: Unpacker) -> bytes:
-        """A text, then the phase, the turn, the version in force, and why the last proposal was withdrawn."""
+        """A text, then the phase, the proposal, the version in force, and why the last proposal was withdrawn."""
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
         packer = operator_answer(text=progress.summary())
-        packer.u8(value=state.phase).u64(value=state.turn).u64(value=state.current.version).text(value=state.why)
+        packer.u8(value=state.phase).u64(value=state.proposal).u64(value=state.current.version).text(
+            value=state.reason
+        )
         return packer.bytes()
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -14,7 +14,7 @@
 ABANDONED = "abandoned by an operator"
 
 
-def proposed(*, state: ShardState, wanted: ShardMap, under_way_us: int) -> Result[ShardState, CinderstairError]:
+def proposed(*, state: ShardState, wanted: ShardMap, in_flight_us: int) -> Result[ShardState, CinderstairError]:
     """The state in which `wanted` is proposed. The same map may be proposed again, after an unclear answer.
 
     :returns: versionTaken where another change is under way, versionOld where as new a map is in force.
@@ -31,8 +31,8 @@
             phase=ShardPhase.proposed,
             current=state.current,
             following=wanted,
-            turn=state.turn + 1,
-            under_way_us=under_way_us,
+            proposal=state.proposal + 1,
+            in_flight_us=in_flight_us,
         )
     )
 
@@ -45,8 +45,8 @@
     if state.phase != ShardPhase.steady:
         if state.following.version != version:
             return Error(_under_way(state=state))
-        return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, why=ABANDONED))
-    if state.why == ABANDONED and state.current.version < version:
+        return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, reason=ABANDONED))
+    if state.reason == ABANDONED and state.current.version < version:
         return Ok(state)
     reason = f"map {state.current.version} stands, no other is coming"
     return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -32,7 +32,7 @@
         connection_pools: ConnectionPools,
         heartbeat_table: HeartbeatTable,
         samples: Samples,
-        book: CommitWatermarks,
+        commit_watermarks: CommitWatermarks,
         sessions: Sessions,
     ) -> None:
         self.ctx = ctx
@@ -40,7 +40,7 @@
         self.connection_pools = connection_pools
         self.heartbeat_table = heartbeat_table
         self.samples = samples
-        self.book = book
+        self.commit_watermarks = commit_watermarks
         self.sessions = sessions
 
     @property
@@ -51,31 +51,33 @@
             raise LookupError("no configuration is in force")
         return configuration
 
-    def _lead_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
+    def _assignment_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
         """The lead that new jobs of a database go to; an error where none can be acknowledged now."""
-        lead = self.view.lead(database=database)
-        if lead is None:
+        assignment = self.view.assignment(database=database)
+        if assignment is None:
             return Result.Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
         # while a planned move closes, reads go on; what is new and would write waits for the move's end
-        if not lead.serves or (writes and lead.state != SETTLED):
+        if not assignment.serves or (writes and assignment.state != SETTLED):
             return Result.Error(
-                CinderstairError(code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {lead.primary}")
+                CinderstairError(
+                    code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {assignment.primary}"
+                )
             )
-        if not self.connection_pools.usable(name=lead.primary):
+        if not self.connection_pools.usable(name=assignment.primary):
             return Result.Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {lead.primary} is not fit")
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {assignment.primary} is not fit")
             )
         # what could not be acknowledged in the end is denied before it is sent
-        if writes and not any(self.heartbeat_table.healthy(name=name) for name in lead.in_sync):
+        if writes and not any(self.heartbeat_table.healthy(name=name) for name in assignment.in_sync):
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
             )
-        unasked = [name for name in lead.confirmers if not self.connection_pools.open(name=name)]
+        unasked = [name for name in assignment.confirmers if not self.connection_pools.open(name=name)]
         if writes and unasked:
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unasked[0]}")
             )
-        return Result.Ok(lead)
+        return Result.Ok(assignment)
 
     async def _run_once(
         self, *, name: str, request: Request, term: int, tried: set[str]
@@ -125,26 +127,28 @@
         """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
         if reply.reason in NOT_RUN:
             code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_LEAD
-            return CinderstairError(code=code, reason=reply.why)
-        return self.reject(kind=ErrorCode.STATEMENT_DENIED, why=reply.why)
+            return CinderstairError(code=code, reason=reply.message)
+        return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=reply.message)
 
-    def _unknown(self, *, why: str) -> HttpResponse:
-        return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, why=why)
+    def _unknown(self, *, reason: str) -> HttpResponse:
+        return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason)
 
     async def _acknowledge(self, *, request: Request, reply: Reply, term: int) -> HttpResponse:
         """A commit is acknowledged only once it can't be lost; else its outcome is unknown."""
         database = request.bound.database
         if reply.term != term:
-            return self._unknown(why="the primary answered in another term")
+            return self._unknown(reason="the primary answered in another term")
         if not reply.wrote:
             # nothing was written, so only what was read must still hold
-            if not self.book.holds(database=database, term=term):
-                return self.reject(kind=ErrorCode.NOT_CURRENT, why="the lead moved meanwhile; nothing was written")
+            if not self.commit_watermarks.holds(database=database, term=term):
+                return self.reject(kind=ErrorCode.NOT_CURRENT, reason="the lead moved meanwhile; nothing was written")
             return self.done(value={"rows": reply.rows})
         wait_us = self.configuration.amount(name="commitWait", database=database)
         until_us = min(request.until_us, self.ctx.now_us() + wait_us)
-        if not await self.book.durable(database=database, term=term, position=reply.position, until_us=until_us):
-            return self._unknown(why="run, and not known to be held by every replica in sync")
+        if not await self.commit_watermarks.durable(
+            database=database, term=term, position=reply.position, until_us=until_us
+        ):
+            return self._unknown(reason="run, and not known to be held by every replica in sync")
         request.bound.floor = max(request.bound.floor, reply.position)
         self.ctx.counters.add(name="commits.acknowledged")
         return self.done(value={"rows": reply.rows, "position": reply.position})
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -94,7 +94,7 @@
         self.sessions = Sessions(
             ctx=ctx, idle_transaction_us=settings.idle_transaction_us, idle_session_us=settings.idle_session_us
         )
-        self._create_duties()
+        self._create_singleton_roles()
         self._create_session_parts()
         self.status = self._create_status()
         self.session_drain = SessionDrain(
@@ -121,9 +121,9 @@
         self.samples = Samples(
             ctx=ctx, view=self.view, connection_pools=self.connection_pools, reachability=self.reachability
         )
-        self.book = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
+        self.commit_watermarks = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
 
-    def _create_duties(self) -> None:
+    def _create_singleton_roles(self) -> None:
         """What one proxy at a time does for all, under a lease each."""
         ctx, settings = self.ctx, self.settings
         self.proxy_id_reclaimer = ProxyIdReclaimer(
@@ -165,7 +165,7 @@
             heartbeat_table=self.heartbeat_table,
             connection_pools=self.connection_pools,
             sessions=self.sessions,
-            leads=self.database_failover,
+            database_failover=self.database_failover,
             session_replicator=self.session_replicator,
             session_replicas=self.session_replicas,
         )
@@ -182,7 +182,7 @@
                 configuration_store=ConfigurationStore(ctx=ctx, register=self.register),
                 ready=self.ready,
                 status=self.status,
-                leads=self.database_failover,
+                database_failover=self.database_failover,
                 founding_replicas=self.settings.founding_replicas,
             ),
             DeadlineFilter(ctx=ctx),
@@ -198,7 +198,7 @@
                 connection_pools=self.connection_pools,
                 heartbeat_table=self.heartbeat_table,
                 samples=self.samples,
-                book=self.book,
+                commit_watermarks=self.commit_watermarks,
                 sessions=self.sessions,
             ),
         )
@@ -220,11 +220,11 @@
                 if response is not None:
                     trace_request(ctx=self.ctx, request=request, response=response)
                     return self._close_if_leaving(response=response)
-            return self.reject(kind=ErrorCode.UNKNOWN_PATH, why="nobody answers for this")
+            return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason="nobody answers for this")
         except Exception as error:  # noqa: BLE001
             # one job that breaks must not take others with it, and it may have reached a backend
             self.ctx.crash(where=f"job {request.verb}", error=error)
-            return self.reject(kind=ErrorCode.INTERNAL, why="an error of ours; it is logged")
+            return self.reject(kind=ErrorCode.INTERNAL, reason="an error of ours; it is logged")
         finally:
             if request.session is not None:
                 request.session.busy = False
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -21,8 +21,8 @@
 class RelayQuestion:
     """A proxy's question.
 
-    `source` and `edition` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
-    that the proxy can't reach. `vote` is on the shard map that was proposed in `turn`. `samples` are for this source
+    `source` and `revision` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
+    that the proxy can't reach. `vote` is on the shard map proposal number `proposal`. `samples` are for this source
     alone, by whose clock their moments are; `wanted` are the samples that the proxy asks for. A `brief` question asks
     for the age, the source and the site alone.
     """
@@ -30,9 +30,9 @@
     proxy: str
     site: str
     source: int = 0
-    edition: int = 0
+    revision: int = 0
     suspected: tuple[str, ...] = ()
-    turn: int = 0
+    proposal: int = 0
     vote: Vote = Vote.silent
     samples: tuple[ReportedSample, ...] = ()
     wanted: tuple[WantedSample, ...] = ()
@@ -40,9 +40,9 @@
 
     def write(self, *, packer: Packer) -> Packer:
         """Appends the question's fields in their order on the wire."""
-        packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.edition)
+        packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.revision)
         packer.many(values=self.suspected, each=lambda p, name: p.text(value=name))
-        packer.u64(value=self.turn).u8(value=self.vote)
+        packer.u64(value=self.proposal).u8(value=self.vote)
         packer.many(values=self.samples, each=lambda p, sample: sample.write(packer=p))
         packer.many(values=self.wanted, each=lambda p, want: want.write(packer=p))
         return packer.u8(value=int(self.brief))
@@ -54,9 +54,9 @@
         proxy=unpacker.text(),
         site=unpacker.text(),
         source=unpacker.u64(),
-        edition=unpacker.u64(),
+        revision=unpacker.u64(),
         suspected=tuple(unpacker.many(each=lambda u: u.text())),
-        turn=unpacker.u64(),
+        proposal=unpacker.u64(),
         vote=Vote(unpacker.u8()),
         samples=tuple(unpacker.many(each=read_reported_sample)),
         wanted=tuple(unpacker.many(each=read_wanted_sample)),
@@ -108,15 +108,15 @@
     """A controller's answer.
 
     `age_us` is how old the controller's own knowledge of the register is, and `answered_us` is the time of the
-    answer, both by the controller's clock. A `whole` answer replaces all that the proxy has; others add to it.
+    answer, both by the controller's clock. A `full` answer replaces all that the proxy has; others add to it.
     `ask` names the services whose primaries the proxy is to ask for their positions. `site` is the controller's, in
     answers to brief questions; empty in all others.
     """
 
     source: int
-    edition: int
+    revision: int
     age_us: int
-    whole: bool
+    full: bool
     values: tuple[RelayedValue, ...] = ()
     backends: tuple[RelayedBackend, ...] = ()
     controllers: tuple[str, ...] = ()
@@ -127,8 +127,8 @@
 
     def bytes(self) -> bytes:
         """The answer as it stands on the wire."""
-        packer = Packer().u64(value=self.source).u64(value=self.edition).u64(value=self.age_us)
-        packer.u8(value=int(self.whole))
+        packer = Packer().u64(value=self.source).u64(value=self.revision).u64(value=self.age_us)
+        packer.u8(value=int(self.full))
         packer.many(values=self.values, each=lambda p, entry: entry.write(packer=p))
         packer.many(values=self.backends, each=lambda p, entry: entry.write(packer=p))
         packer.many(values=self.controllers, each=lambda p, address: p.text(value=address))
@@ -144,9 +144,9 @@
     # the fields are read in the order of these arguments
     answer = RelayAnswer(
         source=unpacker.u64(),
-        edition=unpacker.u64(),
+        revision=unpacker.u64(),
         age_us=unpacker.u64(),
-        whole=bool(unpacker.u8()),
+        full=bool(unpacker.u8()),
         values=tuple(unpacker.many(each=read_relayed_value)),
         backends=tuple(unpacker.many(each=read_relayed_backend)),
         controllers=tuple(unpacker.many(each=lambda u: u.text())),
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -27,23 +27,23 @@
 class RelayedState:
     """Holds the newest values that any controller has relayed; they never go back.
 
-    `changes` tells the key of each value that was taken. `source` and `edition` name what the last answer contained.
-    `plan` is None before the first configuration was relayed. `lead_since_us`: when each service's lead was relayed,
-    by this proxy's clock.
+    `changes` tells the key of each value that was taken. `source` and `revision` name what the last answer contained.
+    `plan` is None before the first configuration was relayed. `assigned_since_us`: when each service's
+    primary was relayed, by this proxy's clock.
     """
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
         self.controllers: tuple[str, ...] = ()
         self.source = 0
-        self.edition = 0
+        self.revision = 0
         self.ballots: dict[str, Ballot] = {}
         self.plan: ServicePlan | None = None
         self.proxy_ids = ProxyIds()
-        self.places: dict[str, ProxyAddress] = {}
+        self.proxy_addresses: dict[str, ProxyAddress] = {}
         self.shards = ShardState()
-        self.leads: dict[str, ServicePrimary] = {}
-        self.lead_since_us: dict[str, int] = {}
+        self.primaries: dict[str, ServicePrimary] = {}
+        self.assigned_since_us: dict[str, int] = {}
         self.backends: dict[str, RelayedBackend] = {}
         self.changes: Subject[str] = Subject()
         self._waiting: list[asyncio.Future[None]] = []
@@ -55,17 +55,17 @@
         """
         if answer.controllers:
             self.controllers = answer.controllers
-        if answer.whole:
+        if answer.full:
             self._drop_lost_backends(answer=answer)
         self._take_backends(entries=answer.backends)
         for value in answer.values:
             self._take_value(entry=value)
-        self.source, self.edition = answer.source, answer.edition
-        if answer.backends or answer.whole:
+        self.source, self.revision = answer.source, answer.revision
+        if answer.backends or answer.full:
             self.changes.on_next(BACKENDS_CHANGE)
 
     def _drop_lost_backends(self, *, answer: RelayAnswer) -> None:
-        """Drops silent backends that a whole answer does not name.
+        """Drops silent backends that a full answer does not name.
 
         A controller that has just started knows few of the backends, so others are kept.
         """
@@ -84,7 +84,7 @@
             if entry.announcement.state == GONE and not entry.announcement.service:
                 if known is None:
                     continue
-                entry = replace(entry, announcement=replace(known.announcement, state=GONE, leads=False))
+                entry = replace(entry, announcement=replace(known.announcement, state=GONE, is_primary=False))
             self.backends[entry.announcement.name] = entry
 
     def _take_value(self, *, entry: RelayedValue) -> None:
@@ -106,15 +106,17 @@
         elif key == PROXY_IDS_KEY:
             self.proxy_ids = read_proxy_ids(data=value)
         elif key == PROXY_ADDRESSES_KEY:
-            self.places = read_proxy_addresses(data=value).places
+            self.proxy_addresses = read_proxy_addresses(data=value).addresses
         elif key == SHARDS_KEY:
             self.shards = read_shard_state(data=value)
         elif key.startswith(PREFIX):
-            lead = read_service_primary(data=value)
+            assignment = read_service_primary(data=value)
             service = key.removeprefix(PREFIX)
-            self.leads[service] = lead
-            self.lead_since_us[service] = self.ctx.now_us()
-            self.ctx.log.info("%s: term %d %s %s", service, lead.term, lead.primary, lead.state.name)
+            self.primaries[service] = assignment
+            self.assigned_since_us[service] = self.ctx.now_us()
+            self.ctx.log.info(
+                "%s: term %d %s %s", service, assignment.term, assignment.primary, assignment.state.name
+            )
 
     def _apply_plan(self, *, plan: ServicePlan) -> None:
         # The register never goes back to an earlier configuration, and neither does anything that follows it.
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -47,9 +47,9 @@
 
 
 class ShardVote(NamedTuple):
-    """What this proxy says of the shard map that was proposed in a turn; turn 0: nothing is proposed."""
+    """What this proxy says of the shard map of a proposal; 0: nothing is proposed."""
 
-    turn: int
+    proposal: int
     vote: Vote
 
 
@@ -83,7 +83,7 @@
         self.controller = ""
         self.as_of_us = -LEASE_US
         self.answered_us = ctx.now_us()
-        self.samples = SamplePool(ctx=ctx, lead=self.leads.get)
+        self.samples = SamplePool(ctx=ctx, assignment=self.primaries.get)
         self.vote: Callable[[], ShardVote] = lambda: ShardVote(0, Vote.silent)
         self.ask: Callable[[str], None] = lambda service: None
         self.troubled: Callable[[], tuple[str, ...]] = tuple
@@ -126,7 +126,7 @@
 
     def _moving(self) -> bool:
         """Whether any primary or the shard map is being moved."""
-        moving = any(lead.state != PrimaryState.settled for lead in self.leads.values())
+        moving = any(assignment.state != PrimaryState.settled for assignment in self.primaries.values())
         return moving or self.shards.phase != ShardPhase.steady
 
     # -- the choice of a controller --
@@ -175,18 +175,18 @@
 
     # -- pulling --
 
-    def _question(self, *, whole: bool) -> RelayQuestion:
-        turn, vote = self.vote()
+    def _question(self, *, full: bool) -> RelayQuestion:
+        proposal, vote = self.vote()
         return RelayQuestion(
             proxy=self.ctx.name,
             site=self.site,
-            source=0 if whole else self.source,
-            edition=0 if whole else self.edition,
+            source=0 if full else self.source,
+            revision=0 if full else self.revision,
             suspected=self.troubled(),
-            turn=turn,
+            proposal=proposal,
             vote=vote,
-            samples=() if whole else self.samples.reported(source=self.source),
-            wanted=() if whole else self.samples.wants(),
+            samples=() if full else self.samples.reported(source=self.source),
+            wanted=() if full else self.samples.wants(),
         )
 
     async def _ask(self, *, address: str, question: RelayQuestion) -> Result[TimedAnswer, CinderstairError]:
@@ -212,8 +212,8 @@
             # A controller that is taken in haste may be distant, so the choice is made again soon.
             self._choice_interval_us = MIN_CHOICE_INTERVAL_US
             self._choose_from_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
-        # Each controller counts editions for itself, so another one is asked for everything.
-        result = await self._ask(address=address, question=self._question(whole=changes))
+        # Each controller counts revisions for itself, so another one is asked for everything.
+        result = await self._ask(address=address, question=self._question(full=changes))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
             self._avoid(address=address, for_us=UNANSWERED_AVOID_US)
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -38,15 +38,15 @@
     moment by this proxy's clock, and the position. `told_us`: by service, the newest sample that the controller has.
     """
 
-    def __init__(self, *, ctx: Context, lead: Callable[[str], ServicePrimary | None]) -> None:
+    def __init__(self, *, ctx: Context, assignment: Callable[[str], ServicePrimary | None]) -> None:
         self.ctx = ctx
-        self.lead = lead
+        self.assignment = assignment
         self.wanted: Callable[[], Iterable[str]] = tuple
         self.note: Callable[[str, int, Position], None] = lambda service, requested_us, position: None
         self.own: dict[str, OwnSample] = {}
         self.sending_us: dict[str, int] = {}
         self.told_us: dict[str, int] = {}
-        self.editions: dict[str, int] = {}
+        self.revisions: dict[str, int] = {}
         self.reference: Reference | None = None
 
     def saw(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
@@ -56,9 +56,9 @@
             self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
     def _counts(self, *, service: str, term: int) -> bool:
-        lead = self.lead(service)
+        assignment = self.assignment(service)
         # A position seen under another lead may lie past a fence that has cut it off.
-        return lead is not None and lead.state == PrimaryState.settled and lead.term == term
+        return assignment is not None and assignment.state == PrimaryState.settled and assignment.term == term
 
     def reported(self, *, source: int) -> tuple[ReportedSample, ...]:
         """The samples that a controller does not have yet, with their moments by its clock.
@@ -89,8 +89,8 @@
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
     def wants(self) -> tuple[WantedSample, ...]:
-        """The services of which this proxy wants samples, with the edition that it has of each."""
-        return tuple(WantedSample(service=name, edition=self.editions.get(name, 0)) for name in self.wanted())
+        """The services of which this proxy wants samples, with the revision that it has of each."""
+        return tuple(WantedSample(service=name, revision=self.revisions.get(name, 0)) for name in self.wanted())
 
     def answered(
         self, *, source: int, answered_us: int, requested_us: int, samples: tuple[PooledSample, ...]
@@ -102,12 +102,12 @@
         """
         if self.reference is None or source != self.reference.source:
             # Another controller, or a restarted one, knows nothing of what was reported before.
-            self.editions, self.told_us, self.sending_us = {}, {}, {}
+            self.revisions, self.told_us, self.sending_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
         self.told_us.update(self.sending_us)
         self.sending_us = {}
         for sample in samples:
-            self.editions[sample.service] = sample.edition
+            self.revisions[sample.service] = sample.revision
             if not self._counts(service=sample.service, term=sample.term):
                 continue
             at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -50,13 +50,13 @@
             self.changed_us = self.ctx.now_us()
             self.update()
             if self.view.shards.phase == ShardPhase.closing:
-                self.ctx.spawn(work=self._abandon_late(turn=self.view.shards.turn), name="shards.give_up")
+                self.ctx.spawn(work=self._abandon_late(proposal=self.view.shards.proposal), name="shards.give_up")
 
-    async def _abandon_late(self, *, turn: int) -> None:
+    async def _abandon_late(self, *, proposal: int) -> None:
         """Abandons writes that are unanswered when the map has been closing for long; a partition may hold them."""
         await self.ctx.sleep(duration_us=GIVE_UP_US)
         state = self.view.shards
-        if state.turn == turn and state.phase == ShardPhase.closing:
+        if state.proposal == proposal and state.phase == ShardPhase.closing:
             self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
 
     def update(self) -> None:
@@ -73,21 +73,21 @@
         if not self._applicable(state=state):
             return
         now_us = self.ctx.now_us()
-        for database in set(state.current.places) | set(self.applied.current.places):
-            if state.current.places.get(database) != self.applied.current.places.get(database):
+        for database in set(state.current.placements) | set(self.applied.current.placements):
+            if state.current.placements.get(database) != self.applied.current.placements.get(database):
                 self.moved_us[database] = now_us
         self.applied = state
         self.ctx.log.info("shard map %d taken over", state.current.version)
 
     def _applicable(self, *, state: ShardState) -> bool:
         """Whether this proxy knows every service of a map and its primary."""
-        places = state.following if state.phase != ShardPhase.steady else state.current
+        shard_map = state.following if state.phase != ShardPhase.steady else state.current
         plan = self.view.plan
         if plan is None:
             return False
-        for database, service in places.places.items():
-            lead = self.view.leads.get(service)
-            known = service in plan.services and lead is not None and lead.state == PrimaryState.settled
+        for database, service in shard_map.placements.items():
+            assignment = self.view.primaries.get(service)
+            known = service in plan.services and assignment is not None and assignment.state == PrimaryState.settled
             if database not in plan.routes or not known:
                 return False
         return True
@@ -98,29 +98,29 @@
         if state.phase == ShardPhase.steady:
             return ShardVote(0, Vote.silent)
         if state.phase == ShardPhase.proposed:
-            return ShardVote(state.turn, Vote.agrees if self._applicable(state=state) else Vote.disagrees)
-        return ShardVote(state.turn, Vote.silent if self._busy() else Vote.closed)
+            return ShardVote(state.proposal, Vote.agrees if self._applicable(state=state) else Vote.disagrees)
+        return ShardVote(state.proposal, Vote.silent if self._busy() else Vote.closed)
 
     def _busy(self) -> bool:
         """Whether anything may still take effect at the moving databases' old services."""
-        moving, within_us = self._moving(), self.view.shards.under_way_us
+        moving, within_us = self._moving(), self.view.shards.in_flight_us
         if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
             return True
         return self.ctx.now_us() - self.changed_us < DRAIN_US and self.open_(moving)
 
     def _moving(self) -> frozenset[str]:
         state = self.view.shards
-        names = set(state.current.places) | set(state.following.places)
+        names = set(state.current.placements) | set(state.following.placements)
         return frozenset(name for name in names if state.moving(database=name))
 
     def service_of(self, *, route: DatabaseRoute) -> str:
         """The service to which a route's database belongs by the applied map."""
-        return self.applied.current.place(database=route.database, planned=route.service)
+        return self.applied.current.service_of(database=route.database, planned=route.service)
 
     def _behind(self, *, database: str) -> bool:
         """Whether the register has a later map that can't be applied here and concerns this database."""
         current = self.view.shards.current
-        return current.places.get(database) != self.applied.current.places.get(database)
+        return current.placements.get(database) != self.applied.current.placements.get(database)
 
     def fault(self, *, database: str) -> CinderstairError | None:
         """Why the database takes no writes and no full reads now; None where it does.
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/alone_child.py
@@ -28,7 +28,7 @@
 from ...runtime.unpacker import Unpacker
 from .child import Child, metered_context, rss_bytes, use_adapter
 from .hollow_link import hollow_dialer
-from .made_up import BALLOT, announcements_of, lead_value, plan_of, slots_of, whole_answer
+from .made_up import BALLOT, announcements_of, assignment_value, plan_of, slots_of, whole_answer
 from .memory_transport import MemoryTransport
 from .naming import proxy_name
 
@@ -70,9 +70,9 @@
         for each in announcements_of(databases=databases):
             view.backends[each.name] = RelayedBackend(announcement=each, silent=False)
         for database in range(databases):
-            value = lead_value(database=database)
-            view.leads[value.key.partition("/")[2]] = read_service_primary(data=value.value)
-            view.lead_since_us[value.key.partition("/")[2]] = 0
+            value = assignment_value(database=database)
+            view.primaries[value.key.partition("/")[2]] = read_service_primary(data=value.value)
+            view.assigned_since_us[value.key.partition("/")[2]] = 0
             view.ballots[value.key] = value.ballot
         return router
 
@@ -155,12 +155,12 @@
         gc.collect()
         held_bytes = rss_bytes() - before
 
-        async def answered(source: int, edition: int) -> bytes:
-            question = RelayQuestion(proxy="booth-0001", site="e1", source=source, edition=edition)
+        async def answered(source: int, revision: int) -> bytes:
+            question = RelayQuestion(proxy="booth-0001", site="e1", source=source, revision=revision)
             return await relay.answer(Unpacker(data=question.write(packer=Packer()).bytes()))
 
         whole = await answered(0, 0)
-        nothing = await answered(relay.source, relay.edition)
+        nothing = await answered(relay.source, relay.revision)
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
@@ -170,7 +170,7 @@
             "look_us": cost_us(relay.refresh),
             "whole_us": await self._cost_us(lambda: answered(0, 0)),
             "whole_bytes": len(whole),
-            "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.edition)),
+            "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.revision)),
             "nothing_bytes": len(nothing),
             "vector_bytes": len(vector.bytes()),
             "news_vector_us": cost_us(heartbeat_table.version_vector),
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -184,7 +184,7 @@
 
 def deaf_to_emptying() -> Patches:
     """A backend that says it is leaving gets as much as before."""
-    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, leads: None)]
+    return [patch.object(Router, "_follow_backend_state", lambda self, *, name, is_primary: None)]
 
 
 def first_plan_forever() -> Patches:
@@ -255,7 +255,7 @@
         self.heartbeat_table.receive(heartbeat=announcement)
         return True
 
-    return [patch.object(Announcer, "spread", alone)]
+    return [patch.object(Announcer, "replicate", alone)]
 
 
 def serves_alone() -> Patches:
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -62,8 +62,8 @@
 def send_again() -> Patches:
     """A write whose answer was lost is sent again."""
 
-    def unknown(self: Any, *, why: str) -> Any:
-        return CinderstairError(code=ErrorCode.NO_BACKEND, reason=why)
+    def unknown(self: Any, *, reason: str) -> Any:
+        return CinderstairError(code=ErrorCode.NO_BACKEND, reason=reason)
 
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
@@ -71,8 +71,8 @@
 def say_nothing_kept() -> Patches:
     """An unknown outcome is told as if nothing had been kept."""
 
-    def unknown(self: Any, *, why: str) -> Any:
-        return self.reject(kind=ErrorCode.TRANSACTION_LOST, why=why)
+    def unknown(self: Any, *, reason: str) -> Any:
+        return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
@@ -287,7 +287,7 @@
     """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
 
     async def keep(self: Any, *, session: Any, until_us: int) -> bool:
-        session.second = "nobody"
+        session.replica_holder = "nobody"
         return True
 
     return [patch.object(SessionReplicator, "keep", keep)]
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -70,7 +70,7 @@
         # why: told of a term, a replica may still hold what another term overwrote; it vouches for its
         # positions in the new term only once its log has been matched with the leader's
         self.matched_term = 0
-        self.leads = False
+        self.is_primary = False
         self.incarnation = 0
         self.state = "ready"
         self.emptied_us: int | None = None
@@ -159,7 +159,7 @@
             if request.line not in self.lines:
                 # why: a server takes so many connections and no more
                 if len(self.lines) >= self.cap:
-                    return self._no(reason="full", why="no connection left")
+                    return self._no(reason="full", message="no connection left")
                 self.lines.add(request.line)
                 self.most_lines = max(self.most_lines, len(self.lines))
         if request.path == "/run":
@@ -179,13 +179,13 @@
             self.state, self.emptied_us = "ready", None
             return json_response(status=200, value={"ok": True})
         if request.path == "/dump":
-            value = {"state": self.current, "term": self.term, "leads": self.leads, "received": self.received}
+            value = {"state": self.current, "term": self.term, "leads": self.is_primary, "received": self.received}
             value["ran"] = [[*each, count] for each, count in self.ran.items()]
             return json_response(status=200, value=value)
         return json_response(status=404, value={"ok": False})
 
-    def _no(self, *, reason: str, why: str) -> HttpResponse:
-        value = {"ok": False, "reason": reason, "why": why, "term": self.term, "position": self.applied}
+    def _no(self, *, reason: str, message: str) -> HttpResponse:
+        value = {"ok": False, "reason": reason, "why": message, "term": self.term, "position": self.applied}
         return json_response(status=409, value=value)
 
     def _yes(self, *, rows: list[Any], position: int, wrote: bool) -> HttpResponse:
@@ -204,7 +204,7 @@
             "term": self.matched_term,
             "received": self.received,
             "applied": self.applied,
-            "leads": self.leads,
+            "leads": self.is_primary,
             "incarnation": self.incarnation,
         }
         return json_response(status=200, value=value)
@@ -212,18 +212,18 @@
     async def _run(self, *, body: dict[str, Any], line: Line) -> HttpResponse:
         step, kind = body["step"], body["kind"]
         primary = kind in ("write", "primary") or step != "alone"
-        if primary and (not self.leads or body["term"] != self.term):
+        if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", why="does not lead in this term")
+            return self._no(reason="notLeading", message="does not lead in this term")
         if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", why="follows another term")
+            return self._no(reason="term", message="follows another term")
         await self.ctx.sleep(duration_us=self.ctx.rng.randrange(self.service_us // 2, self.service_us * 2))
         if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", why="follows another term")
+            return self._no(reason="term", message="follows another term")
         # why: much may have changed while the statement waited for its turn on the processor
-        if primary and (not self.leads or body["term"] != self.term):
+        if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", why="does not lead in this term")
+            return self._no(reason="notLeading", message="does not lead in this term")
         if step == "begin":
             self.open[line] = Open()
             return self._yes(rows=[], position=self.applied, wrote=False)
@@ -233,24 +233,24 @@
         if step == "commit":
             transaction = self.open.pop(line, None)
             if transaction is None:
-                return self._no(reason="noTransaction", why="no transaction on this line")
+                return self._no(reason="noTransaction", message="no transaction on this line")
             return self._commit(writes=transaction.writes, rows=[])
         return self._statement(body=body, line=line, step=step)
 
     def _statement(self, *, body: dict[str, Any], line: Line, step: str) -> HttpResponse:
         transaction = self.open.get(line)
         if step == "in" and transaction is None:
-            return self._no(reason="noTransaction", why="no transaction on this line")
+            return self._no(reason="noTransaction", message="no transaction on this line")
         if step == "alone" and transaction is not None:
             self.mixed += 1
-            return self._no(reason="statement", why="a transaction of another is open on this line")
+            return self._no(reason="statement", message="a transaction of another is open on this line")
         self.ran[sent_as(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])] += 1
         try:
             rows, writes = self._evaluate(body=body, own=transaction)
         except StatementError as error:
-            return self._no(reason="statement", why=str(error))
+            return self._no(reason="statement", message=str(error))
         if writes and body["kind"] != "write" and step == "alone":
-            return self._no(reason="statement", why="this kind only reads")
+            return self._no(reason="statement", message="this kind only reads")
         if transaction is not None:
             transaction.writes += writes
             return self._yes(rows=rows, position=self.applied, wrote=False)
@@ -292,9 +292,9 @@
 
     def _promote(self, *, term: int) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", why="has seen a later term")
-        if not (self.leads and term == self.term):
-            self.term, self.matched_term, self.leads, self.leader = term, term, True, ""
+            return self._no(reason="term", message="has seen a later term")
+        if not (self.is_primary and term == self.term):
+            self.term, self.matched_term, self.is_primary, self.leader = term, term, True, ""
             self._save_meta()
             self.open.clear()
             self._add(entries=[Entry(position=self.received + 1, term=term, writes=())])
@@ -303,18 +303,18 @@
 
     def _reported(self, *, term: int, leader: str) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", why="has seen a later term")
+            return self._no(reason="term", message="has seen a later term")
         if term > self.term:
-            self.term, self.leads = term, False
+            self.term, self.is_primary = term, False
             self._save_meta()
             self.open.clear()
-        if not self.leads:
+        if not self.is_primary:
             self.leader = leader
         return json_response(status=200, value={"ok": True, "term": self.term})
 
     async def _pull(self, *, body: dict[str, Any]) -> HttpResponse:
-        if not self.leads or body["term"] != self.term:
-            return self._no(reason="notLeading", why="does not lead in this term")
+        if not self.is_primary or body["term"] != self.term:
+            return self._no(reason="notLeading", message="does not lead in this term")
         after = body["after"]
         if after > self.received or (after and self.entries[after - 1].term != body["afterTerm"]):
             return json_response(status=200, value={"ok": True, "mismatch": True, "term": self.term})
@@ -325,7 +325,7 @@
             except TimeoutError:
                 pass
         entries = [[e.position, e.term, e.writes] for e in self.entries[after : after + 500]]
-        if not self.leads:
+        if not self.is_primary:
             entries = []
         return json_response(status=200, value={"ok": True, "term": self.term, "entries": entries})
 
@@ -334,7 +334,7 @@
         at = ""
         while True:
             leader, term = self.leader, self.term
-            if self.leads or not leader or self.deaf:
+            if self.is_primary or not leader or self.deaf:
                 await self.ctx.sleep(duration_us=50_000)
                 continue
             if connection is None or not connection.open or at != leader:
@@ -360,7 +360,7 @@
 
     def _take(self, *, value: dict[str, Any], term: int, after: int) -> None:
         # why: the answer may belong to a term that ended while it was on its way
-        if self.leads or self.term != term or value["term"] != term or self.received != after or self.deaf:
+        if self.is_primary or self.term != term or value["term"] != term or self.received != after or self.deaf:
             return
         if value.get("mismatch"):
             last = self.entries[-1].term if self.entries else 0
@@ -393,7 +393,7 @@
             "number": self.number,
             "site": self.ctx.site,
             "state": self.state,
-            "leads": self.leads,
+            "leads": self.is_primary,
             "term": self.term,
             "position": self.received,
         }
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -188,8 +188,8 @@
             self.kill(name=name)
 
     def _halter(self, *, name: str) -> Callable[[str], None]:
-        def halt(why: str) -> None:
-            self.halted[name] = why
+        def halt(reason: str) -> None:
+            self.halted[name] = reason
             self.kill(name=name)
 
         return halt
@@ -204,7 +204,7 @@
         thing = self.things.get(name)
         # why: a planned stop ends in a kill as well, after which nobody may miss anything
         if isinstance(thing, HttpProxy):
-            self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.second}
+            self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.replica_holder}
         if not boot.dead and name not in self.stopping:
             self.strikes.append((name, self.now_us, self.now_us))
         self.stopping.discard(name)
@@ -347,11 +347,11 @@
         return bool(ups) and all(
             http_proxy.ready.unready() is None
             and all(
-                (lead := http_proxy.view.lead(database=database)) is not None
-                and lead.state == "settled"
-                and lead.in_sync
-                and http_proxy.connection_pools.usable(name=lead.primary)
-                and all(http_proxy.connection_pools.open(name=name) for name in lead.confirmers)
+                (assignment := http_proxy.view.assignment(database=database)) is not None
+                and assignment.state == "settled"
+                and assignment.in_sync
+                and http_proxy.connection_pools.usable(name=assignment.primary)
+                and all(http_proxy.connection_pools.open(name=name) for name in assignment.confirmers)
                 for database in self.databases
             )
             for http_proxy in ups
