--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -288,7 +288,7 @@
     world = context.world
     world.advance(for_ms=wait_ms)
     controller = world.roles[context.away].controller
-    assert controller.register_replica.votes and controller.view.current
+    assert controller.register_replica.is_voter and controller.view.current
     assert controller.service_failover.plan.version == context.newest, controller.service_failover.plan.version
     # why: of a copy, since to open a store turns its slots over
     disk = SimDisk(rng=random.Random(0))
@@ -316,7 +316,7 @@
     return [
         name
         for name, register_replica in register_replicas.items()
-        if register_replica.watches_for_vacancy() and not register_replica.votes
+        if register_replica.watches_for_vacancy() and not register_replica.is_voter
     ]
 
 
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -62,7 +62,7 @@
     client.net = net
     net.dispatchers[ADDRESS] = replica_dispatcher(stage=stage)
     register = Register(ctx=client, seeds=(ADDRESS,))
-    lease = Lease(ctx=client, register=register, name="slots", seekers=lambda: 1)
+    lease = Lease(ctx=client, register=register, name="slots", contenders=lambda: 1)
     stage.run(work=use_register(register=register, lease=lease))
     return net.carried
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -12,7 +12,7 @@
 from cinderstair.consensus.lease import Lease
 from cinderstair.consensus.register import Register
 from cinderstair.consensus.roster import Roster, Voter
-from cinderstair.consensus.succession import Succession, without
+from cinderstair.consensus.voter_replacement import VoterReplacement, without
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.protocol_versions import split_version_header
@@ -325,7 +325,9 @@
 
     changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
-    succession = Succession(ctx=changer.ctx, register=changer)
-    world.wires.run_at(boot=context.boots[2], work=succession.succeed(leaves="vault-1", enters=enters, max_voters=5))
+    voter_replacement = VoterReplacement(ctx=changer.ctx, register=changer)
+    world.wires.run_at(
+        boot=context.boots[2], work=voter_replacement.replace_voter(leaves="vault-1", enters=enters, max_voters=5)
+    )
     world.advance(for_us=1_000_000)
     world.run(work=seeker.find_roster())
--- a/src/cinderstair/consensus/acceptor.py
+++ b/src/cinderstair/consensus/acceptor.py
@@ -52,7 +52,7 @@
         return 0 if self.roster is None else self.roster.epoch
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this replica is a voter of the roster that it knows."""
         return self.roster is not None and self.roster.has(ident=self.state.ident)
 
@@ -65,7 +65,7 @@
         if epoch > self.epoch:
             return Applied(answer=StatusAnswer(status=Status.AHEAD).encode())
         # before there is a roster the seeds may vote on the roster alone
-        may_vote = key == ROSTER_KEY if self.roster is None else self.votes
+        may_vote = key == ROSTER_KEY if self.roster is None else self.is_voter
         return None if may_vote else Applied(answer=StatusAnswer(status=Status.NO_VOTE).encode())
 
     def _cell(self, *, key: str) -> Cell:
@@ -189,14 +189,14 @@
         # epochs only rise: an old roster that arrives again changes nothing
         if roster.epoch <= self.epoch:
             return Applied(answer=answer)
-        becomes_voter = roster.has(ident=self.state.ident) and not self.votes
+        becomes_voter = roster.has(ident=self.state.ident) and not self.is_voter
         # the voter that this one replaces may have granted a lease that has not ended yet
         if becomes_voter and roster.epoch > 1:
             self.grants.from_us = self.ctx.now_us() + MAX_LEASE_US
         self.roster = roster
         self.state.roster = roster.bytes()
         self.ctx.log.info("roster epoch %d: %s", roster.epoch, ",".join(v.name for v in roster.voters))
-        cleared = () if self.votes else self._clear_cells()
+        cleared = () if self.is_voter else self._clear_cells()
         # the roster is the last entry: a torn write leaves either both or a roster that is adopted again
         return Applied(answer=answer, entries=(*cleared, roster_entry(data=self.state.roster)))
 
--- a/src/cinderstair/consensus/joining.py
+++ b/src/cinderstair/consensus/joining.py
@@ -8,7 +8,7 @@
 from .register import Register
 from .roster import Roster, Voter
 from .standby import Vacancy, find_vacancy
-from .succession import Succession
+from .voter_replacement import VoterReplacement
 from .voter_watch import VoterWatch
 
 # when all replicas have just started, clients' unfinished writes are completed first: a roster change writes every
@@ -56,8 +56,10 @@
         return True
 
     async def _take(self, *, vacancy: Vacancy, max_voters: int) -> None:
-        succession = Succession(ctx=self.ctx, register=self.register)
-        entered = await succession.succeed(leaves=vacancy.leaves or "", enters=self.me, max_voters=max_voters)
+        voter_replacement = VoterReplacement(ctx=self.ctx, register=self.register)
+        entered = await voter_replacement.replace_voter(
+            leaves=vacancy.leaves or "", enters=self.me, max_voters=max_voters
+        )
         if entered.is_error():
             self.ctx.counters.add(name="vault.entersAgain")
             return
--- a/src/cinderstair/consensus/lease.py
+++ b/src/cinderstair/consensus/lease.py
@@ -45,10 +45,10 @@
     """
 
     def __init__(
-        self, *, ctx: Context, register: Register, name: str, seekers: Callable[[], int] = lambda: 1
+        self, *, ctx: Context, register: Register, name: str, contenders: Callable[[], int] = lambda: 1
     ) -> None:
         self.ctx = ctx
-        self.seekers = seekers
+        self.contenders = contenders
         self.register = register
         self.name = name
         self.until_us = 0
@@ -116,7 +116,7 @@
         Seekers in step would split the replicas' grants among them again and again, so each waits at random; the more
         they are the longer, since it is the first of them that counts.
         """
-        factor = min(MAX_SEEK_FACTOR, max(1, self.seekers() // SEEKERS_PER_FACTOR))
+        factor = min(MAX_SEEK_FACTOR, max(1, self.contenders() // SEEKERS_PER_FACTOR))
         return RENEW_US if self.held else self.ctx.rng.randrange(MIN_SEEK_US, MAX_SEEK_US * factor)
 
     async def drop(self) -> None:
--- a/src/cinderstair/consensus/quorum.py
+++ b/src/cinderstair/consensus/quorum.py
@@ -95,17 +95,17 @@
         if self.roster is None or roster.epoch > self.roster.epoch:
             self.roster = roster
 
-    async def tell(self, *, address: str, roster: Roster) -> bool:
+    async def send_roster(self, *, address: str, roster: Roster) -> bool:
         """Whether the replica at an address has adopted a roster, or one as new."""
         result = await self.ctx.peer_client.request(
             address=address, body=AdoptRequest(roster=roster).encode(), wait_us=REQUEST_TIMEOUT_US
         )
         return result.is_ok()
 
-    async def tell_all(self, *, roster: Roster) -> int:
+    async def broadcast_roster(self, *, roster: Roster) -> int:
         """Tells a roster to all its voters, and waits for a majority; how many have adopted it by then."""
         requests = {
-            self.ctx.spawn(work=self.tell(address=voter.address, roster=roster), name="roster.tell")
+            self.ctx.spawn(work=self.send_roster(address=voter.address, roster=roster), name="roster.tell")
             for voter in roster.voters
         }
         return await count_until_majority(requests=requests, majority=roster.majority)
@@ -163,7 +163,7 @@
         if status == Status.STALE:
             self.learn_roster(roster=StaleAnswer.decode(data=answer).roster)
         elif status == Status.AHEAD and roster.epoch > 0:
-            self.ctx.spawn(work=self.tell(address=voter.address, roster=roster))
+            self.ctx.spawn(work=self.send_roster(address=voter.address, roster=roster))
         return status in VOTE_STATUSES
 
     async def votes(self, *, roster: Roster, body: bytes, first: int = 0) -> list[VoteAnswer]:
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -46,11 +46,11 @@
         super().__init__(ctx=ctx, seeds=seeds, own=own)
         self.proposer = ctx.rng.getrandbits(63) | 1
         # the highest round of any ballot seen or used
-        self.count = 0
+        self.highest_round = 0
 
     def _next_ballot(self) -> Ballot:
-        self.count += 1
-        return Ballot(self.count, self.proposer)
+        self.highest_round += 1
+        return Ballot(self.highest_round, self.proposer)
 
     def _unreachable(self, *, key: str) -> CinderstairError:
         reason = f"{key}: no majority of register replicas"
@@ -104,7 +104,7 @@
         request = PrepareRequest(epoch=roster.epoch, key=key, ballot=ballot)
         votes = await self.votes(roster=roster, body=request.encode())
         for vote in votes:
-            self.count = max(self.count, vote.promised.round)
+            self.highest_round = max(self.highest_round, vote.promised.round)
         return granted(votes=votes)
 
     async def _accept(self, *, key: str, ballot: Ballot, value: bytes, roster: Roster) -> bool:
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -140,9 +140,9 @@
         return self.settings.max_voters or self.settings.founding_replicas
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this replica is a voter of the roster that it knows."""
-        return self.acceptor.votes
+        return self.acceptor.is_voter
 
     async def run_joining(self) -> None:
         """Sends join requests until a roster is known, and at longer intervals after; founds or joins it."""
@@ -150,7 +150,7 @@
             await self.join_requests.send_all(seeds=self.settings.seeds)
             if self.roster is None:
                 await self._found()
-            elif not self.votes:
+            elif not self.is_voter:
                 await self.joining.attempt(roster=self.roster, membership=self.membership, max_voters=self.max_voters)
             self._count_votes()
             # a standby that watches must be quick: while a vote is missing the system bears one loss less
@@ -176,7 +176,7 @@
 
     def watches_for_vacancy(self) -> bool:
         """Whether this replica has no vote and is among those that have to take the next vacancy."""
-        if self.votes:
+        if self.is_voter:
             return False
         if self.roster is None:
             return True
@@ -209,7 +209,7 @@
         """
         until_us = self.ctx.now_us() + self.settings.leave_within_us
         await self.membership.leave()
-        while self.votes and self.standbys() and self.ctx.now_us() < until_us:
+        while self.is_voter and self.standbys() and self.ctx.now_us() < until_us:
             await self.ctx.sleep(duration_us=LEAVE_POLL_US)
 
     def resettle(self, *, settings: Settings) -> None:
--- a/src/cinderstair/consensus/register_view.py
+++ b/src/cinderstair/consensus/register_view.py
@@ -66,7 +66,7 @@
             return []
         return [key for key, ballot in highest.items() if key not in self.known or self.known[key].ballot < ballot]
 
-    def take_own(self, *, key: str, result: Result[VersionedValue, CinderstairError]) -> None:
+    def apply_own_write(self, *, key: str, result: Result[VersionedValue, CinderstairError]) -> None:
         """Takes in what this process has itself written, without another read."""
         if result.is_ok():
             self._take(key=key, found=result.ok)
@@ -92,7 +92,7 @@
             # whoever changed the roster may have died before it told the replicas
             if self.register.roster is None or roster.epoch > self.register.roster.epoch:
                 self.register.learn_roster(roster=roster)
-                self.ctx.spawn(work=self.register.tell_all(roster=roster), name="roster.tell_all")
+                self.ctx.spawn(work=self.register.broadcast_roster(roster=roster), name="roster.tell_all")
         return True
 
     def ballot_of(self, *, key: str) -> Ballot:
--- a/src/cinderstair/consensus/roster_change.py
+++ b/src/cinderstair/consensus/roster_change.py
@@ -82,7 +82,7 @@
     async def _publish_roster(self, *, roster: Roster) -> Result[Roster, CinderstairError]:
         """Tells a chosen roster to its voters. registerUnsure: fewer than a majority have adopted it yet."""
         self.learn_roster(roster=roster)
-        if await self.tell_all(roster=roster) < roster.majority:
+        if await self.broadcast_roster(roster=roster) < roster.majority:
             reason = "the new roster is not known to a majority yet"
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNSURE, reason=reason))
         return Ok(roster)
--- a/src/cinderstair/consensus/succession.py
+++ b/src/cinderstair/consensus/voter_replacement.py
@@ -12,14 +12,14 @@
 from .roster_change import overtaken
 
 
-class Succession:
+class VoterReplacement:
     """Can be interrupted anywhere and be run again: each step looks at the roster as it then is."""
 
     def __init__(self, *, ctx: Context, register: Register) -> None:
         self.ctx = ctx
         self.register = register
 
-    async def succeed(self, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
+    async def replace_voter(self, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         """Has `enters` take the seat of the voter named `leaves`, which may have left already.
 
         versionTaken: another change came first, or the roster is full. registerUnreachable: no majority answers, or
@@ -59,7 +59,7 @@
             return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=reason))
         # it may have voted under an older roster. As it adopts this one, which lacks it, it discards what it accepted
         # then; it must have done so before it votes again
-        if not await self.register.tell(address=enters.address, roster=roster):
+        if not await self.register.send_roster(address=enters.address, roster=roster):
             reason = f"{enters.name} does not adopt the roster"
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason=reason))
         entered = await self.register.change_roster(alter=lambda current: with_voter(roster=current, voter=enters))
--- a/src/cinderstair/control_plane/orders.py
+++ b/src/cinderstair/control_plane/orders.py
@@ -37,7 +37,7 @@
                 key=PLAN_KEY, decide=lambda current: _next_plan(current=current, submitted=plan)
             )
             if result.is_ok():
-                self.view.take_own(key=PLAN_KEY, result=result)
+                self.view.apply_own_write(key=PLAN_KEY, result=result)
                 return Ok(plan_version(data=result.ok.value) == plan.version)
             if result.error.code == ErrorCode.VERSION_OLD:
                 return Ok(False)
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -34,7 +34,7 @@
         self.register = register
         self.view = view
         self.census = census
-        self.lease = Lease(ctx=ctx, register=register, name=PROXY_ID_LEASE, seekers=lambda: 3)
+        self.lease = Lease(ctx=ctx, register=register, name=PROXY_ID_LEASE, contenders=lambda: 3)
         self.held_since_us = 0
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
@@ -87,7 +87,7 @@
         result = await self.register.change(
             key=PROXY_ADDRESSES_KEY, decide=lambda data: Ok(ProxyAddresses(addresses=wanted(data)).bytes())
         )
-        self.view.take_own(key=PROXY_ADDRESSES_KEY, result=result)
+        self.view.apply_own_write(key=PROXY_ADDRESSES_KEY, result=result)
 
     async def _change(self, *, fresh: list[str], gone: list[str]) -> None:
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
@@ -101,7 +101,7 @@
             return Ok(proxy_ids.bytes())
 
         result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
-        self.view.take_own(key=PROXY_IDS_KEY, result=result)
+        self.view.apply_own_write(key=PROXY_IDS_KEY, result=result)
         if result.is_ok():
             self.ctx.log.info("proxy ids were assigned to %s, and those of the lost proxies %s freed", fresh, gone)
 
--- a/src/cinderstair/failover/compare_and_set.py
+++ b/src/cinderstair/failover/compare_and_set.py
@@ -35,5 +35,5 @@
         return Ok(new)
 
     result = await register.change(key=key, decide=decide)
-    view.take_own(key=key, result=result)
+    view.apply_own_write(key=key, result=result)
     return result
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -51,7 +51,7 @@
         self.view: View = view
         self.reachability = reachability
         self.lease = Lease(
-            ctx=ctx, register=register, name=DATABASE_FAILOVER_LEASE, seekers=lambda: len(view.proxy_ids.names)
+            ctx=ctx, register=register, name=DATABASE_FAILOVER_LEASE, contenders=lambda: len(view.proxy_ids.names)
         )
         self.failover = DatabaseFailoverContext(
             ctx=ctx,
--- a/src/cinderstair/failover/proxy_id_reclaimer.py
+++ b/src/cinderstair/failover/proxy_id_reclaimer.py
@@ -30,7 +30,9 @@
         self.view: View = view
         self.membership = membership
         self.grace_us = grace_us
-        self.lease = Lease(ctx=ctx, register=register, name=PROXY_ID_LEASE, seekers=lambda: len(view.proxy_ids.names))
+        self.lease = Lease(
+            ctx=ctx, register=register, name=PROXY_ID_LEASE, contenders=lambda: len(view.proxy_ids.names)
+        )
         self.gone_since_us: dict[str, int] = {}
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
@@ -40,7 +42,7 @@
         result = await self.register.change(
             key=PROXY_IDS_KEY, decide=lambda data: Ok(read_proxy_ids(data=data).with_name(name=name).bytes())
         )
-        self.view.take_own(key=PROXY_IDS_KEY, result=result)
+        self.view.apply_own_write(key=PROXY_IDS_KEY, result=result)
 
     async def _on_timer(self) -> None:
         await self.renew_role()
@@ -63,7 +65,7 @@
             return Ok(proxy_ids.without(name=name).bytes())
 
         result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
-        self.view.take_own(key=PROXY_IDS_KEY, result=result)
+        self.view.apply_own_write(key=PROXY_IDS_KEY, result=result)
         self.gone_since_us.pop(name, None)
         if result.is_ok():
             self.ctx.counters.add(name="slots.freed")
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -57,7 +57,9 @@
         self.ctx = ctx
         self.register = register
         self.view = view
-        self.lease = Lease(ctx=ctx, register=register, name=SERVICE_FAILOVER_LEASE, seekers=lambda: CONTROL_DAEMONS)
+        self.lease = Lease(
+            ctx=ctx, register=register, name=SERVICE_FAILOVER_LEASE, contenders=lambda: CONTROL_DAEMONS
+        )
         self.plan: ServicePlan | None = None
         # services with a step under way
         self.active: set[str] = set()
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -88,7 +88,7 @@
         self.handover = handover
         self.lease_us = lease_us
         self.in_flight_us = in_flight_us
-        self.lease = Lease(ctx=ctx, register=register, name=SHARD_MAP_LEASE, seekers=lambda: CONTROL_DAEMONS)
+        self.lease = Lease(ctx=ctx, register=register, name=SHARD_MAP_LEASE, contenders=lambda: CONTROL_DAEMONS)
         self.state = ShardState()
         # when the state was seen first, or the role was gained
         self.since_us = 0
@@ -137,7 +137,7 @@
             return decide(state).map(lambda new: data if new is state else new.bytes())
 
         result = await self.register.change(key=SHARDS_KEY, decide=decide_bytes)
-        self.view.take_own(key=SHARDS_KEY, result=result)
+        self.view.apply_own_write(key=SHARDS_KEY, result=result)
         return Error(result.error) if result.is_error() else Ok(None)
 
     async def progress(self) -> ShardProgress:
--- a/src/cinderstair/failover/window_scheduler.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -21,7 +21,9 @@
         self.ctx = ctx
         self.register = register
         self.view: View = view
-        self.lease = Lease(ctx=ctx, register=register, name=WINDOW_LEASE, seekers=lambda: len(view.proxy_ids.names))
+        self.lease = Lease(
+            ctx=ctx, register=register, name=WINDOW_LEASE, contenders=lambda: len(view.proxy_ids.names)
+        )
         self.open_queue()
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="windows")
 
@@ -43,4 +45,4 @@
             return Ok(turned.bytes())
 
         result = await self.register.change(key=WINDOWS_KEY, decide=decide)
-        self.view.take_own(key=WINDOWS_KEY, result=result)
+        self.view.apply_own_write(key=WINDOWS_KEY, result=result)
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -1,7 +1,7 @@
 """Answers readiness probes, heartbeats of backends, and the operators' requests."""
 
 from ...config.configuration import CONFIGURATION_KEY
-from ...consensus.succession import Succession
+from ...consensus.voter_replacement import VoterReplacement
 from ...failover.database_failover import DatabaseFailover
 from ...membership.heartbeat import heartbeat_from_json
 from ...membership.heartbeat_table import HeartbeatTable
@@ -85,7 +85,7 @@
         if result.is_error():
             return self.reject_with(fault=result.error)
         configuration, found = result.ok.configuration, result.ok.found
-        self.view.take_own(key=CONFIGURATION_KEY, result=type(result).Ok(found))
+        self.view.apply_own_write(key=CONFIGURATION_KEY, result=type(result).Ok(found))
         return self.done(value={"version": configuration.version, "warnings": list(configuration.warnings)})
 
     async def _fetch(self) -> HttpResponse:
@@ -105,8 +105,8 @@
             )
         roster = self.configuration_store.register.roster
         max_voters = 0 if roster is None else max(len(roster.voters), self.founding_replicas)
-        succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
-        result = await succession.succeed(leaves=leaves, enters=voter, max_voters=max_voters)
+        voter_replacement = VoterReplacement(ctx=self.ctx, register=self.configuration_store.register)
+        result = await voter_replacement.replace_voter(leaves=leaves, enters=voter, max_voters=max_voters)
         if result.is_error():
             return self.reject_with(fault=result.error)
         names = [each.name for each in result.ok.voters]
--- a/src/cinderstair/simulation/explorer/client_actor.py
+++ b/src/cinderstair/simulation/explorer/client_actor.py
@@ -66,7 +66,7 @@
         register = self.register
         roster = b"" if register.roster is None else register.roster.bytes()
         rng = hash(self.ctx.rng.getstate())
-        return self.done, register.count, roster, tuple(sorted(register.failed)), rng, self.more()
+        return self.done, register.highest_round, roster, tuple(sorted(register.failed)), rng, self.more()
 
     def more(self) -> Hashable:
         """What else an idle client's further doings depend on."""
--- a/src/cinderstair/simulation/explorer/lease_roster_model.py
+++ b/src/cinderstair/simulation/explorer/lease_roster_model.py
@@ -52,5 +52,5 @@
             return SeekerActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=SLOW)
         changer = ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=FAST)
         # why: ballots that begin above those of who went before are not beaten, so that nobody rests meanwhile
-        changer.register.count = recipe.process
+        changer.register.highest_round = recipe.process
         return changer
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -4,7 +4,7 @@
 
 from ...consensus.cell import Cell
 from ...consensus.roster import Roster, Voter
-from ...consensus.succession import Succession, without
+from ...consensus.voter_replacement import VoterReplacement, without
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
 from .event import BackendHeartbeat
@@ -16,8 +16,8 @@
 
 def replace(*, leaves: str, enters: Voter) -> Operation:
     async def operation(actor: ClientActor) -> Outcome:
-        succession = Succession(ctx=actor.ctx, register=actor.register)
-        result = await succession.succeed(leaves=leaves, enters=enters, max_voters=3)
+        voter_replacement = VoterReplacement(ctx=actor.ctx, register=actor.register)
+        result = await voter_replacement.replace_voter(leaves=leaves, enters=enters, max_voters=3)
         return ("replaced" if result.is_ok() else str(result.error.code), 0, "")
 
     return operation
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -17,7 +17,7 @@
 from ...consensus.messages import AcceptRequest, Status
 from ...consensus.register import Register
 from ...consensus.roster import ROSTER_KEY, Roster, Voter, read_roster
-from ...consensus.succession import Succession
+from ...consensus.voter_replacement import VoterReplacement
 from ...runtime.errors import CinderstairError, ErrorCode
 
 Patches = list[Any]
@@ -93,7 +93,7 @@
     async def outwait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
 
-    return [patch.object(Succession, "_await_lease_ends", outwait)]
+    return [patch.object(VoterReplacement, "_await_lease_ends", outwait)]
 
 
 async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
@@ -115,7 +115,7 @@
     if chosen.is_error():
         return Error(chosen.error)
     self.learn_roster(roster=wanted)
-    await self.tell_all(roster=wanted)
+    await self.broadcast_roster(roster=wanted)
     return Ok(wanted)
 
 
@@ -132,26 +132,28 @@
 def enters_untold() -> Patches:
     """A register replica is made a voter again without having adopted a roster that lacks it."""
 
-    reported = Register.tell
+    reported = Register.send_roster
 
-    async def tell(self: Any, *, address: str, roster: Roster) -> bool:
+    async def send_roster(self: Any, *, address: str, roster: Roster) -> bool:
         voting = any(voter.address == address for voter in roster.voters)
         return await reported(self, address=address, roster=roster) if voting else True
 
-    return [patch.object(Register, "tell", tell)]
+    return [patch.object(Register, "send_roster", send_roster)]
 
 
 def two_at_once() -> Patches:
     """A replacement is one change of two voters."""
 
-    async def succeed(self: Any, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
+    async def replace_voter(
+        self: Any, *, leaves: str, enters: Voter, max_voters: int
+    ) -> Result[Roster, CinderstairError]:
         def alter(current: Roster) -> Roster:
             stay = tuple(voter for voter in current.voters if voter.name != leaves)
             return Roster(epoch=current.epoch + 1, voters=(*stay, enters))
 
         return await change_blindly(self.register, alter=alter)
 
-    return [patch.object(Succession, "succeed", succeed)]
+    return [patch.object(VoterReplacement, "replace_voter", replace_voter)]
 
 
 FAULTS: dict[str, Callable[[], Patches]] = {
