--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -70,7 +70,7 @@
         now_us = self.ctx.now_us()
         holder, until_us = self.store.leases.get(lease, (0, 0))
         if holder != proposer and until_us > now_us:
-            return [bytes([Status.BEATEN])]
+            return [bytes([Status.REFUSED])]
         self.store.leases[lease] = (proposer, now_us + length_us)
         return [bytes([Status.OK])]
 
--- a/src/cinderstair/consensus/__init__.py
+++ b/src/cinderstair/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The register on a quorum of disks: ballots, rosters, leases, snapshots, failure detection of voters."""
+"""The replicated register: ballots, rosters, leases, snapshots, and failure detection of voters."""
--- a/src/cinderstair/consensus/ballot.py
+++ b/src/cinderstair/consensus/ballot.py
@@ -1,4 +1,4 @@
-"""Ballots, which order the proposals for a key (Paxos: Lamport, 1998)."""
+"""Ballots, which order the proposals for a key (Paxos: Lamport, The Part-Time Parliament, 1998)."""
 
 from typing import NamedTuple
 
@@ -7,20 +7,20 @@
 
 
 class Ballot(NamedTuple):
-    """Ordered by round, then by the proposer's number, so no two proposers ever use the same one."""
+    """A ballot, ordered by round and then by proposer id, so two proposers never use the same one."""
 
     round: int
     proposer: int
 
     def write(self, *, packer: Packer) -> None:
-        """Appends its 16 bytes."""
+        """Appends the encoded ballot (16 bytes)."""
         packer.u64(value=self.round).u64(value=self.proposer)
 
 
-# lower than any ballot that is proposed
+# lower than every proposed ballot; marks a key that was never promised or accepted
 BLANK = Ballot(0, 0)
 
 
 def read_ballot(*, unpacker: Unpacker) -> Ballot:
-    """Takes a ballot off a record. ValueError: the record is too short."""
+    """Reads a ballot. Raises ValueError if the record is too short."""
     return Ballot(unpacker.u64(), unpacker.u64())
--- a/src/cinderstair/consensus/batches.py
+++ b/src/cinderstair/consensus/batches.py
@@ -1,4 +1,4 @@
-"""Many requests at the same time, in batches of a bounded size."""
+"""Concurrent requests in batches of bounded size."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator, Sequence
@@ -7,13 +7,13 @@
 Item = TypeVar("Item")
 Outcome = TypeVar("Outcome")
 
-# requests in flight at once: one after the other a thousand keys would take the sum of their round trips, and all at
-# once they would fill every queue on the way
+# bounds the requests in flight: sent one by one, a thousand keys would take a thousand round trips, and sent all at
+# once they would fill the queues along the path
 BATCH_SIZE = 64
 
 
 def batches(*, items: Sequence[Item]) -> Iterator[Sequence[Item]]:
-    """The items in their order, BATCH_SIZE at a time."""
+    """Splits the items, in order, into slices of at most BATCH_SIZE."""
     for first in range(0, len(items), BATCH_SIZE):
         yield items[first : first + BATCH_SIZE]
 
@@ -21,6 +21,6 @@
 async def gather_pairs(
     *, items: Sequence[Item], call: Callable[[Item], Awaitable[Outcome]]
 ) -> list[tuple[Item, Outcome]]:
-    """Calls with all items at the same time; each item with its outcome, in the order of the items."""
+    """Runs `call` concurrently for all items and returns (item, outcome) pairs in the order of the items."""
     outcomes = await asyncio.gather(*(call(item) for item in items))
     return list(zip(items, outcomes, strict=True))
--- a/src/cinderstair/consensus/candidates.py
+++ b/src/cinderstair/consensus/candidates.py
@@ -1,14 +1,14 @@
-"""The register replicas that have introduced themselves, and may become voters."""
+"""The register replicas that are known to this one and may become voters."""
 
 from ..runtime.context import Context
 from .roster import Roster, Voter
 
-# a replica without a vote counts as a standby for so long after its last join request
+# how long after its last join request a replica without a vote counts as a standby
 STANDBY_US = 2_000_000
 
 
 class CandidateTable:
-    """Owns the known replicas by name, and the moment of the last join request of each."""
+    """Owns the known replicas by name, and the time of the last join request received from each."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
@@ -16,16 +16,16 @@
         self.requested_us: dict[str, int] = {}
 
     def add(self, *, candidate: Voter) -> None:
-        """Takes in a replica, whether it was heard of or has introduced itself."""
+        """Adds or replaces a replica, known from its own join request or from another replica's answer."""
         self.by_name[candidate.name] = candidate
 
     def join_requested(self, *, candidate: Voter) -> None:
-        """Takes in a replica that has just sent a join request."""
+        """Adds a replica that has just sent a join request, and records the time."""
         self.add(candidate=candidate)
         self.requested_us[candidate.name] = self.ctx.now_us()
 
     def standbys(self, *, roster: Roster) -> list[str]:
-        """The names of the replicas without a vote that have sent a join request lately."""
+        """The sorted names of replicas that are not voters and sent a join request within the last STANDBY_US."""
         now_us = self.ctx.now_us()
         return [
             name
--- a/src/cinderstair/consensus/cell.py
+++ b/src/cinderstair/consensus/cell.py
@@ -1,4 +1,4 @@
-"""What one acceptor holds for one key."""
+"""The Paxos state that one acceptor holds for one key."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Cell:
-    """The acceptor's Paxos state of one key: the highest ballot promised, and the last value accepted.
+    """The highest ballot promised for a key, and the last value accepted.
 
-    `accepted` is the ballot under which the value was accepted. A key that was never written has the blank cell.
+    `accepted` is the ballot under which `value` was accepted. A key that was never written has the default cell.
     """
 
     promised: Ballot = BLANK
--- a/src/cinderstair/consensus/durable_state.py
+++ b/src/cinderstair/consensus/durable_state.py
@@ -1,4 +1,4 @@
-"""What a register replica must not forget, and the log entries that record it."""
+"""The durable state of a register replica, and the log entries that record its changes."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -15,20 +15,20 @@
     CELL = 1
     ROSTER = 2
     IDENT = 3
-    # the last entry of a log: the other slot was written whole, and is in use
+    # the last entry of a log: the other slot has been written completely and replaces this one
     SEALED = 4
 
 
 @dataclass(kw_only=True)
 class DurableState:
-    """A replica's identity (0 on a blank disk), its encoded roster (empty where it knows none), and its cells."""
+    """A replica's identity (0 on a blank disk), its encoded roster (empty if there is none), and its cells by key."""
 
     ident: int = 0
     roster: bytes = b""
     cells: dict[str, Cell] = field(default_factory=dict)
 
     def entries(self) -> list[bytes]:
-        """The log entries that bring a blank state to this one."""
+        """The log entries that reproduce this state from a blank one."""
         cells = [cell_entry(key=key, cell=cell) for key, cell in sorted(self.cells.items())]
         return [ident_entry(ident=self.ident), roster_entry(data=self.roster), *cells]
 
@@ -52,12 +52,12 @@
 
 
 def seal_entry() -> bytes:
-    """The log entry after which a log is not written any more."""
+    """The log entry that closes a log; nothing is appended after it."""
     return Packer().u8(value=EntryKind.SEALED).bytes()
 
 
 def apply_entry(*, state: DurableState, entry: bytes) -> bool:
-    """Applies one log entry to the state; whether it seals the log. ValueError: it is no entry."""
+    """Applies one log entry to the state; whether it seals the log. Raises ValueError if it is malformed."""
     unpacker = Unpacker(data=entry)
     kind = unpacker.u8()
     if kind == EntryKind.CELL:
@@ -69,5 +69,5 @@
     elif kind == EntryKind.IDENT:
         state.ident = unpacker.u64()
     elif kind != EntryKind.SEALED:
-        raise ValueError(f"log entry of kind {kind}")
+        raise ValueError(f"unknown kind of log entry: {kind}")
     return kind == EntryKind.SEALED
--- a/src/cinderstair/consensus/fault_tolerance.py
+++ b/src/cinderstair/consensus/fault_tolerance.py
@@ -1,4 +1,4 @@
-"""How many voters are alive, and how many more may be lost."""
+"""Counts the voters that are alive, and the time since which votes are missing."""
 
 from ..membership.member import Standing
 from ..membership.membership import Membership
@@ -7,20 +7,20 @@
 
 
 def alive_voters(*, roster: Roster, membership: Membership) -> list[Voter]:
-    """The voters that the membership does not hold to be lost or gone."""
+    """The voters whose state in the membership is alive; suspected voters are not counted."""
     return [voter for voter in roster.voters if membership.standing(name=voter.name) == Standing.alive]
 
 
 class MissingVotes:
-    """Owns since when fewer voters are alive than there are to be."""
+    """Owns the time since which fewer voters are alive than wanted."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
-        # on this process's monotonic clock; None while no vote is missing
+        # monotonic clock of this process; None while no vote is missing
         self.since_us: int | None = None
 
     def update(self, *, alive: int, wanted: int) -> None:
-        """Takes in a count of the voters that are alive."""
+        """Records the current number of voters that are alive."""
         if alive >= wanted:
             self.since_us = None
             return
--- a/src/cinderstair/consensus/group_commit.py
+++ b/src/cinderstair/consensus/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: commands are applied in batches, and one sync covers each batch before it is answered."""
+"""Group commit: commands are applied in batches, and each batch is synced once before it is answered."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Applied:
-    """What came of a command: the answer, and the log entries to sync before it may be sent."""
+    """The result of a command: the answer, and the log entries to sync before the answer is sent."""
 
     answer: bytes
     entries: tuple[bytes, ...] = ()
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueuedCommand:
-    """A command that waits for its turn, and the future that its requester awaits."""
+    """A queued command, and the future that its requester awaits."""
 
     apply: Command
     answer: asyncio.Future[bytes]
 
 
 class GroupCommit:
-    """Applies commands one after the other, each to the state that the one before left.
+    """Owns the command queue of an acceptor, and applies the commands one at a time in order.
 
-    :param halt: called with the reason when the disk fails, after which nothing is answered any more.
+    :param halt: called with the reason when the disk fails; no command is answered after that.
     """
 
     def __init__(self, *, ctx: Context, store: Store, halt: Callable[[str], None]) -> None:
@@ -43,7 +43,7 @@
         ctx.spawn(work=self._process_commands(), name="acceptor")
 
     async def execute(self, *, command: Command) -> bytes:
-        """The answer to a command, once all that it rests on is on the disk."""
+        """Queues a command and returns its answer once its entries are synced; never returns if the disk fails."""
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.queue.put_nowait(QueuedCommand(apply=command, answer=answer))
         return await answer
@@ -65,7 +65,7 @@
                 command.answer.set_result(result.answer)
 
     async def _save(self, *, entries: list[bytes]) -> bool:
-        """Whether the entries are on the disk; after a failed sync nobody knows, and no answer may leave."""
+        """Syncs the entries. False after an error: it is then unknown which are on disk, so no answer may be sent."""
         try:
             await self.store.disk.run_in_background(work=partial(self.store.save, entries=entries))
         except OSError as error:
--- a/src/cinderstair/consensus/identity.py
+++ b/src/cinderstair/consensus/identity.py
@@ -1,4 +1,4 @@
-"""The identity that a register replica's disk holds."""
+"""The identity of a register replica, which is stored on its disk."""
 
 from ..runtime.context import Context
 from .durable_state import ident_entry
@@ -8,7 +8,7 @@
 
 
 def ensure_identity(*, ctx: Context, store: Store) -> bool:
-    """Gives a blank disk a new random identity, which is never 0.
+    """Stores a new random identity, which is never 0, on a blank disk. Raises OSError if the disk fails.
 
     :returns: whether the disk was blank.
     """
--- a/src/cinderstair/consensus/join_requests.py
+++ b/src/cinderstair/consensus/join_requests.py
@@ -1,4 +1,4 @@
-"""Join requests, by which register replicas find one another and learn the roster."""
+"""Join requests, by which register replicas discover one another and learn the roster."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 from .voter_watch import VoterWatch
 
 JOIN_REQUEST_PERIOD_US = 250_000
-# an answer that comes after the period is still taken in
+# longer than the period: an answer that arrives after the next request was sent is still used
 JOIN_REQUEST_TIMEOUT_US = 500_000
 
 
 class JoinRequests:
-    """Sends the join requests of one replica, and answers those of others.
+    """Sends the join requests of this replica, and answers those of other replicas and clients.
 
-    :param me: the replica, as others are to know it.
+    :param me: this replica's identity, name and address, as sent in its requests.
     """
 
     def __init__(
@@ -31,19 +31,19 @@
         self.watch = watch
 
     async def answer(self, unpacker: Unpacker) -> bytes:
-        """Answers with the roster, and with the candidates where the requester needs them."""
+        """Answers with the roster, and with the candidates if the requester needs them. ValueError: malformed."""
         request = JoinRequest.decode(unpacker=unpacker)
         if request.from_replica:
             self.candidates.join_requested(candidate=request.sender)
         roster = self.acceptor.roster
-        # once there is a roster only operators need the candidates; many standbys send requests all the time, and
-        # the list grows with them
+        # once there is a roster only operators need the candidates; standbys send requests continuously, and the
+        # list grows with their number
         lists_candidates = roster is None or not request.from_replica
         listed = tuple(self.candidates.by_name.values()) if lists_candidates else ()
         return JoinAnswer(roster=roster, candidates=listed).encode()
 
     async def send_all(self, *, seeds: tuple[str, ...]) -> None:
-        """Sends a join request to each seed and voter, and waits for the answers, but no longer than a period."""
+        """Sends a join request to each seed and voter, and waits at most JOIN_REQUEST_PERIOD_US for the answers."""
         roster = self.acceptor.roster
         voters = () if roster is None else tuple(voter.address for voter in roster.voters)
         addresses = [address for address in dict.fromkeys(seeds + voters) if address != self.me.address]
--- a/src/cinderstair/consensus/joining.py
+++ b/src/cinderstair/consensus/joining.py
@@ -1,4 +1,4 @@
-"""How a register replica without a vote becomes a voter."""
+"""The attempts of a register replica without a vote to become a voter."""
 
 import asyncio
 
@@ -11,13 +11,13 @@
 from .voter_replacement import VoterReplacement
 from .voter_watch import VoterWatch
 
-# when all replicas have just started, clients' unfinished writes are completed first: a roster change writes every
-# key again, and its ballots and theirs would beat each other
+# wait before the first attempt: when all replicas have just started, clients complete unfinished writes, and the
+# ballots of a roster change, which rewrites keys, would compete with theirs
 JOIN_DELAY_US = 600_000
 
 
 class Joining:
-    """Takes one attempt at a time to become a voter; each looks at the roster as it then is."""
+    """Owns the start time of the current series of attempts; each attempt decides by the roster it is given."""
 
     def __init__(self, *, ctx: Context, me: Voter, register: Register, acceptor: Acceptor, watch: VoterWatch) -> None:
         self.ctx = ctx
@@ -25,14 +25,14 @@
         self.register = register
         self.acceptor = acceptor
         self.watch = watch
-        # when the present attempts began; None while there are none
+        # when the current series of attempts began; None if this replica is not trying to join
         self.since_us: int | None = None
 
     async def attempt(self, *, roster: Roster, membership: Membership, max_voters: int) -> None:
-        """Takes a vacancy, if there is one."""
+        """Checks the voters, and takes a vacancy in the roster if there is one."""
         if self.since_us is None:
             self.since_us = self.ctx.now_us()
-        self.watch.follow(roster=roster)
+        self.watch.update_roster(roster=roster)
         self.watch.request_checks(roster=roster, membership=membership)
         if self.ctx.now_us() - self.since_us < JOIN_DELAY_US:
             return
@@ -41,10 +41,10 @@
         )
         if vacancy is None or not await self._install_snapshot():
             return
-        await self._take(vacancy=vacancy, max_voters=max_voters)
+        await self._take_vacancy(vacancy=vacancy, max_voters=max_voters)
 
     async def _install_snapshot(self) -> bool:
-        """Whether this replica now holds what the voters do, so that its first vote already counts for something."""
+        """Copies every key from the voters, so that the first vote is already up to date. False if a read fails."""
         snapshot = await self.register.snapshot()
         if snapshot.is_error():
             return False
@@ -55,7 +55,7 @@
         await asyncio.gather(*installs)
         return True
 
-    async def _take(self, *, vacancy: Vacancy, max_voters: int) -> None:
+    async def _take_vacancy(self, *, vacancy: Vacancy, max_voters: int) -> None:
         voter_replacement = VoterReplacement(ctx=self.ctx, register=self.register)
         entered = await voter_replacement.replace_voter(
             leaves=vacancy.leaves or "", enters=self.me, max_voters=max_voters
--- a/src/cinderstair/consensus/known_vectors.py
+++ b/src/cinderstair/consensus/known_vectors.py
@@ -1,4 +1,7 @@
-"""What a client has of each replica's vector, so that a replica need send only what changed since."""
+"""A client's copies of the replicas' vectors, so that a replica sends only the changes since the last request.
+
+A vector holds the accepted ballot of each key.
+"""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KnownVector:
-    """A source's vector as of a revision."""
+    """The vector of one source at a revision."""
 
     revision: int = 0
     ballots: Vector = field(default_factory=dict)
@@ -18,16 +21,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MergedVector:
-    """The highest ballots of several sources' vectors, as of their revisions."""
+    """The highest ballot of each key in the vectors of several sources at their revisions."""
 
     revisions: frozenset[SourceRevision] = frozenset()
     ballots: Vector = field(default_factory=dict)
 
 
 class KnownVectors:
-    """Owns the vectors by source, which is one run of one replica's process.
+    """Owns the known vectors by source. A source is one run of one replica's process.
 
-    Within such a run a key's ballot only rises.
+    Within one run the ballot of a key only increases.
     """
 
     def __init__(self) -> None:
@@ -36,11 +39,11 @@
         self.latest: list[Vector] = []
 
     def revisions(self) -> tuple[SourceRevision, ...]:
-        """Every source with the revision that is known of it."""
+        """Each source with the revision up to which its vector is known."""
         return tuple(SourceRevision(source, known.revision) for source, known in self.by_source.items())
 
     def read(self, *, answers: list[bytes]) -> Vector:
-        """For every key the highest ballot in these answers. ValueError: one is no vector."""
+        """Applies answers and returns the highest ballot of each key. Raises ValueError for a malformed answer."""
         revisions: set[SourceRevision] = set()
         vectors: list[Vector] = []
         for data in answers:
@@ -55,9 +58,9 @@
         return self._merge(revisions=frozenset(revisions), vectors=vectors)
 
     def _merge(self, *, revisions: frozenset[SourceRevision], vectors: list[Vector]) -> Vector:
-        """The highest ballots; the same object as last time where nothing changed since.
+        """The highest ballots; the same object as in the previous call if the revisions are unchanged.
 
-        Most of the time nothing does, and thousands of keys need no new comparison.
+        This is the usual case, and saves comparing thousands of keys.
         """
         reusable = len(revisions) == len(vectors)
         if reusable and self.merged.revisions == revisions:
@@ -71,17 +74,17 @@
         return highest
 
     def lagging(self) -> list[str]:
-        """The keys at which the answers read last differ: some of those replicas lack the highest ballot."""
+        """The sorted keys whose ballots differ among the last answers: some replicas lack the highest ballot."""
         keys = {key for vector in self.latest for key in vector}
         return sorted(key for key in keys if len({vector.get(key, BLANK) for vector in self.latest}) > 1)
 
     def _update(self, *, source: int, revision: int, changed: Vector) -> KnownVector:
-        """Takes in what changed at a source; an answer that a later one overtook takes nothing back."""
+        """Merges changes of a source. Answers may arrive out of order, so ballots and revisions never decrease."""
         known = self.by_source.pop(source, KnownVector())
         newer = {key: max(ballot, known.ballots.get(key, BLANK)) for key, ballot in changed.items()}
         updated = KnownVector(revision=max(revision, known.revision), ballots={**known.ballots, **newer})
         self.by_source[source] = updated
-        # each restart of a replica is a new source, and the sources of earlier runs never answer again
+        # each restart of a replica is a new source, and sources of earlier runs never answer again
         while len(self.by_source) > MAX_SOURCES:
             del self.by_source[next(iter(self.by_source))]
         return updated
--- a/src/cinderstair/consensus/quorum.py
+++ b/src/cinderstair/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""The client side of a quorum: which replicas vote, and requests that wait for a majority of them."""
+"""The client side of the quorum: finds the roster, and sends requests to its voters."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,22 +20,22 @@
 from .roster import Roster, Voter
 
 REQUEST_TIMEOUT_US = 700_000
-# after this time without an answer the other voters are asked too (a hedged request: Dean & Barroso, The Tail at
-# Scale, 2013), and a search for the roster is content with what it has found
+# after this time without an answer the remaining voters are asked too (a hedged request: Dean & Barroso, The Tail at
+# Scale, 2013), and a search for the roster ends with what it has found
 HEDGE_DELAY_US = 150_000
 
 
 class QuorumMixin:
-    """Owns the roster as this process knows it, and sends requests to its voters.
+    """Owns the newest roster known to this process, the replicas it has learned of, and which voters failed last.
 
-    :param seeds: the addresses at which replicas are looked for before a roster is known.
-    :param own: the address of this process, if it is itself a replica; else empty.
+    :param seeds: the addresses to ask for the roster.
+    :param own_address: this process's address if it is itself a replica; else empty.
     """
 
-    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own: str = "") -> None:
+    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own_address: str = "") -> None:
         self.ctx = ctx
         self.seeds = seeds
-        self.own = own
+        self.own_address = own_address
         self.roster: Roster | None = None
         self.known_replicas: dict[str, Voter] = {}
         # the identities of the voters whose last request failed
@@ -44,20 +44,20 @@
     # -- the roster --
 
     async def candidates(self) -> dict[str, Voter]:
-        """Every replica that the seeds know, by name."""
+        """Asks the seeds for their candidates; all replicas known then, by name."""
         await self.find_roster()
         return self.known_replicas
 
     async def current_roster(self) -> Roster | None:
-        """The roster that is known; where none is, the replicas are asked. None where none of them answers."""
+        """The known roster; if there is none, the seeds are asked for it. None if none of them has one."""
         if self.roster is None:
             await self.find_roster()
         return self.roster
 
     async def find_roster(self) -> bool:
-        """Asks the seeds, and every voter known, for the newest roster; whether one is known then.
+        """Asks the seeds and all known voters for the newest roster, and returns whether a roster is known.
 
-        What comes late is still taken in.
+        Answers that arrive after the return are still used.
         """
         voters = () if self.roster is None else tuple(voter.address for voter in self.roster.voters)
         pending = {
@@ -66,8 +66,8 @@
         }
         found = False
         while pending:
-            # a replica that is down must not hold up what the others told; a roster that is out of date is replaced
-            # by the first answer of a voter
+            # a replica that is down must not delay the result; a roster found too old is replaced by the first answer
+            # of a voter
             timeout_s = HEDGE_DELAY_US / 1_000_000 if found else None
             done, pending = await asyncio.wait(pending, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
             if not done:
@@ -76,7 +76,7 @@
         return self.roster is not None
 
     async def _request_roster(self, *, address: str) -> bool:
-        """Whether the replica at an address answered with a roster."""
+        """Asks one replica for the roster; whether it answered with one."""
         result = await self.ctx.peer_client.request(
             address=address, body=JoinRequest(sender=CLIENT).encode(), wait_us=REQUEST_TIMEOUT_US
         )
@@ -91,21 +91,21 @@
         return True
 
     def learn_roster(self, *, roster: Roster) -> None:
-        """Makes a roster the one that is known, unless one as new is."""
+        """Keeps a roster as the known one, if its epoch is later."""
         if self.roster is None or roster.epoch > self.roster.epoch:
             self.roster = roster
 
     async def send_roster(self, *, address: str, roster: Roster) -> bool:
-        """Whether the replica at an address has adopted a roster, or one as new."""
+        """Sends a roster to a replica; whether it has adopted it, or has one at least as new."""
         result = await self.ctx.peer_client.request(
             address=address, body=AdoptRequest(roster=roster).encode(), wait_us=REQUEST_TIMEOUT_US
         )
         return result.is_ok()
 
     async def broadcast_roster(self, *, roster: Roster) -> int:
-        """Tells a roster to all its voters, and waits for a majority; how many have adopted it by then."""
+        """Sends a roster to all its voters and waits for a majority; returns how many have adopted it by then."""
         requests = {
-            self.ctx.spawn(work=self.send_roster(address=voter.address, roster=roster), name="roster.tell")
+            self.ctx.spawn(work=self.send_roster(address=voter.address, roster=roster), name="roster.send")
             for voter in roster.voters
         }
         return await count_until_majority(requests=requests, majority=roster.majority)
@@ -115,10 +115,11 @@
     async def poll(
         self, *, roster: Roster, body: RequestBody, enough: Callable[[list[bytes]], bool], first: int = 0
     ) -> list[bytes]:
-        """Sends a request to all voters, and returns as soon as the answers are enough, or all have come.
+        """Sends a request to the voters; returns the answers that are votes, once they are enough or none is pending.
 
-        :param first: if given, only so many voters are asked at once, and the others when one of these fails or is
-            late (a hedged request).
+        :param enough: decides on the answers received so far.
+        :param first: how many voters to ask first; the others are asked when one of these fails or does not answer
+            within HEDGE_DELAY_US (a hedged request). 0 asks all at once.
         """
         answers: list[bytes] = []
         voters = list(roster.voters)
@@ -143,12 +144,12 @@
         return answers
 
     def _order_by_cost(self, *, voters: list[Voter]) -> None:
-        """Puts this process's own replica first, which needs no network, and those that failed last time last."""
+        """Puts this process's own replica first, which needs no network, and recently failed voters last."""
         self.ctx.rng.shuffle(voters)
-        voters.sort(key=lambda voter: (voter.ident in self.failed, voter.address != self.own))
+        voters.sort(key=lambda voter: (voter.ident in self.failed, voter.address != self.own_address))
 
     async def _request_vote(self, *, voter: Voter, roster: Roster, body: RequestBody, answers: list[bytes]) -> bool:
-        """Whether a voter gave a vote, which is added to the answers."""
+        """Sends the request to one voter and appends its vote to `answers`; False if it gave none."""
         result = await self.ctx.peer_client.request(address=voter.address, body=body, wait_us=REQUEST_TIMEOUT_US)
         if result.is_error() or not self._is_vote(answer=result.ok, voter=voter, roster=roster):
             self.failed.add(voter.ident)
@@ -158,7 +159,7 @@
         return True
 
     def _is_vote(self, *, answer: bytes, voter: Voter, roster: Roster) -> bool:
-        """Whether an answer is a vote; where the two sides' rosters differ, the older is brought up to date."""
+        """Whether an answer is a vote. If the rosters of the two sides differ, the older one is updated."""
         status = status_of(answer=answer)
         if status == Status.STALE:
             self.learn_roster(roster=StaleAnswer.decode(data=answer).roster)
@@ -167,7 +168,7 @@
         return status in VOTE_STATUSES
 
     async def votes(self, *, roster: Roster, body: bytes, first: int = 0) -> list[VoteAnswer]:
-        """The votes on a request, as soon as a majority is OK or none can be any more. `first` as for `poll`."""
+        """The votes on a request, once a majority is OK or can no longer be reached. `first` as in `poll`."""
 
         def enough(answers: list[bytes]) -> bool:
             granted = sum(status_of(answer=answer) == Status.OK for answer in answers)
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -1,4 +1,4 @@
-"""The register's client: reads and changes of single keys by ballots (CASPaxos: Rystsov, 2018).
+"""The register's client: reads and compare-and-set changes of single keys (CASPaxos: Rystsov, 2018).
 
 There is no log and no leader: each key is a Paxos instance of its own, and the highest ballot wins.
 """
@@ -18,34 +18,34 @@
 
 MAX_ROUNDS = 8
 MAX_READS = 4
-# before each further round a proposer waits at random between these, the longer the more rounds it has lost, so that
-# two that beat each other fall out of step
+# random backoff before each further round; its upper bound grows by a step per lost round, so that competing
+# proposers stop invalidating each other's ballots
 MIN_BACKOFF_US = 5_000
 BACKOFF_STEP_US = 40_000
-# how long a reader waits at most for a writer to finish
+# longest wait of a reader for a write in progress to finish
 SETTLE_US = 60_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class Retry:
-    """A round failed before any value was sent, so it may be begun again."""
+    """A round failed in a way that is safe to repeat: no new value was sent."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Unsure:
-    """A value was sent, and no majority is known to have accepted it; a second decision could take effect twice."""
+    """A new value was sent without a known majority; deciding again could apply the change twice."""
 
 
 Round = Result[VersionedValue, CinderstairError] | Retry | Unsure
 
 
 class Register(RosterChangeMixin):
-    """Each key is changed by its own ballots: prepare at a majority, then accept at a majority."""
+    """Owns this process's proposer id and the highest round it knows of, from which the next ballot is made."""
 
-    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own: str = "") -> None:
-        super().__init__(ctx=ctx, seeds=seeds, own=own)
+    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own_address: str = "") -> None:
+        super().__init__(ctx=ctx, seeds=seeds, own_address=own_address)
         self.proposer = ctx.rng.getrandbits(63) | 1
-        # the highest round of any ballot seen or used
+        # the highest round of any ballot proposed here or seen in a vote
         self.highest_round = 0
 
     def _next_ballot(self) -> Ballot:
@@ -61,12 +61,12 @@
     async def change(
         self, *, key: str, decide: Decide, founding: bool = False
     ) -> Result[VersionedValue, CinderstairError]:
-        """Replaces a key's value by what `decide` makes of the current one.
+        """Replaces a key's value with the result of `decide` for the current value.
 
-        An error from `decide` is given back only after the value it judged is held by a majority.
-        registerUnreachable: nothing was written. registerUnsure: the change may come to be, or may not.
+        An error from `decide` is returned only after a majority holds the value it was based on.
+        registerUnreachable: nothing was written. registerUnsure: the change may or may not take effect later.
 
-        :param founding: whether the seeds vote, as they do on the first roster alone.
+        :param founding: whether the seeds vote instead of a roster; only for choosing the first roster.
         """
         for round_number in range(MAX_ROUNDS):
             if round_number:
@@ -84,7 +84,7 @@
         return Error(self._unreachable(key=key))
 
     async def _round(self, *, key: str, decide: Decide, roster: Roster) -> Round:
-        """One ballot: both phases of Paxos."""
+        """Runs both phases of Paxos with a new ballot."""
         ballot = self._next_ballot()
         promises = await self._prepare(key=key, ballot=ballot, roster=roster)
         if len(promises) < roster.majority:
@@ -94,13 +94,13 @@
         if decision.is_ok():
             accepted = await self._accept(key=key, ballot=ballot, value=decision.ok, roster=roster)
             return Ok(VersionedValue(ballot=ballot, value=decision.ok)) if accepted else Unsure()
-        # a decision against the change still rests on a value, which must be sure to stay
+        # the refusal is based on this value, so a majority must hold it before the refusal is returned
         if newest.value and not await self._accept(key=key, ballot=ballot, value=newest.value, roster=roster):
             return Retry()
         return Error(decision.error)
 
     async def _prepare(self, *, key: str, ballot: Ballot, roster: Roster) -> list[VoteAnswer]:
-        """The promises given to a ballot."""
+        """Sends a prepare request; returns the promises received."""
         request = PrepareRequest(epoch=roster.epoch, key=key, ballot=ballot)
         votes = await self.votes(roster=roster, body=request.encode())
         for vote in votes:
@@ -108,7 +108,7 @@
         return granted(votes=votes)
 
     async def _accept(self, *, key: str, ballot: Ballot, value: bytes, roster: Roster) -> bool:
-        """Whether a majority has accepted a value."""
+        """Sends an accept request; whether a majority accepted the value."""
         request = AcceptRequest(epoch=roster.epoch, key=key, ballot=ballot, value=value)
         votes = await self.votes(roster=roster, body=request.encode())
         return len(granted(votes=votes)) >= roster.majority
@@ -116,7 +116,7 @@
     # -- reads --
 
     async def read(self, *, key: str) -> Result[VersionedValue, CinderstairError]:
-        """The key's value as a majority holds it; one that is found on fewer is completed first.
+        """The value of a key that a majority holds; a value found on fewer voters is written to a majority first.
 
         registerUnreachable: no majority answers.
         """
@@ -129,8 +129,8 @@
                 newest = max(votes, key=lambda vote: vote.accepted)
                 if sum(vote.accepted == newest.accepted for vote in votes) >= roster.majority:
                     return Ok(VersionedValue(ballot=newest.accepted, value=newest.value))
-                # most often its writer is just finishing; many readers that completed the write for it would only
-                # beat one another's ballots, each with the whole value
+                # usually the writer is about to finish; if many readers completed the write, their ballots would
+                # compete, and each attempt sends the full value
                 if attempt + 2 < MAX_READS:
                     await self.ctx.sleep(duration_us=self.ctx.rng.randrange(SETTLE_US // 2, SETTLE_US))
                     continue
@@ -140,7 +140,7 @@
         return Error(self._unreachable(key=key))
 
     async def _read_votes(self, *, key: str, roster: Roster) -> list[VoteAnswer]:
-        """What the voters hold for a key. Each answer brings the whole value, so only a majority is asked at once."""
+        """The votes of a majority for a key. Each contains the full value, so only a majority is asked at first."""
         request = ReadRequest(epoch=roster.epoch, key=key)
         votes = await self.votes(roster=roster, body=request.encode(), first=roster.majority)
         return granted(votes=votes)
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -1,4 +1,4 @@
-"""The register replica daemon: holds one vote of the register under the identity on its disk."""
+"""The register replica daemon: a voter of the register, or a standby for one."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 from .acceptor import Acceptor
 from .candidates import CandidateTable
 from .fault_tolerance import MissingVotes, alive_voters
-from .founding import first_roster, found
+from .founding import choose_first_roster, first_roster
 from .identity import ensure_identity
 from .join_requests import JOIN_REQUEST_PERIOD_US, JoinRequests
 from .joining import Joining
@@ -32,19 +32,20 @@
 from .store import Store
 from .voter_watch import VoterWatch, lost_after_us
 
-# a replica that neither votes nor watches for a vacancy sends join requests once in so many periods
+# replicas that don't watch for a vacancy send join requests once in this many periods
 IDLE_PERIODS = 8
-# added at random to each period, so that replicas that start together don't send in step
+# random addition to each period, so that replicas started together don't send at the same times
 PERIOD_JITTER_US = 50_000
 LEAVE_POLL_US = 50_000
 
 
 class RegisterReplica:
-    """A voter of the register, or a candidate that becomes one when the roster has a vacancy.
+    """Owns the parts of one register replica; it votes, or joins the roster when there is a vacancy.
 
-    `open` builds all that rests on the disk, and `start` the membership; nothing else may be called before them.
+    `open` creates what depends on the disk, and `start` calls it and creates the membership. Other methods must not
+    be called before them.
 
-    :param halt: called with the reason when the disk fails, after which the process must end.
+    :param halt: called with the reason when the disk fails; the process must then end.
     """
 
     me: Voter
@@ -58,7 +59,7 @@
         self.settings = settings
         self.halt = halt
         self.dispatcher = Dispatcher(ctx=ctx)
-        self.register = Register(ctx=ctx, seeds=settings.seeds, own=settings.records)
+        self.register = Register(ctx=ctx, seeds=settings.seeds, own_address=settings.records)
         self.candidates = CandidateTable(ctx=ctx)
         self.watch = VoterWatch(ctx=ctx, lost_after_us=lost_after_us(catch_up_us=settings.catch_up_us))
         self.missing_votes = MissingVotes(ctx=ctx)
@@ -66,16 +67,16 @@
         self.started_us = ctx.now_us()
 
     def open(self) -> Result[None, CinderstairError]:
-        """Reads the disk, or gives a blank one an identity, and answers requests from then on.
+        """Reads the disk, or stores an identity on a blank one, and registers the request handlers.
 
-        diskDamaged: the disk holds what may not be used.
+        diskDamaged: the disk is damaged or of a newer format, and must not be used.
         """
         opened = Store(disk=self.ctx.disk).open()
         if opened.is_error():
             return Error(opened.error)
         store = opened.ok
         fresh = ensure_identity(ctx=self.ctx, store=store)
-        # a blank disk where the system has run before is a lost one, and must not found a second system
+        # a blank disk in a system that has run before is a lost disk, and must not found a second system
         self.may_found = self.settings.may_found or not fresh
         self.me = Voter(ident=store.state.ident, name=self.settings.name, address=self.settings.records)
         self.candidates.add(candidate=self.me)
@@ -102,11 +103,11 @@
             self.dispatcher.add_handler(message_type=message_type, handler=handler)
 
     async def start(self) -> Result[None, CinderstairError]:
-        """Opens the disk, listens, and begins to look for the other replicas. Errors are those of `open`."""
+        """Opens the disk, listens, and starts the join loop. Errors are those of `open`."""
         opened = self.open()
         if opened.is_error():
             return opened
-        # the seeds are register replicas, so the daemons find one another among these
+        # the seeds are register replicas, so every daemon finds the others through them
         self.membership = Membership(
             ctx=self.ctx,
             dispatcher=self.dispatcher,
@@ -116,7 +117,7 @@
         )
         await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
         self.ctx.spawn(work=self.run_joining(), name="register_replica.join")
-        self.ctx.log.info("register replica %s ident %x", self.me.name, self.me.ident)
+        self.ctx.log.info("register replica %s (ident %x) started", self.me.name, self.me.ident)
         return Ok(None)
 
     def _member(self) -> Member:
@@ -131,7 +132,7 @@
 
     @property
     def roster(self) -> Roster | None:
-        """The newest roster that this replica has adopted; None where it knows none yet."""
+        """The adopted roster; None if there is none yet."""
         return self.acceptor.roster
 
     @property
@@ -141,25 +142,25 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica is a voter of the roster that it knows."""
+        """Whether this replica is a voter of the adopted roster."""
         return self.acceptor.is_voter
 
     async def run_joining(self) -> None:
-        """Sends join requests until a roster is known, and at longer intervals after; founds or joins it."""
+        """Sends join requests periodically, and founds the system or joins the roster if this replica has no vote."""
         while True:
             await self.join_requests.send_all(seeds=self.settings.seeds)
             if self.roster is None:
-                await self._found()
+                await self._propose_first_roster()
             elif not self.is_voter:
                 await self.joining.attempt(roster=self.roster, membership=self.membership, max_voters=self.max_voters)
             self._count_votes()
-            # a standby that watches must be quick: while a vote is missing the system bears one loss less
+            # a watching standby must react fast: while a vote is missing, the system tolerates one loss less
             periods = 1 if self.watches_for_vacancy() else IDLE_PERIODS
             jitter_us = self.ctx.rng.randrange(PERIOD_JITTER_US)
             await self.ctx.sleep(duration_us=JOIN_REQUEST_PERIOD_US * periods + jitter_us)
 
-    async def _found(self) -> None:
-        """Proposes the first roster to the seeds, once this blank seed knows enough candidates."""
+    async def _propose_first_roster(self) -> None:
+        """Proposes the first roster once this seed knows enough candidates, and adopts the chosen one."""
         if not self.may_found:
             return
         proposal = first_roster(
@@ -170,12 +171,12 @@
         )
         if proposal is None:
             return
-        roster = await found(register=self.register, proposal=proposal)
+        roster = await choose_first_roster(register=self.register, proposal=proposal)
         if roster is not None:
             await self.acceptor.adopt_roster(roster=roster)
 
     def watches_for_vacancy(self) -> bool:
-        """Whether this replica has no vote and is among those that have to take the next vacancy."""
+        """Whether this replica has no vote and is one of those that take the next vacancy."""
         if self.is_voter:
             return False
         if self.roster is None:
@@ -185,15 +186,15 @@
         )
 
     def standbys(self) -> list[str]:
-        """The names of the replicas that could take this one's vote; empty where no roster is known."""
+        """The names of the standbys that could replace this replica as a voter; empty if no roster is known."""
         return [] if self.roster is None else self.candidates.standbys(roster=self.roster)
 
     def alive_voters(self) -> list[Voter]:
-        """The voters that are not known to be gone; empty where no roster is known."""
+        """The voters that the membership holds alive; empty if no roster is known."""
         return [] if self.roster is None else alive_voters(roster=self.roster, membership=self.membership)
 
     def tolerable_losses(self) -> int:
-        """How many more voters may be lost before no majority is left; below 0 there is none."""
+        """How many more voters may be lost with a majority left; negative if there is none now, or no roster."""
         return -1 if self.roster is None else len(self.alive_voters()) - self.roster.majority
 
     def _count_votes(self) -> None:
@@ -203,9 +204,10 @@
             self.missing_votes.update(alive=len(self.alive_voters()), wanted=self.max_voters)
 
     async def drain(self) -> None:
-        """A planned stop: deregisters, then votes on until a standby, where there is one, has taken the vote.
+        """Planned stop: deregisters, and keeps voting until a standby has replaced this voter or time is up.
 
-        With the vote gone before it is taken over, the system would bear one loss less than it is to.
+        If it stopped voting earlier, the system would tolerate one loss less in the meantime. Without a standby it
+        returns at once. The limit is the setting `leave_within_us`.
         """
         until_us = self.ctx.now_us() + self.settings.leave_within_us
         await self.membership.leave()
@@ -213,6 +215,6 @@
             await self.ctx.sleep(duration_us=LEAVE_POLL_US)
 
     def resettle(self, *, settings: Settings) -> None:
-        """Takes settings that have changed while the daemon runs."""
+        """Applies settings that were changed at runtime."""
         self.settings = settings
         self.register.seeds = settings.seeds
--- a/src/cinderstair/consensus/register_view.py
+++ b/src/cinderstair/consensus/register_view.py
@@ -1,4 +1,4 @@
-"""A local view of the register: pulled by version, and current for a bounded time."""
+"""A local view of the register: pulled by ballot, and current for a bounded time after each pull."""
 
 from expression import Result
 from reactivex.subject import Subject
@@ -13,14 +13,16 @@
 from .versioned_value import VersionedValue
 
 PULL_EVERY_US = 200_000
-# no setting: whoever changes a primary waits for all views by its own figure, so all must have the same
+# not a setting: a failover waits this long for all views to expire, so all processes must use the same value
 LEASE_US = 2_000_000
 
 
 class RegisterView(CommandQueueMixin):
-    """Owns what a process knows of the register, which counts only while the view is current.
+    """Owns this process's copy of the register's values, which may be used only while the view is current.
 
-    :param lease_us: for how long the view is current after the start of a complete pull.
+    `changes` publishes the key of each value that changed.
+
+    :param lease_us: how long the view stays current after the start of a complete pull.
     """
 
     def __init__(
@@ -31,19 +33,19 @@
         self.lease_us = lease_us
         self.as_of_us = -lease_us
         self.known: dict[str, VersionedValue] = {}
-        # the vector whose keys have all been taken in
-        self.taken: dict[str, Ballot] | None = None
+        # the last vector whose values have all been applied
+        self.applied_vector: dict[str, Ballot] | None = None
         self.changes: Subject[str] = Subject()
         self.open_queue()
         self.every(every_us=every_us, command=self.pull, name="view")
 
     @property
     def current(self) -> bool:
-        """Whether nothing that was written more than `lease_us` ago can be missing here."""
+        """Whether every value written more than `lease_us` ago is known here."""
         return self.ctx.now_us() < self.as_of_us + self.lease_us
 
     async def pull(self) -> bool:
-        """One round: the vector from a majority, then every value that is newer there; whether all were taken in."""
+        """Reads the vector from a majority, then each newer value; whether all of them were read and applied."""
         start_us = self.ctx.now_us()
         highest = await self.register.vector()
         if highest.is_error():
@@ -51,33 +53,33 @@
             return False
         for keys in batches(items=self._outdated(highest=highest.ok)):
             for key, read in await gather_pairs(items=keys, call=lambda key: self.register.read(key=key)):
-                if read.is_error() or not self._take(key=key, found=read.ok):
+                if read.is_error() or not self._apply_newer(key=key, found=read.ok):
                     return False
-        self.taken = highest.ok
-        # counted from the round's start, since anything may have been written the moment after it
+        self.applied_vector = highest.ok
+        # counted from the start of the pull: values may have been written right after it
         self.as_of_us = max(self.as_of_us, start_us)
         self.ctx.counters.add(name="view.pulls")
         return True
 
     def _outdated(self, *, highest: dict[str, Ballot]) -> list[str]:
-        """The keys whose value is newer at the replicas than here."""
-        # an unchanged vector is the same object, whose keys need no new comparison
-        if highest is self.taken:
+        """The keys that have a higher ballot in the vector than in this view."""
+        # an unchanged vector is the same object, which saves comparing its keys
+        if highest is self.applied_vector:
             return []
         return [key for key, ballot in highest.items() if key not in self.known or self.known[key].ballot < ballot]
 
     def apply_own_write(self, *, key: str, result: Result[VersionedValue, CinderstairError]) -> None:
-        """Takes in what this process has itself written, without another read."""
+        """Applies a value that this process has written, without another read; an error is ignored."""
         if result.is_ok():
-            self._take(key=key, found=result.ok)
+            self._apply_newer(key=key, found=result.ok)
 
-    def _take(self, *, key: str, found: VersionedValue) -> bool:
-        """Takes a value in, if it is newer; False where it can't be read here."""
+    def _apply_newer(self, *, key: str, found: VersionedValue) -> bool:
+        """Applies a value if its ballot is higher; False if this version can't decode it."""
         known = self.known.get(key)
         if known is not None and known.ballot >= found.ballot:
             return True
         changed = known is None or known.value != found.value
-        # a value rewritten under a later ballot is no change, and must not restart any waiting
+        # a value rewritten under a higher ballot is not a change, and must not restart waits for a change
         if changed and found.value and not self._apply(key=key, value=found.value):
             return False
         self.known[key] = found
@@ -86,16 +88,16 @@
         return True
 
     def _apply(self, *, key: str, value: bytes) -> bool:
-        """Takes a value's content in; False where it can't be read here, so that the view can't be current."""
+        """Applies a value's content; False if this version can't decode it; the view then expires."""
         if key == ROSTER_KEY:
             roster = read_roster(data=value)
-            # whoever changed the roster may have died before it told the replicas
+            # the process that changed the roster may have crashed before it sent it to the voters
             if self.register.roster is None or roster.epoch > self.register.roster.epoch:
                 self.register.learn_roster(roster=roster)
-                self.ctx.spawn(work=self.register.broadcast_roster(roster=roster), name="roster.tell_all")
+                self.ctx.spawn(work=self.register.broadcast_roster(roster=roster), name="roster.broadcast")
         return True
 
     def ballot_of(self, *, key: str) -> Ballot:
-        """The version of a key's value as it is known here; BLANK where none is."""
+        """The ballot of a key's value in this view; BLANK if there is none."""
         known = self.known.get(key)
         return BLANK if known is None else known.ballot
--- a/src/cinderstair/consensus/roster.py
+++ b/src/cinderstair/consensus/roster.py
@@ -1,4 +1,4 @@
-"""The roster: which register replicas vote."""
+"""The roster: the register replicas that vote in one epoch."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Voter:
-    """A register replica by the identity on its disk; a replica whose disk was lost has a new identity."""
+    """A register replica and the identity stored on its disk; a replica whose disk was lost gets a new identity."""
 
     ident: int
     name: str
@@ -21,39 +21,39 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Roster:
-    """The voters of an epoch. Epoch 0 is the seeds, who vote on nothing but the roster of epoch 1."""
+    """The voters of an epoch. Epoch 0 consists of the seeds, which vote only on the roster of epoch 1."""
 
     epoch: int
     voters: tuple[Voter, ...]
 
     @property
     def majority(self) -> int:
-        """The least number of voters of which any two sets have one in common."""
+        """The smallest number of voters such that any two sets of that size share a voter."""
         return len(self.voters) // 2 + 1
 
     def has(self, *, ident: int) -> bool:
-        """Whether a replica is a voter, by its identity."""
+        """Whether the replica with this identity is a voter."""
         return any(voter.ident == ident for voter in self.voters)
 
     def bytes(self) -> bytes:
-        """The encoded roster, as it is sent and kept on disk."""
+        """The encoded roster, as sent and stored on disk."""
         packer = Packer().u32(value=self.epoch)
         packer.many(values=self.voters, each=lambda p, v: write_voter(packer=p, voter=v))
         return packer.bytes()
 
 
 def write_voter(*, packer: Packer, voter: Voter) -> None:
-    """Appends a voter to a record."""
+    """Appends an encoded voter."""
     packer.u64(value=voter.ident).text(value=voter.name).text(value=voter.address)
 
 
 def read_voter(*, unpacker: Unpacker) -> Voter:
-    """Takes a voter off a record. ValueError: it does not have the shape of one."""
+    """Reads a voter. Raises ValueError if it is malformed."""
     return Voter(ident=unpacker.u64(), name=unpacker.text(), address=unpacker.text())
 
 
 def read_roster(*, data: bytes) -> Roster:
-    """Decodes a roster. ValueError: it is none."""
+    """Decodes a roster. Raises ValueError if it is malformed."""
     unpacker = Unpacker(data=data)
     epoch = unpacker.u32()
     voters = unpacker.many(each=lambda u: read_voter(unpacker=u))
@@ -62,7 +62,7 @@
 
 
 def seed_roster(*, addresses: tuple[str, ...]) -> Roster:
-    """The roster under which the first one is chosen; the seeds' identities are not known yet."""
+    """The roster of epoch 0, under which the first roster is chosen; the seeds' identities are not known yet."""
     return Roster(
         epoch=SEED_EPOCH, voters=tuple(Voter(ident=0, name="seed", address=address) for address in addresses)
     )
--- a/src/cinderstair/consensus/roster_change.py
+++ b/src/cinderstair/consensus/roster_change.py
@@ -1,4 +1,4 @@
-"""Changes of the roster by one voter at a time (single-server changes: Ongaro, 2014, section 4.2)."""
+"""Roster changes by one voter at a time (single-server changes: Ongaro, Consensus, 2014, section 4.2)."""
 
 from collections.abc import Callable
 
@@ -13,31 +13,34 @@
 Decide = Callable[[bytes], Result[bytes, CinderstairError]]
 
 
-def overtaken() -> CinderstairError:
-    """The error of a roster change that another one preceded."""
-    return CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="another change of roster came first")
+def roster_conflict() -> CinderstairError:
+    """The error of a roster change that lost against another one."""
+    return CinderstairError(
+        code=ErrorCode.VERSION_TAKEN,
+        reason="another change of roster came first",
+    )
 
 
 def is_single_change(*, current: Roster, wanted: Roster) -> bool:
-    """Whether a roster is the next epoch and differs by one voter, so that any two majorities of both meet."""
+    """Whether a roster has the next epoch and differs by one voter, so that majorities of both rosters intersect."""
     changed = {voter.ident for voter in wanted.voters} ^ {voter.ident for voter in current.voters}
     return len(changed) == 1 and wanted.epoch == current.epoch + 1
 
 
 class RosterChangeMixin(SnapshotMixin):
-    """Moves the register from one roster to the next."""
+    """Changes the roster of the register; see `change_roster`."""
 
     async def change(
         self, *, key: str, decide: Decide, founding: bool = False
     ) -> Result[VersionedValue, CinderstairError]:
-        """Replaces a key's value by what `decide` makes of the current one."""
+        """Replaces a key's value with the result of `decide` for the current value."""
         raise NotImplementedError
 
     async def _rewrite_lagging_keys(self) -> Result[None, CinderstairError]:
-        """Makes sure that a majority of the present roster holds every key's newest value.
+        """Makes a majority of the current roster hold the newest value of every key.
 
-        What only the roster before last held must be held by this one before another change is made. Where the
-        answers of a majority agree on a key's ballot, it is held already; the others are written again.
+        A value that only a majority of the previous roster holds could be lost with a further change. Keys on whose
+        ballot a majority agrees need no write; the others are rewritten.
         """
         highest = await self.vector()
         if highest.is_error():
@@ -49,10 +52,10 @@
         return Ok(None)
 
     async def change_roster(self, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
-        """Moves to the next roster, which `alter` makes of the one that is known when this begins.
+        """Replaces the roster known at the start of the call with the result of `alter`.
 
-        versionTaken: another change came first. registerUnreachable: no majority answers, nothing was changed.
-        registerUnsure: the change may come to be, or may not. internal: `alter` changed more than one voter.
+        versionTaken: another change was made first. registerUnreachable: no majority answers; nothing was changed.
+        registerUnsure: the change may or may not take effect. internal: `alter` did not change exactly one voter.
         """
         current = await self.current_roster()
         if current is None:
@@ -60,9 +63,9 @@
         rewritten = await self._rewrite_lagging_keys()
         if rewritten.is_error():
             return Error(rewritten.error)
-        # keys written again under the roster before this one may lie where no majority of the next one looks
+        # keys rewritten under an older roster are not certain to be held by a majority of the next one
         if self.roster != current:
-            return Error(overtaken())
+            return Error(roster_conflict())
         wanted = alter(current)
         if not is_single_change(current=current, wanted=wanted):
             return Error(CinderstairError(code=ErrorCode.INTERNAL, reason="a roster changes by one voter at a time"))
@@ -74,13 +77,13 @@
     async def _choose_roster(self, *, current: Roster, wanted: Roster) -> Result[VersionedValue, CinderstairError]:
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
             if data and read_roster(data=data).epoch != current.epoch:
-                return Error(overtaken())
+                return Error(roster_conflict())
             return Ok(wanted.bytes())
 
         return await self.change(key=ROSTER_KEY, decide=decide)
 
     async def _publish_roster(self, *, roster: Roster) -> Result[Roster, CinderstairError]:
-        """Tells a chosen roster to its voters. registerUnsure: fewer than a majority have adopted it yet."""
+        """Sends the chosen roster to its voters. registerUnsure: no majority of them has adopted it yet."""
         self.learn_roster(roster=roster)
         if await self.broadcast_roster(roster=roster) < roster.majority:
             reason = "the new roster is not known to a majority yet"
--- a/src/cinderstair/consensus/snapshot.py
+++ b/src/cinderstair/consensus/snapshot.py
@@ -1,4 +1,4 @@
-"""Reads of many keys at once: which versions there are, and a snapshot of their values."""
+"""Reads across all keys: the vector of accepted ballots, and a snapshot of the values."""
 
 from expression import Error, Ok, Result
 
@@ -13,18 +13,18 @@
 
 
 class SnapshotMixin(QuorumMixin):
-    """Owns what is known of each replica's vector."""
+    """Owns the known vectors of the replicas."""
 
-    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own: str = "") -> None:
-        super().__init__(ctx=ctx, seeds=seeds, own=own)
+    def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own_address: str = "") -> None:
+        super().__init__(ctx=ctx, seeds=seeds, own_address=own_address)
         self.known = KnownVectors()
 
     async def read(self, *, key: str) -> Result[VersionedValue, CinderstairError]:
-        """The key's value as a majority holds it."""
+        """The value of a key that a majority holds."""
         raise NotImplementedError
 
     async def vector(self) -> Result[dict[str, Ballot], CinderstairError]:
-        """For every key, the highest ballot that any replica of some majority has accepted.
+        """For every key, the highest ballot accepted by any replica of a majority.
 
         registerUnreachable: no roster is known, or no majority answers.
         """
@@ -46,7 +46,7 @@
         return Ok(self.known.read(answers=answers))
 
     async def snapshot(self) -> Result[dict[str, VersionedValue], CinderstairError]:
-        """Every key's value as a majority holds it. Errors are those of `vector` and `read`."""
+        """The values that a majority holds, by key. Errors are those of `vector` and `read`."""
         highest = await self.vector()
         if highest.is_error():
             return Error(highest.error)
--- a/src/cinderstair/consensus/standby.py
+++ b/src/cinderstair/consensus/standby.py
@@ -1,4 +1,4 @@
-"""Decisions of a register replica without a vote: whether to watch for a vacancy, and which one to take."""
+"""Decisions of a standby (a register replica without a vote): whether to watch for a vacancy, and which to take."""
 
 from dataclasses import dataclass
 
@@ -8,29 +8,29 @@
 
 # the role of register replicas in the membership's records
 REPLICA_ROLE = "vault"
-# where many replicas stand by, so many that watch are enough, and all of them would be a load on the voters
+# the first standbys by name watch for vacancies; if all of many did, they would load the voters
 MAX_WATCHING_STANDBYS = 2
 
 
 @dataclass(frozen=True, kw_only=True)
 class Vacancy:
-    """A seat in the roster that may be taken. `leaves` is the voter to be removed first; None where it is free."""
+    """A seat in the roster that may be taken. `leaves` names the voter to remove first; None if the seat is free."""
 
     leaves: str | None = None
 
 
 def has_own_seat(*, roster: Roster, me: Voter) -> bool:
-    """Whether a voter has this replica's name: an earlier identity, whose disk was lost."""
+    """Whether a voter has this replica's name, under an earlier identity whose disk was lost."""
     return any(voter.name == me.name for voter in roster.voters)
 
 
 def has_free_seat(*, roster: Roster, max_voters: int) -> bool:
-    """Whether fewer replicas vote than may."""
+    """Whether the roster has fewer voters than allowed."""
     return len(roster.voters) < max_voters
 
 
 def watches_for_vacancy(*, roster: Roster, me: Voter, max_voters: int, membership: Membership) -> bool:
-    """Whether this standby is among those that have to take the next vacancy."""
+    """Whether this standby is one of those that take the next vacancy."""
     if has_own_seat(roster=roster, me=me) or has_free_seat(roster=roster, max_voters=max_voters):
         return True
     voters = {voter.name for voter in roster.voters}
@@ -41,7 +41,7 @@
 def find_vacancy(
     *, roster: Roster, me: Voter, max_voters: int, membership: Membership, watch: VoterWatch
 ) -> Vacancy | None:
-    """The seat of this replica's own name, else a free one, else that of a voter that is lost."""
+    """The seat of this replica's own name, else a free seat, else that of a lost voter; None if there is none."""
     if has_own_seat(roster=roster, me=me):
         return Vacancy(leaves=me.name)
     if has_free_seat(roster=roster, max_voters=max_voters):
--- a/src/cinderstair/consensus/store.py
+++ b/src/cinderstair/consensus/store.py
@@ -1,7 +1,7 @@
-"""A register replica's disk: two snapshot slots that are written alternately, each followed by a short log.
+"""A register replica's storage: two snapshot slots that are written alternately, each followed by a short log.
 
-A slot or log entry carries a CRC-32, seeded with the slot's serial number so that a leftover of an earlier use of the
-same file does not check out.
+Slots and log entries carry a CRC-32 seeded with the slot's serial number, so that data left from an earlier use of
+the same file fails the check.
 """
 
 import struct
@@ -29,13 +29,13 @@
 FORMAT = 1
 SLOTS = ("slot-a", "slot-b")
 LOGS = ("log-a", "log-b")
-# a longer log is followed by a new slot, so that a start has little to read
+# a longer log is replaced by a new slot, which bounds what a start has to read
 MAX_LOG_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, kw_only=True)
 class Slot:
-    """A whole slot as it was read; `index` says which of the two it is."""
+    """The content of an intact slot; `index` is its position in SLOTS."""
 
     index: int
     serial: int
@@ -48,7 +48,7 @@
 
 
 def format_of(*, data: bytes, magic: bytes) -> int:
-    """The number of the format in which a file is written; 0 where it does not begin as such a file does."""
+    """The format number at the start of a file; 0 if the file does not start with this magic."""
     head = data[: len(magic)]
     letters = magic.rstrip(b"0123456789")
     number = head[len(letters) :]
@@ -56,27 +56,27 @@
 
 
 class Store:
-    """Every change is appended and synced before it is answered; when a log is full the other slot is written."""
+    """Owns the files of the durable state: each change is synced to the log, and a full log leads to a new slot."""
 
     def __init__(self, *, disk: Disk) -> None:
         self.disk = disk
         self.state = DurableState()
-        # which slot and log are in use; the serial number rises with each slot that is written
+        # the slot and log in use; the serial number increases with each slot written
         self.slot = 0
         self.serial = 0
         self.log_bytes = 0
-        # the length of what a crash left unfinished at the log's end
+        # the length of an unfinished entry that a crash left at the end of the log
         self.torn_bytes = 0
 
     # -- opening --
 
     def open(self) -> Result["Store", CinderstairError]:
-        """Reads the state back, and drops an unfinished entry at the log's end.
+        """Reads the state, and drops an unfinished entry at the end of the log. Raises OSError if the disk fails.
 
-        diskDamaged: the disk is of a later format, or damage may hide an entry that was synced.
+        diskDamaged: the files are of a newer format, or damage may hide an entry that was synced.
         """
         newer = self._newer_format()
-        # what a later version wrote is not damage, and must stay as it is for that version to read
+        # files of a newer version are not damaged, and must stay unchanged for that version
         if newer:
             reason = f"data folder: format {newer}, and {FORMAT} is the newest that is read here; nothing is changed"
             return Error(CinderstairError(code=ErrorCode.DISK_DAMAGED, reason=reason))
@@ -90,7 +90,7 @@
         self.slot, self.serial = slot.index, slot.serial
         for entry in Unpacker(data=slot.body).many(each=lambda u: u.blob()):
             apply_entry(state=self.state, entry=entry)
-        # a sealed log says that the other slot was whole and in use; to go on from this one would forget votes
+        # a sealed log means that the other slot was complete and in use; continuing from this one would lose votes
         if self._replay_log():
             return damaged(reason=f"{SLOTS[slot.index]} was followed by {SLOTS[1 - slot.index]}, which is damaged")
         self._switch_slot()
@@ -98,22 +98,22 @@
 
     def _open_without_slots(self) -> Result["Store", CinderstairError]:
         slot_a, slot_b, log_a, log_b = (self.disk.read(name=name) for name in (*SLOTS, *LOGS))
-        # the first slot is synced before any log is begun, so a log without a slot means damage; a lone damaged slot
-        # is a first start that was interrupted before anything was answered
+        # the first slot is synced before its log is created, so a log without a slot means damage; a single damaged
+        # slot is left by a first start that was interrupted before any answer
         if log_a or log_b or (slot_a and slot_b):
             return damaged(reason="both slots are damaged")
         self._switch_slot()
         return Ok(self)
 
     def _newer_format(self) -> int:
-        """The highest later format in which any file is written; 0 where there is none."""
+        """The highest format of any file, if it is newer than FORMAT; else 0."""
         magics = [*((name, SLOT_MAGIC) for name in SLOTS), *((name, LOG_MAGIC) for name in LOGS)]
         formats = [format_of(data=self.disk.read(name=name) or b"", magic=magic) for name, magic in magics]
         newest = max(formats)
         return newest if newest > FORMAT else 0
 
     def _read_slot(self, *, index: int) -> Slot | None:
-        """A slot; None where it is absent or damaged."""
+        """Reads a slot; None if it is absent or damaged."""
         data = self.disk.read(name=SLOTS[index])
         if data is None or len(data) < SLOT_HEAD.size:
             return None
@@ -124,7 +124,7 @@
         return Slot(index=index, serial=serial, body=body)
 
     def _replay_log(self) -> bool:
-        """Applies the entries of the log in use; whether it is sealed."""
+        """Applies the entries of the log in use; whether the log is sealed."""
         data = self.disk.read(name=LOGS[self.slot]) or b""
         if not self._is_log_in_use(data=data):
             return False
@@ -132,7 +132,7 @@
         while at + ENTRY_HEAD.size <= len(data):
             size, check = ENTRY_HEAD.unpack_from(data, at)
             entry = data[at + ENTRY_HEAD.size : at + ENTRY_HEAD.size + size]
-            # the first entry that does not check out was never synced, so no answer rests on it
+            # an entry that fails the check was not synced, so no answer depends on it or what follows
             if len(entry) != size or checksum(data=entry, serial=self.serial) != check:
                 break
             if apply_entry(state=self.state, entry=entry):
@@ -142,7 +142,7 @@
         return False
 
     def _is_log_in_use(self, *, data: bytes) -> bool:
-        """Whether a log belongs to the slot in use; one of an earlier serial number holds nothing new."""
+        """Whether a log belongs to the slot in use; a log with an earlier serial number is obsolete."""
         if len(data) < LOG_HEAD.size:
             return False
         magic, serial, check = LOG_HEAD.unpack_from(data)
@@ -153,7 +153,7 @@
     # -- saving --
 
     def save(self, *, entries: list[bytes]) -> None:
-        """Appends and syncs log entries. OSError: the disk failed, and the store must not be used any more."""
+        """Appends and syncs log entries. Raises OSError if the disk fails; the store must not be used after that."""
         self._append(entries=entries)
         if self.log_bytes > MAX_LOG_BYTES:
             self._switch_slot()
@@ -165,13 +165,13 @@
         self.log_bytes += len(data)
 
     def _switch_slot(self) -> None:
-        """Writes the whole state to the other slot, and begins its log."""
+        """Writes the full state to the other slot, seals the old log and starts a new one."""
         slot, serial = 1 - self.slot, self.serial + 1
         body = Packer().many(values=self.state.entries(), each=lambda p, entry: p.blob(value=entry)).bytes()
         head = SLOT_HEAD.pack(SLOT_MAGIC, serial, len(body), checksum(data=body, serial=serial))
         self.disk.write(name=SLOTS[slot], data=head + body)
-        # the old log is sealed after the new slot is whole, which tells a later start a slot that was never finished
-        # from one that was lost; before the first slot there is no log
+        # the old log is sealed once the new slot is complete, so that a later start can distinguish an unfinished
+        # slot from a damaged one; before the first slot there is no log
         if self.serial:
             self._append(entries=[seal_entry()])
         self.slot, self.serial = slot, serial
@@ -181,7 +181,7 @@
 
 
 def damaged(*, reason: str) -> Result[Store, CinderstairError]:
-    """The error of a disk whose damage may hide a synced entry."""
+    """The error for damage that may hide a synced entry."""
     return Error(
         CinderstairError(
             code=ErrorCode.DISK_DAMAGED,
--- a/src/cinderstair/consensus/versioned_value.py
+++ b/src/cinderstair/consensus/versioned_value.py
@@ -1,4 +1,4 @@
-"""A value of the register with its version."""
+"""A value of the register with the ballot that is its version."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionedValue:
-    """A value that a majority is known to hold, and the ballot under which it was accepted."""
+    """A value known to be held by a majority, and the ballot under which it was accepted."""
 
     ballot: Ballot
     value: bytes
--- a/src/cinderstair/consensus/voter_replacement.py
+++ b/src/cinderstair/consensus/voter_replacement.py
@@ -1,4 +1,4 @@
-"""The replacement of a voter: two roster changes of one voter each."""
+"""The replacement of a voter by two roster changes of one voter each."""
 
 from dataclasses import replace
 
@@ -9,23 +9,23 @@
 from .lease_grants import MAX_LEASE_US
 from .register import Register
 from .roster import Roster, Voter
-from .roster_change import overtaken
+from .roster_change import roster_conflict
 
 
 class VoterReplacement:
-    """Can be interrupted anywhere and be run again: each step looks at the roster as it then is."""
+    """Removes the old voter, then adds the new one. It can be interrupted and repeated from the current roster."""
 
     def __init__(self, *, ctx: Context, register: Register) -> None:
         self.ctx = ctx
         self.register = register
 
     async def replace_voter(self, *, leaves: str, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
-        """Has `enters` take the seat of the voter named `leaves`, which may have left already.
+        """Replaces the voter named `leaves`, which may have been removed already, by `enters`.
 
-        versionTaken: another change came first, or the roster is full. registerUnreachable: no majority answers, or
-        the new voter doesn't. registerUnsure: the last change may come to be, or may not.
+        versionTaken: another change was made first, or the roster is full. registerUnreachable: no majority answers,
+        or the new voter does not. registerUnsure: the last change may or may not take effect.
 
-        :param leaves: empty where a free seat is taken.
+        :param leaves: empty to take a free seat.
         :param max_voters: how many voters the roster may have.
         """
         if not await self.register.find_roster() or self.register.roster is None:
@@ -39,51 +39,51 @@
         return await self._add(roster=self.register.roster or roster, enters=enters, max_voters=max_voters)
 
     async def _remove(self, *, roster: Roster, old: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
-        # a lease rests on the roster under which it was granted, and is not written again as keys are: two voters
-        # that leave one after the other could take its majority away while its holder believes in it
+        # leases are not rewritten under a new roster as keys are: if two voters were removed in a row, a majority of
+        # the remaining ones might not know a lease that is still held
         if len(roster.voters) < max_voters:
             ended = await self._await_lease_ends(roster=roster)
             if ended.is_error():
                 return Error(ended.error)
         left = await self.register.change_roster(alter=lambda current: without(roster=current, ident=old.ident))
         if left.is_ok():
-            self.ctx.log.info("register replica %s ident %x has left the roster", old.name, old.ident)
+            self.ctx.log.info("removed register replica %s (ident %x) from the roster", old.name, old.ident)
         return left
 
     async def _add(self, *, roster: Roster, enters: Voter, max_voters: int) -> Result[Roster, CinderstairError]:
         if roster.has(ident=enters.ident):
             return Ok(roster)
-        # a replica that is no voter takes a free seat alone: it can't make the roster larger than it was founded
+        # without a voter to remove, only a free seat may be taken, so that the roster never exceeds its size
         if len(roster.voters) >= max_voters:
             reason = "the roster is full; name the register replica that leaves"
             return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=reason))
-        # it may have voted under an older roster. As it adopts this one, which lacks it, it discards what it accepted
-        # then; it must have done so before it votes again
+        # the new voter may have voted under an older roster. By adopting this one, in which it is not a voter, it
+        # clears the cells accepted then, which must happen before it votes again
         if not await self.register.send_roster(address=enters.address, roster=roster):
             reason = f"{enters.name} does not adopt the roster"
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason=reason))
         entered = await self.register.change_roster(alter=lambda current: with_voter(roster=current, voter=enters))
         if entered.is_ok():
-            self.ctx.log.info("register replica %s ident %x has entered the roster", enters.name, enters.ident)
+            self.ctx.log.info("added register replica %s (ident %x) to the roster", enters.name, enters.ident)
         return entered
 
     async def _await_lease_ends(self, *, roster: Roster) -> Result[None, CinderstairError]:
-        """Waits until every lease that was granted under an earlier roster than this one has ended."""
-        # once a majority has adopted this roster, no majority of an earlier one grants anything any more
+        """Waits until every lease granted under an earlier roster has expired. Errors: no majority, versionTaken."""
+        # once a majority has adopted this roster, no majority of an earlier one can grant a lease
         known = await self.register.vector()
         if known.is_error():
             return Error(known.error)
         await self.ctx.sleep(duration_us=MAX_LEASE_US)
-        return Ok(None) if self.register.roster == roster else Error(overtaken())
+        return Ok(None) if self.register.roster == roster else Error(roster_conflict())
 
 
 def without(*, roster: Roster, ident: int) -> Roster:
-    """The next roster, which lacks a voter."""
+    """The next roster, without one voter."""
     voters = tuple(voter for voter in roster.voters if voter.ident != ident)
     return replace(roster, epoch=roster.epoch + 1, voters=voters)
 
 
 def with_voter(*, roster: Roster, voter: Voter) -> Roster:
-    """The next roster, which has another voter; they are in the order of their names."""
+    """The next roster, with one more voter; the voters are sorted by name."""
     voters = tuple(sorted((*roster.voters, voter), key=lambda each: each.name))
     return Roster(epoch=roster.epoch + 1, voters=voters)
