--- a/src/cinderstair/membership/__init__.py
+++ b/src/cinderstair/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Group membership by probes and suspicion, backends' heartbeats, and the records between proxies and controllers."""
+"""Group membership (SWIM), heartbeats of backends, and the records exchanged by proxies and controllers."""
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -1,4 +1,4 @@
-"""The heartbeat of a backend that registers itself with the controllers by announcing its own address."""
+"""The heartbeat by which a backend registers its address with the controllers."""
 
 from dataclasses import dataclass
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Announcement:
-    """One heartbeat; `number` orders the announcements of one backend.
+    """One announcement; `number` orders the announcements of one backend.
 
-    `is_primary` says whether the backend takes itself for its service's primary. `capacity` is how many calls it has
-    room for, 0 where it does not say.
+    `is_primary` is whether the backend reports itself primary of its service. `capacity` is its room for connections;
+    0 if it does not report one.
     """
 
     name: str
@@ -30,23 +30,23 @@
     @property
     def order(self) -> HeartbeatOrder:
         """Greater for the later one of two announcements of one backend."""
-        # a deregistered backend sends nothing more, so a delayed heartbeat must not bring it back
+        # a deregistered backend sends no further announcements, so a delayed one must not register it again
         return HeartbeatOrder(epoch=int(self.state == GONE), number=self.number)
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         packer.text(value=self.name).u64(value=self.number).text(value=self.service).text(value=self.address)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.is_primary))
         packer.u32(value=self.capacity)
 
 
 def read_announcement(*, unpacker: Unpacker) -> Announcement:
-    """Raises ValueError where the record is none."""
+    """Reads an announcement. Raises ValueError if it is malformed."""
     name, number = unpacker.text(), unpacker.u64()
     service, address, site = unpacker.text(), unpacker.text(), unpacker.text()
     state, is_primary = unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or is_primary > 1:
-        raise ValueError(f"state {state} or leads {is_primary} is out of range")
+        raise ValueError(f"announcement of {name}: state {state} or primary flag {is_primary} is out of range")
     return Announcement(
         name=name,
         number=number,
--- a/src/cinderstair/membership/heartbeat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -13,7 +13,7 @@
 
 
 class HeartbeatOrder(NamedTuple):
-    """Compares two heartbeats of one backend: first by their epoch, then by their number."""
+    """The order of one backend's heartbeats: by epoch, then by number."""
 
     epoch: int
     number: int
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """One heartbeat; those of one backend are ordered by its incarnation, then by their number.
+    """One heartbeat; those of one backend are ordered by incarnation, then by number.
 
-    `is_primary` says whether the backend takes itself for the primary of `term`; `position` is the end of its log.
+    `is_primary` is whether the backend reports itself primary of `term`; `position` is the end of its log.
     """
 
     name: str
@@ -41,18 +41,18 @@
         return HeartbeatOrder(epoch=self.incarnation, number=self.number)
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         packer.text(value=self.name).u64(value=self.incarnation).u64(value=self.number)
         packer.text(value=self.site).u8(value=STATES.index(self.state)).u8(value=int(self.is_primary))
         packer.u64(value=self.term).u64(value=self.position)
 
 
 def read_heartbeat(*, unpacker: Unpacker) -> Heartbeat:
-    """Raises ValueError where the record is none."""
+    """Reads a heartbeat. Raises ValueError if it is malformed."""
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
     site, state, is_primary = unpacker.text(), unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or is_primary > 1:
-        raise ValueError(f"state {state} or leads {is_primary} is out of range")
+        raise ValueError(f"heartbeat of {name}: state {state} or primary flag {is_primary} is out of range")
     return Heartbeat(
         name=name,
         incarnation=incarnation,
@@ -66,10 +66,10 @@
 
 
 def heartbeat_from_json(*, value: object) -> Heartbeat:
-    """A heartbeat from a backend's JSON; ValueError names the field that is wrong."""
+    """Reads a heartbeat from decoded JSON. Raises ValueError, which names the first invalid field."""
     if not isinstance(value, dict):
         raise ValueError("a heartbeat is an object")
-    # the fields are checked in this order, and the first that is wrong is named
+    # the order of these checks decides which invalid field is named
     name, site, state = (_text_field(value=value, field=field) for field in ("name", "site", "state"))
     incarnation, number, term, position = (
         _number_field(value=value, field=field) for field in ("incarnation", "number", "term", "position")
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -1,4 +1,4 @@
-"""The newest heartbeat of each backend, pulled from other daemons by a version vector."""
+"""The newest heartbeat of each backend, replicated by pulls with a version vector."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 PULL_EVERY_US = 250_000
 PULL_WAIT_US = 400_000
 PULL_PEERS = 2
-STALLED_US = 700_000
+SUSPENDED_US = 700_000
 CONNECTED_US = 1_500_000
 SILENT_AFTER_US = 3_000_000
 FORGET_US = 30_000_000
@@ -28,21 +28,21 @@
 
 
 class BackendHeartbeat(Protocol):
-    """What the table needs to know of a heartbeat, whatever its form."""
+    """The interface that both kinds of heartbeat offer to the table."""
 
     @property
     def name(self) -> str:
-        """The backend that sent it."""
+        """The name of the backend that sent it."""
         ...
 
     @property
     def state(self) -> str:
-        """One of the states of its form, `READY` among them."""
+        """The reported state: READY, or another state of this kind of heartbeat."""
         ...
 
     @property
     def is_primary(self) -> bool:
-        """Whether the backend takes itself for a primary."""
+        """Whether the backend reports itself primary."""
         ...
 
     @property
@@ -51,7 +51,7 @@
         ...
 
     def write(self, *, packer: Packer) -> None:
-        """Appends its fields in their order on the wire."""
+        """Appends the encoded heartbeat."""
         ...
 
 
@@ -60,9 +60,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReceivedHeartbeat(Generic[B]):
-    """A heartbeat as one source received it; `version` counts the heartbeats of that source.
+    """A heartbeat as received by one source, a daemon; `version` counts the heartbeats that the source received.
 
-    `observed_at_us` is by the local clock, and never later than the source received it.
+    `observed_at_us` is on the local monotonic clock, and never later than the receipt at the source.
     """
 
     source: int
@@ -71,18 +71,20 @@
     observed_at_us: int
 
     def write(self, *, packer: Packer, now_us: int) -> None:
-        """Appends the entry, with its age in place of its local time."""
+        """Appends the encoded entry, with its age in place of its local time."""
         packer.u64(value=self.source).u64(value=self.version).u64(value=now_us - self.observed_at_us)
         self.heartbeat.write(packer=packer)
 
 
 class HeartbeatTable(CommandQueueMixin, Generic[B]):
-    """Owns the received heartbeats. Every daemon that receives one itself is a source; daemons pull from each other.
+    """Owns the received heartbeats by source and backend, and the newest of each backend.
 
-    :param read: reads a heartbeat of the form that this table holds; ValueError where there is none.
-    :param peers: the addresses to pull from; the HTTP proxies of the membership where it is not given.
-    :param silent_after_us: the age from which a backend counts as silent.
-    :param pull_peers: from how many peers each turn pulls.
+    A daemon to which backends send heartbeats is a source; each daemon pulls from other ones what it lacks.
+
+    :param read: decodes a heartbeat of this table's kind; raises ValueError if it is malformed.
+    :param peers: returns the addresses to pull from; by default the HTTP proxies in the membership.
+    :param silent_after_us: the age above which a backend counts as silent.
+    :param pull_peers: the number of peers, picked at random, to pull from in each period.
     """
 
     def __init__(
@@ -109,8 +111,8 @@
         self.newest: dict[str, ReceivedHeartbeat[B]] = {}
         self.pulled_at_us = 0
         self.ticked_at_us = ctx.now_us()
-        self.stalled_from_us = 0
-        self.stalled_until_us = 0
+        self.suspended_from_us = 0
+        self.suspended_until_us = 0
         self.has_peers = False
         self.open_queue()
         dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=self.answer)
@@ -120,13 +122,13 @@
         return [member.records for member in self.membership.alive(role=HTTP_PROXY_ROLE)]
 
     def begin(self) -> None:
-        """Pulls at once, since a daemon that has just started lacks every heartbeat."""
+        """Pulls at once, since a daemon that has just started has no heartbeats."""
         self.post(command=self._on_timer, once="pull")
 
     def receive(self, *, heartbeat: B) -> None:
-        """Takes a heartbeat that a backend sent to this daemon."""
+        """Records a heartbeat that a backend sent to this daemon."""
         known = self.newest.get(heartbeat.name)
-        # a delayed heartbeat must not bring an older state back
+        # a delayed heartbeat must not restore an older state
         if known is not None and heartbeat.order <= known.heartbeat.order:
             return
         self.version += 1
@@ -138,22 +140,22 @@
         self.ctx.counters.add(name="beats.heard")
 
     def _arrival_us(self) -> int:
-        """The earliest time at which a heartbeat that is read now can have arrived."""
+        """The earliest time at which a heartbeat that is processed now can have arrived."""
         now_us = self.ctx.now_us()
-        # a heartbeat that is read after the process was suspended may have arrived when the suspension began
-        if now_us - self.ticked_at_us > STALLED_US:
+        # a heartbeat read after a suspension of the process may have arrived when the suspension began
+        if now_us - self.ticked_at_us > SUSPENDED_US:
             return self.ticked_at_us
-        return self.stalled_from_us if now_us < self.stalled_until_us else now_us
+        return self.suspended_from_us if now_us < self.suspended_until_us else now_us
 
     def merge(self, *, received: ReceivedHeartbeat[B]) -> None:
-        """Takes an entry of any source; an older one than the known one changes nothing."""
+        """Merges an entry of any source; an entry that is not newer has no effect."""
         name = received.heartbeat.name
         key = (received.source, name)
         known = self.received.get(key)
         if known is None or received.version > known.version:
             self.received[key] = received
         newest = self.newest.get(name)
-        if newest is None or _age_order(received) > _age_order(newest):
+        if newest is None or _newness(received) > _newness(newest):
             self.newest[name] = received
             self._log_change(old=newest, new=received)
 
@@ -161,24 +163,24 @@
         heartbeat = new.heartbeat
         if old is None or (old.heartbeat.state, old.heartbeat.is_primary) != (heartbeat.state, heartbeat.is_primary):
             self.ctx.log.info(
-                "backend %s is now %s%s by its newest heartbeat",
+                "backend %s reports state %s%s",
                 heartbeat.name,
                 heartbeat.state,
-                " and leads" * heartbeat.is_primary,
+                " as primary" * heartbeat.is_primary,
             )
 
     def latest(self, *, name: str) -> ReceivedHeartbeat[B] | None:
-        """The backend's newest heartbeat; None where none has been received."""
+        """The backend's newest heartbeat; None if none has been received."""
         return self.newest.get(name)
 
     def age_us(self, *, name: str) -> int:
-        """How long ago, at the most, the backend's newest heartbeat arrived; `NEVER_US` where none has."""
+        """The greatest possible age of the backend's newest heartbeat; `NEVER_US` if none has been received."""
         received = self.newest.get(name)
         return NEVER_US if received is None else self.ctx.now_us() - received.observed_at_us
 
     @property
     def connected(self) -> bool:
-        """Whether a peer has answered a pull lately, or there are no peers."""
+        """Whether a peer has answered a pull within CONNECTED_US, or there are no peers."""
         return not self.has_peers or self.ctx.now_us() - self.pulled_at_us < CONNECTED_US
 
     def silent(self, *, name: str) -> bool:
@@ -186,7 +188,7 @@
         return self.age_us(name=name) > self.silent_after_us
 
     def healthy(self, *, name: str) -> bool:
-        """Whether the backend is ready by its own account, and not silent."""
+        """Whether the backend's newest heartbeat reports it ready, and it is not silent."""
         received = self.newest.get(name)
         return received is not None and received.heartbeat.state == READY and not self.silent(name=name)
 
@@ -198,7 +200,7 @@
         return vector
 
     async def answer(self, unpacker: Unpacker) -> bytes:
-        """Answers a pull with the entries that the asker's version vector lacks; ValueError where it is none."""
+        """Answers a pull with the entries missing in the requester's version vector. ValueError: malformed."""
         vector = dict(unpacker.many(each=lambda u: (u.u64(), u.u64())))
         unpacker.done()
         now_us = self.ctx.now_us()
@@ -209,19 +211,19 @@
         return packer.bytes()
 
     def _on_timer(self) -> None:
-        self._note_stall()
+        self._detect_suspension()
         self._forget()
         peers = self.peers()
         self.has_peers = bool(peers)
         self.ctx.rng.shuffle(peers)
         for address in peers[: self.pull_peers]:
-            self.ctx.spawn(work=self._pull(address=address), name="news.pull")
+            self.ctx.spawn(work=self._pull(address=address), name="heartbeats.pull")
 
-    def _note_stall(self) -> None:
-        """Remembers for how long the process was suspended, if it was."""
+    def _detect_suspension(self) -> None:
+        """Records a suspension of the process, which shows as a long gap between two timer ticks."""
         now_us = self.ctx.now_us()
-        if now_us - self.ticked_at_us > STALLED_US:
-            self.stalled_from_us, self.stalled_until_us = self.ticked_at_us, now_us + STALLED_US
+        if now_us - self.ticked_at_us > SUSPENDED_US:
+            self.suspended_from_us, self.suspended_until_us = self.ticked_at_us, now_us + SUSPENDED_US
         self.ticked_at_us = now_us
 
     def _forget(self) -> None:
@@ -231,7 +233,7 @@
                 del self.received[key]
 
     async def refresh(self, *, peers: tuple[str, ...]) -> None:
-        """Pulls once from each of these, and returns when all have answered or their time is up."""
+        """Pulls once from each peer, and returns when all have answered or timed out."""
         await asyncio.gather(*(self._pull(address=address) for address in peers))
 
     async def _pull(self, *, address: str) -> None:
@@ -256,7 +258,7 @@
             return ReceivedHeartbeat(
                 source=source,
                 version=version,
-                # an answer may be delayed anywhere after the request, so its ages count from the request
+                # an answer may be delayed at any point after the request, so ages count from the request
                 observed_at_us=requested_at_us - age_us,
                 heartbeat=self.read(unpacker),
             )
@@ -267,5 +269,5 @@
         return entries
 
 
-def _age_order(received: ReceivedHeartbeat[B]) -> tuple[HeartbeatOrder, int]:
+def _newness(received: ReceivedHeartbeat[B]) -> tuple[HeartbeatOrder, int]:
     return received.heartbeat.order, received.observed_at_us
--- a/src/cinderstair/membership/member.py
+++ b/src/cinderstair/membership/member.py
@@ -1,4 +1,4 @@
-"""A member of the group of daemons, as the others know it."""
+"""The record of a group member, as daemons exchange it."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -11,7 +11,7 @@
 
 
 class Standing(IntEnum):
-    """The state of a member; of two updates with the same incarnation the one with the higher state counts."""
+    """The state of a member; of two updates with the same incarnation, the higher state wins."""
 
     alive = 0
     suspect = 1
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Member:
-    """`records` and `http` are its addresses for records and for HTTP; `http` is empty where it has none."""
+    """A daemon of the group; `records` and `http` are its addresses for records and HTTP, `http` may be empty."""
 
     name: str
     role: str
@@ -32,18 +32,18 @@
     standing: Standing = Standing.alive
 
     def outranks(self, *, other: "Member") -> bool:
-        """Whether this update of a member replaces the other one."""
+        """Whether this update of a member supersedes the other one."""
         return (self.incarnation, self.standing) > (other.incarnation, other.standing)
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         for text in (self.name, self.role, self.site, self.records, self.http):
             packer.text(value=text)
         packer.u64(value=self.incarnation).u8(value=self.standing)
 
 
 def read_member(*, unpacker: Unpacker) -> Member:
-    """Raises ValueError where the record is none."""
+    """Reads a member. Raises ValueError if the record is malformed."""
     return Member(
         name=unpacker.text(),
         role=unpacker.text(),
--- a/src/cinderstair/membership/membership.py
+++ b/src/cinderstair/membership/membership.py
@@ -1,4 +1,4 @@
-"""Group membership after SWIM: probes in random order, indirect probes through others, suspicion before removal."""
+"""Group membership after SWIM (Das, Gupta & Motivala, 2002): random and indirect probes, suspicion, refutation."""
 
 from dataclasses import replace
 
@@ -23,10 +23,12 @@
 
 
 class Membership(CommandQueueMixin):
-    """Owns one daemon's table of members; the daemons' tables agree in time, and nothing relies on more.
+    """Owns one daemon's table of members. The tables of the daemons are eventually consistent.
 
-    :param me: this daemon as it introduces itself to the others.
-    :param seeds: the addresses to probe while no other member is known.
+    A member that answers no probe is suspected, and is dead after SUSPECT_US unless it refutes the suspicion.
+
+    :param me: this daemon's own record.
+    :param seeds: the addresses to probe while no other member is known, and occasionally later.
     """
 
     def __init__(
@@ -39,7 +41,7 @@
         every_us: int = PROBE_EVERY_US,
     ) -> None:
         self.ctx = ctx
-        # a daemon that probes rarely is not isolated because its last answer is a few periods old
+        # with a long probe period, an answer that is a few periods old does not mean isolation
         self.isolated_after_us = max(ISOLATED_AFTER_US, 4 * every_us)
         self.me = me
         self.seeds = seeds
@@ -54,7 +56,7 @@
         self.every(every_us=every_us, command=self._on_timer, name="probe")
 
     def alive(self, *, role: str = "") -> list[Member]:
-        """The other members in the order of their names; suspects count as alive until they are removed.
+        """The other members, sorted by name; suspects count as alive until they are removed.
 
         :param role: the role of the wanted members; empty for all.
         """
@@ -65,32 +67,32 @@
         ]
 
     def standing(self, *, name: str) -> Standing | None:
-        """The state of a member, this daemon included; None where it is not known."""
+        """The state of a member or of this daemon; None if the member is unknown."""
         if name == self.me.name:
             return Standing.alive
         member = self.members.get(name)
         return None if member is None else member.standing
 
     def _update(self) -> bytes:
-        """This daemon's table as it stands on the wire."""
+        """The encoded table, at most MAX_MEMBERS members including this daemon."""
         packer = Packer()
         members = [self.me, *self.members.values()][:MAX_MEMBERS]
         return packer.many(values=members, each=lambda p, m: m.write(packer=p)).bytes()
 
     def _merge_update(self, *, unpacker: Unpacker) -> None:
-        """Merges another daemon's table; ValueError where the record is none."""
+        """Merges another daemon's encoded table. Raises ValueError if it is malformed."""
         members = unpacker.many(each=lambda u: read_member(unpacker=u))
         unpacker.done()
         for member in members:
-            # a daemon that was partitioned takes all others for dead when it returns; a member is only suspected on
-            # another's update, so that it has time to refute it
+            # after a partition a daemon reports all others dead, so an update only makes a member suspect, which
+            # leaves it time to refute
             if member.standing == Standing.dead:
                 member = replace(member, standing=Standing.suspect)
             self._merge(member=member)
 
     def _merge(self, *, member: Member) -> None:
         if member.name == self.me.name:
-            # a wrong update about this daemon is refuted by a higher incarnation of its own
+            # a wrong update about this daemon is refuted with a higher incarnation
             if member.incarnation >= self.me.incarnation and member != self.me:
                 self.me = replace(self.me, incarnation=member.incarnation + 1)
             return
@@ -102,7 +104,7 @@
             self.state_since_us[member.name] = self.ctx.now_us()
             if known is None or known.standing != member.standing:
                 self.ctx.log.info(
-                    "member %s is now %s in its incarnation %d", member.name, member.standing.name, member.incarnation
+                    "member %s is %s (incarnation %d)", member.name, member.standing.name, member.incarnation
                 )
 
     async def _on_probe(self, unpacker: Unpacker) -> bytes:
@@ -112,13 +114,13 @@
     async def _on_probe_for(self, unpacker: Unpacker) -> bytes:
         address = unpacker.text()
         unpacker.done()
-        # a failed probe is left unanswered, which the asker takes for a failure
+        # a failed probe is not answered; the requester counts the timeout as a failure
         if not await self._probe(address=address, wait_us=PROBE_WAIT_US):
-            raise ValueError(f"the probe of {address} got no answer")
+            raise ValueError(f"indirect probe of {address}: no answer")
         return self._update()
 
     async def _probe(self, *, address: str, wait_us: int) -> bool:
-        """Exchanges tables with the daemon at an address; whether it answered with one."""
+        """Exchanges tables with the daemon at an address; whether it sent a valid answer."""
         body = Packer().u8(value=MessageType.PROBE).bytes() + self._update()
         result = await self.ctx.peer_client.request(address=address, body=body, wait_us=wait_us)
         if result.is_error():
@@ -141,7 +143,7 @@
         for name, member in list(self.members.items()):
             age_us = now_us - self.state_since_us[name]
             if member.standing == Standing.suspect and isolated:
-                # a daemon that nobody answers is the partitioned one itself, so its suspicions start anew
+                # an isolated daemon gets no answers from anyone, so it restarts its suspicion timeouts
                 self.state_since_us[name] = now_us
             elif member.standing == Standing.suspect and age_us > SUSPECT_US:
                 self._merge(member=replace(member, standing=Standing.dead))
@@ -150,7 +152,7 @@
                 del self.members[name], self.state_since_us[name]
 
     async def _probe_round(self) -> None:
-        # seeds are probed also now and then, so that two halves of a healed partition find each other
+        # seeds are also probed occasionally, so that the two sides of a healed partition find each other
         if not self.alive() or self.ctx.rng.random() < SEED_PROBE_PROBABILITY:
             others = [seed for seed in self.seeds if seed != self.me.records]
             if others:
@@ -160,7 +162,7 @@
             await self._check(member=member)
 
     async def check(self, *, name: str) -> None:
-        """Probes one member out of turn, also indirectly; afterwards its standing says what was found."""
+        """Probes one member now, directly and then indirectly, and makes it suspect if both fail."""
         member = self.members.get(name)
         if member is not None:
             await self._check(member=member)
@@ -171,12 +173,12 @@
         if await self._probe_indirectly(member=member):
             return
         current = self.members.get(member.name)
-        # a member that has meanwhile announced a higher incarnation is not the one that was silent
+        # a higher incarnation announced meanwhile refutes this suspicion
         if current is not None and current.incarnation == member.incarnation:
             self._merge(member=replace(current, standing=max(Standing.suspect, current.standing)))
 
     def _next_to_probe(self) -> Member | None:
-        """The member to probe next: each one once before any twice, in an order shuffled anew for each cycle."""
+        """The member to probe next: each once per cycle, in an order that is shuffled for each cycle."""
         alive = {member.name: member for member in self.alive()}
         self.probe_order = [name for name in self.probe_order if name in alive]
         if not self.probe_order:
@@ -185,14 +187,14 @@
         return alive[self.probe_order.pop()] if self.probe_order else None
 
     async def _probe_indirectly(self, *, member: Member) -> bool:
-        """Whether any of a few other members reaches this one; all of them are waited for."""
+        """Whether any of INDIRECT_PROBES other members reaches this one; waits for all of them."""
         others = [other for other in self.alive() if other.name != member.name]
         self.ctx.rng.shuffle(others)
         body = Packer().u8(value=MessageType.PROBE_FOR).text(value=member.records).bytes()
         requests = [
             self.ctx.spawn(
                 work=self.ctx.peer_client.request(address=other.records, body=body, wait_us=INDIRECT_PROBE_WAIT_US),
-                name="second.opinion",
+                name="probe.indirect",
             )
             for other in others[:INDIRECT_PROBES]
         ]
@@ -202,7 +204,7 @@
         return reached
 
     async def leave(self) -> None:
-        """Tells a few members that this daemon leaves, so that a planned stop is never taken for a crash."""
+        """Announces to a few members that this daemon leaves, so that a planned stop does not look like a crash."""
         self.me = replace(self.me, standing=Standing.left, incarnation=self.me.incarnation + 1)
         for member in self.alive()[:LEAVE_PROBES]:
             await self._probe(address=member.records, wait_us=PROBE_WAIT_US)
--- a/src/cinderstair/membership/pooled_sample.py
+++ b/src/cinderstair/membership/pooled_sample.py
@@ -1,4 +1,4 @@
-"""Samples of primaries' positions, which proxies share with one another through a controller."""
+"""Samples of primaries' log positions, which proxies share through a controller."""
 
 from dataclasses import dataclass
 
@@ -6,22 +6,22 @@
 from ..runtime.position import Position
 from ..runtime.unpacker import Unpacker
 
-# monotonic clocks drift apart by less than 500 in a million, and one machine's clock measures another's span
-DRIFT_PART = 1_000
-# the proxy that is to ask may wait for a far primary, and the others for one more question, before reads miss it
+# a span measured by one clock is compared with one of another clock, each of which drifts by less than 500 ppm
+DRIFT_DIVISOR = 1_000
+# allows for a distant primary, and for one more request of the other proxies, before reads lack a sample
 ASK_AFTER_US = 500_000
 
 
 def drift_us(*, span_us: int) -> int:
-    """By how much a span that one monotonic clock has measured may differ on another, at the most."""
-    return abs(span_us) // DRIFT_PART + 1
+    """The greatest difference, in microseconds, between a span on one monotonic clock and on another."""
+    return abs(span_us) // DRIFT_DIVISOR + 1
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportedSample:
-    """A sample that a proxy reports.
+    """A sample reported by a proxy.
 
-    `moment_us` is by the controller's clock, and never after the request to the primary.
+    `moment_us` is on the controller's clock, and not later than the request to the primary.
     """
 
     service: str
@@ -30,13 +30,13 @@
     position: Position
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         packer.text(value=self.service).u64(value=self.term).u64(value=self.moment_us)
         packer.u64(value=self.position.term).u64(value=self.position.number)
 
 
 def read_reported_sample(unpacker: Unpacker) -> ReportedSample:
-    """Raises ValueError where the fields are none of a sample."""
+    """Reads the record. Raises ValueError if it is malformed."""
     return ReportedSample(
         service=unpacker.text(),
         term=unpacker.u64(),
@@ -47,26 +47,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedSample:
-    """A service that the asker reads from, and the revision of the sample that it last got of the controller."""
+    """A service that the proxy reads from, and the revision of the sample that it last got from the controller."""
 
     service: str
     revision: int = 0
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         packer.text(value=self.service).u64(value=self.revision)
 
 
 def read_wanted_sample(unpacker: Unpacker) -> WantedSample:
-    """Raises ValueError where the fields are none of a sample."""
+    """Reads the record. Raises ValueError if it is malformed."""
     return WantedSample(service=unpacker.text(), revision=unpacker.u64())
 
 
 @dataclass(frozen=True, kw_only=True)
 class PooledSample:
-    """A sample that a proxy gets; `age_us` is at least the time from the request to the primary until the answer.
+    """A sample sent to a proxy; `age_us` is at least the time since the request to the primary.
 
-    `term` is the primary's term at that request; the sample counts under no other.
+    `term` is the primary's term at that request; the sample is valid only in this term.
     """
 
     service: str
@@ -76,13 +76,13 @@
     revision: int
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the encoded record."""
         packer.text(value=self.service).u64(value=self.term).u64(value=self.age_us)
         packer.u64(value=self.position.term).u64(value=self.position.number).u64(value=self.revision)
 
 
 def read_pooled_sample(unpacker: Unpacker) -> PooledSample:
-    """Raises ValueError where the fields are none of a sample."""
+    """Reads the record. Raises ValueError if it is malformed."""
     return PooledSample(
         service=unpacker.text(),
         term=unpacker.u64(),
--- a/src/cinderstair/membership/relay_record.py
+++ b/src/cinderstair/membership/relay_record.py
@@ -1,4 +1,4 @@
-"""A proxy's question to a controller, and the answer: all that changed since the proxy last asked."""
+"""A proxy's poll of a controller, and the answer with the changes since the proxy's last poll."""
 
 from dataclasses import dataclass
 
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayQuestion:
-    """A proxy's question.
+    """A proxy's request for changes.
 
-    `source` and `revision` say what the proxy has; a source of 0 asks for everything. `suspected` names the backends
-    that the proxy can't reach. `vote` is on the shard map proposal number `proposal`. `samples` are for this source
-    alone, by whose clock their moments are; `wanted` are the samples that the proxy asks for. A `brief` question asks
-    for the age, the source and the site alone.
+    `source` and `revision` identify the state that the proxy has; source 0 asks for the full state. `suspected` names
+    the backends that the proxy can't reach. `vote` is the vote on the shard map proposal with number `proposal`.
+    `samples` have times on the clock of `source`, and are used by it only; `wanted` lists the samples to send. A
+    `brief` request asks only for the age, the source and the site.
     """
 
     proxy: str
@@ -39,7 +39,7 @@
     brief: bool = False
 
     def write(self, *, packer: Packer) -> Packer:
-        """Appends the question's fields in their order on the wire."""
+        """Appends the encoded request."""
         packer.text(value=self.proxy).text(value=self.site).u64(value=self.source).u64(value=self.revision)
         packer.many(values=self.suspected, each=lambda p, name: p.text(value=name))
         packer.u64(value=self.proposal).u8(value=self.vote)
@@ -49,7 +49,7 @@
 
 
 def read_relay_question(*, unpacker: Unpacker) -> RelayQuestion:
-    """Raises ValueError where the record is none, or bytes follow it."""
+    """Reads a request. Raises ValueError if it is malformed or followed by other bytes."""
     question = RelayQuestion(
         proxy=unpacker.text(),
         site=unpacker.text(),
@@ -68,38 +68,38 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayedValue:
-    """A value of the register, with the ballot under which it was chosen."""
+    """A value of the register, with the ballot under which it was accepted."""
 
     key: str
     ballot: Ballot
     value: bytes
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the entry's fields in their order on the wire."""
+        """Appends the encoded entry."""
         self.ballot.write(packer=packer.text(value=self.key))
         packer.blob(value=self.value)
 
 
 def read_relayed_value(unpacker: Unpacker) -> RelayedValue:
-    """Raises ValueError where the fields are none of a value."""
+    """Reads a value. Raises ValueError if it is malformed."""
     return RelayedValue(key=unpacker.text(), ballot=read_ballot(unpacker=unpacker), value=unpacker.blob())
 
 
 @dataclass(frozen=True, kw_only=True)
 class RelayedBackend:
-    """A backend's newest announcement, and whether the controller finds the backend silent."""
+    """A backend's newest announcement, and whether the controller counts the backend as silent."""
 
     announcement: Announcement
     silent: bool
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the entry's fields in their order on the wire."""
+        """Appends the encoded entry."""
         self.announcement.write(packer=packer)
         packer.u8(value=int(self.silent))
 
 
 def read_relayed_backend(unpacker: Unpacker) -> RelayedBackend:
-    """Raises ValueError where the fields are none of a backend."""
+    """Reads a backend. Raises ValueError if it is malformed."""
     return RelayedBackend(announcement=read_announcement(unpacker=unpacker), silent=bool(unpacker.u8()))
 
 
@@ -107,10 +107,10 @@
 class RelayAnswer:
     """A controller's answer.
 
-    `age_us` is how old the controller's own knowledge of the register is, and `answered_us` is the time of the
-    answer, both by the controller's clock. A `full` answer replaces all that the proxy has; others add to it.
-    `ask` names the services whose primaries the proxy is to ask for their positions. `site` is the controller's, in
-    answers to brief questions; empty in all others.
+    `age_us` is the age of the controller's view of the register, and `answered_us` the time of the answer, both on
+    the controller's clock. A `full` answer replaces the proxy's state; other answers add to it. `ask` names the
+    services whose primaries the proxy should ask for their positions. `site` is the controller's site in answers to
+    brief requests, and empty in others.
     """
 
     source: int
@@ -126,7 +126,7 @@
     site: str = ""
 
     def bytes(self) -> bytes:
-        """The answer as it stands on the wire."""
+        """The encoded answer."""
         packer = Packer().u64(value=self.source).u64(value=self.revision).u64(value=self.age_us)
         packer.u8(value=int(self.full))
         packer.many(values=self.values, each=lambda p, entry: entry.write(packer=p))
@@ -139,9 +139,9 @@
 
 
 def read_relay_answer(*, data: bytes) -> RelayAnswer:
-    """Raises ValueError where the bytes are none."""
+    """Decodes an answer. Raises ValueError if it is malformed."""
     unpacker = Unpacker(data=data)
-    # the fields are read in the order of these arguments
+    # keyword arguments are evaluated, and so decoded, in the order written
     answer = RelayAnswer(
         source=unpacker.u64(),
         revision=unpacker.u64(),
