--- a/features/consensus/register.feature
+++ b/features/consensus/register.feature
@@ -1,58 +1,58 @@
 Feature: The register
-  A majority of disks, a ballot a key, highest version wins.
+  Each key is changed by ballots that a majority of the voters accepts; the highest ballot is the current version.
 
-  Scenario Outline: Changes by many at once, among <trouble>, are neither lost nor doubled
+  Scenario Outline: Concurrent changes with <fault> are neither lost nor applied twice
     Given 5 register replicas and 4 proposers, with seed <seed>
-    When each proposer adds to a counter 25 times among <trouble>
-    Then the counter holds every acknowledged addition, and no denied one
-    And no proposer ever read a lower value than one it had read or written before
+    When each proposer increments a counter 25 times with <fault>
+    Then the counter includes every acknowledged increment and no refused one
+    And no proposer reads a lower value than one it has read or written before
 
     Examples:
-      | trouble        | seed |
-      | nothing        | 1    |
-      | lost answers   | 2    |
-      | register replicas killed  | 3    |
-      | register replicas frozen  | 4    |
-      | register replicas cut off | 5    |
-      | register replicas killed  | 6    |
-      | register replicas cut off | 7    |
-
-  Scenario: A value that only a minority accepted is completed by the next read
+      | fault                         | seed |
+      | no faults                     | 1    |
+      | lost answers                  | 2    |
+      | register replicas killed      | 3    |
+      | register replicas frozen      | 4    |
+      | register replicas partitioned | 5    |
+      | register replicas killed      | 6    |
+      | register replicas partitioned | 7    |
+
+  Scenario: A read completes a value that only a minority has accepted
     Given 5 register replicas and 1 proposers, with seed 9
-    When a value is accepted by vault-0 alone and then read through it
-    Then every later read gives that value, with vault-0 gone
+    When a value is accepted only by vault-0 and read by a majority that includes it
+    Then every later read returns that value after vault-0 was killed
 
-  Scenario: No two hold one lease, whatever their clocks and the register replicas' restarts
+  Scenario: A lease has at most one holder while register replicas restart and holders freeze
     Given 5 register replicas and 4 proposers, with seed 11
-    When all seek one lease for 60 seconds, while register replicas restart and holders freeze
-    Then at no moment did two hold it, and it was held at least half of the time
+    When all proposers request one lease for 60 seconds, while register replicas restart and holders freeze
+    Then the lease never has two holders, and is held at least half of the time
 
-  Scenario: A seed that returns blank does not found a second roster
+  Scenario: A seed that restarts with a blank disk does not found a second roster
     Given 5 register replicas and 1 proposers, with seed 12
-    When vault-0 comes back with a blank disk while vault-1 is frozen
-    Then vault-0 learns the roster of the others and founds none
+    When vault-0 restarts with a blank disk while vault-1 is frozen
+    Then vault-0 adopts the roster of the others and founds none
 
-  Scenario: A change of the roster that another one overtakes is not made
+  Scenario: A roster change is refused if another one is made during it
     Given 5 register replicas and 2 proposers, with seed 13
-    When vault-0 is removed while the change that removes vault-1 writes the keys again
-    Then the second change is refused as overtaken, and the roster lacks vault-0 alone
+    When vault-0 is removed while the roster change that removes vault-1 rewrites the keys
+    Then the second change is refused with versionTaken, and only vault-0 is missing from the roster
 
-  Scenario: The return of a lease that arrives late frees nothing that was granted since
+  Scenario: A delayed release of a lease does not end a later grant
     Given 5 register replicas and 2 proposers, with seed 14
-    When a lease is given back and granted again, and its return arrives late
-    Then one holds it, and not both, when the other has sought it too
+    When a lease is released and granted again, and the release arrives after that
+    Then exactly one of the two holds the lease after the other has requested it too
 
-  Scenario: A lease that is given back while it is still being sought is not held
+  Scenario: A lease that is released during its own request is not held
     Given 5 register replicas and 2 proposers, with seed 15
-    When a lease is given back while the answers to its request are on their way
+    When a lease is released while the answers to its request are in flight
     Then it is not held
 
-  Scenario: Grants count against the majority of the roster under which they were given
+  Scenario: Grants are counted against the majority of the roster under which they were requested
     Given 5 register replicas and 2 proposers, with seed 16
-    When two of five register replicas grant a lease, and a roster of three is learnt meanwhile
+    When two of five register replicas grant a lease, and a roster of three is learned meanwhile
     Then it is not held
 
-  Scenario: A second voter leaves only when no lease rests on the first any more
+  Scenario: A second voter is removed only after leases granted by the first have expired
     Given 5 register replicas and 3 proposers, with seed 17
-    When a lease is granted by register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins
-    Then one holds it, and not both, when the other has sought it too
+    When a lease is granted by register replicas 0 to 2, replicas 0 and 1 are killed, and their replacement begins
+    Then exactly one of the two holds the lease after the other has requested it too
--- a/features/consensus/store.feature
+++ b/features/consensus/store.feature
@@ -1,27 +1,27 @@
-Feature: A register replica's disk
-  Two slots written alternately, each followed by a short log; what was answered is there after any crash.
+Feature: Storage of a register replica
+  Two slots are written alternately, each followed by a log; answered entries survive any crash.
 
-  Scenario: A log torn at any byte keeps everything that was synced before
+  Scenario: A torn write at the end of the log keeps every entry that was synced before
     Given a store with 5 saved entries
-    When its last append is cut at every byte
-    Then the first 4 entries are always there and the fifth is whole or absent
+    When its last append is truncated at every byte
+    Then the first 4 entries are always present, and the fifth is complete or absent
 
-  Scenario: A crash at any write while slots are switched loses nothing that was answered
+  Scenario: A crash at any write loses no answered entry, also while slots are switched
     Given stores that crash at every write while 400 large entries are saved
-    Then each holds every entry that was answered
+    Then each store has every entry whose save returned
 
-  Scenario: A failed sync ends the register replica, and no answer leaves
+  Scenario: A failed sync halts the register replica
     Given a world with a register replica whose next sync fails
     When an operator submits a configuration
-    Then that register replica has halted with the words "disk failed"
-    And the configuration is accepted by the others
+    Then that register replica halts with the words "disk failed"
+    And the other register replicas accept the configuration
 
-  Scenario: A disk of a newer format stops the register replica with one line, and is left unchanged
+  Scenario: A disk of a newer format is refused and left unchanged
     Given a store that has switched slots
-    When each of its files in turn is marked with a newer format
-    Then opening it fails each time with the words "format 2, and 1 is the newest", and changes nothing
+    When each of its files in turn is given a newer format number
+    Then opening it fails each time with the words "format 2, and 1 is the newest", and leaves the files unchanged
 
-  Scenario Outline: Damage that may hide an answered entry stops the register replica with a clear message
+  Scenario Outline: Damage that may hide an answered entry is refused with advice to replace the register replica
     Given a store that has switched slots
     When <damage>
     Then opening it fails with the words "replace this register replica"
--- a/features/membership/membership.feature
+++ b/features/membership/membership.feature
@@ -1,29 +1,29 @@
 Feature: Membership
-  Probes in random order, indirect probes through others, suspicion before removal.
+  SWIM: probes in random order, indirect probes through other members, suspicion before removal.
 
-  Scenario: A lost machine is known everywhere, and nobody else is removed
+  Scenario: Every daemon removes a killed daemon, and no other one
     Given a system of 9 HTTP proxies and 5 register replicas, with seed 1
-    When machine stall-4 is killed
-    Then within 8 seconds every other machine knows that stall-4 is gone
-    And at no moment was anyone else removed by anyone
+    When daemon stall-4 is killed
+    Then within 8 seconds every other daemon has removed stall-4
+    And no live member was declared dead
 
-  Scenario: A partitioned machine removes nobody when it returns
+  Scenario: A daemon that returns from a partition removes no other member
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 2
-    When stall-0 is partitioned for 10 seconds and returns
-    Then for 10 seconds no member but stall-0 is taken for dead by any other
-    And within 10 seconds every other machine finds stall-0 alive again
+    When stall-0 is partitioned for 10 seconds and reconnected
+    Then for 10 seconds no daemon declares a member other than stall-0 dead
+    And within 10 seconds every other daemon lists stall-0 as alive
 
-  Scenario: Two members that can't reach each other stay members through indirect probes
+  Scenario: Two daemons that can't reach each other stay members through indirect probes
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 3
     When stall-1 and stall-2 can't reach each other for 20 seconds
-    Then at no moment was anyone else removed by anyone
+    Then no live member was declared dead
 
-  Scenario: Records that can't be read are counted and dropped
+  Scenario: Malformed records are dropped
     Given a system of 3 HTTP proxies and 5 register replicas, with seed 4
     When 200 records of random bytes are sent to stall-0 and vault-0
-    Then they are answered by nobody, and both go on
+    Then no record is answered with more than a status byte, and both keep running
 
-  Scenario: A frozen machine that goes on is alive again under a new incarnation
+  Scenario: A frozen daemon that resumes refutes its removal with a new incarnation
     Given a system of 6 HTTP proxies and 5 register replicas, with seed 5
-    When stall-3 is frozen for 10 seconds and goes on
-    Then within 10 seconds every other machine finds stall-3 alive again
+    When stall-3 is frozen for 10 seconds and resumed
+    Then within 10 seconds every other daemon lists stall-3 as alive
--- a/features/membership/records.feature
+++ b/features/membership/records.feature
@@ -1,11 +1,11 @@
-Feature: The records between controllers and proxies, and in the register
+Feature: Encoding of the records that controllers and proxies exchange and of register values
 
-  Scenario Outline: What is written is read back, and what is broken is refused
+  Scenario Outline: Records survive encoding and decoding, and malformed ones are refused
     Given 300 <records> from a seed
-    Then each is read as it was written
-    And each that is cut short anywhere, or has a byte too many, is refused with a ValueError
-    And each with bytes changed is read or refused with a ValueError
-    And noise is refused with a ValueError
+    Then each is decoded to the record that was encoded
+    And each truncated encoding, and each with an extra byte, is refused with a ValueError
+    And each encoding with changed bytes is decoded or refused with a ValueError
+    And random bytes are decoded or refused with a ValueError
 
     Examples:
       | records           |
@@ -17,11 +17,11 @@
       | proxy ids         |
       | proxy addresses   |
 
-  Scenario: A plan's version and its short form
+  Scenario: A plan's version is read without its body, and a plan can be encoded without its document
     Given 50 service plans from a seed
-    Then a version of 77 is read from the first bytes alone, and 0 from none
-    And without its document a plan is the same but for that and what was acknowledged
+    Then version 77 is read from the first 8 bytes, and 0 from an empty encoding
+    And a plan encoded without its document lacks only the document and the accepted versions
 
-  Scenario: The deregistration of a backend is its last announcement
+  Scenario: The deregistration of a backend supersedes all its announcements
     Given 50 announcements from a seed
-    Then its deregistration is newer than any other announcement of it, whatever their numbers
+    Then a deregistration is newer than any other announcement of the same backend, regardless of their numbers
--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a register, a service of backends, and the surroundings of a controller."""
+"""Fakes for failover tests: a register, a service of backends, and the environment of a controller."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 
 class Store:
-    """What all registers of a stage share: the values, and who holds which lease."""
+    """The state shared by all fake registers of a stage: values, lease holders, and keys whose writes fail."""
 
     def __init__(self) -> None:
         self.values: dict[str, VersionedValue] = {}
@@ -45,7 +45,7 @@
 
 
 class FakeRegister:
-    """A register whose majority is one store, reached by this daemon unless it is cut off."""
+    """A register backed by one shared store, which can be made unreachable for this daemon (`cut`)."""
 
     def __init__(self, *, ctx: Context, store: Store, proposer: int) -> None:
         self.ctx = ctx
@@ -54,7 +54,7 @@
         self.roster: Roster | None = ROSTER
         self.cut = False
 
-    def _missing(self) -> Any:
+    def _unreachable(self) -> Any:
         return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="cut off"))
 
     async def poll(
@@ -79,7 +79,7 @@
     ) -> Result[VersionedValue, CinderstairError]:
         await self.ctx.sleep(duration_us=2_000)
         if self.cut:
-            return self._missing()
+            return self._unreachable()
         found = self.store.values.get(key)
         decided = decide(b"" if found is None else found.value)
         if decided.is_error():
@@ -95,11 +95,13 @@
 
     async def read(self, *, key: str) -> Result[VersionedValue, CinderstairError]:
         await self.ctx.sleep(duration_us=2_000)
-        return self._missing() if self.cut else Ok(self.store.values[key])
+        return self._unreachable() if self.cut else Ok(self.store.values[key])
 
     async def vector(self) -> Result[dict[str, Ballot], CinderstairError]:
         await self.ctx.sleep(duration_us=2_000)
-        return self._missing() if self.cut else Ok({key: found.ballot for key, found in self.store.values.items()})
+        return (
+            self._unreachable() if self.cut else Ok({key: found.ballot for key, found in self.store.values.items()})
+        )
 
 
 class FakeMembership:
@@ -108,7 +110,7 @@
 
 
 class SimulatedBackend:
-    """A backend of a service: its state, and how it answers to requests."""
+    """A backend of a service: its state, and flags that control how it answers requests."""
 
     def __init__(self, *, name: str, is_primary: bool, at: Position) -> None:
         self.name = name
@@ -132,7 +134,10 @@
 
 
 class Cluster:
-    """A service's backends, and the platform that promotes. A commit is acknowledged once enough replicas have it."""
+    """A service's backends, and the platform that promotes them.
+
+    A commit is acknowledged once `confirmations` replicas have it.
+    """
 
     def __init__(self, *, stage: Stage, names: tuple[str, ...], at: Position, confirmations: int) -> None:
         self.stage = stage
@@ -170,7 +175,7 @@
             for primary in [each for each in self.backends.values() if each.is_primary and each.up]:
                 made = Position(primary.term, primary.at.number + 1)
                 primary.at = made
-                took = [
+                receivers = [
                     replica
                     for replica in self.backends.values()
                     if replica is not primary
@@ -179,9 +184,9 @@
                     and not replica.paused
                     and replica.held <= made.term
                 ]
-                for replica in took:
+                for replica in receivers:
                     replica.at = max(replica.at, made)
-                if len(took) >= self.confirmations:
+                if len(receivers) >= self.confirmations:
                     self.acknowledged = max(self.acknowledged, made)
 
     def _state(self, backend: SimulatedBackend) -> Result[BackendState, CinderstairError]:
@@ -191,7 +196,7 @@
             )
         )
 
-    async def _reported(self, *, name: str, text: str, wait_us: int) -> SimulatedBackend | CinderstairError:
+    async def _contact(self, *, name: str, text: str, wait_us: int) -> SimulatedBackend | CinderstairError:
         backend = self.backends[name]
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
@@ -206,13 +211,13 @@
         return backend
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        found = await self._reported(name=backend.name, text="state", wait_us=wait_us)
+        found = await self._contact(name=backend.name, text="state", wait_us=wait_us)
         return Error(found) if isinstance(found, CinderstairError) else self._state(found)
 
     async def pause(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        found = await self._reported(name=backend.name, text=f"pause {term}", wait_us=wait_us)
+        found = await self._contact(name=backend.name, text=f"pause {term}", wait_us=wait_us)
         if isinstance(found, CinderstairError):
             return Error(found)
         if not found.pausable:
@@ -222,7 +227,7 @@
         return self._state(found)
 
     async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        found = await self._reported(name=backend.name, text="resume", wait_us=wait_us)
+        found = await self._contact(name=backend.name, text="resume", wait_us=wait_us)
         if isinstance(found, CinderstairError):
             return Error(found)
         found.held, found.paused = 0, False
@@ -231,7 +236,7 @@
     async def step_down(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        found = await self._reported(name=backend.name, text=f"step down {term}", wait_us=wait_us)
+        found = await self._contact(name=backend.name, text=f"step down {term}", wait_us=wait_us)
         if isinstance(found, CinderstairError):
             return Error(found)
         if found.is_primary and found.term < term and found.steps_down:
@@ -250,26 +255,26 @@
         if not found.up or backend in self.refuses:
             return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="409"))
         if found.promotable and not found.is_primary:
-            self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._lead, found)
+            self.stage.loop.call_later(PROMOTED_US / 1_000_000, self._become_primary, found)
         return Ok(None)
 
-    def _lead(self, backend: SimulatedBackend) -> None:
+    def _become_primary(self, backend: SimulatedBackend) -> None:
         if not backend.up or backend.is_primary:
             return
         if backend.at < self.acknowledged:
-            self.lost.append(f"{backend.name} has {backend.at}, acknowledged was {self.acknowledged}")
+            self.lost.append(f"{backend.name} is promoted at {backend.at}, but {self.acknowledged} is acknowledged")
         backend.is_primary, backend.paused, backend.held = True, False, 0
         backend.term = max(each.term for each in self.backends.values()) + 1
         backend.at = Position(backend.term, backend.at.number)
         for other in self.backends.values():
-            # Replicas that were ahead are cut back to what the new primary has.
+            # replicas that were ahead are truncated to the position of the new primary
             if other is not backend and not other.is_primary:
                 other.at = min(other.at, Position(backend.at.term, backend.at.number))
         self.send_heartbeat(backend=backend)
 
 
 class ControllerStage:
-    """The register, view and heartbeats that one controller's singleton roles rest on."""
+    """One controller's register, view, heartbeat table and service failover."""
 
     def __init__(self, *, context: Any, name: str, number: int) -> None:
         stage, self.ctx = context.stage, context.stage.context(name=name, seed=number)
@@ -312,7 +317,7 @@
         cluster.heartbeat_listeners.append(lambda heartbeat: self.heartbeat_table.receive(heartbeat=heartbeat))
 
     def kill(self) -> None:
-        """The process ends: nothing of it runs on."""
+        """Ends the process: its register is cut off and its tasks are cancelled."""
         self.register.cut = True
         self.stage.call(call=self.ctx.close)
 
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the records of the relay, the plan, the announcements and the primaries."""
+"""Steps for the encoding of relay records, plans, announcements, primary assignments and proxy tables."""
 
 import random
 from collections.abc import Callable
@@ -181,9 +181,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecordKind:
-    """How records of one kind are made at random, written and read.
+    """Generates, encodes and decodes random records of one kind.
 
-    `seed` names the kind in the seed of its random records. `empty_is_read`: whether no bytes stand for a record.
+    `seed` is part of the random seed. `empty_is_read` is whether an empty encoding is valid.
     """
 
     seed: str
@@ -226,7 +226,7 @@
     context.records = [context.kind.make(context.rng) for _ in range(count)]
 
 
-@then("each is read as it was written")
+@then("each is decoded to the record that was encoded")
 def then_round_trip(context: Any) -> None:
     for record in context.records:
         data = context.kind.write(record)
@@ -235,12 +235,12 @@
         assert context.kind.write(found) == data
 
 
-@then("each that is cut short anywhere, or has a byte too many, is refused with a ValueError")
-def then_cut(context: Any) -> None:
+@then("each truncated encoding, and each with an extra byte, is refused with a ValueError")
+def then_truncated(context: Any) -> None:
     for record in context.records[:12]:
         data = context.kind.write(record)
         broken = [data[:end] for end in range(len(data))] + [data + b"\0"]
-        # no bytes at all stand for proxy ids that were never assigned
+        # an empty encoding stands for proxy ids that were never assigned
         for each in broken[1:] if context.kind.empty_is_read else broken:
             try:
                 found = context.kind.read(each)
@@ -249,7 +249,7 @@
             raise AssertionError(f"read from {len(each)} of {len(data)} bytes: {found}")
 
 
-@then("each with bytes changed is read or refused with a ValueError")
+@then("each encoding with changed bytes is decoded or refused with a ValueError")
 def then_changed(context: Any) -> None:
     refused = 0
     for record in context.records:
@@ -264,8 +264,8 @@
     assert refused > len(context.records), refused
 
 
-@then("noise is refused with a ValueError")
-def then_noise(context: Any) -> None:
+@then("random bytes are decoded or refused with a ValueError")
+def then_random_bytes(context: Any) -> None:
     for _ in range(2_000):
         try:
             context.kind.read(context.rng.randbytes(context.rng.randrange(1, 120)))
@@ -273,24 +273,24 @@
             continue
 
 
-@then("a version of {version:d} is read from the first bytes alone, and 0 from none")
+@then("version {version:d} is read from the first 8 bytes, and 0 from an empty encoding")
 def then_version(context: Any, version: int) -> None:
     data = ServicePlan(version=version).bytes()
     assert plan_version(data=data[:8]) == plan_version(data=data) == version
     assert plan_version(data=b"") == 0
 
 
-@then("without its document a plan is the same but for that and what was acknowledged")
-def then_short(context: Any) -> None:
+@then("a plan encoded without its document lacks only the document and the accepted versions")
+def then_without_document(context: Any) -> None:
     for record in context.records:
         found = read_service_plan(data=record.bytes(with_document=False))
         assert found.document == b"" and found.accepted == ()
         assert {**vars(found), "document": record.document, "accepted": record.accepted} == vars(record)
 
 
-@then("its deregistration is newer than any other announcement of it, whatever their numbers")
+@then("a deregistration is newer than any other announcement of the same backend, regardless of their numbers")
 def then_order(context: Any) -> None:
     for record in context.records:
-        gone = Announcement(**{**vars(record), "state": GONE, "number": 1})
+        deregistered = Announcement(**{**vars(record), "state": GONE, "number": 1})
         other = Announcement(**{**vars(record), "state": STATES[0], "number": 2**64 - 1})
-        assert gone.order > other.order
+        assert deregistered.order > other.order
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -64,7 +64,7 @@
         world.freeze(name=name)
         world.advance(for_us=1_500_000)
         world.thaw(name=name)
-    elif what == "register replicas cut off":
+    elif what == "register replicas partitioned":
         world.cut(ones=[name], others=[f"proposer-{n}" for n in range(4)], both=world.rng.random() < 0.5)
         world.advance(for_us=900_000)
         world.heal()
@@ -76,7 +76,7 @@
     world.advance(for_us=300_000)
 
 
-@when("each proposer adds to a counter 25 times among {what}")
+@when("each proposer increments a counter 25 times with {what}")
 def when_add(context: Any, what: str) -> None:
     world = context.world
     context.logs = [[] for _ in context.registers]
@@ -89,18 +89,18 @@
     assert not any(task.exception() for task in tasks)
 
 
-@then("the counter holds every acknowledged addition, and no denied one")
+@then("the counter includes every acknowledged increment and no refused one")
 def then_counter(context: Any) -> None:
     final = int(context.world.run(work=context.registers[0].read(key="counter")).ok.value)
     done = [value for log in context.logs for word, value in log if word == "done"]
     unsure = sum(word == "unsure" for log in context.logs for word, _ in log)
-    # each acknowledged addition made its own value, so no two may have made the same
+    # each acknowledged increment writes another value, so no value may occur twice
     assert len(set(done)) == len(done)
     assert len(done) <= final <= len(done) + unsure, (len(done), final, unsure)
     assert len(done) > 60, len(done)
 
 
-@then("no proposer ever read a lower value than one it had read or written before")
+@then("no proposer reads a lower value than one it has read or written before")
 def then_monotonic(context: Any) -> None:
     for log in context.logs:
         highest = 0
@@ -110,7 +110,7 @@
                 highest = value
 
 
-@when("a value is accepted by vault-0 alone and then read through it")
+@when("a value is accepted only by vault-0 and read by a majority that includes it")
 def when_minority(context: Any) -> None:
     world = context.world
     acceptor = world.register_replica(name="vault-0").acceptor
@@ -123,7 +123,7 @@
     world.heal()
 
 
-@then("every later read gives that value, with vault-0 gone")
+@then("every later read returns that value after vault-0 was killed")
 def then_completed(context: Any) -> None:
     assert context.first.ok.value == b"x"
     context.world.kill(name="vault-0")
@@ -131,19 +131,19 @@
         assert context.world.run(work=context.registers[0].read(key="lonely")).ok.value == b"x"
 
 
-async def seek_on(*, lease: Lease) -> None:
+async def keep_acquiring(*, lease: Lease) -> None:
     while True:
         await lease.try_acquire()
         await lease.ctx.sleep(duration_us=400_000)
 
 
-@when("all seek one lease for 60 seconds, while register replicas restart and holders freeze")
-def when_all_seek(context: Any) -> None:
+@when("all proposers request one lease for 60 seconds, while register replicas restart and holders freeze")
+def when_all_request(context: Any) -> None:
     world = context.world
     leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in context.registers]
     for boot, register, lease in zip(context.boots, context.registers, leases, strict=True):
         world.run(work=register.find_roster())
-        world.wires.run_at(boot=boot, work=seek_on(lease=lease))
+        world.wires.run_at(boot=boot, work=keep_acquiring(lease=lease))
     context.held = []
     frozen: Boot | None = None
     for step in range(600):
@@ -162,13 +162,13 @@
                 world.loop.freeze(boot=frozen)
 
 
-@then("at no moment did two hold it, and it was held at least half of the time")
-def then_alone(context: Any) -> None:
+@then("the lease never has two holders, and is held at least half of the time")
+def then_one_holder(context: Any) -> None:
     assert max(context.held) == 1, max(context.held)
     assert sum(context.held) > len(context.held) // 2, sum(context.held)
 
 
-@when("vault-0 comes back with a blank disk while vault-1 is frozen")
+@when("vault-0 restarts with a blank disk while vault-1 is frozen")
 def when_blank(context: Any) -> None:
     world = context.world
     context.ident = world.register_replica(name="vault-0").me.ident
@@ -180,8 +180,8 @@
     world.advance(for_us=15_000_000)
 
 
-@then("vault-0 learns the roster of the others and founds none")
-def then_no_second(context: Any) -> None:
+@then("vault-0 adopts the roster of the others and founds none")
+def then_no_second_roster(context: Any) -> None:
     mine, others = context.world.register_replica(name="vault-0"), context.world.register_replica(name="vault-2")
     assert mine.me.ident != context.ident
     assert mine.roster.epoch == others.roster.epoch == context.epoch + 2, (mine.roster, others.roster)
@@ -194,7 +194,7 @@
     return await register.change_roster(alter=lambda current: without(roster=current, ident=ident))
 
 
-@when("vault-0 is removed while the change that removes vault-1 writes the keys again")
+@when("vault-0 is removed while the roster change that removes vault-1 rewrites the keys")
 def when_overtaken(context: Any) -> None:
     world, (first, second) = context.world, context.registers
     change = second.change
@@ -202,7 +202,7 @@
     async def overtaken(**arguments: Any) -> Any:
         result = await change(**arguments)
         second.change = change
-        # any register replica's answer brings the newer roster, without anyone's telling it on purpose
+        # in operation the answer of any register replica with the newer roster has this effect
         assert (await remove_voter(register=first, name="vault-0")).is_ok()
         second.learn_roster(roster=first.roster)
         return result
@@ -211,7 +211,7 @@
     context.result = world.run(work=remove_voter(register=second, name="vault-1"))
 
 
-@then("the second change is refused as overtaken, and the roster lacks vault-0 alone")
+@then("the second change is refused with versionTaken, and only vault-0 is missing from the roster")
 def then_overtaken(context: Any) -> None:
     assert context.result.is_error() and context.result.error.code == ErrorCode.VERSION_TAKEN, context.result
     world, register = context.world, context.registers[0]
@@ -220,36 +220,36 @@
     assert names == ["vault-1", "vault-2", "vault-3", "vault-4"], names
 
 
-def held_back(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
-    """Holds back the records that pass the test, as if the network had lost them, and gives them back in a list."""
-    kept: list[tuple[str, bytes]] = []
+def hold_requests(*, register: Register, test: Any) -> list[tuple[str, bytes]]:
+    """Drops and collects the requests that pass the test; their senders get wireUnsure."""
+    held: list[tuple[str, bytes]] = []
     request = register.ctx.net.request
 
     async def request_or_hold(*, address: str, body: bytes, wait_us: int) -> Any:
         if test(body):
-            kept.append((address, body))
+            held.append((address, body))
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="held back"))
         return await request(address=address, body=body, wait_us=wait_us)
 
     register.ctx.net.request = request_or_hold
-    return kept
+    return held
 
 
-def is_return(body: bytes) -> bool:
+def is_lease_release(body: bytes) -> bool:
     kind, length = split_version_header(data=body).body[0], int.from_bytes(body[-8:], "big")
     return kind == MessageType.LEASE and length == 0
 
 
-@when("a lease is given back and granted again, and its return arrives late")
-def when_late_return(context: Any) -> None:
+@when("a lease is released and granted again, and the release arrives after that")
+def when_late_release(context: Any) -> None:
     world, (first, second) = context.world, context.registers
     for register in (first, second):
         world.run(work=register.find_roster())
     context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (first, second)]
-    # register replicas that have just started grant nothing yet
+    # register replicas that have just started don't grant leases yet
     world.advance(for_us=5_000_000)
     request = first.ctx.net.request
-    late = held_back(register=first, test=is_return)
+    late = hold_requests(register=first, test=is_lease_release)
     assert world.run(work=context.leases[0].try_acquire())
     world.run(work=context.leases[0].drop())
     world.run(work=context.leases[0].try_acquire())
@@ -258,14 +258,14 @@
         world.run(work=request(address=address, body=body, wait_us=500_000))
 
 
-@then("one holds it, and not both, when the other has sought it too")
-def then_alone_still(context: Any) -> None:
+@then("exactly one of the two holds the lease after the other has requested it too")
+def then_exactly_one_holder(context: Any) -> None:
     context.world.run(work=context.leases[1].try_acquire())
     assert sum(lease.held for lease in context.leases) == 1
 
 
-@when("a lease is given back while the answers to its request are on their way")
-def when_back_at_once(context: Any) -> None:
+@when("a lease is released while the answers to its request are in flight")
+def when_released_in_flight(context: Any) -> None:
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
@@ -277,8 +277,8 @@
     world.run(work=both())
 
 
-@when("two of five register replicas grant a lease, and a roster of three is learnt meanwhile")
-def when_fewer(context: Any) -> None:
+@when("two of five register replicas grant a lease, and a roster of three is learned meanwhile")
+def when_smaller_roster(context: Any) -> None:
     world, register = context.world, context.registers[0]
     world.run(work=register.find_roster())
     world.advance(for_us=5_000_000)
@@ -301,25 +301,23 @@
     assert not context.lease.held
 
 
-@when(
-    "a lease is granted by register replicas 0 to 2, register replicas 0 and 1 die, and a replacement of each begins"
-)
-def when_two_leave(context: Any) -> None:
-    world, (holder, seeker, changer) = context.world, context.registers
-    for register in (holder, seeker):
+@when("a lease is granted by register replicas 0 to 2, replicas 0 and 1 are killed, and their replacement begins")
+def when_two_removed(context: Any) -> None:
+    world, (holder, contender, changer) = context.world, context.registers
+    for register in (holder, contender):
         world.run(work=register.find_roster())
-    context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (holder, seeker)]
+    context.leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in (holder, contender)]
     world.advance(for_us=5_000_000)
     world.cut(ones=["vault-3", "vault-4"], others=["proposer-0"])
     assert world.run(work=context.leases[0].try_acquire())
-    # a register replica that is up would take its place again at once
+    # a running register replica would rejoin the roster at once
     for name in ("vault-0", "vault-1"):
         world.kill(name=name)
     assert world.run(work=remove_voter(register=changer, name="vault-0")).is_ok()
     change = changer.change_roster
 
     async def once(**arguments: Any) -> Any:
-        # whoever replaces a voter may end between the two changes
+        # the process that replaces a voter may end between the two roster changes
         changer.change_roster = None
         return await change(**arguments)
 
@@ -330,4 +328,4 @@
         boot=context.boots[2], work=voter_replacement.replace_voter(leaves="vault-1", enters=enters, max_voters=5)
     )
     world.advance(for_us=1_000_000)
-    world.run(work=seeker.find_roster())
+    world.run(work=contender.find_roster())
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a register replica's disk."""
+"""Steps for the storage of a register replica."""
 
 import random
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 def save(*, store: Store, number: int, size: int = 20) -> None:
-    """As the acceptor does it: into the table first, then onto the disk."""
+    """Applies an entry to the state and then saves it, as the acceptor does."""
     data = entry(number=number, size=size)
     apply_entry(state=store.state, entry=data)
     store.save(entries=[data])
@@ -50,7 +50,7 @@
         save(store=store, number=number)
 
 
-@when("its last append is cut at every byte")
+@when("its last append is truncated at every byte")
 def when_cut(context: Any) -> None:
     name = next(n for n in LOGS if context.disk.files.get(n) != context.before.get(n))
     whole, old = context.disk.files[name], context.before[name]
@@ -61,8 +61,8 @@
         context.found.append((length == len(whole), opened(disk=disk).state.cells))
 
 
-@then("the first 4 entries are always there and the fifth is whole or absent")
-def then_whole(context: Any) -> None:
+@then("the first 4 entries are always present, and the fifth is complete or absent")
+def then_complete(context: Any) -> None:
     for complete, cells in context.found:
         assert [f"k{n}" in cells for n in range(5)] == [True] * 4 + [complete], cells.keys()
 
@@ -83,7 +83,7 @@
             except OSError:
                 crashed = True
                 break
-            # a save that switches slots makes several writes; each crashes in some run
+            # a save that switches slots makes several writes; each of them crashes in one run
             answered = number + 1
             if disk.syncs == crash_at - 1:
                 disk.tear_next = True
@@ -93,7 +93,7 @@
         crash_at += 1
 
 
-@then("each holds every entry that was answered")
+@then("each store has every entry whose save returned")
 def then_answered(context: Any) -> None:
     assert len(context.results) > 400
     for answered, disk in context.results:
@@ -130,22 +130,22 @@
 
 
 @when("both slots are gone and the logs remain")
-def when_gone(context: Any) -> None:
+def when_slots_missing(context: Any) -> None:
     for name in SLOTS:
         del context.disk.files[name]
 
 
-@when("each of its files in turn is marked with a newer format")
+@when("each of its files in turn is given a newer format number")
 def when_newer(context: Any) -> None:
     context.newer = []
     for name in (*SLOTS, *LOGS):
         disk = copied(disk=context.disk)
-        # the format is the number at the end of the mark with which each file begins
+        # each file starts with a magic of 8 bytes, which ends with the format number
         disk.files[name] = disk.files[name].replace(disk.files[name][:8], disk.files[name][:7] + b"2", 1)
         context.newer.append(disk)
 
 
-@then('opening it fails each time with the words "{words}", and changes nothing')
+@then('opening it fails each time with the words "{words}", and leaves the files unchanged')
 def then_unchanged(context: Any, words: str) -> None:
     assert len(context.newer) == 4
     for disk in context.newer:
@@ -175,11 +175,11 @@
     context.world.advance(for_us=1_000_000)
 
 
-@then('that register replica has halted with the words "{words}"')
+@then('that register replica halts with the words "{words}"')
 def then_halted(context: Any, words: str) -> None:
     assert words in context.world.halted.get("vault-1", ""), context.world.halted
 
 
-@then("the configuration is accepted by the others")
+@then("the other register replicas accept the configuration")
 def then_accepted(context: Any) -> None:
     assert context.status == 200, context.status
--- a/features/steps/vector_steps.py
+++ b/features/steps/vector_steps.py
@@ -1,4 +1,4 @@
-"""Steps for vectors that are sent as the changes since a revision."""
+"""Steps for vectors that are sent incrementally, as the changes since a revision."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 from cinderstair.runtime.unpacker import Unpacker
 
 
-def keys_in(*, answer: bytes) -> int:
+def count_keys(*, answer: bytes) -> int:
     unpacker = Unpacker(data=answer)
     if unpacker.u8() == Status.SINCE:
         unpacker.u64()
@@ -22,17 +22,17 @@
 
 
 def request_vector(*, context: Any, times: int) -> dict[str, Ballot]:
-    """The vector as proposer 0 sees it; the number of keys in each of the last answers is kept."""
+    """Reads the vector as proposer 0, and keeps the number of keys in each answer to the last request."""
     register = context.registers[0]
     read = register.known.read
     for _ in range(times):
-        context.brought = []
+        context.key_counts = []
 
-        def reads(*, answers: list[bytes]) -> dict[str, Ballot]:
-            context.brought = [keys_in(answer=answer) for answer in answers]
+        def read_and_count(*, answers: list[bytes]) -> dict[str, Ballot]:
+            context.key_counts = [count_keys(answer=answer) for answer in answers]
             return read(answers=answers)
 
-        register.known.read = reads
+        register.known.read = read_and_count
         context.vector = dict(context.world.run(work=register.vector()).ok)
     register.known.read = read
     return context.vector
@@ -53,7 +53,7 @@
     request_vector(context=context, times=times)
 
 
-@when("proposer 1 writes one of the keys again, and proposer 0 requests the vector until it shows")
+@when("proposer 1 rewrites one of the keys, and proposer 0 requests the vector")
 def when_writes(context: Any) -> None:
     written = write(context=context, key="key-7", value=b"y").ok
     assert request_vector(context=context, times=1)["key-7"] == written.ballot
@@ -70,22 +70,22 @@
     request_vector(context=context, times=1)
 
 
-@then("the last answers together bring {count:d} keys")
-def then_brings(context: Any, count: int) -> None:
-    assert sum(context.brought) == count, context.brought
+@then("the last answers together contain {count:d} keys")
+def then_contain(context: Any, count: int) -> None:
+    assert sum(context.key_counts) == count, context.key_counts
 
 
-@then("the last answers together bring at most {count:d} keys")
+@then("the last answers together contain at most {count:d} keys")
 def then_at_most(context: Any, count: int) -> None:
-    assert 0 < sum(context.brought) <= count, context.brought
+    assert 0 < sum(context.key_counts) <= count, context.key_counts
 
 
-@then("the last answers together bring at least {count:d} keys")
+@then("the last answers together contain at least {count:d} keys")
 def then_at_least(context: Any, count: int) -> None:
-    assert sum(context.brought) >= count, context.brought
+    assert sum(context.key_counts) >= count, context.key_counts
 
 
-@when("keys are written and the vector is requested 60 times, while register replicas are killed and come back")
+@when("keys are written and the vector is requested 60 times, while register replicas are killed and restarted")
 def when_mixed(context: Any) -> None:
     world = context.world
     context.seen = []
@@ -108,7 +108,7 @@
             context.seen.append((before, dict(found.ok)))
 
 
-@then("every vector had at least the ballots acknowledged before it was asked for")
+@then("every vector has at least the ballots acknowledged before its request")
 def then_acknowledged(context: Any) -> None:
     assert len(context.seen) > 40, len(context.seen)
     for before, vector in context.seen:
@@ -116,22 +116,22 @@
             assert vector.get(key, BLANK) >= ballot, (key, ballot, vector.get(key))
 
 
-@then("no vector went back behind the one before")
+@then("no vector has a lower acknowledged ballot than the one before")
 def then_forward(context: Any) -> None:
     for (_, earlier), (_, later) in zip(context.seen, context.seen[1:], strict=False):
         for key, ballot in earlier.items():
-            # an accepted ballot that no majority holds may be seen once and not again
+            # a ballot that no majority has accepted may appear in one vector and be missing in the next
             if ballot in [each[0].get(key) for each in context.seen]:
                 assert later.get(key, BLANK) >= ballot, (key, ballot)
 
 
-@when("proposer 0 speaks the first version alone, and requests the vector 2 times")
+@when("proposer 0 supports only protocol version 1, and requests the vector 2 times")
 def when_first(context: Any) -> None:
     context.registers[0].ctx.protocol_versions = ProtocolVersions(lowest=1, highest=1)
     request_vector(context=context, times=2)
 
 
-def reported(*, revision: int, keys: dict[str, Ballot]) -> bytes:
+def vector_answer(*, revision: int, keys: dict[str, Ballot]) -> bytes:
     packer = Packer().u8(value=Status.SINCE).u64(value=9).u64(value=revision)
 
     def each(p: Packer, entry: tuple[str, Ballot]) -> None:
@@ -140,15 +140,15 @@
     return packer.many(values=list(keys.items()), each=each).bytes()
 
 
-@when("a source's revision 7 is read before its revision 5")
+@when("the answer with revision 7 of a source is applied before the one with revision 5")
 def when_overtaken(context: Any) -> None:
     known = KnownVectors()
-    known.read(answers=[reported(revision=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
-    context.vector = known.read(answers=[reported(revision=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
+    known.read(answers=[vector_answer(revision=7, keys={"a": Ballot(9, 1), "b": Ballot(2, 1)})])
+    context.vector = known.read(answers=[vector_answer(revision=5, keys={"a": Ballot(4, 1), "b": Ballot(2, 1)})])
     context.revisions = known.revisions()
 
 
-@then("what revision 7 brought stands")
-def then_stands(context: Any) -> None:
+@then("the ballots of revision 7 are kept")
+def then_kept(context: Any) -> None:
     assert context.vector == {"a": Ballot(9, 1), "b": Ballot(2, 1)}, context.vector
     assert context.revisions == (SourceRevision(9, 7),), context.revisions
