--- a/features/consensus/store.feature
+++ b/features/consensus/store.feature
@@ -19,7 +19,7 @@
   Scenario: A disk of a newer format is refused and left unchanged
     Given a store that has switched slots
     When each of its files in turn is given a newer format number
-    Then opening it fails each time with the words "format 2, and 1 is the newest", and leaves the files unchanged
+    Then opening it fails each time with the words "format 2; this version reads formats up to 1", and leaves the files unchanged
 
   Scenario Outline: Damage that may hide an answered entry is refused with advice to replace the register replica
     Given a store that has switched slots
--- a/features/steps/vector_steps.py
+++ b/features/steps/vector_steps.py
@@ -24,7 +24,7 @@
 def request_vector(*, context: Any, times: int) -> dict[str, Ballot]:
     """Reads the vector as proposer 0, and keeps the number of keys in each answer to the last request."""
     register = context.registers[0]
-    read = register.known.read
+    read = register.known_vectors.read
     for _ in range(times):
         context.key_counts = []
 
@@ -32,9 +32,9 @@
             context.key_counts = [count_keys(answer=answer) for answer in answers]
             return read(answers=answers)
 
-        register.known.read = read_and_count
+        register.known_vectors.read = read_and_count
         context.vector = dict(context.world.run(work=register.vector()).ok)
-    register.known.read = read
+    register.known_vectors.read = read
     return context.vector
 
 
--- a/src/cinderstair/consensus/register.py
+++ b/src/cinderstair/consensus/register.py
@@ -40,7 +40,7 @@
 
 
 class Register(RosterChangeMixin):
-    """Owns this process's proposer id and the highest round it knows of, from which the next ballot is made."""
+    """Owns this process's proposer id and the highest round it knows of, which give the next ballot."""
 
     def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own_address: str = "") -> None:
         super().__init__(ctx=ctx, seeds=seeds, own_address=own_address)
--- a/src/cinderstair/consensus/roster_change.py
+++ b/src/cinderstair/consensus/roster_change.py
@@ -45,7 +45,7 @@
         highest = await self.vector()
         if highest.is_error():
             return Error(highest.error)
-        for keys in batches(items=self.known.lagging()):
+        for keys in batches(items=self.known_vectors.lagging()):
             for _, rewritten in await gather_pairs(items=keys, call=lambda key: self.change(key=key, decide=Ok)):
                 if rewritten.is_error():
                     return Error(rewritten.error)
--- a/src/cinderstair/consensus/snapshot.py
+++ b/src/cinderstair/consensus/snapshot.py
@@ -17,7 +17,7 @@
 
     def __init__(self, *, ctx: Context, seeds: tuple[str, ...], own_address: str = "") -> None:
         super().__init__(ctx=ctx, seeds=seeds, own_address=own_address)
-        self.known = KnownVectors()
+        self.known_vectors = KnownVectors()
 
     async def read(self, *, key: str) -> Result[VersionedValue, CinderstairError]:
         """The value of a key that a majority holds."""
@@ -33,7 +33,7 @@
             return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no roster"))
 
         def body(version: int) -> bytes:
-            known = self.known.revisions() if version > 1 else None
+            known = self.known_vectors.revisions() if version > 1 else None
             return VectorRequest(epoch=roster.epoch, known=known).encode(version=version)
 
         answers = await self.poll(
@@ -43,7 +43,7 @@
             return Error(
                 CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="no majority of register replicas")
             )
-        return Ok(self.known.read(answers=answers))
+        return Ok(self.known_vectors.read(answers=answers))
 
     async def snapshot(self) -> Result[dict[str, VersionedValue], CinderstairError]:
         """The values that a majority holds, by key. Errors are those of `vector` and `read`."""
--- a/src/cinderstair/consensus/store.py
+++ b/src/cinderstair/consensus/store.py
@@ -78,7 +78,7 @@
         newer = self._newer_format()
         # files of a newer version are not damaged, and must stay unchanged for that version
         if newer:
-            reason = f"data folder: format {newer}, and {FORMAT} is the newest that is read here; nothing is changed"
+            reason = f"data folder: format {newer}; this version reads formats up to {FORMAT}. No file was changed"
             return Error(CinderstairError(code=ErrorCode.DISK_DAMAGED, reason=reason))
         read = [self._read_slot(index=index) for index in range(len(SLOTS))]
         slots = [slot for slot in read if slot is not None]
--- a/src/cinderstair/membership/announcement.py
+++ b/src/cinderstair/membership/announcement.py
@@ -46,7 +46,7 @@
     service, address, site = unpacker.text(), unpacker.text(), unpacker.text()
     state, is_primary = unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or is_primary > 1:
-        raise ValueError(f"announcement of {name}: state {state} or primary flag {is_primary} is out of range")
+        raise ValueError(f"announcement: state {state} or primary flag {is_primary} is out of range")
     return Announcement(
         name=name,
         number=number,
--- a/src/cinderstair/membership/heartbeat.py
+++ b/src/cinderstair/membership/heartbeat.py
@@ -52,7 +52,7 @@
     name, incarnation, number = unpacker.text(), unpacker.u64(), unpacker.u64()
     site, state, is_primary = unpacker.text(), unpacker.u8(), unpacker.u8()
     if state >= len(STATES) or is_primary > 1:
-        raise ValueError(f"heartbeat of {name}: state {state} or primary flag {is_primary} is out of range")
+        raise ValueError(f"heartbeat: state {state} or primary flag {is_primary} is out of range")
     return Heartbeat(
         name=name,
         incarnation=incarnation,
--- a/src/cinderstair/membership/heartbeat_table.py
+++ b/src/cinderstair/membership/heartbeat_table.py
@@ -18,6 +18,7 @@
 PULL_EVERY_US = 250_000
 PULL_WAIT_US = 400_000
 PULL_PEERS = 2
+# a longer gap between two timer ticks counts as a suspension of the process
 SUSPENDED_US = 700_000
 CONNECTED_US = 1_500_000
 SILENT_AFTER_US = 3_000_000
