--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -44,7 +44,7 @@
 async def use_register(*, register: Register, lease: Lease) -> None:
     """Everything that a client of the register sends: a write, a read, vectors, a lease, a roster."""
     one_voter = Roster(epoch=EPOCH, voters=roster(epoch=EPOCH).voters[:1])
-    assert await register.tell(address=ADDRESS, roster=one_voter)
+    assert await register.send_roster(address=ADDRESS, roster=one_voter)
     await register.ctx.sleep(duration_us=OTHER_LEASES_US)
     assert await register.find_roster()
     assert (await register.change(key="plan", decide=lambda _: Ok(b"value"))).is_ok()
@@ -62,7 +62,7 @@
     client.net = net
     net.dispatchers[ADDRESS] = replica_dispatcher(stage=stage)
     register = Register(ctx=client, seeds=(ADDRESS,))
-    lease = Lease(ctx=client, register=register, name="slots", seekers=lambda: 1)
+    lease = Lease(ctx=client, register=register, name="slots", contenders=lambda: 1)
     stage.run(work=use_register(register=register, lease=lease))
     return net.carried
 
