--- a/features/steps/detour_steps.py
+++ b/features/steps/detour_steps.py
@@ -57,7 +57,7 @@
     context.forwarder = FakeForwarder()
 
     def make() -> None:
-        context.detours = Detours(ctx=context.stage.ctx, others=lambda pool: peer_proxies)
+        context.detours = Detours(ctx=context.stage.ctx, candidates=lambda pool: peer_proxies)
         context.detours.forwarder = context.forwarder
         context.pool = LinkPool(
             ctx=context.stage.ctx, backend=announcement(name=name), dialer=no_dialer, on_link_failure=lambda: None
--- a/features/steps/error_word_steps.py
+++ b/features/steps/error_word_steps.py
@@ -51,5 +51,5 @@
     elif kind == "native":
         reply.fault, reply.native = ErrorCode.BACKEND_FAULT, rest.encode()
     elif kind != "done":
-        reply = refusal(kind=ErrorCode(kind), state=STATES[state], come_back_us=int(rest or 0) * 1_000)
+        reply = refusal(kind=ErrorCode(kind), state=STATES[state], retry_after_us=int(rest or 0) * 1_000)
     assert encode(reply).decode() == "".join(line + "\r\n" for line in context.text.splitlines()), encode(reply)
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -223,4 +223,4 @@
 
 @then('the holder is busy with "{database}": {word}')
 def then_holder_busy(context: Any, database: str, word: str) -> None:
-    assert context.forwards.writing(databases=frozenset([database])) == (word == "yes")
+    assert context.forwards.has_open_writes(databases=frozenset([database])) == (word == "yes")
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -14,7 +14,7 @@
 from stage import Stage
 
 from cinderstair.http_frontend.reject_mixin import RejectMixin
-from cinderstair.pooler.forward_record import ForwardQuestion, ForwardStep
+from cinderstair.pooler.forward_record import ForwardRequest, ForwardStep
 from cinderstair.pooler.statement import Statement, Verb
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.counters import Counters
@@ -266,13 +266,13 @@
     check_same(recorded=recorded, found=record_counters(context=context, numbers=list(recorded)))
 
 
-def lost_question(*, context: Any) -> ForwardQuestion:
+def lost_question(*, context: Any) -> ForwardRequest:
     """A write whose link is lost before its answer."""
     context.backends["a"].script.append("lose")
-    return ForwardQuestion(
-        asker="booth-1",
+    return ForwardRequest(
+        requester="booth-1",
         step=ForwardStep.single,
-        life=context.forwards.life,
+        incarnation=context.forwards.incarnation,
         until_us=context.holder_ctx.now_us() + 1_000_000,
         backend="a",
         service="s",
@@ -287,8 +287,8 @@
     ctx = context.holder_ctx
     fetch = Statement(ident=b"id", verb=Verb.read, text=b"FETCH 1")
     for question in (
-        ForwardQuestion(asker="booth-1", step=ForwardStep.hello),
-        ForwardQuestion(asker="booth-1", step=ForwardStep.single, life=1, backend="a", statement=fetch),
+        ForwardRequest(requester="booth-1", step=ForwardStep.hello),
+        ForwardRequest(requester="booth-1", step=ForwardStep.single, incarnation=1, backend="a", statement=fetch),
         lost_question(context=context),
     ):
         body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
--- a/features/steps/link_pool_steps.py
+++ b/features/steps/link_pool_steps.py
@@ -247,7 +247,7 @@
 
 @when("the pool is shut")
 def when_shut(context: Any) -> None:
-    context.stage.call(call=context.pool.shut)
+    context.stage.call(call=context.pool.close)
     context.stage.advance(for_us=5_000)
 
 
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -83,7 +83,7 @@
     state = STATE_LETTERS[outcome["state"]]
     position = Position(*outcome["position"]) if outcome["position"] else None
     if "kind" in outcome:
-        reply = refusal(kind=ErrorCode(outcome["kind"]), state=state, come_back_us=outcome["come_back_us"])
+        reply = refusal(kind=ErrorCode(outcome["kind"]), state=state, retry_after_us=outcome["come_back_us"])
         reply.position = position
     else:
         rows = [as_bytes(text=row) for row in outcome["rows"]]
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -39,12 +39,12 @@
     read_relay_question,
 )
 from cinderstair.pooler.forward_record import (
-    ForwardAnswer,
-    ForwardQuestion,
+    ForwardRequest,
+    ForwardResponse,
     ForwardStep,
     Outcome,
-    read_forward_answer,
-    read_forward_question,
+    read_forward_request,
+    read_forward_response,
 )
 from cinderstair.pooler.reply import Reply, State
 from cinderstair.pooler.statement import Statement, Verb
@@ -220,11 +220,11 @@
     )
 
 
-def forward_question(*, step: ForwardStep, verb: Verb) -> ForwardQuestion:
-    return ForwardQuestion(
-        asker="pooler-2",
+def forward_question(*, step: ForwardStep, verb: Verb) -> ForwardRequest:
+    return ForwardRequest(
+        requester="pooler-2",
         step=step,
-        life=0x55,
+        incarnation=0x55,
         until_us=999_000,
         connection=12,
         backend="db-1",
@@ -240,7 +240,7 @@
     )
 
 
-def forward_answer(*, outcome: Outcome, state: State, fault: ErrorCode | None) -> ForwardAnswer:
+def forward_answer(*, outcome: Outcome, state: State, fault: ErrorCode | None) -> ForwardResponse:
     reply = Reply(
         rows=[b"row-1", b"row-2"],
         stamp=b"stamp",
@@ -250,9 +250,9 @@
         retriable=True,
         state=state,
         position=None if fault is None else Position(6, 101),
-        come_back_us=5_000,
+        retry_after_us=5_000,
     )
-    return ForwardAnswer(life=0x55, now_us=998_000, outcome=outcome, reply=reply, unknown=(13,))
+    return ForwardResponse(incarnation=0x55, now_us=998_000, outcome=outcome, reply=reply, unknown=(13,))
 
 
 def session(*, marked: bool = True) -> Session:
@@ -435,7 +435,7 @@
     for name, (step, verb) in steps.items():
         question = forward_question(step=step, verb=verb)
         found[f"forward question, {name}"] = bytes_example(
-            value=question, read=lambda data: whole(data=data, read=lambda u: read_forward_question(unpacker=u))
+            value=question, read=lambda data: whole(data=data, read=lambda u: read_forward_request(unpacker=u))
         )
     answers = {
         "answered": forward_answer(outcome=Outcome.answered, state=State.open, fault=None),
@@ -444,7 +444,7 @@
     }
     for name, answer in answers.items():
         found[f"forward answer, {name}"] = bytes_example(
-            value=answer, read=lambda data: read_forward_answer(data=data)
+            value=answer, read=lambda data: read_forward_response(data=data)
         )
     return found
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -287,7 +287,7 @@
 
 @when('"{name}" is in trouble')
 def when_fault_struck(context: Any, name: str) -> None:
-    context.stage.call(call=context.router.pools[name].report_trouble)
+    context.stage.call(call=context.router.pools[name].report_suspicion)
 
 
 @given("backends have {drain_ms:d} ms to empty")
--- a/src/cinderstair/pooler/detours.py
+++ b/src/cinderstair/pooler/detours.py
@@ -40,16 +40,16 @@
     `forwarder` is None where this proxy forwards nothing; then there are no detours.
     """
 
-    def __init__(self, *, ctx: Context, others: Callable[[LinkPool], tuple[PeerProxy, ...]]) -> None:
+    def __init__(self, *, ctx: Context, candidates: Callable[[LinkPool], tuple[PeerProxy, ...]]) -> None:
         """
         :param others: the other proxies that may have links to a pool's backend.
         """
         self.ctx = ctx
-        self.others = others
+        self.candidates = candidates
         self.forwarder: Forwarder | None = None
         self.detours: dict[str, Detour] = {}
         self.searched_us: dict[str, int] = {}
-        self.unsuitable: dict[str, set[str]] = {}
+        self.failed_proxies: dict[str, set[str]] = {}
 
     def detour(self, *, pool: LinkPool) -> LinkPool | None:
         """The pool of a confirmed detour to this pool's backend; None where there is none."""
@@ -80,7 +80,7 @@
         """Drops all that is known of detours to this backend."""
         self.detours.pop(name, None)
         self.searched_us.pop(name, None)
-        self.unsuitable.pop(name, None)
+        self.failed_proxies.pop(name, None)
 
     def _next_probes(self, *, pool: LinkPool) -> list[PeerProxy]:
         """The proxy of the present detour; else some not probed yet, of the nearest and of all others, at random."""
@@ -88,16 +88,16 @@
         found = self.detours.get(name)
         if found is not None:
             return [found.peer_proxy]
-        unsuitable = self.unsuitable.setdefault(name, set())
-        others = [each for each in self.others(pool) if each.name not in unsuitable]
-        if not others:
-            unsuitable.clear()
+        failed_proxies = self.failed_proxies.setdefault(name, set())
+        candidates = [each for each in self.candidates(pool) if each.name not in failed_proxies]
+        if not candidates:
+            failed_proxies.clear()
             return []
-        nearest = min(each.distance for each in others)
-        self.ctx.rng.shuffle(others)
+        nearest = min(each.distance for each in candidates)
+        self.ctx.rng.shuffle(candidates)
         # A partition may cut off whole zones as well as single proxies, so the nearest may all be of no use.
-        others.sort(key=lambda each: each.distance > nearest)
-        return [*others[: PROBES_AT_ONCE - 1], *others[PROBES_AT_ONCE - 1 :][-1:]]
+        candidates.sort(key=lambda each: each.distance > nearest)
+        return [*candidates[: PROBES_AT_ONCE - 1], *candidates[PROBES_AT_ONCE - 1 :][-1:]]
 
     async def _search(self, *, pool: LinkPool, service: str, forwarder: Forwarder) -> None:
         probes = self._next_probes(pool=pool)
@@ -118,7 +118,7 @@
             if found is None or is_detour:
                 self._keep(pool=pool, forwarder=forwarder, peer_proxy=peer_proxy, confirmed_us=confirmed_us)
             return
-        self.unsuitable.setdefault(name, set()).add(peer_proxy.name)
+        self.failed_proxies.setdefault(name, set()).add(peer_proxy.name)
         if is_detour:
             del self.detours[name]
 
--- a/src/cinderstair/pooler/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ForwardQuestion:
+class ForwardRequest:
     """`life` numbers the present run of the answering proxy; `until_us` is a moment by its clock.
 
     From `until_us` on nothing of the question is sent to the backend. `connection` numbers the asker's transactions.
@@ -50,9 +50,9 @@
     first. `at_least` is the log position that the backend must have reached; None: the primary alone will do.
     """
 
-    asker: str
+    requester: str
     step: ForwardStep
-    life: int = 0
+    incarnation: int = 0
     until_us: int = 0
     connection: int = 0
     backend: str = ""
@@ -68,7 +68,13 @@
 
     def bytes(self) -> bytes:
         """The message as it goes over the wire."""
-        packer = Packer().text(value=self.asker).u8(value=self.step).u64(value=self.life).u64(value=self.until_us)
+        packer = (
+            Packer()
+            .text(value=self.requester)
+            .u8(value=self.step)
+            .u64(value=self.incarnation)
+            .u64(value=self.until_us)
+        )
         packer.u64(value=self.connection).text(value=self.backend).text(value=self.service).text(value=self.database)
         packer.u32(value=self.rank).u8(value=int(self.read_only))
         _write_position(packer=packer, position=self.at_least)
@@ -81,13 +87,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ForwardAnswer:
+class ForwardResponse:
     """`now_us` is the answering proxy's clock at some moment between the question and the answer.
 
     `unknown` are the transactions of a keep question that are not open there any more.
     """
 
-    life: int
+    incarnation: int
     now_us: int
     outcome: Outcome
     reply: Reply
@@ -95,13 +101,13 @@
 
     def bytes(self) -> bytes:
         """The message as it goes over the wire."""
-        packer = Packer().u64(value=self.life).u64(value=self.now_us).u8(value=self.outcome)
+        packer = Packer().u64(value=self.incarnation).u64(value=self.now_us).u8(value=self.outcome)
         reply = self.reply
         packer.many(values=reply.rows, each=lambda p, row: p.blob(value=row)).blob(value=reply.stamp)
         packer.text(value="" if reply.fault is None else reply.fault.value).blob(value=reply.native)
         packer.u8(value=int(reply.not_run)).u8(value=int(reply.retriable)).u8(value=reply.state)
         _write_position(packer=packer, position=reply.position)
-        packer.u64(value=reply.come_back_us)
+        packer.u64(value=reply.retry_after_us)
         return packer.many(values=self.unknown, each=lambda p, n: p.u64(value=n)).bytes()
 
 
@@ -115,15 +121,15 @@
     return Position(unpacker.u64(), unpacker.u64()) if unpacker.u8() else None
 
 
-def read_forward_question(*, unpacker: Unpacker) -> ForwardQuestion:
+def read_forward_request(*, unpacker: Unpacker) -> ForwardRequest:
     """Reads a question.
 
     :raises ValueError: the bytes are no question.
     """
-    question = ForwardQuestion(
-        asker=unpacker.text(),
+    request = ForwardRequest(
+        requester=unpacker.text(),
         step=ForwardStep(unpacker.u8()),
-        life=unpacker.u64(),
+        incarnation=unpacker.u64(),
         until_us=unpacker.u64(),
         connection=unpacker.u64(),
         backend=unpacker.text(),
@@ -145,16 +151,16 @@
         connections=tuple(unpacker.many(each=lambda u: u.u64())),
     )
     unpacker.done()
-    return question
+    return request
 
 
-def read_forward_answer(*, data: bytes) -> ForwardAnswer:
+def read_forward_response(*, data: bytes) -> ForwardResponse:
     """Reads an answer.
 
     :raises ValueError: the bytes are no answer.
     """
     unpacker = Unpacker(data=data)
-    life, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
+    incarnation, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
     rows, stamp = unpacker.many(each=lambda u: u.blob()), unpacker.blob()
     fault, native = unpacker.text(), unpacker.blob()
     reply = Reply(
@@ -166,8 +172,8 @@
         retriable=bool(unpacker.u8()),
         state=State(unpacker.u8()),
         position=_read_position(unpacker=unpacker),
-        come_back_us=unpacker.u64(),
+        retry_after_us=unpacker.u64(),
     )
     unknown = tuple(unpacker.many(each=lambda u: u.u64()))
     unpacker.done()
-    return ForwardAnswer(life=life, now_us=now_us, outcome=outcome, reply=reply, unknown=unknown)
+    return ForwardResponse(incarnation=incarnation, now_us=now_us, outcome=outcome, reply=reply, unknown=unknown)
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -9,7 +9,7 @@
 from ..runtime.message_types import MessageType
 from ..runtime.unpacker import Unpacker
 from .forward_checks import ForwardChecks, ForwardResult, PooledLink, refused
-from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, Outcome, read_forward_question
+from .forward_record import ForwardRequest, ForwardResponse, ForwardStep, Outcome, read_forward_request
 from .forwarded_transaction import ForwardedTransaction, TransactionKey
 from .link import Link
 from .link_execution import await_reply, ensure_prepared, is_primary_pool, record_reply
@@ -33,20 +33,20 @@
 
     def __init__(self, *, ctx: Context, router: Router, dispatcher: Dispatcher) -> None:
         super().__init__(ctx=ctx, router=router)
-        self._life = 0
+        self._incarnation = 0
         self.transactions: dict[TransactionKey, ForwardedTransaction] = {}
         self.writes: Counter[str] = Counter()
         dispatcher.add_handler(message_type=MessageType.FORWARD, handler=self.answer)
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """A random number that tells this run of the daemon from others; drawn when it is first asked for."""
-        self._life = self._life or self.ctx.rng.getrandbits(62) | 1
-        return self._life
+        self._incarnation = self._incarnation or self.ctx.rng.getrandbits(62) | 1
+        return self._incarnation
 
     # -- what the proxy asks --
 
-    def writing(self, *, databases: frozenset[str]) -> bool:
+    def has_open_writes(self, *, databases: frozenset[str]) -> bool:
         """Whether anything may still be written here for other proxies to any of these databases."""
         may_commit = any(not each.read_only and each.database in databases for each in self.transactions.values())
         return may_commit or any(self.writes[name] for name in databases)
@@ -81,38 +81,42 @@
 
         :raises ValueError: the bytes are no question.
         """
-        question = read_forward_question(unpacker=unpacker)
+        request = read_forward_request(unpacker=unpacker)
         unknown: tuple[int, ...] = ()
-        if question.step == ForwardStep.keep and question.life == self.life:
-            unknown = self._keep_alive(question=question)
-        result = await self._run(question=question)
+        if request.step == ForwardStep.keep and request.incarnation == self.incarnation:
+            unknown = self._keep_alive(request=request)
+        result = await self._run(request=request)
         self.ctx.counters.add(name=f"forward.{result.outcome.name}")
-        return ForwardAnswer(
-            life=self.life, now_us=self.ctx.now_us(), outcome=result.outcome, reply=result.reply, unknown=unknown
+        return ForwardResponse(
+            incarnation=self.incarnation,
+            now_us=self.ctx.now_us(),
+            outcome=result.outcome,
+            reply=result.reply,
+            unknown=unknown,
         ).bytes()
 
-    async def _run(self, *, question: ForwardQuestion) -> ForwardResult:
-        if question.step == ForwardStep.hello:
+    async def _run(self, *, request: ForwardRequest) -> ForwardResult:
+        if request.step == ForwardStep.hello:
             return ForwardResult(Outcome.answered, Reply(rows=[]))
-        if question.life != self.life:
+        if request.incarnation != self.incarnation:
             # The question's times are by the clock of an earlier run of this daemon.
             return refused(fault=CinderstairError(code=ErrorCode.NO_BACKEND, reason="begun anew"))
-        if question.step == ForwardStep.keep:
+        if request.step == ForwardStep.keep:
             return ForwardResult(Outcome.answered, Reply(rows=[]))
-        if question.step in SINGLE_STEPS:
-            return await self._single(question=question)
-        if question.step == ForwardStep.begin:
-            return await self._begin(question=question)
-        return await self._continue(question=question)
+        if request.step in SINGLE_STEPS:
+            return await self._single(request=request)
+        if request.step == ForwardStep.begin:
+            return await self._begin(request=request)
+        return await self._continue(request=request)
 
-    def _keep_alive(self, *, question: ForwardQuestion) -> tuple[int, ...]:
+    def _keep_alive(self, *, request: ForwardRequest) -> tuple[int, ...]:
         """Keeps the asker's transactions.
 
         :returns: the numbers of those that are not here any more.
         """
         unknown = []
-        for number in question.connections:
-            transaction = self.transactions.get(TransactionKey(question.asker, number))
+        for number in request.connections:
+            transaction = self.transactions.get(TransactionKey(request.requester, number))
             if transaction is None:
                 unknown.append(number)
             else:
@@ -121,46 +125,46 @@
 
     # -- statements --
 
-    def _writes(self, *, question: ForwardQuestion) -> bool:
-        return question.step == ForwardStep.single and question.statement.writes
+    def _writes(self, *, request: ForwardRequest) -> bool:
+        return request.step == ForwardStep.single and request.statement.writes
 
-    def _send(self, *, question: ForwardQuestion, link: Link) -> asyncio.Future[Reply]:
+    def _send(self, *, request: ForwardRequest, link: Link) -> asyncio.Future[Reply]:
         """Sends a question's statement, with the values and the prepared statement that it rests on."""
-        if question.step == ForwardStep.rollback:
+        if request.step == ForwardStep.rollback:
             return link.rollback()
-        if question.step == ForwardStep.position:
+        if request.step == ForwardStep.position:
             return link.ask_position()
-        replay_values(link=link, values=question.values)
-        if question.step == ForwardStep.begin:
-            return link.begin(read_only=question.read_only, at_least=question.at_least)
-        statement, alias = question.statement, b""
+        replay_values(link=link, values=request.values)
+        if request.step == ForwardStep.begin:
+            return link.begin(read_only=request.read_only, at_least=request.at_least)
+        statement, alias = request.statement, b""
         if statement.verb == Verb.execute:
-            prepared = PreparedStatement(question.shape, statement.writes)
+            prepared = PreparedStatement(request.shape, statement.writes)
             alias = ensure_prepared(router=self.router, link=link, prepared=prepared)
-        reply = link.send(statement=statement, at_least=question.at_least, alias=alias)
-        if statement.verb == Verb.commit or self._writes(question=question):
-            self.router.shards.in_flight.sent(database=question.database, link=link, answer=reply)
+        reply = link.send(statement=statement, at_least=request.at_least, alias=alias)
+        if statement.verb == Verb.commit or self._writes(request=request):
+            self.router.shards.in_flight.sent(database=request.database, link=link, answer=reply)
         return reply
 
-    async def _single(self, *, question: ForwardQuestion) -> ForwardResult:
+    async def _single(self, *, request: ForwardRequest) -> ForwardResult:
         """Runs a statement that stands outside any transaction."""
-        writes = self._writes(question=question)
-        self.writes[question.database] += writes
+        writes = self._writes(request=request)
+        self.writes[request.database] += writes
         try:
-            return await self._single_now(question=question)
+            return await self._single_now(request=request)
         finally:
-            self.writes[question.database] -= writes
+            self.writes[request.database] -= writes
 
-    async def _single_now(self, *, question: ForwardQuestion) -> ForwardResult:
-        acquired = await self.acquire(question=question)
+    async def _single_now(self, *, request: ForwardRequest) -> ForwardResult:
+        acquired = await self.acquire(request=request)
         if acquired.is_error():
             return refused(fault=acquired.error)
         pool, link = acquired.ok
-        was_primary = is_primary_pool(router=self.router, pool=pool, service=question.service)
+        was_primary = is_primary_pool(router=self.router, pool=pool, service=request.service)
         requested_us = self.ctx.now_us()
-        future = self._send(question=question, link=link)
+        future = self._send(request=request, link=link)
         try:
-            reply = await await_reply(ctx=self.ctx, future=future, until_us=question.until_us)
+            reply = await await_reply(ctx=self.ctx, future=future, until_us=request.until_us)
         except ConnectionError:
             pool.release(link=link)
             return LOST
@@ -171,7 +175,7 @@
         record_reply(
             router=self.router,
             pool=pool,
-            service=question.service,
+            service=request.service,
             requested_us=requested_us,
             was_primary=was_primary,
             reply=reply,
@@ -184,45 +188,45 @@
         self.transactions.pop(key, None)
         transaction.close(keep=keep)
 
-    async def _begin(self, *, question: ForwardQuestion) -> ForwardResult:
+    async def _begin(self, *, request: ForwardRequest) -> ForwardResult:
         """Begins a transaction; one whose key is known already may have been begun by a lost question."""
-        key = TransactionKey(question.asker, question.connection)
+        key = TransactionKey(request.requester, request.connection)
         if key in self.transactions:
             return LOST
-        transaction = ForwardedTransaction(question=question, now_us=self.ctx.now_us())
+        transaction = ForwardedTransaction(request=request, now_us=self.ctx.now_us())
         self.transactions[key] = transaction
         reply: Reply | None = None
         try:
-            acquired = await self.acquire(question=question)
+            acquired = await self.acquire(request=request)
             if acquired.is_error():
                 return refused(fault=acquired.error)
             transaction.pool, transaction.link = acquired.ok
             if transaction.closed:
                 return LOST
-            reply = await self._exchange(question=question, transaction=transaction, pooled=acquired.ok)
+            reply = await self._exchange(request=request, transaction=transaction, pooled=acquired.ok)
             return LOST if reply is None else ForwardResult(Outcome.answered, reply)
         finally:
             transaction.busy, transaction.last_used_us = False, self.ctx.now_us()
             if reply is None or reply.fault is not None or reply.state != State.open:
                 self._close(key=key, transaction=transaction)
 
-    async def _continue(self, *, question: ForwardQuestion) -> ForwardResult:
+    async def _continue(self, *, request: ForwardRequest) -> ForwardResult:
         """Runs a step of a transaction. One that is not here any more was rolled back."""
-        key = TransactionKey(question.asker, question.connection)
+        key = TransactionKey(request.requester, request.connection)
         transaction = self.transactions.get(key)
         if transaction is None:
             return LOST
-        if question.step == ForwardStep.close:
+        if request.step == ForwardStep.close:
             self._close(key=key, transaction=transaction)
             return ForwardResult(Outcome.answered, Reply(rows=[]))
-        pooled = self._usable_link(question=question, transaction=transaction)
+        pooled = self._usable_link(request=request, transaction=transaction)
         if pooled is None:
             self._close(key=key, transaction=transaction)
             return LOST
         transaction.busy = True
         ended = keep = False
         try:
-            reply = await self._exchange(question=question, transaction=transaction, pooled=pooled)
+            reply = await self._exchange(request=request, transaction=transaction, pooled=pooled)
             ended = reply is None or reply.state == State.idle
             keep = reply is not None and ended
             return LOST if reply is None else ForwardResult(Outcome.answered, reply)
@@ -231,16 +235,16 @@
             if ended:
                 self._close(key=key, transaction=transaction, keep=keep)
 
-    def _usable_link(self, *, question: ForwardQuestion, transaction: ForwardedTransaction) -> PooledLink | None:
+    def _usable_link(self, *, request: ForwardRequest, transaction: ForwardedTransaction) -> PooledLink | None:
         """The transaction's link; None where the question may not be sent on it."""
         pool: LinkPool | None = transaction.pool
         link = transaction.link
-        if pool is None or link is None or not self.may_continue(question=question, transaction=transaction):
+        if pool is None or link is None or not self.may_continue(request=request, transaction=transaction):
             return None
         return PooledLink(pool, link)
 
     async def _exchange(
-        self, *, question: ForwardQuestion, transaction: ForwardedTransaction, pooled: PooledLink
+        self, *, request: ForwardRequest, transaction: ForwardedTransaction, pooled: PooledLink
     ) -> Reply | None:
         """Sends a transaction's question on its link.
 
@@ -251,8 +255,8 @@
         was_primary = is_primary_pool(router=self.router, pool=pool, service=service)
         requested_us = self.ctx.now_us()
         try:
-            future = self._send(question=question, link=link)
-            reply = await await_reply(ctx=self.ctx, future=future, until_us=question.until_us)
+            future = self._send(request=request, link=link)
+            reply = await await_reply(ctx=self.ctx, future=future, until_us=request.until_us)
         except ConnectionError:
             return None
         if reply is None or transaction.closed:
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -7,7 +7,7 @@
 
 from ..runtime.errors import ErrorCode
 from ..runtime.position import Position
-from .forward_record import ForwardQuestion, ForwardStep, Outcome
+from .forward_record import ForwardRequest, ForwardStep, Outcome
 from .reply import Reply, State
 from .statement import PreparedStatement, Statement, Verb
 
@@ -25,7 +25,7 @@
     be open at the other proxy. `sent_us`: when each unanswered statement was sent.
     """
 
-    def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardQuestion, limit_us: int) -> None:
+    def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardRequest, limit_us: int) -> None:
         self.forwarder = forwarder
         self.address = address
         self.base = base
@@ -67,7 +67,7 @@
         shape, writes = self.prepared.get(alias, NOT_PREPARED)
         # The other proxy decides by `writes` where the statement may go, so an execute carries it too.
         writes = writes if statement.verb == Verb.execute else statement.verb == Verb.write
-        question = replace(
+        request = replace(
             self.base,
             step=ForwardStep.next if self.begun else ForwardStep.single,
             at_least=at_least,
@@ -75,36 +75,36 @@
             statement=replace(statement, writes=writes),
             shape=shape,
         )
-        return self._ask(question=question)
+        return self._ask(request=request)
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         """See `Link`."""
         self.begun = True
         self.base = replace(self.base, read_only=read_only)
         self.forwarder.transactions[self.base.connection] = self
-        question = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
-        return self._ask(question=question)
+        request = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
+        return self._ask(request=request)
 
     def rollback(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(question=replace(self.base, step=ForwardStep.rollback))
+        return self._ask(request=replace(self.base, step=ForwardStep.rollback))
 
     def ask_position(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(question=replace(self.base, step=ForwardStep.position))
+        return self._ask(request=replace(self.base, step=ForwardStep.position))
 
-    def _ask(self, *, question: ForwardQuestion) -> asyncio.Future[Reply]:
+    def _ask(self, *, request: ForwardRequest) -> asyncio.Future[Reply]:
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         if not self.open:
             future.set_exception(ConnectionResetError("the link is lost"))
             return future
         ctx = self.forwarder.ctx
         self.sent_us[future] = ctx.now_us()
-        ctx.spawn(work=self._answer(question=question, future=future), name="forward")
+        ctx.spawn(work=self._answer(request=request, future=future), name="forward")
         return future
 
-    async def _answer(self, *, question: ForwardQuestion, future: asyncio.Future[Reply]) -> None:
-        result = await self.forwarder.ask(address=self.address, question=question, limit_us=self.limit_us)
+    async def _answer(self, *, request: ForwardRequest, future: asyncio.Future[Reply]) -> None:
+        result = await self.forwarder.ask(address=self.address, request=request, limit_us=self.limit_us)
         self.sent_us.pop(future, None)
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
@@ -116,35 +116,35 @@
             return
         self.state = reply.state
         if self.state == State.idle:
-            self._ended()
+            self._end_transaction()
         if not future.done():
             future.set_result(reply)
 
     def _fail(self, *, future: asyncio.Future[Reply]) -> None:
         self.open = False
-        self._ended()
+        self._end_transaction()
         if not future.done():
             future.set_exception(ConnectionResetError("the link is lost"))
             # The exception is retrieved so that asyncio does not report an answer that nobody awaits.
             future.exception()
 
-    def _ended(self) -> None:
+    def _end_transaction(self) -> None:
         self.begun = False
         self.forwarder.transactions.pop(self.base.connection, None)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """The other proxy has no such transaction any more."""
         self.open = False
-        self._ended()
+        self._end_transaction()
 
     def close(self) -> None:
         """Has the other proxy roll back a transaction that is open there; running statements are interrupted."""
         if self.begun and self.open:
-            question = replace(self.base, step=ForwardStep.close)
+            request = replace(self.base, step=ForwardStep.close)
             ctx = self.forwarder.ctx
             ctx.spawn(
-                work=self.forwarder.ask(address=self.address, question=question, limit_us=self.limit_us),
+                work=self.forwarder.ask(address=self.address, request=request, limit_us=self.limit_us),
                 name="forward.close",
             )
         self.open = False
-        self._ended()
+        self._end_transaction()
--- a/src/cinderstair/pooler/forwarded_transaction.py
+++ b/src/cinderstair/pooler/forwarded_transaction.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .forward_record import ForwardQuestion
+from .forward_record import ForwardRequest
 from .link import Link
 from .link_pool import LinkPool
 
@@ -10,7 +10,7 @@
 class TransactionKey(NamedTuple):
     """The proxy that asked, and its number for the transaction."""
 
-    asker: str
+    requester: str
     connection: int
 
 
@@ -32,10 +32,10 @@
         "closed",
     )
 
-    def __init__(self, *, question: ForwardQuestion, now_us: int) -> None:
-        self.service = question.service
-        self.database = question.database
-        self.read_only = question.read_only
+    def __init__(self, *, request: ForwardRequest, now_us: int) -> None:
+        self.service = request.service
+        self.database = request.database
+        self.read_only = request.read_only
         self.opened_us = self.last_used_us = now_us
         self.link: Link | None = None
         self.pool: LinkPool | None = None
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -9,7 +9,7 @@
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
-from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
+from .forward_record import ForwardRequest, ForwardResponse, ForwardStep, read_forward_response
 from .forwarded_link import ForwardedLink
 
 HANDSHAKE_WAIT_US = 250_000
@@ -46,7 +46,7 @@
     (0: none waits). It is avoided until `avoid_until_us`, and until `draining_until_us` since it drains.
     """
 
-    life: int = 0
+    incarnation: int = 0
     ahead_us: int = 0
     clock_read_us: int = 0
     avoid_until_us: int = 0
@@ -55,7 +55,7 @@
     unanswered: int = 0
     silent_since_us: int = 0
 
-    def avoided(self, *, now_us: int) -> bool:
+    def is_avoided(self, *, now_us: int) -> bool:
         """Whether other proxies should be preferred now."""
         return max(self.avoid_until_us, self.draining_until_us) > now_us
 
@@ -83,7 +83,7 @@
 
         def cost(peer_proxy: PeerProxy) -> tuple[bool, int, int, float]:
             peer = self.peer(address=peer_proxy.address)
-            return peer.avoided(now_us=now_us), peer_proxy.distance, peer.unanswered, self.ctx.rng.random()
+            return peer.is_avoided(now_us=now_us), peer_proxy.distance, peer.unanswered, self.ctx.rng.random()
 
         return sorted(peer_proxies, key=cost)
 
@@ -104,13 +104,13 @@
         """
         for peer_proxy in self._order(peer_proxies=peer_proxies)[:MAX_PROXIES_TRIED]:
             peer = self.peer(address=peer_proxy.address)
-            if not peer.life or self.ctx.now_us() - peer.clock_read_us > CLOCK_VALID_US:
+            if not peer.incarnation or self.ctx.now_us() - peer.clock_read_us > CLOCK_VALID_US:
                 await self._handshake(address=peer_proxy.address, until_us=until_us)
-            if not peer.life or peer.avoided(now_us=self.ctx.now_us()):
+            if not peer.incarnation or peer.is_avoided(now_us=self.ctx.now_us()):
                 continue
             self.last_number += 1
-            base = ForwardQuestion(
-                asker=self.ctx.name,
+            base = ForwardRequest(
+                requester=self.ctx.name,
                 step=ForwardStep.single,
                 connection=self.last_number,
                 backend=backend,
@@ -127,31 +127,31 @@
     async def _handshake(self, *, address: str, until_us: int) -> None:
         """Reads the other proxy's clock and the number of its run."""
         wait_us = min(HANDSHAKE_WAIT_US, until_us - self.ctx.now_us())
-        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
-        await self._ask(address=address, question=question, wait_us=max(1, wait_us))
+        request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.hello)
+        await self._ask(address=address, request=request, wait_us=max(1, wait_us))
 
     async def ask(
-        self, *, address: str, question: ForwardQuestion, limit_us: int
-    ) -> Result[ForwardAnswer, CinderstairError]:
+        self, *, address: str, request: ForwardRequest, limit_us: int
+    ) -> Result[ForwardResponse, CinderstairError]:
         """Sends a question.
 
         :param limit_us: for how long from now on anything may reach the backend.
         Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where that is unknown.
         """
         peer = self.peer(address=address)
-        if not peer.life:
+        if not peer.incarnation:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
         # Its clock is ahead by at least `ahead_us`, so by its clock the limit ends no later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
-        stamped = replace(question, life=peer.life, until_us=max(0, until_us))
+        stamped = replace(request, incarnation=peer.incarnation, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
-        return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_TRAVEL_US)
+        return await self._ask(address=address, request=stamped, wait_us=limit_us + ANSWER_TRAVEL_US)
 
     async def _ask(
-        self, *, address: str, question: ForwardQuestion, wait_us: int
-    ) -> Result[ForwardAnswer, CinderstairError]:
+        self, *, address: str, request: ForwardRequest, wait_us: int
+    ) -> Result[ForwardResponse, CinderstairError]:
         peer, requested_us = self.peer(address=address), self.ctx.now_us()
-        body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
+        body = Packer().u8(value=MessageType.FORWARD).bytes() + request.bytes()
         peer.silent_since_us = peer.silent_since_us or requested_us
         peer.unanswered += 1
         try:
@@ -162,33 +162,33 @@
                 peer.silent_since_us = 0
         if result.is_error():
             self.ctx.counters.add(name="forward.unanswered")
-            self.lost(address=address)
+            self.record_failure(address=address)
             return Error(result.error)
         try:
-            answer = read_forward_answer(data=result.ok)
+            answer = read_forward_response(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
         self._record_answer(peer=peer, answer=answer)
         return Ok(answer)
 
-    def _record_answer(self, *, peer: PeerState, answer: ForwardAnswer) -> None:
+    def _record_answer(self, *, peer: PeerState, answer: ForwardResponse) -> None:
         now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.unanswered else 0
         # Its clock showed `answer.now_us` before the answer arrived here, so it is ahead by no less than this.
         ahead_us = answer.now_us - now_us
         outdated = now_us - peer.clock_read_us > CLOCK_VALID_US // 2
-        if answer.life != peer.life or outdated or ahead_us > peer.ahead_us:
-            peer.life, peer.ahead_us, peer.clock_read_us = answer.life, ahead_us, now_us
+        if answer.incarnation != peer.incarnation or outdated or ahead_us > peer.ahead_us:
+            peer.incarnation, peer.ahead_us, peer.clock_read_us = answer.incarnation, ahead_us, now_us
         peer.failures, peer.avoid_until_us = 0, 0
         if answer.reply.fault == ErrorCode.DRAINING:
             peer.draining_until_us = now_us + DRAINING_AVOID_US
 
-    def lost(self, *, address: str) -> None:
+    def record_failure(self, *, address: str) -> None:
         """Notes that a proxy gave no answer."""
         peer = self.peer(address=address)
         # It may have restarted, with another clock, so a handshake precedes the next question.
-        peer.life = 0
+        peer.incarnation = 0
         # A proxy that is gone for long must not cost each statement a wait again and again.
         avoid_us = min(MAX_AVOID_US, MIN_AVOID_US << min(peer.failures, MAX_AVOID_DOUBLINGS))
         peer.avoid_until_us = self.ctx.now_us() + avoid_us
@@ -210,12 +210,12 @@
             self.ctx.spawn(work=self._keep_alive(address=address, numbers=tuple(numbers)), name="forward.keep")
 
     async def _keep_alive(self, *, address: str, numbers: tuple[int, ...]) -> None:
-        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.keep, connections=numbers)
-        result = await self.ask(address=address, question=question, limit_us=KEEP_ALIVE_WAIT_US)
+        request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.keep, connections=numbers)
+        result = await self.ask(address=address, request=request, limit_us=KEEP_ALIVE_WAIT_US)
         if result.is_error():
             return
         for number in result.ok.unknown:
             link = self.transactions.get(number)
             # A transaction that is just being begun is not known there yet.
             if link is not None and not link.waiting:
-                link.lose()
+                link.mark_lost()
--- a/src/cinderstair/pooler/link_allocation.py
+++ b/src/cinderstair/pooler/link_allocation.py
@@ -41,25 +41,25 @@
     """
     if not replicas or cap <= 0:
         return {}
-    even = -(-len(proxies) // len(replicas))
+    even_share = -(-len(proxies) // len(replicas))
     # A near replica must not fill up before a distant one has any.
-    most = min(cap, even + even // SLACK_DIVISOR)
-    taken = [0] * len(replicas)
+    max_per_replica = min(cap, even_share + even_share // SLACK_DIVISOR)
+    counts = [0] * len(replicas)
     allocated: dict[int, int] = {}
     for distance_class in range(DISTANCE_CLASSES):
         for proxy_id, location in sorted(proxies):
             if proxy_id in allocated:
                 continue
-            fit = [
+            candidates = [
                 n
                 for n, replica in enumerate(replicas)
-                if taken[n] < most and location.distance_class(other=replica) <= distance_class
+                if counts[n] < max_per_replica and location.distance_class(other=replica) <= distance_class
             ]
-            if fit:
+            if candidates:
                 # Chosen by the id and not by the others' allocations, so that a proxy that leaves changes few.
-                best = fit[proxy_id % len(fit)]
-                allocated[proxy_id] = best
-                taken[best] += 1
+                chosen = candidates[proxy_id % len(candidates)]
+                allocated[proxy_id] = chosen
+                counts[chosen] += 1
     return allocated
 
 
@@ -86,14 +86,14 @@
     quotas = _quotas(sizes={name: len(each) for name, each in regions.items()}, home=location.region, cap=cap)
     allocated: dict[int, int] = {}
     for name, members in regions.items():
-        part = quotas[name]
-        if part >= len(members):
+        quota = quotas[name]
+        if quota >= len(members):
             proxies_with_links = [proxy_id for proxy_id, _ in members]
         else:
-            proxies_with_links = _choose_proxies(members=members, backend=backend, count=-(-part // links_per_proxy))
+            proxies_with_links = _choose_proxies(members=members, backend=backend, count=-(-quota // links_per_proxy))
         ids = sorted(proxies_with_links)
         for proxy_id in ids:
-            links = allotment(cap=part, user_ids=ids, http_proxy_id=proxy_id)
+            links = allotment(cap=quota, user_ids=ids, http_proxy_id=proxy_id)
             if links:
                 allocated[proxy_id] = links
     return allocated
@@ -105,16 +105,16 @@
     The home region gets a link a proxy while a third is left for the others, which share the rest by their size.
     """
     others = {name: size for name, size in sizes.items() if name != home}
-    at_home = sizes.get(home, 0)
-    if others and at_home > cap - cap // 3:
-        at_home = cap * at_home // sum(sizes.values())
+    home_quota = sizes.get(home, 0)
+    if others and home_quota > cap - cap // 3:
+        home_quota = cap * home_quota // sum(sizes.values())
     elif not others:
-        at_home = cap
-    quotas = {home: at_home} if home in sizes else {}
-    left, total = cap - (at_home if home in sizes else 0), sum(others.values())
-    quotas |= {name: left * size // total for name, size in others.items()}
-    over = cap - sum(quotas.values())
-    for name in sorted(others)[: max(0, over)]:
+        home_quota = cap
+    quotas = {home: home_quota} if home in sizes else {}
+    remaining, total = cap - (home_quota if home in sizes else 0), sum(others.values())
+    quotas |= {name: remaining * size // total for name, size in others.items()}
+    unassigned = cap - sum(quotas.values())
+    for name in sorted(others)[: max(0, unassigned)]:
         quotas[name] += 1
     return quotas
 
@@ -125,5 +125,5 @@
     sites: dict[str, list[int]] = {}
     for proxy_id, location in sorted(members, key=lambda entry: rank(seed=entry.proxy_id, name=backend)):
         sites.setdefault(location.site, []).append(proxy_id)
-    turns = [ids[n] for n in range(len(members)) for _, ids in sorted(sites.items()) if n < len(ids)]
-    return turns[:count]
+    round_robin = [ids[n] for n in range(len(members)) for _, ids in sorted(sites.items()) if n < len(ids)]
+    return round_robin[:count]
--- a/src/cinderstair/pooler/link_dialing.py
+++ b/src/cinderstair/pooler/link_dialing.py
@@ -24,20 +24,20 @@
     def record_answer(self) -> None:
         """Notes that the backend has answered, so it is alive."""
         self.last_answer_us = self.ctx.now_us()
-        self.troubled = self.silent = False
+        self.suspected = self.silent = False
         self.dial_failures = 0
 
-    def report_trouble(self) -> None:
+    def report_suspicion(self) -> None:
         """Notes something that a dead backend would explain."""
-        if not self.troubled and not self.closed:
-            self.troubled = True
+        if not self.suspected and not self.closed:
+            self.suspected = True
             self.ctx.counters.add(name="links.trouble")
             self.on_link_failure()
 
     def check_silence(self) -> None:
         """Finds out whether the backend is silent, and dials it as long as it is."""
         if self._is_silent():
-            self.report_trouble()
+            self.report_suspicion()
             self.silent = True
             # Idle links are as dead as the waiting ones, and no client should find that out by waiting.
             self._close_idle()
@@ -56,8 +56,8 @@
         silence says nothing of the backend.
         """
         own = (each.link for each in self.borrowed.values() if id(each.link) not in self.forwarded)
-        unheard_us = self.ctx.now_us() - self.last_answer_us
-        return unheard_us > SILENCE_US and any(link.oldest_wait_us > SILENCE_US for link in own)
+        since_answer_us = self.ctx.now_us() - self.last_answer_us
+        return since_answer_us > SILENCE_US and any(link.oldest_wait_us > SILENCE_US for link in own)
 
     # -- dialing --
 
@@ -114,7 +114,7 @@
         self.dial_failures += 1
         wait_us = min(MAX_BACK_OFF_US, MIN_BACK_OFF_US << min(self.dial_failures, MAX_BACK_OFF_DOUBLINGS))
         self.next_dial_us = self.ctx.now_us() + self.ctx.rng.randrange(wait_us // 2, wait_us)
-        self.report_trouble()
+        self.report_suspicion()
         if not self.borrowed and not self.idle and not self.dialing:
             self._fail_waiting()
 
@@ -123,6 +123,6 @@
         self.idle = [each for each in self.idle if each is not link]
         self.ctx.counters.add(name="links.lost")
         if not self.closed:
-            self.report_trouble()
+            self.report_suspicion()
         if not self.borrowed and not self.idle and not self.dialing and self.waiting:
             self.grow()
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -58,7 +58,7 @@
 
     def _remove_pools(self, *, kept: set[str]) -> None:
         for name in [name for name in self.pools if name not in kept]:
-            self.pools.pop(name).shut()
+            self.pools.pop(name).close()
             self.detours.forget(name=name)
             self.draining_since_us.pop(name, None)
 
@@ -215,4 +215,4 @@
             return
         since_us = self.draining_since_us.setdefault(name, self.ctx.now_us())
         if not pool.closed and (not is_primary or self.ctx.now_us() - since_us > self.drain_limit_us):
-            pool.shut()
+            pool.close()
--- a/src/cinderstair/pooler/link_pool.py
+++ b/src/cinderstair/pooler/link_pool.py
@@ -152,7 +152,7 @@
             # Those that wait here would wait in vain, and may be served elsewhere.
             self._fail_waiting()
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Sends nothing new to this backend; what is borrowed may end."""
         self.closed = True
         self._fail_waiting()
--- a/src/cinderstair/pooler/link_pool_base.py
+++ b/src/cinderstair/pooler/link_pool_base.py
@@ -71,7 +71,7 @@
         self.next_dial_us = 0
         self.last_full_us = -SCARCE_FOR_US
         self.last_answer_us = 0
-        self.troubled = False
+        self.suspected = False
         self.silent = False
         self.forwarder: Forwarder | None = None
         self.peer_proxies: tuple[PeerProxy, ...] = ()
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -45,7 +45,7 @@
             view=self.view,
             dialer=dialer,
             distance=distance,
-            open_=self._open,
+            has_open_writes=self._has_open_writes,
             region=region,
             drain_us=drain_us,
         )
@@ -65,18 +65,18 @@
         """Begins to listen to other proxies and to pull the view."""
         if self.records:
             await self.ctx.net.listen(address=self.records, handler=self.dispatcher.dispatch)
-        self.ctx.spawn(work=self._keep(), name="view.keep")
+        self.ctx.spawn(work=self._follow_view(), name="view.keep")
         self.ctx.timer(every_us=TIMER_INTERVAL_US).subscribe(lambda _: self._on_timer())
         return Ok(None)
 
-    async def _keep(self) -> None:
+    async def _follow_view(self) -> None:
         await self.view.choose()
         await self.view.keep()
 
-    def _open(self, databases: frozenset[str]) -> bool:
+    def _has_open_writes(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write is open at any of these databases."""
         own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
-        return own or self.forwards.writing(databases=databases)
+        return own or self.forwards.has_open_writes(databases=databases)
 
     @property
     def ready(self) -> bool:
@@ -124,4 +124,4 @@
     def stop(self) -> None:
         """Sends nothing new to any backend."""
         for pool in self.router.pools.values():
-            pool.shut()
+            pool.close()
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -86,7 +86,7 @@
         self.samples = SamplePool(ctx=ctx, assignment=self.primaries.get)
         self.vote: Callable[[], ShardVote] = lambda: ShardVote(0, Vote.silent)
         self.ask: Callable[[str], None] = lambda service: None
-        self.troubled: Callable[[], tuple[str, ...]] = tuple
+        self.suspected: Callable[[], tuple[str, ...]] = tuple
         self._hurry = asyncio.Event()
         self._avoid_until_us: dict[str, int] = {}
         self._chosen = ""
@@ -182,7 +182,7 @@
             site=self.site,
             source=0 if full else self.source,
             revision=0 if full else self.revision,
-            suspected=self.troubled(),
+            suspected=self.suspected(),
             proposal=proposal,
             vote=vote,
             samples=() if full else self.samples.reported(source=self.source),
--- a/src/cinderstair/pooler/replica_selection.py
+++ b/src/cinderstair/pooler/replica_selection.py
@@ -32,7 +32,7 @@
         return entry is None or entry.silent
 
     def _cost(self, pool: LinkPool) -> tuple[bool, int, int]:
-        return pool.troubled, self.distance(pool.backend.site) + pool.load // LOAD_PER_DISTANCE, pool.load
+        return pool.suspected, self.distance(pool.backend.site) + pool.load // LOAD_PER_DISTANCE, pool.load
 
     def readers(self, *, service: str) -> list[LinkPool]:
         """Where a read with a required position may go, best first; the primary last unless it has little to do."""
@@ -41,7 +41,7 @@
         if primary.is_error():
             return replicas
         pool = primary.ok
-        if pool.load < PRIMARY_READS and not pool.troubled:
+        if pool.load < PRIMARY_READS and not pool.suspected:
             return sorted([*replicas, pool], key=self._cost)
         # Replicas that all lag must not send the reads of every proxy to the primary.
         return [*replicas, pool] if pool.load < 2 * max(1, pool.limit) else replicas
--- a/src/cinderstair/pooler/reply.py
+++ b/src/cinderstair/pooler/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one statement, of a backend or of the proxy itself."""
+"""The reply to one statement, from a backend or from the proxy itself."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,9 +8,9 @@
 
 
 class State(IntEnum):
-    """The state of a session or a link: idle, in a transaction, or in a failed one that waits for its end.
+    """The state of a session or a link: idle, in a transaction, or in a failed transaction that awaits its rollback.
 
-    The numbers go over the wire between proxies.
+    The numbers are part of the protocol between proxies.
     """
 
     idle = 0
@@ -20,11 +20,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class Reply:
-    """`fault` is None on success. `native` is a backend's own wording of its error.
+    """The outcome of one statement.
 
+    `rows`: the backend's result, one entry a row. `stamp`: the commit stamp that the backend sent with it, if any.
+    `fault` is None on success. `native` is the backend's own wording of an error.
     `not_run`: the backend declares that it did not run the statement, so it may be sent elsewhere.
     `retriable`: the statement ran and failed, and a read may succeed at another backend.
-    `position`: the backend's log position; None where it told none. `come_back_us`: when to ask again; 0: not known.
+    `state`: the session's or link's state after the statement. `position`: the backend's log position; None where it
+    reported none. `retry_after_us`: in how many microseconds to try again; 0 where that is not known.
     """
 
     rows: list[bytes]
@@ -35,12 +38,12 @@
     retriable: bool = False
     state: State = State.idle
     position: Position | None = None
-    come_back_us: int = 0
+    retry_after_us: int = 0
 
 
-def refusal(*, kind: ErrorCode, state: State = State.idle, come_back_us: int = 0) -> Reply:
-    """The proxy's own reply that nothing was done, or that the outcome is unknown.
+def refusal(*, kind: ErrorCode, state: State = State.idle, retry_after_us: int = 0) -> Reply:
+    """The proxy's own error reply: nothing was done, or the outcome is unknown.
 
-    :param come_back_us: in how many microseconds to ask again; 0 where that is not known.
+    :param retry_after_us: in how many microseconds to try again; 0 where that is not known.
     """
-    return Reply(rows=[], fault=kind, state=state, come_back_us=come_back_us)
+    return Reply(rows=[], fault=kind, state=state, retry_after_us=retry_after_us)
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -21,15 +21,15 @@
     """Joins pools, limits, selection and sampling, and follows the view's changes."""
 
     def _connect_view(self) -> None:
-        self.view.troubled = self.troubled
+        self.view.suspected = self.suspected
         self.view.samples.wanted = self._services_wanting_samples
         self.view.samples.note = self._take_pooled_sample
         self.view.ask = self._sample_on_request
         self.view.changes.subscribe(self._changed)
 
-    def troubled(self) -> tuple[str, ...]:
+    def suspected(self) -> tuple[str, ...]:
         """The names of backends that look dead from here."""
-        return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
+        return tuple(name for name, pool in self.pools.items() if pool.suspected and not pool.closed)
 
     def route(self, *, database: str) -> DatabaseRoute | None:
         """See `RouterBase`."""
--- a/src/cinderstair/pooler/session_base.py
+++ b/src/cinderstair/pooler/session_base.py
@@ -51,15 +51,15 @@
 
     # -- refusals --
 
-    def _failed(self, *, kind: ErrorCode, come_back_us: int = 0) -> Reply:
+    def _failed(self, *, kind: ErrorCode, retry_after_us: int = 0) -> Reply:
         """Nothing was done; inside a transaction the transaction fails."""
         state = State.idle if self.transaction is None else State.failed
-        return refusal(kind=kind, state=state, come_back_us=come_back_us)
+        return refusal(kind=kind, state=state, retry_after_us=retry_after_us)
 
     def _refused(self, *, fault: CinderstairError) -> Reply:
         """Nothing was done; tells the client when to come back where that is known."""
-        come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[fault.code].retry_after_us))
-        return self._failed(kind=fault.code, come_back_us=come_back_us)
+        retry_after_us = int(fault.details.get("left_us", ERROR_RESPONSES[fault.code].retry_after_us))
+        return self._failed(kind=fault.code, retry_after_us=retry_after_us)
 
     # -- steps on the way to a backend --
 
--- a/src/cinderstair/pooler/transaction_statements.py
+++ b/src/cinderstair/pooler/transaction_statements.py
@@ -47,8 +47,8 @@
     def _not_begun(self, *, fault: CinderstairError) -> Reply:
         """The refusal of a statement whose transaction no backend has begun."""
         kind = ErrorCode.TRANSACTION_LOST if fault.code == ErrorCode.TIME_LEFT_SPENT else fault.code
-        come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[kind].retry_after_us))
-        return refusal(kind=kind, state=State.failed, come_back_us=come_back_us)
+        retry_after_us = int(fault.details.get("left_us", ERROR_RESPONSES[kind].retry_after_us))
+        return refusal(kind=kind, state=State.failed, retry_after_us=retry_after_us)
 
     def _may_continue(self, *, transaction: Transaction) -> bool:
         """Whether its service still takes it: not where the database has moved since it began."""
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -17,8 +17,8 @@
 def forwards_unchecked() -> Patches:
     """A holder sends whatever comes, however old, and whoever leads."""
 
-    def anyway(self: Any, *, question: Any) -> Any:
-        pool = self.router.pools.get(question.backend)
+    def anyway(self: Any, *, request: Any) -> Any:
+        pool = self.router.pools.get(request.backend)
         return Ok(pool) if pool is not None else Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="unknown"))
 
     return [patch.object(ForwardServer, "may_send", anyway)]
@@ -28,8 +28,8 @@
     """A holder that does not know what became of a statement says that it was not sent."""
     single = ForwardServer._single_now
 
-    async def promised(self: Any, *, question: Any) -> Any:
-        result = await single(self, question=question)
+    async def promised(self: Any, *, request: Any) -> Any:
+        result = await single(self, request=request)
         if result.outcome == Outcome.lost:
             return refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
         return result
