--- a/src/cinderstair/pooler/__init__.py
+++ b/src/cinderstair/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of the platform's clients: sessions, links, routing, freshness of reads."""
+"""The connection-pooling proxy: client sessions, pooled links to backends, routing and freshness of reads."""
--- a/src/cinderstair/pooler/address_announcer.py
+++ b/src/cinderstair/pooler/address_announcer.py
@@ -1,4 +1,4 @@
-"""Announces this proxy's address until the controllers' table of addresses has it."""
+"""Announces this proxy's address to a controller until the table of proxy addresses lists it."""
 
 from ..failover.proxy_addresses import ProxyAddress
 from ..http_frontend.subsetting import rank
@@ -12,18 +12,21 @@
 
 
 class AddressAnnouncer:
-    """Sends one message per interval while the table is wrong, and none after."""
+    """Sends one announcement per interval while the address in the view is missing or differs from this proxy's own.
+
+    Lost announcements are not reported; the next interval repeats them.
+    """
 
     def __init__(self, *, ctx: Context, view: RelayedView, address: ProxyAddress) -> None:
         self.ctx = ctx
         self.view = view
         self.address = address
-        # Proxies that start together must not all announce themselves at the same moment.
+        # Spreads the announcements of proxies that start together, by a hash of the name.
         offset = int.from_bytes(rank(seed=0, name=ctx.name)[:4])
         self.next_us = ctx.now_us() + offset % (ANNOUNCE_INTERVAL_US // 4)
 
     def on_timer(self) -> None:
-        """Announces the address where that is due."""
+        """Sends an announcement if the table lacks this address and the interval has passed."""
         now_us = self.ctx.now_us()
         known = self.view.proxy_addresses.get(self.ctx.name) == self.address
         if known or now_us < self.next_us or not self.view.controller:
--- a/src/cinderstair/pooler/detours.py
+++ b/src/cinderstair/pooler/detours.py
@@ -1,4 +1,4 @@
-"""Detours: a primary that this proxy can't reach is reached through another proxy that can."""
+"""Finds detours: other proxies through which this proxy can reach a primary that it can't reach directly."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,18 +9,18 @@
 from .link_pool import LinkPool
 
 SEARCH_INTERVAL_US = 350_000
-# A little over two searches, so that one late answer does not end a working detour.
+# Longer than two search intervals, so that one late reply does not end a working detour.
 CONFIRMED_FOR_US = 900_000
 PROBE_WAIT_US = 500_000
-# A partition may cut most proxies off from a primary, and each search that finds none costs clients one interval.
+# A partition may cut off most proxies from a primary, and each failed search delays clients by one interval.
 PROBES_AT_ONCE = 3
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Detour:
-    """The pool that forwards through another proxy, and when that proxy last proved that it reaches the primary.
+    """A pool that forwards through one other proxy.
 
-    `confirmed_us` is the moment of the probe's sending, by this proxy's clock.
+    `confirmed_us`: when the last successful probe of the primary through that proxy was sent, by this proxy's clock.
     """
 
     pool: LinkPool
@@ -33,16 +33,20 @@
 
 
 class Detours:
-    """Owns the detours, one a backend. No client's statement is the first to take one.
+    """Owns the detours, at most one per backend, keyed by the backend's name.
 
-    A detour is confirmed by the primary's own position, asked for through the other proxy, and confirmed again for as
-    long as it is needed. The other proxy decides by its own view what may be sent, as for all that is forwarded.
-    `forwarder` is None where this proxy forwards nothing; then there are no detours.
+    A detour is confirmed before any client's statement uses it: this proxy requests the primary's log position
+    through the other proxy. It is confirmed again every SEARCH_INTERVAL_US while the primary is unreachable, and is
+    used for CONFIRMED_FOR_US after each confirmation. The other proxy decides by its own view what may be sent, as
+    for every forwarded statement.
+
+    `searched_us`: when the last search began, by backend. `failed_proxies`: the proxies whose probe failed in the
+    current round of candidates, by backend. `forwarder`: None where forwarding is off; then there are no detours.
     """
 
     def __init__(self, *, ctx: Context, candidates: Callable[[LinkPool], tuple[PeerProxy, ...]]) -> None:
         """
-        :param others: the other proxies that may have links to a pool's backend.
+        :param candidates: returns the other proxies that may have links to a pool's backend.
         """
         self.ctx = ctx
         self.candidates = candidates
@@ -52,18 +56,18 @@
         self.failed_proxies: dict[str, set[str]] = {}
 
     def detour(self, *, pool: LinkPool) -> LinkPool | None:
-        """The pool of a confirmed detour to this pool's backend; None where there is none."""
+        """The pool of the detour to this pool's backend; None without a recent confirmation."""
         found = self.detours.get(pool.backend.name)
         if found is None or self.ctx.now_us() >= found.confirmed_us + CONFIRMED_FOR_US:
             return None
         return found.pool
 
     def has_detour(self, *, name: str) -> bool:
-        """Whether a detour to the backend of this name is kept, confirmed lately or not."""
+        """Whether a detour to the backend exists, even if its last confirmation has expired."""
         return name in self.detours
 
     def maintain(self, *, pool: LinkPool, service: str) -> None:
-        """Searches or confirms a detour while the primary can't be reached; drops it once it can."""
+        """Searches for or confirms a detour while the primary is unreachable; drops it once it is reachable."""
         name = pool.backend.name
         if not pool.unreachable:
             self.forget(name=name)
@@ -77,13 +81,16 @@
         self.ctx.spawn(work=work, name="detour")
 
     def forget(self, *, name: str) -> None:
-        """Drops all that is known of detours to this backend."""
+        """Drops the detour and the search state of this backend."""
         self.detours.pop(name, None)
         self.searched_us.pop(name, None)
         self.failed_proxies.pop(name, None)
 
     def _next_probes(self, *, pool: LinkPool) -> list[PeerProxy]:
-        """The proxy of the present detour; else some not probed yet, of the nearest and of all others, at random."""
+        """The proxies to probe next: that of the present detour, else up to PROBES_AT_ONCE candidates.
+
+        Candidates are drawn at random, mostly among the nearest. Once all have failed, the next search starts over.
+        """
         name = pool.backend.name
         found = self.detours.get(name)
         if found is not None:
@@ -95,7 +102,7 @@
             return []
         nearest = min(each.distance for each in candidates)
         self.ctx.rng.shuffle(candidates)
-        # A partition may cut off whole zones as well as single proxies, so the nearest may all be of no use.
+        # A partition may cut off a whole zone with all the nearest proxies, so one probe goes to another one.
         candidates.sort(key=lambda each: each.distance > nearest)
         return [*candidates[: PROBES_AT_ONCE - 1], *candidates[PROBES_AT_ONCE - 1 :][-1:]]
 
@@ -106,7 +113,7 @@
         )
 
     async def _probe(self, *, pool: LinkPool, service: str, forwarder: Forwarder, peer_proxy: PeerProxy) -> None:
-        """Asks for the primary's position through another proxy, and keeps or drops the detour by the answer."""
+        """Requests the primary's log position through another proxy, and keeps or drops the detour accordingly."""
         name = pool.backend.name
         confirmed_us = await self._confirmed_us(
             name=name, service=service, forwarder=forwarder, peer_proxy=peer_proxy
@@ -114,7 +121,7 @@
         found = self.detours.get(name)
         is_detour = found is not None and found.peer_proxy == peer_proxy
         if confirmed_us is not None and pool.unreachable:
-            # Of several proxies that answer, the first becomes the detour.
+            # If several probes succeed, the first one becomes the detour.
             if found is None or is_detour:
                 self._keep(pool=pool, forwarder=forwarder, peer_proxy=peer_proxy, confirmed_us=confirmed_us)
             return
@@ -125,9 +132,9 @@
     async def _confirmed_us(
         self, *, name: str, service: str, forwarder: Forwarder, peer_proxy: PeerProxy
     ) -> int | None:
-        """When the probe was sent that the primary has answered; None where it has not.
+        """When a successful probe was sent, by this proxy's clock; None where the probe failed.
 
-        Counted from the sending, since the way may be cut by the time that the answer arrives.
+        The time of sending counts, since the path may already be cut again when the reply arrives.
         """
         self.ctx.counters.add(name="detours.tried")
         until_us = self.ctx.now_us() + PROBE_WAIT_US
@@ -147,14 +154,14 @@
         return requested_us if confirmed else None
 
     def _keep(self, *, pool: LinkPool, forwarder: Forwarder, peer_proxy: PeerProxy, confirmed_us: int) -> None:
-        """Notes that the primary was reached through this proxy."""
+        """Creates the detour through this proxy, or renews its confirmation."""
         name = pool.backend.name
         found = self.detours.get(name)
         if found is not None:
             self.detours[name] = Detour(pool=found.pool, confirmed_us=confirmed_us)
             return
         self.ctx.counters.add(name="detours.found")
-        self.ctx.log.info("%s is reached by way of %s", name, peer_proxy.name)
+        self.ctx.log.info("%s can't be reached directly; forwarding its statements through %s", name, peer_proxy.name)
         detour_pool = LinkPool(
             ctx=self.ctx, backend=pool.backend, dialer=pool.dialer, on_link_failure=pool.on_link_failure
         )
--- a/src/cinderstair/pooler/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -1,4 +1,4 @@
-"""The messages between a proxy without links to a backend and one that has some."""
+"""The messages by which a proxy has a statement run over another proxy's link."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -14,10 +14,10 @@
 
 
 class ForwardStep(IntEnum):
-    """What a question is for. The numbers go over the wire.
+    """The kind of a request. The numbers are part of the protocol.
 
-    hello: the clock alone. single: one statement outside any transaction. begin, next, rollback, close: steps of a
-    transaction. position: the backend's log position. keep: keeps idle transactions alive.
+    hello: reads the clock and the incarnation. single: one statement outside a transaction. begin, next, rollback,
+    close: steps of a transaction. position: requests the backend's log position. keep: keeps idle transactions alive.
     """
 
     hello = 0
@@ -31,9 +31,9 @@
 
 
 class Outcome(IntEnum):
-    """What became of a question. The numbers go over the wire.
+    """The outcome of a request. The numbers are part of the protocol.
 
-    answered: the reply is the backend's. not_sent: nothing was sent to it. lost: unknown.
+    answered: the reply is the backend's. not_sent: nothing was sent to the backend. lost: unknown.
     """
 
     answered = 0
@@ -43,11 +43,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardRequest:
-    """`life` numbers the present run of the answering proxy; `until_us` is a moment by its clock.
+    """A request to another proxy.
 
-    From `until_us` on nothing of the question is sent to the backend. `connection` numbers the asker's transactions.
-    `values` are the session's; `shape` is the prepared statement that an execute runs. `rank`: lower ranks get links
-    first. `at_least` is the log position that the backend must have reached; None: the primary alone will do.
+    `requester`: the name of the sending proxy. `incarnation`: that of the receiving proxy, as the requester knows it.
+    `until_us`: the deadline by the receiver's clock, after which nothing is sent to the backend. `connection`: the
+    requester's number of the transaction. `rank`: lower ranks get links first. `at_least`: the log position that the
+    backend must have reached; None: the backend must be the primary. `values`: the session's values. `shape`: the
+    prepared statement that an execute runs. `connections`: the transactions that a keep request names.
     """
 
     requester: str
@@ -67,7 +69,7 @@
     connections: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
-        """The message as it goes over the wire."""
+        """The encoded message."""
         packer = (
             Packer()
             .text(value=self.requester)
@@ -88,9 +90,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForwardResponse:
-    """`now_us` is the answering proxy's clock at some moment between the question and the answer.
+    """The response to a request.
 
-    `unknown` are the transactions of a keep question that are not open there any more.
+    `incarnation`: of the responding proxy. `now_us`: its clock at some time between the request's arrival and the
+    response. `unknown`: those transactions of a keep request that are not open.
     """
 
     incarnation: int
@@ -100,7 +103,7 @@
     unknown: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
-        """The message as it goes over the wire."""
+        """The encoded message."""
         packer = Packer().u64(value=self.incarnation).u64(value=self.now_us).u8(value=self.outcome)
         reply = self.reply
         packer.many(values=reply.rows, each=lambda p, row: p.blob(value=row)).blob(value=reply.stamp)
@@ -122,9 +125,9 @@
 
 
 def read_forward_request(*, unpacker: Unpacker) -> ForwardRequest:
-    """Reads a question.
+    """Decodes a request.
 
-    :raises ValueError: the bytes are no question.
+    :raises ValueError: the bytes are malformed.
     """
     request = ForwardRequest(
         requester=unpacker.text(),
@@ -155,9 +158,9 @@
 
 
 def read_forward_response(*, data: bytes) -> ForwardResponse:
-    """Reads an answer.
+    """Decodes a response.
 
-    :raises ValueError: the bytes are no answer.
+    :raises ValueError: the bytes are malformed.
     """
     unpacker = Unpacker(data=data)
     incarnation, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -1,4 +1,4 @@
-"""Sends other proxies' statements over this proxy's links."""
+"""Runs other proxies' statements over this proxy's links."""
 
 import asyncio
 from collections import Counter
@@ -19,16 +19,17 @@
 from .session_replay import replay_values
 from .statement import PreparedStatement, Verb
 
-# A transaction of which its asker has said nothing for this long is rolled back.
+# A transaction without a request or a keep-alive for this long is rolled back.
 KEEP_ALIVE_LIMIT_US = 2_500_000
 SINGLE_STEPS = (ForwardStep.single, ForwardStep.position)
 LOST = ForwardResult(Outcome.lost, Reply(rows=[], fault=ErrorCode.TRANSACTION_LOST))
 
 
 class ForwardServer(ForwardChecks):
-    """Owns the transactions of other proxies. What may be sent is decided here, at the moment of sending.
+    """Owns the transactions that run here for other proxies.
 
-    `writes` counts the single writes that are running, by database.
+    Whether a statement may be sent is decided by this proxy's view, just before it is sent. A backend that fails or a
+    missed deadline gives the outcome `lost`. `writes`: the running writes outside transactions, by database.
     """
 
     def __init__(self, *, ctx: Context, router: Router, dispatcher: Dispatcher) -> None:
@@ -40,46 +41,46 @@
 
     @property
     def incarnation(self) -> int:
-        """A random number that tells this run of the daemon from others; drawn when it is first asked for."""
+        """A random non-zero number that identifies this run of the daemon; drawn on first use."""
         self._incarnation = self._incarnation or self.ctx.rng.getrandbits(62) | 1
         return self._incarnation
 
-    # -- what the proxy asks --
+    # -- state and shutdown --
 
     def has_open_writes(self, *, databases: frozenset[str]) -> bool:
-        """Whether anything may still be written here for other proxies to any of these databases."""
+        """Whether a forwarded write or a transaction that may write is open at any of these databases."""
         may_commit = any(not each.read_only and each.database in databases for each in self.transactions.values())
         return may_commit or any(self.writes[name] for name in databases)
 
     @property
     def open(self) -> int:
-        """How many transactions are open."""
+        """The number of open transactions."""
         return len(self.transactions)
 
     def stop(self) -> None:
-        """Takes nothing new; what runs may end."""
+        """Refuses new statements and transactions; open transactions may continue."""
         self.stopping = True
 
     def end(self) -> None:
-        """Rolls back every transaction of which no statement is running."""
+        """Rolls back every transaction that has no statement running."""
         for key, transaction in list(self.transactions.items()):
             if not transaction.busy:
                 self._close(key=key, transaction=transaction)
 
     def on_timer(self) -> None:
-        """Rolls back the transactions that their askers have abandoned."""
+        """Rolls back idle transactions without a keep-alive for KEEP_ALIVE_LIMIT_US."""
         now_us = self.ctx.now_us()
         for key, transaction in list(self.transactions.items()):
             if not transaction.busy and now_us - transaction.last_used_us > KEEP_ALIVE_LIMIT_US:
                 self.ctx.counters.add(name="forward.unkept")
                 self._close(key=key, transaction=transaction)
 
-    # -- answers --
+    # -- requests --
 
     async def answer(self, unpacker: Unpacker) -> bytes:
-        """Answers another proxy's question.
+        """Handles another proxy's request and returns the encoded response.
 
-        :raises ValueError: the bytes are no question.
+        :raises ValueError: the bytes are malformed.
         """
         request = read_forward_request(unpacker=unpacker)
         unknown: tuple[int, ...] = ()
@@ -99,8 +100,8 @@
         if request.step == ForwardStep.hello:
             return ForwardResult(Outcome.answered, Reply(rows=[]))
         if request.incarnation != self.incarnation:
-            # The question's times are by the clock of an earlier run of this daemon.
-            return refused(fault=CinderstairError(code=ErrorCode.NO_BACKEND, reason="begun anew"))
+            # The deadline refers to the clock of an earlier run of this daemon.
+            return refused(fault=CinderstairError(code=ErrorCode.NO_BACKEND, reason="this proxy has restarted"))
         if request.step == ForwardStep.keep:
             return ForwardResult(Outcome.answered, Reply(rows=[]))
         if request.step in SINGLE_STEPS:
@@ -110,9 +111,9 @@
         return await self._continue(request=request)
 
     def _keep_alive(self, *, request: ForwardRequest) -> tuple[int, ...]:
-        """Keeps the asker's transactions.
+        """Prolongs the requester's transactions.
 
-        :returns: the numbers of those that are not here any more.
+        :returns: the numbers of those that are not open.
         """
         unknown = []
         for number in request.connections:
@@ -129,7 +130,7 @@
         return request.step == ForwardStep.single and request.statement.writes
 
     def _send(self, *, request: ForwardRequest, link: Link) -> asyncio.Future[Reply]:
-        """Sends a question's statement, with the values and the prepared statement that it rests on."""
+        """Sends a request's statement, after the session values and the prepared statement that it needs."""
         if request.step == ForwardStep.rollback:
             return link.rollback()
         if request.step == ForwardStep.position:
@@ -147,7 +148,7 @@
         return reply
 
     async def _single(self, *, request: ForwardRequest) -> ForwardResult:
-        """Runs a statement that stands outside any transaction."""
+        """Runs a statement outside a transaction, and counts it in `writes` meanwhile if it writes."""
         writes = self._writes(request=request)
         self.writes[request.database] += writes
         try:
@@ -189,7 +190,7 @@
         transaction.close(keep=keep)
 
     async def _begin(self, *, request: ForwardRequest) -> ForwardResult:
-        """Begins a transaction; one whose key is known already may have been begun by a lost question."""
+        """Begins a transaction. A key that is already in use gives `lost`, since the request may be a duplicate."""
         key = TransactionKey(request.requester, request.connection)
         if key in self.transactions:
             return LOST
@@ -211,7 +212,7 @@
                 self._close(key=key, transaction=transaction)
 
     async def _continue(self, *, request: ForwardRequest) -> ForwardResult:
-        """Runs a step of a transaction. One that is not here any more was rolled back."""
+        """Runs a step of a transaction; `lost` where it is not open, since it was rolled back then."""
         key = TransactionKey(request.requester, request.connection)
         transaction = self.transactions.get(key)
         if transaction is None:
@@ -236,7 +237,7 @@
                 self._close(key=key, transaction=transaction, keep=keep)
 
     def _usable_link(self, *, request: ForwardRequest, transaction: ForwardedTransaction) -> PooledLink | None:
-        """The transaction's link; None where the question may not be sent on it."""
+        """The transaction's link; None where the request may not be sent on it."""
         pool: LinkPool | None = transaction.pool
         link = transaction.link
         if pool is None or link is None or not self.may_continue(request=request, transaction=transaction):
@@ -246,9 +247,9 @@
     async def _exchange(
         self, *, request: ForwardRequest, transaction: ForwardedTransaction, pooled: PooledLink
     ) -> Reply | None:
-        """Sends a transaction's question on its link.
+        """Sends a transaction's statement on its link.
 
-        :returns: None where the link was lost, no answer came in time, or the transaction was closed meanwhile.
+        :returns: None where the link was lost, no reply arrived in time, or the transaction was closed meanwhile.
         """
         pool, link = pooled
         service = transaction.service
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -1,4 +1,4 @@
-"""A link that forwards its statements to another proxy, which has a connection to the backend."""
+"""A link that forwards its statements to another proxy, which has links to the backend."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,11 +18,12 @@
 
 
 class ForwardedLink:
-    """Implements `Link`. Values and prepared statements travel with each statement.
+    """Implements `Link` for one statement or one transaction; it is closed afterwards.
 
-    It serves one statement or one transaction, and is closed after it. `base` holds the fields that all its questions
-    share; `limit_us`: for how long after a question anything of it may reach the backend. `begun`: a transaction may
-    be open at the other proxy. `sent_us`: when each unanswered statement was sent.
+    Session values and prepared statements are sent with each statement. A statement whose outcome is unknown fails
+    with ConnectionError and ends the link. `base`: the fields that all requests share. `limit_us`: how long after a
+    request is made its statement may be sent to the backend. `begun`: a transaction may be open at the other proxy.
+    `sent_us`: when each unanswered statement was sent.
     """
 
     def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardRequest, limit_us: int) -> None:
@@ -49,15 +50,15 @@
         return self.forwarder.ctx.now_us() - min(self.sent_us.values()) if self.sent_us else 0
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
-        """Keeps a value that goes with each statement from now on."""
+        """Stores a session value, which is sent with each later statement."""
         self.values[name] = value
 
     def clear(self) -> None:
-        """Forgets all values and prepared statements."""
+        """Drops all stored values and prepared statements."""
         self.values, self.prepared = {}, {}
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        """Keeps a prepared statement that goes with its executions."""
+        """Stores a prepared statement, which is sent with its executions."""
         self.prepared[alias] = PreparedStatement(shape, writes)
 
     def send(
@@ -65,7 +66,7 @@
     ) -> asyncio.Future[Reply]:
         """See `Link`."""
         shape, writes = self.prepared.get(alias, NOT_PREPARED)
-        # The other proxy decides by `writes` where the statement may go, so an execute carries it too.
+        # The other proxy decides by `writes` what may be sent, so an execution carries its prepared statement's flag.
         writes = writes if statement.verb == Verb.execute else statement.verb == Verb.write
         request = replace(
             self.base,
@@ -125,7 +126,7 @@
         self._end_transaction()
         if not future.done():
             future.set_exception(ConnectionResetError("the link is lost"))
-            # The exception is retrieved so that asyncio does not report an answer that nobody awaits.
+            # Retrieves the exception, since asyncio logs futures whose exception is never retrieved.
             future.exception()
 
     def _end_transaction(self) -> None:
@@ -133,12 +134,12 @@
         self.forwarder.transactions.pop(self.base.connection, None)
 
     def mark_lost(self) -> None:
-        """The other proxy has no such transaction any more."""
+        """Closes the link, since its transaction is no longer open at the other proxy."""
         self.open = False
         self._end_transaction()
 
     def close(self) -> None:
-        """Has the other proxy roll back a transaction that is open there; running statements are interrupted."""
+        """Closes the link; the other proxy rolls back an open transaction, interrupting a running statement."""
         if self.begun and self.open:
             request = replace(self.base, step=ForwardStep.close)
             ctx = self.forwarder.ctx
--- a/src/cinderstair/pooler/forwarded_transaction.py
+++ b/src/cinderstair/pooler/forwarded_transaction.py
@@ -1,4 +1,4 @@
-"""Another proxy's transaction on a link of this proxy."""
+"""A transaction that runs on this proxy's link for another proxy."""
 
 from typing import NamedTuple
 
@@ -8,16 +8,16 @@
 
 
 class TransactionKey(NamedTuple):
-    """The proxy that asked, and its number for the transaction."""
+    """The requesting proxy's name and its number of the transaction."""
 
     requester: str
     connection: int
 
 
 class ForwardedTransaction:
-    """Has no link and no pool while it is being begun, and after it was closed.
+    """The state of a forwarded transaction. `link` and `pool` are None until a link is borrowed and after `close`.
 
-    `busy`: a statement of it is running. `last_used_us`: when its asker last said anything of it.
+    `busy`: a statement is running. `last_used_us`: when the last statement ended or the last keep-alive arrived.
     """
 
     __slots__ = (
@@ -43,9 +43,9 @@
         self.closed = False
 
     def close(self, *, keep: bool) -> None:
-        """Gives the link back.
+        """Returns the link to its pool.
 
-        :param keep: False closes the link instead, which makes the backend roll back what is open on it.
+        :param keep: False closes the link, so that the backend rolls back the open transaction.
         """
         self.closed = True
         link, pool = self.link, self.pool
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards statements to proxies that have links to a backend, where this one has none."""
+"""Forwards statements to other proxies that have links to a backend."""
 
 from dataclasses import dataclass, replace
 from typing import NamedTuple
@@ -14,23 +14,23 @@
 
 HANDSHAKE_WAIT_US = 250_000
 MAX_PROXIES_TRIED = 3
-# Two clocks drift apart by far less than CLOCK_MARGIN_US in this time.
+# A clock reading expires after this time, in which two clocks drift apart by far less than CLOCK_MARGIN_US.
 CLOCK_VALID_US = 10_000_000
 CLOCK_MARGIN_US = 3_000
 MIN_AVOID_US = 1_000_000
 MAX_AVOID_US = 8_000_000
-# Bounds the shift of the time for which a proxy is avoided; the maximum is reached by then.
+# Limits the shift; MAX_AVOID_US is reached after this many doublings.
 MAX_AVOID_DOUBLINGS = 3
 DRAINING_AVOID_US = 10_000_000
 SILENCE_US = 400_000
 KEEP_ALIVE_INTERVAL_US = 700_000
 KEEP_ALIVE_WAIT_US = 500_000
-# The answer travels after the other proxy's time limit.
+# How long a response sent just before the deadline may travel.
 ANSWER_TRAVEL_US = 20_000
 
 
 class PeerProxy(NamedTuple):
-    """Another proxy that has links to a backend, and its distance; smaller is nearer."""
+    """Another proxy that has links to a backend. `distance`: smaller is nearer."""
 
     distance: int
     name: str
@@ -39,11 +39,12 @@
 
 @dataclass(kw_only=True)
 class PeerState:
-    """What is known of another proxy. All times but `ahead_us` are moments by this proxy's clock.
+    """The state of another proxy, as this one knows it. All times but `ahead_us` are by this proxy's clock.
 
-    `life`: the number of its present run; 0 before the handshake. `ahead_us`: its clock is ahead of this proxy's by
-    at least this. `unanswered`: how many questions wait for its answer; since `silent_since_us` it has answered none
-    (0: none waits). It is avoided until `avoid_until_us`, and until `draining_until_us` since it drains.
+    `incarnation`: 0 before the handshake and after a failure. `ahead_us`: a lower bound of how far its clock is ahead
+    of this proxy's; read at `clock_read_us`. `avoid_until_us`: until when it is avoided after failures or silence;
+    `draining_until_us`: because it drains. `failures`: consecutive requests without a response. `unanswered`: the
+    number of pending requests. `silent_since_us`: since when none of them was answered; 0 without pending requests.
     """
 
     incarnation: int = 0
@@ -56,14 +57,15 @@
     silent_since_us: int = 0
 
     def is_avoided(self, *, now_us: int) -> bool:
-        """Whether other proxies should be preferred now."""
+        """Whether other proxies are preferred at this time."""
         return max(self.avoid_until_us, self.draining_until_us) > now_us
 
 
 class Forwarder:
-    """Each question is sent once. Nothing of it reaches a backend after the time that this proxy set.
+    """Owns the state of other proxies and the transactions that are open at them.
 
-    `transactions`: the links on which a transaction is open at another proxy, by its number.
+    Each request is sent at most once, with a deadline after which the other proxy sends nothing to the backend.
+    `transactions`: the links with an open transaction, by its number. `last_number`: the last number assigned.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -74,11 +76,11 @@
         self.kept_alive_us = 0
 
     def peer(self, *, address: str) -> PeerState:
-        """What is known of the proxy at an address."""
+        """The state of the proxy at an address; created on first use."""
         return self.peers.setdefault(address, PeerState())
 
     def _order(self, *, peer_proxies: tuple[PeerProxy, ...]) -> list[PeerProxy]:
-        """Nearest first; those that did not answer lately or are draining last."""
+        """Orders proxies: avoided ones last, then by distance, pending requests and at random."""
         now_us = self.ctx.now_us()
 
         def cost(peer_proxy: PeerProxy) -> tuple[bool, int, int, float]:
@@ -97,10 +99,10 @@
         rank: int,
         until_us: int,
     ) -> Result[ForwardedLink, CinderstairError]:
-        """A link that forwards to another proxy; that proxy hears nothing of it before its first statement.
+        """A link that forwards to another proxy. At most a handshake is sent before its first statement.
 
-        :param until_us: the moment, by this proxy's clock, after which nothing may reach the backend.
-        Errors: NO_BACKEND where no proxy answers.
+        :param until_us: the deadline, by this proxy's clock, after which nothing may be sent to the backend.
+        Errors: NO_BACKEND where none of the MAX_PROXIES_TRIED preferred proxies is usable.
         """
         for peer_proxy in self._order(peer_proxies=peer_proxies)[:MAX_PROXIES_TRIED]:
             peer = self.peer(address=peer_proxy.address)
@@ -121,11 +123,11 @@
             limit_us = max(1, until_us - self.ctx.now_us())
             return Ok(ForwardedLink(forwarder=self, address=peer_proxy.address, base=base, limit_us=limit_us))
         return Error(
-            CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"no proxy that holds links to {backend} answers")
+            CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"none of the proxies with links to {backend} answers")
         )
 
     async def _handshake(self, *, address: str, until_us: int) -> None:
-        """Reads the other proxy's clock and the number of its run."""
+        """Reads the other proxy's clock and incarnation."""
         wait_us = min(HANDSHAKE_WAIT_US, until_us - self.ctx.now_us())
         request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.hello)
         await self._ask(address=address, request=request, wait_us=max(1, wait_us))
@@ -133,15 +135,15 @@
     async def ask(
         self, *, address: str, request: ForwardRequest, limit_us: int
     ) -> Result[ForwardResponse, CinderstairError]:
-        """Sends a question.
+        """Sends a request and waits for its response.
 
-        :param limit_us: for how long from now on anything may reach the backend.
-        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where that is unknown.
+        :param limit_us: how long from now the statement may be sent to the backend.
+        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where the outcome is unknown.
         """
         peer = self.peer(address=address)
         if not peer.incarnation:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
-        # Its clock is ahead by at least `ahead_us`, so by its clock the limit ends no later than by this proxy's.
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: no handshake yet"))
+        # Its clock is ahead by at least `ahead_us`, so the deadline by its clock is never later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(request, incarnation=peer.incarnation, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
@@ -168,14 +170,18 @@
             answer = read_forward_response(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.WIRE_UNSURE, reason=f"{address}: malformed response to a forwarded request"
+                )
+            )
         self._record_answer(peer=peer, answer=answer)
         return Ok(answer)
 
     def _record_answer(self, *, peer: PeerState, answer: ForwardResponse) -> None:
         now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.unanswered else 0
-        # Its clock showed `answer.now_us` before the answer arrived here, so it is ahead by no less than this.
+        # Its clock showed `answer.now_us` before the response arrived, so this is a lower bound.
         ahead_us = answer.now_us - now_us
         outdated = now_us - peer.clock_read_us > CLOCK_VALID_US // 2
         if answer.incarnation != peer.incarnation or outdated or ahead_us > peer.ahead_us:
@@ -185,17 +191,17 @@
             peer.draining_until_us = now_us + DRAINING_AVOID_US
 
     def record_failure(self, *, address: str) -> None:
-        """Notes that a proxy gave no answer."""
+        """Records a request without a response: the proxy is avoided for a time that doubles with each failure."""
         peer = self.peer(address=address)
-        # It may have restarted, with another clock, so a handshake precedes the next question.
+        # It may have restarted with another clock, so the next request needs a handshake.
         peer.incarnation = 0
-        # A proxy that is gone for long must not cost each statement a wait again and again.
+        # Without the doubling, a proxy that stays down would delay a statement each time it is tried again.
         avoid_us = min(MAX_AVOID_US, MIN_AVOID_US << min(peer.failures, MAX_AVOID_DOUBLINGS))
         peer.avoid_until_us = self.ctx.now_us() + avoid_us
         peer.failures += 1
 
     def on_timer(self) -> None:
-        """Avoids proxies that are silent, and keeps idle transactions alive at the others."""
+        """Avoids proxies that have been silent for SILENCE_US, and sends keep-alives for open transactions."""
         now_us = self.ctx.now_us()
         for peer in self.peers.values():
             if peer.unanswered and peer.silent_since_us and now_us - peer.silent_since_us > SILENCE_US:
@@ -216,6 +222,6 @@
             return
         for number in result.ok.unknown:
             link = self.transactions.get(number)
-            # A transaction that is just being begun is not known there yet.
+            # The other proxy may not have processed the begin of a transaction yet.
             if link is not None and not link.waiting:
                 link.mark_lost()
--- a/src/cinderstair/pooler/link.py
+++ b/src/cinderstair/pooler/link.py
@@ -1,4 +1,4 @@
-"""The interface of a link: one lasting connection of the pooler to a backend, and what opens it."""
+"""The interfaces of a link, which is a persistent connection of the proxy to a backend, and of its dialer."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,13 +14,13 @@
 
 
 class Link(Protocol):
-    """A connection of the pooler to a backend, lent to one session at a time.
+    """A connection to a backend, used by one session at a time.
 
-    Statements are answered in the order in which they were sent; none is ever sent twice. A future that is set to a
-    ConnectionError means that the link is lost and the outcome unknown.
+    Statements are answered in the order in which they were sent, and each is sent at most once. A future that fails
+    with ConnectionError means that the link was lost and the statement's outcome is unknown.
 
     `values`: the session values that the backend keeps for this link. `prepared`: its prepared statements by name.
-    `on_lost`: called once when the link ends otherwise than by `close`; None while nobody wants to know.
+    `on_lost`: called once when the link ends other than by `close`; None: no callback.
     """
 
     values: dict[bytes, bytes]
@@ -34,12 +34,12 @@
 
     @property
     def waiting(self) -> int:
-        """How many statements are not yet answered."""
+        """The number of statements without a reply."""
         ...
 
     @property
     def oldest_wait_us(self) -> int:
-        """For how long the oldest of them has waited, in microseconds; 0 where none does."""
+        """How long the oldest statement without a reply has waited, in microseconds; 0 where there is none."""
         ...
 
     def send(
@@ -47,21 +47,21 @@
     ) -> asyncio.Future[Reply]:
         """Sends a client's statement.
 
-        :param at_least: the position that the backend's log must have reached; None where any will do.
-        :param alias: the name under which an executed statement is prepared on this link.
+        :param at_least: the log position that the backend must have reached before it runs the statement; None: any.
+        :param alias: for an execution, the name under which the statement is prepared on this link.
         """
         ...
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
-        """Sends a session value ahead of the next statement."""
+        """Sets a session value at the backend, ahead of the next statement."""
         ...
 
     def clear(self) -> None:
-        """Has the backend drop all values and prepared statements of this link."""
+        """Drops all session values and prepared statements that the backend keeps for this link."""
         ...
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        """Prepares a statement ahead of the next one."""
+        """Prepares a statement under a name of this link, ahead of the next statement."""
         ...
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
@@ -73,20 +73,20 @@
         ...
 
     def ask_position(self) -> asyncio.Future[Reply]:
-        """Asks for the position of the backend's log."""
+        """Requests the backend's log position."""
         ...
 
     def close(self) -> None:
-        """Closes the connection; the backend rolls back what is open on it, and unanswered statements stay so."""
+        """Closes the connection. The backend rolls back an open transaction; pending replies never arrive."""
         ...
 
 
 class Dialer(Protocol):
-    """Opens a link, and verifies that it is this backend that answers and no other at its address.
+    """Opens a link and verifies the identity of the backend that answers at the address.
 
-    Errors: OVERLOADED where the backend takes no more links; any other where it can't be reached.
+    Errors: OVERLOADED where the backend has reached its connection limit; any other code where it can't be reached.
     """
 
     async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
-        """Opens a link to a backend; an error where none is open within `wait_us`."""
+        """Opens a link to a backend; an error if that takes longer than `wait_us`."""
         ...
--- a/src/cinderstair/pooler/link_allocation.py
+++ b/src/cinderstair/pooler/link_allocation.py
@@ -1,25 +1,28 @@
-"""Allocates links to proxies where a cap is smaller than the number of proxies. Pure functions of shared lists."""
+"""Allocates a backend's capped number of links to proxies.
+
+Pure functions of lists that all proxies share, so every proxy computes the same allocation without coordination.
+"""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from ..http_frontend.subsetting import allotment, rank
 
-# A replica takes up to an eighth more than an even share, so that one proxy's leaving moves few others.
+# A replica takes up to 1/8 more than an even share, so that a proxy that leaves changes few other allocations.
 SLACK_DIVISOR = 8
-# Links that one proxy keeps for the others of a region where not each has its own.
+# Links per proxy in a region where only some proxies have links and forward for the rest.
 LINKS_PER_PROXY = 4
 DISTANCE_CLASSES = 3
 
 
 class Location(NamedTuple):
-    """The location of a proxy or a backend."""
+    """The site and region of a proxy or a backend."""
 
     site: str
     region: str
 
     def distance_class(self, *, other: "Location") -> int:
-        """0 within a site, 1 within a region, else 2 (see `DISTANCE_CLASSES`)."""
+        """0: same site; 1: same region; 2: other region. There are `DISTANCE_CLASSES` classes."""
         if self.site == other.site:
             return 0
         return 1 if self.region == other.region else 2
@@ -35,14 +38,12 @@
 def allocate_replicas(*, proxies: Sequence[ProxyLocation], replicas: Sequence[Location], cap: int) -> dict[int, int]:
     """Allocates one replica to each proxy, nearest first and evenly; no replica gets more than `cap` proxies.
 
-    :returns: the index of the replica by proxy id.
-
-    Every proxy computes the same from the same lists. A proxy for which no capacity is left has no entry.
+    :returns: the index of the replica by proxy id. A proxy for which no capacity is left has no entry.
     """
     if not replicas or cap <= 0:
         return {}
     even_share = -(-len(proxies) // len(replicas))
-    # A near replica must not fill up before a distant one has any.
+    # Without this bound, near replicas would fill up to the cap while distant ones stay empty.
     max_per_replica = min(cap, even_share + even_share // SLACK_DIVISOR)
     counts = [0] * len(replicas)
     allocated: dict[int, int] = {}
@@ -56,7 +57,7 @@
                 if counts[n] < max_per_replica and location.distance_class(other=replica) <= distance_class
             ]
             if candidates:
-                # Chosen by the id and not by the others' allocations, so that a proxy that leaves changes few.
+                # Selected by id, not by the current counts, so that a proxy that leaves changes few allocations.
                 chosen = candidates[proxy_id % len(candidates)]
                 allocated[proxy_id] = chosen
                 counts[chosen] += 1
@@ -73,8 +74,9 @@
 ) -> dict[int, int]:
     """Allocates the links to one backend; their sum is at most `cap`.
 
-    Each proxy in the backend's region gets its own where all of them fit; in other regions a few proxies get several
-    and forward for the rest. Every proxy computes the same. The primary is no input, so a promotion moves no link.
+    In a region whose quota covers all its proxies, each gets at least one link. In other regions a few proxies get
+    up to `links_per_proxy` each and forward for the rest. The allocation does not depend on which backend is primary,
+    so a promotion moves no links.
 
     :returns: the number of links by proxy id; proxies without an entry get none.
     """
@@ -100,9 +102,10 @@
 
 
 def _quotas(*, sizes: dict[str, int], home: str, cap: int) -> dict[str, int]:
-    """Each region's part of the cap.
+    """Divides the cap among regions.
 
-    The home region gets a link a proxy while a third is left for the others, which share the rest by their size.
+    The backend's own region (`home`) gets one link per proxy, as long as a third of the cap remains for the others;
+    otherwise it gets its proportional share. The other regions share the remainder in proportion to their size.
     """
     others = {name: size for name, size in sizes.items() if name != home}
     home_quota = sizes.get(home, 0)
@@ -120,8 +123,8 @@
 
 
 def _choose_proxies(*, members: list[ProxyLocation], backend: str, count: int) -> list[int]:
-    """The proxies that get links, from each site in turn, in an order that differs by backend."""
-    # Each proxy's rank is independent of the others, so that one that joins or leaves moves few of them.
+    """The proxies that get links: round-robin over the sites, in an order that differs by backend."""
+    # Rendezvous hashing: each proxy's rank is independent of the others, so a membership change moves few links.
     sites: dict[str, list[int]] = {}
     for proxy_id, location in sorted(members, key=lambda entry: rank(seed=entry.proxy_id, name=backend)):
         sites.setdefault(location.site, []).append(proxy_id)
--- a/src/cinderstair/pooler/link_dialing.py
+++ b/src/cinderstair/pooler/link_dialing.py
@@ -1,4 +1,4 @@
-"""Opens a pool's links, and tells from answers and failures whether the backend is alive."""
+"""Dials a pool's links with backoff, and detects a backend that has failed from replies and dial errors."""
 
 from ..runtime.errors import ErrorCode
 from .link import Link
@@ -7,53 +7,53 @@
 DIAL_WAIT_US = 1_000_000
 MIN_BACK_OFF_US = 100_000
 MAX_BACK_OFF_US = 1_000_000
-# Bounds the shift of the back-off; the maximum is reached before.
+# Limits the shift; MAX_BACK_OFF_US is reached before this many doublings.
 MAX_BACK_OFF_DOUBLINGS = 5
 MAX_DIALS = 2
-# A backend that is full is alive, and other proxies close links at any time, so it is asked again soon.
+# A backend at its connection limit is alive, and other proxies may close links at any time, so retries are frequent.
 FULL_PAUSE_US = 25_000
-# A statement that is unanswered for this long, while nothing else was answered, points to a dead backend.
+# A backend is silent if a statement is unanswered for this long and no other reply has arrived meanwhile.
 SILENCE_US = 600_000
 
 
 class LinkDialingMixin(LinkPoolBase):
-    """Dials with back-off, and watches the backend's health."""
+    """Dials links with randomized exponential backoff, and tracks whether the backend is suspected or silent."""
 
     # -- health --
 
     def record_answer(self) -> None:
-        """Notes that the backend has answered, so it is alive."""
+        """Records a reply or a successful dial: the backend is neither suspected nor silent."""
         self.last_answer_us = self.ctx.now_us()
         self.suspected = self.silent = False
         self.dial_failures = 0
 
     def report_suspicion(self) -> None:
-        """Notes something that a dead backend would explain."""
+        """Marks the backend as suspected after a lost link, a failed dial or silence, and reports that once."""
         if not self.suspected and not self.closed:
             self.suspected = True
             self.ctx.counters.add(name="links.trouble")
             self.on_link_failure()
 
     def check_silence(self) -> None:
-        """Finds out whether the backend is silent, and dials it as long as it is."""
+        """Updates whether the backend is silent, and dials it as a probe while it is."""
         if self._is_silent():
             self.report_suspicion()
             self.silent = True
-            # Idle links are as dead as the waiting ones, and no client should find that out by waiting.
+            # Idle links to a silent backend are probably broken too; a statement on them would only time out.
             self._close_idle()
         if self.silent and not self.limit:
             self.silent = False
-        # Where links are allocated to proxies, one beyond the limit would be another proxy's.
+        # Where links are allocated to proxies, a link beyond the limit would exceed the backend's cap.
         within_limit = self.forwarder is None or self.open < self.limit
         may_dial = not self.dialing and not self.closed and self.ctx.now_us() >= self.next_dial_us
         if self.silent and within_limit and may_dial:
             self._spawn_dial(name="link.probe")
 
     def _is_silent(self) -> bool:
-        """Whether the backend owes answers for long and has given none to anybody meanwhile.
+        """Whether a statement has waited longer than SILENCE_US and no reply has arrived on any link meanwhile.
 
-        A link may idle for long in a client's transaction, so only unanswered statements count. A forwarding link's
-        silence says nothing of the backend.
+        A link may be idle in a client's transaction, so only unanswered statements count. Forwarding links don't
+        count, since their delay may be the other proxy's.
         """
         own = (each.link for each in self.borrowed.values() if id(each.link) not in self.forwarded)
         since_answer_us = self.ctx.now_us() - self.last_answer_us
@@ -62,7 +62,7 @@
     # -- dialing --
 
     def grow(self) -> None:
-        """Opens links for those that wait, as far as the limit allows."""
+        """Dials links for queued requests, up to the limit and MAX_DIALS at a time."""
         wanted = sum(1 for waiter in self.waiting if waiter.pending) - self.dialing
         dials = min(wanted, self.limit - self.open, MAX_DIALS - self.dialing)
         if self.ctx.now_us() < self.next_dial_us or self.closed:
@@ -71,7 +71,7 @@
             self._spawn_dial(name="link.dial")
 
     def warm(self, *, count: int) -> None:
-        """Opens a link ahead of need while fewer than `count` are open."""
+        """Dials a link in advance if fewer than `count` are open."""
         if self.open < min(count, self.limit) and not self.closed and self.ctx.now_us() >= self.next_dial_us:
             self._spawn_dial(name="link.warm")
 
@@ -102,7 +102,7 @@
             self.grow()
 
     async def _wait_for_capacity(self) -> None:
-        """Dials again after a short pause; the backend is alive and has as many links as it may."""
+        """Dials again after a short random pause; the backend is alive but at its connection limit."""
         self.ctx.counters.add(name="links.full")
         self.last_answer_us = self.last_full_us = self.ctx.now_us()
         wait_us = self.ctx.rng.randrange(FULL_PAUSE_US, 2 * FULL_PAUSE_US)
@@ -119,7 +119,7 @@
             self._fail_waiting()
 
     def _lost(self, *, link: Link) -> None:
-        """A link has ended without this proxy's doing."""
+        """Removes a lost link, suspects the backend, and dials if requests wait and no link is left."""
         self.idle = [each for each in self.idle if each is not link]
         self.ctx.counters.add(name="links.lost")
         if not self.closed:
--- a/src/cinderstair/pooler/link_execution.py
+++ b/src/cinderstair/pooler/link_execution.py
@@ -1,4 +1,4 @@
-"""Steps of running a statement on a link that a session and the forward server have in common."""
+"""Helpers to run a statement on a link, shared by sessions and the forward server."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 
 
 async def await_reply(*, ctx: Context, future: asyncio.Future[Reply], until_us: int) -> Reply | None:
-    """Waits for a link's answer.
+    """Waits for a reply without cancelling its future.
 
-    :param until_us: the moment, by this proxy's clock, at which the wait ends.
-    :returns: None where no answer came in time.
-    :raises ConnectionError: the link was lost, so the outcome is unknown.
+    :param until_us: the deadline, by this proxy's clock.
+    :returns: None where no reply arrived in time.
+    :raises ConnectionError: the link was lost, so the statement's outcome is unknown.
     """
     wait_us = max(0, until_us - ctx.now_us())
     done, _ = await asyncio.wait([future], timeout=wait_us / 1_000_000)
@@ -23,9 +23,9 @@
 
 
 def ensure_prepared(*, router: Router, link: Link, prepared: PreparedStatement) -> bytes:
-    """Prepares a statement on the link, unless it is prepared there already.
+    """Prepares a statement on the link unless that is done already.
 
-    :returns: the name under which the link knows it.
+    :returns: its name on the link.
     """
     alias = router.alias(prepared=prepared)
     if link.prepared.get(alias) != prepared:
@@ -34,7 +34,7 @@
 
 
 def is_primary_pool(*, router: Router, pool: LinkPool, service: str) -> bool:
-    """Whether the view says, as of now, that this pool's backend is the service's primary."""
+    """Whether a current view confirms this pool's backend as the service's primary."""
     primary = router.confirmed_primary(service=service)
     return primary.is_ok() and primary.ok is pool
 
@@ -42,9 +42,9 @@
 def record_reply(
     *, router: Router, pool: LinkPool, service: str, requested_us: int, was_primary: bool, reply: Reply
 ) -> None:
-    """Notes that the backend answered, and its log position where it was the primary when it was asked.
+    """Records that the backend is alive, and its log position if it was the primary when the statement was sent.
 
-    :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
+    :param requested_us: the time, by this proxy's clock, just before the statement was sent.
     """
     if was_primary:
         router.record_reply(pool=pool, service=service, requested_us=requested_us, reply=reply)
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -9,23 +9,26 @@
 from .link_pool import LinkPool
 from .router_base import RouterBase
 
-# Published experience with subsets is 20 to 100 backends; shorter lists are taken whole.
+# The published range for subsets is 20 to 100 backends; a shorter list is used completely.
 SUBSET_SIZE = 20
-# Links of each backend's cap that are left to the controllers.
+# The part of each backend's cap that is reserved for connections of the controllers.
 CONTROL_LINKS = 6
-# Longer than a view is current: whoever may have fewer links from now on has heard of it by then.
+# Longer than a view stays current, so that every proxy with a lower limit has applied it by then.
 LIMIT_INCREASE_DELAY_US = 1_500_000
-# A proxy hears of a draining backend at most this much later than the first controller.
+# A proxy learns of a draining backend at most this much later than the first controller.
 DRAIN_NOTICE_US = 2_000_000
 
 
 class LinkLimitsMixin(RouterBase):
-    """Derives the pools and their limits from the view; all proxies derive the same, so no cap is exceeded."""
+    """Derives the pools and their limits from the view.
+
+    All proxies derive their shares from the same tables, so that together they don't exceed a backend's cap.
+    """
 
     # -- pools --
 
     def rebuild_pools(self) -> None:
-        """Derives pools, subsets and limits anew from the view; called only when it has changed."""
+        """Rebuilds pools, subsets and limits after a change of the view; does nothing without a configuration."""
         plan = self.view.plan
         if plan is None:
             return
@@ -36,7 +39,7 @@
             self._rebuild_service(service=service)
 
     def _update_pools(self, *, plan: ServicePlan) -> dict[str, list[str]]:
-        """Creates missing pools.
+        """Creates missing pools and updates the announcements of the others.
 
         :returns: the names of the backends by service.
         """
@@ -65,7 +68,7 @@
     # -- limits --
 
     def _rebuild_service(self, *, service: str) -> None:
-        """Derives one service's replica subset and the limits of its pools."""
+        """Rebuilds one service's replica subset and the limits of its pools."""
         plan = self.view.plan
         if plan is None or service not in plan.services:
             return
@@ -78,7 +81,7 @@
         scarce = cap < len(self.view.proxy_ids.names)
         addresses_expected = bool(self.view.proxy_addresses) or not self.addresses_unavailable
         forwards = scarce and self.forwarder is not None and addresses_expected
-        # Before any ids are assigned nobody knows among how many proxies the cap is shared.
+        # Until ids are assigned, the number of proxies that share the cap is unknown.
         unassigned = self.forwarder is not None and not self.view.proxy_ids.names
         kept = self._kept_replica(replicas=replicas, cap=cap, proxy_id=proxy_id) if scarce and not forwards else ""
         for name in names:
@@ -88,16 +91,16 @@
             else:
                 pool.forwarder, pool.peer_proxies = None, ()
                 self._set_limit(pool=pool, limit=0 if unassigned else max(1, share))
-            # With fewer links than proxies each keeps one link to one replica, and others only while in use.
+            # With fewer links than proxies, each keeps links to one replica only, and uses the others on demand.
             pool.set_on_demand(on_demand=scarce and not forwards and name != kept)
             self._follow_backend_state(name=name, is_primary=assignment is not None and assignment.primary == name)
 
     def _cap_share(self, *, cap: int) -> int:
-        """This proxy's part of a cap; the same for all services with that cap."""
+        """This proxy's share of a cap; the same for all services with that cap."""
         share = self.cap_shares.get(cap)
         if share is None:
             ids, proxy_id = self.view.proxy_ids.ids, self.view.proxy_ids.id_of(name=self.ctx.name)
-            # A proxy without an id must not take what is allotted to the others.
+            # A proxy without an id takes the share of one more proxy, and none of the others' links.
             share = (
                 cap // (len(ids) + 1)
                 if proxy_id is None
@@ -107,7 +110,7 @@
         return share
 
     def _allocate_links(self, *, pool: LinkPool, cap: int, proxy_id: int | None) -> None:
-        """Sets which proxies have links to a backend: this one its part, or else those that forward for it."""
+        """Sets this proxy's links to a backend by the allocation, and the proxies that can forward for it."""
         proxy_addresses, announcement = self.view.proxy_addresses, pool.backend
         reachable = [
             (n, name)
@@ -123,7 +126,7 @@
                 cap=cap,
             )
         if pool.forwarder is None and pool.limit:
-            # Until now each proxy had an even part, and the others may not have closed their links yet.
+            # Until now each proxy had an even share, and the others may not have closed their links yet.
             self.reallocated_us = self.ctx.now_us()
         pool.forwarder = self.forwarder
         pool.peer_proxies = tuple(
@@ -134,9 +137,9 @@
         self._set_limit(pool=pool, limit=0 if proxy_id is None else allocated.get(proxy_id, 0))
 
     def _set_limit(self, *, pool: LinkPool, limit: int) -> None:
-        """Decreases a limit at once, and increases it after a delay.
+        """Decreases a limit at once, and increases it LIMIT_INCREASE_DELAY_US after a reallocation.
 
-        Those that had these links may not know of the change yet, and the cap must hold meanwhile.
+        The proxies that had these links may not know of the change yet, and the cap must hold meanwhile.
         """
         if limit > pool.limit and not self._may_increase():
             self.increase_pending, limit = True, pool.limit
@@ -153,9 +156,9 @@
             self.rebuild_pools()
 
     def _tables_changed(self) -> None:
-        """The proxies' ids or addresses have changed.
+        """Invalidates the allocation after a change of the proxies' ids or addresses.
 
-        What a starting proxy hears first was allocated before, and nobody else has links by it.
+        The first tables that a starting proxy receives are no reallocation, so its limits are not delayed.
         """
         self.reallocated_us = self.ctx.now_us() if self.link_allocations else self.reallocated_us
         self.link_allocations = {}
@@ -176,13 +179,13 @@
         return Location(site, self.region(site))
 
     def _kept_replica(self, *, replicas: list[str], cap: int, proxy_id: int | None) -> str:
-        """The replica to which this proxy keeps a link; empty where it has no id or there is none for it."""
+        """The replica to which this proxy keeps links; empty where it has no id or none is allocated to it."""
         if proxy_id is None:
             return ""
         locations = tuple(self._location(site=self.view.backends[name].announcement.site) for name in replicas)
         allocated = self.replica_allocations.get((locations, cap))
         if allocated is None:
-            # Services whose replicas have the same locations get the same result, so it is computed once.
+            # Cached, since services whose replicas have the same locations get the same allocation.
             proxy_addresses = self.view.proxy_addresses
             sites = (
                 (n, proxy_addresses[name].site if name in proxy_addresses else "")
@@ -199,14 +202,14 @@
 
     @property
     def drain_limit_us(self) -> int:
-        """How long a draining primary is served after this proxy heard of it.
+        """How long a draining primary is used after this proxy learned of it.
 
-        Its time began when the first controller heard, and what was sent in time must be answered within it.
+        The drain starts when the first controller learns of it, and statements must be answered before it ends.
         """
         return max(self.drain_us // 2, self.drain_us - DRAIN_NOTICE_US)
 
     def _follow_backend_state(self, *, name: str, is_primary: bool) -> None:
-        """Closes a draining backend's pool; a primary's only once another leads, or the drain limit is reached."""
+        """Closes a draining backend's pool, a primary's only after a promotion or the drain limit; reopens it."""
         pool = self.pools[name]
         if pool.backend.state == READY:
             self.draining_since_us.pop(name, None)
--- a/src/cinderstair/pooler/link_pool.py
+++ b/src/cinderstair/pooler/link_pool.py
@@ -1,4 +1,4 @@
-"""One proxy's links to one backend: borrowed for a statement or a transaction, and given back."""
+"""One proxy's pool of links to one backend; a link is borrowed for one statement or transaction."""
 
 import asyncio
 import heapq
@@ -13,24 +13,28 @@
 from .reply import Reply
 
 MAX_WAITING_PER_LINK = 16
-# How long a link whose client has given up may still wait for its answer before it is closed.
+# A link with an abandoned statement is closed if no reply arrives within this time.
 LATE_ANSWER_US = 2_500_000
-# The weight of one use in the mean time for which links are borrowed is one over this.
+# The weight of a new sample in the moving average of use times is 1 / MEAN_USE_SAMPLES.
 MEAN_USE_SAMPLES = 8
 
 
 class LinkPool(LinkDialingMixin):
-    """Lends links. Those that wait are served by rank, then in the order of their requests."""
+    """Lends links. Queued requests are served by rank, then in order of arrival.
+
+    A request that can't be served before its deadline is refused at once.
+    """
 
     async def acquire(
         self, *, values: dict[bytes, bytes], rank: int, until_us: int, database: str = ""
     ) -> Result[Link, CinderstairError]:
-        """Borrows a link for one statement or transaction: an own one, or else one that forwards to another proxy.
+        """Borrows a link for one statement or transaction; one that forwards to another proxy where `limit` is 0.
 
-        :param values: the session's values; a link that has them already is preferred.
+        :param values: the session's values; a link that already has them is preferred.
         :param rank: lower ranks are served first.
-        :param until_us: the moment, by this proxy's clock, at which the wait ends.
-        Errors: OVERLOADED where none is free in time, NO_BACKEND where the backend can't be reached.
+        :param until_us: the deadline of the wait, by this proxy's clock.
+        Errors: OVERLOADED where no link becomes free in time, NO_BACKEND where the backend can't be reached or the
+        pool is closed.
         """
         if self.limit or self.forwarder is None or self.closed:
             return await self.acquire_own(values=values, rank=rank, until_us=until_us)
@@ -50,9 +54,11 @@
     async def acquire_own(
         self, *, values: dict[bytes, bytes], rank: int, until_us: int
     ) -> Result[Link, CinderstairError]:
-        """Borrows a link of this proxy itself; see `acquire`."""
+        """Borrows a link of this proxy and never forwards; parameters and errors as of `acquire`."""
         if self.closed:
-            return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} is leaving"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"the pool of {self.backend.name} is closed")
+            )
         link = self._pick(values=values)
         self.requests += 1
         if link is not None:
@@ -63,7 +69,7 @@
         return await self._wait_for_link(rank=rank, until_us=until_us)
 
     def _pick(self, *, values: dict[bytes, bytes]) -> Link | None:
-        """Takes an idle link: one that has the values, else one without values, else the one used last."""
+        """Takes an idle link: one with the same values, else one without values, else the most recently used."""
         self.idle = [link for link in self.idle if link.open]
         if not self.idle:
             return None
@@ -74,12 +80,14 @@
         return self.idle.pop(-1 if best is None else best)
 
     def _refuse_waiting(self, *, rank: int, until_us: int) -> CinderstairError | None:
-        """Why a wait would be in vain, told at once and not when the time is up; None where it may succeed."""
+        """The error of a request that could not be served before its deadline; None where it should be queued."""
         now_us = self.ctx.now_us()
         ahead = sum(1 for waiter in self.waiting if waiter.rank <= rank and waiter.pending)
         wait_us = self.mean_use_us * ahead // max(1, self.limit)
         if ahead >= MAX_WAITING_PER_LINK * self.limit or now_us + wait_us >= until_us:
-            return CinderstairError(code=ErrorCode.OVERLOADED, reason=f"{ahead} wait for {self.backend.name}")
+            return CinderstairError(
+                code=ErrorCode.OVERLOADED, reason=f"{ahead} requests wait for a link to {self.backend.name}"
+            )
         has_links = self.idle or self.borrowed or self.dialing
         if self.dial_failures and not has_links and now_us < self.next_dial_us:
             return CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} does not answer")
@@ -98,21 +106,23 @@
                 return Ok(link)
         except TimeoutError:
             return Error(
-                CinderstairError(code=ErrorCode.OVERLOADED, reason=f"no link to {self.backend.name} in time")
+                CinderstairError(
+                    code=ErrorCode.OVERLOADED, reason=f"no link to {self.backend.name} became free in time"
+                )
             )
         except ConnectionError:
             return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{self.backend.name} does not answer"))
         finally:
-            # A link that was handed over at the very moment of the timeout must not be lost to the others.
+            # A link may be set as the result in the same loop iteration as the timeout; it goes back to the pool.
             if not future.done():
                 future.cancel()
             elif not received and not future.cancelled() and future.exception() is None:
                 self.release(link=future.result())
 
     def release(self, *, link: Link, keep: bool = True) -> None:
-        """Gives a link back. One that is lost, or has unanswered statements, is closed.
+        """Returns a link to the pool. It is closed if it is lost, has unanswered statements or exceeds the limit.
 
-        :param keep: False closes the link in any case.
+        :param keep: False always closes the link.
         """
         borrowed = self.borrowed.pop(id(link), None)
         if borrowed is None:
@@ -133,32 +143,32 @@
         self._offer(link=link)
 
     def release_answered(self, *, link: Link, answer: asyncio.Future[Reply]) -> None:
-        """Gives a link back once a statement that its client has given up is answered, or after LATE_ANSWER_US."""
+        """Returns a link once its abandoned statement is answered; closes it after LATE_ANSWER_US without a reply."""
         self.ctx.spawn(work=self._release_answered(link=link, answer=answer), name="link.owed")
 
     async def _release_answered(self, *, link: Link, answer: asyncio.Future[Reply]) -> None:
         done, _ = await asyncio.wait([answer], timeout=LATE_ANSWER_US / 1_000_000)
-        # The exception is retrieved so that asyncio does not report a lost link as an unhandled error.
+        # Retrieves the exception, since asyncio logs futures whose exception is never retrieved.
         if done and not answer.cancelled() and answer.exception() is None:
             self.record_answer()
         self.release(link=link, keep=bool(done))
 
     def set_limit(self, *, limit: int) -> None:
-        """Sets how many links this proxy may have. Idle links beyond that are closed at once."""
+        """Sets how many links this proxy may have. Excess idle links are closed at once, borrowed ones on release."""
         self.limit = limit
         while self.idle and self.connected > limit:
             self.idle.pop(0).close()
         if not limit:
-            # Those that wait here would wait in vain, and may be served elsewhere.
+            # No link will become available here; the callers may retry by forwarding.
             self._fail_waiting()
 
     def close(self) -> None:
-        """Sends nothing new to this backend; what is borrowed may end."""
+        """Fails queued requests, closes idle links and lends none from now on; borrowed links may finish."""
         self.closed = True
         self._fail_waiting()
         self._close_idle()
 
     def reopen(self, *, backend: Announcement) -> None:
-        """Serves a backend again that was shut."""
+        """Lends links again after `close`."""
         self.backend = backend
         self.closed = False
--- a/src/cinderstair/pooler/link_pool_base.py
+++ b/src/cinderstair/pooler/link_pool_base.py
@@ -1,4 +1,4 @@
-"""The links of a pool: those that are idle, those that are borrowed, and the queue of those that wait for one."""
+"""The state of a link pool: idle links, borrowed links, and the queue of requests for a link."""
 
 import asyncio
 import heapq
@@ -10,24 +10,24 @@
 from .forwarder import Forwarder, PeerProxy
 from .link import Dialer, Link
 
-# A backend that refused a link for want of capacity within this time counts as scarce.
+# For how long after a backend refused a link at its connection limit its links count as scarce.
 SCARCE_FOR_US = 3_000_000
-# How long an unused link is kept on demand: keeping it spares a new one, but where links are scarce others want it.
+# Idle timeouts of links on demand. A kept link saves a dial, but a scarce one is closed sooner for other proxies.
 SCARCE_IDLE_US = 200_000
 PLENTIFUL_IDLE_US = 400_000
-# The first estimate of how long a link is borrowed.
+# The initial estimate of how long a link is borrowed.
 INITIAL_USE_US = 20_000
 
 
 class BorrowedLink(NamedTuple):
-    """A link in use, and since when."""
+    """A link in use, and when it was borrowed."""
 
     link: Link
     since_us: int
 
 
 class Waiter(NamedTuple):
-    """A request for a link. Lower ranks are served first, and equal ranks in the order of their numbers."""
+    """A queued request for a link. Lower ranks are served first, equal ranks in the order of `number`."""
 
     rank: int
     number: int
@@ -35,23 +35,27 @@
 
     @property
     def pending(self) -> bool:
-        """Whether it still waits."""
+        """Whether it has neither received a link nor failed."""
         return not self.future.done()
 
 
 class LinkPoolBase:
-    """Owns the links to one backend. A link is one lasting connection of this proxy to the backend.
-
-    `limit`: how many links this proxy may have. `on_demand`: links are closed soon after their use.
-    `borrowed` is keyed by the identity of the link; `forwarded` names those that forward to another proxy.
-    `forwarder` is None where no other proxy may be asked to send in this one's stead.
+    """Owns this proxy's links to one backend.
+
+    `limit`: how many links this proxy may have open. `on_demand`: idle links are closed after a short timeout.
+    `closed`: no link is lent. `borrowed` is keyed by `id(link)`; `forwarded`: the ids of borrowed links that forward
+    to another proxy and don't count towards the limit. `waiting`: a heap of requests. `requests`: how many links were
+    requested so far. `mean_use_us`: the moving average of how long a link is borrowed. `last_full_us`: when the
+    backend last refused a link at its connection limit. `suspected`: a failure was reported and no reply has come
+    since. `silent`: the backend leaves statements unanswered. `forwarder`, `peer_proxies`: how and through which
+    proxies statements are forwarded where `limit` is 0; None and empty where links are not allocated to proxies.
     """
 
     def __init__(
         self, *, ctx: Context, backend: Announcement, dialer: Dialer, on_link_failure: Callable[[], None]
     ) -> None:
         """
-        :param on_link_failure: called when the backend begins to look dead.
+        :param on_link_failure: called when the backend becomes suspected.
         """
         self.ctx = ctx
         self.backend = backend
@@ -78,32 +82,32 @@
 
     @property
     def connected(self) -> int:
-        """How many links of this proxy itself are open."""
+        """The number of open links, without those that forward."""
         return len(self.idle) + len(self.borrowed) - len(self.forwarded)
 
     @property
     def open(self) -> int:
-        """How many links of this proxy itself are open or being opened."""
+        """The number of links that are open or being dialed, without those that forward."""
         return self.connected + self.dialing
 
     @property
     def unreachable(self) -> bool:
-        """Whether the backend is silent, or can't even be dialled."""
+        """Whether the backend is silent, or dials fail and no link is left."""
         return self.silent or bool(self.dial_failures and not self.idle and not self.borrowed)
 
     @property
     def load(self) -> int:
-        """How many use a link or wait for one."""
+        """The number of borrowed links and queued requests."""
         return len(self.borrowed) + len(self.waiting)
 
-    # -- handing out --
+    # -- lending --
 
     def _borrow(self, *, link: Link) -> Link:
         self.borrowed[id(link)] = BorrowedLink(link, self.ctx.now_us())
         return link
 
     def _offer(self, *, link: Link) -> None:
-        """Gives a link to the first that waits, or else keeps it idle."""
+        """Lends a link to the first queued request, or keeps it idle if there is none."""
         while self.waiting:
             waiter = heapq.heappop(self.waiting)
             if waiter.pending:
@@ -113,7 +117,7 @@
         self._close_when_unused(link=link)
 
     def _fail_waiting(self) -> None:
-        """Tells all that wait that the backend can't be reached from here."""
+        """Fails all queued requests with ConnectionError."""
         waiting, self.waiting = self.waiting, []
         for waiter in waiting:
             if waiter.pending:
@@ -127,7 +131,7 @@
     # -- links on demand --
 
     def set_on_demand(self, *, on_demand: bool) -> None:
-        """Sets whether links are kept only while they are used; idle ones are then closed soon."""
+        """Sets whether idle links are closed after a short timeout."""
         if on_demand == self.on_demand:
             return
         self.on_demand = on_demand
@@ -141,7 +145,7 @@
             asyncio.get_running_loop().call_later(idle_us / 1_000_000, self._close_unused, link, self.requests)
 
     def _close_unused(self, link: Link, requests: int) -> None:
-        """Closes an idle link for other proxies to use, unless a link was asked for since."""
+        """Closes a link that is still idle, unless the pool received a request meanwhile."""
         if self.on_demand and requests == self.requests and any(each is link for each in self.idle):
             self.idle = [each for each in self.idle if each is not link]
             self.ctx.counters.add(name="links.given_back")
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy daemon: one session a client connection, and links to the backends."""
+"""The proxy daemon: one session per client connection, and links to the backends."""
 
 from collections.abc import Callable
 
@@ -18,12 +18,15 @@
 from .session import Session
 
 TIMER_INTERVAL_US = 200_000
-# A proxy whose view is older than this should get no new clients.
+# A proxy whose view is older than this reports itself as not ready for new clients.
 READY_AGE_US = 5_000_000
 
 
 class Proxy:
-    """Wires the view, the router and the sessions together. Adapters bring the connections."""
+    """Owns the view, the router, the forwarding and the sessions of a daemon. Adapters accept the connections.
+
+    `records`: the address at which other proxies reach this one; empty: it neither forwards nor serves forwards.
+    """
 
     def __init__(
         self,
@@ -62,7 +65,7 @@
         self.reported_ready = False
 
     async def start(self) -> Result[None, CinderstairError]:
-        """Begins to listen to other proxies and to pull the view."""
+        """Starts the listener for other proxies, the updates of the view and the timer."""
         if self.records:
             await self.ctx.net.listen(address=self.records, handler=self.dispatcher.dispatch)
         self.ctx.spawn(work=self._follow_view(), name="view.keep")
@@ -74,7 +77,7 @@
         await self.view.keep()
 
     def _has_open_writes(self, databases: frozenset[str]) -> bool:
-        """Whether a transaction that may write is open at any of these databases."""
+        """Whether a transaction that may write is open here at any of these databases, forwarded ones included."""
         own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
         return own or self.forwards.has_open_writes(databases=databases)
 
@@ -82,13 +85,13 @@
     def ready(self) -> bool:
         """Whether new clients should connect to this proxy."""
         known = self.view.plan is not None and self.ctx.now_us() - self.view.as_of_us < READY_AGE_US
-        # Before any ids are assigned no proxy knows its part of any cap, and so it may open no link.
+        # Until ids are assigned, no proxy knows its share of a cap, so it may open no link.
         known = known and (not self.records or bool(self.view.proxy_ids.names))
-        # Where controllers answer but know nothing, no other proxy would serve any better.
+        # If controllers answer but have no newer view, other proxies have none either, so this one stays ready.
         return known and not self.draining and not self.view.alone_us
 
     def _on_timer(self) -> None:
-        """Maintains pools, forwarding and the address, and ends transactions whose clients are idle."""
+        """Runs the periodic work of all parts, logs a change of readiness and ends idle transactions."""
         self.router.on_timer()
         self.address_announcer.on_timer()
         self.forwarder.on_timer()
@@ -103,25 +106,25 @@
             session.end_idle_transaction(limit_us=plan.rest_limit_us)
 
     def open(self, *, database: str) -> Session:
-        """The session of a client that has connected."""
+        """Creates the session of a client connection."""
         session = Session(ctx=self.ctx, router=self.router, database=database)
         self.sessions.add(session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.sessions))
         return session
 
     def closed(self, *, session: Session) -> None:
-        """Ends the session of a client that has disconnected."""
+        """Ends the session of a closed client connection."""
         self.sessions.discard(session)
         self.ctx.counters.gauge(name="sessions.open", value=len(self.sessions))
         session.close()
 
     async def knows(self, *, database: str, until_us: int) -> bool:
-        """Whether the configuration in force names this database; waits for the first configuration."""
+        """Whether the configuration names this database; waits for the first configuration until `until_us`."""
         while self.view.plan is None and self.ctx.now_us() < until_us:
             await self.view.change(until_us=until_us)
         return self.view.plan is not None and database in self.view.plan.routes
 
     def stop(self) -> None:
-        """Sends nothing new to any backend."""
+        """Closes all pools; borrowed links may finish."""
         for pool in self.router.pools.values():
             pool.close()
--- a/src/cinderstair/pooler/reply.py
+++ b/src/cinderstair/pooler/reply.py
@@ -22,7 +22,8 @@
 class Reply:
     """The outcome of one statement.
 
-    `rows`: the backend's result, one entry a row. `stamp`: the commit stamp that the backend sent with it, if any.
+    `rows`: the backend's result, one entry a row. `stamp`: what the backend sent along with its
+    completion line, passed on to the client as it is.
     `fault` is None on success. `native` is the backend's own wording of an error.
     `not_run`: the backend declares that it did not run the statement, so it may be sent elsewhere.
     `retriable`: the statement ran and failed, and a read may succeed at another backend.
--- a/src/cinderstair/pooler/resend.py
+++ b/src/cinderstair/pooler/resend.py
@@ -1,4 +1,4 @@
-"""Decides whether a statement may be sent again after an attempt, and names the reason."""
+"""Decides whether a statement may be sent again after an attempt, and why."""
 
 from enum import Enum
 
@@ -7,7 +7,7 @@
 
 
 class Resend(Enum):
-    """How an attempt ended, as far as sending the statement again is concerned.
+    """The result of an attempt with regard to a retry; the value explains it.
 
     Only members whose `allowed` is True permit another attempt.
     """
@@ -18,7 +18,7 @@
     PRIMARY_CHANGED = "the primary changed before anything was sent"
     GIVE_UP = "nothing was sent, and another attempt would not succeed in time or only add load"
     FINAL = "the backend's answer is final"
-    OUTCOME_UNKNOWN = "the statement was sent, and nobody knows whether it took effect"
+    OUTCOME_UNKNOWN = "the statement was sent, and whether it took effect is unknown"
 
     @property
     def allowed(self) -> bool:
@@ -30,14 +30,14 @@
 
 
 def after_unsent(*, fault: CinderstairError) -> Resend:
-    """Decides after no link was available, or no backend began the transaction."""
+    """Decides after no link was available or no backend began the transaction."""
     return Resend.GIVE_UP if fault.code == ErrorCode.OVERLOADED else Resend.NOT_SENT
 
 
 def after_write(*, reply: Reply | None) -> Resend:
     """Decides after a write was sent.
 
-    :param reply: None where the link was lost or the time was up before an answer came.
+    :param reply: None where the link was lost or the deadline passed without a reply.
     """
     if reply is None:
         return Resend.OUTCOME_UNKNOWN
@@ -45,7 +45,7 @@
 
 
 def after_read(*, reply: Reply) -> Resend:
-    """Decides after a read was answered."""
+    """Decides after a reply to a read."""
     if reply.fault is None:
         return Resend.FINAL
     if reply.not_run:
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -1,4 +1,4 @@
-"""One proxy's part in a change of the shard map."""
+"""Applies shard maps at one proxy, and votes on changes."""
 
 from collections.abc import Callable
 
@@ -10,24 +10,24 @@
 from .in_flight_writes import InFlightWrites
 from .relayed_view import LEASE_US, RelayedView, ShardVote
 
-# Open transactions may go on for so long after their database began to move.
+# How long open transactions may continue after the map began to close for their database.
 DRAIN_US = 250_000
-# When a map that can't be applied here is expected to be applicable.
+# The retry time given to clients while the newest map can't be applied here.
 UNKNOWN_MAP_RETRY_US = 1_000_000
-# Once the view has lapsed, writes without an answer for so long are abandoned.
+# While the view is not current, writes unanswered for this long are abandoned.
 UNANSWERED_LIMIT_US = 250_000
 MIN_RETRY_US = 50_000
 
 
 class Shards:
-    """Applies the old map until the new one is in force and can be applied here; never both.
+    """Owns the shard map by which this proxy routes: the old one until the new one is in force and applicable here.
 
-    While the map closes, its moving databases take no writes and no reads that must see all commits; older reads go
-    on at the old service, as long as nothing that they must see can be at the new one.
+    While the map closes, its moving databases accept neither writes nor reads that must see all commits. Reads with
+    an older bound continue at the old service, as long as no commit that they must see can be at the new one.
 
     `applied`: the map by which this proxy routes. `changed_us`: when the register's map last changed.
-    `moved_us`: when each database was routed elsewhere. `old_as_of_us`: the last moment for which the view showed
-    that the applied map was the register's. All are moments by this proxy's clock.
+    `moved_us`: when each database was last routed to another service. `old_as_of_us`: the latest time for which the
+    view confirmed that the applied map is the register's. All times are by this proxy's clock.
     """
 
     def __init__(self, *, ctx: Context, view: RelayedView, has_open_writes: Callable[[frozenset[str]], bool]) -> None:
@@ -53,21 +53,21 @@
                 self.ctx.spawn(work=self._abandon_late(proposal=self.view.shards.proposal), name="shards.give_up")
 
     async def _abandon_late(self, *, proposal: int) -> None:
-        """Abandons writes that are unanswered when the map has been closing for long; a partition may hold them."""
+        """Abandons writes still unanswered GIVE_UP_US after the map began to close; a partition may delay them."""
         await self.ctx.sleep(duration_us=GIVE_UP_US)
         state = self.view.shards
         if state.proposal == proposal and state.phase == ShardPhase.closing:
             self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
 
     def update(self) -> None:
-        """Applies the register's map if that is possible here; once the view lapses, abandons unanswered writes."""
-        # A map may be closing without this proxy's knowledge, and what was sent in time must not arrive too late.
+        """Applies the register's map if possible; abandons unanswered writes while the view is not current."""
+        # A map may be closing without this proxy's knowledge, and a write sent before that must not take effect late.
         if self.ctx.now_us() >= self.view.as_of_us + LEASE_US:
             self.in_flight.abandon(databases=None, older_than_us=UNANSWERED_LIMIT_US)
         state = self.view.shards
         if state.current.version == self.applied.current.version:
             self.applied = state
-            # While the register had the old map, nothing can have been written at a new service.
+            # While the register had this map, no write can have been made at another service.
             self.old_as_of_us = self.view.as_of_us
             return
         if not self._applicable(state=state):
@@ -77,10 +77,10 @@
             if state.current.placements.get(database) != self.applied.current.placements.get(database):
                 self.moved_us[database] = now_us
         self.applied = state
-        self.ctx.log.info("shard map %d taken over", state.current.version)
+        self.ctx.log.info("shard map %d applied", state.current.version)
 
     def _applicable(self, *, state: ShardState) -> bool:
-        """Whether this proxy knows every service of a map and its primary."""
+        """Whether every database and service of the map is known here, with a settled primary."""
         shard_map = state.following if state.phase != ShardPhase.steady else state.current
         plan = self.view.plan
         if plan is None:
@@ -93,7 +93,7 @@
         return True
 
     def vote(self) -> ShardVote:
-        """What this proxy tells its controller of the map that is to follow."""
+        """This proxy's vote on the present proposal, which its controller passes on."""
         state = self.view.shards
         if state.phase == ShardPhase.steady:
             return ShardVote(0, Vote.silent)
@@ -102,7 +102,7 @@
         return ShardVote(state.proposal, Vote.silent if self._busy() else Vote.closed)
 
     def _busy(self) -> bool:
-        """Whether anything may still take effect at the moving databases' old services."""
+        """Whether a write or transaction may still take effect at a moving database's old service."""
         moving, within_us = self._moving(), self.view.shards.in_flight_us
         if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
             return True
@@ -114,7 +114,7 @@
         return frozenset(name for name in names if state.moving(database=name))
 
     def service_of(self, *, route: DatabaseRoute) -> str:
-        """The service to which a route's database belongs by the applied map."""
+        """The service that has a route's database by the applied map."""
         return self.applied.current.service_of(database=route.database, planned=route.service)
 
     def _behind(self, *, database: str) -> bool:
@@ -123,41 +123,43 @@
         return current.placements.get(database) != self.applied.current.placements.get(database)
 
     def fault(self, *, database: str) -> CinderstairError | None:
-        """Why the database takes no writes and no full reads now; None where it does.
+        """The error for writes, and for reads that must see all commits, while the database moves; None otherwise.
 
-        Its detail `left_us` says when to ask again.
+        The detail `left_us` is the time after which to retry, in microseconds.
         """
         if self._behind(database=database):
             return CinderstairError(
                 code=ErrorCode.MOVING,
-                reason="its place has moved, and is not known here",
+                reason=f"{database} has moved to a service that this proxy does not know yet",
                 details={"left_us": UNKNOWN_MAP_RETRY_US},
             )
         state = self.view.shards
         if state.phase == ShardPhase.closing and state.moving(database=database):
             left_us = max(MIN_RETRY_US, self.changed_us + state.ready_in_us - self.ctx.now_us())
-            return CinderstairError(code=ErrorCode.MOVING, reason="its place moves", details={"left_us": left_us})
+            return CinderstairError(
+                code=ErrorCode.MOVING, reason=f"{database} is moving to another service", details={"left_us": left_us}
+            )
         return None
 
     def may_end(self, *, database: str, since_us: int) -> bool:
-        """Whether a transaction that began at `since_us` may still go on and commit where it began."""
+        """Whether a transaction that began at `since_us` may continue and commit at the service where it began."""
         state = self.view.shards
         if self._behind(database=database) or self.moved_us.get(database, since_us) > since_us:
             return False
         if state.phase == ShardPhase.steady:
-            # A proxy without news may have missed a proposal, which stands for UNNOTIFIED_GRACE_US before anything
-            # closes.
+            # A proxy without updates may have missed a proposal, but a map begins to close UNNOTIFIED_GRACE_US later
+            # at the earliest.
             return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNNOTIFIED_GRACE_US
-        # During a change, a proxy without news may have missed that the map closes.
+        # During a change, a proxy whose view is not current may have missed that the map closes.
         closing = state.phase == ShardPhase.closing and state.moving(database=database)
         return self.view.current and not (closing and self.ctx.now_us() - self.changed_us >= DRAIN_US)
 
     def read_since_us(self, *, database: str, since_us: int) -> int | None:
-        """The earliest moment of a sample that serves a read of what was committed before `since_us`.
+        """The earliest time of a position sample that can serve a read of all commits before `since_us`.
 
-        A sample from before a move says nothing of what was copied to the new service.
+        A sample from before a move does not cover the commits that were copied to the new service.
 
-        :returns: None where the read can't be served here.
+        :returns: None where the read can't be served by the applied map.
         """
         if self._behind(database=database) and since_us > self.old_as_of_us:
             return None
--- a/src/cinderstair/pooler/statement.py
+++ b/src/cinderstair/pooler/statement.py
@@ -1,4 +1,4 @@
-"""One statement of a session, in the form that the proxy works with."""
+"""A client's statement as parsed by an adapter."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -6,7 +6,7 @@
 
 
 class Verb(IntEnum):
-    """What a statement does. The numbers go over the wire between proxies.
+    """What a statement does. The numbers are part of the protocol between proxies.
 
     `begin_read` begins a read-only transaction; `execute` runs a prepared statement; `set_value` sets a session
     value; `prepare` and `forget` add and remove a prepared statement.
@@ -25,7 +25,7 @@
 
 
 class PreparedStatement(NamedTuple):
-    """A statement with its parameters left open. `writes`: running it changes data."""
+    """A prepared statement. `shape`: its text with open parameters. `writes`: running it changes data."""
 
     shape: bytes
     writes: bool
@@ -33,10 +33,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Statement:
-    """`text` is what a backend gets, unchanged. `name` is a value's or a prepared statement's.
+    """A parsed statement.
 
-    `content` is a value, the shape that is prepared, or what follows the name of one that is executed.
-    `writes` tells whether a shape that is prepared changes data.
+    `ident`: the client's identifier of the statement. `text` is sent to a backend unchanged. `name`: of the session
+    value or the prepared statement. `content`: the session value, the shape to prepare, or the arguments of an
+    execution. `writes`: whether the shape to prepare changes data.
     """
 
     ident: bytes
