--- a/features/steps/client_connection_steps.py
+++ b/features/steps/client_connection_steps.py
@@ -44,7 +44,7 @@
         self.ended: list[State] = []
         self.work_us = 2_000
 
-    async def knows(self, *, database: str, until_us: int) -> bool:
+    async def has_database(self, *, database: str, until_us: int) -> bool:
         while self.view.plan is None and self.ctx.now_us() < until_us:
             await self.ctx.sleep(duration_us=50_000)
         return self.view.plan is not None and database in self.databases
--- a/src/cinderstair/pooler/forward_server.py
+++ b/src/cinderstair/pooler/forward_server.py
@@ -61,7 +61,7 @@
         """Refuses new statements and transactions; open transactions may continue."""
         self.stopping = True
 
-    def end(self) -> None:
+    def roll_back_idle(self) -> None:
         """Rolls back every transaction that has no statement running."""
         for key, transaction in list(self.transactions.items()):
             if not transaction.busy:
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -76,7 +76,7 @@
             statement=replace(statement, writes=writes),
             shape=shape,
         )
-        return self._ask(request=request)
+        return self._send_request(request=request)
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         """See `Link`."""
@@ -84,28 +84,28 @@
         self.base = replace(self.base, read_only=read_only)
         self.forwarder.transactions[self.base.connection] = self
         request = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
-        return self._ask(request=request)
+        return self._send_request(request=request)
 
     def rollback(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(request=replace(self.base, step=ForwardStep.rollback))
+        return self._send_request(request=replace(self.base, step=ForwardStep.rollback))
 
     def ask_position(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(request=replace(self.base, step=ForwardStep.position))
+        return self._send_request(request=replace(self.base, step=ForwardStep.position))
 
-    def _ask(self, *, request: ForwardRequest) -> asyncio.Future[Reply]:
+    def _send_request(self, *, request: ForwardRequest) -> asyncio.Future[Reply]:
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         if not self.open:
             future.set_exception(ConnectionResetError("the link is lost"))
             return future
         ctx = self.forwarder.ctx
         self.sent_us[future] = ctx.now_us()
-        ctx.spawn(work=self._answer(request=request, future=future), name="forward")
+        ctx.spawn(work=self._await_response(request=request, future=future), name="forward")
         return future
 
-    async def _answer(self, *, request: ForwardRequest, future: asyncio.Future[Reply]) -> None:
-        result = await self.forwarder.ask(address=self.address, request=request, limit_us=self.limit_us)
+    async def _await_response(self, *, request: ForwardRequest, future: asyncio.Future[Reply]) -> None:
+        result = await self.forwarder.request(address=self.address, request=request, limit_us=self.limit_us)
         self.sent_us.pop(future, None)
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
@@ -144,7 +144,7 @@
             request = replace(self.base, step=ForwardStep.close)
             ctx = self.forwarder.ctx
             ctx.spawn(
-                work=self.forwarder.ask(address=self.address, request=request, limit_us=self.limit_us),
+                work=self.forwarder.request(address=self.address, request=request, limit_us=self.limit_us),
                 name="forward.close",
             )
         self.open = False
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -26,7 +26,7 @@
 KEEP_ALIVE_INTERVAL_US = 700_000
 KEEP_ALIVE_WAIT_US = 500_000
 # How long a response sent just before the deadline may travel.
-ANSWER_TRAVEL_US = 20_000
+RESPONSE_TRAVEL_US = 20_000
 
 
 class PeerProxy(NamedTuple):
@@ -130,9 +130,9 @@
         """Reads the other proxy's clock and incarnation."""
         wait_us = min(HANDSHAKE_WAIT_US, until_us - self.ctx.now_us())
         request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.hello)
-        await self._ask(address=address, request=request, wait_us=max(1, wait_us))
+        await self._exchange(address=address, request=request, wait_us=max(1, wait_us))
 
-    async def ask(
+    async def request(
         self, *, address: str, request: ForwardRequest, limit_us: int
     ) -> Result[ForwardResponse, CinderstairError]:
         """Sends a request and waits for its response.
@@ -147,9 +147,9 @@
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(request, incarnation=peer.incarnation, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
-        return await self._ask(address=address, request=stamped, wait_us=limit_us + ANSWER_TRAVEL_US)
+        return await self._exchange(address=address, request=stamped, wait_us=limit_us + RESPONSE_TRAVEL_US)
 
-    async def _ask(
+    async def _exchange(
         self, *, address: str, request: ForwardRequest, wait_us: int
     ) -> Result[ForwardResponse, CinderstairError]:
         peer, requested_us = self.peer(address=address), self.ctx.now_us()
@@ -167,7 +167,7 @@
             self.record_failure(address=address)
             return Error(result.error)
         try:
-            answer = read_forward_response(data=result.ok)
+            response = read_forward_response(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
             return Error(
@@ -175,19 +175,19 @@
                     code=ErrorCode.WIRE_UNSURE, reason=f"{address}: malformed response to a forwarded request"
                 )
             )
-        self._record_answer(peer=peer, answer=answer)
-        return Ok(answer)
+        self._record_response(peer=peer, response=response)
+        return Ok(response)
 
-    def _record_answer(self, *, peer: PeerState, answer: ForwardResponse) -> None:
+    def _record_response(self, *, peer: PeerState, response: ForwardResponse) -> None:
         now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.unanswered else 0
-        # Its clock showed `answer.now_us` before the response arrived, so this is a lower bound.
-        ahead_us = answer.now_us - now_us
+        # Its clock showed `response.now_us` before the response arrived, so this is a lower bound.
+        ahead_us = response.now_us - now_us
         outdated = now_us - peer.clock_read_us > CLOCK_VALID_US // 2
-        if answer.incarnation != peer.incarnation or outdated or ahead_us > peer.ahead_us:
-            peer.incarnation, peer.ahead_us, peer.clock_read_us = answer.incarnation, ahead_us, now_us
+        if response.incarnation != peer.incarnation or outdated or ahead_us > peer.ahead_us:
+            peer.incarnation, peer.ahead_us, peer.clock_read_us = response.incarnation, ahead_us, now_us
         peer.failures, peer.avoid_until_us = 0, 0
-        if answer.reply.fault == ErrorCode.DRAINING:
+        if response.reply.fault == ErrorCode.DRAINING:
             peer.draining_until_us = now_us + DRAINING_AVOID_US
 
     def record_failure(self, *, address: str) -> None:
@@ -217,7 +217,7 @@
 
     async def _keep_alive(self, *, address: str, numbers: tuple[int, ...]) -> None:
         request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.keep, connections=numbers)
-        result = await self.ask(address=address, request=request, limit_us=KEEP_ALIVE_WAIT_US)
+        result = await self.request(address=address, request=request, limit_us=KEEP_ALIVE_WAIT_US)
         if result.is_error():
             return
         for number in result.ok.unknown:
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -58,7 +58,7 @@
         self.records = records
         self.forwarder = Forwarder(ctx=ctx)
         self.dispatcher = Dispatcher(ctx=ctx)
-        self.forwards = ForwardServer(ctx=ctx, router=self.router, dispatcher=self.dispatcher)
+        self.forward_server = ForwardServer(ctx=ctx, router=self.router, dispatcher=self.dispatcher)
         if records:
             self.router.forwarder = self.router.detours.forwarder = self.forwarder
         self.draining = False
@@ -79,7 +79,7 @@
     def _has_open_writes(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write is open here at any of these databases, forwarded ones included."""
         own = any(session.has_open_write_transaction for session in self.sessions if session.database in databases)
-        return own or self.forwards.has_open_writes(databases=databases)
+        return own or self.forward_server.has_open_writes(databases=databases)
 
     @property
     def ready(self) -> bool:
@@ -95,7 +95,7 @@
         self.router.on_timer()
         self.address_announcer.on_timer()
         self.forwarder.on_timer()
-        self.forwards.on_timer()
+        self.forward_server.on_timer()
         if self.ready != self.reported_ready:
             self.reported_ready = self.ready
             self.ctx.log.info("ready" if self.ready else "not ready")
@@ -118,7 +118,7 @@
         self.ctx.counters.gauge(name="sessions.open", value=len(self.sessions))
         session.close()
 
-    async def knows(self, *, database: str, until_us: int) -> bool:
+    async def has_database(self, *, database: str, until_us: int) -> bool:
         """Whether the configuration names this database; waits for the first configuration until `until_us`."""
         while self.view.plan is None and self.ctx.now_us() < until_us:
             await self.view.change(until_us=until_us)
