--- a/features/pooler/detours.feature
+++ b/features/pooler/detours.feature
@@ -1,53 +1,53 @@
-Feature: Ways round to a primary that can't be reached from here
+Feature: Detours through other proxies to a primary that can't be reached directly
 
   Background:
-    Given a primary "a", and other proxies "near" and "far" that may have links to it
+    Given a primary "a" and other proxies "near" and "far" that may have links to it
 
-  Scenario: Nothing is sought while the primary is reached
-    When 2000 ms pass, with a look each 100 ms
-    Then no way was tried, and there is none
+  Scenario: No detour is searched for while the primary is reachable
+    When detours are maintained every 100 ms for 2000 ms
+    Then no probe was sent and there is no detour
 
-  Scenario: A way counts once the primary's own position has come by it, and while it goes on coming
+  Scenario: A detour is used once the primary's position was read through it, and as long as it can be read again
     When "a" is silent
-    And 300 ms pass, with a look each 100 ms
-    Then "a" is reached by way of "near"
-    And 5000 ms later "a" is reached by way of "near"
+    And detours are maintained every 100 ms for 300 ms
+    Then there is a detour to "a" through "near"
+    And for 5000 ms there is a detour to "a" through "near"
 
-  Scenario: A way that is lost is no way any more, and another is found
+  Scenario: A detour whose proxy loses the primary is replaced by another
     When "a" is silent
-    And 300 ms pass, with a look each 100 ms
-    And "near" does not reach it either
-    And 1500 ms pass, with a look each 100 ms
-    Then "a" is reached by way of "far"
-
-  Scenario: Nobody reaches it, and so nothing is sent to anybody
-    When "near" does not reach it either
-    And "far" does not reach it either
+    And detours are maintained every 100 ms for 300 ms
+    And "near" can't reach "a" either
+    And detours are maintained every 100 ms for 1500 ms
+    Then there is a detour to "a" through "far"
+
+  Scenario: Without a proxy that reaches the primary there is no detour, until one reaches it again
+    When "near" can't reach "a" either
+    And "far" can't reach "a" either
     And "a" is silent
-    And 4000 ms pass, with a look each 100 ms
-    Then there is no way, and at most 13 were tried
-    When "far" reaches it again
-    And 2500 ms pass, with a look each 100 ms
-    Then "a" is reached by way of "far"
+    And detours are maintained every 100 ms for 4000 ms
+    Then there is no detour, and at most 13 probes were sent
+    When "far" can reach "a" again
+    And detours are maintained every 100 ms for 2500 ms
+    Then there is a detour to "a" through "far"
 
-  Scenario: An answer that comes late proves nothing for longer than from its asking
+  Scenario: A late reply confirms a detour from the time of the request, not of the reply
     When "near" answers after 400 ms
-    And "far" does not reach it either
+    And "far" can't reach "a" either
     And "a" is silent
-    And 900 ms pass, with a look each 100 ms
-    Then "a" is reached by way of "near"
-    When "near" does not reach it either
-    And 1000 ms pass, with a look each 100 ms
-    Then there is no way, and at most 8 were tried
+    And detours are maintained every 100 ms for 900 ms
+    Then there is a detour to "a" through "near"
+    When "near" can't reach "a" either
+    And detours are maintained every 100 ms for 1000 ms
+    Then there is no detour, and at most 8 probes were sent
 
-  Scenario: A primary that can't be dialled is one that can't be reached
+  Scenario: A primary that can't be dialled counts as unreachable
     When "a" can't be dialled
-    And 300 ms pass, with a look each 100 ms
-    Then "a" is reached by way of "near"
+    And detours are maintained every 100 ms for 300 ms
+    Then there is a detour to "a" through "near"
 
-  Scenario: Once the primary is reached from here there is no way round
+  Scenario: A detour is dropped once the primary is reachable again
     When "a" is silent
-    And 300 ms pass, with a look each 100 ms
+    And detours are maintained every 100 ms for 300 ms
     And "a" answers again
-    And 300 ms pass, with a look each 100 ms
-    Then there is no way, and at most 2 were tried
+    And detours are maintained every 100 ms for 300 ms
+    Then there is no detour, and at most 2 probes were sent
--- a/features/pooler/link_allocation.feature
+++ b/features/pooler/link_allocation.feature
@@ -1,59 +1,59 @@
-Feature: Which copy a proxy keeps a link to where links are fewer than proxies
-
-  Scenario Outline: Each proxy is dealt one copy, nearest first, and no copy gets more than there is room for
-    Given proxies in "<proxies>"
-    And copies in "<copies>", with room for <room> each
-    Then the copies are dealt "<dealt>"
-    And no proxy is dealt more than one copy, and no copy more than its room
-
-    Examples: zones of a region begin with its name
-      | proxies          | copies  | room | dealt         |
-      | n1 n1 n2 s1     | n1 s1   | 3    | 0 0 1 1       |
-      | n1 n1 n1 n1     | n1 s1   | 3    | 0 0 1 1       |
-      | w1 w1 w1 w1     | n1 s1   | 3    | 0 1 0 1       |
-      | n1 s1 w1 w1 w2  | n1 s1   | 4    | 0 1 0 1 0     |
-      | n2 n1 n2 s1     | n1 n2   | 4    | 1 0 1 0       |
-      | n1 n1 n1 n1 n1  | n1 s1   | 2    | 0 0 1 1 -     |
-      | n1 n1           | -       | 2    | - -           |
-      | ? n1 s1         | n1 s1   | 2    | 0 0 1         |
-
-  Scenario: A proxy that comes or goes changes little for the others
+Feature: Allocation of replicas and links to proxies where a backend takes fewer links than there are proxies
+
+  Scenario Outline: Each proxy is allocated one replica, nearest first, and no replica exceeds its cap
+    Given proxies in zones "<proxies>"
+    And replicas in zones "<replicas>" with a cap of <cap> proxies each
+    Then the proxies are allocated the replicas "<allocated>"
+    And each proxy has at most one replica, and each replica at most its cap of proxies
+
+    Examples: a zone begins with the name of its region
+      | proxies        | replicas | cap | allocated |
+      | n1 n1 n2 s1    | n1 s1    | 3   | 0 0 1 1   |
+      | n1 n1 n1 n1    | n1 s1    | 3   | 0 0 1 1   |
+      | w1 w1 w1 w1    | n1 s1    | 3   | 0 1 0 1   |
+      | n1 s1 w1 w1 w2 | n1 s1    | 4   | 0 1 0 1 0 |
+      | n2 n1 n2 s1    | n1 n2    | 4   | 1 0 1 0   |
+      | n1 n1 n1 n1 n1 | n1 s1    | 2   | 0 0 1 1 - |
+      | n1 n1          | -        | 2   | - -       |
+      | ? n1 s1        | n1 s1    | 2   | 0 0 1     |
+
+  Scenario: A change of the proxies changes the replicas of few others
     Given 80 proxies in 6 zones of 3 regions
-    And copies in "n1 s1", with room for 49 each
-    Then the copies are dealt to 40 and 40 proxies
-    And with any one proxy less at most 2 others are dealt another copy
+    And replicas in zones "n1 s1" with a cap of 49 proxies each
+    Then the replicas are allocated to 40 and 40 proxies
+    And removing any one proxy changes the replica of at most 2 others
 
-  Scenario Outline: Where links are fewer than proxies, those near a backend have their own, and elsewhere a few hold for all
+  Scenario Outline: With fewer links than proxies, those in the backend's region have their own, and elsewhere a few have several
     Given 80 proxies in 6 zones of 3 regions
-    And a backend "x" in "n1" that takes <room> links
-    Then all links dealt are <room>
-    And of the region "n" <home> proxies hold links, of "s" <far> and of "w" <third>
-    And in each zone somebody holds links
+    And a backend "x" in zone "n1" with a cap of <cap> links
+    Then the allocated links add up to <cap>
+    And <home> proxies have links in region "n", <far> in "s" and <third> in "w"
+    And each zone has a proxy with links
 
     Examples:
-      | room | home | far | third |
-      | 49   | 27   | 3   | 3     |
-      | 24   | 2    | 3   | 2     |
+      | cap | home | far | third |
+      | 49  | 27   | 3   | 3     |
+      | 24  | 2    | 3   | 2     |
 
-  Scenario: Two backends at one place are held by others far from it, and no proxy holds for much more than its part
+  Scenario: In a distant region, the links of different backends are spread over all proxies
     Given 80 proxies in 6 zones of 3 regions
-    And a backend "x" in "n1" that takes 49 links
-    Then over 30 backends at that place no proxy of "s" holds for more than 9 and none for nobody
+    And a backend "x" in zone "n1" with a cap of 49 links
+    Then over 30 backends in that zone each proxy of region "s" has from 1 to 9 links
 
-  Scenario: A proxy that comes or goes changes the links of few others
+  Scenario: A change of the proxies changes the links of few others
     Given 80 proxies in 6 zones of 3 regions
-    And a backend "x" in "n1" that takes 49 links
-    Then with any one proxy less at most 5 others hold another number of links
+    And a backend "x" in zone "n1" with a cap of 49 links
+    Then removing any one proxy changes the links of at most 5 others
 
-  Scenario Outline: Few proxies, few links
-    Given proxies in "<proxies>"
-    And a backend "x" in "n1" that takes <room> links
-    Then the links are dealt "<dealt>"
+  Scenario Outline: Few proxies and links
+    Given proxies in zones "<proxies>"
+    And a backend "x" in zone "n1" with a cap of <cap> links
+    Then the proxies are allocated the links "<allocated>"
 
     Examples:
-      | proxies            | room | dealt       |
-      | n1 s1             | 1    | 1 -         |
-      | n1 n2 s1          | 2    | 1 1 -       |
-      | n1 n1 n1          | 2    | 2 - -       |
-      | s1 s2             | 1    | 1 -         |
-      | n1 s1             | 0    | - -         |
+      | proxies  | cap | allocated |
+      | n1 s1    | 1   | 1 -       |
+      | n1 n2 s1 | 2   | 1 1 -     |
+      | n1 n1 n1 | 2   | 2 - -     |
+      | s1 s2    | 1   | 1 -       |
+      | n1 s1    | 0   | - -       |
--- a/features/steps/detour_steps.py
+++ b/features/steps/detour_steps.py
@@ -1,4 +1,4 @@
-"""Steps for ways round to a primary that can't be reached from here."""
+"""Steps for detours through other proxies to a primary that can't be reached directly."""
 
 import asyncio
 from typing import Any
@@ -18,8 +18,8 @@
 ANSWER_US = 5_000
 
 
-class WayLink:
-    """Answers a position as the other proxy would, which may not reach the backend itself."""
+class FakeDetourLink:
+    """Replies to a position request as another proxy does, with an error unless that proxy reaches the backend."""
 
     def __init__(self, *, peer_proxy: PeerProxy, reached: set[str], wait_us: int) -> None:
         self.peer_proxy = peer_proxy
@@ -40,17 +40,21 @@
 
 
 class FakeForwarder:
+    """Hands out links through the requested proxy and records the proxies that were probed."""
+
     def __init__(self) -> None:
         self.reached = {"near", "far"}
         self.wait_us = ANSWER_US
         self.tried: list[str] = []
 
-    async def link(self, *, peer_proxies: tuple[PeerProxy, ...], **_: Any) -> Result[WayLink, CinderstairError]:
+    async def link(
+        self, *, peer_proxies: tuple[PeerProxy, ...], **_: Any
+    ) -> Result[FakeDetourLink, CinderstairError]:
         self.tried.append(peer_proxies[0].name)
-        return Ok(WayLink(peer_proxy=peer_proxies[0], reached=self.reached, wait_us=self.wait_us))
+        return Ok(FakeDetourLink(peer_proxy=peer_proxies[0], reached=self.reached, wait_us=self.wait_us))
 
 
-@given('a primary "{name}", and other proxies "near" and "far" that may have links to it')
+@given('a primary "{name}" and other proxies "near" and "far" that may have links to it')
 def given_primary(context: Any, name: str) -> None:
     context.stage = Stage(context=context)
     peer_proxies = (PeerProxy(0, "near", "near:1"), PeerProxy(2, "far", "far:1"))
@@ -67,18 +71,18 @@
 
 
 async def no_dialer(**_: Any) -> Any:
-    raise AssertionError("a way round dials nothing")
+    raise AssertionError("a detour must not dial the backend")
 
 
-def pass_ms(*, context: Any, wait_ms: int) -> None:
+def maintain_for(*, context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // TIMER_MS):
         context.stage.call(call=lambda: context.detours.maintain(pool=context.pool, service="s"))
         context.stage.advance(for_us=TIMER_MS * 1_000)
 
 
-@when("{wait_ms:d} ms pass, with a look each 100 ms")
-def when_pass(context: Any, wait_ms: int) -> None:
-    pass_ms(context=context, wait_ms=wait_ms)
+@when("detours are maintained every 100 ms for {wait_ms:d} ms")
+def when_maintained(context: Any, wait_ms: int) -> None:
+    maintain_for(context=context, wait_ms=wait_ms)
 
 
 @when('"a" is silent')
@@ -96,12 +100,12 @@
     context.pool.record_answer()
 
 
-@when('"{name}" does not reach it either')
+@when('"{name}" can\'t reach "a" either')
 def when_not_reached(context: Any, name: str) -> None:
     context.forwarder.reached.discard(name)
 
 
-@when('"{name}" reaches it again')
+@when('"{name}" can reach "a" again')
 def when_reached(context: Any, name: str) -> None:
     context.forwarder.reached.add(name)
 
@@ -111,26 +115,29 @@
     context.forwarder.wait_us = wait_ms * 1_000
 
 
-@then('"a" is reached by way of "{name}"')
-def then_way(context: Any, name: str) -> None:
-    way = context.detours.detour(pool=context.pool)
-    assert way is not None and way.peer_proxies[0].name == name, (way and way.peer_proxies, context.forwarder.tried)
-    assert way is not context.pool and way.backend is context.pool.backend and not way.limit
+@then('there is a detour to "a" through "{name}"')
+def then_detour(context: Any, name: str) -> None:
+    detour_pool = context.detours.detour(pool=context.pool)
+    assert detour_pool is not None and detour_pool.peer_proxies[0].name == name, (
+        detour_pool and detour_pool.peer_proxies,
+        context.forwarder.tried,
+    )
+    assert detour_pool is not context.pool and detour_pool.backend is context.pool.backend and not detour_pool.limit
 
 
-@then('{wait_ms:d} ms later "a" is reached by way of "{name}"')
-def then_still(context: Any, wait_ms: int, name: str) -> None:
+@then('for {wait_ms:d} ms there is a detour to "a" through "{name}"')
+def then_detour_persists(context: Any, wait_ms: int, name: str) -> None:
     for _ in range(wait_ms // 500):
-        pass_ms(context=context, wait_ms=500)
-        then_way(context=context, name=name)
+        maintain_for(context=context, wait_ms=500)
+        then_detour(context=context, name=name)
 
 
-@then("no way was tried, and there is none")
-def then_untried(context: Any) -> None:
+@then("no probe was sent and there is no detour")
+def then_no_probe(context: Any) -> None:
     assert not context.forwarder.tried and context.detours.detour(pool=context.pool) is None
 
 
-@then("there is no way, and at most {most:d} were tried")
-def then_none(context: Any, most: int) -> None:
+@then("there is no detour, and at most {most:d} probes were sent")
+def then_no_detour(context: Any, most: int) -> None:
     assert context.detours.detour(pool=context.pool) is None
     assert 0 < len(context.forwarder.tried) <= most, context.forwarder.tried
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps for statements that one proxy passes on to another."""
+"""Steps for statements that one proxy forwards to another."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 SKEW_US = 77_000_000_000
 
 
-class OneDispatcherNet:
-    """Reaches the holder alone, unless it is gone. While it stands still, what comes lies before it."""
+class SingleServerNet:
+    """Delivers requests to the serving proxy, unless it is unreachable; requests wait while it is paused."""
 
     def __init__(self) -> None:
         self.dispatcher: Dispatcher | None = None
-        self.gone = False
-        self.goes = asyncio.Event()
-        self.goes.set()
+        self.unreachable = False
+        self.running = asyncio.Event()
+        self.running.set()
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         work = asyncio.create_task(self._arrive(body=body))
@@ -39,18 +39,18 @@
 
     async def _arrive(self, *, body: bytes) -> bytes:
         await asyncio.sleep(0.001)
-        await self.goes.wait()
+        await self.running.wait()
         assert self.dispatcher is not None
-        if self.gone:
-            raise ConnectionResetError("gone")
+        if self.unreachable:
+            raise ConnectionResetError("unreachable")
         answer = await self.dispatcher.dispatch(body)
-        if self.gone:
-            raise ConnectionResetError("gone")
+        if self.unreachable:
+            raise ConnectionResetError("unreachable")
         return answer
 
 
-class ShiftedStage:
-    """The stage as a machine sees it whose clock is another."""
+class SkewedClockStage:
+    """The stage with the clock of a machine whose time differs."""
 
     def __init__(self, *, stage: Stage, ctx: Context) -> None:
         self.stage = stage
@@ -74,36 +74,35 @@
     return router
 
 
-@given('a proxy that holds 2 links to "a", which leads, and another that holds none')
-def given_holder(context: Any) -> None:
+@given('a serving proxy with 2 links to primary "a", and a forwarding proxy without links')
+def given_proxies(context: Any) -> None:
     stage = context.stage = Stage(context=context)
     at = position(text="3.5")
     assert at is not None
     context.backends = {name: FakeBackend(name=name, at=at) for name in ("a", "b")}
-    context.holder_ctx = stage.context(name="holder", seed=2)
-    # why: no two machines' steady clocks agree
-    context.holder_ctx.clock = lambda: stage.now_us + SKEW_US
-    context.holder_reported = ReportedView(stage=ShiftedStage(stage=stage, ctx=context.holder_ctx))
-    context.other_reported = ReportedView(stage=stage)
-    context.net = stage.ctx.net = OneDispatcherNet()
-    context.router = new_router(context=context, ctx=stage.ctx, reported=context.other_reported)
-    context.holder = new_router(context=context, ctx=context.holder_ctx, reported=context.holder_reported)
-    context.reported = context.other_reported
+    context.server_ctx = stage.context(name="holder", seed=2)
+    # Monotonic clocks of two machines differ.
+    context.server_ctx.clock = lambda: stage.now_us + SKEW_US
+    context.server_reported = ReportedView(stage=SkewedClockStage(stage=stage, ctx=context.server_ctx))
+    context.client_reported = ReportedView(stage=stage)
+    context.net = stage.ctx.net = SingleServerNet()
+    context.router = new_router(context=context, ctx=stage.ctx, reported=context.client_reported)
+    context.server_router = new_router(context=context, ctx=context.server_ctx, reported=context.server_reported)
+    context.reported = context.client_reported
     context.replies = []
-    context.tends: list[Callable[[], None]] = []
 
     def begin() -> None:
-        context.net.dispatcher = Dispatcher(ctx=context.holder_ctx)
+        context.net.dispatcher = Dispatcher(ctx=context.server_ctx)
         context.forwards = ForwardServer(
-            ctx=context.holder_ctx, router=context.holder, dispatcher=context.net.dispatcher
+            ctx=context.server_ctx, router=context.server_router, dispatcher=context.net.dispatcher
         )
         context.forwarder = Forwarder(ctx=stage.ctx)
-        context.holder.pools["a"].set_limit(limit=2)
+        context.server_router.pools["a"].set_limit(limit=2)
         pool = context.router.pools["a"]
         pool.set_limit(limit=0)
         pool.forwarder, pool.peer_proxies = context.forwarder, (PeerProxy(0, "holder", "holder:1"),)
         context.session = Session(ctx=stage.ctx, router=context.router, database="db")
-        context.tending = [
+        context.timers = [
             stage.ctx.spawn(work=call_on_timer(call=context.forwarder.on_timer)),
             stage.ctx.spawn(work=call_on_timer(call=lambda: context.forwards.on_timer())),
         ]
@@ -122,16 +121,16 @@
     return f"{word} {'ITE'[reply.state]}"
 
 
-@when('the other\'s client asks "{text}"')
-def when_other_asks(context: Any, text: str) -> None:
+@when('the client of the forwarding proxy sends "{text}"')
+def when_client_sends(context: Any, text: str) -> None:
     for each in text.split(", "):
         reply = context.stage.run(work=context.session.run(statement=statement(text=each)))
         context.replies.append(state_line(context=context, reply=reply))
         context.stage.advance(for_us=10_000)
 
 
-@when('the other\'s client begins to ask "{text}"')
-def when_other_begins(context: Any, text: str) -> None:
+@when('the client of the forwarding proxy sends "{text}" without waiting')
+def when_client_starts(context: Any, text: str) -> None:
     async def ask() -> None:
         reply = await context.session.run(statement=statement(text=text))
         context.replies.append(state_line(context=context, reply=reply))
@@ -139,88 +138,88 @@
     context.stage.call(call=lambda: context.stage.ctx.spawn(work=ask(), name="client"))
 
 
-@then('the other\'s client was told "{words}"')
-def then_other_reported(context: Any, words: str) -> None:
+@then('the client of the forwarding proxy received "{words}"')
+def then_client_received(context: Any, words: str) -> None:
     found = ", ".join(context.replies) or "nothing"
     assert found == words, found
 
 
-@when("the other's client vanishes")
-def when_other_vanishes(context: Any) -> None:
+@when("the client of the forwarding proxy disconnects")
+def when_client_disconnects(context: Any) -> None:
     context.stage.call(call=context.session.close)
 
 
-@then('"{name}" has {count:d} open links, all of the holder')
+@then('"{name}" has {count:d} open links, all from the serving proxy')
 def then_open_links(context: Any, name: str, count: int) -> None:
     assert context.backends[name].open_links == count, context.backends[name].open_links
-    assert context.holder.pools[name].open == count and not context.router.pools[name].open
+    assert context.server_router.pools[name].open == count and not context.router.pools[name].open
 
 
-@then("the holder has no transaction of others, and every link is given back")
-def then_no_channels(context: Any) -> None:
+@then("the serving proxy has no forwarded transaction, and all links are released")
+def then_all_released(context: Any) -> None:
     assert not context.forwards.open, context.forwards.transactions
-    assert not any(pool.borrowed for pool in context.holder.pools.values())
+    assert not any(pool.borrowed for pool in context.server_router.pools.values())
     assert not any(pool.borrowed for pool in context.router.pools.values())
     assert not context.forwarder.transactions
 
 
-@when("the holder stops")
-def when_holder_stops(context: Any) -> None:
+@when("the serving proxy stops")
+def when_server_stops(context: Any) -> None:
     context.forwards.stop()
 
 
-@when("the holder has been out of touch for {wait_ms:d} ms")
-def when_holder_out(context: Any, wait_ms: int) -> None:
-    context.holder_reported.in_touch = False
+@when("the serving proxy has received no view for {wait_ms:d} ms")
+def when_server_stale(context: Any, wait_ms: int) -> None:
+    context.server_reported.in_touch = False
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@when('the holder has heard that "{name}" leads')
-def when_holder_hears(context: Any, name: str) -> None:
-    context.holder_reported.assign_primary(primary=name, term=4)
+@when('the serving proxy\'s view has primary "{name}"')
+def when_server_view(context: Any, name: str) -> None:
+    context.server_reported.assign_primary(primary=name, term=4)
 
 
-@when("the holder stands still")
-def when_holder_still(context: Any) -> None:
-    # why: whoever has never spoken with it could not know its clock
+@when("the serving proxy is paused")
+def when_server_paused(context: Any) -> None:
+    # The forwarding proxy must have made its handshake to send a request with a deadline.
     context.stage.run(work=context.session.run(statement=statement(text="FETCH 0")))
     context.backends["a"].log.clear()
-    context.net.goes.clear()
+    context.net.running.clear()
 
 
-@when("the holder goes on")
-def when_holder_goes(context: Any) -> None:
-    context.stage.call(call=context.net.goes.set)
+@when("the serving proxy is resumed")
+def when_server_resumed(context: Any) -> None:
+    context.stage.call(call=context.net.running.set)
 
 
-@when("the holder begins anew with a clock that is {seconds:d} s behind")
-def when_holder_anew(context: Any, seconds: int) -> None:
-    def anew() -> None:
-        context.holder_ctx.clock = lambda: context.stage.now_us + SKEW_US - seconds * 1_000_000
+@when("the serving proxy restarts with a clock that is {seconds:d} s behind")
+def when_server_restarts(context: Any, seconds: int) -> None:
+    def restart() -> None:
+        context.server_ctx.clock = lambda: context.stage.now_us + SKEW_US - seconds * 1_000_000
         context.forwards = ForwardServer(
-            ctx=context.holder_ctx, router=context.holder, dispatcher=context.net.dispatcher
+            ctx=context.server_ctx, router=context.server_router, dispatcher=context.net.dispatcher
         )
 
-    context.stage.call(call=anew)
+    context.stage.call(call=restart)
 
 
-@when("the holder can't be reached any more")
-def when_holder_gone(context: Any) -> None:
-    context.net.gone = True
+@when("the serving proxy becomes unreachable")
+def when_server_unreachable(context: Any) -> None:
+    context.net.unreachable = True
 
 
-@when("the other proxy ends")
-def when_other_ends(context: Any) -> None:
-    context.stage.call(call=lambda: context.tending[0].cancel())
+@when("the forwarding proxy crashes")
+def when_forwarder_crashes(context: Any) -> None:
+    context.stage.call(call=lambda: context.timers[0].cancel())
     context.forwarder.transactions.clear()
     context.router.pools["a"].borrowed.clear()
 
 
-@when("the holder may hold no links any more")
-def when_holder_none(context: Any) -> None:
-    context.stage.call(call=lambda: context.holder.pools["a"].set_limit(limit=0))
+@when("the serving proxy's link limit becomes 0")
+def when_server_limit(context: Any) -> None:
+    context.stage.call(call=lambda: context.server_router.pools["a"].set_limit(limit=0))
 
 
-@then('the holder is busy with "{database}": {word}')
-def then_holder_busy(context: Any, database: str, word: str) -> None:
+@then('the serving proxy has open writes to "{database}": {word}')
+def then_server_open_writes(context: Any, database: str, word: str) -> None:
     assert context.forwards.has_open_writes(databases=frozenset([database])) == (word == "yes")
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -9,7 +9,7 @@
 
 from behave import given, then
 from common import new_world, run
-from forward_steps import given_holder
+from forward_steps import given_proxies
 from frozen_data import check_same, check_same_list, load
 from stage import Stage
 
@@ -273,7 +273,7 @@
         requester="booth-1",
         step=ForwardStep.single,
         incarnation=context.forwards.incarnation,
-        until_us=context.holder_ctx.now_us() + 1_000_000,
+        until_us=context.server_ctx.now_us() + 1_000_000,
         backend="a",
         service="s",
         database="db",
@@ -283,8 +283,8 @@
 
 def forward_counters(*, context: Any) -> list[str]:
     """What a daemon counts that is asked to run statements for another one."""
-    given_holder(context)
-    ctx = context.holder_ctx
+    given_proxies(context)
+    ctx = context.server_ctx
     fetch = Statement(ident=b"id", verb=Verb.read, text=b"FETCH 1")
     for question in (
         ForwardRequest(requester="booth-1", step=ForwardStep.hello),
--- a/features/steps/link_pool_steps.py
+++ b/features/steps/link_pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the pool of links to a backend."""
+"""Steps for the link pool."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,16 @@
 from cinderstair.runtime.position import Position
 
 
-class Waiter:
-    """One that asked a pool for a link, and what became of it."""
+class LinkRequest:
+    """A request for a link from the pool, and its outcome."""
 
     def __init__(self, *, context: Any, rank: int = 0, wait_ms: int = 1_000, values: str = "") -> None:
         self.rank = rank
         stage, pool = context.stage, context.pool
-        held = {k.encode(): v.encode() for k, v in (each.split("=") for each in values.split())}
+        values_by_name = {k.encode(): v.encode() for k, v in (each.split("=") for each in values.split())}
 
         async def acquire() -> Any:
-            return await pool.acquire(values=held, rank=rank, until_us=stage.now_us + wait_ms * 1_000)
+            return await pool.acquire(values=values_by_name, rank=rank, until_us=stage.now_us + wait_ms * 1_000)
 
         self.task: asyncio.Task[Any] = stage.call(call=lambda: asyncio.create_task(acquire()))
         self.began_us = stage.now_us
@@ -48,93 +48,93 @@
 def given_pool(context: Any, limit: int) -> None:
     context.stage = Stage(context=context)
     context.backend = FakeBackend(name="b1", at=Position(3, 1))
-    context.problems = 0
+    context.suspicions = 0
 
-    def problem() -> None:
-        context.problems += 1
+    def count_suspicion() -> None:
+        context.suspicions += 1
 
     context.pool = LinkPool(
         ctx=context.stage.ctx,
         backend=announcement(name="b1"),
         dialer=FakeDialer(backends={"b1": context.backend}),
-        on_link_failure=problem,
+        on_link_failure=count_suspicion,
     )
     context.pool.limit = limit
-    context.waiters = []
+    context.requests = []
 
 
-@when("links are {word}")
-def when_lent(context: Any, word: str) -> None:
-    context.stage.call(call=lambda: context.pool.set_on_demand(on_demand=word == "lent"))
+@when("links are switched to {word}")
+def when_switched(context: Any, word: str) -> None:
+    context.stage.call(call=lambda: context.pool.set_on_demand(on_demand=word == "on demand"))
 
 
-@given("links that are lent")
-def given_lent(context: Any) -> None:
+@given("links that are opened on demand")
+def given_on_demand(context: Any) -> None:
     context.pool.on_demand = True
 
 
-@given("a backend that was full just now")
+@given("a backend that has just reached its connection limit")
 def given_full(context: Any) -> None:
     context.pool.last_full_us = context.pool.ctx.now_us()
 
 
-@given('its dials go "{words}"')
+@given('its dials end with "{words}"')
 def given_dials(context: Any, words: str) -> None:
     context.backend.dials.extend(words.split(", "))
 
 
-def ask(*, context: Any, **options: Any) -> Waiter:
-    waiter = Waiter(context=context, **options)
-    context.waiters.append(waiter)
-    return waiter
+def request_link(*, context: Any, **options: Any) -> LinkRequest:
+    request = LinkRequest(context=context, **options)
+    context.requests.append(request)
+    return request
 
 
-@when("{count:d} ask for a link")
+@when("{count:d} clients request a link")
 def when_ask(context: Any, count: int) -> None:
     for _ in range(count):
-        ask(context=context)
+        request_link(context=context)
     context.stage.advance(for_us=5_000)
 
 
-@when("{count:d} ask for a link for {wait_ms:d} ms")
+@when("{count:d} clients request a link within {wait_ms:d} ms")
 def when_ask_for(context: Any, count: int, wait_ms: int) -> None:
     for _ in range(count):
-        ask(context=context, wait_ms=wait_ms)
+        request_link(context=context, wait_ms=wait_ms)
 
 
-@when('one with values "{values}" asks for a link')
+@when('a client with values "{values}" requests a link')
 def when_ask_values(context: Any, values: str) -> None:
-    ask(context=context, values=values)
+    request_link(context=context, values=values)
     context.stage.advance(for_us=5_000)
 
 
-@when('waiters of rank "{ranks}" come')
+@when('requests of the ranks "{ranks}" arrive')
 def when_ranks(context: Any, ranks: str) -> None:
     for rank in ranks.split(", "):
-        ask(context=context, rank=int(rank))
+        request_link(context=context, rank=int(rank))
         context.stage.advance(for_us=1_000)
 
 
-def first_held(*, context: Any) -> Any:
-    return next(waiter.task.result().ok for waiter in context.waiters if waiter.outcome == "a link")
+def first_borrowed(*, context: Any) -> Any:
+    return next(request.task.result().ok for request in context.requests if request.outcome == "a link")
 
 
-@when("one link at a time is given back until all are served")
-def when_given_back(context: Any) -> None:
+@when("links are released one at a time until all requests are served")
+def when_released_one_by_one(context: Any) -> None:
     context.served = []
-    held = first_held(context=context)
-    waiting = [waiter for waiter in context.waiters if waiter.outcome == "waits"]
+    borrowed_link = first_borrowed(context=context)
+    waiting = [request for request in context.requests if request.outcome == "waits"]
     while waiting:
-        context.stage.call(call=lambda held=held: context.pool.release(link=held))
+        context.stage.call(call=lambda borrowed_link=borrowed_link: context.pool.release(link=borrowed_link))
         context.stage.advance(for_us=1_000)
-        served = [waiter for waiter in waiting if waiter.outcome == "a link"]
-        assert len(served) == 1, [waiter.outcome for waiter in waiting]
+        served = [request for request in waiting if request.outcome == "a link"]
+        assert len(served) == 1, [request.outcome for request in waiting]
         waiting.remove(served[0])
         context.served.append(served[0].rank)
-        held = served[0].task.result().ok
+        borrowed_link = served[0].task.result().ok
 
 
-@then('they were served in the order "{ranks}"')
+@then('the requests were served in the order "{ranks}"')
 def then_order(context: Any, ranks: str) -> None:
     assert ", ".join(map(str, context.served)) == ranks, context.served
 
@@ -144,17 +144,17 @@
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@then('those that asked have "{words}"')
+@then('the requests have the outcomes "{words}"')
 def then_have(context: Any, words: str) -> None:
-    outcomes = [waiter.outcome for waiter in context.waiters]
+    outcomes = [request.outcome for request in context.requests]
     counted = ", ".join(f"{outcomes.count(word)} {word}" for word in sorted(set(outcomes)))
     assert counted == words, counted
 
 
-@then("the last one was told within {most_ms:d} ms")
-def then_reported(context: Any, most_ms: int) -> None:
-    waiter = context.waiters[-1]
-    assert waiter.task.done() and waiter.ended_us - waiter.began_us <= most_ms * 1_000
+@then("the last request ended within {most_ms:d} ms")
+def then_last_ended(context: Any, most_ms: int) -> None:
+    request = context.requests[-1]
+    assert request.task.done() and request.ended_us - request.began_us <= most_ms * 1_000
 
 
 @then("{count:d} links are open and {dialled:d} were dialled")
@@ -165,53 +165,53 @@
     )
 
 
-@when("all links are given back")
-def when_all_back(context: Any) -> None:
-    for waiter in context.waiters:
-        if waiter.outcome == "a link":
-            context.stage.call(call=lambda waiter=waiter: context.pool.release(link=waiter.task.result().ok))
-    context.waiters.clear()
+@when("all links are released")
+def when_all_released(context: Any) -> None:
+    for request in context.requests:
+        if request.outcome == "a link":
+            context.stage.call(call=lambda request=request: context.pool.release(link=request.task.result().ok))
+    context.requests.clear()
     context.stage.advance(for_us=5_000)
 
 
-@when('the held links have the values "{values}"')
+@when('the borrowed links have the values "{values}"')
 def when_values(context: Any, values: str) -> None:
-    held = [waiter.task.result().ok for waiter in context.waiters]
-    for link, text in zip(held, values.split(", "), strict=True):
+    borrowed_link = [request.task.result().ok for request in context.requests]
+    for link, text in zip(borrowed_link, values.split(", "), strict=True):
         link.values = {} if text == "-" else {text.split("=")[0].encode(): text.split("=")[1].encode()}
 
 
-@then('the last one got the link with the values "{text}"')
+@then('the last request got the link with the values "{text}"')
 def then_values(context: Any, text: str) -> None:
-    link = context.waiters[-1].task.result().ok
+    link = context.requests[-1].task.result().ok
     found = " ".join(f"{k.decode()}={v.decode()}" for k, v in link.values.items()) or "-"
     assert found == text, found
 
 
-@when("the held link is given back at the very moment at which a waiter's time is up")
+@when("the borrowed link is released at the very moment of a queued request's deadline")
 def when_handed_over(context: Any) -> None:
     stage, pool = context.stage, context.pool
-    held = first_held(context=context)
+    borrowed_link = first_borrowed(context=context)
 
     async def race() -> Any:
         until_us = stage.now_us + 50_000
-        # why: at one moment of the clock, timers run in the order in which they were set
-        stage.loop.call_at(until_us / 1_000_000, lambda: pool.release(link=held))
+        # Timers that are due at the same time run in the order in which they were set.
+        stage.loop.call_at(until_us / 1_000_000, lambda: pool.release(link=borrowed_link))
         return await pool.acquire(values={}, rank=0, until_us=until_us)
 
     context.raced = stage.run(work=race())
     stage.advance(for_us=5_000)
 
 
-@when("the held link is given back and the waiter is cancelled before it runs again")
+@when("the borrowed link is released and the queued request is cancelled before it runs again")
 def when_cancelled(context: Any) -> None:
     stage, pool = context.stage, context.pool
-    held = first_held(context=context)
+    borrowed_link = first_borrowed(context=context)
 
     async def race() -> None:
         task = asyncio.create_task(pool.acquire(values={}, rank=0, until_us=stage.now_us + 500_000))
         await asyncio.sleep(0.01)
-        pool.release(link=held)
+        pool.release(link=borrowed_link)
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
@@ -220,33 +220,33 @@
     stage.advance(for_us=5_000)
 
 
-@then("either it got the link or another may have it")
+@then("either that request got the link or another can borrow it")
 def then_not_lost(context: Any) -> None:
     raced = getattr(context, "raced", None)
     if raced is not None and raced.is_ok():
         context.stage.call(call=lambda: context.pool.release(link=raced.ok))
-    other = ask(context=context, wait_ms=100)
+    other = request_link(context=context, wait_ms=100)
     context.stage.advance(for_us=200_000)
     assert other.outcome == "a link", (other.outcome, len(context.pool.borrowed), len(context.pool.idle))
 
 
-@when("a statement on the held link is given up, and answered after {wait_ms:d} ms")
-def when_given_up(context: Any, wait_ms: int) -> None:
-    held = first_held(context=context)
+@when("a statement on the borrowed link is abandoned, and answered after {wait_ms:d} ms")
+def when_abandoned(context: Any, wait_ms: int) -> None:
+    borrowed_link = first_borrowed(context=context)
     context.backend.script.append(f"slow {wait_ms}")
     stage = context.stage
-    future = stage.call(call=lambda: held.send(statement=statement(text="FETCH 1")))
-    stage.call(call=lambda: context.pool.release_answered(link=held, answer=future))
+    future = stage.call(call=lambda: borrowed_link.send(statement=statement(text="FETCH 1")))
+    stage.call(call=lambda: context.pool.release_answered(link=borrowed_link, answer=future))
 
 
-@then("the pool has {idle:d} idle and {taken:d} taken")
-def then_pool(context: Any, idle: int, taken: int) -> None:
+@then("the pool has {idle:d} idle and {borrowed:d} borrowed links")
+def then_pool(context: Any, idle: int, borrowed: int) -> None:
     pool = context.pool
-    assert (len(pool.idle), len(pool.borrowed)) == (idle, taken), (len(pool.idle), len(pool.borrowed))
+    assert (len(pool.idle), len(pool.borrowed)) == (idle, borrowed), (len(pool.idle), len(pool.borrowed))
 
 
-@when("the pool is shut")
-def when_shut(context: Any) -> None:
+@when("the pool is closed")
+def when_closed(context: Any) -> None:
     context.stage.call(call=context.pool.close)
     context.stage.advance(for_us=5_000)
 
@@ -256,40 +256,40 @@
     context.stage.call(call=lambda: context.pool.reopen(backend=announcement(name="b1")))
 
 
-@when("the pool may have no links any more")
-def when_no_links(context: Any) -> None:
+@when("the pool's limit is set to 0")
+def when_limit_zero(context: Any) -> None:
     context.stage.call(call=lambda: context.pool.set_limit(limit=0))
     context.stage.advance(for_us=1_000)
 
 
-@when("the pool may have {limit:d} links")
+@when("the pool's limit becomes {limit:d} links")
 def when_limit(context: Any, limit: int) -> None:
     context.pool.limit = limit
 
 
-@when("the held link is lost")
+@when("the borrowed link is lost")
 def when_link_lost(context: Any) -> None:
-    context.stage.call(call=first_held(context=context).lose)
-    context.stage.call(call=lambda: context.pool.release(link=first_held(context=context)))
+    context.stage.call(call=first_borrowed(context=context).lose)
+    context.stage.call(call=lambda: context.pool.release(link=first_borrowed(context=context)))
     context.stage.advance(for_us=5_000)
 
 
-@when("the held link rests for {rest_ms:d} ms, and then owes an answer for {owe_ms:d} ms")
-def when_owes(context: Any, rest_ms: int, owe_ms: int) -> None:
-    stage, held = context.stage, first_held(context=context)
-    stage.advance(for_us=rest_ms * 1_000)
+@when("the borrowed link is idle for {idle_ms:d} ms, and then a statement is unanswered for {unanswered_ms:d} ms")
+def when_unanswered(context: Any, idle_ms: int, unanswered_ms: int) -> None:
+    stage, borrowed_link = context.stage, first_borrowed(context=context)
+    stage.advance(for_us=idle_ms * 1_000)
     context.backend.script.append("silent")
-    stage.call(call=lambda: held.send(statement=statement(text="FETCH 1")))
-    stage.advance(for_us=owe_ms * 1_000)
+    stage.call(call=lambda: borrowed_link.send(statement=statement(text="FETCH 1")))
+    stage.advance(for_us=unanswered_ms * 1_000)
     stage.call(call=context.pool.check_silence)
 
 
-@when("another link of the backend is heard")
-def when_heard(context: Any) -> None:
+@when("another link of the backend receives a reply")
+def when_other_reply(context: Any) -> None:
     context.pool.record_answer()
     context.stage.call(call=context.pool.check_silence)
 
 
-@then("the backend was blamed {count:d} times")
-def then_blamed(context: Any, count: int) -> None:
-    assert context.problems == count, context.problems
+@then("the backend was suspected {count:d} times")
+def then_suspected(context: Any, count: int) -> None:
+    assert context.suspicions == count, context.suspicions
--- a/features/steps/proxy_common.py
+++ b/features/steps/proxy_common.py
@@ -1,4 +1,4 @@
-"""What several steps of the pooler share."""
+"""Constants that several steps of the pooler share."""
 
 from cinderstair.pooler.reply import State
 
