--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -50,7 +50,7 @@
 
 
 class SkewedClockStage:
-    """The stage with the clock of a machine whose time differs."""
+    """The stage as seen by a machine whose clock differs from the others' clocks."""
 
     def __init__(self, *, stage: Stage, ctx: Context) -> None:
         self.stage = stage
--- a/src/cinderstair/pooler/forward_checks.py
+++ b/src/cinderstair/pooler/forward_checks.py
@@ -42,6 +42,8 @@
     def may_send(self, *, request: ForwardRequest) -> Result[LinkPool, CinderstairError]:
         """The pool over which the request may be sent now. Checked on arrival, and again just before sending.
 
+        A request with a minimum log position may be sent to any backend, all others only to the primary.
+
         Errors: TIME_LEFT_SPENT after the request's deadline, DRAINING while this proxy stops, NO_BACKEND without
         links to the backend, MOVING where the database belongs or moves to another service, NO_LEAD where the backend
         is not the primary, and those of `Router.confirmed_primary`.
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -91,7 +91,7 @@
             else:
                 pool.forwarder, pool.peer_proxies = None, ()
                 self._set_limit(pool=pool, limit=0 if unassigned else max(1, share))
-            # With fewer links than proxies, each keeps links to one replica only, and uses the others on demand.
+            # With fewer links than proxies, each keeps a link open to one replica only, and opens others on demand.
             pool.set_on_demand(on_demand=scarce and not forwards and name != kept)
             self._follow_backend_state(name=name, is_primary=assignment is not None and assignment.primary == name)
 
@@ -209,7 +209,10 @@
         return max(self.drain_us // 2, self.drain_us - DRAIN_NOTICE_US)
 
     def _follow_backend_state(self, *, name: str, is_primary: bool) -> None:
-        """Closes a draining backend's pool, a primary's only after a promotion or the drain limit; reopens it."""
+        """Closes a draining backend's pool, a primary's only after a promotion or the drain limit.
+
+        The pool of a backend that is ready again is reopened.
+        """
         pool = self.pools[name]
         if pool.backend.state == READY:
             self.draining_since_us.pop(name, None)
