--- a/src/cinderstair/pooler/forward_record.py
+++ b/src/cinderstair/pooler/forward_record.py
@@ -1,4 +1,4 @@
-"""The messages between a proxy without links to a backend and one that has some."""
+"""The messages by which a proxy has a statement run over another proxy's link."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -14,10 +14,10 @@
 
 
 class ForwardStep(IntEnum):
-    """What a question is for. The numbers go over the wire.
+    """The kind of a request. The numbers are part of the protocol.
 
-    hello: the clock alone. single: one statement outside any transaction. begin, next, rollback, close: steps of a
-    transaction. position: the backend's log position. keep: keeps idle transactions alive.
+    hello: reads the clock and the incarnation. single: one statement outside a transaction. begin, next, rollback,
+    close: steps of a transaction. position: requests the backend's log position. keep: keeps idle transactions alive.
     """
 
     hello = 0
@@ -31,9 +31,9 @@
 
 
 class Outcome(IntEnum):
-    """What became of a question. The numbers go over the wire.
+    """The outcome of a request. The numbers are part of the protocol.
 
-    answered: the reply is the backend's. not_sent: nothing was sent to it. lost: unknown.
+    answered: the reply is the backend's. not_sent: nothing was sent to the backend. lost: unknown.
     """
 
     answered = 0
@@ -42,17 +42,19 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ForwardQuestion:
-    """`life` numbers the present run of the answering proxy; `until_us` is a moment by its clock.
-
-    From `until_us` on nothing of the question is sent to the backend. `connection` numbers the asker's transactions.
-    `values` are the session's; `shape` is the prepared statement that an execute runs. `rank`: lower ranks get links
-    first. `at_least` is the log position that the backend must have reached; None: the primary alone will do.
+class ForwardRequest:
+    """A request to another proxy.
+
+    `requester`: the name of the sending proxy. `incarnation`: that of the receiving proxy, as the requester knows it.
+    `until_us`: the deadline by the receiver's clock, after which nothing is sent to the backend. `connection`: the
+    requester's number of the transaction. `rank`: lower ranks get links first. `at_least`: the log position that the
+    backend must have reached; None: the backend must be the primary. `values`: the session's values. `shape`: the
+    prepared statement that an execute runs. `connections`: the transactions that a keep request names.
     """
 
-    asker: str
+    requester: str
     step: ForwardStep
-    life: int = 0
+    incarnation: int = 0
     until_us: int = 0
     connection: int = 0
     backend: str = ""
@@ -67,8 +69,14 @@
     connections: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
-        """The message as it goes over the wire."""
-        packer = Packer().text(value=self.asker).u8(value=self.step).u64(value=self.life).u64(value=self.until_us)
+        """The encoded message."""
+        packer = (
+            Packer()
+            .text(value=self.requester)
+            .u8(value=self.step)
+            .u64(value=self.incarnation)
+            .u64(value=self.until_us)
+        )
         packer.u64(value=self.connection).text(value=self.backend).text(value=self.service).text(value=self.database)
         packer.u32(value=self.rank).u8(value=int(self.read_only))
         _write_position(packer=packer, position=self.at_least)
@@ -81,27 +89,28 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ForwardAnswer:
-    """`now_us` is the answering proxy's clock at some moment between the question and the answer.
+class ForwardResponse:
+    """The response to a request.
 
-    `unknown` are the transactions of a keep question that are not open there any more.
+    `incarnation`: of the responding proxy. `now_us`: its clock at some time between the request's arrival and the
+    response. `unknown`: those transactions of a keep request that are not open.
     """
 
-    life: int
+    incarnation: int
     now_us: int
     outcome: Outcome
     reply: Reply
     unknown: tuple[int, ...] = ()
 
     def bytes(self) -> bytes:
-        """The message as it goes over the wire."""
-        packer = Packer().u64(value=self.life).u64(value=self.now_us).u8(value=self.outcome)
+        """The encoded message."""
+        packer = Packer().u64(value=self.incarnation).u64(value=self.now_us).u8(value=self.outcome)
         reply = self.reply
         packer.many(values=reply.rows, each=lambda p, row: p.blob(value=row)).blob(value=reply.stamp)
         packer.text(value="" if reply.fault is None else reply.fault.value).blob(value=reply.native)
         packer.u8(value=int(reply.not_run)).u8(value=int(reply.retriable)).u8(value=reply.state)
         _write_position(packer=packer, position=reply.position)
-        packer.u64(value=reply.come_back_us)
+        packer.u64(value=reply.retry_after_us)
         return packer.many(values=self.unknown, each=lambda p, n: p.u64(value=n)).bytes()
 
 
@@ -115,15 +124,15 @@
     return Position(unpacker.u64(), unpacker.u64()) if unpacker.u8() else None
 
 
-def read_forward_question(*, unpacker: Unpacker) -> ForwardQuestion:
-    """Reads a question.
+def read_forward_request(*, unpacker: Unpacker) -> ForwardRequest:
+    """Decodes a request.
 
-    :raises ValueError: the bytes are no question.
+    :raises ValueError: the bytes are malformed.
     """
-    question = ForwardQuestion(
-        asker=unpacker.text(),
+    request = ForwardRequest(
+        requester=unpacker.text(),
         step=ForwardStep(unpacker.u8()),
-        life=unpacker.u64(),
+        incarnation=unpacker.u64(),
         until_us=unpacker.u64(),
         connection=unpacker.u64(),
         backend=unpacker.text(),
@@ -145,16 +154,16 @@
         connections=tuple(unpacker.many(each=lambda u: u.u64())),
     )
     unpacker.done()
-    return question
+    return request
 
 
-def read_forward_answer(*, data: bytes) -> ForwardAnswer:
-    """Reads an answer.
+def read_forward_response(*, data: bytes) -> ForwardResponse:
+    """Decodes a response.
 
-    :raises ValueError: the bytes are no answer.
+    :raises ValueError: the bytes are malformed.
     """
     unpacker = Unpacker(data=data)
-    life, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
+    incarnation, now_us, outcome = unpacker.u64(), unpacker.u64(), Outcome(unpacker.u8())
     rows, stamp = unpacker.many(each=lambda u: u.blob()), unpacker.blob()
     fault, native = unpacker.text(), unpacker.blob()
     reply = Reply(
@@ -166,8 +175,8 @@
         retriable=bool(unpacker.u8()),
         state=State(unpacker.u8()),
         position=_read_position(unpacker=unpacker),
-        come_back_us=unpacker.u64(),
+        retry_after_us=unpacker.u64(),
     )
     unknown = tuple(unpacker.many(each=lambda u: u.u64()))
     unpacker.done()
-    return ForwardAnswer(life=life, now_us=now_us, outcome=outcome, reply=reply, unknown=unknown)
+    return ForwardResponse(incarnation=incarnation, now_us=now_us, outcome=outcome, reply=reply, unknown=unknown)
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -1,4 +1,4 @@
-"""A link that forwards its statements to another proxy, which has a connection to the backend."""
+"""A link that forwards its statements to another proxy, which has links to the backend."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 from ..runtime.errors import ErrorCode
 from ..runtime.position import Position
-from .forward_record import ForwardQuestion, ForwardStep, Outcome
+from .forward_record import ForwardRequest, ForwardStep, Outcome
 from .reply import Reply, State
 from .statement import PreparedStatement, Statement, Verb
 
@@ -18,14 +18,15 @@
 
 
 class ForwardedLink:
-    """Implements `Link`. Values and prepared statements travel with each statement.
+    """Implements `Link` for one statement or one transaction; it is closed afterwards.
 
-    It serves one statement or one transaction, and is closed after it. `base` holds the fields that all its questions
-    share; `limit_us`: for how long after a question anything of it may reach the backend. `begun`: a transaction may
-    be open at the other proxy. `sent_us`: when each unanswered statement was sent.
+    Session values and prepared statements are sent with each statement. A statement whose outcome is unknown fails
+    with ConnectionError and ends the link. `base`: the fields that all requests share. `limit_us`: how long after a
+    request is made its statement may be sent to the backend. `begun`: a transaction may be open at the other proxy.
+    `sent_us`: when each unanswered statement was sent.
     """
 
-    def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardQuestion, limit_us: int) -> None:
+    def __init__(self, *, forwarder: "Forwarder", address: str, base: ForwardRequest, limit_us: int) -> None:
         self.forwarder = forwarder
         self.address = address
         self.base = base
@@ -49,15 +50,15 @@
         return self.forwarder.ctx.now_us() - min(self.sent_us.values()) if self.sent_us else 0
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
-        """Keeps a value that goes with each statement from now on."""
+        """Stores a session value, which is sent with each later statement."""
         self.values[name] = value
 
     def clear(self) -> None:
-        """Forgets all values and prepared statements."""
+        """Drops all stored values and prepared statements."""
         self.values, self.prepared = {}, {}
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
-        """Keeps a prepared statement that goes with its executions."""
+        """Stores a prepared statement, which is sent with its executions."""
         self.prepared[alias] = PreparedStatement(shape, writes)
 
     def send(
@@ -65,9 +66,9 @@
     ) -> asyncio.Future[Reply]:
         """See `Link`."""
         shape, writes = self.prepared.get(alias, NOT_PREPARED)
-        # The other proxy decides by `writes` where the statement may go, so an execute carries it too.
+        # The other proxy decides by `writes` what may be sent, so an execution carries its prepared statement's flag.
         writes = writes if statement.verb == Verb.execute else statement.verb == Verb.write
-        question = replace(
+        request = replace(
             self.base,
             step=ForwardStep.next if self.begun else ForwardStep.single,
             at_least=at_least,
@@ -75,36 +76,36 @@
             statement=replace(statement, writes=writes),
             shape=shape,
         )
-        return self._ask(question=question)
+        return self._send_request(request=request)
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         """See `Link`."""
         self.begun = True
         self.base = replace(self.base, read_only=read_only)
         self.forwarder.transactions[self.base.connection] = self
-        question = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
-        return self._ask(question=question)
+        request = replace(self.base, step=ForwardStep.begin, at_least=at_least, values=dict(self.values))
+        return self._send_request(request=request)
 
     def rollback(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(question=replace(self.base, step=ForwardStep.rollback))
+        return self._send_request(request=replace(self.base, step=ForwardStep.rollback))
 
     def ask_position(self) -> asyncio.Future[Reply]:
         """See `Link`."""
-        return self._ask(question=replace(self.base, step=ForwardStep.position))
+        return self._send_request(request=replace(self.base, step=ForwardStep.position))
 
-    def _ask(self, *, question: ForwardQuestion) -> asyncio.Future[Reply]:
+    def _send_request(self, *, request: ForwardRequest) -> asyncio.Future[Reply]:
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         if not self.open:
             future.set_exception(ConnectionResetError("the link is lost"))
             return future
         ctx = self.forwarder.ctx
         self.sent_us[future] = ctx.now_us()
-        ctx.spawn(work=self._answer(question=question, future=future), name="forward")
+        ctx.spawn(work=self._await_response(request=request, future=future), name="forward")
         return future
 
-    async def _answer(self, *, question: ForwardQuestion, future: asyncio.Future[Reply]) -> None:
-        result = await self.forwarder.ask(address=self.address, question=question, limit_us=self.limit_us)
+    async def _await_response(self, *, request: ForwardRequest, future: asyncio.Future[Reply]) -> None:
+        result = await self.forwarder.request(address=self.address, request=request, limit_us=self.limit_us)
         self.sent_us.pop(future, None)
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
@@ -116,35 +117,35 @@
             return
         self.state = reply.state
         if self.state == State.idle:
-            self._ended()
+            self._end_transaction()
         if not future.done():
             future.set_result(reply)
 
     def _fail(self, *, future: asyncio.Future[Reply]) -> None:
         self.open = False
-        self._ended()
+        self._end_transaction()
         if not future.done():
             future.set_exception(ConnectionResetError("the link is lost"))
-            # The exception is retrieved so that asyncio does not report an answer that nobody awaits.
+            # Retrieves the exception, since asyncio logs futures whose exception is never retrieved.
             future.exception()
 
-    def _ended(self) -> None:
+    def _end_transaction(self) -> None:
         self.begun = False
         self.forwarder.transactions.pop(self.base.connection, None)
 
-    def lose(self) -> None:
-        """The other proxy has no such transaction any more."""
+    def mark_lost(self) -> None:
+        """Closes the link, since its transaction is no longer open at the other proxy."""
         self.open = False
-        self._ended()
+        self._end_transaction()
 
     def close(self) -> None:
-        """Has the other proxy roll back a transaction that is open there; running statements are interrupted."""
+        """Closes the link; the other proxy rolls back an open transaction, interrupting a running statement."""
         if self.begun and self.open:
-            question = replace(self.base, step=ForwardStep.close)
+            request = replace(self.base, step=ForwardStep.close)
             ctx = self.forwarder.ctx
             ctx.spawn(
-                work=self.forwarder.ask(address=self.address, question=question, limit_us=self.limit_us),
+                work=self.forwarder.request(address=self.address, request=request, limit_us=self.limit_us),
                 name="forward.close",
             )
         self.open = False
-        self._ended()
+        self._end_transaction()
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards statements to proxies that have links to a backend, where this one has none."""
+"""Forwards statements to other proxies that have links to a backend."""
 
 from dataclasses import dataclass, replace
 from typing import NamedTuple
@@ -9,28 +9,28 @@
 from ..runtime.errors import CinderstairError, ErrorCode
 from ..runtime.message_types import MessageType
 from ..runtime.packer import Packer
-from .forward_record import ForwardAnswer, ForwardQuestion, ForwardStep, read_forward_answer
+from .forward_record import ForwardRequest, ForwardResponse, ForwardStep, read_forward_response
 from .forwarded_link import ForwardedLink
 
 HANDSHAKE_WAIT_US = 250_000
 MAX_PROXIES_TRIED = 3
-# Two clocks drift apart by far less than CLOCK_MARGIN_US in this time.
+# A clock reading expires after this time, in which two clocks drift apart by far less than CLOCK_MARGIN_US.
 CLOCK_VALID_US = 10_000_000
 CLOCK_MARGIN_US = 3_000
 MIN_AVOID_US = 1_000_000
 MAX_AVOID_US = 8_000_000
-# Bounds the shift of the time for which a proxy is avoided; the maximum is reached by then.
+# Limits the shift; MAX_AVOID_US is reached after this many doublings.
 MAX_AVOID_DOUBLINGS = 3
 DRAINING_AVOID_US = 10_000_000
 SILENCE_US = 400_000
 KEEP_ALIVE_INTERVAL_US = 700_000
 KEEP_ALIVE_WAIT_US = 500_000
-# The answer travels after the other proxy's time limit.
-ANSWER_TRAVEL_US = 20_000
+# How long a response sent just before the deadline may travel.
+RESPONSE_TRAVEL_US = 20_000
 
 
 class PeerProxy(NamedTuple):
-    """Another proxy that has links to a backend, and its distance; smaller is nearer."""
+    """Another proxy that has links to a backend. `distance`: smaller is nearer."""
 
     distance: int
     name: str
@@ -39,14 +39,15 @@
 
 @dataclass(kw_only=True)
 class PeerState:
-    """What is known of another proxy. All times but `ahead_us` are moments by this proxy's clock.
+    """The state of another proxy, as this one knows it. All times but `ahead_us` are by this proxy's clock.
 
-    `life`: the number of its present run; 0 before the handshake. `ahead_us`: its clock is ahead of this proxy's by
-    at least this. `unanswered`: how many questions wait for its answer; since `silent_since_us` it has answered none
-    (0: none waits). It is avoided until `avoid_until_us`, and until `draining_until_us` since it drains.
+    `incarnation`: 0 before the handshake and after a failure. `ahead_us`: a lower bound of how far its clock is ahead
+    of this proxy's; read at `clock_read_us`. `avoid_until_us`: until when it is avoided after failures or silence;
+    `draining_until_us`: because it drains. `failures`: consecutive requests without a response. `unanswered`: the
+    number of pending requests. `silent_since_us`: since when none of them was answered; 0 without pending requests.
     """
 
-    life: int = 0
+    incarnation: int = 0
     ahead_us: int = 0
     clock_read_us: int = 0
     avoid_until_us: int = 0
@@ -55,15 +56,16 @@
     unanswered: int = 0
     silent_since_us: int = 0
 
-    def avoided(self, *, now_us: int) -> bool:
-        """Whether other proxies should be preferred now."""
+    def is_avoided(self, *, now_us: int) -> bool:
+        """Whether other proxies are preferred at this time."""
         return max(self.avoid_until_us, self.draining_until_us) > now_us
 
 
 class Forwarder:
-    """Each question is sent once. Nothing of it reaches a backend after the time that this proxy set.
+    """Owns the state of other proxies and the transactions that are open at them.
 
-    `transactions`: the links on which a transaction is open at another proxy, by its number.
+    Each request is sent at most once, with a deadline after which the other proxy sends nothing to the backend.
+    `transactions`: the links with an open transaction, by its number. `last_number`: the last number assigned.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -74,16 +76,16 @@
         self.kept_alive_us = 0
 
     def peer(self, *, address: str) -> PeerState:
-        """What is known of the proxy at an address."""
+        """The state of the proxy at an address; created on first use."""
         return self.peers.setdefault(address, PeerState())
 
     def _order(self, *, peer_proxies: tuple[PeerProxy, ...]) -> list[PeerProxy]:
-        """Nearest first; those that did not answer lately or are draining last."""
+        """Orders proxies: avoided ones last, then by distance, pending requests and at random."""
         now_us = self.ctx.now_us()
 
         def cost(peer_proxy: PeerProxy) -> tuple[bool, int, int, float]:
             peer = self.peer(address=peer_proxy.address)
-            return peer.avoided(now_us=now_us), peer_proxy.distance, peer.unanswered, self.ctx.rng.random()
+            return peer.is_avoided(now_us=now_us), peer_proxy.distance, peer.unanswered, self.ctx.rng.random()
 
         return sorted(peer_proxies, key=cost)
 
@@ -97,20 +99,20 @@
         rank: int,
         until_us: int,
     ) -> Result[ForwardedLink, CinderstairError]:
-        """A link that forwards to another proxy; that proxy hears nothing of it before its first statement.
+        """A link that forwards to another proxy. At most a handshake is sent before its first statement.
 
-        :param until_us: the moment, by this proxy's clock, after which nothing may reach the backend.
-        Errors: NO_BACKEND where no proxy answers.
+        :param until_us: the deadline, by this proxy's clock, after which nothing may be sent to the backend.
+        Errors: NO_BACKEND where none of the MAX_PROXIES_TRIED preferred proxies is usable.
         """
         for peer_proxy in self._order(peer_proxies=peer_proxies)[:MAX_PROXIES_TRIED]:
             peer = self.peer(address=peer_proxy.address)
-            if not peer.life or self.ctx.now_us() - peer.clock_read_us > CLOCK_VALID_US:
+            if not peer.incarnation or self.ctx.now_us() - peer.clock_read_us > CLOCK_VALID_US:
                 await self._handshake(address=peer_proxy.address, until_us=until_us)
-            if not peer.life or peer.avoided(now_us=self.ctx.now_us()):
+            if not peer.incarnation or peer.is_avoided(now_us=self.ctx.now_us()):
                 continue
             self.last_number += 1
-            base = ForwardQuestion(
-                asker=self.ctx.name,
+            base = ForwardRequest(
+                requester=self.ctx.name,
                 step=ForwardStep.single,
                 connection=self.last_number,
                 backend=backend,
@@ -121,37 +123,37 @@
             limit_us = max(1, until_us - self.ctx.now_us())
             return Ok(ForwardedLink(forwarder=self, address=peer_proxy.address, base=base, limit_us=limit_us))
         return Error(
-            CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"no proxy that holds links to {backend} answers")
+            CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"none of the proxies with links to {backend} answers")
         )
 
     async def _handshake(self, *, address: str, until_us: int) -> None:
-        """Reads the other proxy's clock and the number of its run."""
+        """Reads the other proxy's clock and incarnation."""
         wait_us = min(HANDSHAKE_WAIT_US, until_us - self.ctx.now_us())
-        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.hello)
-        await self._ask(address=address, question=question, wait_us=max(1, wait_us))
+        request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.hello)
+        await self._exchange(address=address, request=request, wait_us=max(1, wait_us))
 
-    async def ask(
-        self, *, address: str, question: ForwardQuestion, limit_us: int
-    ) -> Result[ForwardAnswer, CinderstairError]:
-        """Sends a question.
+    async def request(
+        self, *, address: str, request: ForwardRequest, limit_us: int
+    ) -> Result[ForwardResponse, CinderstairError]:
+        """Sends a request and waits for its response.
 
-        :param limit_us: for how long from now on anything may reach the backend.
-        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where that is unknown.
+        :param limit_us: how long from now the statement may be sent to the backend.
+        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where the outcome is unknown.
         """
         peer = self.peer(address=address)
-        if not peer.life:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
-        # Its clock is ahead by at least `ahead_us`, so by its clock the limit ends no later than by this proxy's.
+        if not peer.incarnation:
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: no handshake yet"))
+        # Its clock is ahead by at least `ahead_us`, so the deadline by its clock is never later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
-        stamped = replace(question, life=peer.life, until_us=max(0, until_us))
+        stamped = replace(request, incarnation=peer.incarnation, until_us=max(0, until_us))
         self.ctx.counters.add(name="forward.asked")
-        return await self._ask(address=address, question=stamped, wait_us=limit_us + ANSWER_TRAVEL_US)
+        return await self._exchange(address=address, request=stamped, wait_us=limit_us + RESPONSE_TRAVEL_US)
 
-    async def _ask(
-        self, *, address: str, question: ForwardQuestion, wait_us: int
-    ) -> Result[ForwardAnswer, CinderstairError]:
+    async def _exchange(
+        self, *, address: str, request: ForwardRequest, wait_us: int
+    ) -> Result[ForwardResponse, CinderstairError]:
         peer, requested_us = self.peer(address=address), self.ctx.now_us()
-        body = Packer().u8(value=MessageType.FORWARD).bytes() + question.bytes()
+        body = Packer().u8(value=MessageType.FORWARD).bytes() + request.bytes()
         peer.silent_since_us = peer.silent_since_us or requested_us
         peer.unanswered += 1
         try:
@@ -162,40 +164,44 @@
                 peer.silent_since_us = 0
         if result.is_error():
             self.ctx.counters.add(name="forward.unanswered")
-            self.lost(address=address)
+            self.record_failure(address=address)
             return Error(result.error)
         try:
-            answer = read_forward_answer(data=result.ok)
+            response = read_forward_response(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
-        self._record_answer(peer=peer, answer=answer)
-        return Ok(answer)
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.WIRE_UNSURE, reason=f"{address}: malformed response to a forwarded request"
+                )
+            )
+        self._record_response(peer=peer, response=response)
+        return Ok(response)
 
-    def _record_answer(self, *, peer: PeerState, answer: ForwardAnswer) -> None:
+    def _record_response(self, *, peer: PeerState, response: ForwardResponse) -> None:
         now_us = self.ctx.now_us()
         peer.silent_since_us = now_us if peer.unanswered else 0
-        # Its clock showed `answer.now_us` before the answer arrived here, so it is ahead by no less than this.
-        ahead_us = answer.now_us - now_us
+        # Its clock showed `response.now_us` before the response arrived, so this is a lower bound.
+        ahead_us = response.now_us - now_us
         outdated = now_us - peer.clock_read_us > CLOCK_VALID_US // 2
-        if answer.life != peer.life or outdated or ahead_us > peer.ahead_us:
-            peer.life, peer.ahead_us, peer.clock_read_us = answer.life, ahead_us, now_us
+        if response.incarnation != peer.incarnation or outdated or ahead_us > peer.ahead_us:
+            peer.incarnation, peer.ahead_us, peer.clock_read_us = response.incarnation, ahead_us, now_us
         peer.failures, peer.avoid_until_us = 0, 0
-        if answer.reply.fault == ErrorCode.DRAINING:
+        if response.reply.fault == ErrorCode.DRAINING:
             peer.draining_until_us = now_us + DRAINING_AVOID_US
 
-    def lost(self, *, address: str) -> None:
-        """Notes that a proxy gave no answer."""
+    def record_failure(self, *, address: str) -> None:
+        """Records a request without a response: the proxy is avoided for a time that doubles with each failure."""
         peer = self.peer(address=address)
-        # It may have restarted, with another clock, so a handshake precedes the next question.
-        peer.life = 0
-        # A proxy that is gone for long must not cost each statement a wait again and again.
+        # It may have restarted with another clock, so the next request needs a handshake.
+        peer.incarnation = 0
+        # Without the doubling, a proxy that stays down would delay a statement each time it is tried again.
         avoid_us = min(MAX_AVOID_US, MIN_AVOID_US << min(peer.failures, MAX_AVOID_DOUBLINGS))
         peer.avoid_until_us = self.ctx.now_us() + avoid_us
         peer.failures += 1
 
     def on_timer(self) -> None:
-        """Avoids proxies that are silent, and keeps idle transactions alive at the others."""
+        """Avoids proxies that have been silent for SILENCE_US, and sends keep-alives for open transactions."""
         now_us = self.ctx.now_us()
         for peer in self.peers.values():
             if peer.unanswered and peer.silent_since_us and now_us - peer.silent_since_us > SILENCE_US:
@@ -210,12 +216,12 @@
             self.ctx.spawn(work=self._keep_alive(address=address, numbers=tuple(numbers)), name="forward.keep")
 
     async def _keep_alive(self, *, address: str, numbers: tuple[int, ...]) -> None:
-        question = ForwardQuestion(asker=self.ctx.name, step=ForwardStep.keep, connections=numbers)
-        result = await self.ask(address=address, question=question, limit_us=KEEP_ALIVE_WAIT_US)
+        request = ForwardRequest(requester=self.ctx.name, step=ForwardStep.keep, connections=numbers)
+        result = await self.request(address=address, request=request, limit_us=KEEP_ALIVE_WAIT_US)
         if result.is_error():
             return
         for number in result.ok.unknown:
             link = self.transactions.get(number)
-            # A transaction that is just being begun is not known there yet.
+            # The other proxy may not have processed the begin of a transaction yet.
             if link is not None and not link.waiting:
-                link.lose()
+                link.mark_lost()
