--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -75,7 +75,7 @@
 
 @then('of "{database}" anything may land: {answer}')
 def then_may(context: Any, database: str, answer: str) -> None:
-    assert context.in_flight.may_land(database=database, within_us=WITHIN_US) == (answer == "yes")
+    assert context.in_flight.may_take_effect(database=database, within_us=WITHIN_US) == (answer == "yes")
 
 
 @then('the links that were closed are "{names}"')
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -384,7 +384,7 @@
     def __init__(self) -> None:
         self.ready = True
         self.view = self
-        self.alone_us = 0
+        self.controllers_silent_us = 0
 
 
 def probe_answers(*, context: Any, targets: list[str], ready: bool) -> dict[str, str]:
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -142,7 +142,7 @@
     proxy, found = context.proxies[name], position(text=at)
     term, requested_us = proxy.asking
     context.true_us[found] = context.requested_true_us
-    proxy.pool.saw(service=SERVICE, term=term, requested_us=requested_us, position=found)
+    proxy.pool.add_own(service=SERVICE, term=term, requested_us=requested_us, position=found)
 
 
 @when('"{name}" is shown {at} by the primary of term {term:d}, after {wait_ms:d} ms')
@@ -230,7 +230,7 @@
         elif draw < 0.55 and under_way:
             shown_by, true_us, requested_us, at = under_way.pop(rng.randrange(len(under_way)))
             context.true_us[at] = true_us
-            shown_by.pool.saw(service=SERVICE, term=3, requested_us=requested_us, position=at)
+            shown_by.pool.add_own(service=SERVICE, term=3, requested_us=requested_us, position=at)
         elif draw < 0.58:
             time.us += rng.randrange(4 * MILLION)
         elif draw < 0.6:
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -114,7 +114,7 @@
 def when_keeps(context: Any, wait_ms: int) -> None:
     # why: it is begun once, as a proxy begins it, and goes on by itself
     if context.keeping is None:
-        context.keeping = context.stage.call(call=lambda: context.stage.ctx.spawn(work=context.view.keep()))
+        context.keeping = context.stage.call(call=lambda: context.stage.ctx.spawn(work=context.view.run()))
     context.stage.advance(for_us=wait_ms * 1_000)
     with contextlib.suppress(ValueError):
         assert not context.keeping.done() or context.keeping.result()
@@ -138,7 +138,7 @@
 @when("the view chooses, and keeps itself for {wait_ms:d} ms")
 def when_chooses(context: Any, wait_ms: int) -> None:
     began_us = context.stage.now_us
-    context.stage.run(work=context.view.choose())
+    context.stage.run(work=context.view.choose_controller())
     context.took_us = context.stage.now_us - began_us
     when_keeps(context=context, wait_ms=wait_ms)
 
--- a/src/cinderstair/pooler/in_flight_writes.py
+++ b/src/cinderstair/pooler/in_flight_writes.py
@@ -38,7 +38,7 @@
             # The backend may have received the write and not run it yet.
             self.lost_us[database] = self.ctx.now_us()
 
-    def may_land(self, *, database: str, within_us: int) -> bool:
+    def may_take_effect(self, *, database: str, within_us: int) -> bool:
         """Whether any write may still take effect.
 
         :param within_us: for how long after a link was lost the bytes sent on it may take effect.
--- a/src/cinderstair/pooler/link_limits.py
+++ b/src/cinderstair/pooler/link_limits.py
@@ -52,7 +52,7 @@
         return names
 
     def _new_pool(self, *, backend: Announcement) -> LinkPool:
-        pool = LinkPool(ctx=self.ctx, backend=backend, dialer=self.dialer, on_link_failure=self.view.hurry)
+        pool = LinkPool(ctx=self.ctx, backend=backend, dialer=self.dialer, on_link_failure=self.view.pull_now)
         pool.limit = 0
         return pool
 
--- a/src/cinderstair/pooler/position_sampling.py
+++ b/src/cinderstair/pooler/position_sampling.py
@@ -12,7 +12,7 @@
 SAMPLE_SPAN_US = 600_000
 SAMPLE_LINK_WAIT_US = 400_000
 # A primary that has answered within this time is not probed when another one falls silent.
-UNHEARD_US = 300_000
+RECENT_ANSWER_US = 300_000
 MAX_PROBES = 64
 
 
@@ -34,7 +34,7 @@
         self.freshness(service=service).note(requested_us=requested_us, position=reply.position)
         # A sample asked for before this state of the lead was known may lie past a fence set in between.
         if requested_us >= self.view.assigned_since_us[service]:
-            self.view.samples.saw(
+            self.view.samples.add_own(
                 service=service, term=assignment.term, requested_us=requested_us, position=reply.position
             )
 
@@ -91,9 +91,9 @@
 
     async def _sample_for_all(self, *, service: str) -> None:
         await self.sample(service=service)
-        self.view.hurry()
+        self.view.pull_now()
 
-    def _probe_quiet_primaries(self) -> None:
+    def _probe_unheard_primaries(self) -> None:
         """Where one backend has fallen silent others may have; a probe finds that out at no client's cost."""
         now_us, probes = self.ctx.now_us(), 0
         for service, assignment in self.view.primaries.items():
@@ -102,7 +102,7 @@
                 pool is not None
                 and not pool.silent
                 and not pool.borrowed
-                and now_us - pool.last_answer_us > UNHEARD_US
+                and now_us - pool.last_answer_us > RECENT_ANSWER_US
             )
             if pool is not None and quiet and pool.idle and self.confirmed_primary(service=service).is_ok():
                 probes += 1
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -81,7 +81,7 @@
             left_us = int(primary.error.details.get("left_us", DEFAULT_WAIT_US))
             if self.ctx.now_us() + left_us >= until_us:
                 return primary
-            await self.view.change(until_us=until_us)
+            await self.view.next_answer(until_us=until_us)
 
 
 def _refuse(*, code: ErrorCode, reason: str, left_us: int) -> Result[LinkPool, CinderstairError]:
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -45,7 +45,7 @@
             view=self.view,
             dialer=dialer,
             distance=distance,
-            open_=self._open,
+            has_open_writes=self._open,
             region=region,
             drain_us=drain_us,
         )
@@ -70,8 +70,8 @@
         return Ok(None)
 
     async def _keep(self) -> None:
-        await self.view.choose()
-        await self.view.keep()
+        await self.view.choose_controller()
+        await self.view.run()
 
     def _open(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write is open at any of these databases."""
@@ -85,7 +85,7 @@
         # Before any ids are assigned no proxy knows its part of any cap, and so it may open no link.
         known = known and (not self.records or bool(self.view.proxy_ids.names))
         # Where controllers answer but know nothing, no other proxy would serve any better.
-        return known and not self.draining and not self.view.alone_us
+        return known and not self.draining and not self.view.controllers_silent_us
 
     def _on_timer(self) -> None:
         """Maintains pools, forwarding and the address, and ends transactions whose clients are idle."""
@@ -118,7 +118,7 @@
     async def knows(self, *, database: str, until_us: int) -> bool:
         """Whether the configuration in force names this database; waits for the first configuration."""
         while self.view.plan is None and self.ctx.now_us() < until_us:
-            await self.view.change(until_us=until_us)
+            await self.view.next_answer(until_us=until_us)
         return self.view.plan is not None and database in self.view.plan.routes
 
     def stop(self) -> None:
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -19,7 +19,7 @@
 BACKENDS_CHANGE = "backends"
 
 
-def gone(*, entry: RelayedBackend) -> bool:
+def is_gone(*, entry: RelayedBackend) -> bool:
     """Whether a backend that is no longer named need not be kept."""
     return entry.silent or entry.announcement.state == GONE
 
@@ -70,7 +70,7 @@
         A controller that has just started knows few of the backends, so others are kept.
         """
         named = {entry.announcement.name for entry in answer.backends}
-        lost = [name for name, entry in self.backends.items() if name not in named and gone(entry=entry)]
+        lost = [name for name, entry in self.backends.items() if name not in named and is_gone(entry=entry)]
         for name in lost:
             del self.backends[name]
 
@@ -132,7 +132,7 @@
             if not future.done():
                 future.set_result(None)
 
-    async def change(self, *, until_us: int) -> None:
+    async def next_answer(self, *, until_us: int) -> None:
         """Waits for the next answer of a controller, whatever it says, or until the moment given."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -29,7 +29,7 @@
 # Not a setting: whoever moves a primary waits for all views by this figure, so all daemons must have the same.
 LEASE_US = 1_000_000
 # Longer than a view is current, and than two lost questions explain.
-ALONE_US = 1_200_000
+SILENCE_TOLERANCE_US = 1_200_000
 
 
 class TimedAnswer(NamedTuple):
@@ -86,11 +86,11 @@
         self.samples = SamplePool(ctx=ctx, assignment=self.primaries.get)
         self.vote: Callable[[], ShardVote] = lambda: ShardVote(0, Vote.silent)
         self.ask: Callable[[str], None] = lambda service: None
-        self.troubled: Callable[[], tuple[str, ...]] = tuple
+        self.suspected_backends: Callable[[], tuple[str, ...]] = tuple
         self._hurry = asyncio.Event()
         self._avoid_until_us: dict[str, int] = {}
         self._chosen = ""
-        self._choose_from_us = ctx.now_us() + MIN_CHOICE_INTERVAL_US
+        self._next_choice_us = ctx.now_us() + MIN_CHOICE_INTERVAL_US
         self._choice_interval_us = MIN_CHOICE_INTERVAL_US
 
     @property
@@ -99,20 +99,20 @@
         return self.ctx.now_us() < self.as_of_us + LEASE_US
 
     @property
-    def alone_us(self) -> int:
+    def controllers_silent_us(self) -> int:
         """For how long no controller at all has answered, past the time in which that may be chance."""
-        return max(0, self.ctx.now_us() - self.answered_us - ALONE_US)
+        return max(0, self.ctx.now_us() - self.answered_us - SILENCE_TOLERANCE_US)
 
-    def hurry(self) -> None:
+    def pull_now(self) -> None:
         """Pulls at once rather than at the next turn."""
         self._hurry.set()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Pulls for as long as the process runs."""
         while True:
-            if self.ctx.now_us() >= self._choose_from_us:
+            if self.ctx.now_us() >= self._next_choice_us:
                 # A silent controller delays the choice, and must not delay the pulling.
-                self.ctx.spawn(work=self.choose(), name="view.choose")
+                self.ctx.spawn(work=self.choose_controller(), name="view.choose")
             if self._chosen:
                 self.controller, self._chosen = self._chosen, ""
             pulled = await self.pull()
@@ -131,7 +131,7 @@
 
     # -- the choice of a controller --
 
-    def _order(self) -> list[str]:
+    def _addresses_by_preference(self) -> list[str]:
         """The present controller while it answers; then those that have not failed lately."""
         addresses = list(dict.fromkeys((*self.controllers, *self.seeds())))
         now_us = self.ctx.now_us()
@@ -141,12 +141,12 @@
     def _avoid(self, *, address: str, for_us: int) -> None:
         self._avoid_until_us[address] = self.ctx.now_us() + for_us
 
-    async def choose(self) -> None:
+    async def choose_controller(self) -> None:
         """Asks all known controllers once, and takes the nearest that is current; of equals the one that is quickest.
 
         The nearest may just be starting, so the choice is made again, at intervals that grow.
         """
-        self._choose_from_us = self.ctx.now_us() + self._choice_interval_us
+        self._next_choice_us = self.ctx.now_us() + self._choice_interval_us
         self._choice_interval_us = min(2 * self._choice_interval_us, MAX_CHOICE_INTERVAL_US)
         question = RelayQuestion(proxy=self.ctx.name, site=self.site, brief=True)
         tasks = {
@@ -182,7 +182,7 @@
             site=self.site,
             source=0 if full else self.source,
             revision=0 if full else self.revision,
-            suspected=self.troubled(),
+            suspected=self.suspected_backends(),
             proposal=proposal,
             vote=vote,
             samples=() if full else self.samples.reported(source=self.source),
@@ -206,12 +206,12 @@
 
         :returns: whether its answer made the view current.
         """
-        address = self._order()[0]
+        address = self._addresses_by_preference()[0]
         changes = address != self.controller
         if changes:
             # A controller that is taken in haste may be distant, so the choice is made again soon.
             self._choice_interval_us = MIN_CHOICE_INTERVAL_US
-            self._choose_from_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
+            self._next_choice_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
         # Each controller counts revisions for itself, so another one is asked for everything.
         result = await self._ask(address=address, question=self._question(full=changes))
         if result.is_error():
--- a/src/cinderstair/pooler/replica_selection.py
+++ b/src/cinderstair/pooler/replica_selection.py
@@ -24,10 +24,10 @@
     def replicas(self, *, service: str) -> list[LinkPool]:
         """The subset's replicas that may be read from, nearest first, those in trouble last."""
         pools = [self.pools[name] for name in self.replica_subsets.get(service, ()) if name in self.pools]
-        usable = [pool for pool in pools if not pool.closed and not self._quiet(name=pool.backend.name)]
+        usable = [pool for pool in pools if not pool.closed and not self._reported_silent(name=pool.backend.name)]
         return sorted(usable, key=self._cost)
 
-    def _quiet(self, *, name: str) -> bool:
+    def _reported_silent(self, *, name: str) -> bool:
         entry = self.view.backends.get(name)
         return entry is None or entry.silent
 
@@ -57,9 +57,9 @@
         """
         freshness = self.freshness(service=route.service)
         now_us = self.ctx.now_us()
-        wanted_lately = now_us - freshness.wanted_us <= SAMPLES_WANTED_FOR_US
+        recently_wanted = now_us - freshness.wanted_us <= SAMPLES_WANTED_FOR_US
         freshness.wanted_age_us = (
-            min(freshness.wanted_age_us, route.max_age_us) if wanted_lately else route.max_age_us
+            min(freshness.wanted_age_us, route.max_age_us) if recently_wanted else route.max_age_us
         )
         freshness.wanted_us = now_us
         since_us = self.shards.read_since_us(
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -21,13 +21,13 @@
     """Joins pools, limits, selection and sampling, and follows the view's changes."""
 
     def _connect_view(self) -> None:
-        self.view.troubled = self.troubled
+        self.view.suspected_backends = self.suspected_backends
         self.view.samples.wanted = self._services_wanting_samples
         self.view.samples.note = self._take_pooled_sample
         self.view.ask = self._sample_on_request
         self.view.changes.subscribe(self._changed)
 
-    def troubled(self) -> tuple[str, ...]:
+    def suspected_backends(self) -> tuple[str, ...]:
         """The names of backends that look dead from here."""
         return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
 
@@ -87,7 +87,7 @@
             if pool.unreachable or self.detours.has_detour(name=pool.backend.name):
                 self._maintain_detour(pool=pool)
         if fell_silent:
-            self._probe_quiet_primaries()
+            self._probe_unheard_primaries()
 
     def _maintain_detour(self, *, pool: LinkPool) -> None:
         """Only a primary needs a detour; instead of a replica another one is read from."""
--- a/src/cinderstair/pooler/router_base.py
+++ b/src/cinderstair/pooler/router_base.py
@@ -38,13 +38,13 @@
         distance: Callable[[str], int],
         region: Callable[[str], str] = lambda site: site,
         drain_us: int = DRAIN_US,
-        open_: Callable[[frozenset[str]], bool] = lambda databases: False,
+        has_open_writes: Callable[[frozenset[str]], bool] = lambda databases: False,
     ) -> None:
         """
         :param distance: the distance from this proxy to a site; smaller is nearer.
         :param region: the region of a site.
         :param drain_us: how long a backend that drains serves on.
-        :param open_: whether a transaction that may write is open at any of these databases.
+        :param has_open_writes: whether a transaction that may write is open at any of these databases.
         """
         self.ctx = ctx
         self.view = view
@@ -68,7 +68,7 @@
         self.increase_pending = False
         self.addresses_unavailable = False
         self.sampling_round = 0
-        self.shards = Shards(ctx=ctx, view=view, open_=open_)
+        self.shards = Shards(ctx=ctx, view=view, has_open_writes=has_open_writes)
         self._connect_view()
 
     def _connect_view(self) -> None:
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -10,7 +10,7 @@
 
 # Own samples that are older are of no use to anybody.
 KEEP_US = 5_000_000
-UNNOTIFIED_GRACE_US = -(1 << 62)
+LONG_AGO_US = -(1 << 62)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -44,12 +44,12 @@
         self.wanted: Callable[[], Iterable[str]] = tuple
         self.note: Callable[[str, int, Position], None] = lambda service, requested_us, position: None
         self.own: dict[str, OwnSample] = {}
-        self.sending_us: dict[str, int] = {}
-        self.told_us: dict[str, int] = {}
+        self.unconfirmed_us: dict[str, int] = {}
+        self.known_us: dict[str, int] = {}
         self.revisions: dict[str, int] = {}
         self.reference: Reference | None = None
 
-    def saw(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
+    def add_own(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
         """Takes a sample of this proxy, asked for under the lead of this term."""
         known = self.own.get(service)
         if known is None or (known.term, known.requested_us) < (term, requested_us):
@@ -65,7 +65,7 @@
 
         :param source: the number of the controller's run.
         """
-        reference, self.sending_us = self.reference, {}
+        reference, self.unconfirmed_us = self.reference, {}
         if reference is None or reference.source != source:
             return ()
         found = []
@@ -73,11 +73,11 @@
             if self.ctx.now_us() - own.requested_us > KEEP_US:
                 del self.own[service]
                 continue
-            if own.requested_us <= self.told_us.get(service, UNNOTIFIED_GRACE_US):
+            if own.requested_us <= self.known_us.get(service, LONG_AGO_US):
                 continue
             moment_us = self._moment_us(reference=reference, requested_us=own.requested_us)
             if moment_us >= 0 and self._counts(service=service, term=own.term):
-                self.sending_us[service] = own.requested_us
+                self.unconfirmed_us[service] = own.requested_us
                 found.append(
                     ReportedSample(service=service, term=own.term, moment_us=moment_us, position=own.position)
                 )
@@ -102,16 +102,16 @@
         """
         if self.reference is None or source != self.reference.source:
             # Another controller, or a restarted one, knows nothing of what was reported before.
-            self.revisions, self.told_us, self.sending_us = {}, {}, {}
+            self.revisions, self.known_us, self.unconfirmed_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
-        self.told_us.update(self.sending_us)
-        self.sending_us = {}
+        self.known_us.update(self.unconfirmed_us)
+        self.unconfirmed_us = {}
         for sample in samples:
             self.revisions[sample.service] = sample.revision
             if not self._counts(service=sample.service, term=sample.term):
                 continue
             at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
-            self.told_us[sample.service] = max(self.told_us.get(sample.service, UNNOTIFIED_GRACE_US), at_us)
+            self.known_us[sample.service] = max(self.known_us.get(sample.service, LONG_AGO_US), at_us)
             self.ctx.counters.add(name="samples.pooled")
             self.note(sample.service, at_us, sample.position)
 
--- a/src/cinderstair/pooler/session.py
+++ b/src/cinderstair/pooler/session.py
@@ -40,7 +40,7 @@
         if self.state == State.failed and verb not in _END_VERBS:
             return refusal(kind=ErrorCode.TRANSACTION_FAILED, state=State.failed)
         if verb in _LOCAL_VERBS:
-            return self._remember(statement=statement)
+            return self._change_session_state(statement=statement)
         if verb in _BEGIN_VERBS:
             return self._begin(read_only=verb == Verb.begin_read)
         if verb in _END_VERBS:
@@ -49,9 +49,9 @@
             return self._failed(kind=ErrorCode.UNKNOWN_PREPARED)
         if self.transaction is not None:
             return await self._in_transaction(transaction=self.transaction, statement=statement)
-        return await self._single(statement=statement)
+        return await self._run_single(statement=statement)
 
-    def _remember(self, *, statement: Statement) -> Reply:
+    def _change_session_state(self, *, statement: Statement) -> Reply:
         """Changes the session's values or prepared statements; links are brought up to date when they are used."""
         if statement.verb == Verb.set_value:
             self.values = {**self.values, statement.name: statement.content}
@@ -61,7 +61,7 @@
             return self._failed(kind=ErrorCode.UNKNOWN_PREPARED)
         return Reply(rows=[], state=self.state)
 
-    async def _single(self, *, statement: Statement) -> Reply:
+    async def _run_single(self, *, statement: Statement) -> Reply:
         """Runs a statement that stands outside any transaction."""
         route = self.route()
         if route is None:
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -30,13 +30,13 @@
     that the applied map was the register's. All are moments by this proxy's clock.
     """
 
-    def __init__(self, *, ctx: Context, view: RelayedView, open_: Callable[[frozenset[str]], bool]) -> None:
+    def __init__(self, *, ctx: Context, view: RelayedView, has_open_writes: Callable[[frozenset[str]], bool]) -> None:
         """
-        :param open_: whether a transaction that may write is open at any of these databases.
+        :param has_open_writes: whether a transaction that may write is open at any of these databases.
         """
         self.ctx = ctx
         self.view = view
-        self.open_ = open_
+        self.has_open_writes = has_open_writes
         self.in_flight = InFlightWrites(ctx=ctx)
         self.applied = ShardState()
         self.changed_us = 0
@@ -104,9 +104,9 @@
     def _busy(self) -> bool:
         """Whether anything may still take effect at the moving databases' old services."""
         moving, within_us = self._moving(), self.view.shards.in_flight_us
-        if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
+        if any(self.in_flight.may_take_effect(database=database, within_us=within_us) for database in moving):
             return True
-        return self.ctx.now_us() - self.changed_us < DRAIN_US and self.open_(moving)
+        return self.ctx.now_us() - self.changed_us < DRAIN_US and self.has_open_writes(moving)
 
     def _moving(self) -> frozenset[str]:
         state = self.view.shards
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -89,7 +89,7 @@
                     refused = self._refused_read(read=read, fault=candidates.fault, now_us=now_us)
                     if refused is not None:
                         return refused
-                    await self.router.view.change(until_us=until_us)
+                    await self.router.view.next_answer(until_us=until_us)
                     read.fault = None
                     continue
                 done = await read.wait(now_us=now_us)
--- a/src/cinderstair/pooler/single_write.py
+++ b/src/cinderstair/pooler/single_write.py
@@ -45,7 +45,7 @@
                 last_attempt = attempt + 1 == MAX_ATTEMPTS
                 if not result.resend.allowed or last_attempt or self.ctx.now_us() + RETRY_PAUSE_US >= until_us:
                     return result.reply
-                self.router.view.hurry()
+                self.router.view.pull_now()
             await self._pause(attempt=attempt, until_us=until_us)
         return self._refused(fault=fault)
 
@@ -56,7 +56,7 @@
             left_us = 0 if moving is None else int(moving.details["left_us"])
             if moving is None or self.ctx.now_us() + left_us >= until_us:
                 return self.route() or route
-            await self.router.view.change(until_us=until_us)
+            await self.router.view.next_answer(until_us=until_us)
 
     async def _attempt_write(self, *, statement: Statement, route: DatabaseRoute, until_us: int) -> WriteAttempt:
         """Sends the write to the primary once, or says why it was not sent."""
--- a/src/cinderstair/pooler/transaction.py
+++ b/src/cinderstair/pooler/transaction.py
@@ -43,7 +43,7 @@
         self.wrote = False
         self.last_used_us = arrived_us
 
-    def give_back(self, *, keep: bool) -> None:
+    def release_link(self, *, keep: bool) -> None:
         """Returns the link to its pool.
 
         :param keep: False closes the link instead, which makes the backend roll back what is open on it.
--- a/src/cinderstair/pooler/transaction_begin.py
+++ b/src/cinderstair/pooler/transaction_begin.py
@@ -35,9 +35,9 @@
         return Reply(rows=[], state=State.open)
 
     def _spawn_begin(self, *, transaction: Transaction) -> None:
-        transaction.begin_task = self.ctx.spawn(work=self._open(transaction=transaction), name="begin")
+        transaction.begin_task = self.ctx.spawn(work=self._begin_at_any(transaction=transaction), name="begin")
 
-    async def _open(self, *, transaction: Transaction) -> Result[Link, CinderstairError]:
+    async def _begin_at_any(self, *, transaction: Transaction) -> Result[Link, CinderstairError]:
         """Begins the transaction at a backend, or at another one where the first does not begin it."""
         until_us = self.ctx.now_us() + transaction.route.time_limit_us
         fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend for a transaction")
@@ -52,10 +52,10 @@
                 left_us = int(fault.details.get("left_us", DEFAULT_WAIT_US))
                 if self.ctx.now_us() + left_us >= until_us:
                     break
-                await self.router.view.change(until_us=until_us)
+                await self.router.view.next_answer(until_us=until_us)
                 continue
             candidate = sequence.next(candidates=candidates.found)
-            result = await self._open_at(transaction=transaction, candidate=candidate, until_us=until_us)
+            result = await self._begin_at(transaction=transaction, candidate=candidate, until_us=until_us)
             if result.is_ok():
                 return result
             fault = result.error
@@ -69,7 +69,7 @@
             return self._read_candidates(route=transaction.route, arrived_us=transaction.arrived_us)
         return self._primary_candidate(route=transaction.route)
 
-    async def _open_at(
+    async def _begin_at(
         self, *, transaction: Transaction, candidate: Candidate, until_us: int
     ) -> Result[Link, CinderstairError]:
         """Begins the transaction at one backend; an error means that another may begin it."""
@@ -126,7 +126,7 @@
         )
         if reply.fault is None and reply.state == State.open:
             return None
-        self.router.view.hurry()
+        self.router.view.pull_now()
         return CinderstairError(code=ErrorCode.STATEMENT_DENIED, reason="the backend did not begin")
 
     async def _begun_link(self, *, transaction: Transaction, until_us: int) -> Result[Link, CinderstairError]:
@@ -151,5 +151,5 @@
             if transaction.used or not begin_again:
                 return result
             may_begin_again = link_lost
-            transaction.give_back(keep=False)
+            transaction.release_link(keep=False)
             self._spawn_begin(transaction=transaction)
--- a/src/cinderstair/pooler/transaction_statements.py
+++ b/src/cinderstair/pooler/transaction_statements.py
@@ -105,7 +105,7 @@
             self._spawn_rollback(transaction=transaction)
             reply.state = State.idle
             return reply
-        transaction.give_back(keep=True)
+        transaction.release_link(keep=True)
         if reply.fault is None and transaction.wrote and reply.position is not None:
             self.last_commit = CommitPosition(transaction.route.service, reply.position)
         return reply
@@ -127,7 +127,7 @@
         """Ends the transaction by closing its link, which rolls it back."""
         self.transaction = None
         transaction.cancel_begin()
-        transaction.give_back(keep=False)
+        transaction.release_link(keep=False)
 
     def _spawn_rollback(self, *, transaction: Transaction) -> None:
         self.ctx.spawn(work=self._roll_back(transaction=transaction), name="rollback")
@@ -140,7 +140,7 @@
             transaction.cancel_begin()
         link = transaction.link
         if link is None or not link.open:
-            transaction.give_back(keep=False)
+            transaction.release_link(keep=False)
             return
         keep = False
         try:
@@ -150,4 +150,4 @@
         except ConnectionError:
             pass
         finally:
-            transaction.give_back(keep=keep)
+            transaction.release_link(keep=keep)
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -40,7 +40,7 @@
 def unanswered_forgotten() -> list[Any]:
     """What has left and is not answered is waited for by no more than a route's time limit, and its link kept."""
     return [
-        patch.object(InFlightWrites, "may_land", lambda self, *, database, within_us: False),
+        patch.object(InFlightWrites, "may_take_effect", lambda self, *, database, within_us: False),
         patch.object(InFlightWrites, "abandon", lambda self, *, databases, older_than_us: None),
         patch.object(ShardMapCoordinator, "expiry_us", property(lambda self: 2_600_000)),
     ]
