--- a/src/cinderstair/pooler/in_flight_writes.py
+++ b/src/cinderstair/pooler/in_flight_writes.py
@@ -1,4 +1,4 @@
-"""The writes and commits that were sent to a backend, until it is known that they can no longer take effect."""
+"""Writes and commits that were sent to backends and may still take effect."""
 
 import asyncio
 from typing import NamedTuple
@@ -16,10 +16,12 @@
 
 
 class InFlightWrites:
-    """An answer means that a write has taken effect or never will; a lost link means neither.
+    """Tracks sent writes by database until their outcome is final.
 
-    `unanswered`: by database, the writes on whose answers somebody waits. `lost_us`: when a database's last link with
-    an unanswered write was lost.
+    An answered write has taken effect or never will. A write whose link was lost may still take effect for a while.
+
+    `unanswered`: by database, the writes without an answer. `lost_us`: by database, when a link with an unanswered
+    write was last lost, or such a write was last cancelled.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -28,7 +30,10 @@
         self.lost_us: dict[str, int] = {}
 
     def sent(self, *, database: str, link: Link, answer: asyncio.Future[Reply]) -> None:
-        """Notes that a single write or a commit was sent."""
+        """Registers a single write or a commit that was sent on `link`.
+
+        :param answer: fails with an exception where the link is lost.
+        """
         self.unanswered.setdefault(database, {})[answer] = InFlightWrite(link, self.ctx.now_us())
         answer.add_done_callback(lambda done: self._ended(database=database, answer=done))
 
@@ -39,9 +44,9 @@
             self.lost_us[database] = self.ctx.now_us()
 
     def may_take_effect(self, *, database: str, within_us: int) -> bool:
-        """Whether any write may still take effect.
+        """Whether any write to the database may still take effect.
 
-        :param within_us: for how long after a link was lost the bytes sent on it may take effect.
+        :param within_us: how long after the loss of its link a write may still take effect.
         """
         if self.unanswered.get(database):
             return True
@@ -49,7 +54,7 @@
         return lost_us is not None and self.ctx.now_us() < lost_us + within_us
 
     def abandon(self, *, databases: frozenset[str] | None, older_than_us: int) -> None:
-        """Closes the links whose writes were sent at least so long ago.
+        """Closes the links on which writes have been unanswered for at least `older_than_us`.
 
         :param databases: the databases concerned; None for all.
         """
--- a/src/cinderstair/pooler/position_sampling.py
+++ b/src/cinderstair/pooler/position_sampling.py
@@ -1,4 +1,4 @@
-"""Samples the log positions of primaries, against which replicas' freshness is measured."""
+"""Samples the log positions of primaries, from which the position required of a replica is derived."""
 
 from ..failover.service_primary import PrimaryState, ServicePrimary
 from ..membership.pooled_sample import ASK_AFTER_US
@@ -7,39 +7,40 @@
 from .replica_selection import AGE_MARGIN_US, SAMPLES_WANTED_FOR_US, ReplicaSelectionMixin
 from .reply import Reply
 
+# A sample is refreshed at this age, or later where reads allow a greater age.
 SAMPLE_AHEAD_US = 600_000
-# From one look at the samples to the next, the answer of a distant primary, and the wait for a link.
+# Covers one interval of the router's timer, the answer of a distant primary, and the wait for a link.
 SAMPLE_SPAN_US = 600_000
 SAMPLE_LINK_WAIT_US = 400_000
-# A primary that has answered within this time is not probed when another one falls silent.
+# A primary that has answered within this time is not probed when another backend stops answering.
 RECENT_ANSWER_US = 300_000
 MAX_PROBES = 64
 
 
 class PositionSamplingMixin(ReplicaSelectionMixin):
-    """Asks primaries for their positions before reads need them, and takes them from every answer."""
+    """Requests positions from primaries before reads need them, and records those in every reply of a primary."""
 
     def record_reply(self, *, pool: LinkPool, service: str, requested_us: int, reply: Reply) -> None:
-        """Takes the position from an answer of a backend that was the primary when it was asked.
+        """Records the position in a reply of a backend that was the confirmed primary when the statement was sent.
 
-        :param requested_us: the moment, by this proxy's clock, just before the statement was sent.
+        :param requested_us: this proxy's clock just before the statement was sent.
         """
         pool.record_answer()
         assignment = self.view.primaries.get(service)
         if reply.position is None or assignment is None or assignment.primary != pool.backend.name:
             return
-        # Whether the view was current was checked when it was asked; here only the primary must still be the same.
+        # That the view was current was checked before sending; here the primary only has to be the same still.
         if assignment.state == PrimaryState.moving or reply.position.term > assignment.term:
             return
         self.freshness(service=service).note(requested_us=requested_us, position=reply.position)
-        # A sample asked for before this state of the lead was known may lie past a fence set in between.
+        # A sample requested before this assignment was received may lie past a fence set in between.
         if requested_us >= self.view.assigned_since_us[service]:
             self.view.samples.add_own(
                 service=service, term=assignment.term, requested_us=requested_us, position=reply.position
             )
 
     async def sample(self, *, service: str) -> None:
-        """Asks the primary for its position; gives up silently where that fails."""
+        """Requests the primary's position and records it; a failure is ignored, as sampling is repeated."""
         primary = self.confirmed_primary(service=service)
         if primary.is_error():
             return
@@ -62,7 +63,7 @@
         self.record_reply(pool=pool, service=service, requested_us=requested_us, reply=reply)
 
     def _sample_if_due(self, *, service: str, assignment: ServicePrimary) -> None:
-        """Asks the primary where reads will want its position and no statement has shown it lately."""
+        """Requests the primary's position if reads need samples and no reply has given a recent one."""
         freshness = self.freshness(service=service)
         now_us = self.ctx.now_us()
         if assignment.state == PrimaryState.moving and assignment.fence.term:
@@ -74,7 +75,7 @@
             self.ctx.spawn(work=self.sample(service=service), name="sample")
 
     def _services_wanting_samples(self) -> list[str]:
-        """The services for which a read has wanted a position lately."""
+        """The services for which a recent read has needed a position."""
         now_us = self.ctx.now_us()
         return [
             name for name, freshness in self.samples.items() if now_us - freshness.wanted_us <= SAMPLES_WANTED_FOR_US
@@ -84,7 +85,7 @@
         self.freshness(service=service).note(requested_us=requested_us, position=position)
 
     def _sample_on_request(self, service: str) -> None:
-        """The controller has this proxy ask on behalf of all its proxies; done only where no recent sample exists."""
+        """Samples on behalf of all proxies at the controller's request, unless a recent sample exists."""
         recent = self.ctx.now_us() - self.freshness(service=service).newest_us < ASK_AFTER_US
         if not recent and self.confirmed_primary(service=service).is_ok():
             self.ctx.spawn(work=self._sample_for_all(service=service), name="sample")
@@ -94,7 +95,11 @@
         self.view.pull_now()
 
     def _probe_unheard_primaries(self) -> None:
-        """Where one backend has fallen silent others may have; a probe finds that out at no client's cost."""
+        """Probes primaries that have not answered recently, after another backend has stopped answering.
+
+        One cause may have stopped several backends; a probe detects that before a client's statement does. At most
+        MAX_PROBES are sent.
+        """
         now_us, probes = self.ctx.now_us(), 0
         for service, assignment in self.view.primaries.items():
             pool = self.pools.get(assignment.primary)
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the pool of a service's primary, and says when to come back where there is none."""
+"""Selects the link pool of a service's primary, or an error that says when to retry."""
 
 from expression import Error, Ok, Result
 
@@ -9,44 +9,47 @@
 from .relayed_view import LEASE_US
 from .router_base import RouterBase
 
-# A lost question or two delays the view by no more than this.
+# One or two lost requests to the controller delay the view by at most this.
 VIEW_LAPSE_US = 300_000
-# A proxy that has just started hears of the primaries within this time.
+# A starting proxy receives the primary assignments within this time.
 STARTUP_US = 3_000_000
 SILENT_RETRY_US = 1_000_000
 MIN_MOVE_WAIT_US = 50_000
-# How long a change is expected to take where the error names no time.
+# Expected time until the state changes where the error has no `left_us`.
 DEFAULT_WAIT_US = 100_000
 
 
 class PrimarySelectionMixin(RouterBase):
-    """Gives a primary's pool only while the view proves that it still leads."""
+    """Returns a primary's pool only while the relayed view is current, which proves the assignment valid."""
 
     def confirmed_primary(self, *, service: str) -> Result[LinkPool, CinderstairError]:
-        """The primary's pool, or that of a detour to it.
+        """The primary's pool, or the pool of a detour to it by another proxy.
 
-        Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; their detail `left_us` says when to ask again.
+        Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; the detail `left_us` is the expected wait before a retry
+        (microseconds), absent where the assigned primary is not among the backends.
         """
         assignment = self.view.primaries.get(service)
         if assignment is None:
-            return _refuse(code=ErrorCode.NO_LEAD, reason=f"{service}: nobody leads yet", left_us=VIEW_LAPSE_US)
+            return _refuse(
+                code=ErrorCode.NO_LEAD, reason=f"{service}: no primary assigned yet", left_us=VIEW_LAPSE_US
+            )
         if not self.view.current:
             return _refuse(
                 code=ErrorCode.NOT_CURRENT,
-                reason="out of touch with the register",
+                reason="the view of the register has expired; waiting for a controller",
                 left_us=self._view_expected_in_us(),
             )
         if assignment.state != PrimaryState.settled:
             left_us = self.view.assigned_since_us[service] + assignment.ready_in_us - self.ctx.now_us()
-            # An overdue move may take as long again, and a client is not held until its time is up for it.
+            # An overdue change is expected to take as long again; clients don't wait for it until their deadline.
             left_us = max(MIN_MOVE_WAIT_US, abs(left_us))
-            return _refuse(code=ErrorCode.MOVING, reason=f"{service}: its lead moves", left_us=left_us)
+            return _refuse(code=ErrorCode.MOVING, reason=f"{service}: the primary is being changed", left_us=left_us)
         return self._reachable_primary(service=service, assignment=assignment)
 
     def _view_expected_in_us(self) -> int:
-        """When the view should be current again.
+        """The time until the view is expected to be current again, in microseconds.
 
-        A view that lapsed longer ago than lost questions explain gives no hint when that will end.
+        A view that expired longer ago than lost requests explain gives no estimate; clients then retry later.
         """
         lapsed_us = self.ctx.now_us() - self.view.as_of_us - LEASE_US
         starting = self.ctx.now_us() - self.began_us < STARTUP_US
@@ -58,19 +61,22 @@
         pool = self.pools.get(assignment.primary)
         if pool is None or pool.closed:
             return Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: {assignment.primary} is not there")
+                CinderstairError(
+                    code=ErrorCode.NO_LEAD,
+                    reason=f"{service}: primary {assignment.primary} is not among the announced backends",
+                )
             )
         detour = self.detours.detour(pool=pool) if pool.unreachable else None
         if detour is not None:
             return Ok(detour)
         if pool.silent:
-            # A statement sent to a silent backend may have been run, so its client would not know the outcome.
-            reason = f"{service}: {assignment.primary} is silent"
+            # A statement sent to a backend that does not answer may be run, so its client would not know the outcome.
+            reason = f"{service}: primary {assignment.primary} does not answer"
             return _refuse(code=ErrorCode.NO_BACKEND, reason=reason, left_us=SILENT_RETRY_US)
         return Ok(pool)
 
     async def primary(self, *, service: str, until_us: int) -> Result[LinkPool, CinderstairError]:
-        """The primary's pool; waits for a move only where its end is expected before `until_us`.
+        """The primary's pool; waits for a promotion only if its end is expected before `until_us`.
 
         Errors: those of `confirmed_primary`.
         """
--- a/src/cinderstair/pooler/read_candidates.py
+++ b/src/cinderstair/pooler/read_candidates.py
@@ -1,4 +1,4 @@
-"""The backends to which a session may send a read."""
+"""Selects the backends to which a session may send a read or begin a transaction."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 class Candidate(NamedTuple):
     """A backend's pool, and the log position that it must have reached.
 
-    `at_least` is None where only the current primary will do.
+    `at_least` is None where only the current primary may serve the statement.
     """
 
     pool: LinkPool
@@ -20,16 +20,16 @@
 
 
 class Candidates(NamedTuple):
-    """The candidates, best first; `fault` says why there are none, and is None where there are some."""
+    """The candidates, best first; `fault` is the reason why there are none, else None."""
 
     found: list[Candidate]
     fault: CinderstairError | None = None
 
 
 class CandidateSequence:
-    """Offers one statement's candidates in turn.
+    """Iterates over one statement's candidates across attempts.
 
-    Their order changes with their load, so those that were tried are kept by name and not by index.
+    The order of candidates changes with their load, so the tried ones are stored by name, not by index.
     """
 
     __slots__ = ("tried",)
@@ -38,7 +38,7 @@
         self.tried: set[str] = set()
 
     def next(self, *, candidates: list[Candidate]) -> Candidate:
-        """The best candidate not yet tried; once all were tried, the round begins again."""
+        """The best candidate that was not tried yet; once all were tried, starts over."""
         if all(candidate.pool.backend.name in self.tried for candidate in candidates):
             self.tried.clear()
         chosen = next(candidate for candidate in candidates if candidate.pool.backend.name not in self.tried)
@@ -47,12 +47,12 @@
 
 
 class ReadCandidatesMixin(SessionBase):
-    """Chooses backends for a session's reads and transactions."""
+    """Selects candidates for a session's reads and transactions."""
 
     def _read_candidates(self, *, route: DatabaseRoute, arrived_us: int) -> Candidates:
-        """Replicas that are fresh enough, or else the primary.
+        """Backends that may serve a read: by log position if the required one is known, else the primary alone.
 
-        :param arrived_us: when the read arrived, which its maximum age counts from.
+        :param arrived_us: when the read arrived; its maximum age counts from then.
         """
         if route.consistency != Consistency.primary:
             required = self.router.required_position(
@@ -72,7 +72,7 @@
         return commit.position
 
     def _primary_candidate(self, *, route: DatabaseRoute) -> Candidates:
-        """The primary alone; none while the database moves or nobody surely leads."""
+        """The primary alone; none while the database is moved to another service or no primary is confirmed."""
         moving = self.router.shards.fault(database=route.database)
         if moving is not None:
             return Candidates(found=[], fault=moving)
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -1,4 +1,4 @@
-"""The register's values and the backends as one proxy knows them, and how answers of controllers change them."""
+"""One proxy's copy of the register's values and of the backends, and how relay answers update it."""
 
 import asyncio
 from dataclasses import replace
@@ -15,21 +15,21 @@
 from ..membership.relay_record import RelayAnswer, RelayedBackend, RelayedValue
 from ..runtime.context import Context
 
-# The key under which `changes` tells of backends; all other keys are the register's.
+# Published by `changes` when backends have changed; all other keys are keys of the register.
 BACKENDS_CHANGE = "backends"
 
 
 def is_gone(*, entry: RelayedBackend) -> bool:
-    """Whether a backend that is no longer named need not be kept."""
+    """Whether a backend that a full answer omits may be dropped: it is silent or deregistered."""
     return entry.silent or entry.announcement.state == GONE
 
 
 class RelayedState:
-    """Holds the newest values that any controller has relayed; they never go back.
+    """Holds the newest values that any controller has relayed. A value is never replaced by an older one.
 
-    `changes` tells the key of each value that was taken. `source` and `revision` name what the last answer contained.
-    `plan` is None before the first configuration was relayed. `assigned_since_us`: when each service's
-    primary was relayed, by this proxy's clock.
+    `changes` publishes the key of each updated value. `source` and `revision` identify the state that the last answer
+    contained. `plan` is None until a configuration was relayed. `assigned_since_us`: by service, when its current
+    assignment was received, by this proxy's clock.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -49,9 +49,9 @@
         self._waiting: list[asyncio.Future[None]] = []
 
     def _take(self, *, answer: RelayAnswer) -> None:
-        """Takes an answer of a controller that is current.
+        """Applies the answer of a controller whose state is current.
 
-        :raises ValueError: a value of it can't be read.
+        :raises ValueError: a value can't be decoded; the values before it have been applied.
         """
         if answer.controllers:
             self.controllers = answer.controllers
@@ -65,9 +65,9 @@
             self.changes.on_next(BACKENDS_CHANGE)
 
     def _drop_lost_backends(self, *, answer: RelayAnswer) -> None:
-        """Drops silent backends that a full answer does not name.
+        """Drops silent or deregistered backends that a full answer omits.
 
-        A controller that has just started knows few of the backends, so others are kept.
+        A controller that has just started knows few of the backends, so backends that answer are kept.
         """
         named = {entry.announcement.name for entry in answer.backends}
         lost = [name for name, entry in self.backends.items() if name not in named and is_gone(entry=entry)]
@@ -77,10 +77,10 @@
     def _take_backends(self, *, entries: tuple[RelayedBackend, ...]) -> None:
         for entry in entries:
             known = self.backends.get(entry.announcement.name)
-            # Another controller may not have heard yet what this proxy knows.
+            # Another controller may not have received yet what this proxy knows.
             if known is not None and entry.announcement.order < known.announcement.order:
                 continue
-            # A deregistration that reached controllers that did not know the backend contains its name alone.
+            # A deregistration relayed by a controller that did not know the backend contains only its name.
             if entry.announcement.state == GONE and not entry.announcement.service:
                 if known is None:
                     continue
@@ -97,9 +97,9 @@
         self.changes.on_next(entry.key)
 
     def _apply(self, *, key: str, value: bytes) -> None:
-        """Puts a register's value in force.
+        """Decodes a value of the register and stores it.
 
-        :raises ValueError: the value can't be read.
+        :raises ValueError: the value can't be decoded.
         """
         if key == PLAN_KEY:
             self._apply_plan(plan=read_service_plan(data=value))
@@ -115,16 +115,16 @@
             self.primaries[service] = assignment
             self.assigned_since_us[service] = self.ctx.now_us()
             self.ctx.log.info(
-                "%s: term %d %s %s", service, assignment.term, assignment.primary, assignment.state.name
+                "%s: term %d, primary %s, %s", service, assignment.term, assignment.primary, assignment.state.name
             )
 
     def _apply_plan(self, *, plan: ServicePlan) -> None:
-        # The register never goes back to an earlier configuration, and neither does anything that follows it.
+        # The register never returns to an earlier configuration version, so neither does this copy.
         if self.plan is None or plan.version > self.plan.version:
             self.plan = plan
-            self.ctx.log.info("configuration %d in force", plan.version)
+            self.ctx.log.info("configuration version %d in force", plan.version)
 
-    # -- waiting for news --
+    # -- waiting for answers --
 
     def _wake(self) -> None:
         waiting, self._waiting = self._waiting, []
@@ -133,7 +133,7 @@
                 future.set_result(None)
 
     async def next_answer(self, *, until_us: int) -> None:
-        """Waits for the next answer of a controller, whatever it says, or until the moment given."""
+        """Waits for the next answer of a controller, whatever its content, but at most until `until_us`."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         try:
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of the register and of the backends, pulled from one controller at a time."""
+"""A proxy's view of the register and of the backends, pulled from one controller at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,37 +17,40 @@
 from .sample_pool import SamplePool
 
 PULL_INTERVAL_US = 250_000
-# While a primary or the shard map moves, or a pull has failed.
+# Applies while a promotion or a shard map change is under way, and after a failed pull.
 URGENT_PULL_INTERVAL_US = 90_000
 PULL_WAIT_US = 450_000
+# The controller is chosen again at intervals that double from the minimum to the maximum.
 MIN_CHOICE_INTERVAL_US = 2_000_000
 MAX_CHOICE_INTERVAL_US = 60_000_000
-# A starting proxy does not wait longer for other controllers once one has answered.
+# How long a starting proxy waits for other controllers once one has answered.
 OTHERS_WAIT_US = 50_000
+# How long a controller is tried last after it did not answer, or answered with outdated or unreadable state.
 UNANSWERED_AVOID_US = 2_000_000
 OUTDATED_AVOID_US = 500_000
-# Not a setting: whoever moves a primary waits for all views by this figure, so all daemons must have the same.
+# How long a view is current. Not a setting: a controller that replaces a primary waits until all views have expired,
+# so all daemons must use the same value.
 LEASE_US = 1_000_000
-# Longer than a view is current, and than two lost questions explain.
+# Controllers count as silent after this time. It exceeds LEASE_US and what two lost requests explain.
 SILENCE_TOLERANCE_US = 1_200_000
 
 
 class TimedAnswer(NamedTuple):
-    """A controller's answer, and when its question was sent, by this proxy's clock."""
+    """A controller's answer, and when the request was sent, by this proxy's clock."""
 
     requested_us: int
     answer: RelayAnswer
 
 
 class ChoiceCost(NamedTuple):
-    """Controllers are chosen by distance, and the present one before others that are as near."""
+    """Orders controllers by distance; among equally near ones the current one comes first."""
 
     distance: int
-    changes: bool
+    switches: bool
 
 
 class ShardVote(NamedTuple):
-    """What this proxy says of the shard map of a proposal; 0: nothing is proposed."""
+    """This proxy's vote on a shard map proposal; `proposal` is 0 where none is known."""
 
     proposal: int
     vote: Vote
@@ -58,10 +61,14 @@
 
 
 class RelayedView(RelayedState):
-    """Pulls the state from a controller. It proves who leads only while it is current; the lists serve for longer.
+    """Pulls the state from a controller and decides which controller to ask.
 
-    `controller`: the address that answered last; empty before the first answer. `as_of_us`: the moment, by this
-    proxy's clock, as of which the view is known to be right.
+    Primary assignments are valid only while the view is `current`; the lists of backends and addresses are also used
+    after that. `controller`: the address that answered last; empty before the first answer. `as_of_us`: the time, by
+    this proxy's clock, at which the state was certainly valid. `answered_us`: when any controller last answered.
+
+    Set by the owner: `vote` returns this proxy's vote on a shard map, `suspected_backends` the names of backends that
+    fail from here, and `ask` samples the position of a service's primary at the controller's request.
     """
 
     def __init__(
@@ -95,23 +102,23 @@
 
     @property
     def current(self) -> bool:
-        """Whether what the view says of primaries still holds for sure."""
+        """Whether the view's primary assignments are still guaranteed to be valid."""
         return self.ctx.now_us() < self.as_of_us + LEASE_US
 
     @property
     def controllers_silent_us(self) -> int:
-        """For how long no controller at all has answered, past the time in which that may be chance."""
+        """How long no controller has answered, beyond SILENCE_TOLERANCE_US; 0 while controllers answer."""
         return max(0, self.ctx.now_us() - self.answered_us - SILENCE_TOLERANCE_US)
 
     def pull_now(self) -> None:
-        """Pulls at once rather than at the next turn."""
+        """Starts the next pull without waiting for the interval."""
         self._hurry.set()
 
     async def run(self) -> None:
-        """Pulls for as long as the process runs."""
+        """Pulls until the process ends."""
         while True:
             if self.ctx.now_us() >= self._next_choice_us:
-                # A silent controller delays the choice, and must not delay the pulling.
+                # A silent controller delays the choice but must not delay pulls.
                 self.ctx.spawn(work=self.choose_controller(), name="view.choose")
             if self._chosen:
                 self.controller, self._chosen = self._chosen, ""
@@ -125,14 +132,14 @@
             self._hurry.clear()
 
     def _moving(self) -> bool:
-        """Whether any primary or the shard map is being moved."""
+        """Whether a primary or the shard map is being changed."""
         moving = any(assignment.state != PrimaryState.settled for assignment in self.primaries.values())
         return moving or self.shards.phase != ShardPhase.steady
 
     # -- the choice of a controller --
 
     def _addresses_by_preference(self) -> list[str]:
-        """The present controller while it answers; then those that have not failed lately."""
+        """All known controllers: those that have not failed recently first, the current one first of these."""
         addresses = list(dict.fromkeys((*self.controllers, *self.seeds())))
         now_us = self.ctx.now_us()
         self.ctx.rng.shuffle(addresses)
@@ -142,9 +149,10 @@
         self._avoid_until_us[address] = self.ctx.now_us() + for_us
 
     async def choose_controller(self) -> None:
-        """Asks all known controllers once, and takes the nearest that is current; of equals the one that is quickest.
+        """Sends a brief request to all known controllers and chooses the nearest that is current.
 
-        The nearest may just be starting, so the choice is made again, at intervals that grow.
+        Among equally near ones the current controller wins, then the first to answer. The nearest controller may just
+        be starting, so the choice is repeated at growing intervals.
         """
         self._next_choice_us = self.ctx.now_us() + self._choice_interval_us
         self._choice_interval_us = min(2 * self._choice_interval_us, MAX_CHOICE_INTERVAL_US)
@@ -166,12 +174,12 @@
         self._chosen = chosen
 
     def _choice_cost(self, *, address: str, result: Result[TimedAnswer, CinderstairError]) -> ChoiceCost:
-        """The cost of a controller by its answer to a brief question; the worst where it is of no use."""
+        """The cost of a controller by its brief answer; WORST_COST where it failed or its state is outdated."""
         if result.is_error() or result.ok.answer.age_us >= LEASE_US:
             return WORST_COST
-        # Another controller has to send everything anew, so the present one stays among those that are as near.
-        changes = bool(self.controller) and address != self.controller
-        return ChoiceCost(self.distance(result.ok.answer.site), changes)
+        # Another controller has to send its full state, so the current one is kept if no other is nearer.
+        switches = bool(self.controller) and address != self.controller
+        return ChoiceCost(self.distance(result.ok.answer.site), switches)
 
     # -- pulling --
 
@@ -199,21 +207,25 @@
             return Ok(TimedAnswer(requested_us, read_relay_answer(data=result.ok)))
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(CinderstairError(code=ErrorCode.MALFORMED, reason=f"{address}: no relayed news"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.MALFORMED, reason=f"{address}: the answer is not a valid relay answer"
+                )
+            )
 
     async def pull(self) -> bool:
-        """Asks one controller once.
+        """Requests the state from one controller once.
 
         :returns: whether its answer made the view current.
         """
         address = self._addresses_by_preference()[0]
-        changes = address != self.controller
-        if changes:
-            # A controller that is taken in haste may be distant, so the choice is made again soon.
+        switches = address != self.controller
+        if switches:
+            # This controller was not chosen by distance, so the choice is repeated soon.
             self._choice_interval_us = MIN_CHOICE_INTERVAL_US
             self._next_choice_us = self.ctx.now_us() + MIN_CHOICE_INTERVAL_US
-        # Each controller counts revisions for itself, so another one is asked for everything.
-        result = await self._ask(address=address, question=self._question(full=changes))
+        # Revisions are counted by each controller, so a different one is asked for its full state.
+        result = await self._ask(address=address, question=self._question(full=switches))
         if result.is_error():
             self.ctx.counters.add(name="view.missed")
             self._avoid(address=address, for_us=UNANSWERED_AVOID_US)
@@ -226,29 +238,31 @@
         return self._take_current(address=address, timed=result.ok)
 
     def _take_outdated(self, *, address: str, answer: RelayAnswer) -> None:
-        """A controller that is cut off from the register knows only backends; another one may know more."""
+        """Takes only the backends of a controller that is cut off from the register, and avoids it for a while."""
         self._avoid(address=address, for_us=OUTDATED_AVOID_US)
         self.ctx.counters.add(name="view.outOfTouch")
         self._take_backends(entries=answer.backends)
         self._wake()
 
     def _take_current(self, *, address: str, timed: TimedAnswer) -> bool:
-        """Takes an answer over.
+        """Applies the answer of a controller whose state is current.
 
-        :returns: whether the view is current with it.
+        :returns: whether the view is current afterwards; False also if a value can't be decoded.
         """
         requested_us, answer = timed
         try:
             self._take(answer=answer)
         except ValueError as error:
-            # What can't be read here can't be in force here, and must not end the pulling.
+            # A value that can't be decoded is not applied, and must not end the pull loop.
             self.ctx.counters.add(name="view.unreadable")
-            self.ctx.log.error("an answer of %s can't be read here: %s", address, error)
+            self.ctx.log.error(
+                "controller %s: its relay answer can't be decoded: %s; trying another controller", address, error
+            )
             self._avoid(address=address, for_us=OUTDATED_AVOID_US)
             return False
-        # Counted from the question's sending less the answer's age, so it is never taken for younger than it is.
+        # Counted from the sending of the request less the age of the state, so it never seems newer than it is.
         self.as_of_us = max(self.as_of_us, requested_us - answer.age_us)
-        # Samples count under the lead under which they were asked for, so the leads are taken before them.
+        # Samples are accepted only in the term of the current assignment, so assignments are applied first.
         self.samples.answered(
             source=answer.source, answered_us=answer.answered_us, requested_us=requested_us, samples=answer.samples
         )
--- a/src/cinderstair/pooler/replica_selection.py
+++ b/src/cinderstair/pooler/replica_selection.py
@@ -1,4 +1,4 @@
-"""Chooses backends for reads, and the log position that makes a replica fresh enough."""
+"""Selects backends for reads, and computes the log position that a replica must have reached."""
 
 from expression import Error, Ok, Result
 
@@ -8,21 +8,21 @@
 from .link_pool import LinkPool
 from .primary_selection import PrimarySelectionMixin
 
-# Keeps a sample that is just fresh enough from expiring on the way to the backend.
+# Keeps a sample that is just recent enough from expiring while the read is sent to the backend.
 AGE_MARGIN_US = 60_000
-# The primary takes reads like a replica while it has fewer statements than this.
+# The primary serves reads like a replica while it runs fewer statements than this.
 PRIMARY_READS = 3
-# One unit of distance is worth this many statements at a nearer backend.
+# One unit of distance weighs as much as this many statements running at a nearer backend.
 LOAD_PER_DISTANCE = 4
 # Positions are sampled for this long after the last read that needed one.
 SAMPLES_WANTED_FOR_US = 4_000_000
 
 
 class ReplicaSelectionMixin(PrimarySelectionMixin):
-    """Orders the replicas of this proxy's subset by trouble, distance and load."""
+    """Orders the replicas of this proxy's subset by failures, distance and load."""
 
     def replicas(self, *, service: str) -> list[LinkPool]:
-        """The subset's replicas that may be read from, nearest first, those in trouble last."""
+        """The subset's replicas that may be read from, nearest first, failing ones last."""
         pools = [self.pools[name] for name in self.replica_subsets.get(service, ()) if name in self.pools]
         usable = [pool for pool in pools if not pool.closed and not self._reported_silent(name=pool.backend.name)]
         return sorted(usable, key=self._cost)
@@ -35,7 +35,10 @@
         return pool.troubled, self.distance(pool.backend.site) + pool.load // LOAD_PER_DISTANCE, pool.load
 
     def readers(self, *, service: str) -> list[LinkPool]:
-        """Where a read with a required position may go, best first; the primary last unless it has little to do."""
+        """The backends for a read with a required position, best first.
+
+        The primary competes with replicas while its load is low, is last while it is moderate, and is then left out.
+        """
         replicas = self.replicas(service=service)
         primary = self.confirmed_primary(service=service)
         if primary.is_error():
@@ -43,7 +46,7 @@
         pool = primary.ok
         if pool.load < PRIMARY_READS and not pool.troubled:
             return sorted([*replicas, pool], key=self._cost)
-        # Replicas that all lag must not send the reads of every proxy to the primary.
+        # If all replicas lag, the reads of all proxies must not overload the primary.
         return [*replicas, pool] if pool.load < 2 * max(1, pool.limit) else replicas
 
     def required_position(
@@ -51,9 +54,9 @@
     ) -> Result[Position, CinderstairError]:
         """The log position that a replica must have reached for a read.
 
-        :param arrived_us: when the read arrived, which its maximum age counts from.
-        :param own_position: the last commit that the read must see; None where there is none.
-        Errors: TOO_STALE where no sample of the primary's position is recent enough.
+        :param arrived_us: when the read arrived; its maximum age counts from then.
+        :param own_position: the position of the session's commit that the read must see; None for none.
+        Errors: TOO_STALE if no sample of the primary's position is recent enough.
         """
         freshness = self.freshness(service=route.service)
         now_us = self.ctx.now_us()
@@ -67,5 +70,9 @@
         )
         needed = None if since_us is None else freshness.needed(since_us=since_us)
         if needed is None:
-            return Error(CinderstairError(code=ErrorCode.TOO_STALE, reason="nobody has asked the primary lately"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.TOO_STALE, reason="no sample of the primary's log position is recent enough"
+                )
+            )
         return Ok(needed if own_position is None else max(needed, own_position))
--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -1,4 +1,4 @@
-"""Picks the backend for a statement: the primary, or a replica of the proxy's subset that is fresh enough."""
+"""Routes statements: maps a database to its service and keeps the pools, links and samples of backends ready."""
 
 from dataclasses import replace
 
@@ -10,15 +10,16 @@
 from .link_pool import LinkPool
 from .position_sampling import PositionSamplingMixin
 
-# Controllers of an earlier version publish no table of addresses; a proxy that has none by then does without.
+# Controllers of an earlier version publish no proxy addresses; after this time the proxy works without them.
 ADDRESSES_WAIT_US = 10_000_000
+# Services without recent reads are maintained in rounds of the timer, about this many a round.
 SERVICES_PER_ROUND = 50
 ALLOCATION_KEYS = (PROXY_IDS_KEY, PROXY_ADDRESSES_KEY)
 POOL_KEYS = (PLAN_KEY, PROXY_IDS_KEY, PROXY_ADDRESSES_KEY, "backends")
 
 
 class Router(LinkLimitsMixin, PositionSamplingMixin):
-    """Joins pools, limits, selection and sampling, and follows the view's changes."""
+    """Combines pools, limits, selection and sampling, and applies changes of the view to them."""
 
     def _connect_view(self) -> None:
         self.view.suspected_backends = self.suspected_backends
@@ -28,7 +29,7 @@
         self.view.changes.subscribe(self._changed)
 
     def suspected_backends(self) -> tuple[str, ...]:
-        """The names of backends that look dead from here."""
+        """The names of backends that fail or do not answer from this proxy."""
         return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
 
     def route(self, *, database: str) -> DatabaseRoute | None:
@@ -41,13 +42,16 @@
         return route if service == route.service else replace(route, service=service)
 
     def _changed(self, key: str) -> None:
-        """Follows a change of the view."""
+        """Applies a change of the view.
+
+        :param key: the changed key of the register, or "backends".
+        """
         if key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
             assignment = self.view.primaries[service]
             if assignment.state == PrimaryState.moving:
                 self.freshness(service=service).fence(as_of_us=-(1 << 60), position=assignment.fence)
-            # With thousands of services, one primary's move must not cost a rebuild of all others.
+            # With thousands of services, a promotion in one must not rebuild the pools of all others.
             if service in self.backends_by_service:
                 self._rebuild_service(service=service)
         elif key in POOL_KEYS:
@@ -56,7 +60,7 @@
             self.rebuild_pools()
 
     def on_timer(self) -> None:
-        """Opens links ahead of need, checks for silent backends, and asks for samples that will be wanted."""
+        """Opens links ahead of need, detects backends that do not answer, and refreshes samples that reads need."""
         self.shards.update()
         if not self.addresses_unavailable and not self.view.proxy_addresses:
             self._check_addresses()
@@ -77,7 +81,7 @@
             self.rebuild_pools()
 
     def _check_pools(self) -> None:
-        """Finds backends that have fallen silent, and detours to those that can't be reached."""
+        """Detects backends that have stopped answering, and maintains detours to unreachable ones."""
         fell_silent = False
         for pool in self.pools.values():
             was_silent = pool.silent
@@ -90,7 +94,7 @@
             self._probe_unheard_primaries()
 
     def _maintain_detour(self, *, pool: LinkPool) -> None:
-        """Only a primary needs a detour; instead of a replica another one is read from."""
+        """Maintains a detour to a primary only; reads use another replica in place of an unreachable one."""
         assignment = self.view.primaries.get(pool.backend.service)
         if (
             assignment is not None
@@ -102,7 +106,7 @@
             self.detours.forget(name=pool.backend.name)
 
     def _maintain_service(self, *, service: str) -> None:
-        """Keeps a link to the primary and to the best replica open, and the samples recent."""
+        """Keeps a link open to the primary and to the best replica, and keeps samples recent."""
         assignment = self.view.primaries.get(service)
         if assignment is None:
             return
@@ -115,7 +119,7 @@
         self._sample_if_due(service=service, assignment=assignment)
 
     def _services_to_sample(self, *, names: list[str]) -> list[str]:
-        """The services that were read from lately, and of all others a part each round."""
+        """The services with recent reads that need samples, and a part of all services each round."""
         rounds = len(names) // SERVICES_PER_ROUND + 1
         self.sampling_round = (self.sampling_round + 1) % rounds
         services = (*self._services_wanting_samples(), *names[self.sampling_round :: rounds])
--- a/src/cinderstair/pooler/router_base.py
+++ b/src/cinderstair/pooler/router_base.py
@@ -1,4 +1,4 @@
-"""What the router's parts share: the view, the pools by backend, and the samples of each service's log position."""
+"""State shared by the router's mixins: the view, a pool per backend, and the position samples per service."""
 
 from collections.abc import Callable
 
@@ -14,19 +14,19 @@
 from .shards import Shards
 from .statement import PreparedStatement
 
-# A backend is given this long to drain, unless the daemon's settings say otherwise.
+# How long a draining backend is used, unless the daemon's settings say otherwise.
 DRAIN_US = 7_000_000
-# Bounds the names that a link's backend keeps; beyond it names are used again for other statements.
+# Bounds the prepared names on a backend; beyond this a name is reused for another statement.
 MAX_PREPARED_NAMES = 4_096
 
 
 class RouterBase:
-    """Owns the pools, one a backend. Everything is derived from the view, by this proxy alone.
+    """Owns one link pool per backend. Allocations are computed from the view without coordination between proxies.
 
-    `link_allocations`: by backend and cap, the links of each proxy id. `replica_allocations`: by the replicas'
-    locations and cap, the replica that each proxy id keeps a link to. `cap_shares`: this proxy's part by cap.
-    `reallocated_us`: when the links were last allocated anew; None: not since this proxy began.
-    `forwarder` is None where other proxies can't reach this one; scarce links are then held only while in use.
+    `link_allocations`: by backend and cap, the number of links of each proxy id. `replica_allocations`: by the
+    replicas' locations and cap, the replica to which each proxy id keeps a link. `cap_shares`: by cap, this proxy's
+    share. `reallocated_us`: when links were last reallocated; None if not since this proxy started. `forwarder`: None
+    if other proxies can't reach this one; where links are scarce it then holds one only while in use.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         """
         :param distance: the distance from this proxy to a site; smaller is nearer.
         :param region: the region of a site.
-        :param drain_us: how long a backend that drains serves on.
+        :param drain_us: how long a draining backend continues to serve.
         :param has_open_writes: whether a transaction that may write is open at any of these databases.
         """
         self.ctx = ctx
@@ -72,7 +72,7 @@
         self._connect_view()
 
     def _connect_view(self) -> None:
-        """Takes the view's events from now on."""
+        """Subscribes to the view and sets its callbacks."""
         raise NotImplementedError
 
     def _forwarding_proxies(self, pool: LinkPool) -> tuple[PeerProxy, ...]:
@@ -80,19 +80,19 @@
         raise NotImplementedError
 
     def route(self, *, database: str) -> DatabaseRoute | None:
-        """Where a database's statements go now; None where the plan does not name it.
+        """The current route of a database; None if the plan does not contain it.
 
-        The shard map counts where it differs from the plan.
+        The shard map's placement overrides the service that the plan names.
         """
         raise NotImplementedError
 
     def alias(self, *, prepared: PreparedStatement) -> bytes:
-        """The name under which a statement is prepared on this proxy's links, whatever its clients call it."""
+        """The name under which a statement is prepared on this proxy's links; clients' names are not used."""
         number = self.prepared_names.setdefault(prepared, len(self.prepared_names) % MAX_PREPARED_NAMES)
         return b"p%d" % number
 
     def freshness(self, *, service: str) -> Freshness:
-        """The samples of the service's primary's log position."""
+        """The samples of the log position of the service's primary."""
         found = self.samples.get(service)
         if found is None:
             found = self.samples[service] = Freshness()
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -1,4 +1,4 @@
-"""One proxy's part in the position samples that proxies share through their controller."""
+"""A proxy's side of sharing position samples between proxies through their controller."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -8,14 +8,15 @@
 from ..runtime.context import Context
 from ..runtime.position import Position
 
-# Own samples that are older are of no use to anybody.
+# Own samples older than this are no longer reported.
 KEEP_US = 5_000_000
+# Earlier than any reading of a proxy's clock.
 LONG_AGO_US = -(1 << 62)
 
 
 @dataclass(frozen=True, kw_only=True)
 class OwnSample:
-    """A sample that this proxy took under the lead of a term; `requested_us` is by this proxy's clock."""
+    """A sample that this proxy requested from the primary of `term`; `requested_us` is by this proxy's clock."""
 
     term: int
     requested_us: int
@@ -24,7 +25,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reference:
-    """An answer of one run of a controller: its clock at sending (`answered_us`), and this proxy's at receiving."""
+    """Pairs clock readings of one answer: the controller's at sending, and this proxy's at receiving.
+
+    `source` is the number of the controller's run; its clock is meaningless for any other run.
+    """
 
     source: int
     answered_us: int
@@ -32,10 +36,12 @@
 
 
 class SamplePool:
-    """Converts moments between the clocks of two machines by spans alone, rounded so that no sample is too young.
+    """Reports own samples to the controller, and accepts those of other proxies.
 
-    `wanted`: the services whose samples reads need. `note`: takes a sample from the controller: the service, the
-    moment by this proxy's clock, and the position. `told_us`: by service, the newest sample that the controller has.
+    Times are converted between two machines' clocks by durations only, and rounded so that a sample never seems newer
+    than it is. `wanted`: returns the services whose samples reads need. `note`: receives each accepted sample: the
+    service, the time of its request by this proxy's clock, and the position. `known_us`: by service, the request time
+    of the newest sample that the controller has; `unconfirmed_us`: those of the samples in the report under way.
     """
 
     def __init__(self, *, ctx: Context, assignment: Callable[[str], ServicePrimary | None]) -> None:
@@ -50,18 +56,18 @@
         self.reference: Reference | None = None
 
     def add_own(self, *, service: str, term: int, requested_us: int, position: Position) -> None:
-        """Takes a sample of this proxy, asked for under the lead of this term."""
+        """Adds a sample of this proxy, requested from the primary of `term`."""
         known = self.own.get(service)
         if known is None or (known.term, known.requested_us) < (term, requested_us):
             self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
     def _counts(self, *, service: str, term: int) -> bool:
         assignment = self.assignment(service)
-        # A position seen under another lead may lie past a fence that has cut it off.
+        # A position from another term may lie past the fence of a promotion that has discarded it.
         return assignment is not None and assignment.state == PrimaryState.settled and assignment.term == term
 
     def reported(self, *, source: int) -> tuple[ReportedSample, ...]:
-        """The samples that a controller does not have yet, with their moments by its clock.
+        """The samples that a controller does not have yet, with request times by its clock.
 
         :param source: the number of the controller's run.
         """
@@ -84,24 +90,27 @@
         return tuple(found)
 
     def _moment_us(self, *, reference: Reference, requested_us: int) -> int:
-        """The controller's clock at our asking, or earlier: its answer was sent before we had it."""
+        """The controller's clock when this proxy requested the sample, or earlier.
+
+        The conversion ignores the answer's transit time: it was sent before it was received.
+        """
         span_us = requested_us - reference.received_us
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
     def wants(self) -> tuple[WantedSample, ...]:
-        """The services of which this proxy wants samples, with the revision that it has of each."""
+        """The services of which this proxy needs samples, with the revision that it has of each."""
         return tuple(WantedSample(service=name, revision=self.revisions.get(name, 0)) for name in self.wanted())
 
     def answered(
         self, *, source: int, answered_us: int, requested_us: int, samples: tuple[PooledSample, ...]
     ) -> None:
-        """Takes an answer: what was reported has arrived, and others' samples count here if the lead is the same.
+        """Handles an answer: the last report has arrived, and samples of the current term are accepted.
 
-        :param answered_us: the controller's clock at the answer.
-        :param requested_us: this proxy's clock at the question.
+        :param answered_us: the controller's clock when it answered.
+        :param requested_us: this proxy's clock when it sent the request.
         """
         if self.reference is None or source != self.reference.source:
-            # Another controller, or a restarted one, knows nothing of what was reported before.
+            # A different or restarted controller has none of the samples that were reported before.
             self.revisions, self.known_us, self.unconfirmed_us = {}, {}, {}
         self.reference = Reference(source=source, answered_us=answered_us, received_us=self.ctx.now_us())
         self.known_us.update(self.unconfirmed_us)
@@ -116,5 +125,8 @@
             self.note(sample.service, at_us, sample.position)
 
     def _at_us(self, *, requested_us: int, age_us: int) -> int:
-        """Our clock when it was asked for, or earlier: the age is of the answer, and we asked before it."""
+        """This proxy's clock when the sample was requested, or earlier.
+
+        The age is as of the answer, which was made after this proxy's request was sent.
+        """
         return requested_us - age_us - drift_us(span_us=age_us)
--- a/src/cinderstair/pooler/session.py
+++ b/src/cinderstair/pooler/session.py
@@ -1,4 +1,4 @@
-"""One client's session: decides by a statement's verb and the session's state how it is run."""
+"""One client's session: decides from a statement's verb and the session's state how it is run."""
 
 from ..runtime.errors import ErrorCode
 from .reply import Reply, State, refusal
@@ -14,15 +14,15 @@
 
 
 class Session(SingleWriteMixin, SingleReadMixin, TransactionStatementsMixin):
-    """Runs a client's statements, one at a time; the caller waits for one reply before it runs the next."""
+    """Runs a client's statements one at a time; the caller must wait for a reply before it runs the next."""
 
     @property
     def has_open_write_transaction(self) -> bool:
-        """Whether a backend was asked to begin a transaction that may write, and it has not ended yet."""
+        """Whether a read-write transaction was begun at a backend, or may have been, and has not ended yet."""
         return self.transaction is not None and not self.transaction.read_only and self.transaction.begin_requested
 
     async def run(self, *, statement: Statement) -> Reply:
-        """Runs one statement. The reply's state is the session's state from then on."""
+        """Runs one statement; the session takes over the state of the reply."""
         self.busy = True
         try:
             reply = await self._run(statement=statement)
@@ -52,7 +52,7 @@
         return await self._run_single(statement=statement)
 
     def _change_session_state(self, *, statement: Statement) -> Reply:
-        """Changes the session's values or prepared statements; links are brought up to date when they are used."""
+        """Changes the session's values or prepared statements; they are sent to a link before its next statement."""
         if statement.verb == Verb.set_value:
             self.values = {**self.values, statement.name: statement.content}
         elif statement.verb == Verb.prepare:
@@ -62,7 +62,7 @@
         return Reply(rows=[], state=self.state)
 
     async def _run_single(self, *, statement: Statement) -> Reply:
-        """Runs a statement that stands outside any transaction."""
+        """Runs a single statement outside any transaction."""
         route = self.route()
         if route is None:
             return refusal(kind=ErrorCode.UNKNOWN_DATABASE)
@@ -73,25 +73,25 @@
         return await self._read(statement=statement, route=route, arrived_us=arrived_us, until_us=until_us)
 
     def end_idle_transaction(self, *, limit_us: int) -> None:
-        """Ends a transaction whose client has sent nothing for longer than the limit."""
+        """Rolls back the open transaction if its client has been idle for longer than the limit."""
         transaction = self.transaction
         if transaction is None or self.busy or self.ctx.now_us() - transaction.last_used_us <= limit_us:
             return
         self.abort()
 
     def abort(self) -> None:
-        """Ends the open transaction; the session's next statement is told of it."""
+        """Rolls back the open transaction; the session stays failed until its client ends the transaction."""
         transaction, self.transaction = self.transaction, None
         if transaction is not None:
             self.state = State.failed
             self._spawn_rollback(transaction=transaction)
 
     def close(self) -> None:
-        """Ends the open transaction of a client that has disconnected."""
+        """Ends the open transaction after the client has disconnected."""
         transaction, self.transaction = self.transaction, None
         if transaction is None:
             return
-        # A statement may still be running on the link, and then only closing the link surely rolls back.
+        # If a statement is still running on the link, only closing the link guarantees a rollback.
         if self.busy:
             self._discard(transaction=transaction)
         else:
--- a/src/cinderstair/pooler/session_base.py
+++ b/src/cinderstair/pooler/session_base.py
@@ -1,4 +1,4 @@
-"""The state of one client's session, and the steps that all kinds of statements share."""
+"""The state of one client's session, and helpers shared by all kinds of statements."""
 
 import asyncio
 from typing import NamedTuple
@@ -26,7 +26,7 @@
 
 
 class CommitPosition(NamedTuple):
-    """The log position of a commit. Positions of two services' logs are not comparable."""
+    """The log position of a commit. Positions in the logs of different services are not comparable."""
 
     service: str
     position: Position
@@ -52,23 +52,26 @@
     # -- refusals --
 
     def _failed(self, *, kind: ErrorCode, come_back_us: int = 0) -> Reply:
-        """Nothing was done; inside a transaction the transaction fails."""
+        """The refusal of a statement that was not run; an open transaction fails.
+
+        :param come_back_us: when the client may retry, in microseconds; 0: not stated.
+        """
         state = State.idle if self.transaction is None else State.failed
         return refusal(kind=kind, state=state, come_back_us=come_back_us)
 
     def _refused(self, *, fault: CinderstairError) -> Reply:
-        """Nothing was done; tells the client when to come back where that is known."""
+        """The refusal for an error; its retry time is the error's `left_us`, or else the default of its code."""
         come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[fault.code].retry_after_us))
         return self._failed(kind=fault.code, come_back_us=come_back_us)
 
-    # -- steps on the way to a backend --
+    # -- routing --
 
     def route(self) -> DatabaseRoute | None:
-        """Where this session's statements go now; None where the database is not configured."""
+        """The current route of this session's database; None if the database is not configured."""
         return self.router.route(database=self.database)
 
     def _on_same_service(self, *, route: DatabaseRoute) -> bool:
-        """Whether the database is still where `route` says and takes all statements."""
+        """Whether the database is still placed on the service of `route` and is not being moved."""
         now = self.route()
         return (
             now is not None and now.service == route.service and not self.router.shards.fault(database=self.database)
@@ -77,15 +80,18 @@
     async def _acquire(
         self, *, pool: LinkPool, route: DatabaseRoute, until_us: int
     ) -> Result[Link, CinderstairError]:
-        """Borrows a link for this session, preferably one that has its values already."""
+        """Borrows a link, preferably one that already has this session's values.
+
+        Errors: those of `LinkPool.acquire`.
+        """
         return await pool.acquire(values=self.values, rank=route.rank, until_us=until_us, database=self.database)
 
     async def _pause(self, *, attempt: int, until_us: int) -> None:
-        """Waits for a random time that doubles at most with each attempt."""
+        """Waits before a retry, with exponential backoff and jitter, but at most until `until_us`."""
         wait_us = self.ctx.rng.randrange(RETRY_PAUSE_US, RETRY_PAUSE_US << (attempt + 1))
         await self.ctx.sleep(duration_us=max(0, min(wait_us, until_us - self.ctx.now_us())))
 
-    # -- steps on a link --
+    # -- sending on a link --
 
     def _writes(self, *, statement: Statement) -> bool:
         """Whether the statement changes data."""
@@ -94,13 +100,13 @@
         return statement.verb == Verb.write
 
     def _replay_values(self, *, link: Link) -> None:
-        """Sends this session's values ahead on a link that nobody else uses."""
+        """Sends this session's values on a link that is borrowed exclusively."""
         replay_values(link=link, values=self.values)
 
     def _send(self, *, link: Link, statement: Statement, at_least: Position | None) -> asyncio.Future[Reply]:
-        """Sends a statement, with the session's values and the prepared statement that it rests on.
+        """Sends a statement, preceded by the session's values and the prepared statement that it executes.
 
-        :param at_least: the log position that the backend must have reached; None where any will do.
+        :param at_least: the log position that the backend must have reached; None for any.
         """
         self._replay_values(link=link)
         alias = b""
@@ -112,7 +118,7 @@
         return reply
 
     def _takes_effect(self, *, statement: Statement) -> bool:
-        """Whether data may change for others once a backend has run this statement."""
+        """Whether the statement makes changes visible to other sessions: a single write, or a read-write commit."""
         if self.transaction is None:
             return self._writes(statement=statement)
         return statement.verb == Verb.commit and not self.transaction.read_only
--- a/src/cinderstair/pooler/session_replay.py
+++ b/src/cinderstair/pooler/session_replay.py
@@ -1,10 +1,13 @@
-"""Brings a link's session values up to date before a statement is sent on it."""
+"""Sets a session's values on a link before a statement is sent on it."""
 
 from .link import Link
 
 
 def replay_values(*, link: Link, values: dict[bytes, bytes]) -> None:
-    """Sends the session's values ahead on a link that nobody else uses, as far as it has others."""
+    """Sends the session's values that differ on the link; clears the link first if it has values of other names.
+
+    The link must be borrowed exclusively.
+    """
     if link.values != values:
         if any(name not in values for name in link.values):
             link.clear()
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -1,4 +1,4 @@
-"""Runs a read that stands outside any transaction, on a second backend too where the first is slow."""
+"""Runs a read outside any transaction, hedged on a second backend if the first is slow."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 from .session_base import MAX_ATTEMPTS
 from .statement import Statement
 
-# A backend that has not answered by then is probably overloaded or dead; two run the read from then on.
+# A backend that has not answered by then is probably overloaded or down, so a second one runs the read too.
 HEDGE_DELAY_US = 260_000
 MAX_PARALLEL_READS = 2
 MAX_READ_FAILURES = 2 * MAX_ATTEMPTS
-# How long a change that lets the read run is expected to take where the fault names no time.
+# Expected time until a read can run where the error has no `left_us`.
 DEFAULT_WAIT_US = 50_000
 
 ReadTask = asyncio.Task[Reply | CinderstairError]
 
 
 class HedgedRead:
-    """The progress of one read: the attempts under way, and how earlier ones failed."""
+    """The progress of one read: the running attempts, and the results of failed ones."""
 
     __slots__ = ("statement", "arrived_us", "until_us", "running", "sequence", "failures", "fault", "failed_reply")
 
@@ -39,11 +39,14 @@
 
     @property
     def may_start(self) -> bool:
-        """Whether another backend may be tried now."""
+        """Whether another attempt may be started now."""
         return len(self.running) < MAX_PARALLEL_READS and self.failures < MAX_READ_FAILURES
 
     async def wait(self, *, now_us: int) -> set[ReadTask]:
-        """Waits for an attempt to end, or for the moment at which the read should be hedged."""
+        """Waits until an attempt ends, the hedge delay has passed or the deadline is reached.
+
+        :returns: the attempts that have ended.
+        """
         left_us = self.until_us - now_us
         wait_us = min(left_us, HEDGE_DELAY_US) if len(self.running) < MAX_PARALLEL_READS else left_us
         done, self.running = await asyncio.wait(
@@ -52,12 +55,12 @@
         return done
 
     def take(self, *, result: Reply | CinderstairError) -> Reply | None:
-        """Notes how an attempt ended.
+        """Records the result of an attempt.
 
-        :returns: the client's reply where it is final, else None.
+        :returns: the reply for the client if it is final, else None.
         """
         if isinstance(result, Reply):
-            # A single statement leaves no transaction behind, whatever state a backend reports after a failure.
+            # A single statement leaves no open transaction, whatever state a backend reports after a failure.
             result.state = State.idle
             if not after_read(reply=result).allowed:
                 return result
@@ -69,13 +72,13 @@
 
 
 class SingleReadMixin(ReadCandidatesMixin):
-    """Offers a read to one backend after another; the first final reply counts."""
+    """Sends a read to one backend after another, at most MAX_PARALLEL_READS at once; the first final reply wins."""
 
     async def _read(self, *, statement: Statement, route: DatabaseRoute, arrived_us: int, until_us: int) -> Reply:
         """Runs a read.
 
-        :param arrived_us: when the read arrived, which its maximum age counts from.
-        :param until_us: the moment, by this proxy's clock, from which on the client is not kept waiting.
+        :param arrived_us: when the read arrived; its maximum age counts from then.
+        :param until_us: the deadline, by this proxy's clock.
         """
         read = HedgedRead(statement=statement, arrived_us=arrived_us, until_us=until_us)
         try:
@@ -111,11 +114,13 @@
         read.running.add(self.ctx.spawn(work=work, name="read"))
 
     def _refused_read(self, *, read: HedgedRead, fault: CinderstairError | None, now_us: int) -> Reply | None:
-        """The refusal of a read that no backend can take; None where that should change in time.
+        """The refusal of a read without candidates; None if that is expected to change before the deadline.
 
         :param fault: why there is no candidate.
         """
-        fault = read.fault or fault or CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend to read from")
+        fault = (
+            read.fault or fault or CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend can serve the read")
+        )
         left_us = int(fault.details.get("left_us", DEFAULT_WAIT_US))
         if read.failures < MAX_READ_FAILURES and now_us + left_us < read.until_us:
             return None
@@ -124,17 +129,19 @@
     async def _read_at(
         self, *, statement: Statement, route: DatabaseRoute, candidate: Candidate, until_us: int
     ) -> Reply | CinderstairError:
-        """Runs the read at one backend; an error means that it gave no answer."""
+        """Runs the read on one backend; an error means that the backend gave no reply."""
         pool, at_least = candidate
         acquired = await self._acquire(pool=pool, route=route, until_us=until_us)
         if acquired.is_error():
             return acquired.error
         link = acquired.ok
         was_primary = is_primary_pool(router=self.router, pool=pool, service=route.service)
-        # Without a position only the current primary will do, and it may have changed during the wait for a link.
+        # Without a position only the current primary may serve it, which may have changed while waiting for a link.
         if at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
-            return CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile")
+            return CinderstairError(
+                code=ErrorCode.NO_LEAD, reason=f"{route.service}: the primary changed while a link was awaited"
+            )
         requested_us = self.ctx.now_us()
         reply = await self._read_on(link=link, statement=statement, candidate=candidate)
         if isinstance(reply, Reply):
@@ -149,16 +156,16 @@
         return reply
 
     async def _read_on(self, *, link: Link, statement: Statement, candidate: Candidate) -> Reply | CinderstairError:
-        """Sends the read on a link and gives the link back."""
+        """Sends the read on a link and releases the link."""
         pool = candidate.pool
         future = self._send(link=link, statement=statement, at_least=candidate.at_least)
         try:
             reply = await asyncio.shield(future)
         except ConnectionError:
             pool.release(link=link)
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the link was lost")
+            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the link was lost before the reply to a read")
         except asyncio.CancelledError:
-            # Closing the link would interrupt a working backend and cost a new link.
+            # Closing the link would interrupt a working backend and require a new link.
             pool.release_answered(link=link, answer=future)
             raise
         pool.release(link=link)
--- a/src/cinderstair/pooler/single_write.py
+++ b/src/cinderstair/pooler/single_write.py
@@ -1,4 +1,4 @@
-"""Runs a write that stands outside any transaction."""
+"""Runs a write outside any transaction, with retries that never apply it twice."""
 
 import asyncio
 from dataclasses import dataclass
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WriteAttempt:
-    """What became of one attempt. `reply` is set where the statement was sent, or no other attempt may follow.
+    """The result of one attempt. `reply` is set if the statement was sent, or if no other attempt may follow.
 
-    `fault` is what the client is told where nothing was done and no attempt is left; None: as before.
+    `fault` is the client's error if the write was not run and no attempt is left; None keeps the previous one.
     """
 
     resend: Resend
@@ -27,14 +27,14 @@
 
 
 class SingleWriteMixin(SessionBase):
-    """Sends a write to the primary, and again only as far as `Resend` allows."""
+    """Sends a write to the primary, and sends it again only if `Resend` allows it."""
 
     async def _write(self, *, statement: Statement, route: DatabaseRoute, until_us: int) -> Reply:
-        """Runs a write. A refusal tells whether nothing was done or the outcome is unknown.
+        """Runs a write. A refusal says whether the write was not run or its outcome is unknown.
 
-        :param until_us: the moment, by this proxy's clock, from which on the client is not kept waiting.
+        :param until_us: the deadline, by this proxy's clock.
         """
-        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="not tried")
+        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="no primary took the write")
         for attempt in range(MAX_ATTEMPTS):
             route = await self._route_after_move(route=route, until_us=until_us)
             result = await self._attempt_write(statement=statement, route=route, until_us=until_us)
@@ -50,7 +50,7 @@
         return self._refused(fault=fault)
 
     async def _route_after_move(self, *, route: DatabaseRoute, until_us: int) -> DatabaseRoute:
-        """The route once a move of its database is over; does not wait for one that is expected to end too late."""
+        """The route after a move of the database to another service; waits only if its end is expected in time."""
         while True:
             moving = self.router.shards.fault(database=route.database)
             left_us = 0 if moving is None else int(moving.details["left_us"])
@@ -59,7 +59,7 @@
             await self.router.view.next_answer(until_us=until_us)
 
     async def _attempt_write(self, *, statement: Statement, route: DatabaseRoute, until_us: int) -> WriteAttempt:
-        """Sends the write to the primary once, or says why it was not sent."""
+        """Sends the write to the primary once, or returns the reason why it was not sent."""
         moving = self.router.shards.fault(database=route.database)
         if moving is not None:
             return WriteAttempt(resend=Resend.GIVE_UP, reply=self._refused(fault=moving))
@@ -75,7 +75,7 @@
                 resend=resend, reply=None if resend.allowed else self._refused(fault=fault), fault=fault
             )
         link = acquired.ok
-        # The primary may have changed during the wait for a link, and a write must not reach a former primary.
+        # The primary may have changed while waiting for a link, and a write must not reach a former primary.
         is_primary = is_primary_pool(router=self.router, pool=pool, service=route.service)
         if not (is_primary and self._on_same_service(route=route)):
             pool.release(link=link)
@@ -84,15 +84,15 @@
         resend = after_write(reply=reply)
         if reply is None:
             return WriteAttempt(resend=resend, reply=refusal(kind=ErrorCode.OUTCOME_UNKNOWN))
-        fault = CinderstairError(code=ErrorCode.OVERLOADED, reason="the backend did not run it")
+        fault = CinderstairError(code=ErrorCode.OVERLOADED, reason="the backend did not run the write")
         return WriteAttempt(resend=resend, reply=reply, fault=fault)
 
     async def _write_on(
         self, *, link: Link, pool: LinkPool, statement: Statement, route: DatabaseRoute, until_us: int
     ) -> Reply | None:
-        """Sends the write on a link and gives the link back.
+        """Sends the write on a link and releases the link.
 
-        :returns: None where the link was lost or no answer came in time: the write may have taken effect.
+        :returns: None if the link was lost or no reply came in time: the write may have taken effect.
         """
         requested_us = self.ctx.now_us()
         future = self._send(link=link, statement=statement, at_least=None)
@@ -111,6 +111,6 @@
         self.router.record_reply(pool=pool, service=route.service, requested_us=requested_us, reply=reply)
         if not reply.not_run and reply.fault is None and reply.position is not None:
             self.last_commit = CommitPosition(route.service, reply.position)
-        # A single statement leaves no transaction behind, whatever state a backend reports after a failure.
+        # A single statement leaves no open transaction, whatever state a backend reports after a failure.
         reply.state = State.idle
         return reply
--- a/src/cinderstair/pooler/transaction.py
+++ b/src/cinderstair/pooler/transaction.py
@@ -1,4 +1,4 @@
-"""The state of one client transaction, from its BEGIN until it has ended at the backend."""
+"""The state of one client transaction, from the client's BEGIN until it has ended at the backend."""
 
 import asyncio
 
@@ -13,9 +13,9 @@
 class Transaction:
     """The client's BEGIN is answered at once; a background task then begins the transaction at a backend.
 
-    `link` and `pool` are None until a backend has begun it, and again after the link was given back.
-    `begin_requested`: some backend was asked to begin it. `used`: a statement of the client was sent on it.
-    `wrote`: a statement that changes data succeeded. `last_used_us`: when the client's last statement ended.
+    `link` and `pool` are None until a backend has begun it, and after the link was released. `begin_requested`: a
+    begin was sent to some backend. `used`: a client statement was sent in it. `wrote`: a statement that changes
+    data succeeded. `last_used_us`: when the client's last statement ended.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
     def release_link(self, *, keep: bool) -> None:
         """Returns the link to its pool.
 
-        :param keep: False closes the link instead, which makes the backend roll back what is open on it.
+        :param keep: False closes the link, which makes the backend roll back an open transaction.
         """
         link, pool = self.link, self.pool
         self.link = self.pool = None
@@ -54,6 +54,6 @@
             pool.release(link=link, keep=keep)
 
     def cancel_begin(self) -> None:
-        """Stops the attempt to begin it at a backend, where one is still running."""
+        """Cancels the begin task if it is still running."""
         if self.begin_task is not None and not self.begin_task.done():
             self.begin_task.cancel()
--- a/src/cinderstair/pooler/transaction_begin.py
+++ b/src/cinderstair/pooler/transaction_begin.py
@@ -1,4 +1,4 @@
-"""Begins a client's transaction at a backend, in the background while the client goes on."""
+"""Begins a client's transaction at a backend, in the background after the client's BEGIN was answered."""
 
 import asyncio
 
@@ -15,15 +15,15 @@
 from .transaction import Transaction
 
 MAX_BEGIN_ATTEMPTS = 2 * MAX_ATTEMPTS
-# A begin runs nothing and is answered at once, so a backend that takes longer is left for another.
+# A begin runs no statement and is answered at once; after this time another backend is tried.
 BEGIN_WAIT_US = 2 * HEDGE_DELAY_US
 
 
 class TransactionBeginMixin(ReadCandidatesMixin):
-    """Finds a backend that begins the transaction. No statement of the client is sent here."""
+    """Finds a backend that begins the transaction. It sends no statement of the client, so a begin may be retried."""
 
     def _begin(self, *, read_only: bool) -> Reply:
-        """Answers the client's BEGIN and starts to look for a backend."""
+        """Answers the client's BEGIN and starts the begin task."""
         if self.transaction is not None:
             return self._failed(kind=ErrorCode.IN_TRANSACTION)
         route = self.route()
@@ -38,9 +38,12 @@
         transaction.begin_task = self.ctx.spawn(work=self._begin_at_any(transaction=transaction), name="begin")
 
     async def _begin_at_any(self, *, transaction: Transaction) -> Result[Link, CinderstairError]:
-        """Begins the transaction at a backend, or at another one where the first does not begin it."""
+        """Tries backends until one begins the transaction, or until the route's time limit.
+
+        Errors: those of the last attempt, or the reason why there is no candidate.
+        """
         until_us = self.ctx.now_us() + transaction.route.time_limit_us
-        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend for a transaction")
+        fault = CinderstairError(code=ErrorCode.NO_BACKEND, reason="no backend can begin the transaction")
         sequence = CandidateSequence()
         for attempt in range(MAX_BEGIN_ATTEMPTS):
             if self.ctx.now_us() >= until_us:
@@ -72,17 +75,21 @@
     async def _begin_at(
         self, *, transaction: Transaction, candidate: Candidate, until_us: int
     ) -> Result[Link, CinderstairError]:
-        """Begins the transaction at one backend; an error means that another may begin it."""
+        """Begins the transaction at one backend; after an error another backend may begin it."""
         pool, route = candidate.pool, transaction.route
         acquired = await self._acquire(pool=pool, route=route, until_us=until_us)
         if acquired.is_error():
             return Error(acquired.error)
         link = acquired.ok
         was_primary = is_primary_pool(router=self.router, pool=pool, service=route.service)
-        # Without a position only the current primary will do, and it may have changed during the wait for a link.
+        # Without a position only the current primary may serve it, which may have changed while waiting for a link.
         if candidate.at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
-            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.NO_LEAD, reason=f"{route.service}: the primary changed while a link was awaited"
+                )
+            )
         begun = False
         try:
             refused = await self._begin_on(
@@ -95,7 +102,9 @@
             return Ok(link)
         except ConnectionError:
             return Error(
-                CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the link was lost before the first statement")
+                CinderstairError(
+                    code=ErrorCode.WIRE_UNSENT, reason="the link was lost before the transaction was begun"
+                )
             )
         finally:
             if not begun:
@@ -106,7 +115,7 @@
     ) -> CinderstairError | None:
         """Sends the begin on a link.
 
-        :returns: why it is not begun there; None where it is.
+        :returns: None if the backend has begun it, else the reason why not.
         :raises ConnectionError: the link was lost.
         """
         requested_us = self.ctx.now_us()
@@ -115,7 +124,7 @@
         future = link.begin(read_only=transaction.read_only, at_least=candidate.at_least)
         reply = await await_reply(ctx=self.ctx, future=future, until_us=min(until_us, requested_us + BEGIN_WAIT_US))
         if reply is None:
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer to a begin")
+            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend did not answer the begin in time")
         record_reply(
             router=self.router,
             pool=candidate.pool,
@@ -127,22 +136,33 @@
         if reply.fault is None and reply.state == State.open:
             return None
         self.router.view.pull_now()
-        return CinderstairError(code=ErrorCode.STATEMENT_DENIED, reason="the backend did not begin")
+        return CinderstairError(code=ErrorCode.STATEMENT_DENIED, reason="the backend refused the begin")
 
     async def _begun_link(self, *, transaction: Transaction, until_us: int) -> Result[Link, CinderstairError]:
-        """The transaction's link; one that was lost before any statement ran on it is replaced by another."""
+        """The transaction's link; if it was lost before any statement was sent on it, the begin is repeated.
+
+        Errors: those of the begin; TRANSACTION_LOST if the session was closed, TIME_LEFT_SPENT after `until_us`.
+        """
         may_begin_again = not transaction.used
         while True:
             begin_task = transaction.begin_task
-            # The client may have disconnected meanwhile, and no transaction is begun for a closed session.
+            # The client may have disconnected, and no transaction is begun for a closed session.
             if self.transaction is not transaction or begin_task is None or begin_task.cancelled():
-                return Error(CinderstairError(code=ErrorCode.TRANSACTION_LOST, reason="given up"))
-            # A begin that failed while the client paused is tried again in the whole time of this statement.
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.TRANSACTION_LOST, reason="the client has disconnected or ended the transaction"
+                    )
+                )
+            # A begin that failed before this statement arrived is tried again within this statement's time limit.
             failed_before = begin_task.done()
             wait_us = max(0, until_us - self.ctx.now_us())
             done, _ = await asyncio.wait([begin_task], timeout=wait_us / 1_000_000)
             if not done:
-                return Error(CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="no backend began it in time"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.TIME_LEFT_SPENT, reason="no backend began the transaction in time"
+                    )
+                )
             if self.transaction is not transaction or begin_task.cancelled():
                 continue
             result = begin_task.result()
--- a/src/cinderstair/pooler/transaction_statements.py
+++ b/src/cinderstair/pooler/transaction_statements.py
@@ -1,4 +1,4 @@
-"""Runs the statements of an open transaction, and ends it."""
+"""Runs the statements of an open transaction, and commits or rolls it back."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class TransactionStatementsMixin(TransactionBeginMixin):
-    """Sends a transaction's statements on its link, each once; only a commit that was not run is repeated."""
+    """Sends each statement once on the transaction's link; only a commit that was not run is sent again."""
 
     async def _in_transaction(self, *, transaction: Transaction, statement: Statement) -> Reply:
         """Runs a statement of the session's open transaction."""
@@ -38,20 +38,20 @@
         )
         if reply is None:
             self._discard(transaction=transaction)
-            # A transaction whose commit was never sent is rolled back everywhere once its link is closed.
+            # A transaction whose commit was never sent is rolled back when its link is closed.
             lost = ErrorCode.OUTCOME_UNKNOWN if commits else ErrorCode.TRANSACTION_LOST
             return refusal(kind=lost, state=state_if_lost)
         transaction.wrote |= reply.fault is None and self._writes(statement=statement)
         return reply
 
     def _not_begun(self, *, fault: CinderstairError) -> Reply:
-        """The refusal of a statement whose transaction no backend has begun."""
+        """The refusal of a statement whose transaction was begun by no backend."""
         kind = ErrorCode.TRANSACTION_LOST if fault.code == ErrorCode.TIME_LEFT_SPENT else fault.code
         come_back_us = int(fault.details.get("left_us", ERROR_RESPONSES[kind].retry_after_us))
         return refusal(kind=kind, state=State.failed, come_back_us=come_back_us)
 
     def _may_continue(self, *, transaction: Transaction) -> bool:
-        """Whether its service still takes it: not where the database has moved since it began."""
+        """Whether the transaction may continue: not if its database has moved to another service since it began."""
         return transaction.read_only or self.router.shards.may_end(
             database=self.database, since_us=transaction.arrived_us
         )
@@ -61,7 +61,7 @@
     ) -> Reply | None:
         """Sends a statement on the transaction's link.
 
-        :returns: None where the link was lost or no answer came in time.
+        :returns: None if the link was lost or no reply came in time.
         """
         transaction.used = True
         requested_us = self.ctx.now_us()
@@ -88,7 +88,7 @@
         transaction = self.transaction
         rolls_back = statement.verb == Verb.rollback
         if transaction is None:
-            # A failed transaction that was given up is ended by any end of the client's.
+            # The proxy has already ended this transaction; any COMMIT or ROLLBACK ends the failed state.
             if self.state == State.failed:
                 return Reply(rows=[]) if rolls_back else refusal(kind=ErrorCode.TRANSACTION_LOST)
             return refusal(kind=ErrorCode.NO_TRANSACTION)
@@ -111,7 +111,7 @@
         return reply
 
     async def _send_commit(self, *, transaction: Transaction, statement: Statement) -> Reply:
-        """Sends the commit, and again in the same transaction where the backend did not run it."""
+        """Sends the commit, and repeats it in the same transaction if the backend did not run it."""
         attempt = 0
         while True:
             reply = await self._in_transaction(transaction=transaction, statement=statement)
@@ -133,7 +133,7 @@
         self.ctx.spawn(work=self._roll_back(transaction=transaction), name="rollback")
 
     async def _roll_back(self, *, transaction: Transaction) -> None:
-        """Rolls back at the backend; the link may serve others once the backend has confirmed it."""
+        """Rolls back at the backend; the link is kept only if the backend confirms the rollback."""
         begin_task = transaction.begin_task
         if begin_task is not None and not begin_task.done():
             await asyncio.wait([begin_task], timeout=ROLLBACK_WAIT_US / 1_000_000)
