--- a/features/pooler/freshness.feature
+++ b/features/pooler/freshness.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: The earliest sample that was asked for since then suffices
     Given samples "<samples>"
-    Then a read since <since> ms needs <position>
+    Then a read that must see all commits before <since> ms requires <position>
 
     Examples: in order
       | samples                    | since | position |
@@ -24,8 +24,8 @@
 
   Scenario Outline: An answer that comes late takes nothing from what is known
     Given samples "<samples>"
-    When a late answer is noted: "<late>"
-    Then a read since <since> ms needs <position>
+    When late samples "<late>" arrive
+    Then a read that must see all commits before <since> ms requires <position>
 
     Examples:
       | samples         | late    | since | position |
@@ -39,13 +39,13 @@
 
   Scenario: A guarded read that wants fresher data takes nothing from one that wants less
     Given samples "100:3.5 200:3.7 300:3.9"
-    When a read since 250 ms has been guarded
-    Then a read since 90 ms needs 3.5
+    When the position required since 250 ms has been computed
+    Then a read that must see all commits before 90 ms requires 3.5
 
   Scenario Outline: A fence cuts what was never acknowledged, and is a sample itself
     Given samples "100:3.5 200:3.7 300:3.9"
-    When all past <fence> is fenced off as of <as_of> ms
-    Then a read since <since> ms needs <position>
+    When a fence at <fence> is set as of <as_of> ms
+    Then a read that must see all commits before <since> ms requires <position>
 
     Examples:
       | fence | as_of | since | position |
@@ -57,10 +57,10 @@
       | 4.0   | 250   | 260   | 3.9      |
 
   Scenario: No position that is needed lacks a commit that was acknowledged before
-    Then over 60 seeded runs no needed position ever lacks a commit that was acknowledged before
+    Then over 60 seeded runs every required position covers all commits acknowledged before
 
   Scenario Outline: The samples stay few, and close enough
-    Then a minute of samples <every> ms apart leaves at most <most>, none older than needed for <age> ms
+    Then a minute of samples <every> ms apart leaves at most <most>, dense enough for reads <age> ms old
 
     Examples:
       | every | most | age   |
--- a/features/pooler/in_flight_writes.feature
+++ b/features/pooler/in_flight_writes.feature
@@ -2,33 +2,33 @@
   An answer says that a write has landed or never will. A link that is lost says neither for a while.
 
   Background:
-    Given what a proxy has under way
+    Given a proxy that tracks in-flight writes
 
   Scenario: Nothing has left, so nothing lands
-    Then of "a" anything may land: no
+    Then writes to "a" may still take effect: no
 
   Scenario: A write counts until it is answered
-    When a write of "a" leaves
-    Then of "a" anything may land: yes
-    And of "b" anything may land: no
-    When 60000 ms pass for what is under way
-    Then of "a" anything may land: yes
-    When the writes of "a" are answered
-    Then of "a" anything may land: no
+    When a write to "a" is sent
+    Then writes to "a" may still take effect: yes
+    And writes to "b" may still take effect: no
+    When 60000 ms pass for the in-flight writes
+    Then writes to "a" may still take effect: yes
+    When the writes to "a" are answered
+    Then writes to "a" may still take effect: no
 
   Scenario: A write whose link is lost counts for as long as it may lie somewhere
-    When a write of "a" leaves
-    And the links of "a" are lost
-    And 2999 ms pass for what is under way
-    Then of "a" anything may land: yes
-    When 2 ms pass for what is under way
-    Then of "a" anything may land: no
+    When a write to "a" is sent
+    And the links with writes to "a" are lost
+    And 2999 ms pass for the in-flight writes
+    Then writes to "a" may still take effect: yes
+    When 2 ms pass for the in-flight writes
+    Then writes to "a" may still take effect: no
 
   Scenario: What has been owed for long is given up, of the databases that are named or of all
-    When a write of "a" leaves
-    And 300 ms pass for what is under way
-    And a write of "b" leaves
-    And what "b" has owed for 250 ms is given up
-    Then the links that were closed are "none"
-    When what every database has owed for 250 ms is given up
-    Then the links that were closed are "a"
+    When a write to "a" is sent
+    And 300 ms pass for the in-flight writes
+    And a write to "b" is sent
+    And writes to "b" unanswered for 250 ms are abandoned
+    Then the closed links are "none"
+    When writes to any database unanswered for 250 ms are abandoned
+    Then the closed links are "a"
--- a/features/pooler/session.feature
+++ b/features/pooler/session.feature
@@ -1,13 +1,13 @@
 Feature: One client's session
 
   Background:
-    Given a proxy, where "a" leads and "b, c" are copies, all at 3.5
+    Given a proxy of a service with primary "a" and replicas "b, c", all at 3.5
 
   # -- single statements --
 
   Scenario Outline: A statement that nothing can be done about changes nothing
-    When the client asks "<asks>"
-    Then the client was told "<told>"
+    When the client runs "<asks>"
+    Then the client's replies are "<told>"
     And "a" was sent "nothing"
 
     Examples:
@@ -20,8 +20,8 @@
 
   Scenario Outline: A write that was not run is tried again at the primary, and no more than four times
     Given "a" answers "<answers>"
-    When the client asks "PUT 1 x"
-    Then the client was told "<told>"
+    When the client runs "PUT 1 x"
+    Then the client's replies are "<told>"
     And "a" was sent "<sent>"
 
     Examples:
@@ -34,11 +34,11 @@
 
   Scenario Outline: A write whose answer never comes is never tried again, and nobody knows
     Given "a" answers "<answers>"
-    When the client asks "PUT 1 x"
-    Then the client was told "outcomeUnknown I"
+    When the client runs "PUT 1 x"
+    Then the client's replies are "outcomeUnknown I"
     And it took between <least> and <most> ms
     And "a" was sent "PUT 1 x"
-    And every link is given back
+    And every link is released
 
     Examples:
       | answers  | least | most |
@@ -47,10 +47,10 @@
       | slow 900 | 765   | 775  |
 
   Scenario Outline: A write waits for a move only where its end is expected in time
-    When the lead moves to "b" at 3.5, to be ready in <ready> ms
-    And the lead settles on "b" after 300 ms
-    And the client asks "PUT 1 x"
-    Then the client was told "<told>"
+    When a promotion of "b" with fence 3.5 starts, expected to end in <ready> ms
+    And the promotion of "b" ends after 300 ms
+    And the client runs "PUT 1 x"
+    Then the client's replies are "<told>"
     And it took between <least> and <most> ms
     And "a" was sent "nothing"
     And "b" was sent "<sent>"
@@ -61,23 +61,23 @@
       | 900   | moving I | 0     | 1    | nothing |
 
   Scenario: A move that is overdue is expected to take as long again
-    When the lead moves to "b" at 3.5, to be ready in 50 ms
+    When a promotion of "b" with fence 3.5 starts, expected to end in 50 ms
     And 900 ms pass
-    And the client asks "PUT 1 x"
-    Then the client was told "moving I"
+    And the client runs "PUT 1 x"
+    Then the client's replies are "moving I"
     And it took between 0 and 1 ms
 
   Scenario Outline: A lead that moves while a link is waited for takes what comes with it
-    Given "a" is dialled "slow 100"
-    When the client begins to ask "<asks>"
+    Given dialling "a" results in "slow 100"
+    When the client starts "<asks>"
     And 50 ms pass
-    And the lead moves to "b" at 3.5, to be ready in 200 ms
-    And the lead settles on "b" after 200 ms
+    And a promotion of "b" with fence 3.5 starts, expected to end in 200 ms
+    And the promotion of "b" ends after 200 ms
     And 600 ms pass
-    Then the client was told "done I"
+    Then the client's replies are "done I"
     And "a" was sent "nothing"
     And "b" was sent "<asks>"
-    And every link is given back
+    And every link is released
 
     Examples:
       | asks    |
@@ -85,58 +85,58 @@
       | FETCH 1 |
 
   Scenario: A lead that moves while a transaction is begun takes it along
-    Given "a" is dialled "slow 100"
-    When the client asks "BEGIN"
+    Given dialling "a" results in "slow 100"
+    When the client runs "BEGIN"
     And 50 ms pass
-    And the lead moves to "b" at 3.5, to be ready in 200 ms
-    And the lead settles on "b" after 200 ms
-    And the client asks "PUT 1 x, COMMIT"
-    Then the client was told "done T, done T, done I"
+    And a promotion of "b" with fence 3.5 starts, expected to end in 200 ms
+    And the promotion of "b" ends after 200 ms
+    And the client runs "PUT 1 x, COMMIT"
+    Then the client's replies are "done T, done T, done I"
     And "a" was sent "nothing"
     And "b" was sent "begin, PUT 1 x, COMMIT"
 
   Scenario: A write out of touch with the register is not offered to anybody
-    When the proxy has been out of touch for 1300 ms
-    And the client asks "PUT 1 x"
-    Then the client was told "notCurrent I"
+    When the proxy has received no relay answer for 1300 ms
+    And the client runs "PUT 1 x"
+    Then the client's replies are "notCurrent I"
     And "a" was sent "nothing"
 
   # -- reads --
 
   Scenario: A read of a route to the primary goes there alone
-    When the client asks "FETCH 1"
-    Then the client was told "done I"
+    When the client runs "FETCH 1"
+    Then the client's replies are "done I"
     And "a" was sent "FETCH 1"
 
   Scenario: A read that may be old goes to a copy with what its log must have
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
-    And the primary's position was asked for 10 ms ago
-    When the client asks "FETCH 1"
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
+    And the primary's position was sampled 10 ms ago
+    When the client runs "FETCH 1"
     Then "c" was sent "after 3.5 FETCH 1"
     And "a" was sent "nothing"
 
   Scenario: A read without a sample goes to the primary
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
-    When the client asks "FETCH 1"
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
+    When the client runs "FETCH 1"
     Then "a" was sent "FETCH 1"
 
   Scenario: A read after a write of its own session needs that too
-    Given its route reads session with 1000 ms of age and a limit of 800 ms
+    Given a route with session consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "a" answers "ok@3.9"
-    When the client asks "PUT 1 x, FETCH 1"
-    Then the client was told "done I, done I"
+    When the client runs "PUT 1 x, FETCH 1"
+    Then the client's replies are "done I, done I"
     And "c" was sent "after 3.9 FETCH 1"
 
   Scenario Outline: A read that one place does not do is offered to the next
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "FETCH 1"
-    Then the client was told "done I"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "FETCH 1"
+    Then the client's replies are "done I"
     And "c" was sent "after 3.5 FETCH 1"
     And "b" was sent "after 3.5 FETCH 1"
     And it took between 2 and 60 ms
-    And every link is given back
+    And every link is released
 
     Examples:
       | c       |
@@ -145,15 +145,15 @@
       | FAILED  |
 
   Scenario Outline: A read is offered to another place than the one that is silent or lost
-    Given a proxy, where "a" leads and "<copies>" are copies, all at 3.5
-    And its route reads bounded with 1000 ms of age and a limit of 800 ms
+    Given a proxy of a service with primary "a" and replicas "<copies>", all at 3.5
+    And a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "FETCH 1"
-    Then the client was told "done I"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "FETCH 1"
+    Then the client's replies are "done I"
     And "c" was sent "after 3.5 FETCH 1"
     And it took between <least> and <most> ms
-    And every link is given back
+    And every link is released
 
     Examples: the hedge goes out after 260 ms, and the first answer counts
       | copies | c              | least | most |
@@ -164,94 +164,94 @@
       | c      | silent, silent | 260   | 270  |
 
   Scenario: A read that all refuse ends with the last refusal
-    Given its route reads primary with 1000 ms of age and a limit of 800 ms
+    Given a route with primary consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "a" answers "BUSY, BUSY, BUSY, BUSY, BUSY, BUSY, BUSY, BUSY"
-    When the client asks "FETCH 1"
-    Then the client was told "BUSY I"
+    When the client runs "FETCH 1"
+    Then the client's replies are "BUSY I"
 
   Scenario: A read that a copy refuses for good ends there
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "GARBLED"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "FETCH 1"
-    Then the client was told "GARBLED I"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "FETCH 1"
+    Then the client's replies are "GARBLED I"
     And "b" was sent "nothing"
 
   Scenario: A read within the time of a hedge is offered once
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "slow 250"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "FETCH 1"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "FETCH 1"
     Then "b" was sent "nothing"
 
   Scenario: A read that nobody answers ends when its time is up
     Given "a" answers "silent, silent"
-    When the client asks "FETCH 1"
-    Then the client was told "timeLeftSpent I"
+    When the client runs "FETCH 1"
+    Then the client's replies are "timeLeftSpent I"
     And it took between 765 and 775 ms
-    And every link is given back
+    And every link is released
 
   # -- values and prepared statements --
 
   Scenario: A link is brought up to a session's values before its statement, and cleared of others
-    When the client asks "SET a 1, PUT 1 x, SET a 2, SET b 3, PUT 2 x"
+    When the client runs "SET a 1, PUT 1 x, SET a 2, SET b 3, PUT 2 x"
     Then "a" was sent "set a 1, PUT 1 x, set a 2, set b 3, PUT 2 x"
 
   Scenario: A link with values that the session has not is cleared first
-    When the client asks "SET a 1, PUT 1 x"
-    And another session asks "PUT 2 x"
-    And another session asks "SET b 1, PUT 3 x"
+    When the client runs "SET a 1, PUT 1 x"
+    And another session runs "PUT 2 x"
+    And another session runs "SET b 1, PUT 3 x"
     Then "a" was sent "set a 1, PUT 1 x, clear, PUT 2 x, set b 1, PUT 3 x"
 
   Scenario: A prepared statement is prepared once on a link, whatever its clients call it
-    When the client asks "NAME s1 PUT shape, RUN s1 1 x, RUN s1 2 x"
-    And another session asks "NAME t PUT shape, RUN t 3 x"
-    Then the client was told "done I, done I, done I, done I, done I"
+    When the client runs "NAME s1 PUT shape, RUN s1 1 x, RUN s1 2 x"
+    And another session runs "NAME t PUT shape, RUN t 3 x"
+    Then the client's replies are "done I, done I, done I, done I, done I"
     And "a" was sent "prepare p0 PUT shape, RUN p0 1 x, RUN p0 2 x, RUN p0 3 x"
 
   Scenario: A name that means another shape now runs that one
-    When the client asks "NAME s1 PUT shape, RUN s1 1 x, NAME s1 FETCH shape, RUN s1 1, FORGET s1, RUN s1 1"
-    Then the client was told "done I, done I, done I, done I, done I, unknownPrepared I"
+    When the client runs "NAME s1 PUT shape, RUN s1 1 x, NAME s1 FETCH shape, RUN s1 1, FORGET s1, RUN s1 1"
+    Then the client's replies are "done I, done I, done I, done I, done I, unknownPrepared I"
     And "a" was sent "prepare p0 PUT shape, RUN p0 1 x, prepare p1 FETCH shape, RUN p1 1"
 
   Scenario: Clearing a link's values takes its prepared statements too, so they are prepared again
-    When another session asks "SET a 1, NAME t PUT q, RUN t 3 x"
-    And the client asks "NAME s PUT q, RUN s 1 x"
+    When another session runs "SET a 1, NAME t PUT q, RUN t 3 x"
+    And the client runs "NAME s PUT q, RUN s 1 x"
     Then "a" was sent "set a 1, prepare p0 PUT q, RUN p0 3 x, clear, prepare p0 PUT q, RUN p0 1 x"
 
   Scenario: Values and names are levelled inside a transaction as well
-    When the client asks "BEGIN, PUT 1 x, SET a 1, NAME s PUT q, RUN s 2 y, COMMIT"
-    Then the client was told "done T, done T, done T, done T, done T, done I"
+    When the client runs "BEGIN, PUT 1 x, SET a 1, NAME s PUT q, RUN s 2 y, COMMIT"
+    Then the client's replies are "done T, done T, done T, done T, done T, done I"
     And "a" was sent "begin, PUT 1 x, set a 1, prepare p0 PUT q, RUN p0 2 y, COMMIT"
 
   # -- transactions --
 
   Scenario: A transaction is begun towards the client at once, and towards a backend behind
-    When the client asks "BEGIN"
-    Then the client was told "done T"
+    When the client runs "BEGIN"
+    Then the client's replies are "done T"
     And it took between 0 and 0 ms
     When 20 ms pass
     Then "a" was sent "begin"
-    When the client asks "PUT 1 x, COMMIT"
-    Then the client was told "done T, done T, done I"
+    When the client runs "PUT 1 x, COMMIT"
+    Then the client's replies are "done T, done T, done I"
     And "a" was sent "begin, PUT 1 x, COMMIT"
-    And every link is given back
+    And every link is released
 
   Scenario: A read-only transaction goes to a copy that has what it needs
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
-    And the primary's position was asked for 10 ms ago
-    When the client asks "BEGIN read, FETCH 1, COMMIT"
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
+    And the primary's position was sampled 10 ms ago
+    When the client runs "BEGIN read, FETCH 1, COMMIT"
     Then "c" was sent "after 3.5 begin read, FETCH 1, COMMIT"
     And "a" was sent "nothing"
 
   Scenario Outline: A begin that a copy does not take is offered to the next
-    Given its route reads bounded with 1000 ms of age and a limit of 800 ms
+    Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "BEGIN read, FETCH 1, COMMIT"
-    Then the client was told "done T, done T, done I"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "BEGIN read, FETCH 1, COMMIT"
+    Then the client's replies are "done T, done T, done I"
     And "b" was sent "after 3.5 begin read, FETCH 1, COMMIT"
-    And every link is given back
+    And every link is released
 
     Examples:
       | c       |
@@ -259,14 +259,14 @@
       | BUSY    |
 
   Scenario Outline: A begin is offered to another place than the one that is silent or lost
-    Given a proxy, where "a" leads and "c" are copies, all at 3.5
-    And its route reads bounded with 1000 ms of age and a limit of 2000 ms
+    Given a proxy of a service with primary "a" and replicas "c", all at 3.5
+    And a route with bounded consistency, a maximum age of 1000 ms and a limit of 2000 ms
     And "c" answers "<c>"
-    And the primary's position was asked for 10 ms ago
-    When the client asks "BEGIN read, FETCH 1, COMMIT"
-    Then the client was told "done T, done T, done I"
+    And the primary's position was sampled 10 ms ago
+    When the client runs "BEGIN read, FETCH 1, COMMIT"
+    Then the client's replies are "done T, done T, done I"
     And "a" was sent "after 3.5 begin read, FETCH 1, COMMIT"
-    And every link is given back
+    And every link is released
 
     Examples:
       | c              |
@@ -275,26 +275,26 @@
 
   Scenario: A begin that nobody takes in time is a promise that nothing is kept
     Given "a" answers "silent, silent, silent, silent"
-    When the client asks "BEGIN, PUT 1 x, PUT 2 x, COMMIT"
-    Then the client was told "done T, transactionLost E, transactionFailed E, transactionLost I"
-    And "PUT 1 x, PUT 2 x, COMMIT" were not sent to "a"
-    And every link is given back
+    When the client runs "BEGIN, PUT 1 x, PUT 2 x, COMMIT"
+    Then the client's replies are "done T, transactionLost E, transactionFailed E, transactionLost I"
+    And none of "PUT 1 x, PUT 2 x, COMMIT" was sent to "a"
+    And every link is released
 
   Scenario: A link that is lost before the first statement costs the client nothing
-    When the client asks "BEGIN"
+    When the client runs "BEGIN"
     And 20 ms pass
     And the open links of "a" are lost
-    And the client asks "PUT 1 x, COMMIT"
-    Then the client was told "done T, done T, done I"
+    And the client runs "PUT 1 x, COMMIT"
+    Then the client's replies are "done T, done T, done I"
     And "a" was sent "begin, begin, PUT 1 x, COMMIT"
 
   Scenario Outline: A statement inside a transaction is never tried elsewhere
     Given "a" answers "ok, ok, <answer>"
-    When the client asks "BEGIN, PUT 1 x, PUT 2 x, PUT 3 x, <end>"
-    Then the client was told "done T, done T, <told>"
+    When the client runs "BEGIN, PUT 1 x, PUT 2 x, PUT 3 x, <end>"
+    Then the client's replies are "done T, done T, <told>"
     And "a" was sent "<sent>"
-    And every link is given back
-    And no link that was given back open is in a transaction
+    And every link is released
+    And no released open link is in a transaction
 
     Examples:
       | answer   | end    | told                                                 | sent                                                |
@@ -307,11 +307,11 @@
 
   Scenario Outline: A commit is sent again only where the backend says that it did not run it
     Given "a" answers "ok, ok, <answers>"
-    When the client asks "BEGIN, PUT 1 x, COMMIT"
-    Then the client was told "done T, done T, <told>"
+    When the client runs "BEGIN, PUT 1 x, COMMIT"
+    Then the client's replies are "done T, done T, <told>"
     And "a" was sent "begin, PUT 1 x, <sent>"
-    And every link is given back
-    And no link that was given back open is in a transaction
+    And every link is released
+    And no released open link is in a transaction
 
     Examples:
       | answers                | told             | sent                                         |
@@ -322,35 +322,35 @@
       | silent                 | outcomeUnknown I | COMMIT, close                                |
 
   Scenario: A commit that was never sent since the link had gone is a promise that nothing is kept
-    When the client asks "BEGIN, PUT 1 x"
+    When the client runs "BEGIN, PUT 1 x"
     And the open links of "a" are lost
-    And the client asks "COMMIT"
-    Then the client was told "done T, done T, transactionLost I"
+    And the client runs "COMMIT"
+    Then the client's replies are "done T, done T, transactionLost I"
 
   Scenario: A transaction in a transaction fails it, and only its end is taken then
-    When the client asks "BEGIN, PUT 1 x, BEGIN, FETCH 1, SET a 1, RUN s, COMMIT, FETCH 2"
-    Then the client was told "done T, done T, inTransaction E, transactionFailed E, transactionFailed E, transactionFailed E, transactionLost I, done I"
-    And every link is given back
+    When the client runs "BEGIN, PUT 1 x, BEGIN, FETCH 1, SET a 1, RUN s, COMMIT, FETCH 2"
+    Then the client's replies are "done T, done T, inTransaction E, transactionFailed E, transactionFailed E, transactionFailed E, transactionLost I, done I"
+    And every link is released
     And "a" was sent "begin, PUT 1 x, rollback, FETCH 2"
 
   Scenario: An unknown name inside a transaction fails it
-    When the client asks "BEGIN, RUN s1 1, UNDO"
-    Then the client was told "done T, unknownPrepared E, done I"
-    And every link is given back
+    When the client runs "BEGIN, RUN s1 1, UNDO"
+    Then the client's replies are "done T, unknownPrepared E, done I"
+    And every link is released
 
   Scenario: A transaction that was undone leaves its link to the others
-    When the client asks "BEGIN, PUT 1 x, UNDO"
+    When the client runs "BEGIN, PUT 1 x, UNDO"
     And 10 ms pass
-    And another session asks "PUT 2 x"
+    And another session runs "PUT 2 x"
     Then "a" was sent "begin, PUT 1 x, rollback, PUT 2 x"
 
   Scenario Outline: A rollback that is not surely done costs its link
-    Given "a" answers rollbacks "<answer>"
-    When the client asks "BEGIN, PUT 1 x, UNDO"
-    Then the client was told "done T, done T, done I"
+    Given "a" answers rollbacks with "<answer>"
+    When the client runs "BEGIN, PUT 1 x, UNDO"
+    Then the client's replies are "done T, done T, done I"
     When 1500 ms pass
     Then "a" was sent "begin, PUT 1 x, rollback, close"
-    And every link is given back
+    And every link is released
 
     Examples:
       | answer |
@@ -359,64 +359,64 @@
       | FAILED |
 
   Scenario: A transaction that was undone before it was begun leaves nothing behind
-    When the client asks "BEGIN, UNDO, PUT 2 x"
-    Then the client was told "done T, done I, done I"
-    And every link is given back
-    And no link that was given back open is in a transaction
+    When the client runs "BEGIN, UNDO, PUT 2 x"
+    Then the client's replies are "done T, done I, done I"
+    And every link is released
+    And no released open link is in a transaction
 
   Scenario: A transaction whose client rests is ended, and its end says so
-    When the client asks "BEGIN, PUT 1 x"
+    When the client runs "BEGIN, PUT 1 x"
     And 2000 ms pass
-    And the proxy ends transactions that rest for more than 3000 ms
+    And the proxy ends transactions idle for more than 3000 ms
     Then "a" was sent "begin, PUT 1 x"
     When 1001 ms pass
-    And the proxy ends transactions that rest for more than 3000 ms
+    And the proxy ends transactions idle for more than 3000 ms
     Then "a" was sent "begin, PUT 1 x, rollback"
-    When the client asks "PUT 2 x, COMMIT, PUT 3 x"
-    Then the client was told "done T, done T, transactionFailed E, transactionLost I, done I"
+    When the client runs "PUT 2 x, COMMIT, PUT 3 x"
+    Then the client's replies are "done T, done T, transactionFailed E, transactionLost I, done I"
 
   Scenario: A transaction at work does not rest
     Given "a" answers "ok, ok, slow 700"
-    When the client asks "BEGIN, PUT 1 x"
-    And the client begins to ask "PUT 2 x"
+    When the client runs "BEGIN, PUT 1 x"
+    And the client starts "PUT 2 x"
     And 500 ms pass
-    And the proxy ends transactions that rest for more than 300 ms
+    And the proxy ends transactions idle for more than 300 ms
     And 500 ms pass
-    Then the client was told "done T, done T, done T"
+    Then the client's replies are "done T, done T, done T"
 
   Scenario: A client that vanishes at rest in a transaction has it rolled back
-    When the client asks "BEGIN, PUT 1 x"
-    And the client vanishes
+    When the client runs "BEGIN, PUT 1 x"
+    And the client disconnects
     And 10 ms pass
     Then "a" was sent "begin, PUT 1 x, rollback"
-    And every link is given back
-    And no link that was given back open is in a transaction
+    And every link is released
+    And no released open link is in a transaction
 
   Scenario: A client that vanishes in the middle of a statement has its link closed
     Given "a" answers "ok, ok, slow 300"
-    When the client asks "BEGIN, PUT 1 x"
-    And the client begins to ask "PUT 2 x"
+    When the client runs "BEGIN, PUT 1 x"
+    And the client starts "PUT 2 x"
     And 100 ms pass
-    And the client vanishes
-    Then every link is given back
+    And the client disconnects
+    Then every link is released
     And "a" was sent "begin, PUT 1 x, PUT 2 x, close"
-    And nothing has crashed
+    And no task has crashed
 
   Scenario: A client that vanishes while its commit is to be asked for again
     Given "a" answers "ok, ok, BUSY"
-    When the client asks "BEGIN, PUT 1 x"
-    And the client begins to ask "COMMIT"
+    When the client runs "BEGIN, PUT 1 x"
+    And the client starts "COMMIT"
     And 5 ms pass
-    And the client vanishes
-    Then every link is given back
+    And the client disconnects
+    Then every link is released
     And "a" was sent "begin, PUT 1 x, COMMIT, close"
-    And nothing has crashed
+    And no task has crashed
 
   Scenario: A client that vanishes at any moment of its first statement leaves nothing behind
-    Then a client that vanishes after any of 8 turns of the loop leaves nothing behind
+    Then a client that disconnects after any of 8 event loop iterations leaves no borrowed link
 
   Scenario: A route that changes binds from the next transaction on
-    When the client asks "BEGIN, FETCH 1"
-    And the configuration drops the database
-    And the client asks "FETCH 2, COMMIT, FETCH 3"
-    Then the client was told "done T, done T, done T, done I, unknownDatabase I"
+    When the client runs "BEGIN, FETCH 1"
+    And the configuration removes the database
+    And the client runs "FETCH 2, COMMIT, FETCH 3"
+    Then the client's replies are "done T, done T, done T, done I, unknownDatabase I"
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -27,30 +27,30 @@
         context.fresh.note(requested_us=int(requested_ms) * 1_000, position=found)
 
 
-@when('a late answer is noted: "{text}"')
+@when('late samples "{text}" arrive')
 def when_late(context: Any, text: str) -> None:
     note_all(context=context, text=text)
 
 
-@when("all past {at} is fenced off as of {as_of_ms:d} ms")
+@when("a fence at {at} is set as of {as_of_ms:d} ms")
 def when_fence(context: Any, at: str, as_of_ms: int) -> None:
     found = position(text=at)
     assert found is not None
     context.fresh.fence(as_of_us=as_of_ms * 1_000, position=found)
 
 
-@when("a read since {since_ms:d} ms has been guarded")
+@when("the position required since {since_ms:d} ms has been computed")
 def when_guarded(context: Any, since_ms: int) -> None:
     context.fresh.needed(since_us=since_ms * 1_000)
 
 
-@then("a read since {since_ms:d} ms needs {at}")
+@then("a read that must see all commits before {since_ms:d} ms requires {at}")
 def then_needs(context: Any, since_ms: int, at: str) -> None:
     found = context.fresh.needed(since_us=since_ms * 1_000)
     assert shown(at=found) == at, found
 
 
-@then("over {runs:d} seeded runs no needed position ever lacks a commit that was acknowledged before")
+@then("over {runs:d} seeded runs every required position covers all commits acknowledged before")
 def then_never_lacks(context: Any, runs: int) -> None:
     for seed in range(runs):
         rng, fresh = random.Random(seed), Freshness()
@@ -75,7 +75,7 @@
         assert answered > 100, (seed, answered)
 
 
-@then("a minute of samples {every_ms:d} ms apart leaves at most {most:d}, none older than needed for {age_ms:d} ms")
+@then("a minute of samples {every_ms:d} ms apart leaves at most {most:d}, dense enough for reads {age_ms:d} ms old")
 def then_bounded(context: Any, every_ms: int, most: int, age_ms: int) -> None:
     fresh = Freshness()
     for now_ms in range(0, 60_000, every_ms):
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -27,14 +27,14 @@
         self.closed.append(self.name)
 
 
-@given("what a proxy has under way")
+@given("a proxy that tracks in-flight writes")
 def given_in_flight(context: Any) -> None:
     context.stage = Stage(context=context)
     context.in_flight = InFlightWrites(ctx=context.stage.ctx)
     context.unanswered, context.closed = [], []
 
 
-@when('a write of "{database}" leaves')
+@when('a write to "{database}" is sent')
 def when_leaves(context: Any, database: str) -> None:
     answer: asyncio.Future[Reply] = context.stage.loop.create_future()
     link: Any = FakeLink(name=database, closed=context.closed)
@@ -42,7 +42,7 @@
     context.unanswered.append((database, answer))
 
 
-@when('the writes of "{database}" are answered')
+@when('the writes to "{database}" are answered')
 def when_answered(context: Any, database: str) -> None:
     for name, answer in context.unanswered:
         if name == database:
@@ -50,7 +50,7 @@
     context.stage.advance(for_us=0)
 
 
-@when('the links of "{database}" are lost')
+@when('the links with writes to "{database}" are lost')
 def when_lost(context: Any, database: str) -> None:
     for name, answer in context.unanswered:
         if name == database:
@@ -58,26 +58,26 @@
     context.stage.advance(for_us=0)
 
 
-@when("{count:d} ms pass for what is under way")
+@when("{count:d} ms pass for the in-flight writes")
 def when_pass(context: Any, count: int) -> None:
     context.stage.advance(for_us=count * 1_000)
 
 
-@when('what "{database}" has owed for {count:d} ms is given up')
+@when('writes to "{database}" unanswered for {count:d} ms are abandoned')
 def when_given_up(context: Any, database: str, count: int) -> None:
     context.in_flight.abandon(databases=frozenset([database]), older_than_us=count * 1_000)
 
 
-@when("what every database has owed for {count:d} ms is given up")
+@when("writes to any database unanswered for {count:d} ms are abandoned")
 def when_all_given_up(context: Any, count: int) -> None:
     context.in_flight.abandon(databases=None, older_than_us=count * 1_000)
 
 
-@then('of "{database}" anything may land: {answer}')
+@then('writes to "{database}" may still take effect: {answer}')
 def then_may(context: Any, database: str, answer: str) -> None:
     assert context.in_flight.may_take_effect(database=database, within_us=WITHIN_US) == (answer == "yes")
 
 
-@then('the links that were closed are "{names}"')
+@then('the closed links are "{names}"')
 def then_closed(context: Any, names: str) -> None:
     assert (", ".join(context.closed) or "none") == names, context.closed
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -103,13 +103,13 @@
     context.net_us = (1_000, 1_000)
 
 
-@given('a controller\'s board of samples, and proxies "{names}" that ask it, all with clocks of their own')
+@given('a controller that shares samples between proxies "{names}", each machine with its own clock')
 def given_board(context: Any, names: str) -> None:
     context.stage = Stage(context=context)
     new_pooling(context=context, seed=0, names=names.split(", "))
 
 
-@given("a question takes {there_ms:d} ms and an answer {back_ms:d} ms")
+@given("a request takes {there_ms:d} ms and its answer {back_ms:d} ms")
 def given_net(context: Any, there_ms: int, back_ms: int) -> None:
     context.net_us = there_ms * 1_000, back_ms * 1_000
 
@@ -120,24 +120,24 @@
     context.last.ask(controller=context.controller, time=context.time, there_us=there_us, back_us=back_us, lost=lost)
 
 
-@when('"{name}" asks the controller')
+@when('"{name}" pulls from the controller')
 def when_asks(context: Any, name: str) -> None:
     ask(context=context, name=name)
 
 
-@when('"{name}" asks the controller, whose answer is lost')
+@when('"{name}" pulls from the controller, and the answer is lost')
 def when_asks_lost(context: Any, name: str) -> None:
     ask(context=context, name=name, lost=True)
 
 
-@when('"{name}" begins to ask the primary of term {term:d}')
+@when('"{name}" requests a sample from the primary of term {term:d}')
 def when_begins(context: Any, name: str, term: int) -> None:
     proxy = context.proxies[name]
     proxy.asking = term, proxy.machine.ctx.now_us()
     context.requested_true_us = context.time.us
 
 
-@when('"{name}" is shown {at} by the primary that it asked')
+@when('"{name}" receives the requested sample {at}')
 def when_shown(context: Any, name: str, at: str) -> None:
     proxy, found = context.proxies[name], position(text=at)
     term, requested_us = proxy.asking
@@ -145,19 +145,19 @@
     proxy.pool.add_own(service=SERVICE, term=term, requested_us=requested_us, position=found)
 
 
-@when('"{name}" is shown {at} by the primary of term {term:d}, after {wait_ms:d} ms')
+@when('"{name}" samples {at} from the primary of term {term:d} within {wait_ms:d} ms')
 def when_shown_after(context: Any, name: str, at: str, term: int, wait_ms: int) -> None:
     when_begins(context=context, name=name, term=term)
     context.time.us += wait_ms * 1_000
     when_shown(context=context, name=name, at=at)
 
 
-@when("{wait_ms:d} ms pass for all")
+@when("{wait_ms:d} ms pass on all machines")
 def when_passes(context: Any, wait_ms: int) -> None:
     context.time.us += wait_ms * 1_000
 
 
-@when("the controller begins another life")
+@when("the controller restarts")
 def when_another_life(context: Any) -> None:
     machine = context.machine("hall")
     # why: a clock that is far from the one before would give itself away
@@ -165,17 +165,17 @@
     context.controller = ControllerStage(machine=machine, source=context.rng.getrandbits(62) | 1)
 
 
-@given('"{name}" says that the lead is {state} under term {term:d}')
+@given('the assignment known to "{name}" is {state} in term {term:d}')
 def given_lead(context: Any, name: str, state: str, term: int) -> None:
     context.proxies[name].assignment = ServicePrimary(term=term, primary="a", state=PrimaryState[state])
 
 
-@when('"{name}" wants nothing')
+@when('"{name}" needs no samples')
 def when_wants_nothing(context: Any, name: str) -> None:
     context.proxies[name].pool.wanted = tuple
 
 
-@then('"{name}" has a sample of {at}, between {least_ms:d} and {most_ms:d} ms older than it is')
+@then('"{name}" has a sample of {at} that seems {least_ms:d} to {most_ms:d} ms older than it is')
 def then_has(context: Any, name: str, at: str, least_ms: int, most_ms: int) -> None:
     proxy, found = context.proxies[name], position(text=at)
     reported_us = next(us for us, each in proxy.noted if each == found)
@@ -188,23 +188,23 @@
     assert not context.proxies[name].noted, context.proxies[name].noted
 
 
-@then("the board holds {at} under term {term:d}")
+@then("the controller has sample {at} of term {term:d}")
 def then_board(context: Any, at: str, term: int) -> None:
     entry = context.controller.position_samples.samples[SERVICE]
     assert (shown(at=entry.position), entry.term) == (at, term), entry
 
 
-@then("the last question told {count:d} samples")
+@then("the last request reported {count:d} samples")
 def then_reported(context: Any, count: int) -> None:
     assert len(context.last.reported) == count, context.last.reported
 
 
-@then("the last answer gave {count:d} samples")
+@then("the last answer contained {count:d} samples")
 def then_gave(context: Any, count: int) -> None:
     assert len(context.controller.answered) == count, context.controller.answered
 
 
-@then("the last answer sent the proxy to the primary: {word}")
+@then("the last answer requested a sample of the primary: {word}")
 def then_sent_to_primary(context: Any, word: str) -> None:
     assert bool(context.controller.requested) == (word == "yes"), context.controller.requested
 
@@ -253,7 +253,7 @@
     return wrong, came
 
 
-@then("over {runs:d} seeded runs with clocks that drift, slow nets, freezes and restarts none is too young")
+@then("over {runs:d} seeded runs with clock drift, slow networks, freezes and restarts no sample seems too recent")
 def then_never_young(context: Any, runs: int) -> None:
     came = 0
     for seed in range(runs):
@@ -281,9 +281,9 @@
     return any_life
 
 
-@then("with {fault} it is seen that a sample is too young")
+@then("with {fault} some sample seems too recent")
 def then_fault_seen(context: Any, fault: str) -> None:
-    if fault == "moments kept over a restart":
+    if fault == "times kept across a restart":
         begin = ControllerStage.__init__
 
         def keeping(self: ControllerStage, **named: Any) -> None:
@@ -291,7 +291,7 @@
             self.answer = kept_over(self)  # type: ignore[method-assign]
 
         patched: Any = patch.object(ControllerStage, "__init__", keeping)
-    elif fault == "ages taken from the answer":
+    elif fault == "ages counted from the answer":
         patched = patch.object(SamplePool, "_at_us", from_answer)
     else:
         patched = patch.object(SamplePool, "_moment_us", from_question)
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -46,7 +46,7 @@
     return f"{outcome} {STATE_WORDS[reply.state]}"
 
 
-@given('a proxy, where "{primary}" leads and "{replicas}" are copies, all at {at}')
+@given('a proxy of a service with primary "{primary}" and replicas "{replicas}", all at {at}')
 def given_proxy(context: Any, primary: str, replicas: str, at: str) -> None:
     stage = context.stage = Stage(context=context)
     found = position(text=at)
@@ -71,7 +71,7 @@
     context.replies = []
 
 
-@given("its route reads {sort} with {age_ms:d} ms of age and a limit of {limit_ms:d} ms")
+@given("a route with {sort} consistency, a maximum age of {age_ms:d} ms and a limit of {limit_ms:d} ms")
 def given_route(context: Any, sort: str, age_ms: int, limit_ms: int) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms, limit_ms=limit_ms)
     context.reported.plan(plan=plan(routes=(made,), version=2))
@@ -83,17 +83,17 @@
     context.backends[name].script.extend(words.split(", "))
 
 
-@given('"{name}" is dialled "{words}"')
+@given('dialling "{name}" results in "{words}"')
 def given_dialled(context: Any, name: str, words: str) -> None:
     context.backends[name].dials.extend(words.split(", "))
 
 
-@given('"{name}" answers rollbacks "{words}"')
+@given('"{name}" answers rollbacks with "{words}"')
 def given_rollbacks(context: Any, name: str, words: str) -> None:
     context.backends[name].rollbacks.extend(words.split(", "))
 
 
-@given('"{name}" stands {distance:d} away')
+@given('"{name}" is at distance {distance:d}')
 def given_away(context: Any, name: str, distance: int) -> None:
     site = f"far-{name}"
     context.distances[site] = distance
@@ -105,7 +105,7 @@
     )
 
 
-@given("the primary's position was asked for {ago_ms:d} ms ago")
+@given("the primary's position was sampled {ago_ms:d} ms ago")
 def given_sampled(context: Any, ago_ms: int) -> None:
     context.stage.run(work=context.router.sample(service="s"))
     context.stage.advance(for_us=ago_ms * 1_000)
@@ -113,7 +113,7 @@
         backend.log.clear()
 
 
-@when("the controller tells of {at} under term {term:d}")
+@when("the controller relays a sample of {at} in term {term:d}")
 def when_controller_tells(context: Any, at: str, term: int) -> None:
     controller_tells(context=context, at=at, term=term, age_us=1_000)
 
@@ -127,7 +127,7 @@
     context.reported.view.samples.answered(source=1, answered_us=7_000_000, requested_us=now_us, samples=(sample,))
 
 
-@when("for {wait_ms:d} ms the controller tells of {at} under term {term:d} each {every_ms:d} ms")
+@when("the controller relays a sample of {at} in term {term:d} every {every_ms:d} ms for {wait_ms:d} ms")
 def when_controller_tells_often(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
     # The router's timer runs meanwhile, as it does all the time.
     for _ in range(wait_ms // every_ms):
@@ -135,21 +135,21 @@
         when_timer_runs(context=context, wait_ms=every_ms)
 
 
-@when("the controller sends this proxy to the primary")
+@when("the controller asks this proxy to sample the primary")
 def when_controller_sends(context: Any) -> None:
     context.stage.call(call=lambda: context.reported.view.ask("s"))
     context.stage.advance(for_us=50_000)
 
 
-@then("it has {what} to tell")
+@then("the samples to report are {what}")
 def then_to_tell(context: Any, what: str) -> None:
     samples = context.reported.view.samples
     samples.answered(source=1, answered_us=7_000_000, requested_us=context.stage.now_us, samples=())
-    found = ", ".join(shown(at=each.position) for each in samples.reported(source=1)) or "nothing"
+    found = ", ".join(shown(at=each.position) for each in samples.reported(source=1)) or "none"
     assert found == what, found
 
 
-@when('the client asks "{text}"')
+@when('the client runs "{text}"')
 def when_client_asks(context: Any, text: str) -> None:
     began_us = context.stage.now_us
     for each in text.split(", "):
@@ -157,7 +157,7 @@
     context.took_us = context.stage.now_us - began_us
 
 
-@when('the client begins to ask "{text}"')
+@when('the client starts "{text}"')
 def when_client_begins(context: Any, text: str) -> None:
     async def ask_later() -> None:
         context.replies.append(await context.session.run(statement=statement(text=text)))
@@ -170,7 +170,7 @@
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@then('the client was told "{words}"')
+@then('the client\'s replies are "{words}"')
 def then_replies(context: Any, words: str) -> None:
     found = ", ".join(reply_line(reply=reply) for reply in context.replies)
     assert found == words, found
@@ -187,7 +187,7 @@
     assert found == words, found
 
 
-@then('"{words}" were not sent to "{name}"')
+@then('none of "{words}" was sent to "{name}"')
 def then_not_sent(context: Any, words: str, name: str) -> None:
     assert not any(word in context.backends[name].log for word in words.split(", ")), context.backends[name].log
 
@@ -199,19 +199,19 @@
     context.stage.advance(for_us=1_000)
 
 
-@when('the lead moves to "{name}" at {fence}, to be ready in {ready_ms:d} ms')
+@when('a promotion of "{name}" with fence {fence} starts, expected to end in {ready_ms:d} ms')
 def when_moves(context: Any, name: str, fence: str, ready_ms: int) -> None:
     context.reported.assign_primary(
         primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000
     )
 
 
-@when("the lead is closing")
+@when("the primary's assignment is closing")
 def when_closing(context: Any) -> None:
     context.reported.assign_primary(primary=context.primary, state=PrimaryState.closing)
 
 
-@when('the lead settles on "{name}" after {wait_ms:d} ms')
+@when('the promotion of "{name}" ends after {wait_ms:d} ms')
 def when_settles(context: Any, name: str, wait_ms: int) -> None:
     async def settle() -> None:
         await asyncio.sleep(wait_ms / 1_000)
@@ -231,16 +231,16 @@
     return RelayAnswer(source=1, revision=reported.revision, age_us=0, full=False, values=(value,))
 
 
-@when("the proxy has been out of touch for {wait_ms:d} ms")
+@when("the proxy has received no relay answer for {wait_ms:d} ms")
 def when_out(context: Any, wait_ms: int) -> None:
     context.reported.in_touch = False
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@when('"{name}" says that it is {state}')
+@when('"{name}" announces that it is {state}')
 def when_says(context: Any, name: str, state: str) -> None:
     context.numbers[name] += 1
-    states = {"ready": READY, "emptying": EMPTYING, "gone": GONE}
+    states = {"ready": READY, "draining": EMPTYING, "deregistered": GONE}
     context.reported.tell(
         backends=(
             announcement(
@@ -250,20 +250,20 @@
     )
 
 
-@then('reads may go to "{names}"')
+@then('the read candidates are "{names}"')
 def then_readers(context: Any, names: str) -> None:
-    found = ", ".join(pool.backend.name for pool in context.router.readers(service="s")) or "nobody"
+    found = ", ".join(pool.backend.name for pool in context.router.readers(service="s")) or "none"
     assert found == names, found
 
 
-@then('the surely leading primary is "{name}"')
+@then('confirming the primary returns "{name}"')
 def then_led(context: Any, name: str) -> None:
     led = context.router.confirmed_primary(service="s")
     found = led.ok.backend.name if led.is_ok() else led.error.code.value
     assert found == name, found
 
 
-@then('a guarded read of {sort} routes with {age_ms:d} ms of age, whose session is at {own}, needs "{at}"')
+@then('a read with {sort} consistency, maximum age {age_ms:d} ms and last commit {own} requires "{at}"')
 def then_guard(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
     made = route(consistency=Consistency[sort], age_ms=age_ms)
     found = context.router.required_position(
@@ -273,7 +273,7 @@
     assert text == at, text
 
 
-@when('{count:d} links of "{name}" are taken')
+@when('{count:d} links of "{name}" are borrowed')
 def when_taken(context: Any, count: int, name: str) -> None:
     pool = context.router.pools[name]
 
@@ -285,32 +285,30 @@
     context.stage.run(work=take())
 
 
-@when('"{name}" is in trouble')
+@when('a failure of "{name}" is reported')
 def when_fault_struck(context: Any, name: str) -> None:
     context.stage.call(call=context.router.pools[name].report_trouble)
 
 
-@given("backends have {drain_ms:d} ms to empty")
+@given("backends have a drain time of {drain_ms:d} ms")
 def given_drain(context: Any, drain_ms: int) -> None:
     context.router.drain_us = drain_ms * 1_000
 
 
-@when("the router tends for {wait_ms:d} ms")
+@when("the router's timer runs for {wait_ms:d} ms")
 def when_timer_runs(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 100):
         context.stage.call(call=context.router.on_timer)
         context.stage.advance(for_us=100_000)
 
 
-@then('"{name}" is open to new statements: {word}')
+@then('"{name}" accepts new statements: {word}')
 def then_open_to(context: Any, name: str, word: str) -> None:
     pool = context.router.pools.get(name)
     assert (pool is not None and not pool.closed) == (word == "yes")
 
 
-@then(
-    "with {cap:d} links for each backend and {proxies:d} proxies all limits stay within the cap, control links apart"
-)
+@then("with a cap of {cap:d} links and {proxies:d} proxies all limits add up to the cap less the control links")
 def then_limits(context: Any, cap: int, proxies: int) -> None:
     limits = proxy_limits(context=context, cap=cap, proxies=proxies, allocated=proxies)
     for name in context.names:
@@ -343,7 +341,9 @@
     return limits
 
 
-@then("with {cap:d} links and {proxies:d} proxies, one more without a number takes no larger part than it will have")
+@then(
+    "with a cap of {cap:d} links and {proxies:d} proxies, one more without an id gets no larger limit than with one"
+)
 def then_joiner(context: Any, cap: int, proxies: int) -> None:
     limits = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
     later = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies + 1)
@@ -360,8 +360,8 @@
 
 
 @then(
-    "with {cap:d} links for each backend and {proxies:d} proxies each keeps links to {kept:d} copy, "
-    "at most {most:d} to one"
+    "with a cap of {cap:d} links and {proxies:d} proxies each keeps links to {kept:d} replica, "
+    "at most {most:d} to the same"
 )
 def then_kept(context: Any, cap: int, proxies: int, kept: int, most: int) -> None:
     found = kept_by_proxy(context=context, cap=cap, proxies=proxies, allocated=proxies)
@@ -372,7 +372,7 @@
     assert all(router.pools[context.primary].on_demand for router in context.routers)
 
 
-@then("with {cap:d} links for each backend and {proxies:d} proxies one without an id keeps links to {kept:d} copies")
+@then("with a cap of {cap:d} links and {proxies:d} proxies one without an id keeps links to {kept:d} replicas")
 def then_joiner_keeps(context: Any, cap: int, proxies: int, kept: int) -> None:
     found = kept_by_proxy(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
     assert len(found[-1]) == kept, found[-1]
@@ -383,8 +383,8 @@
 
 
 @then(
-    "with {cap:d} links for each backend and {proxies:d} proxies that can be reached the parts add up to {room:d}, "
-    "and all others know the holders"
+    "with a cap of {cap:d} links and {proxies:d} reachable proxies the limits add up to {room:d}, "
+    "and each proxy knows all other holders"
 )
 def then_parts(context: Any, cap: int, proxies: int, room: int) -> None:
     names = [f"booth-{n}" for n in range(proxies)]
@@ -410,7 +410,7 @@
             assert known == holding - {name}, (name, known)
 
 
-@given('a proxy that can be reached, one of {count:d} before "a", which takes {room:d} links')
+@given('a reachable proxy, one of {count:d} that share {room:d} links to "a"')
 def given_reachable(context: Any, count: int, room: int) -> None:
     stage = context.stage = Stage(context=context)
     context.cap = room
@@ -440,23 +440,23 @@
     return allocated.get(names.index("booth-1"), 0) if "booth-1" in names else 0
 
 
-@then('it may hold its part of "a"')
+@then('its limit for "a" is its allocated share')
 def then_own_part(context: Any) -> None:
     part = own_part(context=context, names=context.named)
     assert context.router.pools["a"].limit == part, (context.router.pools["a"].limit, part)
 
 
-@then("it may hold what it held")
+@then('its limit for "a" is unchanged')
 def then_held(context: Any) -> None:
     assert context.router.pools["a"].limit == context.held, context.router.pools["a"].limit
 
 
-@then('it may hold {count:d} links to "a"')
+@then('its limit for "a" is {count:d}')
 def then_limit(context: Any, count: int) -> None:
     assert context.router.pools["a"].limit == count, context.router.pools["a"].limit
 
 
-@when("the ids are dealt anew, so that it may hold {word}")
+@when("the ids are reassigned so that its share becomes {word}")
 def when_allocated_anew(context: Any, word: str) -> None:
     now = own_part(context=context, names=context.named)
     context.held = context.router.pools["a"].limit
@@ -464,7 +464,7 @@
         for count in range(11, 40):
             names = [*(f"other-{n}" for n in range(ahead)), *(f"booth-{n}" for n in range(1, count))]
             part = own_part(context=context, names=names)
-            if (part > now) if word == "more" else (part < now):
+            if (part > now) if word == "larger" else (part < now):
                 context.named = names
                 context.reported.tell(
                     values={
@@ -476,42 +476,42 @@
     raise AssertionError(f"no such ids; it holds {now}")
 
 
-@given("no table of places")
+@given("no proxy addresses are published")
 def given_no_places(context: Any) -> None:
     context.reported.tell(values={PROXY_ADDRESSES_KEY: ProxyAddresses().bytes()})
     context.stage.call(call=lambda: context.router.pools["a"].set_limit(limit=0))
 
 
-@when("the client vanishes")
+@when("the client disconnects")
 def when_vanishes(context: Any) -> None:
     context.stage.call(call=context.session.close)
 
 
-@when("the proxy ends transactions that rest for more than {limit_ms:d} ms")
+@when("the proxy ends transactions idle for more than {limit_ms:d} ms")
 def when_rest_limit(context: Any, limit_ms: int) -> None:
     context.stage.call(call=lambda: context.session.end_idle_transaction(limit_us=limit_ms * 1_000))
     context.stage.advance(for_us=10_000)
 
 
-@then("every link is given back")
+@then("every link is released")
 def then_given_back(context: Any) -> None:
     context.stage.advance(for_us=5_000_000)
     left = {name: len(pool.borrowed) for name, pool in context.router.pools.items() if pool.borrowed}
     assert not left, left
 
 
-@then("nothing has crashed")
+@then("no task has crashed")
 def then_no_crash(context: Any) -> None:
     assert not context.stage.crashed, context.stage.crashes or context.stage.ctx.counters.snapshot()
 
 
-@then("no link that was given back open is in a transaction")
+@then("no released open link is in a transaction")
 def then_no_transaction(context: Any) -> None:
     for pool in context.router.pools.values():
         assert all(link.state == State.idle for link in pool.idle), pool.backend.name
 
 
-@then("a client that vanishes after any of {count:d} turns of the loop leaves nothing behind")
+@then("a client that disconnects after any of {count:d} event loop iterations leaves no borrowed link")
 def then_vanishes_anywhere(context: Any, count: int) -> None:
     left = []
     for turns in range(count):
@@ -537,13 +537,13 @@
     assert not left, f"links still taken by (turns, links): {left}"
 
 
-@when('another session asks "{text}"')
+@when('another session runs "{text}"')
 def when_another_asks(context: Any, text: str) -> None:
     other = Session(ctx=context.stage.ctx, router=context.router, database="db")
     for each in text.split(", "):
         context.replies.append(context.stage.run(work=other.run(statement=statement(text=each))))
 
 
-@when("the configuration drops the database")
+@when("the configuration removes the database")
 def when_drops(context: Any) -> None:
     context.reported.plan(plan=plan(version=9))
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -64,7 +64,7 @@
         return Ok(relay.answer(body=body))
 
 
-@given('a view that asks "{names}"')
+@given('a view with controllers "{names}"')
 def given_view(context: Any, names: str) -> None:
     context.stage = Stage(context=context)
     addresses = tuple(names.split(", "))
@@ -79,7 +79,7 @@
     context.keeping = None
 
 
-@given('"{names}" know things {age_ms:d} ms old')
+@given('the state of "{names}" is {age_ms:d} ms old')
 def given_old(context: Any, names: str, age_ms: int) -> None:
     for name in names.split(", "):
         context.relays[name].age_us = age_ms * 1_000
@@ -93,24 +93,24 @@
         relay.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
 
 
-@given('"{names}" tell the plan of version {version:d} under round {round:d}')
+@given('"{names}" relay the plan of version {version:d} with ballot round {round:d}')
 def given_tell_plan(context: Any, names: str, version: int, round: int) -> None:
     tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), round=round)
 
 
-@given('"{names}" tell noise')
+@given('"{names}" relay an answer that can\'t be decoded')
 def given_noise(context: Any, names: str) -> None:
     for name in names.split(", "):
         context.relays[name].noise = True
 
 
-@given('"{names}" tell a {what} that is none')
+@given('"{names}" relay a {what} value that can\'t be decoded')
 def given_tell_none(context: Any, names: str, what: str) -> None:
-    key = {"plan": PLAN_KEY, "lead": service_primary_key(service="s")}[what]
+    key = {"plan": PLAN_KEY, "primary": service_primary_key(service="s")}[what]
     tell(context=context, names=names, key=key, value=b"\x01\x02\x03", round=1)
 
 
-@when("the view keeps itself for {wait_ms:d} ms")
+@when("the view runs for {wait_ms:d} ms")
 def when_keeps(context: Any, wait_ms: int) -> None:
     # why: it is begun once, as a proxy begins it, and goes on by itself
     if context.keeping is None:
@@ -120,12 +120,12 @@
         assert not context.keeping.done() or context.keeping.result()
 
 
-@given('"{name}" is {away_ms:d} ms away')
+@given('"{name}" answers after {away_ms:d} ms')
 def given_far(context: Any, name: str, away_ms: int) -> None:
     context.relays[name].away_us = away_ms * 1_000
 
 
-@given('"{name}" stands in another zone')
+@given('"{name}" is in another zone')
 def given_other_zone(context: Any, name: str) -> None:
     context.relays[name].site = "elsewhere"
 
@@ -135,7 +135,7 @@
     context.relays[name].silent = True
 
 
-@when("the view chooses, and keeps itself for {wait_ms:d} ms")
+@when("the view chooses a controller and runs for {wait_ms:d} ms")
 def when_chooses(context: Any, wait_ms: int) -> None:
     began_us = context.stage.now_us
     context.stage.run(work=context.view.choose_controller())
@@ -143,18 +143,18 @@
     when_keeps(context=context, wait_ms=wait_ms)
 
 
-@when('"{name}" is {word}, and the view keeps itself for {wait_ms:d} ms')
+@when('"{name}" is {word}, and the view runs for {wait_ms:d} ms')
 def when_changes(context: Any, name: str, word: str, wait_ms: int) -> None:
     context.relays[name].silent = word == "silent"
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@then("that took at most {most_ms:d} ms")
+@then("the choice took at most {most_ms:d} ms")
 def then_choice_took(context: Any, most_ms: int) -> None:
     assert context.took_us <= most_ms * 1_000, context.took_us
 
 
-@then('it asks "{name}"')
+@then('the current controller is "{name}"')
 def then_asks(context: Any, name: str) -> None:
     assert context.view.controller == name, context.view.controller
 
@@ -166,7 +166,7 @@
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@when("the controller that it asks is silent for {wait_ms:d} ms")
+@when("the current controller is silent for {wait_ms:d} ms")
 def when_requested_silent(context: Any, wait_ms: int) -> None:
     context.relays[context.view.controller].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
@@ -190,13 +190,13 @@
     assert not context.view.current
 
 
-@then("it asked for everything once, and stayed with one controller")
+@then("it requested the full state once, and always from the same controller")
 def then_stayed(context: Any) -> None:
     requested = sorted((relay.requested for relay in context.relays.values()), key=len)
     assert not requested[0] and len(requested[1]) >= 4, requested
     assert [revision == 0 for revision in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
 
 
-@then("the view's plan is {version:d}")
+@then("the view's plan has version {version:d}")
 def then_plan(context: Any, version: int) -> None:
     assert context.view.plan is not None and context.view.plan.version == version, context.view.plan
