--- a/features/pooler/freshness.feature
+++ b/features/pooler/freshness.feature
@@ -1,10 +1,10 @@
-Feature: What a backend's log must have so that a read on it is fresh enough
+Feature: The log position that a backend must have reached to serve a read of limited age
 
-  Scenario Outline: The earliest sample that was asked for since then suffices
+  Scenario Outline: The earliest sample requested since the given time gives the required position
     Given samples "<samples>"
     Then a read that must see all commits before <since> ms requires <position>
 
-    Examples: in order
+    Examples: samples in the order of their requests
       | samples                    | since | position |
       | 100:3.5                    | 100   | 3.5      |
       | 100:3.5                    | 99    | 3.5      |
@@ -16,13 +16,13 @@
       | 100:3.5 200:3.7 300:3.9    | 301   | -        |
       | 100:3.9 200:4.1            | 150   | 4.1      |
 
-    Examples: samples closer than 20 ms are thinned, which needs more and never less
+    Examples: thinning samples less than 20 ms apart may raise the required position but never lowers it
       | samples                         | since | position |
       | 100:3.1 105:3.2 110:3.3         | 101   | 3.3      |
       | 100:3.1 110:3.2 125:3.3         | 101   | 3.2      |
       | 100:3.1 110:3.2 125:3.3         | 111   | 3.3      |
 
-  Scenario Outline: An answer that comes late takes nothing from what is known
+  Scenario Outline: A late sample does not raise the required position
     Given samples "<samples>"
     When late samples "<late>" arrive
     Then a read that must see all commits before <since> ms requires <position>
@@ -32,17 +32,17 @@
       | 100:3.5 200:3.7 | 150:3.6 | 200   | 3.7      |
       | 100:3.5 200:3.7 | 200:3.7 | 150   | 3.7      |
 
-    Examples: it was answered after the other and shows more, which is still no later than its asking
+    Examples: a sample requested earlier but answered later shows a higher position
       | samples         | late    | since | position |
       | 100:3.5 200:3.7 | 150:3.9 | 180   | 3.7      |
       | 100:3.5 200:3.7 | 150:3.9 | 120   | 3.7      |
 
-  Scenario: A guarded read that wants fresher data takes nothing from one that wants less
+  Scenario: Computing the position for a recent time keeps the samples for an earlier one
     Given samples "100:3.5 200:3.7 300:3.9"
     When the position required since 250 ms has been computed
     Then a read that must see all commits before 90 ms requires 3.5
 
-  Scenario Outline: A fence cuts what was never acknowledged, and is a sample itself
+  Scenario Outline: A fence drops samples past it and is itself a sample
     Given samples "100:3.5 200:3.7 300:3.9"
     When a fence at <fence> is set as of <as_of> ms
     Then a read that must see all commits before <since> ms requires <position>
@@ -56,10 +56,10 @@
       | 3.1   | 400   | 350   | 3.1      |
       | 4.0   | 250   | 260   | 3.9      |
 
-  Scenario: No position that is needed lacks a commit that was acknowledged before
+  Scenario: Every required position covers all commits acknowledged before the given time
     Then over 60 seeded runs every required position covers all commits acknowledged before
 
-  Scenario Outline: The samples stay few, and close enough
+  Scenario Outline: The number of samples and the distance between them are bounded
     Then a minute of samples <every> ms apart leaves at most <most>, dense enough for reads <age> ms old
 
     Examples:
--- a/features/pooler/in_flight_writes.feature
+++ b/features/pooler/in_flight_writes.feature
@@ -1,13 +1,13 @@
-Feature: What has left for a backend and may still land
-  An answer says that a write has landed or never will. A link that is lost says neither for a while.
+Feature: Writes sent to a backend that may still take effect
+  An answered write has taken effect or never will. After its link is lost, a write may still take effect for a while.
 
   Background:
     Given a proxy that tracks in-flight writes
 
-  Scenario: Nothing has left, so nothing lands
+  Scenario: Without a sent write none may take effect
     Then writes to "a" may still take effect: no
 
-  Scenario: A write counts until it is answered
+  Scenario: A write may take effect until it is answered, however long that takes
     When a write to "a" is sent
     Then writes to "a" may still take effect: yes
     And writes to "b" may still take effect: no
@@ -16,7 +16,7 @@
     When the writes to "a" are answered
     Then writes to "a" may still take effect: no
 
-  Scenario: A write whose link is lost counts for as long as it may lie somewhere
+  Scenario: A write whose link is lost may take effect for 3000 ms after the loss
     When a write to "a" is sent
     And the links with writes to "a" are lost
     And 2999 ms pass for the in-flight writes
@@ -24,7 +24,7 @@
     When 2 ms pass for the in-flight writes
     Then writes to "a" may still take effect: no
 
-  Scenario: What has been owed for long is given up, of the databases that are named or of all
+  Scenario: Abandoning closes the links of writes unanswered for too long, of one database or of all
     When a write to "a" is sent
     And 300 ms pass for the in-flight writes
     And a write to "b" is sent
--- a/features/pooler/relayed_view.feature
+++ b/features/pooler/relayed_view.feature
@@ -1,21 +1,21 @@
-Feature: What a proxy knows, from one controller at a time
+Feature: A proxy's view of the register, pulled from one controller at a time
 
   Background:
     Given a view with controllers "g1, g2"
 
-  Scenario: It stays with the controller that answered, and asks it for changes alone
+  Scenario: After one full answer the view requests only changes from the same controller
     When the view runs for 1000 ms
     Then the view is current
     And it requested the full state once, and always from the same controller
 
-  Scenario: It is as old as what its controller knew, counted from the asking
+  Scenario: The view's age is counted from its request and includes the age of the controller's state
     Given the state of "g1, g2" is 700 ms old
     When the view runs for 1000 ms
     Then the view is current
     When the controllers "g1, g2" are silent for 600 ms
     Then the view is not current
 
-  Scenario: The nearest controller is found again, also when it was not there at first
+  Scenario: The view switches to the nearest controller when it becomes available or returns
     Given "g2" is in another zone
     And "g1" is silent
     When the view chooses a controller and runs for 1500 ms
@@ -28,44 +28,44 @@
     Then the current controller is "g1"
     And the view is current
 
-  Scenario: One of the proxy's own zone is nearer than any that answers sooner
+  Scenario: A controller in the proxy's zone is preferred to a faster one in another zone
     Given "g1" answers after 30 ms
     And "g2" is in another zone
     When the view chooses a controller and runs for 500 ms
     Then the current controller is "g1"
 
-  Scenario: A proxy that begins waits for no controller that is silent
+  Scenario: A starting proxy does not wait for a silent controller
     Given "g2" is in another zone
     And "g1" is silent
     When the view chooses a controller and runs for 10 ms
     Then the current controller is "g2"
     And the choice took at most 100 ms
 
-  Scenario: Of those as near it stays with the one that it asks
+  Scenario: The view keeps its controller when an equally near one returns
     Given "g2" answers after 30 ms
     And "g1" is silent
     When the view chooses a controller and runs for 500 ms
     And "g1" is back, and the view runs for 20000 ms
     Then the current controller is "g2"
 
-  Scenario: While the nearest is looked for, the asking goes on
+  Scenario: The view keeps pulling while it chooses a controller
     Given "g2" is in another zone
     And "g1" is silent
     When the view chooses a controller and runs for 1800 ms
     Then the current controller is "g2"
     And over 1500 ms the view is never older than 320 ms
 
-  Scenario: A controller that is silent is left for another
+  Scenario: The view switches away from a silent controller
     When the view runs for 1000 ms
     And the current controller is silent for 1500 ms
     Then the view is current
 
-  Scenario: A controller that is cut off from the others knows nothing current, and is left for another
+  Scenario: The view switches away from a controller whose state is outdated
     Given the state of "g1" is 5000 ms old
     When the view runs for 2000 ms
     Then the view is current
 
-  Scenario: The register never goes back, whatever a controller that lags says
+  Scenario: A value with a lower ballot, or a plan with a lower version, is ignored
     Given "g1, g2" relay the plan of version 7 with ballot round 3
     When the view runs for 500 ms
     Then the view's plan has version 7
@@ -79,7 +79,7 @@
     When the view runs for 500 ms
     Then the view's plan has version 8
 
-  Scenario Outline: An answer that can't be read does not end the asking
+  Scenario Outline: The view keeps pulling after an answer that can't be decoded
     Given "g1, g2" relay <what>
     When the view runs for 1000 ms
     Given "g1, g2" relay the plan of version 8 with ballot round 5
--- a/features/pooler/sample_pool.feature
+++ b/features/pooler/sample_pool.feature
@@ -1,9 +1,9 @@
-Feature: Samples of primaries' positions that proxies share by way of their controller
+Feature: Position samples of primaries shared between proxies through their controller
 
   Background:
     Given a controller that shares samples between proxies "b1, b2", each machine with its own clock
 
-  Scenario Outline: What one proxy was shown reaches another, no younger than it is
+  Scenario Outline: A sample of one proxy reaches another and never seems newer than it is
     Given a request takes <there> ms and its answer <back> ms
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
@@ -19,7 +19,7 @@
       | 200   | 1    | 203   |
       | 150   | 300  | 453   |
 
-  Scenario: A sample that was asked for before the last answer came is reckoned from that answer too
+  Scenario: A sample requested before the last controller answer is converted by that answer's clock
     Given a request takes 5 ms and its answer 5 ms
     When "b1" pulls from the controller
     And "b1" requests a sample from the primary of term 3
@@ -29,7 +29,7 @@
     And "b2" pulls from the controller
     Then "b2" has a sample of 3.7 that seems 0 to 13 ms older than it is
 
-  Scenario: No sample is ever taken for younger than it is
+  Scenario: No sample seems newer than it is in seeded runs
     Then over 200 seeded runs with clock drift, slow networks, freezes and restarts no sample seems too recent
 
   Scenario Outline: The check of the seeded runs detects <fault>
@@ -41,7 +41,7 @@
       | transit time estimated          |
       | times kept across a restart     |
 
-  Scenario: A proxy that was frozen tells what it had at its own moment
+  Scenario: A proxy that was frozen reports a sample with its original time
     Given a request takes 1 ms and its answer 1 ms
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
@@ -50,7 +50,7 @@
     And "b2" pulls from the controller
     Then "b2" has a sample of 3.7 that seems 0 to 10 ms older than it is
 
-  Scenario: Moments that an earlier life of the controller gave out are told to no later one
+  Scenario: Times by a controller's clock are not reported to its next run
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
     And the controller restarts
@@ -61,7 +61,7 @@
     And "b2" pulls from the controller
     Then "b2" has a sample of 3.7 that seems 0 to 20 ms older than it is
 
-  Scenario Outline: A sample counts under the term alone under which it was asked for
+  Scenario Outline: A proxy accepts a sample only in its own term and a settled assignment
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
     And "b1" pulls from the controller
@@ -77,7 +77,7 @@
       | moving  | 3    |
       | moving  | 4    |
 
-  Scenario Outline: A sample whose lead is not there any more is not told
+  Scenario Outline: A sample of a replaced or closing assignment is not reported
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
     Given the assignment known to "b1" is <state> in term <term>
@@ -91,7 +91,7 @@
       | moving  | 4    |
       | closing | 3    |
 
-  Scenario: One of a later term takes the place of all earlier ones, and none of an earlier term its
+  Scenario: A sample of a later term replaces earlier ones and is not replaced by one of an earlier term
     When "b1" pulls from the controller
     And "b2" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
@@ -102,7 +102,7 @@
     And "b1" pulls from the controller
     Then the controller has sample 4.1 of term 4
 
-  Scenario: What was told or given once travels no more, and nothing that nobody wants
+  Scenario: A sample is sent once in each direction, and only to proxies that need it
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
     And "b1" pulls from the controller
@@ -119,7 +119,7 @@
     And "b2" pulls from the controller
     Then the last answer contained 0 samples
 
-  Scenario: An answer that is lost costs a question more
+  Scenario: After a lost answer the sample is reported again
     When "b1" pulls from the controller
     And "b1" samples 3.7 from the primary of term 3 within 40 ms
     And "b1" pulls from the controller, and the answer is lost
@@ -127,7 +127,7 @@
     Then the last request reported 1 samples
     And the controller has sample 3.7 of term 3
 
-  Scenario: One proxy is sent to the primary for all
+  Scenario: The controller asks one proxy at a time to sample the primary
     When "b1" pulls from the controller
     Then the last answer requested a sample of the primary: yes
     When "b2" pulls from the controller
--- a/features/pooler/session.feature
+++ b/features/pooler/session.feature
@@ -1,11 +1,11 @@
-Feature: One client's session
+Feature: Statements and transactions of one client's session
 
   Background:
     Given a proxy of a service with primary "a" and replicas "b, c", all at 3.5
 
   # -- single statements --
 
-  Scenario Outline: A statement that nothing can be done about changes nothing
+  Scenario Outline: A statement that is invalid in the session's state is refused without a backend
     When the client runs "<asks>"
     Then the client's replies are "<told>"
     And "a" was sent "nothing"
@@ -18,7 +18,7 @@
       | UNDO            | noTransaction I                    |
       | SET a 1, FORGET a | done I, unknownPrepared I        |
 
-  Scenario Outline: A write that was not run is tried again at the primary, and no more than four times
+  Scenario Outline: A write that was not run is sent to the primary at most four times
     Given "a" answers "<answers>"
     When the client runs "PUT 1 x"
     Then the client's replies are "<told>"
@@ -32,7 +32,7 @@
       | FAILED                 | FAILED I   | PUT 1 x                            |
       | TIMEOUT                | TIMEOUT I  | PUT 1 x                            |
 
-  Scenario Outline: A write whose answer never comes is never tried again, and nobody knows
+  Scenario Outline: A write without an answer is not repeated, and its outcome is unknown
     Given "a" answers "<answers>"
     When the client runs "PUT 1 x"
     Then the client's replies are "outcomeUnknown I"
@@ -46,7 +46,7 @@
       | silent   | 765   | 775  |
       | slow 900 | 765   | 775  |
 
-  Scenario Outline: A write waits for a move only where its end is expected in time
+  Scenario Outline: A write waits for a promotion only if its end is expected before the deadline
     When a promotion of "b" with fence 3.5 starts, expected to end in <ready> ms
     And the promotion of "b" ends after 300 ms
     And the client runs "PUT 1 x"
@@ -60,14 +60,14 @@
       | 500   | done I   | 300   | 310  | PUT 1 x |
       | 900   | moving I | 0     | 1    | nothing |
 
-  Scenario: A move that is overdue is expected to take as long again
+  Scenario: An overdue promotion is expected to take as long again
     When a promotion of "b" with fence 3.5 starts, expected to end in 50 ms
     And 900 ms pass
     And the client runs "PUT 1 x"
     Then the client's replies are "moving I"
     And it took between 0 and 1 ms
 
-  Scenario Outline: A lead that moves while a link is waited for takes what comes with it
+  Scenario Outline: A statement goes to the new primary if a promotion happens while it waits for a link
     Given dialling "a" results in "slow 100"
     When the client starts "<asks>"
     And 50 ms pass
@@ -84,7 +84,7 @@
       | PUT 1 x |
       | FETCH 1 |
 
-  Scenario: A lead that moves while a transaction is begun takes it along
+  Scenario: A transaction begins at the new primary if a promotion happens while it waits for a link
     Given dialling "a" results in "slow 100"
     When the client runs "BEGIN"
     And 50 ms pass
@@ -95,7 +95,7 @@
     And "a" was sent "nothing"
     And "b" was sent "begin, PUT 1 x, COMMIT"
 
-  Scenario: A write out of touch with the register is not offered to anybody
+  Scenario: A write is refused once the view has expired
     When the proxy has received no relay answer for 1300 ms
     And the client runs "PUT 1 x"
     Then the client's replies are "notCurrent I"
@@ -103,31 +103,31 @@
 
   # -- reads --
 
-  Scenario: A read of a route to the primary goes there alone
+  Scenario: A read with primary consistency is sent to the primary only
     When the client runs "FETCH 1"
     Then the client's replies are "done I"
     And "a" was sent "FETCH 1"
 
-  Scenario: A read that may be old goes to a copy with what its log must have
+  Scenario: A read with bounded consistency is sent to a replica with a required position
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And the primary's position was sampled 10 ms ago
     When the client runs "FETCH 1"
     Then "c" was sent "after 3.5 FETCH 1"
     And "a" was sent "nothing"
 
-  Scenario: A read without a sample goes to the primary
+  Scenario: A read with bounded consistency is sent to the primary without a position sample
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     When the client runs "FETCH 1"
     Then "a" was sent "FETCH 1"
 
-  Scenario: A read after a write of its own session needs that too
+  Scenario: A read with session consistency requires the position of the session's last write
     Given a route with session consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "a" answers "ok@3.9"
     When the client runs "PUT 1 x, FETCH 1"
     Then the client's replies are "done I, done I"
     And "c" was sent "after 3.9 FETCH 1"
 
-  Scenario Outline: A read that one place does not do is offered to the next
+  Scenario Outline: A read that a replica does not run is sent to the next one
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
     And the primary's position was sampled 10 ms ago
@@ -144,8 +144,8 @@
       | BUSY    |
       | FAILED  |
 
-  Scenario Outline: A read is offered to another place than the one that is silent or lost
-    Given a proxy of a service with primary "a" and replicas "<copies>", all at 3.5
+  Scenario Outline: A read is sent to another backend if the first is silent or its link is lost
+    Given a proxy of a service with primary "a" and replicas "<replicas>", all at 3.5
     And a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
     And the primary's position was sampled 10 ms ago
@@ -155,21 +155,21 @@
     And it took between <least> and <most> ms
     And every link is released
 
-    Examples: the hedge goes out after 260 ms, and the first answer counts
-      | copies | c              | least | most |
-      | b, c   | lose, silent   | 2     | 60   |
-      | b, c   | silent, silent | 260   | 270  |
-      | b, c   | slow 400       | 260   | 270  |
-      | c      | lose, silent   | 2     | 60   |
-      | c      | silent, silent | 260   | 270  |
+    Examples: the read is hedged after 260 ms, and the first answer is used
+      | replicas | c              | least | most |
+      | b, c     | lose, silent   | 2     | 60   |
+      | b, c     | silent, silent | 260   | 270  |
+      | b, c     | slow 400       | 260   | 270  |
+      | c        | lose, silent   | 2     | 60   |
+      | c        | silent, silent | 260   | 270  |
 
-  Scenario: A read that all refuse ends with the last refusal
+  Scenario: A read that every attempt refuses ends with the last refusal
     Given a route with primary consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "a" answers "BUSY, BUSY, BUSY, BUSY, BUSY, BUSY, BUSY, BUSY"
     When the client runs "FETCH 1"
     Then the client's replies are "BUSY I"
 
-  Scenario: A read that a copy refuses for good ends there
+  Scenario: A permanent error of a replica ends the read
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "GARBLED"
     And the primary's position was sampled 10 ms ago
@@ -177,14 +177,14 @@
     Then the client's replies are "GARBLED I"
     And "b" was sent "nothing"
 
-  Scenario: A read within the time of a hedge is offered once
+  Scenario: A read answered before the hedge delay is sent to one backend
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "slow 250"
     And the primary's position was sampled 10 ms ago
     When the client runs "FETCH 1"
     Then "b" was sent "nothing"
 
-  Scenario: A read that nobody answers ends when its time is up
+  Scenario: A read without an answer ends at its deadline
     Given "a" answers "silent, silent"
     When the client runs "FETCH 1"
     Then the client's replies are "timeLeftSpent I"
@@ -193,40 +193,40 @@
 
   # -- values and prepared statements --
 
-  Scenario: A link is brought up to a session's values before its statement, and cleared of others
+  Scenario: Changed session values are set on the link before the next statement
     When the client runs "SET a 1, PUT 1 x, SET a 2, SET b 3, PUT 2 x"
     Then "a" was sent "set a 1, PUT 1 x, set a 2, set b 3, PUT 2 x"
 
-  Scenario: A link with values that the session has not is cleared first
+  Scenario: A link with values that the session does not have is cleared first
     When the client runs "SET a 1, PUT 1 x"
     And another session runs "PUT 2 x"
     And another session runs "SET b 1, PUT 3 x"
     Then "a" was sent "set a 1, PUT 1 x, clear, PUT 2 x, set b 1, PUT 3 x"
 
-  Scenario: A prepared statement is prepared once on a link, whatever its clients call it
+  Scenario: A statement is prepared once on a link, whatever names its clients use
     When the client runs "NAME s1 PUT shape, RUN s1 1 x, RUN s1 2 x"
     And another session runs "NAME t PUT shape, RUN t 3 x"
     Then the client's replies are "done I, done I, done I, done I, done I"
     And "a" was sent "prepare p0 PUT shape, RUN p0 1 x, RUN p0 2 x, RUN p0 3 x"
 
-  Scenario: A name that means another shape now runs that one
+  Scenario: A name that is prepared again executes the new statement
     When the client runs "NAME s1 PUT shape, RUN s1 1 x, NAME s1 FETCH shape, RUN s1 1, FORGET s1, RUN s1 1"
     Then the client's replies are "done I, done I, done I, done I, done I, unknownPrepared I"
     And "a" was sent "prepare p0 PUT shape, RUN p0 1 x, prepare p1 FETCH shape, RUN p1 1"
 
-  Scenario: Clearing a link's values takes its prepared statements too, so they are prepared again
+  Scenario: Clearing a link also drops its prepared statements, which are prepared again
     When another session runs "SET a 1, NAME t PUT q, RUN t 3 x"
     And the client runs "NAME s PUT q, RUN s 1 x"
     Then "a" was sent "set a 1, prepare p0 PUT q, RUN p0 3 x, clear, prepare p0 PUT q, RUN p0 1 x"
 
-  Scenario: Values and names are levelled inside a transaction as well
+  Scenario: Values and prepared statements are set on the link inside a transaction too
     When the client runs "BEGIN, PUT 1 x, SET a 1, NAME s PUT q, RUN s 2 y, COMMIT"
     Then the client's replies are "done T, done T, done T, done T, done T, done I"
     And "a" was sent "begin, PUT 1 x, set a 1, prepare p0 PUT q, RUN p0 2 y, COMMIT"
 
   # -- transactions --
 
-  Scenario: A transaction is begun towards the client at once, and towards a backend behind
+  Scenario: BEGIN is answered at once, and the transaction is begun at a backend in the background
     When the client runs "BEGIN"
     Then the client's replies are "done T"
     And it took between 0 and 0 ms
@@ -237,14 +237,14 @@
     And "a" was sent "begin, PUT 1 x, COMMIT"
     And every link is released
 
-  Scenario: A read-only transaction goes to a copy that has what it needs
+  Scenario: A read-only transaction goes to a replica with a required position
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And the primary's position was sampled 10 ms ago
     When the client runs "BEGIN read, FETCH 1, COMMIT"
     Then "c" was sent "after 3.5 begin read, FETCH 1, COMMIT"
     And "a" was sent "nothing"
 
-  Scenario Outline: A begin that a copy does not take is offered to the next
+  Scenario Outline: A begin that a replica refuses is sent to the next one
     Given a route with bounded consistency, a maximum age of 1000 ms and a limit of 800 ms
     And "c" answers "<c>"
     And the primary's position was sampled 10 ms ago
@@ -258,7 +258,7 @@
       | LAGGING |
       | BUSY    |
 
-  Scenario Outline: A begin is offered to another place than the one that is silent or lost
+  Scenario Outline: A begin is sent to another backend if the first is silent or its link is lost
     Given a proxy of a service with primary "a" and replicas "c", all at 3.5
     And a route with bounded consistency, a maximum age of 1000 ms and a limit of 2000 ms
     And "c" answers "<c>"
@@ -273,14 +273,14 @@
       | lose, silent   |
       | silent, silent |
 
-  Scenario: A begin that nobody takes in time is a promise that nothing is kept
+  Scenario: A transaction that no backend begins in time is lost, and none of its statements is sent
     Given "a" answers "silent, silent, silent, silent"
     When the client runs "BEGIN, PUT 1 x, PUT 2 x, COMMIT"
     Then the client's replies are "done T, transactionLost E, transactionFailed E, transactionLost I"
     And none of "PUT 1 x, PUT 2 x, COMMIT" was sent to "a"
     And every link is released
 
-  Scenario: A link that is lost before the first statement costs the client nothing
+  Scenario: A link lost before the first statement is replaced without an error
     When the client runs "BEGIN"
     And 20 ms pass
     And the open links of "a" are lost
@@ -288,7 +288,7 @@
     Then the client's replies are "done T, done T, done I"
     And "a" was sent "begin, begin, PUT 1 x, COMMIT"
 
-  Scenario Outline: A statement inside a transaction is never tried elsewhere
+  Scenario Outline: A statement inside a transaction is not repeated after an error
     Given "a" answers "ok, ok, <answer>"
     When the client runs "BEGIN, PUT 1 x, PUT 2 x, PUT 3 x, <end>"
     Then the client's replies are "done T, done T, <told>"
@@ -305,7 +305,7 @@
       | READONLY | UNDO   | READONLY E, transactionFailed E, done I              | begin, PUT 1 x, PUT 2 x, rollback                   |
       | BUSY     | COMMIT | BUSY T, done T, done I                               | begin, PUT 1 x, PUT 2 x, PUT 3 x, COMMIT            |
 
-  Scenario Outline: A commit is sent again only where the backend says that it did not run it
+  Scenario Outline: A commit is sent again only if the backend reports that it did not run it
     Given "a" answers "ok, ok, <answers>"
     When the client runs "BEGIN, PUT 1 x, COMMIT"
     Then the client's replies are "done T, done T, <told>"
@@ -321,30 +321,30 @@
       | lose                   | outcomeUnknown I | COMMIT                                       |
       | silent                 | outcomeUnknown I | COMMIT, close                                |
 
-  Scenario: A commit that was never sent since the link had gone is a promise that nothing is kept
+  Scenario: A commit after the loss of the link is not sent, and the transaction is lost
     When the client runs "BEGIN, PUT 1 x"
     And the open links of "a" are lost
     And the client runs "COMMIT"
     Then the client's replies are "done T, done T, transactionLost I"
 
-  Scenario: A transaction in a transaction fails it, and only its end is taken then
+  Scenario: BEGIN inside a transaction fails it, and only its end is accepted afterwards
     When the client runs "BEGIN, PUT 1 x, BEGIN, FETCH 1, SET a 1, RUN s, COMMIT, FETCH 2"
     Then the client's replies are "done T, done T, inTransaction E, transactionFailed E, transactionFailed E, transactionFailed E, transactionLost I, done I"
     And every link is released
     And "a" was sent "begin, PUT 1 x, rollback, FETCH 2"
 
-  Scenario: An unknown name inside a transaction fails it
+  Scenario: Executing an unknown prepared statement fails the transaction
     When the client runs "BEGIN, RUN s1 1, UNDO"
     Then the client's replies are "done T, unknownPrepared E, done I"
     And every link is released
 
-  Scenario: A transaction that was undone leaves its link to the others
+  Scenario: After a rollback the link serves other sessions
     When the client runs "BEGIN, PUT 1 x, UNDO"
     And 10 ms pass
     And another session runs "PUT 2 x"
     Then "a" was sent "begin, PUT 1 x, rollback, PUT 2 x"
 
-  Scenario Outline: A rollback that is not surely done costs its link
+  Scenario Outline: The link is closed if its rollback is not confirmed
     Given "a" answers rollbacks with "<answer>"
     When the client runs "BEGIN, PUT 1 x, UNDO"
     Then the client's replies are "done T, done T, done I"
@@ -358,13 +358,13 @@
       | BUSY   |
       | FAILED |
 
-  Scenario: A transaction that was undone before it was begun leaves nothing behind
+  Scenario: A transaction rolled back before it was begun leaves no borrowed link
     When the client runs "BEGIN, UNDO, PUT 2 x"
     Then the client's replies are "done T, done I, done I"
     And every link is released
     And no released open link is in a transaction
 
-  Scenario: A transaction whose client rests is ended, and its end says so
+  Scenario: A transaction of an idle client is rolled back, and its next statements are refused
     When the client runs "BEGIN, PUT 1 x"
     And 2000 ms pass
     And the proxy ends transactions idle for more than 3000 ms
@@ -375,7 +375,7 @@
     When the client runs "PUT 2 x, COMMIT, PUT 3 x"
     Then the client's replies are "done T, done T, transactionFailed E, transactionLost I, done I"
 
-  Scenario: A transaction at work does not rest
+  Scenario: A transaction with a running statement is not idle
     Given "a" answers "ok, ok, slow 700"
     When the client runs "BEGIN, PUT 1 x"
     And the client starts "PUT 2 x"
@@ -384,7 +384,7 @@
     And 500 ms pass
     Then the client's replies are "done T, done T, done T"
 
-  Scenario: A client that vanishes at rest in a transaction has it rolled back
+  Scenario: A transaction is rolled back when its idle client disconnects
     When the client runs "BEGIN, PUT 1 x"
     And the client disconnects
     And 10 ms pass
@@ -392,7 +392,7 @@
     And every link is released
     And no released open link is in a transaction
 
-  Scenario: A client that vanishes in the middle of a statement has its link closed
+  Scenario: The link is closed when the client disconnects during a statement
     Given "a" answers "ok, ok, slow 300"
     When the client runs "BEGIN, PUT 1 x"
     And the client starts "PUT 2 x"
@@ -402,7 +402,7 @@
     And "a" was sent "begin, PUT 1 x, PUT 2 x, close"
     And no task has crashed
 
-  Scenario: A client that vanishes while its commit is to be asked for again
+  Scenario: The link is closed when the client disconnects while a commit waits to be repeated
     Given "a" answers "ok, ok, BUSY"
     When the client runs "BEGIN, PUT 1 x"
     And the client starts "COMMIT"
@@ -412,10 +412,10 @@
     And "a" was sent "begin, PUT 1 x, COMMIT, close"
     And no task has crashed
 
-  Scenario: A client that vanishes at any moment of its first statement leaves nothing behind
+  Scenario: A client that disconnects at any point of its first statement leaves no borrowed link
     Then a client that disconnects after any of 8 event loop iterations leaves no borrowed link
 
-  Scenario: A route that changes binds from the next transaction on
+  Scenario: A changed route applies from the next transaction
     When the client runs "BEGIN, FETCH 1"
     And the configuration removes the database
     And the client runs "FETCH 2, COMMIT, FETCH 3"
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the freshness of reads."""
+"""Steps for the log position that reads of limited age require."""
 
 import random
 from typing import Any
@@ -15,7 +15,7 @@
 
 @given('samples "{text}"')
 def given_samples(context: Any, text: str) -> None:
-    context.fresh = Freshness()
+    context.freshness = Freshness()
     note_all(context=context, text=text)
 
 
@@ -24,7 +24,7 @@
         requested_ms, _, at = each.partition(":")
         found = position(text=at)
         assert found is not None
-        context.fresh.note(requested_us=int(requested_ms) * 1_000, position=found)
+        context.freshness.note(requested_us=int(requested_ms) * 1_000, position=found)
 
 
 @when('late samples "{text}" arrive')
@@ -36,39 +36,39 @@
 def when_fence(context: Any, at: str, as_of_ms: int) -> None:
     found = position(text=at)
     assert found is not None
-    context.fresh.fence(as_of_us=as_of_ms * 1_000, position=found)
+    context.freshness.fence(as_of_us=as_of_ms * 1_000, position=found)
 
 
 @when("the position required since {since_ms:d} ms has been computed")
-def when_guarded(context: Any, since_ms: int) -> None:
-    context.fresh.needed(since_us=since_ms * 1_000)
+def when_computed(context: Any, since_ms: int) -> None:
+    context.freshness.needed(since_us=since_ms * 1_000)
 
 
 @then("a read that must see all commits before {since_ms:d} ms requires {at}")
-def then_needs(context: Any, since_ms: int, at: str) -> None:
-    found = context.fresh.needed(since_us=since_ms * 1_000)
+def then_requires(context: Any, since_ms: int, at: str) -> None:
+    found = context.freshness.needed(since_us=since_ms * 1_000)
     assert shown(at=found) == at, found
 
 
 @then("over {runs:d} seeded runs every required position covers all commits acknowledged before")
-def then_never_lacks(context: Any, runs: int) -> None:
+def then_covers_commits(context: Any, runs: int) -> None:
     for seed in range(runs):
-        rng, fresh = random.Random(seed), Freshness()
+        rng, freshness = random.Random(seed), Freshness()
         acknowledged: list[tuple[int, Position]] = []
-        under_way: list[tuple[int, int, Position]] = []
+        in_flight: list[tuple[int, int, Position]] = []
         at, answered = Position(1, 0), 0
         for now_ms in range(0, 2_000, 7):
             if rng.random() < 0.5:
                 at = Position(at.term, at.number + 1)
                 acknowledged.append((now_ms, at))
             if rng.random() < 0.6:
-                # why: the position in an answer is that of any moment between the asking and the answer
-                under_way.append((now_ms + rng.randrange(1, 60), now_ms, at))
-            for entry in [entry for entry in under_way if entry[0] <= now_ms]:
-                under_way.remove(entry)
-                fresh.note(requested_us=entry[1] * 1_000, position=entry[2])
+                # An answer's position may be that of any time between the request and the answer.
+                in_flight.append((now_ms + rng.randrange(1, 60), now_ms, at))
+            for entry in [entry for entry in in_flight if entry[0] <= now_ms]:
+                in_flight.remove(entry)
+                freshness.note(requested_us=entry[1] * 1_000, position=entry[2])
             since_ms = now_ms - rng.randrange(0, 400)
-            found = fresh.needed(since_us=since_ms * 1_000)
+            found = freshness.needed(since_us=since_ms * 1_000)
             if found is not None:
                 answered += 1
                 assert all(found >= commit for when, commit in acknowledged if when < since_ms), (seed, now_ms)
@@ -77,10 +77,10 @@
 
 @then("a minute of samples {every_ms:d} ms apart leaves at most {most:d}, dense enough for reads {age_ms:d} ms old")
 def then_bounded(context: Any, every_ms: int, most: int, age_ms: int) -> None:
-    fresh = Freshness()
+    freshness = Freshness()
     for now_ms in range(0, 60_000, every_ms):
-        fresh.note(requested_us=now_ms * 1_000, position=Position(1, now_ms))
-    assert len(fresh.samples) <= most, len(fresh.samples)
-    since_us = fresh.newest_us - age_ms * 1_000
-    found = fresh.needed(since_us=since_us)
+        freshness.note(requested_us=now_ms * 1_000, position=Position(1, now_ms))
+    assert len(freshness.samples) <= most, len(freshness.samples)
+    since_us = freshness.newest_us - age_ms * 1_000
+    found = freshness.needed(since_us=since_us)
     assert found is not None and found.number * 1_000 - since_us <= 2 * max(20, every_ms) * 1_000, found
--- a/features/steps/in_flight_steps.py
+++ b/features/steps/in_flight_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what has left for a backend and may still land."""
+"""Steps for writes that were sent to a backend and may still take effect."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class FakeLink:
-    """Remembers that it was closed; its answers are the test's."""
+    """A link that records its closing; the test answers its writes."""
 
     def __init__(self, *, name: str, closed: list[str]) -> None:
         self.name = name
@@ -35,7 +35,7 @@
 
 
 @when('a write to "{database}" is sent')
-def when_leaves(context: Any, database: str) -> None:
+def when_sent(context: Any, database: str) -> None:
     answer: asyncio.Future[Reply] = context.stage.loop.create_future()
     link: Any = FakeLink(name=database, closed=context.closed)
     context.in_flight.sent(database=database, link=link, answer=answer)
@@ -64,17 +64,17 @@
 
 
 @when('writes to "{database}" unanswered for {count:d} ms are abandoned')
-def when_given_up(context: Any, database: str, count: int) -> None:
+def when_abandoned(context: Any, database: str, count: int) -> None:
     context.in_flight.abandon(databases=frozenset([database]), older_than_us=count * 1_000)
 
 
 @when("writes to any database unanswered for {count:d} ms are abandoned")
-def when_all_given_up(context: Any, count: int) -> None:
+def when_all_abandoned(context: Any, count: int) -> None:
     context.in_flight.abandon(databases=None, older_than_us=count * 1_000)
 
 
 @then('writes to "{database}" may still take effect: {answer}')
-def then_may(context: Any, database: str, answer: str) -> None:
+def then_may_take_effect(context: Any, database: str, answer: str) -> None:
     assert context.in_flight.may_take_effect(database=database, within_us=WITHIN_US) == (answer == "yes")
 
 
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the samples that proxies share: every machine has a clock of its own, and the test the true time."""
+"""Steps for position samples shared by proxies: each machine has its own clock, and the test the true time."""
 
 import random
 from collections.abc import Callable
@@ -20,21 +20,21 @@
 
 
 class TrueTime:
-    """Microseconds that no machine knows."""
+    """The true time in microseconds, which no machine can read."""
 
     def __init__(self) -> None:
         self.us = 50 * MILLION
 
 
 class Machine:
-    """A context whose steady clock began anywhere and runs a little fast or slow."""
+    """A context whose clock has an arbitrary offset and a small drift."""
 
     def __init__(self, *, stage: Stage, time: TrueTime, name: str, skew_us: int, drift_ppm: int) -> None:
         self.time, self.skew_us, self.drift_ppm = time, skew_us, drift_ppm
         self.ctx: Context = stage.context(name=name)
-        self.ctx.clock = lambda: self.shows(true_us=time.us)
+        self.ctx.clock = lambda: self.clock_us(true_us=time.us)
 
-    def shows(self, *, true_us: int) -> int:
+    def clock_us(self, *, true_us: int) -> int:
         return self.skew_us + true_us + true_us * self.drift_ppm // MILLION
 
 
@@ -56,7 +56,7 @@
 
 
 class PoolingProxy:
-    """A proxy's pool, and every sample that it was given with the moment at which it says that it was asked for."""
+    """A proxy's sample pool, and every sample that it has accepted with the request time that it computed."""
 
     def __init__(self, *, machine: Machine) -> None:
         self.machine = machine
@@ -69,7 +69,7 @@
         self.reported: tuple[ReportedSample, ...] = ()
         self.asking: tuple[int, int] | None = None
 
-    def ask(
+    def pull(
         self, *, controller: ControllerStage, time: TrueTime, there_us: int, back_us: int, lost: bool = False
     ) -> None:
         requested_us = self.machine.ctx.now_us()
@@ -104,7 +104,7 @@
 
 
 @given('a controller that shares samples between proxies "{names}", each machine with its own clock')
-def given_board(context: Any, names: str) -> None:
+def given_controller(context: Any, names: str) -> None:
     context.stage = Stage(context=context)
     new_pooling(context=context, seed=0, names=names.split(", "))
 
@@ -114,31 +114,31 @@
     context.net_us = there_ms * 1_000, back_ms * 1_000
 
 
-def ask(*, context: Any, name: str, lost: bool = False) -> None:
+def pull(*, context: Any, name: str, lost: bool = False) -> None:
     there_us, back_us = context.net_us
     context.last = context.proxies[name]
-    context.last.ask(controller=context.controller, time=context.time, there_us=there_us, back_us=back_us, lost=lost)
+    context.last.pull(controller=context.controller, time=context.time, there_us=there_us, back_us=back_us, lost=lost)
 
 
 @when('"{name}" pulls from the controller')
-def when_asks(context: Any, name: str) -> None:
-    ask(context=context, name=name)
+def when_pulls(context: Any, name: str) -> None:
+    pull(context=context, name=name)
 
 
 @when('"{name}" pulls from the controller, and the answer is lost')
-def when_asks_lost(context: Any, name: str) -> None:
-    ask(context=context, name=name, lost=True)
+def when_pulls_lost(context: Any, name: str) -> None:
+    pull(context=context, name=name, lost=True)
 
 
 @when('"{name}" requests a sample from the primary of term {term:d}')
-def when_begins(context: Any, name: str, term: int) -> None:
+def when_requests(context: Any, name: str, term: int) -> None:
     proxy = context.proxies[name]
     proxy.asking = term, proxy.machine.ctx.now_us()
     context.requested_true_us = context.time.us
 
 
 @when('"{name}" receives the requested sample {at}')
-def when_shown(context: Any, name: str, at: str) -> None:
+def when_received(context: Any, name: str, at: str) -> None:
     proxy, found = context.proxies[name], position(text=at)
     term, requested_us = proxy.asking
     context.true_us[found] = context.requested_true_us
@@ -146,10 +146,10 @@
 
 
 @when('"{name}" samples {at} from the primary of term {term:d} within {wait_ms:d} ms')
-def when_shown_after(context: Any, name: str, at: str, term: int, wait_ms: int) -> None:
-    when_begins(context=context, name=name, term=term)
+def when_sampled(context: Any, name: str, at: str, term: int, wait_ms: int) -> None:
+    when_requests(context=context, name=name, term=term)
     context.time.us += wait_ms * 1_000
-    when_shown(context=context, name=name, at=at)
+    when_received(context=context, name=name, at=at)
 
 
 @when("{wait_ms:d} ms pass on all machines")
@@ -158,20 +158,20 @@
 
 
 @when("the controller restarts")
-def when_another_life(context: Any) -> None:
+def when_controller_restarts(context: Any) -> None:
     machine = context.machine("hall")
-    # why: a clock that is far from the one before would give itself away
+    # The new clock stays close to the old one; a distant one would make a mix-up obvious.
     machine.skew_us = context.controller.machine.skew_us + context.rng.randrange(-3 * MILLION, 3 * MILLION)
     context.controller = ControllerStage(machine=machine, source=context.rng.getrandbits(62) | 1)
 
 
 @given('the assignment known to "{name}" is {state} in term {term:d}')
-def given_lead(context: Any, name: str, state: str, term: int) -> None:
+def given_assignment(context: Any, name: str, state: str, term: int) -> None:
     context.proxies[name].assignment = ServicePrimary(term=term, primary="a", state=PrimaryState[state])
 
 
 @when('"{name}" needs no samples')
-def when_wants_nothing(context: Any, name: str) -> None:
+def when_needs_none(context: Any, name: str) -> None:
     context.proxies[name].pool.wanted = tuple
 
 
@@ -179,7 +179,7 @@
 def then_has(context: Any, name: str, at: str, least_ms: int, most_ms: int) -> None:
     proxy, found = context.proxies[name], position(text=at)
     reported_us = next(us for us, each in proxy.noted if each == found)
-    older_us = proxy.machine.shows(true_us=context.true_us[found]) - reported_us
+    older_us = proxy.machine.clock_us(true_us=context.true_us[found]) - reported_us
     assert least_ms * 1_000 <= older_us <= most_ms * 1_000, older_us
 
 
@@ -189,7 +189,7 @@
 
 
 @then("the controller has sample {at} of term {term:d}")
-def then_board(context: Any, at: str, term: int) -> None:
+def then_controller_sample(context: Any, at: str, term: int) -> None:
     entry = context.controller.position_samples.samples[SERVICE]
     assert (shown(at=entry.position), entry.term) == (at, term), entry
 
@@ -200,24 +200,24 @@
 
 
 @then("the last answer contained {count:d} samples")
-def then_gave(context: Any, count: int) -> None:
+def then_answer_contained(context: Any, count: int) -> None:
     assert len(context.controller.answered) == count, context.controller.answered
 
 
 @then("the last answer requested a sample of the primary: {word}")
-def then_sent_to_primary(context: Any, word: str) -> None:
+def then_sample_requested(context: Any, word: str) -> None:
     assert bool(context.controller.requested) == (word == "yes"), context.controller.requested
 
 
 # -- seeded runs --
 
 
-def too_young(*, context: Any, seed: int) -> tuple[int, int]:
-    """How many samples a controller or a proxy took for younger than they are, and how many came at all."""
+def count_too_recent(*, context: Any, seed: int) -> tuple[int, int]:
+    """How often a sample seemed newer than it is to a controller or a proxy, and how many were accepted."""
     new_pooling(context=context, seed=seed, names=["b1", "b2", "b3"])
-    rng, time, wrong, came = context.rng, context.time, 0, 0
+    rng, time, wrong, accepted = context.rng, context.time, 0, 0
     slow_us = rng.choice((2_000, 50_000, 400_000))
-    under_way: list[tuple[PoolingProxy, int, int, Position]] = []
+    in_flight: list[tuple[PoolingProxy, int, int, Position]] = []
     number = 0
     for _ in range(150):
         time.us += rng.choice((0, 1_000, rng.randrange(300_000)))
@@ -226,18 +226,18 @@
         if draw < 0.3:
             number += 1
             at = Position(3, number)
-            under_way.append((proxy, time.us, proxy.machine.ctx.now_us(), at))
-        elif draw < 0.55 and under_way:
-            shown_by, true_us, requested_us, at = under_way.pop(rng.randrange(len(under_way)))
+            in_flight.append((proxy, time.us, proxy.machine.ctx.now_us(), at))
+        elif draw < 0.55 and in_flight:
+            sampler, true_us, requested_us, at = in_flight.pop(rng.randrange(len(in_flight)))
             context.true_us[at] = true_us
-            shown_by.pool.add_own(service=SERVICE, term=3, requested_us=requested_us, position=at)
+            sampler.pool.add_own(service=SERVICE, term=3, requested_us=requested_us, position=at)
         elif draw < 0.58:
             time.us += rng.randrange(4 * MILLION)
         elif draw < 0.6:
-            when_another_life(context=context)
+            when_controller_restarts(context=context)
         else:
             delays = rng.randrange(slow_us), rng.randrange(slow_us)
-            proxy.ask(
+            proxy.pull(
                 controller=context.controller,
                 time=time,
                 there_us=delays[0],
@@ -245,22 +245,22 @@
                 lost=rng.random() < 0.1,
             )
         for entry in context.controller.position_samples.samples.values():
-            wrong += entry.moment_us > context.controller.machine.shows(true_us=context.true_us[entry.position])
+            wrong += entry.moment_us > context.controller.machine.clock_us(true_us=context.true_us[entry.position])
         for each in context.proxies.values():
-            came += len(each.noted)
-            wrong += sum(us > each.machine.shows(true_us=context.true_us[at]) for us, at in each.noted)
+            accepted += len(each.noted)
+            wrong += sum(us > each.machine.clock_us(true_us=context.true_us[at]) for us, at in each.noted)
             each.noted.clear()
-    return wrong, came
+    return wrong, accepted
 
 
 @then("over {runs:d} seeded runs with clock drift, slow networks, freezes and restarts no sample seems too recent")
-def then_never_young(context: Any, runs: int) -> None:
-    came = 0
+def then_none_too_recent(context: Any, runs: int) -> None:
+    accepted = 0
     for seed in range(runs):
-        wrong, some = too_young(context=context, seed=seed)
+        wrong, some = count_too_recent(context=context, seed=seed)
         assert not wrong, (seed, wrong)
-        came += some
-    assert came > 10 * runs, came
+        accepted += some
+    assert accepted > 10 * runs, accepted
 
 
 def from_answer(self: SamplePool, *, requested_us: int, age_us: int) -> int:
@@ -268,17 +268,17 @@
 
 
 def from_question(self: SamplePool, *, reference: Any, requested_us: int) -> int:
-    # why: half of the way there and back is what a hopeful reckoning would take the answer's way for
+    # Assumes a transit time of 1 ms for the answer, half of a typical round trip, instead of none.
     return int(reference.answered_us + requested_us - reference.received_us + 1_000)
 
 
-def kept_over(controller: ControllerStage) -> Callable[..., Any]:
+def across_restart(controller: ControllerStage) -> Callable[..., Any]:
     answer = controller.answer
 
-    def any_life(*, source: int, **named: Any) -> Any:
+    def answer_any_run(*, source: int, **named: Any) -> Any:
         return answer(source=controller.source, **named)
 
-    return any_life
+    return answer_any_run
 
 
 @then("with {fault} some sample seems too recent")
@@ -288,7 +288,7 @@
 
         def keeping(self: ControllerStage, **named: Any) -> None:
             begin(self, **named)
-            self.answer = kept_over(self)  # type: ignore[method-assign]
+            self.answer = across_restart(self)  # type: ignore[method-assign]
 
         patched: Any = patch.object(ControllerStage, "__init__", keeping)
     elif fault == "ages counted from the answer":
@@ -296,4 +296,4 @@
     else:
         patched = patch.object(SamplePool, "_moment_us", from_question)
     with patched:
-        assert sum(too_young(context=context, seed=seed)[0] for seed in range(20)) > 0
+        assert sum(count_too_recent(context=context, seed=seed)[0] for seed in range(20)) > 0
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -38,7 +38,7 @@
 
 
 def reply_line(*, reply: Any) -> str:
-    """What the client gets, in a few words: the outcome, and the state."""
+    """A reply as the outcome and the session's state, such as "done I"."""
     if reply.fault is None:
         outcome = "done"
     else:
@@ -73,8 +73,8 @@
 
 @given("a route with {sort} consistency, a maximum age of {age_ms:d} ms and a limit of {limit_ms:d} ms")
 def given_route(context: Any, sort: str, age_ms: int, limit_ms: int) -> None:
-    made = route(consistency=Consistency[sort], age_ms=age_ms, limit_ms=limit_ms)
-    context.reported.plan(plan=plan(routes=(made,), version=2))
+    configured = route(consistency=Consistency[sort], age_ms=age_ms, limit_ms=limit_ms)
+    context.reported.plan(plan=plan(routes=(configured,), version=2))
 
 
 @given('"{name}" answers "{words}"')
@@ -94,7 +94,7 @@
 
 
 @given('"{name}" is at distance {distance:d}')
-def given_away(context: Any, name: str, distance: int) -> None:
+def given_distance(context: Any, name: str, distance: int) -> None:
     site = f"far-{name}"
     context.distances[site] = distance
     context.numbers[name] += 1
@@ -114,11 +114,11 @@
 
 
 @when("the controller relays a sample of {at} in term {term:d}")
-def when_controller_tells(context: Any, at: str, term: int) -> None:
-    controller_tells(context=context, at=at, term=term, age_us=1_000)
+def when_sample_relayed(context: Any, at: str, term: int) -> None:
+    relay_sample(context=context, at=at, term=term, age_us=1_000)
 
 
-def controller_tells(*, context: Any, at: str, term: int, age_us: int) -> None:
+def relay_sample(*, context: Any, at: str, term: int, age_us: int) -> None:
     found = position(text=at)
     assert found is not None
     now_us = context.stage.now_us
@@ -128,21 +128,21 @@
 
 
 @when("the controller relays a sample of {at} in term {term:d} every {every_ms:d} ms for {wait_ms:d} ms")
-def when_controller_tells_often(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
-    # The router's timer runs meanwhile, as it does all the time.
+def when_samples_relayed(context: Any, every_ms: int, at: str, term: int, wait_ms: int) -> None:
+    # The router's timer runs between the answers, as in a running proxy.
     for _ in range(wait_ms // every_ms):
-        controller_tells(context=context, at=at, term=term, age_us=200_000)
+        relay_sample(context=context, at=at, term=term, age_us=200_000)
         when_timer_runs(context=context, wait_ms=every_ms)
 
 
 @when("the controller asks this proxy to sample the primary")
-def when_controller_sends(context: Any) -> None:
+def when_controller_requests(context: Any) -> None:
     context.stage.call(call=lambda: context.reported.view.ask("s"))
     context.stage.advance(for_us=50_000)
 
 
 @then("the samples to report are {what}")
-def then_to_tell(context: Any, what: str) -> None:
+def then_to_report(context: Any, what: str) -> None:
     samples = context.reported.view.samples
     samples.answered(source=1, answered_us=7_000_000, requested_us=context.stage.now_us, samples=())
     found = ", ".join(shown(at=each.position) for each in samples.reported(source=1)) or "none"
@@ -200,7 +200,7 @@
 
 
 @when('a promotion of "{name}" with fence {fence} starts, expected to end in {ready_ms:d} ms')
-def when_moves(context: Any, name: str, fence: str, ready_ms: int) -> None:
+def when_promotion_starts(context: Any, name: str, fence: str, ready_ms: int) -> None:
     context.reported.assign_primary(
         primary=name, term=4, state=PrimaryState.moving, fence=fence, ready_in_us=ready_ms * 1_000
     )
@@ -212,7 +212,7 @@
 
 
 @when('the promotion of "{name}" ends after {wait_ms:d} ms')
-def when_settles(context: Any, name: str, wait_ms: int) -> None:
+def when_promotion_ends(context: Any, name: str, wait_ms: int) -> None:
     async def settle() -> None:
         await asyncio.sleep(wait_ms / 1_000)
         reported = context.reported
@@ -232,13 +232,13 @@
 
 
 @when("the proxy has received no relay answer for {wait_ms:d} ms")
-def when_out(context: Any, wait_ms: int) -> None:
+def when_no_answer(context: Any, wait_ms: int) -> None:
     context.reported.in_touch = False
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
 @when('"{name}" announces that it is {state}')
-def when_says(context: Any, name: str, state: str) -> None:
+def when_announces(context: Any, name: str, state: str) -> None:
     context.numbers[name] += 1
     states = {"ready": READY, "draining": EMPTYING, "deregistered": GONE}
     context.reported.tell(
@@ -257,17 +257,17 @@
 
 
 @then('confirming the primary returns "{name}"')
-def then_led(context: Any, name: str) -> None:
-    led = context.router.confirmed_primary(service="s")
-    found = led.ok.backend.name if led.is_ok() else led.error.code.value
+def then_confirmed(context: Any, name: str) -> None:
+    confirmed = context.router.confirmed_primary(service="s")
+    found = confirmed.ok.backend.name if confirmed.is_ok() else confirmed.error.code.value
     assert found == name, found
 
 
 @then('a read with {sort} consistency, maximum age {age_ms:d} ms and last commit {own} requires "{at}"')
-def then_guard(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
-    made = route(consistency=Consistency[sort], age_ms=age_ms)
+def then_required(context: Any, sort: str, age_ms: int, own: str, at: str) -> None:
+    configured = route(consistency=Consistency[sort], age_ms=age_ms)
     found = context.router.required_position(
-        route=made, arrived_us=context.stage.now_us, own_position=position(text=own)
+        route=configured, arrived_us=context.stage.now_us, own_position=position(text=own)
     )
     text = shown(at=found.ok) if found.is_ok() else found.error.code.value
     assert text == at, text
@@ -286,7 +286,7 @@
 
 
 @when('a failure of "{name}" is reported')
-def when_fault_struck(context: Any, name: str) -> None:
+def when_failure_reported(context: Any, name: str) -> None:
     context.stage.call(call=context.router.pools[name].report_trouble)
 
 
@@ -303,7 +303,7 @@
 
 
 @then('"{name}" accepts new statements: {word}')
-def then_open_to(context: Any, name: str, word: str) -> None:
+def then_accepts(context: Any, name: str, word: str) -> None:
     pool = context.router.pools.get(name)
     assert (pool is not None and not pool.closed) == (word == "yes")
 
@@ -344,7 +344,7 @@
 @then(
     "with a cap of {cap:d} links and {proxies:d} proxies, one more without an id gets no larger limit than with one"
 )
-def then_joiner(context: Any, cap: int, proxies: int) -> None:
+def then_proxy_without_id(context: Any, cap: int, proxies: int) -> None:
     limits = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
     later = proxy_limits(context=context, cap=cap, proxies=proxies + 1, allocated=proxies + 1)
     for name in context.names:
@@ -373,7 +373,7 @@
 
 
 @then("with a cap of {cap:d} links and {proxies:d} proxies one without an id keeps links to {kept:d} replicas")
-def then_joiner_keeps(context: Any, cap: int, proxies: int, kept: int) -> None:
+def then_proxy_without_id_keeps(context: Any, cap: int, proxies: int, kept: int) -> None:
     found = kept_by_proxy(context=context, cap=cap, proxies=proxies + 1, allocated=proxies)
     assert len(found[-1]) == kept, found[-1]
 
@@ -386,7 +386,7 @@
     "with a cap of {cap:d} links and {proxies:d} reachable proxies the limits add up to {room:d}, "
     "and each proxy knows all other holders"
 )
-def then_parts(context: Any, cap: int, proxies: int, room: int) -> None:
+def then_limits_of_reachable(context: Any, cap: int, proxies: int, room: int) -> None:
     names = [f"booth-{n}" for n in range(proxies)]
     pools: dict[str, dict[str, LinkPool]] = {}
     for name in names:
@@ -433,7 +433,7 @@
         context.reported.tell(values={PROXY_ADDRESSES_KEY: proxy_addresses_of(names=names)})
 
 
-def own_part(*, context: Any, names: list[str]) -> int:
+def own_share(*, context: Any, names: list[str]) -> int:
     location = Location(SITE, SITE)
     proxies = [ProxyLocation(n, location) for n, _ in enumerate(names)]
     allocated = allocate_links(proxies=proxies, backend="a", location=location, cap=context.cap)
@@ -441,9 +441,9 @@
 
 
 @then('its limit for "a" is its allocated share')
-def then_own_part(context: Any) -> None:
-    part = own_part(context=context, names=context.named)
-    assert context.router.pools["a"].limit == part, (context.router.pools["a"].limit, part)
+def then_own_share(context: Any) -> None:
+    share = own_share(context=context, names=context.named)
+    assert context.router.pools["a"].limit == share, (context.router.pools["a"].limit, share)
 
 
 @then('its limit for "a" is unchanged')
@@ -457,14 +457,14 @@
 
 
 @when("the ids are reassigned so that its share becomes {word}")
-def when_allocated_anew(context: Any, word: str) -> None:
-    now = own_part(context=context, names=context.named)
+def when_ids_reassigned(context: Any, word: str) -> None:
+    now = own_share(context=context, names=context.named)
     context.held = context.router.pools["a"].limit
     for ahead in range(40):
         for count in range(11, 40):
             names = [*(f"other-{n}" for n in range(ahead)), *(f"booth-{n}" for n in range(1, count))]
-            part = own_part(context=context, names=names)
-            if (part > now) if word == "larger" else (part < now):
+            share = own_share(context=context, names=names)
+            if (share > now) if word == "larger" else (share < now):
                 context.named = names
                 context.reported.tell(
                     values={
@@ -473,28 +473,28 @@
                     }
                 )
                 return
-    raise AssertionError(f"no such ids; it holds {now}")
+    raise AssertionError(f"no ids found that change the share of {now} links")
 
 
 @given("no proxy addresses are published")
-def given_no_places(context: Any) -> None:
+def given_no_addresses(context: Any) -> None:
     context.reported.tell(values={PROXY_ADDRESSES_KEY: ProxyAddresses().bytes()})
     context.stage.call(call=lambda: context.router.pools["a"].set_limit(limit=0))
 
 
 @when("the client disconnects")
-def when_vanishes(context: Any) -> None:
+def when_disconnects(context: Any) -> None:
     context.stage.call(call=context.session.close)
 
 
 @when("the proxy ends transactions idle for more than {limit_ms:d} ms")
-def when_rest_limit(context: Any, limit_ms: int) -> None:
+def when_idle_limit(context: Any, limit_ms: int) -> None:
     context.stage.call(call=lambda: context.session.end_idle_transaction(limit_us=limit_ms * 1_000))
     context.stage.advance(for_us=10_000)
 
 
 @then("every link is released")
-def then_given_back(context: Any) -> None:
+def then_released(context: Any) -> None:
     context.stage.advance(for_us=5_000_000)
     left = {name: len(pool.borrowed) for name, pool in context.router.pools.items() if pool.borrowed}
     assert not left, left
@@ -512,29 +512,29 @@
 
 
 @then("a client that disconnects after any of {count:d} event loop iterations leaves no borrowed link")
-def then_vanishes_anywhere(context: Any, count: int) -> None:
+def then_disconnects_anywhere(context: Any, count: int) -> None:
     left = []
-    for turns in range(count):
+    for iterations in range(count):
         session = Session(ctx=context.stage.ctx, router=context.router, database="db")
 
-        async def vanish(session: Session = session, turns: int = turns) -> None:
+        async def run_and_disconnect(session: Session = session, iterations: int = iterations) -> None:
             await session.run(statement=statement(text="BEGIN"))
             await asyncio.sleep(0.02)
             work = asyncio.create_task(session.run(statement=statement(text="PUT 1 a")))
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             session.close()
             await asyncio.wait([work])
             await asyncio.sleep(5)
 
-        context.stage.run(work=vanish())
+        context.stage.run(work=run_and_disconnect())
         taken = sum(len(pool.borrowed) for pool in context.router.pools.values())
         if taken:
-            left.append((turns, taken))
+            left.append((iterations, taken))
             for pool in context.router.pools.values():
                 for link, _ in list(pool.borrowed.values()):
                     context.stage.call(call=lambda pool=pool, link=link: pool.release(link=link, keep=False))
-    assert not left, f"links still taken by (turns, links): {left}"
+    assert not left, f"links still borrowed, by (iterations, links): {left}"
 
 
 @when('another session runs "{text}"')
@@ -545,5 +545,5 @@
 
 
 @when("the configuration removes the database")
-def when_drops(context: Any) -> None:
+def when_database_removed(context: Any) -> None:
     context.reported.plan(plan=plan(version=9))
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the view that a proxy has of the register."""
+"""Steps for a proxy's view of the register, and for its choice of a controller."""
 
 import asyncio
 import contextlib
@@ -17,17 +17,17 @@
 from cinderstair.runtime.unpacker import Unpacker
 
 
-class FakeRelay:
-    """A controller as a proxy's view sees it."""
+class FakeController:
+    """A controller that answers relay requests with the values, age and delay that the test sets."""
 
     def __init__(self, *, number: int) -> None:
         self.number = number
         self.revision = 1
         self.age_us = 0
         self.silent = False
-        self.away_us = 2_000
+        self.delay_us = 2_000
         self.site = SITE
-        self.noise = False
+        self.undecodable = False
         self.values: tuple[RelayedValue, ...] = ()
         self.requested: list[int] = []
 
@@ -39,7 +39,7 @@
             ).bytes()
         self.requested.append(question.revision if question.source == self.number else 0)
         full = question.source != self.number
-        if self.noise:
+        if self.undecodable:
             return b"\xff" * 40
         return RelayAnswer(
             source=self.number,
@@ -51,101 +51,101 @@
         ).bytes()
 
 
-class RelayNet:
-    def __init__(self, *, relays: dict[str, FakeRelay]) -> None:
-        self.relays = relays
+class ControllerNet:
+    def __init__(self, *, controllers: dict[str, FakeController]) -> None:
+        self.controllers = controllers
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        relay = self.relays[address]
-        if relay.silent:
+        controller = self.controllers[address]
+        if controller.silent:
             await asyncio.sleep(wait_us / 1_000_000)
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: silent"))
-        await asyncio.sleep(relay.away_us / 1_000_000)
-        return Ok(relay.answer(body=body))
+        await asyncio.sleep(controller.delay_us / 1_000_000)
+        return Ok(controller.answer(body=body))
 
 
 @given('a view with controllers "{names}"')
 def given_view(context: Any, names: str) -> None:
     context.stage = Stage(context=context)
     addresses = tuple(names.split(", "))
-    context.relays = {name: FakeRelay(number=number) for number, name in enumerate(addresses, start=1)}
-    context.stage.ctx.net = RelayNet(relays=context.relays)
+    context.controllers = {name: FakeController(number=number) for number, name in enumerate(addresses, start=1)}
+    context.stage.ctx.net = ControllerNet(controllers=context.controllers)
     context.view = RelayedView(
         ctx=context.stage.ctx,
         site=SITE,
         seeds=lambda: addresses,
         distance=lambda site: 0 if site == SITE else 3,
     )
-    context.keeping = None
+    context.running = None
 
 
 @given('the state of "{names}" is {age_ms:d} ms old')
-def given_old(context: Any, names: str, age_ms: int) -> None:
+def given_state_age(context: Any, names: str, age_ms: int) -> None:
     for name in names.split(", "):
-        context.relays[name].age_us = age_ms * 1_000
+        context.controllers[name].age_us = age_ms * 1_000
 
 
-def tell(*, context: Any, names: str, key: str, value: bytes, round: int) -> None:
+def relay_value(*, context: Any, names: str, key: str, value: bytes, round: int) -> None:
     for name in names.split(", "):
-        relay = context.relays[name]
-        relay.noise = False
-        relay.revision += 1
-        relay.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
+        controller = context.controllers[name]
+        controller.undecodable = False
+        controller.revision += 1
+        controller.values = (RelayedValue(key=key, ballot=Ballot(round, 1), value=value),)
 
 
 @given('"{names}" relay the plan of version {version:d} with ballot round {round:d}')
-def given_tell_plan(context: Any, names: str, version: int, round: int) -> None:
-    tell(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), round=round)
+def given_relayed_plan(context: Any, names: str, version: int, round: int) -> None:
+    relay_value(context=context, names=names, key=PLAN_KEY, value=plan(version=version).bytes(), round=round)
 
 
 @given('"{names}" relay an answer that can\'t be decoded')
-def given_noise(context: Any, names: str) -> None:
+def given_undecodable_answer(context: Any, names: str) -> None:
     for name in names.split(", "):
-        context.relays[name].noise = True
+        context.controllers[name].undecodable = True
 
 
 @given('"{names}" relay a {what} value that can\'t be decoded')
-def given_tell_none(context: Any, names: str, what: str) -> None:
+def given_undecodable_value(context: Any, names: str, what: str) -> None:
     key = {"plan": PLAN_KEY, "primary": service_primary_key(service="s")}[what]
-    tell(context=context, names=names, key=key, value=b"\x01\x02\x03", round=1)
+    relay_value(context=context, names=names, key=key, value=b"\x01\x02\x03", round=1)
 
 
 @when("the view runs for {wait_ms:d} ms")
-def when_keeps(context: Any, wait_ms: int) -> None:
-    # why: it is begun once, as a proxy begins it, and goes on by itself
-    if context.keeping is None:
-        context.keeping = context.stage.call(call=lambda: context.stage.ctx.spawn(work=context.view.run()))
+def when_view_runs(context: Any, wait_ms: int) -> None:
+    # The view's loop is started once, as a proxy does; later steps only let time pass.
+    if context.running is None:
+        context.running = context.stage.call(call=lambda: context.stage.ctx.spawn(work=context.view.run()))
     context.stage.advance(for_us=wait_ms * 1_000)
     with contextlib.suppress(ValueError):
-        assert not context.keeping.done() or context.keeping.result()
+        assert not context.running.done() or context.running.result()
 
 
-@given('"{name}" answers after {away_ms:d} ms')
-def given_far(context: Any, name: str, away_ms: int) -> None:
-    context.relays[name].away_us = away_ms * 1_000
+@given('"{name}" answers after {delay_ms:d} ms')
+def given_delay(context: Any, name: str, delay_ms: int) -> None:
+    context.controllers[name].delay_us = delay_ms * 1_000
 
 
 @given('"{name}" is in another zone')
 def given_other_zone(context: Any, name: str) -> None:
-    context.relays[name].site = "elsewhere"
+    context.controllers[name].site = "elsewhere"
 
 
 @given('"{name}" is silent')
 def given_silent(context: Any, name: str) -> None:
-    context.relays[name].silent = True
+    context.controllers[name].silent = True
 
 
 @when("the view chooses a controller and runs for {wait_ms:d} ms")
-def when_chooses(context: Any, wait_ms: int) -> None:
+def when_controller_chosen(context: Any, wait_ms: int) -> None:
     began_us = context.stage.now_us
     context.stage.run(work=context.view.choose_controller())
     context.took_us = context.stage.now_us - began_us
-    when_keeps(context=context, wait_ms=wait_ms)
+    when_view_runs(context=context, wait_ms=wait_ms)
 
 
 @when('"{name}" is {word}, and the view runs for {wait_ms:d} ms')
 def when_changes(context: Any, name: str, word: str, wait_ms: int) -> None:
-    context.relays[name].silent = word == "silent"
+    context.controllers[name].silent = word == "silent"
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -155,20 +155,20 @@
 
 
 @then('the current controller is "{name}"')
-def then_asks(context: Any, name: str) -> None:
+def then_controller(context: Any, name: str) -> None:
     assert context.view.controller == name, context.view.controller
 
 
 @when('the controllers "{names}" are silent for {wait_ms:d} ms')
 def when_silent(context: Any, names: str, wait_ms: int) -> None:
     for name in names.split(", "):
-        context.relays[name].silent = True
+        context.controllers[name].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
 @when("the current controller is silent for {wait_ms:d} ms")
-def when_requested_silent(context: Any, wait_ms: int) -> None:
-    context.relays[context.view.controller].silent = True
+def when_current_silent(context: Any, wait_ms: int) -> None:
+    context.controllers[context.view.controller].silent = True
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -191,8 +191,8 @@
 
 
 @then("it requested the full state once, and always from the same controller")
-def then_stayed(context: Any) -> None:
-    requested = sorted((relay.requested for relay in context.relays.values()), key=len)
+def then_one_full_request(context: Any) -> None:
+    requested = sorted((controller.requested for controller in context.controllers.values()), key=len)
     assert not requested[0] and len(requested[1]) >= 4, requested
     assert [revision == 0 for revision in requested[1]] == [True] + [False] * (len(requested[1]) - 1), requested
 
--- a/src/cinderstair/pooler/freshness.py
+++ b/src/cinderstair/pooler/freshness.py
@@ -6,7 +6,7 @@
 
 from ..runtime.position import Position
 
-# Of samples that are closer together than this only the later one is kept.
+# A sample is dropped when the samples before and after it are closer together than this.
 MIN_INTERVAL_US = 20_000
 MAX_SAMPLES = 256
 # Earlier than any reading of a proxy's clock.
