--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -41,12 +41,12 @@
 
 @when("the position required since {since_ms:d} ms has been computed")
 def when_computed(context: Any, since_ms: int) -> None:
-    context.freshness.needed(since_us=since_ms * 1_000)
+    context.freshness.position_since(since_us=since_ms * 1_000)
 
 
 @then("a read that must see all commits before {since_ms:d} ms requires {at}")
 def then_requires(context: Any, since_ms: int, at: str) -> None:
-    found = context.freshness.needed(since_us=since_ms * 1_000)
+    found = context.freshness.position_since(since_us=since_ms * 1_000)
     assert shown(at=found) == at, found
 
 
@@ -68,7 +68,7 @@
                 in_flight.remove(entry)
                 freshness.note(requested_us=entry[1] * 1_000, position=entry[2])
             since_ms = now_ms - rng.randrange(0, 400)
-            found = freshness.needed(since_us=since_ms * 1_000)
+            found = freshness.position_since(since_us=since_ms * 1_000)
             if found is not None:
                 answered += 1
                 assert all(found >= commit for when, commit in acknowledged if when < since_ms), (seed, now_ms)
@@ -82,5 +82,5 @@
         freshness.note(requested_us=now_ms * 1_000, position=Position(1, now_ms))
     assert len(freshness.samples) <= most, len(freshness.samples)
     since_us = freshness.newest_us - age_ms * 1_000
-    found = freshness.needed(since_us=since_us)
+    found = freshness.position_since(since_us=since_us)
     assert found is not None and found.number * 1_000 - since_us <= 2 * max(20, every_ms) * 1_000, found
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -38,7 +38,9 @@
         return self.skew_us + true_us + true_us * self.drift_ppm // MILLION
 
 
-class ControllerStage:
+class FakeSampleController:
+    """One run of a controller's sample exchange, without a network; `source` is the number of the run."""
+
     def __init__(self, *, machine: Machine, source: int) -> None:
         self.machine, self.source = machine, source
         self.position_samples = PositionSamples(ctx=machine.ctx)
@@ -67,14 +69,14 @@
         self.noted: list[tuple[int, Position]] = []
         self.source = 0
         self.reported: tuple[ReportedSample, ...] = ()
-        self.asking: tuple[int, int] | None = None
+        self.requested_sample: tuple[int, int] | None = None
 
     def pull(
-        self, *, controller: ControllerStage, time: TrueTime, there_us: int, back_us: int, lost: bool = False
+        self, *, controller: FakeSampleController, time: TrueTime, there_us: int, back_us: int, lost: bool = False
     ) -> None:
         requested_us = self.machine.ctx.now_us()
         self.reported, source = self.pool.reported(source=self.source), self.source
-        wanted = self.pool.wants()
+        wanted = self.pool.wanted_samples()
         time.us += there_us
         source, answered_us, samples = controller.answer(source=source, samples=self.reported, wanted=wanted)
         time.us += back_us
@@ -97,7 +99,7 @@
         )
 
     context.machine = machine
-    context.controller = ControllerStage(machine=machine("hall"), source=rng.getrandbits(62) | 1)
+    context.controller = FakeSampleController(machine=machine("hall"), source=rng.getrandbits(62) | 1)
     context.proxies = {name: PoolingProxy(machine=machine(name)) for name in names}
     context.true_us = {}
     context.net_us = (1_000, 1_000)
@@ -133,14 +135,14 @@
 @when('"{name}" requests a sample from the primary of term {term:d}')
 def when_requests(context: Any, name: str, term: int) -> None:
     proxy = context.proxies[name]
-    proxy.asking = term, proxy.machine.ctx.now_us()
+    proxy.requested_sample = term, proxy.machine.ctx.now_us()
     context.requested_true_us = context.time.us
 
 
 @when('"{name}" receives the requested sample {at}')
 def when_received(context: Any, name: str, at: str) -> None:
     proxy, found = context.proxies[name], position(text=at)
-    term, requested_us = proxy.asking
+    term, requested_us = proxy.requested_sample
     context.true_us[found] = context.requested_true_us
     proxy.pool.add_own(service=SERVICE, term=term, requested_us=requested_us, position=found)
 
@@ -162,7 +164,7 @@
     machine = context.machine("hall")
     # The new clock stays close to the old one; a distant one would make a mix-up obvious.
     machine.skew_us = context.controller.machine.skew_us + context.rng.randrange(-3 * MILLION, 3 * MILLION)
-    context.controller = ControllerStage(machine=machine, source=context.rng.getrandbits(62) | 1)
+    context.controller = FakeSampleController(machine=machine, source=context.rng.getrandbits(62) | 1)
 
 
 @given('the assignment known to "{name}" is {state} in term {term:d}')
@@ -272,7 +274,7 @@
     return int(reference.answered_us + requested_us - reference.received_us + 1_000)
 
 
-def across_restart(controller: ControllerStage) -> Callable[..., Any]:
+def across_restart(controller: FakeSampleController) -> Callable[..., Any]:
     answer = controller.answer
 
     def answer_any_run(*, source: int, **named: Any) -> Any:
@@ -284,13 +286,13 @@
 @then("with {fault} some sample seems too recent")
 def then_fault_seen(context: Any, fault: str) -> None:
     if fault == "times kept across a restart":
-        begin = ControllerStage.__init__
+        begin = FakeSampleController.__init__
 
-        def keeping(self: ControllerStage, **named: Any) -> None:
+        def keeping(self: FakeSampleController, **named: Any) -> None:
             begin(self, **named)
             self.answer = across_restart(self)  # type: ignore[method-assign]
 
-        patched: Any = patch.object(ControllerStage, "__init__", keeping)
+        patched: Any = patch.object(FakeSampleController, "__init__", keeping)
     elif fault == "ages counted from the answer":
         patched = patch.object(SamplePool, "_at_us", from_answer)
     else:
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -150,7 +150,7 @@
 
 
 @when('the client runs "{text}"')
-def when_client_asks(context: Any, text: str) -> None:
+def when_client_runs(context: Any, text: str) -> None:
     began_us = context.stage.now_us
     for each in text.split(", "):
         context.replies.append(context.stage.run(work=context.session.run(statement=statement(text=each))))
@@ -158,11 +158,11 @@
 
 
 @when('the client starts "{text}"')
-def when_client_begins(context: Any, text: str) -> None:
-    async def ask_later() -> None:
+def when_client_starts(context: Any, text: str) -> None:
+    async def run_later() -> None:
         context.replies.append(await context.session.run(statement=statement(text=text)))
 
-    context.asking = context.stage.call(call=lambda: context.stage.ctx.spawn(work=ask_later(), name="client"))
+    context.asking = context.stage.call(call=lambda: context.stage.ctx.spawn(work=run_later(), name="client"))
 
 
 @when("{wait_ms:d} ms pass")
@@ -274,7 +274,7 @@
 
 
 @when('{count:d} links of "{name}" are borrowed')
-def when_taken(context: Any, count: int, name: str) -> None:
+def when_borrowed(context: Any, count: int, name: str) -> None:
     pool = context.router.pools[name]
 
     async def take() -> None:
@@ -383,10 +383,10 @@
 
 
 @then(
-    "with a cap of {cap:d} links and {proxies:d} reachable proxies the limits add up to {room:d}, "
+    "with a cap of {cap:d} links and {proxies:d} reachable proxies the limits add up to {capacity:d}, "
     "and each proxy knows all other holders"
 )
-def then_limits_of_reachable(context: Any, cap: int, proxies: int, room: int) -> None:
+def then_limits_of_reachable(context: Any, cap: int, proxies: int, capacity: int) -> None:
     names = [f"booth-{n}" for n in range(proxies)]
     pools: dict[str, dict[str, LinkPool]] = {}
     for name in names:
@@ -404,16 +404,16 @@
         pools[name] = router.pools
     for backend in context.names:
         holding = {name for name in names if pools[name][backend].limit}
-        assert sum(pools[name][backend].limit for name in names) == room
+        assert sum(pools[name][backend].limit for name in names) == capacity
         for name in names:
             known = {peer_proxy.name for peer_proxy in pools[name][backend].peer_proxies}
             assert known == holding - {name}, (name, known)
 
 
-@given('a reachable proxy, one of {count:d} that share {room:d} links to "a"')
-def given_reachable(context: Any, count: int, room: int) -> None:
+@given('a reachable proxy, one of {count:d} that share {capacity:d} links to "a"')
+def given_reachable(context: Any, count: int, capacity: int) -> None:
     stage = context.stage = Stage(context=context)
-    context.cap = room
+    context.cap = capacity
     context.reported = ReportedView(stage=stage)
     context.router = Router(
         ctx=stage.ctx, view=context.reported.view, dialer=FakeDialer(backends={}), distance=lambda site: 0
@@ -422,7 +422,7 @@
     context.reported.tell(backends=(announcement(name="a"),))
     context.reported.assign_primary(primary="a")
     allocate_ids(context=context, count=count)
-    context.reported.plan(plan=plan(link_cap=room + CONTROL_LINKS))
+    context.reported.plan(plan=plan(link_cap=capacity + CONTROL_LINKS))
 
 
 def allocate_ids(*, context: Any, count: int, first: int = 1) -> None:
@@ -447,7 +447,7 @@
 
 
 @then('its limit for "a" is unchanged')
-def then_held(context: Any) -> None:
+def then_limit_unchanged(context: Any) -> None:
     assert context.router.pools["a"].limit == context.held, context.router.pools["a"].limit
 
 
@@ -538,7 +538,7 @@
 
 
 @when('another session runs "{text}"')
-def when_another_asks(context: Any, text: str) -> None:
+def when_another_runs(context: Any, text: str) -> None:
     other = Session(ctx=context.stage.ctx, router=context.router, database="db")
     for each in text.split(", "):
         context.replies.append(context.stage.run(work=other.run(statement=statement(text=each))))
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -52,6 +52,8 @@
 
 
 class ControllerNet:
+    """A network that delivers relay requests to the fake controllers; a silent one times out."""
+
     def __init__(self, *, controllers: dict[str, FakeController]) -> None:
         self.controllers = controllers
 
--- a/src/cinderstair/pooler/freshness.py
+++ b/src/cinderstair/pooler/freshness.py
@@ -59,7 +59,7 @@
         if not self.samples or self.samples[-1].requested_us < as_of_us:
             self.samples.append(PositionSample(as_of_us, position))
 
-    def needed(self, *, since_us: int) -> Position | None:
+    def position_since(self, *, since_us: int) -> Position | None:
         """A position at or past every commit acknowledged before `since_us`; None without a sample since then."""
         index = bisect_left(self.samples, since_us, key=_requested_us)
         return self.samples[index].position if index < len(self.samples) else None
--- a/src/cinderstair/pooler/relayed_view.py
+++ b/src/cinderstair/pooler/relayed_view.py
@@ -64,8 +64,9 @@
     """Pulls the state from a controller and decides which controller to ask.
 
     Primary assignments are valid only while the view is `current`; the lists of backends and addresses are also used
-    after that. `controller`: the address that answered last; empty before the first answer. `as_of_us`: the time, by
-    this proxy's clock, at which the state was certainly valid. `answered_us`: when any controller last answered.
+    after that. `controller`: the address of the controller in use; empty before the first answer. `as_of_us`: the
+    time, by this proxy's clock, at which the state was certainly valid. `answered_us`: when any controller last
+    answered.
 
     Set by the owner: `vote` returns this proxy's vote on a shard map, `suspected_backends` the names of backends that
     fail from here, and `ask` samples the position of a service's primary at the controller's request.
@@ -94,7 +95,7 @@
         self.vote: Callable[[], ShardVote] = lambda: ShardVote(0, Vote.silent)
         self.ask: Callable[[str], None] = lambda service: None
         self.suspected_backends: Callable[[], tuple[str, ...]] = tuple
-        self._hurry = asyncio.Event()
+        self._pull_requested = asyncio.Event()
         self._avoid_until_us: dict[str, int] = {}
         self._chosen = ""
         self._next_choice_us = ctx.now_us() + MIN_CHOICE_INTERVAL_US
@@ -112,7 +113,7 @@
 
     def pull_now(self) -> None:
         """Starts the next pull without waiting for the interval."""
-        self._hurry.set()
+        self._pull_requested.set()
 
     async def run(self) -> None:
         """Pulls until the process ends."""
@@ -126,10 +127,10 @@
             wait_us = URGENT_PULL_INTERVAL_US if self._moving() or not pulled else PULL_INTERVAL_US
             try:
                 async with asyncio.timeout(wait_us / 1_000_000):
-                    await self._hurry.wait()
+                    await self._pull_requested.wait()
             except TimeoutError:
                 pass
-            self._hurry.clear()
+            self._pull_requested.clear()
 
     def _moving(self) -> bool:
         """Whether a primary or the shard map is being changed."""
@@ -194,7 +195,7 @@
             proposal=proposal,
             vote=vote,
             samples=() if full else self.samples.reported(source=self.source),
-            wanted=() if full else self.samples.wants(),
+            wanted=() if full else self.samples.wanted_samples(),
         )
 
     async def _ask(self, *, address: str, question: RelayQuestion) -> Result[TimedAnswer, CinderstairError]:
--- a/src/cinderstair/pooler/replica_selection.py
+++ b/src/cinderstair/pooler/replica_selection.py
@@ -68,7 +68,7 @@
         since_us = self.shards.read_since_us(
             database=route.database, since_us=arrived_us - route.max_age_us + AGE_MARGIN_US
         )
-        needed = None if since_us is None else freshness.needed(since_us=since_us)
+        needed = None if since_us is None else freshness.position_since(since_us=since_us)
         if needed is None:
             return Error(
                 CinderstairError(
--- a/src/cinderstair/pooler/sample_pool.py
+++ b/src/cinderstair/pooler/sample_pool.py
@@ -61,7 +61,7 @@
         if known is None or (known.term, known.requested_us) < (term, requested_us):
             self.own[service] = OwnSample(term=term, requested_us=requested_us, position=position)
 
-    def _counts(self, *, service: str, term: int) -> bool:
+    def _is_current_term(self, *, service: str, term: int) -> bool:
         assignment = self.assignment(service)
         # A position from another term may lie past the fence of a promotion that has discarded it.
         return assignment is not None and assignment.state == PrimaryState.settled and assignment.term == term
@@ -82,7 +82,7 @@
             if own.requested_us <= self.known_us.get(service, LONG_AGO_US):
                 continue
             moment_us = self._moment_us(reference=reference, requested_us=own.requested_us)
-            if moment_us >= 0 and self._counts(service=service, term=own.term):
+            if moment_us >= 0 and self._is_current_term(service=service, term=own.term):
                 self.unconfirmed_us[service] = own.requested_us
                 found.append(
                     ReportedSample(service=service, term=own.term, moment_us=moment_us, position=own.position)
@@ -97,7 +97,7 @@
         span_us = requested_us - reference.received_us
         return reference.answered_us + span_us - drift_us(span_us=span_us)
 
-    def wants(self) -> tuple[WantedSample, ...]:
+    def wanted_samples(self) -> tuple[WantedSample, ...]:
         """The services of which this proxy needs samples, with the revision that it has of each."""
         return tuple(WantedSample(service=name, revision=self.revisions.get(name, 0)) for name in self.wanted())
 
@@ -117,7 +117,7 @@
         self.unconfirmed_us = {}
         for sample in samples:
             self.revisions[sample.service] = sample.revision
-            if not self._counts(service=sample.service, term=sample.term):
+            if not self._is_current_term(service=sample.service, term=sample.term):
                 continue
             at_us = self._at_us(requested_us=requested_us, age_us=sample.age_us)
             self.known_us[sample.service] = max(self.known_us.get(sample.service, LONG_AGO_US), at_us)
