--- a/features/pooler/freshness.feature
+++ b/features/pooler/freshness.feature
@@ -2,38 +2,38 @@
 
   Scenario Outline: The earliest sample requested since the given time gives the required position
     Given samples "<samples>"
-    Then a read that must see all commits before <since> ms requires <position>
+    Then a read that must see all commits before <since> ms requires <required>
 
     Examples: samples in the order of their requests
-      | samples                    | since | position |
-      | 100:3.5                    | 100   | 3.5      |
-      | 100:3.5                    | 99    | 3.5      |
-      | 100:3.5                    | 101   | -        |
-      | 100:3.5 200:3.7 300:3.9    | 50    | 3.5      |
-      | 100:3.5 200:3.7 300:3.9    | 101   | 3.7      |
-      | 100:3.5 200:3.7 300:3.9    | 200   | 3.7      |
-      | 100:3.5 200:3.7 300:3.9    | 201   | 3.9      |
-      | 100:3.5 200:3.7 300:3.9    | 301   | -        |
-      | 100:3.9 200:4.1            | 150   | 4.1      |
+      | samples                 | since | required |
+      | 100:3.5                 | 100   | 3.5      |
+      | 100:3.5                 | 99    | 3.5      |
+      | 100:3.5                 | 101   | -        |
+      | 100:3.5 200:3.7 300:3.9 | 50    | 3.5      |
+      | 100:3.5 200:3.7 300:3.9 | 101   | 3.7      |
+      | 100:3.5 200:3.7 300:3.9 | 200   | 3.7      |
+      | 100:3.5 200:3.7 300:3.9 | 201   | 3.9      |
+      | 100:3.5 200:3.7 300:3.9 | 301   | -        |
+      | 100:3.9 200:4.1         | 150   | 4.1      |
 
     Examples: thinning samples less than 20 ms apart may raise the required position but never lowers it
-      | samples                         | since | position |
-      | 100:3.1 105:3.2 110:3.3         | 101   | 3.3      |
-      | 100:3.1 110:3.2 125:3.3         | 101   | 3.2      |
-      | 100:3.1 110:3.2 125:3.3         | 111   | 3.3      |
+      | samples                 | since | required |
+      | 100:3.1 105:3.2 110:3.3 | 101   | 3.3      |
+      | 100:3.1 110:3.2 125:3.3 | 101   | 3.2      |
+      | 100:3.1 110:3.2 125:3.3 | 111   | 3.3      |
 
   Scenario Outline: A late sample does not raise the required position
     Given samples "<samples>"
     When late samples "<late>" arrive
-    Then a read that must see all commits before <since> ms requires <position>
+    Then a read that must see all commits before <since> ms requires <required>
 
     Examples:
-      | samples         | late    | since | position |
+      | samples         | late    | since | required |
       | 100:3.5 200:3.7 | 150:3.6 | 200   | 3.7      |
       | 100:3.5 200:3.7 | 200:3.7 | 150   | 3.7      |
 
     Examples: a sample requested earlier but answered later shows a higher position
-      | samples         | late    | since | position |
+      | samples         | late    | since | required |
       | 100:3.5 200:3.7 | 150:3.9 | 180   | 3.7      |
       | 100:3.5 200:3.7 | 150:3.9 | 120   | 3.7      |
 
@@ -45,10 +45,10 @@
   Scenario Outline: A fence drops samples past it and is itself a sample
     Given samples "100:3.5 200:3.7 300:3.9"
     When a fence at <fence> is set as of <as_of> ms
-    Then a read that must see all commits before <since> ms requires <position>
+    Then a read that must see all commits before <since> ms requires <required>
 
     Examples:
-      | fence | as_of | since | position |
+      | fence | as_of | since | required |
       | 3.7   | 400   | 50    | 3.5      |
       | 3.7   | 400   | 250   | 3.7      |
       | 3.7   | 400   | 400   | 3.7      |
--- a/features/pooler/relayed_view.feature
+++ b/features/pooler/relayed_view.feature
@@ -80,7 +80,7 @@
     Then the view's plan has version 8
 
   Scenario Outline: The view keeps pulling after an answer that can't be decoded
-    Given "g1, g2" relay <what>
+    Given "g1, g2" relay <answer>
     When the view runs for 1000 ms
     Given "g1, g2" relay the plan of version 8 with ballot round 5
     When the view runs for 3000 ms
@@ -88,7 +88,7 @@
     And the view's plan has version 8
 
     Examples:
-      | what                                   |
-      | an answer that can't be decoded        |
-      | a plan value that can't be decoded     |
-      | a primary value that can't be decoded  |
+      | answer                                |
+      | an answer that can't be decoded       |
+      | a plan value that can't be decoded    |
+      | a primary value that can't be decoded |
--- a/features/pooler/router.feature
+++ b/features/pooler/router.feature
@@ -41,17 +41,17 @@
 
   Scenario Outline: The position that a read requires, by consistency, maximum age and last commit
     Given a proxy of a service with primary "a" and replicas "b", all at 3.5
-    And the primary's position was sampled <ago> ms ago
-    Then a read with <sort> consistency, maximum age <age> ms and last commit <own> requires "<needs>"
+    And the primary's position was sampled <sampled> ms ago
+    Then a read with <consistency> consistency, maximum age <age> ms and last commit <last_commit> requires "<required>"
 
     Examples: a sample expires 60 ms before the maximum age
-      | ago | sort    | age  | own | needs    |
-      | 100 | bounded | 500  | -   | 3.5      |
-      | 400 | bounded | 500  | -   | 3.5      |
-      | 450 | bounded | 500  | -   | tooStale |
-      | 100 | session | 500  | 3.9 | 3.9      |
-      | 100 | session | 500  | 3.2 | 3.5      |
-      | 100 | bounded | 0    | -   | tooStale |
+      | sampled | consistency | age | last_commit | required |
+      | 100     | bounded     | 500 | -           | 3.5      |
+      | 400     | bounded     | 500 | -           | 3.5      |
+      | 450     | bounded     | 500 | -           | tooStale |
+      | 100     | session     | 500 | 3.9         | 3.9      |
+      | 100     | session     | 500 | 3.2         | 3.5      |
+      | 100     | bounded     | 0   | -           | tooStale |
 
   Scenario: A promotion's fence lowers the required position
     Given a proxy of a service with primary "a" and replicas "b", all at 3.9
@@ -155,9 +155,9 @@
 
     Examples:
       | cap | proxies |
-      | 40  | 1      |
-      | 40  | 7      |
-      | 26  | 20     |
+      | 40  | 1       |
+      | 40  | 7       |
+      | 26  | 20      |
 
   Scenario: A proxy without an id gets no larger limit than it will have with one
     Given a proxy of a service with primary "a" and replicas "b", all at 3.5
@@ -169,9 +169,9 @@
 
     Examples: 6 links of each cap are control links
       | cap | proxies | kept | most |
-      | 55  | 80     | 1    | 45   |
-      | 46  | 80     | 1    | 40   |
-      | 16  | 12     | 1    | 6    |
+      | 55  | 80      | 1    | 45   |
+      | 46  | 80      | 1    | 40   |
+      | 16  | 12      | 1    | 6    |
 
   Scenario: With fewer links than proxies a proxy without an id keeps no link
     Given a proxy of a service with primary "a" and replicas "b, c", all at 3.5
--- a/features/pooler/sample_pool.feature
+++ b/features/pooler/sample_pool.feature
@@ -36,10 +36,10 @@
     Then with <fault> some sample seems too recent
 
     Examples:
-      | fault                           |
-      | ages counted from the answer    |
-      | transit time estimated          |
-      | times kept across a restart     |
+      | fault                        |
+      | ages counted from the answer |
+      | transit time estimated       |
+      | times kept across a restart  |
 
   Scenario: A proxy that was frozen reports a sample with its original time
     Given a request takes 1 ms and its answer 1 ms
--- a/features/pooler/session.feature
+++ b/features/pooler/session.feature
@@ -6,31 +6,31 @@
   # -- single statements --
 
   Scenario Outline: A statement that is invalid in the session's state is refused without a backend
-    When the client runs "<asks>"
-    Then the client's replies are "<told>"
+    When the client runs "<statements>"
+    Then the client's replies are "<replies>"
     And "a" was sent "nothing"
 
     Examples:
-      | asks            | told                               |
-      | RUN s1 1 x      | unknownPrepared I                  |
-      | FORGET s1       | unknownPrepared I                  |
-      | COMMIT          | noTransaction I                    |
-      | UNDO            | noTransaction I                    |
-      | SET a 1, FORGET a | done I, unknownPrepared I        |
+      | statements        | replies                   |
+      | RUN s1 1 x        | unknownPrepared I         |
+      | FORGET s1         | unknownPrepared I         |
+      | COMMIT            | noTransaction I           |
+      | UNDO              | noTransaction I           |
+      | SET a 1, FORGET a | done I, unknownPrepared I |
 
   Scenario Outline: A write that was not run is sent to the primary at most four times
     Given "a" answers "<answers>"
     When the client runs "PUT 1 x"
-    Then the client's replies are "<told>"
+    Then the client's replies are "<replies>"
     And "a" was sent "<sent>"
 
     Examples:
-      | answers                | told       | sent                               |
-      | BUSY                   | done I     | PUT 1 x, PUT 1 x                   |
-      | READONLY, BUSY         | done I     | PUT 1 x, PUT 1 x, PUT 1 x          |
-      | BUSY, BUSY, BUSY, BUSY | BUSY I     | PUT 1 x, PUT 1 x, PUT 1 x, PUT 1 x |
-      | FAILED                 | FAILED I   | PUT 1 x                            |
-      | TIMEOUT                | TIMEOUT I  | PUT 1 x                            |
+      | answers                | replies   | sent                               |
+      | BUSY                   | done I    | PUT 1 x, PUT 1 x                   |
+      | READONLY, BUSY         | done I    | PUT 1 x, PUT 1 x, PUT 1 x          |
+      | BUSY, BUSY, BUSY, BUSY | BUSY I    | PUT 1 x, PUT 1 x, PUT 1 x, PUT 1 x |
+      | FAILED                 | FAILED I  | PUT 1 x                            |
+      | TIMEOUT                | TIMEOUT I | PUT 1 x                            |
 
   Scenario Outline: A write without an answer is not repeated, and its outcome is unknown
     Given "a" answers "<answers>"
@@ -50,13 +50,13 @@
     When a promotion of "b" with fence 3.5 starts, expected to end in <ready> ms
     And the promotion of "b" ends after 300 ms
     And the client runs "PUT 1 x"
-    Then the client's replies are "<told>"
+    Then the client's replies are "<replies>"
     And it took between <least> and <most> ms
     And "a" was sent "nothing"
     And "b" was sent "<sent>"
 
     Examples:
-      | ready | told     | least | most | sent    |
+      | ready | replies  | least | most | sent    |
       | 500   | done I   | 300   | 310  | PUT 1 x |
       | 900   | moving I | 0     | 1    | nothing |
 
@@ -69,20 +69,20 @@
 
   Scenario Outline: A statement goes to the new primary if a promotion happens while it waits for a link
     Given dialling "a" results in "slow 100"
-    When the client starts "<asks>"
+    When the client starts "<statements>"
     And 50 ms pass
     And a promotion of "b" with fence 3.5 starts, expected to end in 200 ms
     And the promotion of "b" ends after 200 ms
     And 600 ms pass
     Then the client's replies are "done I"
     And "a" was sent "nothing"
-    And "b" was sent "<asks>"
+    And "b" was sent "<statements>"
     And every link is released
 
     Examples:
-      | asks    |
-      | PUT 1 x |
-      | FETCH 1 |
+      | statements |
+      | PUT 1 x    |
+      | FETCH 1    |
 
   Scenario: A transaction begins at the new primary if a promotion happens while it waits for a link
     Given dialling "a" results in "slow 100"
@@ -291,35 +291,35 @@
   Scenario Outline: A statement inside a transaction is not repeated after an error
     Given "a" answers "ok, ok, <answer>"
     When the client runs "BEGIN, PUT 1 x, PUT 2 x, PUT 3 x, <end>"
-    Then the client's replies are "done T, done T, <told>"
+    Then the client's replies are "done T, done T, <replies>"
     And "a" was sent "<sent>"
     And every link is released
     And no released open link is in a transaction
 
     Examples:
-      | answer   | end    | told                                                 | sent                                                |
-      | lose     | COMMIT | transactionLost E, transactionFailed E, transactionLost I | begin, PUT 1 x, PUT 2 x                        |
-      | lose     | UNDO   | transactionLost E, transactionFailed E, done I       | begin, PUT 1 x, PUT 2 x                             |
-      | silent   | COMMIT | transactionLost E, transactionFailed E, transactionLost I | begin, PUT 1 x, PUT 2 x, close                 |
-      | FAILED   | COMMIT | FAILED E, transactionFailed E, transactionLost I     | begin, PUT 1 x, PUT 2 x, rollback                   |
-      | READONLY | UNDO   | READONLY E, transactionFailed E, done I              | begin, PUT 1 x, PUT 2 x, rollback                   |
-      | BUSY     | COMMIT | BUSY T, done T, done I                               | begin, PUT 1 x, PUT 2 x, PUT 3 x, COMMIT            |
+      | answer   | end    | replies                                                   | sent                                     |
+      | lose     | COMMIT | transactionLost E, transactionFailed E, transactionLost I | begin, PUT 1 x, PUT 2 x                  |
+      | lose     | UNDO   | transactionLost E, transactionFailed E, done I            | begin, PUT 1 x, PUT 2 x                  |
+      | silent   | COMMIT | transactionLost E, transactionFailed E, transactionLost I | begin, PUT 1 x, PUT 2 x, close           |
+      | FAILED   | COMMIT | FAILED E, transactionFailed E, transactionLost I          | begin, PUT 1 x, PUT 2 x, rollback        |
+      | READONLY | UNDO   | READONLY E, transactionFailed E, done I                   | begin, PUT 1 x, PUT 2 x, rollback        |
+      | BUSY     | COMMIT | BUSY T, done T, done I                                    | begin, PUT 1 x, PUT 2 x, PUT 3 x, COMMIT |
 
   Scenario Outline: A commit is sent again only if the backend reports that it did not run it
     Given "a" answers "ok, ok, <answers>"
     When the client runs "BEGIN, PUT 1 x, COMMIT"
-    Then the client's replies are "done T, done T, <told>"
+    Then the client's replies are "done T, done T, <replies>"
     And "a" was sent "begin, PUT 1 x, <sent>"
     And every link is released
     And no released open link is in a transaction
 
     Examples:
-      | answers                | told             | sent                                         |
-      | BUSY                   | done I           | COMMIT, COMMIT                               |
-      | BUSY, BUSY, BUSY, BUSY | BUSY I           | COMMIT, COMMIT, COMMIT, COMMIT, rollback     |
-      | READONLY               | READONLY I       | COMMIT, rollback                             |
-      | lose                   | outcomeUnknown I | COMMIT                                       |
-      | silent                 | outcomeUnknown I | COMMIT, close                                |
+      | answers                | replies          | sent                                     |
+      | BUSY                   | done I           | COMMIT, COMMIT                           |
+      | BUSY, BUSY, BUSY, BUSY | BUSY I           | COMMIT, COMMIT, COMMIT, COMMIT, rollback |
+      | READONLY               | READONLY I       | COMMIT, rollback                         |
+      | lose                   | outcomeUnknown I | COMMIT                                   |
+      | silent                 | outcomeUnknown I | COMMIT, close                            |
 
   Scenario: A commit after the loss of the link is not sent, and the transaction is lost
     When the client runs "BEGIN, PUT 1 x"
--- a/src/cinderstair/pooler/session.py
+++ b/src/cinderstair/pooler/session.py
@@ -44,11 +44,11 @@
         if verb in _BEGIN_VERBS:
             return self._begin(read_only=verb == Verb.begin_read)
         if verb in _END_VERBS:
-            return await self._end(statement=statement)
+            return await self._end_transaction(statement=statement)
         if verb == Verb.execute and statement.name not in self.prepared:
             return self._failed(kind=ErrorCode.UNKNOWN_PREPARED)
         if self.transaction is not None:
-            return await self._in_transaction(transaction=self.transaction, statement=statement)
+            return await self._run_in_transaction(transaction=self.transaction, statement=statement)
         return await self._run_single(statement=statement)
 
     def _change_session_state(self, *, statement: Statement) -> Reply:
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -54,7 +54,7 @@
         )
         return done
 
-    def take(self, *, result: Reply | CinderstairError) -> Reply | None:
+    def record_result(self, *, result: Reply | CinderstairError) -> Reply | None:
         """Records the result of an attempt.
 
         :returns: the reply for the client if it is final, else None.
@@ -97,7 +97,7 @@
                     continue
                 done = await read.wait(now_us=now_us)
                 for task in done:
-                    reply = read.take(result=task.result())
+                    reply = read.record_result(result=task.result())
                     if reply is not None:
                         return reply
                 if self.ctx.now_us() >= until_us:
--- a/src/cinderstair/pooler/transaction_statements.py
+++ b/src/cinderstair/pooler/transaction_statements.py
@@ -20,7 +20,7 @@
 class TransactionStatementsMixin(TransactionBeginMixin):
     """Sends each statement once on the transaction's link; only a commit that was not run is sent again."""
 
-    async def _in_transaction(self, *, transaction: Transaction, statement: Statement) -> Reply:
+    async def _run_in_transaction(self, *, transaction: Transaction, statement: Statement) -> Reply:
         """Runs a statement of the session's open transaction."""
         until_us = self.ctx.now_us() + transaction.route.time_limit_us - REPLY_MARGIN_US
         begun = await self._begun_link(transaction=transaction, until_us=until_us)
@@ -83,7 +83,7 @@
             )
         return reply
 
-    async def _end(self, *, statement: Statement) -> Reply:
+    async def _end_transaction(self, *, statement: Statement) -> Reply:
         """Runs a COMMIT or ROLLBACK."""
         transaction = self.transaction
         rolls_back = statement.verb == Verb.rollback
@@ -114,7 +114,7 @@
         """Sends the commit, and repeats it in the same transaction if the backend did not run it."""
         attempt = 0
         while True:
-            reply = await self._in_transaction(transaction=transaction, statement=statement)
+            reply = await self._run_in_transaction(transaction=transaction, statement=statement)
             attempt += 1
             still_open = after_commit(reply=reply).allowed and self.transaction is transaction
             if not still_open or attempt == MAX_ATTEMPTS:
