--- a/src/cinderstair/pooler/router.py
+++ b/src/cinderstair/pooler/router.py
@@ -29,7 +29,7 @@
         self.view.changes.subscribe(self._changed)
 
     def suspected_backends(self) -> tuple[str, ...]:
-        """The names of backends that fail or do not answer from this proxy."""
+        """The names of backends that fail or do not answer, as observed by this proxy."""
         return tuple(name for name, pool in self.pools.items() if pool.troubled and not pool.closed)
 
     def route(self, *, database: str) -> DatabaseRoute | None:
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -140,7 +140,8 @@
         if at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
             return CinderstairError(
-                code=ErrorCode.NO_LEAD, reason=f"{route.service}: the primary changed while a link was awaited"
+                code=ErrorCode.NO_LEAD,
+                reason=f"{route.service}: the primary or the placement changed during the wait for a link",
             )
         requested_us = self.ctx.now_us()
         reply = await self._read_on(link=link, statement=statement, candidate=candidate)
--- a/src/cinderstair/pooler/transaction_begin.py
+++ b/src/cinderstair/pooler/transaction_begin.py
@@ -87,7 +87,8 @@
             pool.release(link=link)
             return Error(
                 CinderstairError(
-                    code=ErrorCode.NO_LEAD, reason=f"{route.service}: the primary changed while a link was awaited"
+                    code=ErrorCode.NO_LEAD,
+                    reason=f"{route.service}: the primary or the placement changed during the wait for a link",
                 )
             )
         begun = False
@@ -141,7 +142,7 @@
     async def _begun_link(self, *, transaction: Transaction, until_us: int) -> Result[Link, CinderstairError]:
         """The transaction's link; if it was lost before any statement was sent on it, the begin is repeated.
 
-        Errors: those of the begin; TRANSACTION_LOST if the session was closed, TIME_LEFT_SPENT after `until_us`.
+        Errors: those of the begin; TRANSACTION_LOST if the transaction has ended, TIME_LEFT_SPENT after `until_us`.
         """
         may_begin_again = not transaction.used
         while True:
@@ -150,7 +151,7 @@
             if self.transaction is not transaction or begin_task is None or begin_task.cancelled():
                 return Error(
                     CinderstairError(
-                        code=ErrorCode.TRANSACTION_LOST, reason="the client has disconnected or ended the transaction"
+                        code=ErrorCode.TRANSACTION_LOST, reason="the transaction ended before a backend had begun it"
                     )
                 )
             # A begin that failed before this statement arrived is tried again within this statement's time limit.
