--- a/features/pooler/freshness.feature
+++ b/features/pooler/freshness.feature
@@ -1,54 +1,54 @@
-Feature: What a backend's log must have so that a read on it is fresh enough
+Feature: The log position that a backend must have reached to serve a read of limited age
 
-  Scenario Outline: The earliest sample that was asked for since then suffices
+  Scenario Outline: The earliest sample requested since the given time gives the required position
     Given samples "<samples>"
-    Then a read since <since> ms needs <position>
+    Then a read that must see all commits before <since> ms requires <required>
 
-    Examples: in order
-      | samples                    | since | position |
-      | 100:3.5                    | 100   | 3.5      |
-      | 100:3.5                    | 99    | 3.5      |
-      | 100:3.5                    | 101   | -        |
-      | 100:3.5 200:3.7 300:3.9    | 50    | 3.5      |
-      | 100:3.5 200:3.7 300:3.9    | 101   | 3.7      |
-      | 100:3.5 200:3.7 300:3.9    | 200   | 3.7      |
-      | 100:3.5 200:3.7 300:3.9    | 201   | 3.9      |
-      | 100:3.5 200:3.7 300:3.9    | 301   | -        |
-      | 100:3.9 200:4.1            | 150   | 4.1      |
+    Examples: samples in the order of their requests
+      | samples                 | since | required |
+      | 100:3.5                 | 100   | 3.5      |
+      | 100:3.5                 | 99    | 3.5      |
+      | 100:3.5                 | 101   | -        |
+      | 100:3.5 200:3.7 300:3.9 | 50    | 3.5      |
+      | 100:3.5 200:3.7 300:3.9 | 101   | 3.7      |
+      | 100:3.5 200:3.7 300:3.9 | 200   | 3.7      |
+      | 100:3.5 200:3.7 300:3.9 | 201   | 3.9      |
+      | 100:3.5 200:3.7 300:3.9 | 301   | -        |
+      | 100:3.9 200:4.1         | 150   | 4.1      |
 
-    Examples: samples closer than 20 ms are thinned, which needs more and never less
-      | samples                         | since | position |
-      | 100:3.1 105:3.2 110:3.3         | 101   | 3.3      |
-      | 100:3.1 110:3.2 125:3.3         | 101   | 3.2      |
-      | 100:3.1 110:3.2 125:3.3         | 111   | 3.3      |
+    Examples: thinning samples less than 20 ms apart may raise the required position but never lowers it
+      | samples                 | since | required |
+      | 100:3.1 105:3.2 110:3.3 | 101   | 3.3      |
+      | 100:3.1 110:3.2 125:3.3 | 101   | 3.2      |
+      | 100:3.1 110:3.2 125:3.3 | 111   | 3.3      |
 
-  Scenario Outline: An answer that comes late takes nothing from what is known
+  Scenario Outline: A late sample does not raise the required position
     Given samples "<samples>"
-    When a late answer is noted: "<late>"
-    Then a read since <since> ms needs <position>
+    When late samples "<late>" arrive
+    Then a read that must see all commits before <since> ms requires <required>
 
     Examples:
-      | samples         | late    | since | position |
+      | samples         | late    | since | required |
       | 100:3.5 200:3.7 | 150:3.6 | 200   | 3.7      |
       | 100:3.5 200:3.7 | 200:3.7 | 150   | 3.7      |
 
-    Examples: it was answered after the other and shows more, which is still no later than its asking
-      | samples         | late    | since | position |
+    Examples: a sample requested earlier but answered later shows a higher position
+      | samples         | late    | since | required |
       | 100:3.5 200:3.7 | 150:3.9 | 180   | 3.7      |
       | 100:3.5 200:3.7 | 150:3.9 | 120   | 3.7      |
 
-  Scenario: A guarded read that wants fresher data takes nothing from one that wants less
+  Scenario: Computing the position for a recent time keeps the samples for an earlier one
     Given samples "100:3.5 200:3.7 300:3.9"
-    When a read since 250 ms has been guarded
-    Then a read since 90 ms needs 3.5
+    When the position required since 250 ms has been computed
+    Then a read that must see all commits before 90 ms requires 3.5
 
-  Scenario Outline: A fence cuts what was never acknowledged, and is a sample itself
+  Scenario Outline: A fence drops samples past it and is itself a sample
     Given samples "100:3.5 200:3.7 300:3.9"
-    When all past <fence> is fenced off as of <as_of> ms
-    Then a read since <since> ms needs <position>
+    When a fence at <fence> is set as of <as_of> ms
+    Then a read that must see all commits before <since> ms requires <required>
 
     Examples:
-      | fence | as_of | since | position |
+      | fence | as_of | since | required |
       | 3.7   | 400   | 50    | 3.5      |
       | 3.7   | 400   | 250   | 3.7      |
       | 3.7   | 400   | 400   | 3.7      |
@@ -56,11 +56,11 @@
       | 3.1   | 400   | 350   | 3.1      |
       | 4.0   | 250   | 260   | 3.9      |
 
-  Scenario: No position that is needed lacks a commit that was acknowledged before
-    Then over 60 seeded runs no needed position ever lacks a commit that was acknowledged before
+  Scenario: Every required position covers all commits acknowledged before the given time
+    Then over 60 seeded runs every required position covers all commits acknowledged before
 
-  Scenario Outline: The samples stay few, and close enough
-    Then a minute of samples <every> ms apart leaves at most <most>, none older than needed for <age> ms
+  Scenario Outline: The number of samples and the distance between them are bounded
+    Then a minute of samples <every> ms apart leaves at most <most>, dense enough for reads <age> ms old
 
     Examples:
       | every | most | age   |
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -73,8 +73,8 @@
         return Ok(None)
 
     async def _follow_view(self) -> None:
-        await self.view.choose()
-        await self.view.keep()
+        await self.view.choose_controller()
+        await self.view.run()
 
     def _has_open_writes(self, databases: frozenset[str]) -> bool:
         """Whether a transaction that may write is open here at any of these databases, forwarded ones included."""
@@ -88,7 +88,7 @@
         # Until ids are assigned, no proxy knows its share of a cap, so it may open no link.
         known = known and (not self.records or bool(self.view.proxy_ids.names))
         # If controllers answer but have no newer view, other proxies have none either, so this one stays ready.
-        return known and not self.draining and not self.view.alone_us
+        return known and not self.draining and not self.view.controllers_silent_us
 
     def _on_timer(self) -> None:
         """Runs the periodic work of all parts, logs a change of readiness and ends idle transactions."""
@@ -121,7 +121,7 @@
     async def has_database(self, *, database: str, until_us: int) -> bool:
         """Whether the configuration names this database; waits for the first configuration until `until_us`."""
         while self.view.plan is None and self.ctx.now_us() < until_us:
-            await self.view.change(until_us=until_us)
+            await self.view.next_answer(until_us=until_us)
         return self.view.plan is not None and database in self.view.plan.routes
 
     def stop(self) -> None:
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -104,7 +104,7 @@
     def _busy(self) -> bool:
         """Whether a write or transaction may still take effect at a moving database's old service."""
         moving, within_us = self._moving(), self.view.shards.in_flight_us
-        if any(self.in_flight.may_land(database=database, within_us=within_us) for database in moving):
+        if any(self.in_flight.may_take_effect(database=database, within_us=within_us) for database in moving):
             return True
         return self.ctx.now_us() - self.changed_us < DRAIN_US and self.has_open_writes(moving)
 
