--- a/src/cinderstair/failover/__init__.py
+++ b/src/cinderstair/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Who is primary of each database and service: promotions, fencing, proxy ids, and changes of the shard map."""
+"""Failover of databases and services, allocation of proxy ids, and changes of the shard map."""
--- a/src/cinderstair/failover/backend_control.py
+++ b/src/cinderstair/failover/backend_control.py
@@ -1,4 +1,4 @@
-"""What failover may ask of backends, and of the platform that promotes them."""
+"""Interfaces through which failover controls backends, and the platform that promotes them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendState:
-    """A backend's own account of itself.
+    """A backend's state as it reports it.
 
     :param is_primary: whether it is a primary.
-    :param term: the term in which it leads, or whose primary it follows.
+    :param term: its term as primary, or the term of the primary that it replicates from.
     :param received: the end of its log.
-    :param term_held: the highest term for which it was paused: it receives nothing of any lower one. 0 for none.
+    :param term_held: the highest term for which it was paused; it accepts nothing of a lower term. 0 for none.
     """
 
     is_primary: bool
@@ -28,44 +28,46 @@
 
 
 class BackendControl(Protocol):
-    """The requests to one backend. Each returns its state after the request was carried out or refused.
+    """Requests to one backend. Each returns the backend's state after it has executed or refused the request.
 
-    Errors: wireUnsent where the backend can't be reached at all, wireUnsure where it is reached and gives no answer
-    within `wait_us` microseconds. An error's detail `ended` is 1 where the backend surely does not run: its port
-    refuses connections, or another backend answers there.
+    Errors: wireUnsent if the backend can't be reached, wireUnsure if it gives no answer within `wait_us`
+    microseconds. An error's detail `ended` is 1 if the backend is known not to run: its port refuses connections, or
+    another backend answers at its address.
     """
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        """Changes nothing."""
+        """Returns the state without changing it."""
         ...
 
     async def pause(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        """Keeps a replica from receiving anything of a lower term than this, until it is resumed or promoted."""
+        """Stops a replica from accepting commits of terms lower than `term`, until it is resumed or promoted."""
         ...
 
     async def resume(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
-        """Has a paused replica receive again; safe to repeat."""
+        """Lets a paused replica accept commits again; idempotent."""
         ...
 
     async def step_down(
         self, *, backend: Announcement, term: int, wait_us: int
     ) -> Result[BackendState, CinderstairError]:
-        """Turns a primary of a lower term than this into a replica."""
+        """Demotes a primary of a term lower than `term` to a replica."""
         ...
 
 
 class Promoter(Protocol):
-    """The platform, which has backends become primaries."""
+    """The platform's interface for promoting backends."""
 
     async def promote(
         self, *, service: str, backend: str, fence_number: int, holds: Callable[[], bool]
     ) -> Result[None, CinderstairError]:
-        """Has a backend become the primary of its service.
+        """Promotes a backend to primary of its service.
 
-        :param fence_number: the platform refuses a lower number than it has seen, and so calls of earlier holders.
-        :param holds: asked right before the call leaves: a holder that stood still meanwhile must not send it.
-        :returns: noBackend where the backend does not run; after any other error the call may be repeated.
+        :param fence_number: the platform rejects numbers lower than the highest that it has seen, and thereby delayed
+            calls of earlier lease holders.
+        :param holds: whether the lease is still held; checked immediately before sending, so that a process that was
+            suspended past the end of its lease sends nothing.
+        :returns: noBackend if the backend is not running; after any other error the call may be retried.
         """
         ...
--- a/src/cinderstair/failover/backend_poller.py
+++ b/src/cinderstair/failover/backend_poller.py
@@ -1,4 +1,4 @@
-"""Asks several backends of a service at once."""
+"""Sends requests to several backends of a service concurrently."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,7 +11,7 @@
 from ..runtime.errors import CinderstairError
 from .backend_control import BackendControl, BackendState
 
-# How long a backend may take to report its state. One that takes longer is treated as silent.
+# Timeout for a backend's state, in microseconds; a slower backend is treated as unresponsive.
 PROBE_WAIT_US = 400_000
 
 StateRequest = Coroutine[Any, Any, Result[BackendState, CinderstairError]]
@@ -23,16 +23,19 @@
 
 
 class BackendPoller:
-    """Invariant: a silent backend never holds up a decision for which the answers of the others are enough."""
+    """Gathers the states of backends.
+
+    Invariant: an unresponsive backend does not delay a decision for which the answers of the others suffice.
+    """
 
     def __init__(self, *, ctx: Context, control: BackendControl) -> None:
         self.ctx = ctx
         self.control = control
 
     async def gather(self, *, requests: dict[str, StateRequest], enough: EnoughAnswers) -> dict[str, BackendState]:
-        """Runs requests by backend name until their answers are `enough`, or all have come.
+        """Runs requests, keyed by backend name, until the answers are `enough` or all have arrived.
 
-        :returns: the successful answers so far; requests that are still pending run on unobserved.
+        :returns: the successful answers so far; pending requests continue, and their results are discarded.
         """
         pending = {self.ctx.spawn(work=request, name=name) for name, request in requests.items()}
         answers: dict[str, BackendState] = {}
@@ -44,6 +47,6 @@
     async def states(
         self, *, members: list[Announcement], enough: EnoughAnswers = _wait_for_all
     ) -> dict[str, BackendState]:
-        """The states of these backends by name, without those that do not answer."""
+        """The states of these backends by name; backends that do not answer are omitted."""
         requests = {member.name: self.control.state(backend=member, wait_us=PROBE_WAIT_US) for member in members}
         return await self.gather(requests=requests, enough=enough)
--- a/src/cinderstair/failover/compare_and_set.py
+++ b/src/cinderstair/failover/compare_and_set.py
@@ -1,7 +1,7 @@
-"""Compare-and-set on one key of the register: the only way in which an assignment changes.
+"""Compare-and-set on one key of the register; every change of an assignment uses it.
 
-Invariant: a value is replaced only while it is the one that the decision was based on, so two holders of the same
-role, of whom one has not yet noticed that its lease ran out, can't undo each other's steps.
+Invariant: a value is replaced only if it is still the one that the decision was based on. A former lease holder that
+has not yet noticed the expiry of its lease can't undo the steps of its successor.
 """
 
 from collections.abc import Callable
@@ -22,11 +22,11 @@
     new: bytes,
     conflict: str,
 ) -> Result[VersionedValue, CinderstairError]:
-    """Writes `new` if the key's current value passes `unchanged`, and takes the result into the view.
+    """Writes `new` if the key's current value passes `unchanged`, and updates the view with the result.
 
-    :param unchanged: must also accept `new` itself where a retry of an unclear write is to count as success.
-    :param conflict: the reason given with versionTaken when the value is another one.
-    :returns: what was written; versionTaken on a conflict, else the register's own error.
+    :param unchanged: must also accept `new` if the retry of a write with unknown outcome is to count as success.
+    :param conflict: the reason given with versionTaken if the value is a different one.
+    :returns: the value written; versionTaken on a conflict, else the register's error.
     """
 
     def decide(current: bytes) -> Result[bytes, CinderstairError]:
--- a/src/cinderstair/failover/database_primary_monitor.py
+++ b/src/cinderstair/failover/database_primary_monitor.py
@@ -34,4 +34,4 @@
         if running_us < SILENT_AFTER_US + FIRST_LOOK_US or not table.connected:
             return None
         position = await query_position(connection_pools=self.failover.connection_pools, name=name, direct=True)
-        return None if position.is_ok() and position.ok.is_primary else MoveReason.QUIET
+        return None if position.is_ok() and position.ok.is_primary else MoveReason.HEARTBEATS_MISSED
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -1,4 +1,4 @@
-"""Replicas that have deregistered, until nothing rests on their logs any more."""
+"""Tracks deregistered replicas whose logs may still hold the only replicated copy of a commit."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 from .reachability_votes import ReachabilityPoll
 from .service_members import ServiceMembers
 
-# Pause before deregistrations that can't be settled yet are looked at again, in microseconds.
+# Pause between attempts to settle deregistrations, in microseconds.
 RETRY_US = 300_000
 
 
 class Departures:
-    """Owns which deregistrations are settled.
+    """Owns the set of settled deregistrations.
 
-    A replica confirms commits until its process ends, which may be long after its deregistration, and takes its log
-    along. Until then an acknowledged commit may exist at the primary and in that log alone.
+    A replica confirms commits until its process exits, possibly long after its deregistration. Such an acknowledged
+    commit may exist only in the logs of the primary and of that replica.
 
-    Invariant: a deregistration is settled only after the backend has ended and another replica holds all that it may
-    have confirmed. Until it is settled the backend counts for fencing as if it were still a member.
+    Invariant: a deregistration is settled only after the process has exited and another replica has every commit that
+    it may have confirmed. Until then the backend counts as a member for fencing.
     """
 
     def __init__(
@@ -42,17 +42,17 @@
         self.reachability_poll = reachability_poll
         # names of backends
         self.settled: set[str] = set()
-        # services whose deregistrations are being looked at
+        # services with an attempt to settle in progress
         self.settling: set[str] = set()
 
     def unsettled(self, *, service: str) -> list[Announcement]:
-        """The replicas that have deregistered lately, and whose logs may still be needed."""
+        """The deregistered replicas whose logs may still be needed."""
         return [each for each in self.members.deregistered(service=service) if each.name not in self.settled]
 
     def settle(self, *, service: str, primary: Announcement | None, replicas: list[Announcement]) -> None:
-        """Looks at a service's open deregistrations in the background, unless that is under way.
+        """Tries in the background to settle a service's deregistrations, unless an attempt is in progress.
 
-        :param primary: None where it was never heard; then nothing can be settled.
+        :param primary: None if it never sent a heartbeat; then nothing can be settled.
         """
         self.settled &= set(self.heartbeat_table.newest)
         if primary is None or service in self.settling:
@@ -68,11 +68,11 @@
     ) -> None:
         try:
             ended = [each.name for each in departed if await self._has_ended(backend=each)]
-            if ended and await self._is_followed(primary=primary, replicas=replicas):
+            if ended and await self._is_replicated(primary=primary, replicas=replicas):
                 self.settled.update(ended)
                 self.ctx.log.info(
-                    "service %s: the deregistrations of %s are settled: they have ended, and another replica has "
-                    "all that they confirmed",
+                    "service %s: the deregistrations of %s are settled: the processes have exited, and another "
+                    "replica has every commit that they confirmed",
                     service,
                     ", ".join(ended),
                 )
@@ -82,7 +82,7 @@
             self.settling.discard(service)
 
     async def _has_ended(self, *, backend: Announcement) -> bool:
-        """Whether a deregistered backend runs no more, by its address or by the votes of all control daemons."""
+        """Whether a deregistered backend has exited: by a probe of its address, or a unanimous vote of the others."""
         state = await self.control.state(backend=backend, wait_us=PROBE_WAIT_US)
         if state.is_ok():
             return False
@@ -90,16 +90,16 @@
             return True
         if state.error.code != ErrorCode.WIRE_UNSENT:
             return False
-        # A backend that is merely cut off from this daemon may go on confirming commits for its primary.
+        # A backend that is unreachable only from this daemon may still confirm commits for its primary.
         votes = await self.reachability_poll(backend.name)
         return votes.unanimously_unreachable
 
-    async def _is_followed(self, *, primary: Announcement, replicas: list[Announcement]) -> bool:
-        """Whether a replica that stays holds all that the primary held after the others had ended."""
-        leading = await self.control.state(backend=primary, wait_us=PROBE_WAIT_US)
-        if leading.is_error() or not leading.ok.is_primary:
+    async def _is_replicated(self, *, primary: Announcement, replicas: list[Announcement]) -> bool:
+        """Whether a remaining replica has everything that the primary's log holds after the others have exited."""
+        primary_state = await self.control.state(backend=primary, wait_us=PROBE_WAIT_US)
+        if primary_state.is_error() or not primary_state.ok.is_primary:
             return False
-        staying = [each for each in replicas if each.state == READY and each.name != primary.name]
-        requests = [self.control.state(backend=each, wait_us=PROBE_WAIT_US) for each in staying]
+        remaining = [each for each in replicas if each.state == READY and each.name != primary.name]
+        requests = [self.control.state(backend=each, wait_us=PROBE_WAIT_US) for each in remaining]
         states = await asyncio.gather(*requests)
-        return any(state.is_ok() and state.ok.received >= leading.ok.received for state in states)
+        return any(state.is_ok() and state.ok.received >= primary_state.ok.received for state in states)
--- a/src/cinderstair/failover/move_reason.py
+++ b/src/cinderstair/failover/move_reason.py
@@ -1,20 +1,20 @@
-"""Why the backend assigned as primary can't stay primary."""
+"""Reasons for which an assigned primary must be replaced."""
 
 from enum import Enum
 
 
 class MoveReason(Enum):
-    """Each value completes the sentence "<primary> ..." in status texts and log lines."""
+    """The value completes the sentence "<primary> ..." in status texts and log lines."""
 
-    UNKNOWN = "is not known"
-    GONE = "is gone"
-    SILENT = "is silent"
-    EMPTYING = "is emptying"
-    DEMOTED = "does not lead"
-    UNDECLARED = "is no longer declared"
+    UNKNOWN = "has sent no heartbeat since the assignment"
+    GONE = "has deregistered or is unreachable"
+    SILENT = "does not answer, and its heartbeats are missing"
+    EMPTYING = "is draining"
+    DEMOTED = "is not a primary"
+    UNDECLARED = "is not in the configuration"
     RESTARTED = "was restarted"
-    QUIET = "is quiet"
-    MAINTENANCE = "must leave"
+    HEARTBEATS_MISSED = "sends no heartbeats"
+    MAINTENANCE = "must be drained"
 
     @property
     def primary_answers(self) -> bool:
@@ -23,9 +23,9 @@
 
     @property
     def primary_lost(self) -> bool:
-        """Whether the primary was examined and found unreachable or silent."""
+        """Whether a probe found the primary unreachable or unresponsive."""
         return self in (MoveReason.GONE, MoveReason.SILENT)
 
     def describe(self, *, primary: str, detail: str = "") -> str:
-        """The reason as a clause about `primary`; `detail` is what asks for the move, if anything does."""
+        """The reason as a clause about `primary`; `detail` names what requested the move, if anything did."""
         return f"{primary} {self.value}" + (f" ({detail})" if detail else "")
--- a/src/cinderstair/failover/platform.py
+++ b/src/cinderstair/failover/platform.py
@@ -1,19 +1,19 @@
-"""The client of the platform's one service to the product's own failover: promoting a backend."""
+"""HTTP client for the platform's promotion endpoint, used by the failover of databases."""
 
 import json
 
 from ..runtime.context import Context
 from ..runtime.http_request import HttpRequest
 
-# How long connecting to the platform may take, in microseconds.
+# Timeout for connecting to the platform, in microseconds.
 DIAL_WAIT_US = 500_000
-# How long the platform may take to answer, in microseconds.
+# Timeout for the platform's response, in microseconds.
 PROMOTE_WAIT_US = 3_000_000
 HTTP_OK = 200
 
 
 class Platform:
-    """Invariant: a request for the same term may be repeated, so a lost answer needs no care but another request."""
+    """Requests promotions. Requests are idempotent within a term, so a lost response is handled by a retry."""
 
     def __init__(self, *, ctx: Context, address: str) -> None:
         """:param address: host and port of the platform's HTTP endpoint."""
@@ -21,9 +21,9 @@
         self.address = address
 
     async def promote(self, *, database: str, backend: str, term: int) -> bool:
-        """Has a backend become the primary of a database in a term; whether the platform accepted that.
+        """Requests the promotion of a backend to primary of a database in a term; whether the platform accepted it.
 
-        False also where the answer was lost, so that the backend may be promoted nevertheless.
+        False also if the response was lost; the backend may have been promoted nevertheless.
         """
         dialled = await self.ctx.net.dial(address=self.address, wait_us=DIAL_WAIT_US)
         if dialled.is_error():
--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -1,4 +1,4 @@
-"""Promotes the backend that was assigned, and settles the assignment once it leads."""
+"""Promotes the assigned backend, and settles the assignment once the backend is primary."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -11,20 +11,20 @@
 from .replica_fencing import ReplicaFencing
 from .service_failover_context import ServiceFailoverContext
 from .service_primary import PrimaryState, ServicePrimary
-from .successor import leading_or_furthest
+from .successor import primary_or_most_advanced
 
-LEADS_POLL_US = 80_000
-# A promotion that the platform did not accept is requested again after this long, in microseconds.
+PRIMARY_POLL_US = 80_000
+# Interval between requests of a promotion that the platform did not accept, in microseconds.
 PROMOTE_RETRY_US = 500_000
-# A backend that can't be reached for this long is replaced by another successor, in microseconds.
+# A backend that is unreachable for this long is replaced by another successor, in microseconds.
 UNREACHABLE_US = 1_200_000
-# A backend that is reached but does not lead is replaced by another successor after this long, in microseconds.
+# A reachable backend that has not become primary after this long is replaced as well, in microseconds.
 PROMOTION_TIMEOUT_US = 5_000_000
 
 
 @dataclass(kw_only=True)
 class _Attempt:
-    """`requested_us` and `reached_us`: when the promotion was last requested, and the backend last reached."""
+    """`requested_us`: last request of the promotion. `reached_us`: last time at which the backend was reached."""
 
     requested_us: int
     reached_us: int
@@ -32,8 +32,10 @@
 
 
 class Promotion:
-    """Invariant: an assignment is settled only after its backend leads by its own account, and after every view in
-    which another backend was the primary has expired.
+    """Takes an assignment from moving to settled.
+
+    Invariant: an assignment is settled only after its backend reports itself primary and every view in which another
+    backend was the primary has expired.
     """
 
     def __init__(
@@ -50,23 +52,26 @@
         self.fence_number = fence_number
 
     async def finish(self, *, service: Service, assignment: ServicePrimary) -> None:
-        """From moving to settled. Returns early without the lease, and where another successor was assigned."""
+        """Promotes the assigned backend and settles the assignment.
+
+        Returns early if the lease is lost or another successor is assigned.
+        """
         failover, assignments = self.failover, self.failover.assignments
         since_us = assignments.since_us[service.name]
-        leading = await self._wait_until_leading(service=service, assignment=assignment, since_us=since_us)
-        if leading is None:
+        state = await self._wait_until_primary(service=service, assignment=assignment, since_us=since_us)
+        if state is None:
             return
         await assignments.wait_for_older_views(service=service.name)
-        settled = ServicePrimary(term=leading.term, primary=assignment.primary, state=PrimaryState.settled)
+        settled = ServicePrimary(term=state.term, primary=assignment.primary, state=PrimaryState.settled)
         if await assignments.compare_and_set(service=service.name, old=assignment, new=settled):
             self.fencing.release(service=service.name, primary=assignment.primary)
             failover.blocking.report(name=service.name, reason="")
             failover.record_promotion(took_us=failover.ctx.now_us() - since_us)
 
-    async def _wait_until_leading(
+    async def _wait_until_primary(
         self, *, service: Service, assignment: ServicePrimary, since_us: int
     ) -> BackendState | None:
-        """The backend's state once it leads; None where it is given up, or the lease is lost."""
+        """The backend's state once it is primary; None if the lease is lost or another backend is assigned."""
         ctx = self.failover.ctx
         attempt = _Attempt(requested_us=-PROMOTE_RETRY_US, reached_us=ctx.now_us())
         while True:
@@ -82,12 +87,12 @@
             unreachable = ctx.now_us() - attempt.reached_us > UNREACHABLE_US
             if deregistered or unreachable or ctx.now_us() - since_us > PROMOTION_TIMEOUT_US:
                 break
-            await ctx.sleep(duration_us=LEADS_POLL_US)
+            await ctx.sleep(duration_us=PRIMARY_POLL_US)
         await self._assign_another(service=service, assignment=assignment)
         return None
 
     async def _request(self, *, service: Service, assignment: ServicePrimary, attempt: _Attempt) -> bool:
-        """Requests the promotion if that is due; False where the platform says that the backend does not run."""
+        """Requests the promotion if that is due; False if the platform reports that the backend is not running."""
         ctx = self.failover.ctx
         now_us = ctx.now_us()
         if attempt.accepted or now_us - attempt.requested_us < PROMOTE_RETRY_US:
@@ -103,7 +108,7 @@
         if result.is_ok():
             return True
         ctx.log.warning(
-            "service %s: the promotion of %s was not accepted: %s",
+            "service %s: the platform rejected the promotion of %s: %s",
             service.name,
             assignment.primary,
             result.error.reason,
@@ -111,7 +116,7 @@
         return result.error.code != ErrorCode.NO_BACKEND
 
     async def _probe(self, *, member: Announcement | None, attempt: _Attempt) -> BackendState | None:
-        """The backend's state, None where it gives none; notes when it was last reached."""
+        """The backend's state, None without an answer; updates `attempt.reached_us`."""
         if member is None:
             return None
         state = await self.failover.control.state(backend=member, wait_us=PROBE_WAIT_US)
@@ -122,7 +127,7 @@
         return state.ok if state.is_ok() else None
 
     async def _assign_another(self, *, service: Service, assignment: ServicePrimary) -> None:
-        """Assigns another backend that holds everything up to the fence, in a later term."""
+        """Assigns another backend whose log includes the fence position, in a higher term."""
         failover = self.failover
         failover.retry_later(service=service.name)
         members = failover.members.of_service(service=service.name)
@@ -130,11 +135,11 @@
         states = await failover.poller.states(members=others)
         complete = {name: state for name, state in states.items() if state.received >= assignment.fence}
         if not complete:
-            reason = f"{assignment.primary} does not lead, and nobody else holds everything"
+            reason = f"{assignment.primary} was not promoted, and no other backend has all acknowledged commits"
             failover.blocking.report(name=service.name, reason=reason)
             return
         term = max([assignment.term, *(state.term_held for state in states.values())]) + 1
-        best = leading_or_furthest(states=complete)
+        best = primary_or_most_advanced(states=complete)
         new = replace(assignment, term=term, primary=best, ready_in_us=failover.promotion_us)
         if await failover.assignments.compare_and_set(service=service.name, old=assignment, new=new):
             failover.ctx.counters.add(name="promotion.superseded")
--- a/src/cinderstair/failover/reachability_votes.py
+++ b/src/cinderstair/failover/reachability_votes.py
@@ -1,4 +1,4 @@
-"""What the other control daemons say about whether a backend can be reached."""
+"""Votes of the other control daemons on whether a backend is reachable."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReachabilityVotes:
-    """Votes of the other control daemons on one backend; the daemon that asked has no vote in it.
+    """Votes of the other control daemons on one backend, without the vote of the polling daemon.
 
-    `reachable` counts those that reach the backend, `answered` those that answered at all.
+    `reachable` counts the daemons that reach the backend, `answered` those that answered.
     """
 
     reachable: int
@@ -16,16 +16,16 @@
 
     @property
     def majority_unreachable(self) -> bool:
-        """Whether most do not reach the backend, counting the asking daemon as one that does not.
+        """Whether a majority does not reach the backend, with the polling daemon counted as one of it.
 
-        Invariant: a daemon that is itself cut off never replaces a primary that most others still reach.
+        Invariant: a partitioned control daemon never replaces a primary that most other daemons reach.
         """
         unreachable, voters = self.answered - self.reachable + 1, self.answered + 1
         return 2 * unreachable > voters
 
     @property
     def unanimously_unreachable(self) -> bool:
-        """Whether at least one daemon answered, and none of them reaches the backend."""
+        """Whether at least one daemon answered and no daemon that answered reaches the backend."""
         return self.answered > 0 and not self.reachable
 
 
--- a/src/cinderstair/failover/replica_fencing.py
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -1,4 +1,4 @@
-"""Fences an old primary off by pausing its replicas, and resumes them afterwards."""
+"""Fences an old primary by pausing its replicas, and resumes them afterwards."""
 
 from ..config.service_plan import Service
 from ..membership.announcement import Announcement
@@ -7,27 +7,30 @@
 from .departures import Departures
 from .service_failover_context import ServiceFailoverContext
 from .service_primary import ServicePrimary
-from .successor import Successor, furthest_paused
+from .successor import Successor, most_advanced_paused
 
-# How long a replica may take to confirm that it is paused or resumed, in microseconds.
+# Timeout for a replica to confirm that it is paused or resumed, in microseconds.
 PAUSE_WAIT_US = 500_000
-# Pause between attempts to resume replicas that do not answer, in microseconds.
+# Interval between attempts to resume replicas that do not answer, in microseconds.
 RESUME_RETRY_US = 700_000
-# A new holder confirms every assignment; this many at once, so that views are not held up by all of them together.
+# A new lease holder rewrites every assignment. The number of concurrent rewrites is limited so that updates of
+# views are not delayed by all of them together.
 CONFIRMED_AT_ONCE = 8
 
 
 class ReplicaFencing:
-    """Invariant: a successor is chosen only after so many replicas are paused that the old primary can have no
-    further commit confirmed; and a replica is resumed only after the assignment was written once more.
+    """Owns which replicas are paused or may be, by service.
+
+    Invariant: a successor is chosen only after enough replicas are paused that the old primary can't have another
+    commit confirmed. A replica is resumed only after the assignment was written again.
     """
 
     def __init__(self, *, failover: ServiceFailoverContext, departures: Departures) -> None:
         self.failover = failover
         self.departures = departures
-        # the highest term tried for each service whose last fence failed
+        # the highest term of a failed fencing attempt, by service
         self.terms: dict[str, int] = {}
-        # services whose replicas may be paused, and whose assignment has not been written since
+        # services whose replicas may be paused and whose assignment has not been rewritten since
         self.fenced: set[str] = set()
         # replicas to resume, by service
         self.paused: dict[str, set[str]] = {}
@@ -39,7 +42,7 @@
     async def fence(
         self, *, service: Service, assignment: ServicePrimary, others: list[Announcement]
     ) -> Successor | None:
-        """Pauses replicas in a new term, and names the furthest one; None where too few could be paused."""
+        """Pauses replicas in a new term and returns the one with the longest log; None if too few could be paused."""
         term = max(assignment.term, self.terms.get(service.name, 0)) + 1
         self.fenced.add(service.name)
         unsettled = self.departures.unsettled(service=service.name)
@@ -49,16 +52,16 @@
         states = await self._pause(replicas=replicas, term=term, needed=needed)
         paused = {name: state for name, state in states.items() if state.term_held == term}
         if len(paused) >= needed:
-            best = furthest_paused(paused=paused, ready={each.name for each in others if each.state == READY})
+            best = most_advanced_paused(paused=paused, ready={each.name for each in others if each.state == READY})
             return Successor(term=term, name=best, fence=paused[best].received)
         higher = [state.term_held for state in states.values() if state.term_held > term]
-        # A replica that refuses may have promised a later term to a holder that has died since.
+        # A replica that refuses may have been paused for a higher term by a lease holder that has crashed since.
         self.terms[service.name] = max([term, *higher])
-        reason = f"{assignment.primary} can't be fenced: {len(paused)} of {needed} copies paused"
+        reason = f"{assignment.primary} can't be fenced: {len(paused)} of {needed} required replicas are paused"
         if departed:
-            reason += f" ({', '.join(each.name for each in departed)} left)"
+            reason += f" ({', '.join(each.name for each in departed)} deregistered)"
         if higher:
-            reason += f", a higher term {max(higher)} is held"
+            reason += f", a replica is paused for the higher term {max(higher)}"
         self.failover.blocking.report(name=service.name, reason=reason)
         return None
 
@@ -72,21 +75,21 @@
     # -- resuming --
 
     def assume_all_fenced(self) -> None:
-        """For a new holder: the one before may have died in the middle of a promotion, with replicas paused."""
+        """Marks every service for confirmation, since the previous lease holder may have left replicas paused."""
         self.fenced = set(self.failover.assignments.primaries)
 
     def release(self, *, service: str, primary: str) -> None:
-        """The assignment of `primary` is written, so that all other members may be resumed."""
+        """Marks all members but `primary` to be resumed, after its assignment was written."""
         self.fenced.discard(service)
         members = self.failover.members.of_service(service=service)
         self.paused[service] = {each.name for each in members} - {primary}
 
     def confirmation_due(self, *, service: str) -> bool:
-        """Whether the service's assignment is to be confirmed now."""
+        """Whether the service's assignment must be confirmed now."""
         return service in self.fenced and self.confirming < CONFIRMED_AT_ONCE
 
     async def confirm(self, *, service: str, assignment: ServicePrimary) -> None:
-        """Writes a standing assignment once more, which shuts out a write of an earlier holder that was cut short."""
+        """Rewrites an unchanged assignment, so that no incomplete write of an earlier holder can take effect."""
         self.confirming += 1
         try:
             confirmed = await self.failover.assignments.compare_and_set(
@@ -98,7 +101,7 @@
             self.release(service=service, primary=assignment.primary)
 
     def start_resuming(self, *, service: str, assignment: ServicePrimary) -> bool:
-        """Begins to resume paused replicas in the background; False where there are none, or it is under way."""
+        """Starts to resume paused replicas in the background; False without any, or if that is in progress."""
         if not self.paused.get(service) or service in self.resuming:
             return False
         self.resuming.add(service)
@@ -106,7 +109,7 @@
         return True
 
     async def _resume(self, *, service: str, assignment: ServicePrimary) -> None:
-        """Has replicas receive again, each until it confirms it, and has an old primary among them step down."""
+        """Resumes the paused replicas that have not confirmed it yet, and demotes an old primary among them."""
         try:
             members = self.failover.members.of_service(service=service)
             members = [each for each in members if each.name in self.paused[service]]
@@ -128,5 +131,5 @@
 
 
 def _fence_quorum(*, replicas: int, confirmations: int) -> int:
-    """How many replicas must be paused so that every set of `confirmations` replicas includes a paused one."""
+    """The number of replicas to pause so that every set of `confirmations` replicas includes a paused one."""
     return max(1, replicas - confirmations + 1) if confirmations else 1
--- a/src/cinderstair/failover/service_assignments.py
+++ b/src/cinderstair/failover/service_assignments.py
@@ -1,4 +1,4 @@
-"""Which backend is assigned as primary of each service, as the register says."""
+"""Reads and writes the primary assignments of services in the register."""
 
 from dataclasses import replace
 
@@ -11,7 +11,11 @@
 
 
 class ServiceAssignments:
-    """Invariant: an assignment changes from exactly what the writer saw, and only while it holds the role's lease."""
+    """Owns the local copy of all service assignments and the times at which they changed.
+
+    Invariant: an assignment is replaced only by compare-and-set from the value that the writer read, and only while
+    the writer holds the failover lease.
+    """
 
     def __init__(
         self, *, ctx: Context, register: Register, view: RegisterView, lease: Lease, view_lease_us: int
@@ -20,13 +24,13 @@
         self.register = register
         self.view = view
         self.lease = lease
-        # Every proxy's view that is older than a write has expired this long after it. A tenth is added for clocks
-        # that run apart.
+        # This long after a write, every proxy's view from before the write has expired. A tenth is added for clock
+        # drift.
         self.view_expiry_us = view_lease_us + view_lease_us // 10
         self.primaries: dict[str, ServicePrimary] = {}
-        # when the present assignment was seen first
+        # when the current assignment was first seen, by service
         self.since_us: dict[str, int] = {}
-        # since when no new view lets anybody at the primary
+        # since when no new view allows clients at the primary, by service
         self.unsettled_since_us: dict[str, int] = {}
         view.changes.subscribe(self._changed)
 
@@ -36,8 +40,8 @@
             return
         service = key.removeprefix(PREFIX)
         assignment, before = read_service_primary(data=found.value), self.primaries.get(service)
-        # The first assignment that is not settled starts the expiry of the views that let clients at the primary.
-        # A revision that was missed may have been a settled one, after which such views were made anew.
+        # The first assignment that is not settled starts the expiry of views that allow clients at the primary. A
+        # skipped revision may have been a settled one, under which such views were issued again.
         if before is None or before.state == PrimaryState.settled or assignment.revision > before.revision + 1:
             self.unsettled_since_us[service] = self.ctx.now_us()
         self.primaries[service] = assignment
@@ -46,7 +50,7 @@
     async def compare_and_set(self, *, service: str, old: ServicePrimary | None, new: ServicePrimary) -> bool:
         """Replaces `old` by `new`; None stands for a service that never had an assignment.
 
-        :returns: whether it is written; False without the lease, on a conflict, and where the outcome is unclear.
+        :returns: whether `new` is written; False without the lease, on a conflict, or if the outcome is unknown.
         """
         if not self.lease.held:
             return False
@@ -59,7 +63,7 @@
             key=service_primary_key(service=service),
             unchanged=lambda current: current in accepted,
             new=new.bytes(),
-            conflict="the lead changed meanwhile",
+            conflict="the primary assignment was changed concurrently",
         )
         if result.is_ok():
             self.ctx.log.info(
@@ -68,13 +72,13 @@
         return result.is_ok()
 
     async def reopen(self, *, service: str, assignment: ServicePrimary) -> None:
-        """Takes back a planned switchover that was announced: the primary serves on. No change in other states."""
+        """Cancels an announced switchover: a closing assignment becomes settled again. No change in other states."""
         if assignment.state == PrimaryState.closing:
             settled = replace(assignment, state=PrimaryState.settled)
             await self.compare_and_set(service=service, old=assignment, new=settled)
 
     async def wait_for_older_views(self, *, service: str) -> None:
-        """Returns when no proxy acts any more on a view from before the primary stopped serving."""
+        """Waits until every proxy's view from before the primary stopped serving has expired."""
         wait_us = self.unsettled_since_us[service] + self.view_expiry_us - self.ctx.now_us()
         if wait_us > 0:
             await self.ctx.sleep(duration_us=wait_us)
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -1,8 +1,9 @@
-"""Keeps a primary for every service whose backends confirm commits themselves.
+"""Automatic failover of services whose backends replicate and confirm commits themselves.
 
-This module decides which step a service needs; the steps are in `primary_monitor` (must the primary be replaced, and
-why), `switchover` (a primary that is alive steps down), `replica_fencing` (replicas of a lost one are paused),
-`successor` (who follows) and `promotion` (until the successor serves).
+This module decides which step a service needs. The steps are implemented in `primary_monitor` (whether and why the
+primary must be replaced), `switchover` (a reachable primary steps down), `replica_fencing` (the replicas of an
+unreachable primary are paused), `successor` (choice of the next primary) and `promotion` (promotes the successor and
+waits until it serves).
 """
 
 from expression import Ok, Result
@@ -30,7 +31,7 @@
 from .service_members import ServiceMembers
 from .service_primary import PrimaryState, ServicePrimary
 from .singleton_role import CONTROL_DAEMONS, SingletonRoleMixin
-from .successor import Successor, inheriting_successor
+from .successor import Successor, successor_at_same_address
 from .switchover import Switchover
 
 TIMER_PERIOD_US = 100_000
@@ -39,7 +40,14 @@
 
 
 class ServiceFailover(SingletonRoleMixin):
-    """Invariant: every step is a compare-and-set on the service's assignment, so two holders at once do no harm."""
+    """Runs one failover step per service at each timer tick while this controller holds the failover lease.
+
+    Owns the plan as last read from the register and the set of services with a step in progress; the assignments are
+    in the register.
+
+    Invariant: every step is a compare-and-set on the service's assignment, so two concurrent lease holders can't
+    overwrite each other's steps.
+    """
 
     def __init__(
         self,
@@ -53,15 +61,15 @@
         reachability_poll: ReachabilityPoll,
         lease_us: int,
     ) -> None:
-        """:param lease_us: for how long a proxy's view of the register is current, in microseconds."""
+        """:param lease_us: how long a proxy's view of the register stays current, in microseconds."""
         self.ctx = ctx
         self.register = register
         self.view = view
         self.lease = Lease(ctx=ctx, register=register, name=SERVICE_FAILOVER_LEASE, seekers=lambda: CONTROL_DAEMONS)
         self.plan: ServicePlan | None = None
-        # services with a step under way
+        # services with a step in progress
         self.active: set[str] = set()
-        # 0 until this holder has taken one
+        # 0 until this lease holder has allocated one
         self.fence_number = 0
         view.changes.subscribe(self._changed)
         self.failover = ServiceFailoverContext(
@@ -108,16 +116,19 @@
 
     @property
     def primaries(self) -> dict[str, ServicePrimary]:
-        """The assignments by service, as the register says."""
+        """The assignments by service, as last read from the register."""
         return self.failover.assignments.primaries
 
     @property
     def reasons(self) -> dict[str, str]:
-        """Why a service's failover is not done yet, by service; empty texts where nothing blocks it."""
+        """Why a service's failover is not complete, by service; empty if nothing blocks it."""
         return self.failover.blocking.reasons
 
     def suspect(self, *, name: str) -> None:
-        """Somebody found a backend silent or gone; the holder of the role examines it itself, at once."""
+        """Takes a report that a backend is unreachable or unresponsive.
+
+        If this controller holds the lease, it probes the backend itself at once.
+        """
         self.monitor.suspect(name=name)
         self.post(command=self._on_timer, once="promotion")
 
@@ -129,8 +140,10 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
-        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
-        self.ctx.log.info("this daemon has gained the lease of service failover and keeps the primaries from now on")
+        """Discards state of an earlier term as lease holder; see `SingletonRoleMixin`."""
+        self.ctx.log.info(
+            "acquired the service failover lease; this controller now manages the primaries of all services"
+        )
         self.fencing.assume_all_fenced()
         self.fence_number = 0
 
@@ -146,7 +159,10 @@
                 self.ctx.spawn(work=self._run_step(service=service), name=f"failover.{service.name}")
 
     async def _take_fence_number(self) -> bool:
-        """Takes a number above that of every earlier holder, by which the platform refuses their late calls."""
+        """Allocates a fence number above that of every earlier lease holder; whether that is written.
+
+        The platform rejects delayed calls of earlier holders by their lower numbers.
+        """
 
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
             return Ok((int.from_bytes(data, "big") + 1).to_bytes(8, "big"))
@@ -166,7 +182,7 @@
             self.active.discard(service.name)
 
     async def _step(self, *, service: Service) -> None:
-        """Takes the one step that the service needs now."""
+        """Runs the one step that the service needs now."""
         name = service.name
         assignment = self.primaries.get(name)
         if assignment is None:
@@ -195,21 +211,21 @@
         )
 
     async def _adopt_first_primary(self, *, service: str) -> None:
-        """Where nothing was ever assigned, assigns the backend that leads by its own account in the highest term."""
+        """Assigns a service without any assignment to the backend that reports itself primary in the highest term."""
         members = self.failover.members.of_service(service=service)
         candidates = [each for each in members if each.is_primary and each.state == READY]
         states = await self.failover.poller.states(members=candidates)
-        leading = {name: state for name, state in states.items() if state.is_primary}
-        if not leading:
-            self.failover.blocking.report(name=service, reason="no backend says that it leads")
+        reporting = {name: state for name, state in states.items() if state.is_primary}
+        if not reporting:
+            self.failover.blocking.report(name=service, reason="no reachable backend reports that it is primary")
             self.failover.retry_later(service=service)
             return
-        name = max(leading, key=lambda each: leading[each].term)
-        assignment = ServicePrimary(term=leading[name].term, primary=name, state=PrimaryState.settled)
+        name = max(reporting, key=lambda each: reporting[each].term)
+        assignment = ServicePrimary(term=reporting[name].term, primary=name, state=PrimaryState.settled)
         await self.failover.assignments.compare_and_set(service=service, old=None, new=assignment)
 
     async def _replace_primary(self, *, service: Service, assignment: ServicePrimary, reason: MoveReason) -> None:
-        """Assigns a successor, and promotes it."""
+        """Chooses a successor for a primary that must be replaced, assigns it and promotes it."""
         began_us = self.ctx.now_us()
         explanation = reason.describe(primary=assignment.primary)
         self.failover.blocking.report(name=service.name, reason=explanation)
@@ -240,16 +256,16 @@
     async def _successor_of_lost(
         self, *, service: Service, assignment: ServicePrimary, old: Announcement | None, explanation: str
     ) -> Successor | None:
-        """Who follows a primary that can't be asked to step down; None where nobody can yet."""
+        """The successor of a primary that can't be asked to step down; None if no backend can be chosen yet."""
         others = self._others(service=service.name, primary=assignment.primary)
-        inheriting = await inheriting_successor(
+        replacement = await successor_at_same_address(
             poller=self.failover.poller, assignment=assignment, old=old, others=others
         )
-        if inheriting is not None:
-            return inheriting
+        if replacement is not None:
+            return replacement
         if any(each.state == READY for each in others):
             return await self.fencing.fence(service=service, assignment=assignment, others=others)
-        reason = f"{explanation}, and no copy can take its place"
+        reason = f"{explanation}, and no replica is ready to replace it"
         self.failover.blocking.report(name=service.name, reason=reason)
         return None
 
@@ -263,7 +279,7 @@
             primary=successor.name,
             state=PrimaryState.moving,
             fence=successor.fence,
-            # A stop that took longer than whole promotions do leaves no estimate but zero.
+            # Stopping the old primary may already have taken longer than the whole expected promotion.
             ready_in_us=max(0, expected_us - (self.ctx.now_us() - began_us)),
             planned=assignment.planned,
         )
--- a/src/cinderstair/failover/service_failover_context.py
+++ b/src/cinderstair/failover/service_failover_context.py
@@ -1,4 +1,4 @@
-"""What the steps of a service's failover share."""
+"""State shared by the steps of service failover."""
 
 from dataclasses import dataclass, field
 
@@ -9,17 +9,18 @@
 from .service_assignments import ServiceAssignments
 from .service_members import ServiceMembers
 
-# Pause after a failed step before the service is looked at again, in microseconds.
+# Pause after a failed step before the next step of the same service, in microseconds.
 RETRY_US = 250_000
-# How long a promotion is expected to take until the first one has been measured, in microseconds.
+# Estimated duration of a promotion before the first one has completed, in microseconds.
 INITIAL_PROMOTION_US = 1_400_000
 
 
 @dataclass(kw_only=True)
 class ServiceFailoverContext:
-    """`promotion_us` is how long promotions have taken lately: a moving average, told to clients as an estimate.
+    """Collaborators of the failover steps, the promotion estimate, and the retry times of services.
 
-    `retry_at_us` holds back a service whose last step failed.
+    :param promotion_us: moving average of the duration of promotions; sent to clients as an estimate.
+    :param retry_at_us: by service, the earliest time of the next step after a failed one.
     """
 
     ctx: Context
@@ -32,7 +33,7 @@
     retry_at_us: dict[str, int] = field(default_factory=dict)
 
     def retry_later(self, *, service: str, wait_us: int = RETRY_US) -> None:
-        """Leaves a service alone for `wait_us`."""
+        """Schedules the service's next step no earlier than `wait_us` from now."""
         self.retry_at_us[service] = self.ctx.now_us() + wait_us
 
     def may_retry(self, *, service: str) -> bool:
@@ -40,6 +41,6 @@
         return self.ctx.now_us() >= self.retry_at_us.get(service, 0)
 
     def record_promotion(self, *, took_us: int) -> None:
-        """Takes a finished promotion into the estimate for the next ones."""
+        """Updates the estimate with a completed promotion; the average weighs it one half."""
         self.promotion_us += (took_us - self.promotion_us) // 2
         self.ctx.counters.gauge(name="promotion.last_move_us", value=took_us)
--- a/src/cinderstair/failover/service_primary.py
+++ b/src/cinderstair/failover/service_primary.py
@@ -1,4 +1,4 @@
-"""The assignment of a service's primary, as the register keeps it."""
+"""The primary assignment of a service, as stored in the register."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,9 +9,10 @@
 
 
 class PrimaryState(IntEnum):
-    """What proxies may do at the primary. The names appear in operators' texts.
+    """What proxies may do at the primary. The names appear in status texts.
 
-    settled: the primary serves. closing: open transactions may end, and none begins. moving: nobody serves.
+    settled: the primary serves. closing: open transactions may finish and no new ones start. moving: no backend
+    serves until the new primary has been promoted.
     """
 
     settled = 0
@@ -30,14 +31,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServicePrimary:
-    """An assignment of a service whose backends confirm commits themselves.
+    """The primary assignment of a service whose backends confirm commits themselves.
 
-    :param term: rises with each primary.
+    :param term: increases with each new primary.
     :param primary: the name of the backend.
-    :param fence: while moving, a position at or past every commit that was ever acknowledged; the primary has it.
-    :param ready_in_us: how long the move is expected to take from this assignment on, in microseconds; an estimate.
+    :param fence: while moving, a log position at or after every acknowledged commit; the new primary has it.
+    :param ready_in_us: estimated time from this assignment until the primary serves, in microseconds.
     :param planned: whether the old primary was asked to step down.
-    :param revision: rises with each change of the assignment, so that two equal ones are told apart.
+    :param revision: increases with each change, which distinguishes assignments that are equal otherwise.
     """
 
     term: int
@@ -49,14 +50,14 @@
     revision: int = 0
 
     def bytes(self) -> bytes:
-        """The assignment as it is kept in the register."""
+        """The encoded assignment, as stored in the register."""
         packer = Packer().u64(value=self.term).text(value=self.primary).u8(value=self.state)
         packer.u64(value=self.fence.term).u64(value=self.fence.number).u64(value=self.ready_in_us)
         return packer.u8(value=int(self.planned)).u64(value=self.revision).bytes()
 
 
 def read_service_primary(*, data: bytes) -> ServicePrimary:
-    """Reads what `ServicePrimary.bytes` wrote; raises ValueError on other bytes."""
+    """Decodes the output of `ServicePrimary.bytes`; raises ValueError on malformed input."""
     unpacker = Unpacker(data=data)
     assignment = ServicePrimary(
         term=unpacker.u64(),
--- a/src/cinderstair/failover/successor.py
+++ b/src/cinderstair/failover/successor.py
@@ -1,6 +1,6 @@
-"""Chooses which backend becomes the next primary of a service.
+"""Chooses the backend that becomes the next primary of a service.
 
-Invariant: whoever is chosen holds every commit that was ever acknowledged.
+Invariant: the chosen backend's log includes every acknowledged commit.
 """
 
 from dataclasses import dataclass
@@ -15,34 +15,34 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Successor:
-    """`name` is to lead in `term`. No commit past `fence` was acknowledged in any lower term."""
+    """The next primary, `name`, and its `term`. No commit after `fence` was acknowledged in a lower term."""
 
     term: int
     name: str
     fence: Position
 
 
-def furthest_paused(*, paused: dict[str, BackendState], ready: set[str]) -> str:
-    """The backend with the longest log; of equals one that is ready, then the first by name."""
+def most_advanced_paused(*, paused: dict[str, BackendState], ready: set[str]) -> str:
+    """The paused backend with the longest log; ties go to a ready one, then to the first by name."""
     return max(sorted(paused), key=lambda name: (paused[name].received, name in ready))
 
 
-def furthest(*, states: dict[str, BackendState]) -> str:
-    """The backend with the longest log; of equals the first by name."""
+def most_advanced(*, states: dict[str, BackendState]) -> str:
+    """The backend with the longest log; ties go to the first by name."""
     return max(sorted(states), key=lambda name: states[name].received)
 
 
-def leading_or_furthest(*, states: dict[str, BackendState]) -> str:
-    """A backend that leads already, else the one with the longest log."""
+def primary_or_most_advanced(*, states: dict[str, BackendState]) -> str:
+    """A backend that is already primary, else the one with the longest log."""
     return max(sorted(states), key=lambda name: (states[name].is_primary, states[name].received))
 
 
-async def inheriting_successor(
+async def successor_at_same_address(
     *, poller: BackendPoller, assignment: ServicePrimary, old: Announcement | None, others: list[Announcement]
 ) -> Successor | None:
-    """Who has come to the address of a deregistered primary, has its log, and leads with it; None for nobody.
+    """The backend that replaced a deregistered primary at its address and is primary with its log; None without one.
 
-    Such a backend can't be paused, since it leads; and it need not be, since its log has all that was acknowledged.
+    Such a backend can't be paused, since it is primary, and need not be, since its log has every acknowledged commit.
     """
     if old is None or old.state != GONE:
         return None
--- a/src/cinderstair/failover/switchover.py
+++ b/src/cinderstair/failover/switchover.py
@@ -1,4 +1,4 @@
-"""Planned switchover: a primary that is alive steps down before a successor is promoted."""
+"""Planned switchover: a reachable primary steps down before a successor is promoted."""
 
 from dataclasses import dataclass, replace
 
@@ -10,28 +10,30 @@
 from .replica_fencing import PAUSE_WAIT_US
 from .service_failover_context import ServiceFailoverContext
 from .service_primary import PrimaryState, ServicePrimary
-from .successor import Successor, furthest
+from .successor import Successor, most_advanced
 
-# Between the announcement and the step down, so that transactions that clients have begun may end.
+# Time between announcement and step down in which open transactions may finish, in microseconds.
 CLOSING_US = 250_000
-# How long a replica may take to receive the last commits of the primary that has stepped down.
+# Timeout for a replica to receive the last commits of the primary that stepped down, in microseconds.
 CATCH_UP_WAIT_US = 400_000
 CATCH_UP_POLL_US = 40_000
-# Pause after a primary did not step down, in microseconds.
+# Pause after a failed step down, in microseconds.
 STEP_DOWN_RETRY_US = 1_500_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class SteppedDown:
-    """`assignment` is the one in force after the step down, and `successor` who may follow it."""
+    """The assignment in force after the step down, and the successor to assign next."""
 
     assignment: ServicePrimary
     successor: Successor
 
 
 class Switchover:
-    """Invariant: after the step down, the old primary's log ends with the last commit that it acknowledged; so a
-    successor that has as much as it holds everything.
+    """Announces the switchover, demotes the primary and waits for a replica to catch up.
+
+    Invariant: after the step down the old primary's log ends with the last commit that it acknowledged, so a
+    successor whose log is as long has every acknowledged commit.
     """
 
     def __init__(self, *, failover: ServiceFailoverContext, monitor: PrimaryMonitor) -> None:
@@ -41,14 +43,14 @@
     async def step_down(
         self, *, service: str, assignment: ServicePrimary, old: Announcement, others: list[Announcement]
     ) -> SteppedDown | None:
-        """Has the primary step down, and chooses who follows; None where it goes on as it was."""
+        """Demotes the primary and chooses its successor; None if the primary keeps serving."""
         ready = [each for each in others if each.state == READY]
-        # A silent replica must not hold up a switchover that another one can serve.
+        # One unresponsive replica must not delay a switchover to another one.
         states = await self.failover.poller.states(
             members=[old, *ready], enough=lambda answers: old.name in answers and len(answers) > 1
         )
         primary = states.pop(old.name, None)
-        # With no replica near, a step down would be nothing but an outage.
+        # Without a replica in the primary's term a step down would only cause an outage.
         if primary is None or not any(each.received.term >= primary.received.term for each in states.values()):
             await self._cancel_without_replica(
                 service=service, assignment=assignment, primary_answered=primary is not None
@@ -70,7 +72,7 @@
     async def _cancel_without_replica(
         self, *, service: str, assignment: ServicePrimary, primary_answered: bool
     ) -> None:
-        reason = f"{assignment.primary} is to leave, and no copy is there to follow it"
+        reason = f"{assignment.primary} is draining, and no replica is ready to replace it"
         self.failover.blocking.report(name=service, reason=reason)
         if not primary_answered:
             self.monitor.suspect(name=assignment.primary)
@@ -78,7 +80,7 @@
         await self.failover.assignments.reopen(service=service, assignment=assignment)
 
     async def _announce(self, *, service: str, assignment: ServicePrimary) -> ServicePrimary | None:
-        """Tells all proxies to begin nothing more at the primary; None where that could not be written."""
+        """Writes the closing assignment, so that proxies start nothing new at the primary; None on failure."""
         failover = self.failover
         closing = replace(assignment, state=PrimaryState.closing, ready_in_us=failover.promotion_us, planned=True)
         if not await failover.assignments.compare_and_set(service=service, old=assignment, new=closing):
@@ -90,17 +92,17 @@
     async def _stop(
         self, *, service: str, assignment: ServicePrimary, old: Announcement, term: int
     ) -> Position | None:
-        """Where the log of the primary ends after its step down; None where it did not step down."""
+        """The end of the primary's log after its step down; None if it did not step down."""
         stepped = await self.failover.control.step_down(backend=old, term=term, wait_us=PAUSE_WAIT_US)
         if stepped.is_ok() and not stepped.ok.is_primary:
             return stepped.ok.received
-        self.failover.blocking.report(name=service, reason=f"{assignment.primary} does not step down")
+        self.failover.blocking.report(name=service, reason=f"{assignment.primary} did not step down when requested")
         self.failover.retry_later(service=service, wait_us=STEP_DOWN_RETRY_US)
         await self.failover.assignments.reopen(service=service, assignment=assignment)
         return None
 
     async def _wait_for_replica(self, *, replicas: list[Announcement], fence: Position) -> dict[str, BackendState]:
-        """The replicas that have everything up to `fence`; none where all take longer than `CATCH_UP_WAIT_US`."""
+        """The replicas whose logs include `fence`; empty after `CATCH_UP_WAIT_US` without one."""
         ctx = self.failover.ctx
         until_us = ctx.now_us() + CATCH_UP_WAIT_US
         while True:
@@ -114,8 +116,8 @@
 
 
 def _successor(*, term: int, primary: str, fence: Position, caught_up: dict[str, BackendState]) -> Successor:
-    """The furthest replica; where none has caught up the old primary, whose log is the one that counts."""
+    """The replica with the longest log; the old primary if none caught up, since its log has every commit."""
     if not caught_up:
         return Successor(term=term, name=primary, fence=fence)
-    best = furthest(states=caught_up)
+    best = most_advanced(states=caught_up)
     return Successor(term=term, name=best, fence=max(fence, caught_up[best].received))
