--- a/src/cinderstair/failover/database_assignments.py
+++ b/src/cinderstair/failover/database_assignments.py
@@ -1,4 +1,4 @@
-"""Which backend is assigned as primary of each database, as the register says."""
+"""Reads and writes the primary assignments of databases in the register."""
 
 from expression import Error, Ok, Result
 
@@ -10,12 +10,16 @@
 from .compare_and_set import compare_and_set
 from .database_primary import DatabasePrimary, database_primary_key
 
-# Added to the length of a view's lease, in microseconds: covers clock drift, and that a write is seen a little late.
+# Added to the lease time of a view, in microseconds, for clock drift and for the delay until a write is seen.
 VIEW_MARGIN_US = 300_000
 
 
 class DatabaseAssignments:
-    """Invariant: an assignment changes from exactly what the writer saw, and only while it holds the role's lease."""
+    """Changes assignments, which are kept in the register and read through the view.
+
+    Invariant: an assignment is replaced only by compare-and-set from the value that the writer read. The
+    lease must be held, except for an operator's override.
+    """
 
     def __init__(self, *, ctx: Context, register: Register, view: View, lease: Lease) -> None:
         self.ctx = ctx
@@ -24,26 +28,26 @@
         self.lease = lease
 
     def get(self, *, database: str) -> DatabasePrimary | None:
-        """The present assignment; None where nothing was ever assigned."""
+        """The current assignment; None if the database never had one."""
         return self.view.assignment(database=database)
 
     def since_us(self, *, database: str) -> int:
-        """When the present assignment was seen first, on this machine's monotonic clock."""
+        """When the current assignment was first seen, on this machine's monotonic clock."""
         return self.view.assigned_since_us[database]
 
     def age_us(self, *, database: str) -> int:
-        """For how long the present assignment has been known here."""
+        """Time since the current assignment was first seen here, in microseconds."""
         return self.ctx.now_us() - self.since_us(database=database)
 
     @property
     def view_expiry_us(self) -> int:
-        """After so long no view that is older than a write is current anywhere, in microseconds."""
+        """Time after a write until every view from before it has expired, in microseconds."""
         return self.view.lease_us + VIEW_MARGIN_US
 
     async def compare_and_set(self, *, database: str, old: DatabasePrimary | None, new: DatabasePrimary) -> bool:
         """Replaces `old` by `new`; None stands for a database that never had an assignment.
 
-        :returns: whether it is written; False without the lease, on a conflict, and where the outcome is unclear.
+        :returns: whether `new` is written; False without the lease, on a conflict, or if the outcome is unknown.
         """
         if not self.lease.held:
             return False
@@ -54,7 +58,7 @@
             key=database_primary_key(database=database),
             unchanged=lambda current: current in accepted,
             new=new.bytes(),
-            conflict="the lead changed meanwhile",
+            conflict="the primary assignment was changed concurrently",
         )
         if result.is_ok():
             self.ctx.log.info(
@@ -63,15 +67,15 @@
                 new.primary,
                 new.term,
                 new.state,
-                ",".join(new.in_sync) or "nobody",
-                ",".join(new.joining) or "nobody",
+                ",".join(new.in_sync) or "none",
+                ",".join(new.joining) or "none",
             )
         return result.is_ok()
 
     async def override(
         self, *, database: str, old: DatabasePrimary, new: DatabasePrimary
     ) -> Result[DatabasePrimary, CinderstairError]:
-        """Replaces `old` by `new` for an operator, who needs no lease; versionTaken where `old` stands no more."""
+        """Replaces `old` by `new` without the lease, at an operator's request; versionTaken if `old` has changed."""
         result = await compare_and_set(
             register=self.register,
             view=self.view,
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -1,7 +1,8 @@
-"""Keeps a primary for every database of the product's own backends.
+"""Automatic failover of databases whose in-sync replicas the product tracks itself.
 
-This module decides which step a database needs; the steps are in `database_primary_monitor` (must the primary be
-replaced, and why), `maintenance_switchover`, `database_promotion` and `in_sync_tracker`.
+This module decides which step a database needs. The steps are implemented in `database_primary_monitor` (whether and
+why the primary must be replaced), `maintenance_switchover` (planned moves for maintenance windows),
+`database_promotion` (assigns and promotes a primary) and `in_sync_tracker` (membership of the in-sync set).
 """
 
 from expression import Error, Result
@@ -28,13 +29,20 @@
 from .singleton_role import SingletonRoleMixin
 
 TIMER_PERIOD_US = 200_000
-# A backend that does not answer yet may have the longest log, so the very first start waits this long for all.
-FIRST_WAIT_US = 4_000_000
+# Time that the first assignment waits for all backends, in microseconds, since one that has not answered yet may have
+# the longest log.
+INITIAL_WAIT_US = 4_000_000
 DATABASE_FAILOVER_LEASE = "lead"
 
 
 class DatabaseFailover(SingletonRoleMixin):
-    """Invariant: every step is a compare-and-set on the database's assignment, so two holders at once do no harm."""
+    """Runs one failover step per database at each timer tick while this HTTP proxy holds the failover lease.
+
+    Owns the set of databases with a step in progress; the assignments are in the register.
+
+    Invariant: every step is a compare-and-set on the database's assignment, so two concurrent lease holders can't
+    overwrite each other's steps.
+    """
 
     def __init__(
         self,
@@ -65,7 +73,7 @@
         self.maintenance = MaintenanceSwitchover(failover=self.failover)
         self.promotion = DatabasePromotion(failover=self.failover, platform=platform)
         self.in_sync = InSyncTracker(failover=self.failover)
-        # databases with a step under way
+        # databases with a step in progress
         self.active: set[str] = set()
         self.first_seen_us: dict[str, int] = {}
         self.open_queue()
@@ -73,41 +81,41 @@
 
     @property
     def reasons(self) -> dict[str, str]:
-        """Why a database's failover is not done yet, by database; empty texts where nothing blocks it."""
+        """Why a database's failover is not complete, by database; empty if nothing blocks it."""
         return self.failover.blocking.reasons
 
     @property
     def window_holds(self) -> dict[str, str]:
-        """Why a maintenance window can't empty a primary yet, by database."""
-        return self.maintenance.holds
+        """Why a maintenance window can't drain a primary yet, by database."""
+        return self.maintenance.drain_blockers
 
     @property
     def sync_holds(self) -> dict[str, str]:
-        """Why a maintenance window can't empty a replica in sync yet, by database."""
-        return self.in_sync.holds
+        """Why a maintenance window can't drain an in-sync replica yet, by database."""
+        return self.in_sync.drain_blockers
 
     # -- the role --
 
     def on_role_gained(self) -> None:
-        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
+        """Discards state of an earlier term as lease holder; see `SingletonRoleMixin`."""
         self.ctx.log.info(
-            "this HTTP proxy has gained the lease of database failover and keeps the primaries from now on"
+            "acquired the database failover lease; this HTTP proxy now manages the primaries of all databases"
         )
-        self.in_sync.forget()
+        self.in_sync.discard_measurements()
 
     async def _on_timer(self) -> None:
-        # A daemon that reaches no backend can promote none, and must not keep the others from it.
+        # A daemon that reaches no backend can't promote any, so it releases the lease to a daemon that may.
         if self.reachability.blind:
             if self.lease.held:
                 self.ctx.log.warning(
-                    "the lease of database failover is given up, since this HTTP proxy reaches no backend"
+                    "releasing the database failover lease: this HTTP proxy reaches no backend; check its network"
                 )
                 await self.lease.drop()
             return
         await self.renew_role()
         configuration = self.view.configuration
         if not self.lease.held:
-            self._forget_holds()
+            self._clear_blocking_reasons()
         if not self.may_act or configuration is None:
             return
         for database in configuration.databases:
@@ -117,11 +125,11 @@
                     work=self._run_step(database=database, configuration=configuration), name=f"failover.{database}"
                 )
 
-    def _forget_holds(self) -> None:
-        """What blocks a failover is reported by the present holder alone."""
+    def _clear_blocking_reasons(self) -> None:
+        """Clears the blocking reasons, which only the lease holder reports."""
         self.failover.blocking.clear()
-        self.maintenance.holds.clear()
-        self.in_sync.holds.clear()
+        self.maintenance.drain_blockers.clear()
+        self.in_sync.drain_blockers.clear()
 
     # -- one database --
 
@@ -132,7 +140,7 @@
             self.active.discard(database)
 
     async def _step(self, *, database: str, configuration: Configuration) -> None:
-        """Takes the one step that the database needs now."""
+        """Runs the one step that the database needs now."""
         assignment = self.failover.assignments.get(database=database)
         if assignment is None:
             await self._assign_first(database=database, configuration=configuration)
@@ -151,13 +159,16 @@
             await self.in_sync.update(database=database, configuration=configuration, assignment=assignment)
 
     async def _assign_first(self, *, database: str, configuration: Configuration) -> None:
-        """Where nothing was ever assigned, assigns the backend with the longest log."""
+        """Assigns a database without any assignment to the backend with the longest log.
+
+        Requires answers of all backends or, after `INITIAL_WAIT_US`, of a majority.
+        """
         names = configuration.databases[database]
         since_us = self.first_seen_us.setdefault(database, self.ctx.now_us())
         positions = await self.failover.positions(names=names)
-        waited = self.ctx.now_us() - since_us > FIRST_WAIT_US
+        waited = self.ctx.now_us() - since_us > INITIAL_WAIT_US
         if len(positions) < len(names) and not (waited and len(positions) > len(names) // 2):
-            reason = f"waits for backends: {len(positions)} of {len(names)} answer"
+            reason = f"waiting for backends before the first assignment: {len(positions)} of {len(names)} answer"
             self.failover.blocking.report(name=database, reason=reason)
             return
         best = max(
@@ -175,8 +186,8 @@
     async def _continue_maintenance(
         self, *, database: str, configuration: Configuration, assignment: DatabasePrimary
     ) -> None:
-        """Promotes another primary once open transactions have had their time to finish."""
-        window = await self.maintenance.window_to_obey(database=database, assignment=assignment)
+        """Promotes another primary once open transactions have had `closeWait` to finish."""
+        window = await self.maintenance.active_window(database=database, assignment=assignment)
         if not window:
             return
         close_us = configuration.amount(name="closeWait", database=database)
@@ -192,10 +203,10 @@
     # -- operators --
 
     async def override(self, *, database: str, backend: str) -> Result[DatabasePrimary, CinderstairError]:
-        """Assigns a backend by an operator's order, whatever acknowledged commits that may lose.
+        """Assigns a backend at an operator's request, which may lose acknowledged commits.
 
-        :returns: the new assignment; unknownDatabase where the backend is not one of the database's, noLead where
-            nothing was ever assigned, versionTaken where the assignment changed meanwhile.
+        :returns: the new assignment; unknownDatabase if the backend does not belong to the database, noLead if the
+            database never had an assignment, versionTaken if the assignment changed concurrently.
         """
         configuration, old = self.view.configuration, self.failover.assignments.get(database=database)
         if configuration is None or backend not in configuration.databases.get(database, ()):
--- a/src/cinderstair/failover/database_failover_context.py
+++ b/src/cinderstair/failover/database_failover_context.py
@@ -1,4 +1,4 @@
-"""What the steps of a database's failover share."""
+"""State shared by the steps of database failover."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(kw_only=True)
 class DatabaseFailoverContext:
-    """The tables that the steps read, and the one through which assignments change."""
+    """The tables that the steps read, and `assignments`, through which they change assignments."""
 
     ctx: Context
     view: View
@@ -24,20 +24,20 @@
     blocking: BlockingReasons
 
     async def positions(self, *, names: tuple[str, ...]) -> dict[str, BackendPosition]:
-        """How far each of these backends is, without those that do not answer."""
+        """The log positions of these backends by name; backends that do not answer are omitted."""
         results = await asyncio.gather(
             *(query_position(connection_pools=self.connection_pools, name=name, direct=True) for name in names)
         )
         return {name: result.ok for name, result in zip(names, results, strict=True) if result.is_ok()}
 
     def healthy(self, *, names: tuple[str, ...]) -> tuple[str, ...]:
-        """Those of the names whose heartbeats call them fit, in the same order."""
+        """The backends among `names` that are healthy by their heartbeats, in the same order."""
         return tuple(name for name in names if self.heartbeat_table.healthy(name=name))
 
     def in_maintenance(self, *, name: str) -> bool:
-        """Whether an open maintenance window wants the backend empty."""
+        """Whether an open maintenance window drains the backend."""
         return name in self.view.leaving.backends
 
     def staying(self, *, names: tuple[str, ...]) -> tuple[str, ...]:
-        """Those of the names that are fit, and that no open maintenance window wants empty."""
+        """The healthy backends among `names` that no open maintenance window drains, in the same order."""
         return tuple(name for name in self.healthy(names=names) if not self.in_maintenance(name=name))
--- a/src/cinderstair/failover/database_primary.py
+++ b/src/cinderstair/failover/database_primary.py
@@ -1,4 +1,4 @@
-"""The assignment of a database's primary: in which term, and which replicas hold all it has acknowledged."""
+"""The primary assignment of a database: its primary, term and in-sync replicas."""
 
 from dataclasses import dataclass
 
@@ -16,17 +16,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DatabasePrimary:
-    """A database's assignment, as the register keeps it.
+    """The primary assignment of a database, as stored in the register.
 
-    :param incarnation: of the primary's process; a higher one in its heartbeat means that it was restarted. 0 for
-        one that is not known yet.
-    :param state: `SETTLED`: the primary serves. `CLOSING`: it is about to step down as planned; open transactions
-        may finish, and none begins. `MOVING`: nobody serves.
+    :param incarnation: incarnation of the primary's process; a higher one in its heartbeat means a restart. 0 if not
+        known yet.
+    :param state: `SETTLED`: the primary serves. `CLOSING`: a planned step down is due; open transactions may finish
+        and no new ones start. `MOVING`: no backend serves until the new primary has been promoted.
     :param in_sync: the replicas at which every acknowledged commit is durable; any of them may be promoted.
-    :param joining: the replicas for which acknowledgements wait as well, and which may not be promoted yet.
-    :param successors: the replicas that hold all that earlier terms acknowledged. They count while nobody is in
-        sync, since then nothing is acknowledged that they could lack.
-    :param planned: whether the old primary serves until the move, so that clients may wait for its end.
+    :param joining: the replicas for which acknowledgements wait too, but which may lack earlier commits and must not
+        be promoted yet.
+    :param successors: the replicas that hold every commit acknowledged in earlier terms. They may be promoted while
+        no replica is in sync, since then no new commit is acknowledged.
+    :param planned: whether the move is planned, so that it is short and clients may wait for its end.
     """
 
     term: int
@@ -40,16 +41,16 @@
 
     @property
     def serves(self) -> bool:
-        """Whether what is open may go on: settled, or closing before a planned move."""
+        """Whether open transactions may continue: settled, or closing before a planned move."""
         return self.state in (SETTLED, CLOSING)
 
     @property
     def confirmers(self) -> tuple[str, ...]:
-        """The replicas for which each acknowledgement waits."""
+        """The replicas that must confirm each commit before it is acknowledged."""
         return (*self.in_sync, *self.joining)
 
     def bytes(self) -> bytes:
-        """The assignment as it is kept in the register."""
+        """The encoded assignment, as stored in the register."""
         packer = Packer().u64(value=self.term).text(value=self.primary).u64(value=self.incarnation)
         packer.u8(value=STATES.index(self.state)).u8(value=int(self.planned))
         for names in (self.in_sync, self.joining, self.successors):
@@ -58,7 +59,7 @@
 
 
 def read_database_primary(*, data: bytes) -> DatabasePrimary:
-    """Reads what `DatabasePrimary.bytes` wrote; raises ValueError where the bytes are none."""
+    """Decodes the output of `DatabasePrimary.bytes`; raises ValueError on malformed input."""
     unpacker = Unpacker(data=data)
     term, primary, incarnation = unpacker.u64(), unpacker.text(), unpacker.u64()
     state, planned = STATES[min(unpacker.u8(), len(STATES) - 1)], bool(unpacker.u8())
--- a/src/cinderstair/failover/database_promotion.py
+++ b/src/cinderstair/failover/database_promotion.py
@@ -1,4 +1,4 @@
-"""Assigns another primary to a database, promotes it, and settles the assignment once it serves."""
+"""Assigns a new primary to a database, promotes it, and settles the assignment once it is primary."""
 
 from dataclasses import dataclass, replace
 
@@ -10,23 +10,25 @@
 from .move_reason import MoveReason
 from .platform import Platform
 
-# How long a new primary waits for a replica to follow it before it serves reads without one, in microseconds.
-FOLLOW_WAIT_US = 1_500_000
+# Timeout for a replica to follow a new primary, in microseconds; after it the primary serves reads alone.
+FOLLOW_TIMEOUT_US = 1_500_000
 FOLLOW_POLL_US = 100_000
-# While the old primary still serves, the move is short and sure to succeed, and clients may wait for its end.
+# For these reasons the old primary still serves, so the move is short and clients may wait for its end.
 PLANNED_REASONS = (MoveReason.EMPTYING, MoveReason.UNDECLARED)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """A backend that holds every acknowledged commit, and how far it is."""
+    """A backend that holds every acknowledged commit, and its log position."""
 
     name: str
     position: BackendPosition
 
 
 class DatabasePromotion:
-    """Invariant: only a backend that holds every acknowledged commit is promoted, and its assignment is settled only
+    """Moves a database's assignment to a new primary, and settles it.
+
+    Invariant: only a backend that holds every acknowledged commit is promoted, and its assignment is settled only
     after every view in which another backend was the primary has expired.
     """
 
@@ -43,20 +45,22 @@
         reason: MoveReason,
         window: str = "",
     ) -> None:
-        """Assigns the best candidate as the next primary; `window` is what asks for the move, if anything does."""
+        """Assigns the best candidate as the next primary; `window` is the window that requires it, if any."""
         failover, closing = self.failover, assignment.state == CLOSING
         explanation = reason.describe(primary=assignment.primary, detail=window)
-        # The old primary has every commit that it ever acknowledged, so where it runs it may be promoted again.
+        # The old primary has every commit that it acknowledged, so it may be promoted again if it runs.
         holders = (*(assignment.in_sync or assignment.successors), assignment.primary)
         found = await self._candidate(assignment=assignment, configuration=configuration, holders=holders)
         if found is None:
             failover.blocking.report(name=database, reason=f"{explanation}, and no replica in sync answers")
             return
-        # Promoting a primary that is emptying once more would be nothing but an outage.
+        # Promoting a draining primary again would only cause an outage.
         if found.name == assignment.primary and (reason == MoveReason.EMPTYING or closing):
-            failover.blocking.report(name=database, reason=f"{explanation}, and nobody can take its place")
+            failover.blocking.report(
+                name=database, reason=f"{explanation}, and no other backend holds every acknowledged commit"
+            )
             return
-        failover.ctx.log.info("database %s: %s is to be promoted, since %s", database, found.name, explanation)
+        failover.ctx.log.info("database %s: promoting %s, because %s", database, found.name, explanation)
         failover.ctx.counters.add(name="leads.moved")
         new = _moving(
             assignment=assignment,
@@ -67,7 +71,10 @@
         await failover.assignments.compare_and_set(database=database, old=assignment, new=new)
 
     async def finish(self, *, database: str, configuration: Configuration, assignment: DatabasePrimary) -> None:
-        """From moving to settled: promotes, waits until older views have expired, and until replicas follow."""
+        """Promotes the assigned backend, and settles once older views have expired and replicas follow.
+
+        Assigns another backend if the assigned one is not primary in the assignment's term.
+        """
         failover, assignments = self.failover, self.failover.assignments
         since_us = assignments.since_us(database=database)
         promoted = await self.platform.promote(database=database, backend=assignment.primary, term=assignment.term)
@@ -91,7 +98,7 @@
             in_sync=following,
             joining=(),
             planned=False,
-            # Until somebody is in sync nothing new is acknowledged, so whoever could be promoted still can be.
+            # Nothing new is acknowledged until a replica is in sync, so the earlier candidates stay eligible.
             successors=() if following else assignment.in_sync,
             incarnation=position.ok.incarnation,
         )
@@ -101,15 +108,15 @@
     async def _wait_for_followers(
         self, *, database: str, configuration: Configuration, assignment: DatabasePrimary, start: int
     ) -> tuple[str, ...]:
-        """The replicas that have the beginning of the new term; none where that takes them too long.
+        """The replicas that have received the start of the new term; empty after `FOLLOW_TIMEOUT_US` without one.
 
-        Nothing is acknowledged before the assignment is settled, and from the first commit on they are waited for;
-        so they are in sync.
+        They are in sync: nothing is acknowledged before the assignment is settled, and from then on every commit
+        waits for them.
         """
         failover, most = self.failover, configuration.amount(name="inSync", database=database)
         declared = configuration.databases.get(database, ())
         replicas = tuple(name for name in declared if name != assignment.primary)
-        until_us = failover.ctx.now_us() + FOLLOW_WAIT_US
+        until_us = failover.ctx.now_us() + FOLLOW_TIMEOUT_US
         while True:
             positions = await failover.positions(names=failover.healthy(names=replicas))
             following = [
@@ -125,18 +132,18 @@
     async def _assign_another(
         self, *, database: str, configuration: Configuration, assignment: DatabasePrimary, promoted: bool
     ) -> None:
-        """Assigns another backend, in a later term, where the one assigned does not come to lead."""
+        """Assigns another backend in a higher term if the assigned one is not promoted in time."""
         failover = self.failover
-        # A slow promotion is requested again before anybody else is assigned.
-        patience_us = 2 * failover.view.lease_us
-        if failover.assignments.age_us(database=database) < patience_us and (
+        # A slow promotion is retried before another backend is assigned.
+        promotion_timeout_us = 2 * failover.view.lease_us
+        if failover.assignments.age_us(database=database) < promotion_timeout_us and (
             promoted or failover.heartbeat_table.healthy(name=assignment.primary)
         ):
             return
         holders = (*assignment.in_sync, assignment.primary)
         found = await self._candidate(assignment=assignment, configuration=configuration, holders=holders)
         if found is None:
-            failover.blocking.report(name=database, reason="no backend that holds everything answers")
+            failover.blocking.report(name=database, reason="no backend that holds every acknowledged commit answers")
             return
         new = _moving(assignment=assignment, candidate=found, holders=holders, planned=assignment.planned)
         await failover.assignments.compare_and_set(database=database, old=assignment, new=new)
@@ -144,9 +151,9 @@
     async def _candidate(
         self, *, assignment: DatabasePrimary, configuration: Configuration, holders: tuple[str, ...]
     ) -> Candidate | None:
-        """The best of those that hold every acknowledged commit; None where none of them answers.
+        """The preferred backend among `holders`, which hold every acknowledged commit; None if none of them answers.
 
-        Best is one that is not emptying, then outside maintenance, then not the present primary, then the furthest.
+        Order of preference: not draining, outside maintenance, not the current primary, longest log.
         """
         names = tuple(name for name in holders if name in configuration.backends)
         positions = await self.failover.positions(names=names)
