--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -85,12 +85,12 @@
         return self.failover.blocking.reasons
 
     @property
-    def window_holds(self) -> dict[str, str]:
+    def primary_drain_blockers(self) -> dict[str, str]:
         """Why a maintenance window can't drain a primary yet, by database."""
         return self.maintenance.drain_blockers
 
     @property
-    def sync_holds(self) -> dict[str, str]:
+    def replica_drain_blockers(self) -> dict[str, str]:
         """Why a maintenance window can't drain an in-sync replica yet, by database."""
         return self.in_sync.drain_blockers
 
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -81,7 +81,11 @@
     def held(self) -> dict[str, str]:
         """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
         held = {database: reason for database, reason in self.database_failover.reasons.items() if reason}
-        return {**held, **self.database_failover.sync_holds, **self.database_failover.window_holds}
+        return {
+            **held,
+            **self.database_failover.replica_drain_blockers,
+            **self.database_failover.primary_drain_blockers,
+        }
 
     def _windows(self) -> dict[str, Any]:
         """Each booked window: its stage, what it still has to empty, and what holds it back."""
