--- a/src/cinderstair/failover/in_sync_tracker.py
+++ b/src/cinderstair/failover/in_sync_tracker.py
@@ -115,7 +115,7 @@
         return replace(assignment, in_sync=in_sync, joining=joining)
 
     def _lagging(self, *, names: tuple[str, ...], following: set[str], now_us: int) -> set[str]:
-        """The replicas to remove: lagging ones with unhealthy heartbeats at once, others after `LAG_US` of lagging."""
+        """The replicas to remove: lagging ones that are unhealthy at once, others after `LAG_US` of lagging."""
         for name in names:
             if name in following:
                 self.lagging_since_us.pop(name, None)
--- a/src/cinderstair/failover/proxy_addresses.py
+++ b/src/cinderstair/failover/proxy_addresses.py
@@ -1,20 +1,20 @@
-"""The table of proxy addresses, as the register keeps it: each proxy's site, and where other proxies reach it."""
+"""The table of proxy addresses in the register: the site of each proxy and its address for other proxies."""
 
 from dataclasses import dataclass, field
 
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
-# A key apart from that of the ids, since a daemon of an earlier version can't read a table of ids in another form.
+# Separate from the key of the ids, since earlier versions can't read a table of ids in another format.
 PROXY_ADDRESSES_KEY = "places"
 
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyAddress:
-    """Where one proxy is.
+    """The location of one proxy.
 
-    :param site: the site that it runs at, by its settings.
-    :param records: the host and port at which it takes records of other proxies; empty where it takes none.
+    :param site: its site, from its settings.
+    :param records: host and port at which it accepts records from other proxies; empty if it accepts none.
     """
 
     site: str
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyAddresses:
-    """`addresses` has each proxy's address by its name."""
+    """The addresses of proxies by name."""
 
     addresses: dict[str, ProxyAddress] = field(default_factory=dict)
 
     def bytes(self) -> bytes:
-        """The table as it is kept in the register, sorted by name."""
+        """The encoded table, as stored in the register, sorted by name."""
 
         def write(packer: Packer, entry: tuple[str, ProxyAddress]) -> None:
             packer.text(value=entry[0]).text(value=entry[1].site).text(value=entry[1].records)
@@ -37,7 +37,7 @@
 
 
 def read_proxy_addresses(*, data: bytes) -> ProxyAddresses:
-    """Reads what `ProxyAddresses.bytes` wrote; raises ValueError on other bytes, and on none at all."""
+    """Decodes the output of `ProxyAddresses.bytes`; raises ValueError on malformed or empty input."""
     unpacker = Unpacker(data=data)
     entries = unpacker.many(each=lambda u: (u.text(), ProxyAddress(site=u.text(), records=u.text())))
     unpacker.done()
--- a/src/cinderstair/failover/proxy_id_reclaimer.py
+++ b/src/cinderstair/failover/proxy_id_reclaimer.py
@@ -1,4 +1,4 @@
-"""Takes ids for HTTP proxies, and frees the ids of those that are gone for good."""
+"""Allocates ids of HTTP proxies, and frees the ids of proxies that have left permanently."""
 
 from expression import Error, Ok, Result
 
@@ -13,17 +13,26 @@
 from .singleton_role import SingletonRoleMixin
 
 TIMER_PERIOD_US = 1_000_000
-# How long an HTTP proxy must be gone before its id is freed, in microseconds; longer than a restart takes, so that
-# a proxy that comes back finds its id.
+# Time for which an HTTP proxy must be absent before its id is freed, in microseconds; longer than a restart, so that
+# a restarted proxy keeps its id.
 GRACE_US = 30_000_000
 PROXY_ID_LEASE = "slots"
 
 
 class ProxyIdReclaimer(SingletonRoleMixin):
-    """Invariant: an HTTP proxy takes its id itself; only the holder of this role frees one, after a time of grace."""
+    """Owns since when each HTTP proxy is absent, while it holds the lease.
+
+    Invariant: an HTTP proxy allocates its own id; only the lease holder frees ids, after a grace period.
+    """
 
     def __init__(
-        self, *, ctx: Context, register: Register, view: View, membership: Membership, grace_us: int = GRACE_US
+        self,
+        *,
+        ctx: Context,
+        register: Register,
+        view: View,
+        membership: Membership,
+        grace_us: int = GRACE_US,
     ) -> None:
         self.ctx = ctx
         self.register = register
@@ -36,7 +45,7 @@
         self.every(every_us=TIMER_PERIOD_US, command=self._on_timer, name="slots")
 
     async def claim(self, *, name: str) -> None:
-        """Takes the lowest free id for an HTTP proxy, unless it has one; retried by the caller where that fails."""
+        """Allocates the lowest free id for an HTTP proxy without one; the caller retries after a failure."""
         result = await self.register.change(
             key=PROXY_IDS_KEY, decide=lambda data: Ok(read_proxy_ids(data=data).with_name(name=name).bytes())
         )
@@ -59,7 +68,11 @@
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
             proxy_ids = read_proxy_ids(data=data)
             if proxy_ids.id_of(name=name) is None:
-                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="freed already"))
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.VERSION_TAKEN, reason=f"the id of HTTP proxy {name} is already free"
+                    )
+                )
             return Ok(proxy_ids.without(name=name).bytes())
 
         result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
@@ -68,5 +81,5 @@
         if result.is_ok():
             self.ctx.counters.add(name="slots.freed")
             self.ctx.log.info(
-                "the id of HTTP proxy %s is free, since it was gone for %d ms", name, self.grace_us // 1_000
+                "freed the id of HTTP proxy %s, which was absent for more than %d ms", name, self.grace_us // 1_000
             )
--- a/src/cinderstair/failover/proxy_ids.py
+++ b/src/cinderstair/failover/proxy_ids.py
@@ -1,4 +1,4 @@
-"""The table of proxy ids, as the register keeps it: a small, stable number for each proxy."""
+"""The table of proxy ids in the register: a small, stable number for each proxy."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -18,25 +18,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyIds:
-    """`names` has an entry for each proxy, in the order of the numbers.
+    """The ids of all proxies, in ascending order of their numbers.
 
-    Invariant: a name keeps its number until it is freed. The lowest free number is taken next, so that the numbers
+    Invariant: a name keeps its number until it is freed. The lowest free number is allocated next, so the numbers
     stay dense.
     """
 
     names: tuple[ProxyId, ...] = ()
 
     def id_of(self, *, name: str) -> int | None:
-        """A proxy's number; None where it has none."""
+        """A proxy's number; None if it has none."""
         return next((entry.number for entry in self.names if entry.name == name), None)
 
     @property
     def ids(self) -> tuple[int, ...]:
-        """All numbers taken, in ascending order."""
+        """All allocated numbers, in ascending order."""
         return tuple(entry.number for entry in self.names)
 
     def with_name(self, *, name: str) -> "ProxyIds":
-        """The table in which the name has a number: its own where it has one, so that nobody's share changes."""
+        """The table with a number for the name; unchanged if it has one, so that no proxy's subset changes."""
         if self.id_of(name=name) is not None:
             return self
         taken = set(self.ids)
@@ -44,11 +44,11 @@
         return ProxyIds(names=tuple(sorted([*self.names, ProxyId(number=free, name=name)])))
 
     def without(self, *, name: str) -> "ProxyIds":
-        """The table in which the name has no number."""
+        """The table without the name."""
         return ProxyIds(names=tuple(entry for entry in self.names if entry.name != name))
 
     def bytes(self) -> bytes:
-        """The table as it is kept in the register."""
+        """The encoded table, as stored in the register."""
 
         def write(packer: Packer, entry: ProxyId) -> None:
             packer.u32(value=entry.number).text(value=entry.name)
@@ -57,7 +57,7 @@
 
 
 def read_proxy_ids(*, data: bytes) -> ProxyIds:
-    """Reads what `ProxyIds.bytes` wrote; no bytes at all are the empty table. Raises ValueError on other bytes."""
+    """Decodes the output of `ProxyIds.bytes`; empty input is the empty table. Raises ValueError if malformed."""
     if not data:
         return ProxyIds()
     unpacker = Unpacker(data=data)
--- a/src/cinderstair/failover/shard_forecast.py
+++ b/src/cinderstair/failover/shard_forecast.py
@@ -1,24 +1,25 @@
-"""How long a planned change of the shard map will keep writes waiting, estimated from the running system."""
+"""Estimates how long a planned change of the shard map will delay writes, from measurements of the running system."""
 
 from dataclasses import dataclass
 
-# How often a proxy asks for the register's changes while a map changes, in microseconds.
+# Interval at which proxies poll the register's changes during a change, in microseconds.
 POLL_PERIOD_US = 90_000
-# How long proxies let open transactions end, in microseconds.
+# Time that proxies give open transactions to finish, in microseconds.
 DRAIN_US = 250_000
-# How often votes are counted, in microseconds.
+# Interval at which votes are counted, in microseconds.
 COUNT_PERIOD_US = 350_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class ShardForecast:
-    """Estimated waits of writes to the databases that move, in microseconds.
+    """Estimated delays of writes to the moving databases, in microseconds.
 
-    :param proxies: how many take part, and `silent` how many of them are not heard now.
-    :param usual_us: with all proxies in touch.
-    :param silent_us: with a proxy that is not heard.
-    :param most_us: after so long the change is withdrawn.
-    :param measured: whether `usual_us` is what the last change took, and not calculated.
+    :param proxies: the number of participants.
+    :param silent: the number of participants that are silent now.
+    :param usual_us: the delay if all proxies answer.
+    :param silent_us: the delay if a proxy is silent.
+    :param most_us: the maximum delay, after which the change is withdrawn.
+    :param measured: whether `usual_us` is the measured duration of the last change, and not calculated.
     """
 
     proxies: int
@@ -29,16 +30,17 @@
     measured: bool
 
     def summary(self) -> str:
-        """The forecast as operators read it."""
-        base = "as the last change took" if self.measured else "worked out, since none was measured here yet"
+        """The forecast as a line of text for operators."""
+        base = "measured at the last change" if self.measured else "calculated, no change was measured here yet"
         now = (
             f"{self.silent} of {self.proxies} proxies silent now"
             if self.silent
-            else f"all {self.proxies} proxies heard"
+            else f"all {self.proxies} proxies answer"
         )
         return (
             f"writes of moving databases wait about {self.usual_us // 1_000} ms ({base}), "
-            f"{self.silent_us // 1_000} ms with a proxy silent; it goes back after {self.most_us // 1_000} ms; {now}"
+            f"{self.silent_us // 1_000} ms with a proxy silent; "
+            f"the change is withdrawn after {self.most_us // 1_000} ms; {now}"
         )
 
 
@@ -47,10 +49,10 @@
 ) -> ShardForecast:
     """Estimates the next change.
 
-    :param expiry_us: after so long nothing sent under the old map takes effect any more.
-    :param withdrawn_us: after so long in the closing phase a change is withdrawn.
-    :param closing_us: how long the last change here was closing; None where none was measured.
-    :param handover_us: how long the last check of the moved data took; 0 where there was none.
+    :param expiry_us: time until nothing sent under the old map can take effect.
+    :param withdrawn_us: time in the closing phase after which a change is withdrawn.
+    :param closing_us: measured closing phase of the last change here; None if there was none.
+    :param handover_us: duration of the last check of the moved data; 0 if there was none.
     """
     calculated_us = POLL_PERIOD_US + DRAIN_US + POLL_PERIOD_US + COUNT_PERIOD_US + handover_us
     usual_us = (calculated_us if closing_us is None else closing_us) + POLL_PERIOD_US
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -1,6 +1,7 @@
-"""Brings in a new shard map: proposed to all proxies, agreed on by enough of them, then put in force for all at once.
+"""Coordinates changes of the shard map.
 
-What operators may do to the state is in `shard_transitions`, the counting of votes in `shard_votes`.
+A new map is proposed to all proxies, accepted by a quorum of them, and activated atomically once writes to the moving
+databases have stopped everywhere. Operators' transitions are in `shard_transitions`, vote counting in `shard_votes`.
 """
 
 from collections.abc import Callable
@@ -35,29 +36,33 @@
 
 TIMER_PERIOD_US = 150_000
 SHARD_MAP_LEASE = "shards"
-# A proposal that too few agree on is withdrawn after this long, in microseconds.
+# A proposal without enough agreement is withdrawn after this long, in microseconds.
 PROPOSED_MOST_US = 30_000_000
-# A change whose data is not complete is withdrawn this long after all proxies have stopped writing.
+# A change whose data is incomplete is withdrawn this long after all proxies stopped writing, in microseconds.
 HANDOVER_MOST_US = 5_000_000
-# What proxies tell their clients of how long a change takes, in microseconds; an estimate.
+# Estimated duration of the closing phase, sent to clients, in microseconds.
 EXPECTED_CLOSING_US = 900_000
 
 
 class Handover(Protocol):
-    """Whoever copies a database's data from one service to another. It is asked only whether all of it is there."""
+    """Interface to the process that copies a database's data from one service to another."""
 
     async def complete(self, *, database: str, source: str, target: str) -> bool:
-        """Whether the target's primary holds everything that the source's ever acknowledged."""
+        """Whether the target's primary has every commit that the source's primary acknowledged."""
         ...
 
 
-# the service of a database by the plan; empty where the plan has no such database
+# the service of a database by the plan; empty if the plan does not contain the database
 PlannedService = Callable[[str], str]
 
 
 class ShardMapCoordinator(SingletonRoleMixin):
-    """Invariant: a database is never written at two services. Its writes stop at the old one, everywhere, before the
-    new map is put in force. Every step is a compare-and-set on the state, and one that can't be done withdraws it.
+    """Advances the shard map's state in the register while this controller holds the lease.
+
+    Owns the local copy of that state, the time at which it was first seen, and measurements of the last change.
+
+    Invariant: a database is never written at two services. All proxies stop writing at the old service before the new
+    map is activated. Every step is a compare-and-set on the state; a step that can't complete withdraws the proposal.
     """
 
     def __init__(
@@ -73,10 +78,12 @@
         lease_us: int,
         in_flight_us: int = IN_FLIGHT_US,
     ) -> None:
-        """:param all_controllers_notified: whether every other control daemon knows a state, and has since named the
-            proxies that it sees; before that one of them may tell a proxy of an older state.
-        :param handover: None where nothing copies data; then no map is accepted.
-        :param lease_us: for how long a proxy's view of the register is current, in microseconds.
+        """:param census: gathers the votes of all proxies from all control daemons.
+        :param all_controllers_notified: whether every other control daemon has seen a state and has listed its
+            proxies since; until then one of them may still send a proxy an older state.
+        :param planned: the service of a database by the plan.
+        :param handover: None if this installation does not copy data; then no map is accepted.
+        :param lease_us: how long a proxy's view of the register stays current, in microseconds.
         :param in_flight_us: see `ShardState`.
         """
         self.ctx = ctx
@@ -90,11 +97,11 @@
         self.in_flight_us = in_flight_us
         self.lease = Lease(ctx=ctx, register=register, name=SHARD_MAP_LEASE, seekers=lambda: CONTROL_DAEMONS)
         self.state = ShardState()
-        # when the state was seen first, or the role was gained
+        # when the state was first seen, or the lease was acquired, whichever is later
         self.since_us = 0
-        # why this daemon withdrew the last change; empty where it withdrew none
+        # why this daemon withdrew the last change; empty if it withdrew none
         self.reason = ""
-        # of the last change that this daemon brought in; None and 0 where it brought in none
+        # durations of the last change that this daemon activated; None and 0 if there was none
         self.closing_us: int | None = None
         self.handover_us = 0
         view.changes.subscribe(self._changed)
@@ -110,19 +117,19 @@
     # -- operators --
 
     async def propose(self, *, wanted: ShardMap) -> Result[None, CinderstairError]:
-        """Proposes a map that has been checked.
+        """Proposes a validated map.
 
-        :returns: routeDenied where nothing copies data, else the errors of `shard_transitions.proposed`.
+        :returns: routeDenied without a handover, otherwise the errors of `shard_transitions.proposed`.
         """
         if self.handover is None:
-            reason = "nothing here brings a database's data to another place"
+            reason = "no handover is set up here to copy a database's data to another service"
             return Error(CinderstairError(code=ErrorCode.ROUTE_DENIED, reason=reason))
         return await self._transition(
             decide=lambda state: proposed(state=state, wanted=wanted, in_flight_us=self.in_flight_us)
         )
 
     async def abandon(self, *, version: int) -> Result[None, CinderstairError]:
-        """Gives a change up before the new map is in force; the errors are those of `shard_transitions.abandoned`."""
+        """Abandons a change before its map is active; the errors are those of `shard_transitions.abandoned`."""
         result = await self._transition(decide=lambda state: abandoned(state=state, version=version))
         if result.is_ok():
             self.ctx.counters.add(name="shards.abandoned")
@@ -133,7 +140,7 @@
     ) -> Result[None, CinderstairError]:
         def decide_bytes(data: bytes) -> Result[bytes, CinderstairError]:
             state = read_shard_state(data=data)
-            # A state that stays is written with the very bytes that were read.
+            # An unchanged state is written back byte for byte.
             return decide(state).map(lambda new: data if new is state else new.bytes())
 
         result = await self.register.change(key=SHARDS_KEY, decide=decide_bytes)
@@ -141,7 +148,7 @@
         return Error(result.error) if result.is_error() else Ok(None)
 
     async def progress(self) -> ShardProgress:
-        """Where a change stands, and how the participants vote."""
+        """The phase of the current change and the participants' votes."""
         state = self.state
         proxies, participants = await self.census(), self._participants()
         shard_votes = self._votes(proxies=proxies)
@@ -153,7 +160,7 @@
         )
 
     async def forecast(self) -> ShardForecast:
-        """How long the next change will keep writes waiting."""
+        """An estimate of how long the next change will delay writes."""
         progress = await self.progress()
         expiry_us = self._expiry_us(in_flight_us=self.in_flight_us)
         return forecast(
@@ -168,12 +175,12 @@
     # -- the role --
 
     def on_role_gained(self) -> None:
-        """Forgets what only the holder before could rely on; see `SingletonRoleMixin`."""
-        # What went by before is not known to this holder, so it waits anew.
+        """Discards state of an earlier term as lease holder; see `SingletonRoleMixin`."""
+        # This holder can't know how long the state has been in force, so all waits start again.
         self.since_us = self.ctx.now_us()
 
     async def _on_timer(self) -> None:
-        # While one map is in force and no other proposed there is nothing to do, and nobody need hold the lease.
+        # Without a proposal there is nothing to do, so the lease is released.
         if self.state.phase == ShardPhase.steady:
             if self.lease.held:
                 await self.lease.drop()
@@ -183,7 +190,7 @@
             return
         state = self.state
         proxies = await self.census()
-        # A step rests on one state alone, and another holder's step may have come in meanwhile.
+        # The votes were gathered for `state`; another holder may have changed it during the poll.
         if state != self.state:
             return
         if state.phase == ShardPhase.proposed:
@@ -192,7 +199,7 @@
             await self._put_in_force(state=state, proxies=proxies)
 
     async def _compare_and_set(self, *, old: ShardState, new: ShardState) -> bool:
-        """Replaces the state that a step was decided on, while the lease is held; whether that is written."""
+        """Replaces `old` by `new` while the lease is held; whether `new` is written."""
         if not self.lease.held:
             return False
         result = await compare_and_set(
@@ -201,11 +208,11 @@
             key=SHARDS_KEY,
             unchanged=lambda current: read_shard_state(data=current) in (old, new),
             new=new.bytes(),
-            conflict="the shard map changed meanwhile",
+            conflict="the shard map's state was changed concurrently",
         )
         if result.is_ok():
             self.ctx.log.info(
-                "the shard map's change is %s: map %d is in force, map %d is to follow (0: none)",
+                "shard map: phase %s, active map %d, proposed map %d (0: none)",
                 new.phase.name,
                 new.current.version,
                 new.following.version,
@@ -216,31 +223,31 @@
 
     @property
     def expiry_us(self) -> int:
-        """After so long nothing that was sent under an older state takes effect any more, whoever sent it."""
+        """Time after a change until no request sent under an earlier state can take effect, in microseconds."""
         return self._expiry_us(in_flight_us=self.state.in_flight_us)
 
     def _expiry_us(self, *, in_flight_us: int) -> int:
-        # The view's lease, a tenth for clocks that run apart, the proxy's giving up, and what is still under way to
-        # a backend.
+        # The view's lease, a tenth of it for clock drift, the proxy's reply timeout, and writes in flight to a
+        # backend.
         return self.lease_us + self.lease_us // 10 + GIVE_UP_US + in_flight_us
 
     def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
         return ShardVotes(proxies=proxies, proposal=self.state.proposal, now_us=self.ctx.now_us())
 
     def _participants(self) -> set[str]:
-        """The names of the proxies that have an id."""
+        """The names of the proxies that have an id, and so a vote."""
         found = self.view.known.get(PROXY_IDS_KEY)
         return {name for _, name in read_proxy_ids(data=b"" if found is None else found.value).names}
 
     # -- steps --
 
     async def _count_agreement(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
-        """From proposed to closing, once enough participants agree."""
+        """Moves from proposed to closing once enough participants agree; withdraws after `PROPOSED_MOST_US`."""
         participants = self._participants()
         agreeing = self._votes(proxies=proxies).with_vote(vote=Vote.agrees) & participants
         waited_us = self.ctx.now_us() - self.since_us
         if participants and 100 * len(agreeing) >= state.following.agree_percent * len(participants):
-            # A proxy that has not been notified by then may no longer commit what it had begun.
+            # After this grace a proxy that missed the proposal can't commit transactions that it began before.
             if waited_us >= UNNOTIFIED_GRACE_US:
                 closing = replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_CLOSING_US)
                 await self._compare_and_set(old=state, new=closing)
@@ -248,7 +255,10 @@
             await self._withdraw(state=state, reason=f"{len(agreeing)} of {len(participants)} proxies agree")
 
     async def _put_in_force(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
-        """From closing to steady under the new map, once nobody writes at the old places any more."""
+        """Activates the new map once no proxy writes at the old services and the data is complete.
+
+        Withdraws the change if the data is still incomplete `HANDOVER_MOST_US` after the last possible write.
+        """
         began_us = self.since_us
         waited_us = self.ctx.now_us() - began_us
         if not self._all_closed(state=state, proxies=proxies) and waited_us < self.expiry_us:
@@ -263,12 +273,12 @@
                 self.ctx.counters.add(name="shards.moved")
                 self.ctx.counters.gauge(name="shards.closing_us", value=self.closing_us)
         elif waited_us > self.expiry_us + HANDOVER_MOST_US:
-            await self._withdraw(state=state, reason="the new place does not hold everything")
+            await self._withdraw(state=state, reason="the new service does not have all data of the moving databases")
 
     def _all_closed(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> bool:
-        """Whether every proxy has acknowledged that it writes at the old places no more.
+        """Whether every proxy has acknowledged that it stopped writing at the old services.
 
-        A proxy that is silent, participant or not, has lost its right to write when its view has expired.
+        Proxies that do not answer are covered by `expiry_us`: they can't write once their view has expired.
         """
         votes = self._votes(proxies=proxies)
         closed = votes.with_vote(vote=Vote.closed)
@@ -276,9 +286,9 @@
         return self.all_controllers_notified(state) and not open_proxies and self._participants() <= closed
 
     async def _handover_complete(self, *, state: ShardState) -> bool:
-        """Whether every database that moves has all its data at its new service."""
+        """Whether every moving database has all its data at its new service."""
         if self.handover is None:
-            raise RuntimeError("a shard map is closing, and this daemon has no handover to ask")
+            raise RuntimeError("shard map in phase closing, but no handover is configured on this controller")
         old, new = state.current, state.following
         for database in sorted(set(old.placements) | set(new.placements)):
             if not state.moving(database=database):
@@ -291,10 +301,10 @@
         return True
 
     async def _withdraw(self, *, state: ShardState, reason: str) -> None:
-        """Back to steady under the old map."""
+        """Withdraws the proposal; the old map stays active."""
         self.reason = reason
         self.ctx.log.warning(
-            "the change to shard map %d is withdrawn, since %s; map %d stays in force",
+            "shard map %d was withdrawn: %s; map %d stays active",
             state.following.version,
             reason,
             state.current.version,
--- a/src/cinderstair/failover/shard_progress.py
+++ b/src/cinderstair/failover/shard_progress.py
@@ -1,4 +1,4 @@
-"""Where a change of the shard map stands."""
+"""Progress of a change of the shard map."""
 
 from dataclasses import dataclass, field
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardProgress:
-    """A snapshot for operators.
+    """A snapshot of the state and the votes, shown to operators.
 
-    :param participants: how many proxies have an id, and so a vote.
-    :param silent: how many of the participants were not heard lately.
-    :param votes: how many participants cast each vote on the present proposal.
+    :param participants: the number of proxies with an id, which have a vote.
+    :param silent: the number of participants without a recent contact; see `shard_votes`.
+    :param votes: the number of participants that cast each vote on the current proposal.
     """
 
     state: ShardState
@@ -20,7 +20,7 @@
     votes: dict[Vote, int] = field(default_factory=dict)
 
     def summary(self) -> str:
-        """The progress as operators read it."""
+        """The progress as a line of text for operators."""
         state = self.state
         if state.phase == ShardPhase.steady:
             withdrawn = f"; the last one was withdrawn: {state.reason}" if state.reason else ""
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -1,4 +1,4 @@
-"""The register's state of the shard map: the map in force, and the one that is to follow it."""
+"""The register's state of the shard map: the active map and the proposed one."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -8,21 +8,21 @@
 from ..runtime.unpacker import Unpacker
 
 SHARDS_KEY = "shards"
-# A proxy that is out of touch may still commit what it has begun within this time, in microseconds; so a proposal
-# stands for at least as long before its databases close.
+# Minimum duration of the proposed phase, in microseconds: a proxy that has not seen the proposal may still commit
+# open transactions for this long.
 UNNOTIFIED_GRACE_US = 2_000_000
-# A proxy that must stop gives up what is not answered within this time, in microseconds; whoever waits for a proxy
-# adds it.
+# Timeout of a proxy's unanswered statements once it must stop writing, in microseconds; added to every wait for
+# proxies.
 GIVE_UP_US = 500_000
-# The usual value of `ShardState.under_way_us`.
+# Default of `ShardState.in_flight_us`, in microseconds.
 IN_FLIGHT_US = 3_000_000
 
 
 class ShardPhase(IntEnum):
-    """The phases of a change. The names appear in operators' texts.
+    """The phases of a change. The names appear in texts for operators.
 
-    steady: one map is in force. proposed: a next one is put to the proxies' vote. closing: the databases that move
-    take no writes anywhere.
+    steady: one map is active and none proposed. proposed: proxies vote on a map. closing: the moving databases
+    accept no writes at any service.
     """
 
     steady = 0
@@ -31,7 +31,7 @@
 
 
 class Vote(IntEnum):
-    """What a proxy says of the next map. The names appear in operators' texts."""
+    """A proxy's vote on the proposed map. The names appear in texts for operators."""
 
     silent = 0
     agrees = 1
@@ -43,13 +43,13 @@
 class ShardState:
     """The value of the register's key for shard maps.
 
-    :param current: the map in force; the empty one where none was ever put in force.
-    :param following: the map that is to follow; the empty one while steady.
-    :param ready_in_us: an estimate of how long the closing phase takes, for clients; 0 in other phases.
-    :param proposal: counts the proposals. A vote is about one of them, since a withdrawn map may be proposed again.
-    :param in_flight_us: for how long a write that has left may still take effect after its connection was lost. It is
-        part of the state, so that all reckon with the same figure.
-    :param reason: what became of the last proposal, where it was withdrawn; else empty.
+    :param current: the active map; the empty map if none was ever activated.
+    :param following: the proposed map; the empty map in phase steady.
+    :param ready_in_us: estimated duration of the closing phase, sent to clients; 0 in other phases.
+    :param proposal: number of the proposal. Votes refer to it, since a withdrawn map may be proposed again.
+    :param in_flight_us: how long a sent write may still take effect after its connection was lost. Part of the state,
+        so that all daemons use the same value.
+    :param reason: why the last proposal was withdrawn; empty if it was not.
     """
 
     phase: ShardPhase = ShardPhase.steady
@@ -61,13 +61,13 @@
     reason: str = ""
 
     def moving(self, *, database: str) -> bool:
-        """Whether the two maps place a database at different services. One that neither has stays where it is."""
+        """Whether the maps place a database at different services; False if neither map names it."""
         if self.phase == ShardPhase.steady:
             return False
         return self.current.placements.get(database) != self.following.placements.get(database)
 
     def bytes(self) -> bytes:
-        """The state as it is kept in the register."""
+        """The encoded state, as stored in the register."""
         packer = Packer().u8(value=self.phase)
         self.current.write(packer=packer)
         self.following.write(packer=packer)
@@ -76,7 +76,7 @@
 
 
 def read_shard_state(*, data: bytes) -> ShardState:
-    """Reads what `ShardState.bytes` wrote; no bytes at all are the empty map. Raises ValueError on other bytes."""
+    """Decodes the output of `ShardState.bytes`; empty input is the empty map. Raises ValueError if malformed."""
     if not data:
         return ShardState()
     unpacker = Unpacker(data=data)
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -1,6 +1,6 @@
-"""What operators may do to the shard map's state: propose a next map, and abandon one.
+"""Operators' transitions of the shard map's state: propose a map, and abandon a proposal.
 
-Both are functions of the state alone, so that they hold for whatever state the register has when it is written.
+Both are pure functions of the state, so they are evaluated on the register's value at the time of the write.
 """
 
 from dataclasses import replace
@@ -15,14 +15,14 @@
 
 
 def proposed(*, state: ShardState, wanted: ShardMap, in_flight_us: int) -> Result[ShardState, CinderstairError]:
-    """The state in which `wanted` is proposed. The same map may be proposed again, after an unclear answer.
+    """The state in which `wanted` is proposed. Idempotent, so a proposal with unknown outcome may be repeated.
 
-    :returns: versionTaken where another change is under way, versionOld where as new a map is in force.
+    :returns: versionTaken if another change is in progress, versionOld if the active map is as new or newer.
     """
     if state.phase != ShardPhase.steady and state.following != wanted:
         return Error(_under_way(state=state))
     if wanted.version <= state.current.version and wanted != state.current:
-        reason = f"version {state.current.version} stands"
+        reason = f"shard map {state.current.version} is active; propose a higher version"
         return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
     if wanted in (state.current, state.following):
         return Ok(state)
@@ -38,9 +38,9 @@
 
 
 def abandoned(*, state: ShardState, version: int) -> Result[ShardState, CinderstairError]:
-    """The state without the proposed map of this version. It may be abandoned again, after an unclear answer.
+    """The state without the proposed map of this version. Idempotent, so it may be repeated after an unknown outcome.
 
-    :returns: versionOld where no change is under way, versionTaken where it is one to another version.
+    :returns: versionOld if no change is in progress, versionTaken if the change in progress has another version.
     """
     if state.phase != ShardPhase.steady:
         if state.following.version != version:
@@ -48,10 +48,10 @@
         return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, reason=ABANDONED))
     if state.reason == ABANDONED and state.current.version < version:
         return Ok(state)
-    reason = f"map {state.current.version} stands, no other is coming"
+    reason = f"shard map {state.current.version} is active, and no change is in progress"
     return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
 
 
 def _under_way(*, state: ShardState) -> CinderstairError:
-    reason = f"version {state.following.version} is on its way"
+    reason = f"a change to shard map {state.following.version} is in progress"
     return CinderstairError(code=ErrorCode.VERSION_TAKEN, reason=reason)
--- a/src/cinderstair/failover/shard_votes.py
+++ b/src/cinderstair/failover/shard_votes.py
@@ -1,16 +1,16 @@
-"""Counts what proxies say of the next shard map."""
+"""Counts the proxies' votes on a proposed shard map."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
 from .shard_state import Vote
 
-# A proxy that was not seen for this long is silent, and its last vote counts no more, in microseconds.
-SEEN_LATELY_US = 3_000_000
+# Maximum age of a vote, in microseconds; a proxy not seen for longer is silent.
+VOTE_MAX_AGE_US = 3_000_000
 
 
 class ProxyVote(Protocol):
-    """A proxy's vote, as any control daemon has seen it."""
+    """A proxy's vote, as last received by any control daemon."""
 
     @property
     def at_us(self) -> int:
@@ -19,12 +19,12 @@
 
     @property
     def proposal(self) -> int:
-        """The proposal that the vote is about."""
+        """The number of the proposal that the vote refers to."""
         ...
 
     @property
     def vote(self) -> Vote:
-        """What the proxy said."""
+        """The vote itself."""
         ...
 
 
@@ -33,14 +33,14 @@
 
 
 class ShardVotes:
-    """The votes at one time on one proposal.
+    """The votes on one proposal at one point in time.
 
-    Invariant: a vote counts only where it was seen lately and is about exactly this proposal.
+    Invariant: a vote counts only if it is not older than the maximum age and refers to exactly this proposal.
     """
 
     def __init__(self, *, proxies: dict[str, ProxyVote], proposal: int, now_us: int) -> None:
         self.proposal = proposal
-        self.seen = {name: vote for name, vote in proxies.items() if now_us - vote.at_us < SEEN_LATELY_US}
+        self.seen = {name: vote for name, vote in proxies.items() if now_us - vote.at_us < VOTE_MAX_AGE_US}
 
     def with_vote(self, *, vote: Vote) -> set[str]:
         """The names of the proxies that cast this vote."""
--- a/src/cinderstair/failover/window_scheduler.py
+++ b/src/cinderstair/failover/window_scheduler.py
@@ -1,4 +1,4 @@
-"""Turns booked maintenance windows into stages in the register, by the calendar clock of one machine."""
+"""Opens and ends maintenance windows by writing their stages into the register at their scheduled times."""
 
 from expression import Error, Ok, Result
 
@@ -15,7 +15,10 @@
 
 
 class WindowScheduler(SingletonRoleMixin):
-    """Invariant: HTTP proxies act on the stages in the register and never on their own clocks, so that all agree."""
+    """Advances the stages by the wall clock of the lease holder.
+
+    Invariant: HTTP proxies act on the stages in the register and never on their own clocks, so that all agree.
+    """
 
     def __init__(self, *, ctx: Context, register: Register, view: View) -> None:
         self.ctx = ctx
@@ -36,11 +39,15 @@
             return
 
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
-            # Another holder's clock may have turned a window meanwhile; then its stages stand.
-            turned = read_window_states(data=data).advanced(windows=configuration.windows, wall_us=wall_us)
-            if turned.bytes() == data:
-                return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="turned already"))
-            return Ok(turned.bytes())
+            # Another holder may have advanced the stages in the meantime; stages never go back.
+            advanced = read_window_states(data=data).advanced(windows=configuration.windows, wall_us=wall_us)
+            if advanced.bytes() == data:
+                return Error(
+                    CinderstairError(
+                        code=ErrorCode.VERSION_TAKEN, reason="the stages of the windows are already up to date"
+                    )
+                )
+            return Ok(advanced.bytes())
 
         result = await self.register.change(key=WINDOWS_KEY, decide=decide)
         self.view.take_own(key=WINDOWS_KEY, result=result)
