--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -196,7 +196,7 @@
         if state.phase == ShardPhase.proposed:
             await self._count_agreement(state=state, proxies=proxies)
         elif state.phase == ShardPhase.closing:
-            await self._put_in_force(state=state, proxies=proxies)
+            await self._activate(state=state, proxies=proxies)
 
     async def _compare_and_set(self, *, old: ShardState, new: ShardState) -> bool:
         """Replaces `old` by `new` while the lease is held; whether `new` is written."""
@@ -254,7 +254,7 @@
         elif waited_us > PROPOSED_MOST_US:
             await self._withdraw(state=state, reason=f"{len(agreeing)} of {len(participants)} proxies agree")
 
-    async def _put_in_force(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
+    async def _activate(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
         """Activates the new map once no proxy writes at the old services and the data is complete.
 
         Withdraws the change if the data is still incomplete `HANDOVER_MOST_US` after the last possible write.
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -31,7 +31,7 @@
             await self._compare_and_set(old=state, new=type(state)(current=state.following, proposal=state.proposal))
 
     return [
-        patch.object(ShardMapCoordinator, "_put_in_force", move),
+        patch.object(ShardMapCoordinator, "_activate", move),
         patch.object(Shards, "fault", lambda self, *, database: None),
         patch.object(Shards, "may_end", lambda self, *, database, since_us: True),
     ]
