--- a/features/steps/maintenance_steps.py
+++ b/features/steps/maintenance_steps.py
@@ -1,4 +1,4 @@
-"""Steps for windows and what-if questions."""
+"""Steps for maintenance windows and scenario forecasts."""
 
 import json
 import subprocess
@@ -25,7 +25,7 @@
     context.states = WindowStates()
 
 
-@when("its times become {starts:d} to {ends:d}")
+@when("its times are changed to {starts:d} to {ends:d}")
 def when_times(context: Any, starts: int, ends: int) -> None:
     context.window = Window(name="w", starts_us=starts, ends_us=ends, drained=context.window.drained)
 
@@ -35,7 +35,7 @@
     context.stages = []
     for time in times.split():
         advanced = context.states.advanced(windows=(context.window,), wall_us=int(time))
-        # The next scheduler reads back what this one wrote.
+        # The next scheduler starts from the stored states.
         context.states = read_window_states(data=advanced.bytes())
         context.stages.append(context.states.stage(window=context.window).name)
 
@@ -117,7 +117,7 @@
             assert backend["channels"] + backend["headroom"] == backend["cap"]
 
 
-@then("simulating it again prints the same")
+@then("a second run prints the same output")
 def then_same(context: Any) -> None:
     assert simulate(scenario=EXAMPLES / "scenario.json").stdout == context.result.stdout
 
@@ -129,7 +129,7 @@
 
 
 @then("as many channels are opened as closed")
-def then_even(context: Any) -> None:
+def then_opened_as_many(context: Any) -> None:
     moves = context.answer["moves"]
     assert moves["openedInAll"] == moves["closedInAll"] > 0, moves
 
@@ -139,7 +139,7 @@
     context.results = [simulate(scenario=EXAMPLES / "scenario.json", words=("--rehearse",)) for _ in range(2)]
 
 
-@then("both say that ledger-a or ledger-b stays in sync, that no session was lost, and the same figures")
+@then("both runs report that ledger-a or ledger-b stays in sync, no lost session, and equal figures")
 def then_rehearsed(context: Any) -> None:
     first, second = (json.loads(result.stdout)["rehearsal"] for result in context.results)
     assert first == second, (first, second)
@@ -147,6 +147,6 @@
     assert any(f"ledger-{c} stays" in text for c in "ab" for text in first["heldBack"]), first
 
 
-@then('it exits with {code:d} and says "{words}"')
-def then_says(context: Any, code: int, words: str) -> None:
+@then('it exits with status {code:d} and prints the error "{words}"')
+def then_exits(context: Any, code: int, words: str) -> None:
     assert context.result.returncode == code and words in context.result.stderr, context.result
--- a/src/cinderstair/maintenance/__init__.py
+++ b/src/cinderstair/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Maintenance windows, and what-if answers about them."""
+"""Maintenance windows, and forecasts of their effects."""
--- a/src/cinderstair/maintenance/connection_layout.py
+++ b/src/cinderstair/maintenance/connection_layout.py
@@ -1,4 +1,4 @@
-"""How HTTP proxies would spread their connections over backends, by the daemons' own functions."""
+"""Computes how HTTP proxies distribute their connections over backends, with the functions that the daemons use."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -8,14 +8,14 @@
 
 
 class ConnectionKey(NamedTuple):
-    """An HTTP proxy and a backend."""
+    """Identifies the connections of an HTTP proxy to a backend."""
 
     http_proxy: str
     backend: str
 
 
 class SubsetKey(NamedTuple):
-    """An HTTP proxy and a database."""
+    """Identifies the subset of an HTTP proxy for a database."""
 
     http_proxy: str
     database: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConnectionLayout:
-    """How many connections each HTTP proxy has to each backend, and its subset of each database's backends."""
+    """The number of connections from each HTTP proxy to each backend, and its subset of each database's backends."""
 
     connections: dict[ConnectionKey, int]
     subsets: dict[SubsetKey, tuple[str, ...]]
@@ -58,11 +58,11 @@
     unfit: frozenset[str],
     held: dict[str, tuple[str, ...]],
 ) -> ConnectionLayout:
-    """The layout as each HTTP proxy would compute its own part.
+    """Computes the layout from the parts that each HTTP proxy computes for itself.
 
-    :param http_proxies: names by id; an empty name is an id that nobody uses
-    :param unfit: backends that subsets leave out
-    :param held: backends by database to which every HTTP proxy connects: the primary and the replicas in sync
+    :param http_proxies: names by id; an empty name is an unused id
+    :param unfit: backends that are left out of subsets
+    :param held: backends by database to which every HTTP proxy connects: the primary and the in-sync replicas
     """
     connections: dict[ConnectionKey, int] = {}
     subsets: dict[SubsetKey, tuple[str, ...]] = {}
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LayoutChange:
-    """What differs between two layouts: connections by backend, and entries that are new in subsets."""
+    """The difference between two layouts: connections by backend, and the number of entries added to subsets."""
 
     opened: dict[str, int]
     closed: dict[str, int]
@@ -108,7 +108,7 @@
 
 
 def layout_change(*, before: ConnectionLayout, after: ConnectionLayout) -> LayoutChange:
-    """What is opened and closed on the way from one layout to another."""
+    """The connections to open and close to get from one layout to another."""
     opened: dict[str, int] = {}
     closed: dict[str, int] = {}
     for key in sorted({*before.connections, *after.connections}):
--- a/src/cinderstair/maintenance/drain_targets.py
+++ b/src/cinderstair/maintenance/drain_targets.py
@@ -1,4 +1,6 @@
-"""What open windows select to be drained. A pure function of the configuration, so it is the same on every daemon."""
+"""Determines which backends and HTTP proxies open windows drain.
+
+The result is a pure function of the configuration and the stages, so all daemons compute the same one."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,15 +19,15 @@
     http_proxies: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def reason(self, *, name: str) -> str:
-        """Why a backend or HTTP proxy must be drained, for people; empty where it needn't be."""
+        """Why a backend or HTTP proxy must be drained, as text for operators; empty if it need not be."""
         windows = self.backends.get(name) or self.http_proxies.get(name) or ()
         return f"window {', '.join(windows)}" if windows else ""
 
 
 def drain_targets(*, configuration: Configuration | None, states: WindowStates) -> DrainTargets:
-    """Overlapping windows add up: whatever any open window selects must be drained.
+    """Everything that at least one open window selects must be drained.
 
-    :param configuration: None where none is known yet; nothing is drained then
+    :param configuration: None if none has been received yet; nothing is drained then
     """
     if configuration is None:
         return DrainTargets()
@@ -38,7 +40,7 @@
 
 
 def _selected(*, windows: list[Window], labels_by_name: Mapping[str, Labels]) -> dict[str, tuple[str, ...]]:
-    """The windows that select each name; names that none selects are left out."""
+    """The names of the windows that select each name; names without a window are omitted."""
     selected: dict[str, tuple[str, ...]] = {}
     for name, labels in labels_by_name.items():
         names = tuple(window.name for window in windows if window.drained.matches(labels=labels))
--- a/src/cinderstair/maintenance/scenario.py
+++ b/src/cinderstair/maintenance/scenario.py
@@ -1,4 +1,4 @@
-"""A what-if scenario: which HTTP proxies run, what is lost or joins, and which windows are open."""
+"""Scenarios of the simulate command: running HTTP proxies, failures, additions and open windows."""
 
 import json
 from dataclasses import dataclass, field
@@ -12,15 +12,15 @@
 from ..runtime.settings import NAME
 
 
-class LeadSchema(Schema):
-    """The primary of one database and the replicas in sync with it."""
+class PrimarySchema(Schema):
+    """The primary and the in-sync replicas of one database."""
 
     primary = fields.String(required=True, validate=NAME)
     inSync = fields.List(fields.String(validate=NAME), load_default=list)
 
 
 class ScenarioSchema(Schema):
-    """The document's shape; what the configuration must know of it is checked after."""
+    """The schema of the document; references into the configuration are checked afterwards."""
 
     stalls = fields.List(
         fields.String(validate=NAME),
@@ -30,20 +30,20 @@
     joins = fields.List(fields.String(validate=NAME), load_default=list)
     lost = fields.List(fields.String(validate=NAME), load_default=list)
     windows = fields.List(fields.String(validate=NAME), load_default=list)
-    leads = fields.Dict(keys=fields.String(), values=fields.Nested(LeadSchema), load_default=dict)
+    leads = fields.Dict(keys=fields.String(), values=fields.Nested(PrimarySchema), load_default=dict)
     seed = fields.Integer(load_default=1, strict=True, validate=validate.Range(min=0, max=2**31))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """A scenario that fits a configuration.
+    """A scenario that is valid for a configuration.
 
-    :ivar http_proxies: names of HTTP proxies, by id
-    :ivar joins: HTTP proxies that are started
-    :ivar lost: HTTP proxies and backends that fail
+    :ivar http_proxies: names of the running HTTP proxies, by id
+    :ivar joins: names of HTTP proxies that are added
+    :ivar lost: names of HTTP proxies and backends that fail
     :ivar windows: names of the windows that are open
     :ivar primaries: the primary of each database
-    :ivar in_sync: the replicas in sync with it
+    :ivar in_sync: the in-sync replicas of each database
     """
 
     http_proxies: tuple[str, ...]
@@ -60,10 +60,10 @@
 
 
 def read_scenario(*, raw: bytes, configuration: Configuration) -> Result[Scenario, CinderstairError]:
-    """Reads and checks a scenario.
+    """Parses and validates a scenario.
 
     :param raw: the document, JSON in UTF-8
-    :returns: a scenario that fits the configuration, or MALFORMED with the first error and its place
+    :returns: the scenario, or MALFORMED with the first error and its JSON path or line
     """
     read = _read_document(raw=raw)
     if read.is_error():
@@ -108,10 +108,10 @@
 
 
 def _problem(*, document: dict[str, Any], configuration: Configuration) -> str:
-    """The first thing that doesn't fit the configuration, with its place; empty where everything fits."""
+    """The first conflict with the configuration, with its JSON path; empty if there is none."""
     return (
         _unknown_name(document=document, configuration=configuration)
-        or _wrong_backend(document=document, configuration=configuration)
+        or _foreign_backend(document=document, configuration=configuration)
         or _duplicate_proxy(document=document)
     )
 
@@ -129,21 +129,21 @@
     return ""
 
 
-def _wrong_backend(*, document: dict[str, Any], configuration: Configuration) -> str:
-    for database, lead in document["leads"].items():
-        for name in (lead["primary"], *lead["inSync"]):
+def _foreign_backend(*, document: dict[str, Any], configuration: Configuration) -> str:
+    for database, entry in document["leads"].items():
+        for name in (entry["primary"], *entry["inSync"]):
             if name not in configuration.databases[database]:
-                return f"/leads/{database}: '{name}' is no backend of it"
+                return f"/leads/{database}: '{name}' is not a backend of this database"
     return ""
 
 
 def _duplicate_proxy(*, document: dict[str, Any]) -> str:
     names = [*document["stalls"], *document["joins"]]
-    return "/stalls: a name stands twice" if len(set(names)) != len(names) else ""
+    return "/stalls: duplicate name" if len(set(names)) != len(names) else ""
 
 
 def _primaries(*, document: dict[str, Any], configuration: Configuration) -> dict[str, str]:
-    """The primary of each database; its first backend where the scenario names none."""
+    """The primary of each database; its first backend if the scenario names none."""
     return {
         database: document["leads"].get(database, {}).get("primary", backends[0])
         for database, backends in configuration.databases.items()
@@ -153,7 +153,7 @@
 def _in_sync(
     *, document: dict[str, Any], configuration: Configuration, primaries: dict[str, str]
 ) -> dict[str, tuple[str, ...]]:
-    """The replicas in sync of each database; as many as its policy asks for where the scenario names none."""
+    """The in-sync replicas of each database; the number that its policy requires if the scenario names none."""
     in_sync: dict[str, tuple[str, ...]] = {}
     for database, backends in configuration.databases.items():
         if database in document["leads"]:
--- a/src/cinderstair/maintenance/whatif.py
+++ b/src/cinderstair/maintenance/whatif.py
@@ -1,4 +1,4 @@
-"""Answers what-if questions by the same pure functions that the daemons run."""
+"""Computes the effects of a scenario, with the pure functions that the daemons use."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def open_states(*, configuration: Configuration, names: tuple[str, ...]) -> WindowStates:
-    """States in which the named windows are open, and all others booked."""
+    """States in which the named windows are open and all others booked."""
     return WindowStates(
         states=tuple(
             WindowState(name=window.name, starts_us=window.starts_us, ends_us=window.ends_us, stage=Stage.open)
@@ -22,7 +22,7 @@
 
 
 def what_if(*, configuration: Configuration, scenario: Scenario) -> dict[str, Any]:
-    """Before and after, what changes between them, and what each window can do.
+    """Computes the layout before and after a scenario, their difference, and a forecast for each database.
 
     :returns: the answer under the keys of the operators' interface
     """
@@ -35,7 +35,7 @@
         )
         for database in configuration.databases
     }
-    # A lost HTTP proxy keeps its id for a while, so the others keep theirs too; its name is left empty.
+    # The id of a lost HTTP proxy is freed only after a grace period, so it stays in use with an empty name.
     remaining = tuple("" if name in scenario.lost else name for name in scenario.http_proxies)
     http_proxies = (*remaining, *scenario.joins)
     proxies = proxy_forecast(scenario=scenario, targets=targets, http_proxies=http_proxies)
--- a/src/cinderstair/maintenance/window_forecast.py
+++ b/src/cinderstair/maintenance/window_forecast.py
@@ -1,4 +1,4 @@
-"""What open windows would do, database by database, and where they would be held back."""
+"""Forecasts of what open windows do to each database and to the HTTP proxies, and of what holds them back."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyForecast:
-    """Whether the HTTP proxies that windows select can be drained, and by which steps."""
+    """Whether the HTTP proxies that windows select can be drained, and the steps."""
 
     finishes: bool
     steps: tuple[str, ...]
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DatabaseForecast:
-    """Whether the backends that windows select can be drained, and who serves the database then."""
+    """Whether the backends that windows select can be drained, the steps, and the resulting primary and replicas."""
 
     finishes: bool
     steps: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Step:
-    """The outcome of one part of the forecast; an empty note says that nothing is to be done."""
+    """The outcome of one part of the forecast; an empty note means that nothing needs to be done."""
 
     names: tuple[str, ...]
     note: str = ""
@@ -56,29 +56,29 @@
 def database_forecast(
     *, configuration: Configuration, scenario: Scenario, targets: DrainTargets, lost: frozenset[str], database: str
 ) -> DatabaseForecast:
-    """What windows would do to one database.
+    """Forecasts the effect of windows on one database.
 
-    :param lost: backends that the scenario takes away
+    :param lost: backends that fail in the scenario
     """
     names = configuration.databases[database]
-    staying = tuple(name for name in names if name not in targets.backends and name not in lost)
-    lead = _next_primary(
+    remaining = tuple(name for name in names if name not in targets.backends and name not in lost)
+    primary_step = _next_primary(
         primary=scenario.primaries[database],
         in_sync=scenario.in_sync[database],
-        staying=staying,
+        remaining=remaining,
         leaving=frozenset(targets.backends),
         lost=lost,
     )
-    primary = lead.names[0]
+    primary = primary_step.names[0]
     limit = configuration.amount(name="inSync", database=database)
-    followers = _next_in_sync(
-        primary=primary, in_sync=scenario.in_sync[database], staying=staying, lost=lost, limit=limit
+    in_sync_step = _next_in_sync(
+        primary=primary, in_sync=scenario.in_sync[database], remaining=remaining, lost=lost, limit=limit
     )
     return DatabaseForecast(
-        finishes=lead.finishes and followers.finishes,
-        steps=tuple(note for note in (lead.note, followers.note) if note),
+        finishes=primary_step.finishes and in_sync_step.finishes,
+        steps=tuple(note for note in (primary_step.note, in_sync_step.note) if note),
         primary=primary,
-        in_sync=followers.names,
+        in_sync=in_sync_step.names,
     )
 
 
@@ -86,16 +86,16 @@
     *,
     primary: str,
     in_sync: tuple[str, ...],
-    staying: tuple[str, ...],
+    remaining: tuple[str, ...],
     leaving: frozenset[str],
     lost: frozenset[str],
 ) -> _Step:
     if primary not in leaving and primary not in lost:
         return _Step(names=(primary,))
-    able = [name for name in staying if name in in_sync]
-    joining = [name for name in staying if name not in in_sync]
-    if able:
-        return _Step(names=(able[0],), note=f"the lead moves from {primary} to one of {', '.join(able)}")
+    candidates = [name for name in remaining if name in in_sync]
+    joining = [name for name in remaining if name not in in_sync]
+    if candidates:
+        return _Step(names=(candidates[0],), note=f"the lead moves from {primary} to one of {', '.join(candidates)}")
     if joining and primary not in lost:
         note = f"{joining[0]} comes in sync first, then the lead moves to it from {primary}"
         return _Step(names=(joining[0],), note=note)
@@ -104,11 +104,11 @@
 
 
 def _next_in_sync(
-    *, primary: str, in_sync: tuple[str, ...], staying: tuple[str, ...], lost: frozenset[str], limit: int
+    *, primary: str, in_sync: tuple[str, ...], remaining: tuple[str, ...], lost: frozenset[str], limit: int
 ) -> _Step:
-    followers = tuple(name for name in staying if name != primary)[:limit]
-    if followers:
-        return _Step(names=followers)
+    replicas = tuple(name for name in remaining if name != primary)[:limit]
+    if replicas:
+        return _Step(names=replicas)
     kept = next((name for name in in_sync if name != primary and name not in lost), "")
     if kept:
         note = f"held back: {kept} stays in sync, since nobody outside can"
@@ -119,17 +119,17 @@
 def proxy_forecast(
     *, scenario: Scenario, targets: DrainTargets, http_proxies: tuple[str, ...]
 ) -> ProxyForecast | None:
-    """What windows would do to HTTP proxies; None where they select none.
+    """Forecasts the effect of windows on HTTP proxies; None if they select none.
 
     :param http_proxies: names by id, as for connection_layout
     """
     leaving = [name for name in http_proxies if name in targets.http_proxies]
     if not leaving:
         return None
-    staying = [
+    remaining = [
         name for name in http_proxies if name and name not in targets.http_proxies and name not in scenario.lost
     ]
-    if not staying:
+    if not remaining:
         return ProxyForecast(finishes=False, steps=("held back: no HTTP proxy stays",))
-    step = f"{', '.join(leaving)} hand their sessions to {', '.join(staying)}"
+    step = f"{', '.join(leaving)} hand their sessions to {', '.join(remaining)}"
     return ProxyForecast(finishes=True, steps=(step,))
--- a/src/cinderstair/maintenance/window_states.py
+++ b/src/cinderstair/maintenance/window_states.py
@@ -1,4 +1,4 @@
-"""Which windows are open, as the window scheduler writes it into the register."""
+"""The stages of maintenance windows, as the window scheduler stores them in the register."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -12,7 +12,7 @@
 
 
 class Stage(IntEnum):
-    """A window goes one way: booked, open, ended. The names are shown in JSON and the numbers are on disk."""
+    """The stage of a window, which only increases. The names appear in JSON, the numbers are stored on disk."""
 
     booked = 0
     open = 1
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True, order=True)
 class WindowState:
-    """The stage of one window; a window whose times were changed is another window."""
+    """The stage of one window; a window with changed times counts as a new window."""
 
     name: str
     starts_us: int
@@ -29,28 +29,28 @@
     stage: Stage
 
     def describes(self, *, window: Window) -> bool:
-        """Whether this is the state of a declared window."""
+        """Whether this is the state of a configured window, with the same name and times."""
         return (self.name, self.starts_us, self.ends_us) == (window.name, window.starts_us, window.ends_us)
 
     def write(self, *, packer: Packer) -> None:
-        """Appends it to a record."""
+        """Appends the encoded state to a record."""
         packer.text(value=self.name).u64(value=self.starts_us).u64(value=self.ends_us).u8(value=self.stage)
 
 
 @dataclass(frozen=True, kw_only=True)
 class WindowStates:
-    """The states of all windows that have been opened; any other window is booked."""
+    """The states of all windows that have opened; any other window is booked."""
 
     states: tuple[WindowState, ...] = ()
 
     def stage(self, *, window: Window) -> Stage:
-        """The stage of a declared window."""
+        """The stage of a configured window."""
         return next((state.stage for state in self.states if state.describes(window=window)), Stage.booked)
 
     def advanced(self, *, windows: tuple[Window, ...], wall_us: int) -> "WindowStates":
-        """The states at a calendar time, in microseconds since 1970.
+        """The states at a wall-clock time, in microseconds since the Unix epoch.
 
-        No stage goes back, so schedulers whose clocks differ can't make a window open and close in turns.
+        Stages never go back, so schedulers whose clocks differ can't open and close a window alternately.
         """
         states = []
         for window in windows:
@@ -62,14 +62,14 @@
         return WindowStates(states=tuple(sorted(states)))
 
     def _stage_at(self, *, window: Window, wall_us: int) -> Stage:
-        """The later one of the known stage and that of the calendar."""
+        """The later of the known stage and the stage by wall-clock time."""
         if window.ends_us <= wall_us:
             return Stage.ended
         by_calendar = Stage.open if window.starts_us <= wall_us else Stage.booked
         return max(self.stage(window=window), by_calendar)
 
     def bytes(self) -> bytes:
-        """The states as they are in the register."""
+        """The encoded states, as stored in the register."""
         return Packer().many(values=self.states, each=lambda p, state: state.write(packer=p)).bytes()
 
 
@@ -80,7 +80,7 @@
 
 
 def read_window_states(*, data: bytes) -> WindowStates:
-    """What WindowStates.bytes gave, or no states for no bytes; raises ValueError where the bytes are no states."""
+    """Decodes the output of `WindowStates.bytes`; empty input is no states. Raises ValueError on malformed input."""
     if not data:
         return WindowStates()
     unpacker = Unpacker(data=data)
