--- a/features/failover/service_failover.feature
+++ b/features/failover/service_failover.feature
@@ -1,372 +1,372 @@
 Feature: Failover of a service
 
-  Scenario: The first primary assigned is the one that leads by its own account
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    Then the assignment went "settled a 3"
-    And the platform was asked to promote "nobody"
-
-  Scenario: Nobody is promoted while all is well
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    When 20000 ms pass at the controllers
-    Then the assignment went "settled a 3"
-    And "b" was told "nothing"
-
-  Scenario: A planned switchover announces itself, has the primary step down, and waits until older views expire
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    When "a" announces that it is emptying
-    Then "b" leads and the assignment is settled within 4000 ms
-    And the assignment went "settled a 3, closing a 3, moving b 4, settled b 4"
-    And the platform was asked to promote "b under 1"
-    And between the end of the old assignment and the next settled one all older views have expired
+  Scenario: The first assignment is to the backend that reports itself primary
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    Then the assignments written were "settled a 3"
+    And the promotions requested were "none"
+
+  Scenario: No backend is promoted while the primary is healthy
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    When the controllers run for 20000 ms
+    Then the assignments written were "settled a 3"
+    And the requests to "b" were "none"
+
+  Scenario: A planned switchover is announced, demotes the primary, and waits for older views to expire
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    When "a" announces the state emptying
+    Then "b" is primary and the assignment is settled within 4000 ms
+    And the assignments written were "settled a 3, closing a 3, moving b 4, settled b 4"
+    And the promotions requested were "b with fence 1"
+    And all older views expired between the end of the old assignment and the next settled one
     And "a" stepped down at least 250 ms after the assignment was closing
-    And "b" was told "nothing"
+    And the requests to "b" were "none"
     And no acknowledged commit is lost
-    And nobody but one leads, and no replica is paused
+    And exactly one backend is primary, and no replica is paused
     And commits are acknowledged again
     And no controller has crashed
 
-  Scenario: A primary that crashed is replaced by the furthest replica
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And "b" is 40 behind
-    And the failover lease is held and the assignment settled
-    When what was acknowledged is noted
+  Scenario: A crashed primary is replaced by the replica with the longest log
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And "b" is 40 positions behind
+    And the failover lease is held and the assignment is settled
+    When the acknowledged position is recorded
     And "a" crashes
     And "a" is suspected
-    Then "c" leads and the assignment is settled within 4000 ms
-    And the assignment went "settled a 3, moving c 4, settled c 4"
-    And between the end of the old assignment and the next settled one all older views have expired
-    And the position that the lead was fenced at is at or past every acknowledged commit
+    Then "c" is primary and the assignment is settled within 4000 ms
+    And the assignments written were "settled a 3, moving c 4, settled c 4"
+    And all older views expired between the end of the old assignment and the next settled one
+    And the fence position is at or after every acknowledged commit
     And no acknowledged commit is lost
-    And "b" was told "pause 4, resume"
-    And nobody but one leads, and no replica is paused
+    And the requests to "b" were "pause 4, resume"
+    And exactly one backend is primary, and no replica is paused
     And commits are acknowledged again
 
-  Scenario: A primary that nobody suspects is noticed by its missing heartbeats
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: A crashed primary without a suspicion is replaced because of missing heartbeats
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When "a" crashes
-    Then "b" leads and the assignment is settled within 7000 ms
+    Then "b" is primary and the assignment is settled within 7000 ms
     And no acknowledged commit is lost
 
-  Scenario Outline: A suspicion alone replaces no primary
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario Outline: A suspected primary that accepts connections and sends heartbeats is not replaced
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     And "a" is <reach> to the controllers
     When "a" is suspected
-    And 2000 ms pass at the controllers
-    Then the assignment went "settled a 3"
-    And "b" was told "nothing"
+    And the controllers run for 2000 ms
+    Then the assignments written were "settled a 3"
+    And the requests to "b" were "none"
 
-    Examples: it takes connections, and its heartbeats come
+    Examples: it accepts connections, and its heartbeats arrive
       | reach     |
       | reachable |
       | silent    |
 
-  Scenario Outline: Whether a primary is gone is judged by what most controllers see
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    And of <asked> other controllers <reached> reach it
+  Scenario Outline: A primary is replaced only if a majority of the controllers can't reach it
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    And <reached> of <asked> other controllers reach the backend
     And "a" is unreachable to the controllers
     When "a" is suspected
-    And 3000 ms pass at the controllers
+    And the controllers run for 3000 ms
     Then the assignment is settled on "<primary>"
-    And the platform was asked to promote "<promoted>"
+    And the promotions requested were "<promoted>"
 
     Examples:
-      | asked | reached | primary | promoted  |
-      | 2     | 2       | a       | nobody    |
-      | 4     | 3       | a       | nobody    |
-      | 1     | 1       | a       | nobody    |
-      | 2     | 1       | b       | b under 1 |
-      | 2     | 0       | b       | b under 1 |
-      | 0     | 0       | b       | b under 1 |
-
-  Scenario Outline: With too few replicas paused nobody is promoted
-    Given a service with <confirmations> confirmations, where "a" leads and "b, c, d" are replicas
+      | asked | reached | primary | promoted       |
+      | 2     | 2       | a       | none           |
+      | 4     | 3       | a       | none           |
+      | 1     | 1       | a       | none           |
+      | 2     | 1       | b       | b with fence 1 |
+      | 2     | 0       | b       | b with fence 1 |
+      | 0     | 0       | b       | b with fence 1 |
+
+  Scenario Outline: No backend is promoted if too few replicas can be paused
+    Given a service with primary "a", replicas "b, c, d" and <confirmations> required confirmations
     And "b" can't be paused
-    And the failover lease is held and the assignment settled
+    And the failover lease is held and the assignment is settled
     When "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the controllers
-    Then the platform was asked to promote "<promoted>"
+    And the controllers run for 3000 ms
+    Then the promotions requested were "<promoted>"
     And no acknowledged commit is lost
 
-    Examples: of 3 replicas, each acknowledged commit is at as many as confirm
-      | confirmations | promoted  |
-      | 1             | nobody    |
-      | 2             | c under 1 |
+    Examples: each acknowledged commit is at as many of the 3 replicas as confirm
+      | confirmations | promoted       |
+      | 1             | none           |
+      | 2             | c with fence 1 |
 
-  Scenario: Replicas that were paused in vain are resumed, after a write that shuts the failover out
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
+  Scenario: Replicas paused for an aborted failover are resumed once a write has confirmed the assignment
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
     And "b" can't be paused
-    And the failover lease is held and the assignment settled
+    And the failover lease is held and the assignment is settled
     When "a" is unreachable to the controllers
     And "a" is suspected
     And the replicas are paused
     And "a" is reachable to the controllers
-    And 2000 ms pass at the controllers
-    Then the platform was asked to promote "nobody"
+    And the controllers run for 2000 ms
+    Then the promotions requested were "none"
     And the assignment is settled on "a"
-    And each replica that was paused was resumed, and only after a write that confirms the assignment
-    And nobody but one leads, and no replica is paused
+    And each paused replica was resumed, after the assignment was confirmed by a write
+    And exactly one backend is primary, and no replica is paused
     And commits are acknowledged again
 
-  Scenario: A replica that can't be resumed at once is resumed as soon as it can
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
+  Scenario: A replica that does not answer is resumed after an aborted failover once it answers
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
     And "b" can't be paused
-    And the failover lease is held and the assignment settled
+    And the failover lease is held and the assignment is settled
     When "a" is unreachable to the controllers
     And "a" is suspected
     And the replicas are paused
     And "c" is silent to the controllers
     And "a" is reachable to the controllers
-    And 4000 ms pass at the controllers
+    And the controllers run for 4000 ms
     And "c" is reachable to the controllers
-    And 4000 ms pass at the controllers
+    And the controllers run for 4000 ms
     Then the assignment is settled on "a"
-    And nobody but one leads, and no replica is paused
+    And exactly one backend is primary, and no replica is paused
 
-  Scenario: A replica that can't be resumed at the end of a failover is resumed as soon as it can
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: A replica that does not answer at the end of a failover is resumed once it answers
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When "a" crashes
     And "a" is suspected
     And the assignment is moving
     And "c" is silent to the controllers
-    Then "b" leads and the assignment is settled within 4000 ms
-    When 2000 ms pass at the controllers
+    Then "b" is primary and the assignment is settled within 4000 ms
+    When the controllers run for 2000 ms
     And "c" is reachable to the controllers
-    And 4000 ms pass at the controllers
-    Then nobody but one leads, and no replica is paused
+    And the controllers run for 4000 ms
+    Then exactly one backend is primary, and no replica is paused
 
-  Scenario: A primary that is leaving serves on while no replica is near
-    Given a service with 1 confirmations, where "a" leads and "b" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: A draining primary keeps serving while no replica is available
+    Given a service with primary "a", replicas "b" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When "b" crashes
-    And "a" announces that it is emptying
-    And 3000 ms pass at the controllers
-    Then the assignment went "settled a 3"
-    And "a" was told "nothing"
-    When "b" comes back
-    Then "b" leads and the assignment is settled within 4000 ms
+    And "a" announces the state emptying
+    And the controllers run for 3000 ms
+    Then the assignments written were "settled a 3"
+    And the requests to "a" were "none"
+    When "b" is restarted
+    Then "b" is primary and the assignment is settled within 4000 ms
     And no acknowledged commit is lost
 
-  Scenario: A replica is promoted once it has all that the primary had when it stepped down
-    Given a service with 0 confirmations, where "a" leads and "b, c" are replicas
-    And "b" is 20 behind, and has all 200 ms after the primary stepped down
-    And "c" is 10 behind
-    And the failover lease is held and the assignment settled
-    When "a" announces that it is emptying
-    Then "b" leads and the assignment is settled within 4000 ms
-    And the platform was asked to promote "b under 1"
+  Scenario: A replica is promoted once it has caught up with the primary that stepped down
+    Given a service with primary "a", replicas "b, c" and 0 required confirmations
+    And "b" is 20 positions behind, and catches up 200 ms after the primary stepped down
+    And "c" is 10 positions behind
+    And the failover lease is held and the assignment is settled
+    When "a" announces the state emptying
+    Then "b" is primary and the assignment is settled within 4000 ms
+    And the promotions requested were "b with fence 1"
     And no acknowledged commit is lost
     And commits are acknowledged again
 
-  Scenario: Where no replica comes to have all, the primary that stepped down leads again
-    Given a service with 0 confirmations, where "a" leads and "b, c" are replicas
-    And "b" is 20 behind
-    And "c" is 10 behind
-    And the failover lease is held and the assignment settled
-    When "a" announces that it is emptying
+  Scenario: The primary that stepped down is promoted again if no replica catches up
+    Given a service with primary "a", replicas "b, c" and 0 required confirmations
+    And "b" is 20 positions behind
+    And "c" is 10 positions behind
+    And the failover lease is held and the assignment is settled
+    When "a" announces the state emptying
     And the assignment is closing
-    Then "a" leads and the assignment is settled within 4000 ms
+    Then "a" is primary and the assignment is settled within 4000 ms
     And no acknowledged commit is lost
 
-  Scenario: A primary that does not step down serves on, and nobody is promoted beside it
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
+  Scenario: A primary that does not step down keeps serving, and no other backend is promoted
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
     And "a" does not step down
-    And the failover lease is held and the assignment settled
-    When "a" announces that it is emptying
+    And the failover lease is held and the assignment is settled
+    When "a" announces the state emptying
     And the assignment is closing
-    Then "a" leads and the assignment is settled within 1000 ms
-    And the platform was asked to promote "nobody"
+    Then "a" is primary and the assignment is settled within 1000 ms
+    And the promotions requested were "none"
     And commits are acknowledged again
 
-  Scenario: A replica that is silent holds up no switchover that another can serve
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: An unresponsive replica does not delay a switchover to another replica
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     And "b" is silent to the controllers
-    When "a" announces that it is emptying
-    Then "c" leads and the assignment is settled within 2500 ms
+    When "a" announces the state emptying
+    Then "c" is primary and the assignment is settled within 2500 ms
     And no acknowledged commit is lost
 
-  Scenario: While the last replica is not there nobody is promoted
-    Given a service with 1 confirmations, where "a" leads and "b" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: No backend is promoted while the last replica is down
+    Given a service with primary "a", replicas "b" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When "b" crashes
-    And 1000 ms pass at the controllers
+    And the controllers run for 1000 ms
     And "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the controllers
-    Then the platform was asked to promote "nobody"
-    When "a" comes back
-    And 3000 ms pass at the controllers
+    And the controllers run for 3000 ms
+    Then the promotions requested were "none"
+    When "a" is restarted
+    And the controllers run for 3000 ms
     Then the assignment is settled on "a"
 
-  Scenario: A successor that is not running is replaced by another that holds everything
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
+  Scenario: A successor that is not running is replaced by a replica with all acknowledged commits
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
     And the platform says that "b" is not running
-    And the failover lease is held and the assignment settled
+    And the failover lease is held and the assignment is settled
     When "a" crashes
     And "a" is suspected
-    Then "c" leads and the assignment is settled within 5000 ms
-    And the platform was asked to promote "b under 1, c under 1"
+    Then "c" is primary and the assignment is settled within 5000 ms
+    And the promotions requested were "b with fence 1, c with fence 1"
     And no acknowledged commit is lost
 
-  Scenario: A successor that is not running is not replaced by another that holds less
-    Given a service with 2 confirmations, where "a" leads and "b, c, d" are replicas
-    And "b" is 40 behind
+  Scenario: A successor that is not running is not replaced by a replica that lacks commits
+    Given a service with primary "a", replicas "b, c, d" and 2 required confirmations
+    And "b" is 40 positions behind
     And "c" can't be paused
-    And the failover lease is held and the assignment settled
+    And the failover lease is held and the assignment is settled
     And "c" crashes
     And the platform says that "d" is not running
     When "a" crashes
     And "a" is suspected
-    And 4000 ms pass at the controllers
+    And the controllers run for 4000 ms
     Then the assignment is moving on "d"
     And no acknowledged commit is lost
-    When "c" comes back
-    Then "c" leads and the assignment is settled within 4000 ms
+    When "c" is restarted
+    Then "c" is primary and the assignment is settled within 4000 ms
     And no acknowledged commit is lost
 
-  Scenario: A successor that does not come to lead is given up after a while
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And "b" never comes to lead
-    And the failover lease is held and the assignment settled
+  Scenario: A successor that does not become primary is replaced after a timeout
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And "b" never becomes primary
+    And the failover lease is held and the assignment is settled
     When "a" crashes
     And "a" is suspected
-    Then "c" leads and the assignment is settled within 9000 ms
+    Then "c" is primary and the assignment is settled within 9000 ms
     And no acknowledged commit is lost
 
-  Scenario: An old primary that comes back in the middle of a failover steps down
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: An old primary that restarts during a failover steps down
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When "a" crashes
     And "a" is suspected
     And the replicas are paused
-    And "a" comes back
-    Then "b" leads and the assignment is settled within 4000 ms
+    And "a" is restarted
+    Then "b" is primary and the assignment is settled within 4000 ms
     And no acknowledged commit is lost
-    And nobody but one leads, and no replica is paused
+    And exactly one backend is primary, and no replica is paused
 
-  Scenario Outline: A holder that dies in the middle has its failover ended by the next
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    And another controller seeks the failover lease
+  Scenario Outline: The next lease holder completes the failover of a killed one
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    And another controller competes for the failover lease
     When "a" crashes
     And "a" is suspected
-    And the holder of the failover lease dies <moment>
-    Then "b" leads and the assignment is settled within 9000 ms
+    And the holder of the failover lease is killed <moment>
+    Then "b" is primary and the assignment is settled within 9000 ms
     And no acknowledged commit is lost
     And commits are acknowledged again
-    And nobody but one leads, and no replica is paused
+    And exactly one backend is primary, and no replica is paused
     And no controller has crashed
 
     Examples:
-      | moment                           |
-      | when the replicas are paused       |
-      | when the assignment is moving              |
-      | when the platform has been asked |
-      | when another leads               |
-
-  Scenario Outline: A holder that dies in the middle of a switchover has it ended by the next
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    And another controller seeks the failover lease
-    When "a" announces that it is emptying
-    And the holder of the failover lease dies <moment>
-    Then "b" leads and the assignment is settled within 9000 ms
+      | moment                                      |
+      | when the replicas are paused                |
+      | when the assignment is moving               |
+      | when the platform has been asked to promote |
+      | when another backend is primary             |
+
+  Scenario Outline: The next lease holder completes the switchover of a killed one
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    And another controller competes for the failover lease
+    When "a" announces the state emptying
+    And the holder of the failover lease is killed <moment>
+    Then "b" is primary and the assignment is settled within 9000 ms
     And no acknowledged commit is lost
     And commits are acknowledged again
-    And nobody but one leads, and no replica is paused
+    And exactly one backend is primary, and no replica is paused
     And no controller has crashed
 
     Examples:
-      | moment                                |
-      | when the assignment is closing                  |
-      | when the old primary has stepped down |
-      | when the assignment is moving                   |
-      | when the platform has been asked      |
-
-  Scenario: A holder that dies with replicas paused, and a primary that is well after all
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    And another controller seeks the failover lease
+      | moment                                      |
+      | when the assignment is closing              |
+      | when the old primary has stepped down       |
+      | when the assignment is moving               |
+      | when the platform has been asked to promote |
+
+  Scenario: The next lease holder resumes replicas that a killed one paused under a healthy primary
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    And another controller competes for the failover lease
     When "a" is unreachable to the controllers
     And "a" is suspected
-    And the holder of the failover lease dies when the replicas are paused
+    And the holder of the failover lease is killed when the replicas are paused
     And "a" is reachable to the controllers
-    And 6000 ms pass at the controllers
+    And the controllers run for 6000 ms
     Then the assignment is settled on "a"
-    And each replica that was paused was resumed, and only after a write that confirms the assignment
-    And nobody but one leads, and no replica is paused
+    And each paused replica was resumed, after the assignment was confirmed by a write
+    And exactly one backend is primary, and no replica is paused
     And commits are acknowledged again
 
-  Scenario: Two holders never call under the same fence
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    And another controller seeks the failover lease
+  Scenario: Each lease holder uses a new, higher fence number
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    And another controller competes for the failover lease
     When "a" crashes
     And "a" is suspected
-    And the holder of the failover lease dies when the platform has been asked
-    Then "b" leads and the assignment is settled within 9000 ms
-    And no two holders ever called under the same fence, and the fences rose
-
-  Scenario: A holder writes over nothing but what it saw
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    When "a" announces that it is emptying
+    And the holder of the failover lease is killed when the platform has been asked to promote
+    Then "b" is primary and the assignment is settled within 9000 ms
+    And the two holders used different fence numbers, in ascending order
+
+  Scenario: A lease holder does not overwrite a concurrent change of the assignment
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    When "a" announces the state emptying
     And the assignment is closing
-    And another holder has meanwhile written that "c" leads in term 9
-    Then that assignment stands for 1500 ms
+    And another holder has written "c" as primary of term 9
+    Then that assignment is unchanged for 1500 ms
 
-  Scenario: A holder that is cut off from the register promotes nobody
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
+  Scenario: A lease holder that is cut off from the register promotes no backend
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
     When the holder of the failover lease is cut off from the register
     And "a" crashes
     And "a" is suspected
-    And 8000 ms pass at the controllers
-    Then the platform was asked to promote "nobody"
-    And the assignment went "settled a 3"
-
-  Scenario: A replica that left with its log keeps one that lacks commits from being promoted
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And "c" is 40 behind
-    And the failover lease is held and the assignment settled
-    When "b" deregisters, and ends
-    And what was acknowledged is noted
+    And the controllers run for 8000 ms
+    Then the promotions requested were "none"
+    And the assignments written were "settled a 3"
+
+  Scenario: A replica that lacks commits of a deregistered replica is not promoted
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And "c" is 40 positions behind
+    And the failover lease is held and the assignment is settled
+    When "b" deregisters, and exits
+    And the acknowledged position is recorded
     And "a" crashes
     And "a" is suspected
-    And 3000 ms pass at the controllers
-    Then the platform was asked to promote "nobody"
-    When "a" comes back
-    Then "a" leads and the assignment is settled within 2000 ms
+    And the controllers run for 3000 ms
+    Then the promotions requested were "none"
+    When "a" is restarted
+    Then "a" is primary and the assignment is settled within 2000 ms
     And no acknowledged commit is lost
     And no controller has crashed
 
-  Scenario: A replica that left holds nobody back once another one holds all that it may have confirmed
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    When "b" deregisters, and ends
-    And 1000 ms pass at the controllers
-    And what was acknowledged is noted
+  Scenario: A deregistered replica does not block failover once another one has all commits that it may have confirmed
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    When "b" deregisters, and exits
+    And the controllers run for 1000 ms
+    And the acknowledged position is recorded
     And "a" crashes
     And "a" is suspected
-    Then "c" leads and the assignment is settled within 4000 ms
-    And the assignment went "settled a 3, moving c 4, settled c 4"
+    Then "c" is primary and the assignment is settled within 4000 ms
+    And the assignments written were "settled a 3, moving c 4, settled c 4"
     And no acknowledged commit is lost
 
-  Scenario Outline: An unreachable replica that left is settled where <reached> of <asked> others reach it: <word>
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And of <asked> other controllers <reached> reach it
-    And the failover lease is held and the assignment settled
-    When "b" deregisters, and ends
+  Scenario Outline: The deregistration of an unreachable replica, reached by <reached> of <asked> others, is settled: <word>
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And <reached> of <asked> other controllers reach the backend
+    And the failover lease is held and the assignment is settled
+    When "b" deregisters, and exits
     And "b" is unreachable to the controllers
-    And 2000 ms pass at the controllers
+    And the controllers run for 2000 ms
     Then the deregistration of "b" is settled: <word>
 
     Examples:
@@ -376,33 +376,33 @@
       | 2     | 1       | no   |
       | 0     | 0       | no   |
 
-  Scenario: A replica that deregistered and still confirms is fenced with the others
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And "c" is 40 behind
-    And the failover lease is held and the assignment settled
-    When "b" deregisters, and serves on
-    And 1000 ms pass at the controllers
-    And what was acknowledged is noted
+  Scenario: A deregistered replica that still confirms commits is fenced with the others
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And "c" is 40 positions behind
+    And the failover lease is held and the assignment is settled
+    When "b" deregisters, and keeps serving
+    And the controllers run for 1000 ms
+    And the acknowledged position is recorded
     And "a" is unreachable to the controllers
     And "a" is suspected
-    And 4000 ms pass at the controllers
-    Then "b" was told "pause 4"
+    And the controllers run for 4000 ms
+    Then the requests to "b" were "pause 4"
     And no acknowledged commit is lost
 
-  Scenario: A primary that deregisters first and serves on steps down before another one leads
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And the failover lease is held and the assignment settled
-    When "a" deregisters, and serves on
-    Then "b" leads and the assignment is settled within 4000 ms
-    And the assignment went "settled a 3, closing a 3, moving b 4, settled b 4"
+  Scenario: A primary that keeps serving after its deregistration steps down before another one is promoted
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And the failover lease is held and the assignment is settled
+    When "a" deregisters, and keeps serving
+    Then "b" is primary and the assignment is settled within 4000 ms
+    And the assignments written were "settled a 3, closing a 3, moving b 4, settled b 4"
     And "a" stepped down at least 250 ms after the assignment was closing
     And no acknowledged commit is lost
 
-  Scenario: A new holder acts only on what was read since it holds the lease
-    Given a service with 1 confirmations, where "a" leads and "b, c" are replicas
-    And another controller seeks the failover lease
-    And the failover lease is held and the assignment settled
-    When the other one takes the failover lease, and reads nothing any more
-    Then it holds the failover lease, takes what it knows for current, and writes nothing
-    When the other one reads again
-    Then it takes a fence number, and confirms the assignment
+  Scenario: A new lease holder acts only on a view that was read after it acquired the lease
+    Given a service with primary "a", replicas "b, c" and 1 required confirmations
+    And another controller competes for the failover lease
+    And the failover lease is held and the assignment is settled
+    When the second controller acquires the failover lease, and its reads of the register fail
+    Then it holds the failover lease, its view counts as current, and it writes nothing
+    When the reads of the second controller succeed again
+    Then it allocates a fence number, and then confirms the assignment
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -193,7 +193,7 @@
     assert sorted(found) == [("a", 7_000, 0, Vote.silent), ("b", 0, 4, Vote.agrees)], found
 
 
-@then("the position that the lead was fenced at is at or past every acknowledged commit")
+@then("the fence position is at or after every acknowledged commit")
 def then_fence_past(context: Any) -> None:
     moving = [
         read_service_primary(data=value)
@@ -205,6 +205,6 @@
     assert before is not None and moving[0].fence >= before, (shown(at=moving[0].fence), context.acknowledged)
 
 
-@when("what was acknowledged is noted")
+@when("the acknowledged position is recorded")
 def when_noted(context: Any) -> None:
     context.acknowledged = shown(at=context.cluster.acknowledged)
--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the failover of a service."""
+"""Steps for service failover: a simulated cluster of backends, controllers and their register."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 from cinderstair.runtime.position import Position
 
 
-@given('a service with {confirmations:d} confirmations, where "{primary}" leads and "{replicas}" are replicas')
+@given('a service with primary "{primary}", replicas "{replicas}" and {confirmations:d} required confirmations')
 def given_service(context: Any, confirmations: int, primary: str, replicas: str) -> None:
     new_stage(context=context)
     names = (primary, *replicas.split(", "))
@@ -32,8 +32,8 @@
     new_controller(context=context).start_failover(cluster=context.cluster)
 
 
-@given("the failover lease is held and the assignment settled")
-@when("the failover lease is held and the assignment settled")
+@given("the failover lease is held and the assignment is settled")
+@when("the failover lease is held and the assignment is settled")
 def given_settled_assignment(context: Any) -> None:
     wait_for(context=context, test=lambda: assignment_of(context=context) is not None, within_us=5_000_000)
     assignment = assignment_of(context=context)
@@ -70,14 +70,14 @@
     context.crashed_us = context.stage.now_us
 
 
-@when('"{name}" comes back')
+@when('"{name}" is restarted')
 def when_back(context: Any, name: str) -> None:
     backend = context.cluster.backends[name]
     backend.up = True
     context.cluster.send_heartbeat(backend=backend)
 
 
-@when('"{name}" announces that it is emptying')
+@when('"{name}" announces the state emptying')
 def when_emptying(context: Any, name: str) -> None:
     backend = context.cluster.backends[name]
     backend.standing = EMPTYING
@@ -85,12 +85,12 @@
     context.began_us = context.stage.now_us
 
 
-@when("the other one takes the failover lease, and reads nothing any more")
+@when("the second controller acquires the failover lease, and its reads of the register fail")
 def when_reads_nothing(context: Any) -> None:
     first, second = context.controller_stages
 
     async def missed() -> Any:
-        return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="its questions are lost"))
+        return Error(CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="the read was lost"))
 
     context.read = second.register.vector
     second.register.vector = missed
@@ -101,20 +101,20 @@
     context.stage.advance(for_us=50_000)
 
 
-@then("it holds the failover lease, takes what it knows for current, and writes nothing")
+@then("it holds the failover lease, its view counts as current, and it writes nothing")
 def then_writes_nothing(context: Any) -> None:
     second = context.controller_stages[1]
     assert second.service_failover.lease.held and second.view.current
     assert len(context.store.writes) == context.written, context.store.writes[context.written :]
 
 
-@when("the other one reads again")
+@when("the reads of the second controller succeed again")
 def when_reads_again(context: Any) -> None:
     context.controller_stages[1].register.vector = context.read
     context.stage.advance(for_us=1_500_000)
 
 
-@then("it takes a fence number, and confirms the assignment")
+@then("it allocates a fence number, and then confirms the assignment")
 def then_confirms(context: Any) -> None:
     keys = [key for _, key, _ in context.store.writes[context.written :]]
     assert keys[:2] == ["promotion.fence", "service/s"], keys
@@ -126,7 +126,7 @@
     backend.standing = GONE
     context.stage.call(call=lambda: context.cluster.send_heartbeat(backend=backend))
     backend.heartbeats = False
-    backend.up = ends != "ends"
+    backend.up = ends != "exits"
 
 
 @then('the deregistration of "{name}" is settled: {words}')
@@ -163,17 +163,17 @@
 
 
 @when('"{name}" sends no more heartbeats')
-def when_heartbeats_no_more(context: Any, name: str) -> None:
+def when_heartbeats_stop(context: Any, name: str) -> None:
     context.cluster.backends[name].heartbeats = False
 
 
-@given('"{name}" is {behind:d} behind')
+@given('"{name}" is {behind:d} positions behind')
 def given_behind(context: Any, name: str, behind: int) -> None:
     backend = context.cluster.backends[name]
     backend.paused, backend.at = True, Position(backend.at.term, backend.at.number - behind)
 
 
-@given('"{name}" is {behind:d} behind, and has all {wait_ms:d} ms after the primary stepped down')
+@given('"{name}" is {behind:d} positions behind, and catches up {wait_ms:d} ms after the primary stepped down')
 def given_follows(context: Any, name: str, behind: int, wait_ms: int) -> None:
     given_behind(context=context, name=name, behind=behind)
     context.cluster.backends[name].follows_us = wait_ms * 1_000
@@ -189,23 +189,23 @@
     context.cluster.refuses.add(name)
 
 
-@given('"{name}" never comes to lead')
+@given('"{name}" never becomes primary')
 def given_never(context: Any, name: str) -> None:
     context.cluster.backends[name].promotable = False
 
 
-@given("of {requested:d} other controllers {reached:d} reach it")
+@given("{reached:d} of {requested:d} other controllers reach the backend")
 def given_votes(context: Any, requested: int, reached: int) -> None:
     for controller in context.controller_stages:
         controller.votes = ReachabilityVotes(reachable=reached, answered=requested)
 
 
-@when("{wait_ms:d} ms pass at the controllers")
+@when("the controllers run for {wait_ms:d} ms")
 def when_controllers_pass(context: Any, wait_ms: int) -> None:
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@then('"{name}" leads and the assignment is settled within {most_ms:d} ms')
+@then('"{name}" is primary and the assignment is settled within {most_ms:d} ms')
 def then_settled_on(context: Any, name: str, most_ms: int) -> None:
     def settled() -> bool:
         assignment = assignment_of(context=context)
@@ -216,15 +216,15 @@
     context.stage.advance(for_us=1_200_000)
 
 
-@then('the assignment went "{words}"')
+@then('the assignments written were "{words}"')
 def then_assignment_went(context: Any, words: str) -> None:
     found = ", ".join(states_written(context=context))
     assert found == words, found
 
 
-@then('the platform was asked to promote "{words}"')
+@then('the promotions requested were "{words}"')
 def then_promoted(context: Any, words: str) -> None:
-    found = ", ".join(f"{name} under {fence}" for _, name, fence in context.cluster.calls) or "nobody"
+    found = ", ".join(f"{name} with fence {fence}" for _, name, fence in context.cluster.calls) or "none"
     assert found == words, found
 
 
@@ -240,14 +240,14 @@
     assert context.cluster.acknowledged > before
 
 
-@then("nobody but one leads, and no replica is paused")
-def then_one_leads(context: Any) -> None:
+@then("exactly one backend is primary, and no replica is paused")
+def then_one_primary(context: Any) -> None:
     up = [each for each in context.cluster.backends.values() if each.up]
     assert sum(each.is_primary for each in up) == 1, [(each.name, each.is_primary) for each in up]
     assert not any(each.paused for each in up), [each.name for each in up if each.paused]
 
 
-@then("between the end of the old assignment and the next settled one all older views have expired")
+@then("all older views expired between the end of the old assignment and the next settled one")
 def then_older_views_expired(context: Any) -> None:
     assignments = [
         (at_us, read_service_primary(data=value)) for at_us, key, value in context.store.writes if "/" in key
@@ -274,7 +274,7 @@
     wait_for(context=context, test=lambda: any(each.paused for each in replicas), within_us=10_000_000)
 
 
-@then("each replica that was paused was resumed, and only after a write that confirms the assignment")
+@then("each paused replica was resumed, after the assignment was confirmed by a write")
 def then_resumed(context: Any) -> None:
     writes = states_written(context=context)
     assert len(writes) >= 2 and writes[-1].split()[1:] == writes[0].split()[1:], writes
@@ -283,9 +283,9 @@
             assert each.log[-1] == "resume", (each.name, each.log)
 
 
-@then('"{name}" was told "{words}"')
-def then_reported(context: Any, name: str, words: str) -> None:
-    found = ", ".join(context.cluster.backends[name].log) or "nothing"
+@then('the requests to "{name}" were "{words}"')
+def then_requests(context: Any, name: str, words: str) -> None:
+    found = ", ".join(context.cluster.backends[name].log) or "none"
     assert found == words, found
 
 
@@ -295,14 +295,14 @@
     assert assignment is not None and (assignment.state.name, assignment.primary) == (state, name), assignment
 
 
-@given("another controller seeks the failover lease")
+@given("another controller competes for the failover lease")
 def given_another(context: Any) -> None:
     new_controller(context=context).start_failover(cluster=context.cluster)
     for backend in context.cluster.backends.values():
         context.stage.call(call=lambda backend=backend: context.cluster.send_heartbeat(backend=backend))
 
 
-@when('another holder has meanwhile written that "{name}" leads in term {term:d}')
+@when('another holder has written "{name}" as primary of term {term:d}')
 def when_written(context: Any, name: str, term: int) -> None:
     assignment = ServicePrimary(term=term, primary=name, state=PrimaryState.settled)
     put(context=context, key=service_primary_key(service="s"), value=assignment.bytes())
@@ -331,14 +331,14 @@
     wait_for(context=context, test=moving, within_us=2_000_000)
 
 
-@then("that assignment stands for {wait_ms:d} ms")
+@then("that assignment is unchanged for {wait_ms:d} ms")
 def then_stands(context: Any, wait_ms: int) -> None:
     for _ in range(wait_ms // 10):
         assert assignment_of(context=context) == context.written, assignment_of(context=context)
         context.stage.advance(for_us=10_000)
 
 
-@when("the holder of the failover lease dies {moment}")
+@when("the holder of the failover lease is killed {moment}")
 def when_holder_dies(context: Any, moment: str) -> None:
     def moving() -> bool:
         assignment = assignment_of(context=context)
@@ -358,14 +358,14 @@
         ),
         "when the replicas are paused": paused,
         "when the assignment is moving": moving,
-        "when the platform has been asked": lambda: bool(context.cluster.calls),
-        "when another leads": lambda: any(
+        "when the platform has been asked to promote": lambda: bool(context.cluster.calls),
+        "when another backend is primary": lambda: any(
             each.is_primary and each.term > 3 for each in context.cluster.backends.values()
         ),
     }
     test = tests[moment]
 
-    # Every turn of the loop is looked at, since what happens between two writes is shorter than a step.
+    # Polls on every iteration of the loop, since the interval between two writes is shorter than a step.
     async def watch() -> None:
         for _ in range(60_000):
             if test():
@@ -384,7 +384,7 @@
     holder.register.cut = True
 
 
-@then("no two holders ever called under the same fence, and the fences rose")
+@then("the two holders used different fence numbers, in ascending order")
 def then_fences(context: Any) -> None:
     fences = [fence for _, _, fence in context.cluster.calls]
     assert fences == sorted(fences) and len(set(fences)) == 2, fences
