--- a/src/cinderstair/failover/database_promotion.py
+++ b/src/cinderstair/failover/database_promotion.py
@@ -113,7 +113,7 @@
         They are in sync: nothing is acknowledged before the assignment is settled, and from then on every commit
         waits for them.
         """
-        failover, most = self.failover, configuration.amount(name="inSync", database=database)
+        failover, max_in_sync = self.failover, configuration.amount(name="inSync", database=database)
         declared = configuration.databases.get(database, ())
         replicas = tuple(name for name in declared if name != assignment.primary)
         until_us = failover.ctx.now_us() + FOLLOW_TIMEOUT_US
@@ -125,8 +125,8 @@
                 if position.term == assignment.term and position.received >= start
             ]
             following.sort(key=lambda name: failover.in_maintenance(name=name))
-            if following[:most] or failover.ctx.now_us() > until_us:
-                return tuple(following[:most])
+            if following[:max_in_sync] or failover.ctx.now_us() > until_us:
+                return tuple(following[:max_in_sync])
             await failover.ctx.sleep(duration_us=FOLLOW_POLL_US)
 
     async def _assign_another(
--- a/src/cinderstair/failover/in_sync_tracker.py
+++ b/src/cinderstair/failover/in_sync_tracker.py
@@ -59,13 +59,15 @@
         threshold = self._lag_threshold(
             database=database, term=assignment.term, received=primary.received, now_us=now_us
         )
-        following = _caught_up(positions=positions, term=assignment.term, threshold=threshold)
+        keeping_up = _caught_up(positions=positions, term=assignment.term, threshold=threshold)
         self._update_healthy_since(names=names, now_us=now_us)
-        changed = self._without_lagging(database=database, assignment=assignment, following=following, now_us=now_us)
+        changed = self._without_lagging(
+            database=database, assignment=assignment, keeping_up=keeping_up, now_us=now_us
+        )
         if changed is None:
-            most = configuration.amount(name="inSync", database=database)
+            max_in_sync = configuration.amount(name="inSync", database=database)
             changed = await self._with_joining(
-                database=database, assignment=assignment, names=names, following=following, most=most
+                database=database, assignment=assignment, names=names, keeping_up=keeping_up, max_in_sync=max_in_sync
             )
         if changed is not None:
             await failover.assignments.compare_and_set(database=database, old=assignment, new=changed)
@@ -101,12 +103,12 @@
     # -- removal --
 
     def _without_lagging(
-        self, *, database: str, assignment: DatabasePrimary, following: set[str], now_us: int
+        self, *, database: str, assignment: DatabasePrimary, keeping_up: set[str], now_us: int
     ) -> DatabasePrimary | None:
         """The assignment without replicas that lag or must be drained; None if it is unchanged."""
-        lagging = self._lagging(names=assignment.confirmers, following=following, now_us=now_us)
+        lagging = self._lagging(names=assignment.confirmers, keeping_up=keeping_up, now_us=now_us)
         in_sync = tuple(name for name in assignment.in_sync if name not in lagging)
-        in_sync = self._without_maintenance(database=database, in_sync=in_sync, following=following)
+        in_sync = self._without_maintenance(database=database, in_sync=in_sync, keeping_up=keeping_up)
         if assignment.in_sync and not in_sync:
             in_sync = assignment.in_sync[:1]
         joining = tuple(name for name in assignment.joining if name not in lagging)
@@ -114,10 +116,10 @@
             return None
         return replace(assignment, in_sync=in_sync, joining=joining)
 
-    def _lagging(self, *, names: tuple[str, ...], following: set[str], now_us: int) -> set[str]:
+    def _lagging(self, *, names: tuple[str, ...], keeping_up: set[str], now_us: int) -> set[str]:
         """The replicas to remove: lagging ones that are unhealthy at once, others after `LAG_US` of lagging."""
         for name in names:
-            if name in following:
+            if name in keeping_up:
                 self.lagging_since_us.pop(name, None)
             else:
                 self.lagging_since_us.setdefault(name, now_us)
@@ -127,16 +129,16 @@
         return lagging | {name for name in names if name in since_us and name not in healthy}
 
     def _without_maintenance(
-        self, *, database: str, in_sync: tuple[str, ...], following: set[str]
+        self, *, database: str, in_sync: tuple[str, ...], keeping_up: set[str]
     ) -> tuple[str, ...]:
         """Removes replicas in maintenance once another one is in sync; until then keeps one of them."""
         failover = self.failover
         self.drain_blockers.pop(database, None)
-        if any(name in following for name in failover.staying(names=in_sync)):
+        if any(name in keeping_up for name in failover.staying(names=in_sync)):
             return tuple(name for name in in_sync if not failover.in_maintenance(name=name))
         if not any(failover.in_maintenance(name=name) for name in in_sync):
             return in_sync
-        kept = min(in_sync, key=lambda name: name not in following)
+        kept = min(in_sync, key=lambda name: name not in keeping_up)
         self.drain_blockers[database] = f"window holds back: no replica outside it is in sync, so {kept} stays"
         return (kept,)
 
@@ -148,31 +150,33 @@
         database: str,
         assignment: DatabasePrimary,
         names: tuple[str, ...],
-        following: set[str],
-        most: int,
+        keeping_up: set[str],
+        max_in_sync: int,
     ) -> DatabasePrimary | None:
         """The assignment after the next step of joining replicas; None if there is none."""
         assignments = self.failover.assignments
         if not assignment.joining:
-            return self._start_joining(assignment=assignment, names=names, following=following, most=most)
+            return self._start_joining(
+                assignment=assignment, names=names, keeping_up=keeping_up, max_in_sync=max_in_sync
+            )
         # Commits wait for the joining replicas only once all older views have expired.
         if assignments.age_us(database=database) > assignments.view_expiry_us:
             return await self._finish_joining(assignment=assignment)
         return None
 
     def _start_joining(
-        self, *, assignment: DatabasePrimary, names: tuple[str, ...], following: set[str], most: int
+        self, *, assignment: DatabasePrimary, names: tuple[str, ...], keeping_up: set[str], max_in_sync: int
     ) -> DatabasePrimary | None:
         failover = self.failover
         known = (assignment.primary, *assignment.confirmers)
-        candidates = tuple(name for name in names if name in following and name not in known)
+        candidates = tuple(name for name in names if name in keeping_up and name not in known)
         healthy_by_us = failover.ctx.now_us() - failover.view.lease_us - CHANNELS_OPEN_US
         eligible = tuple(
             name
             for name in failover.staying(names=candidates)
             if name in self.healthy_since_us and self.healthy_since_us[name] <= healthy_by_us
         )
-        free_slots = most - sum(not failover.in_maintenance(name=name) for name in assignment.in_sync)
+        free_slots = max_in_sync - sum(not failover.in_maintenance(name=name) for name in assignment.in_sync)
         return replace(assignment, joining=eligible[:free_slots]) if eligible and free_slots > 0 else None
 
     async def _finish_joining(self, *, assignment: DatabasePrimary) -> DatabasePrimary | None:
--- a/src/cinderstair/failover/replica_fencing.py
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -15,7 +15,7 @@
 RESUME_RETRY_US = 700_000
 # A new lease holder rewrites every assignment. The number of concurrent rewrites is limited so that updates of
 # views are not delayed by all of them together.
-CONFIRMED_AT_ONCE = 8
+MAX_CONCURRENT_CONFIRMATIONS = 8
 
 
 class ReplicaFencing:
@@ -86,7 +86,7 @@
 
     def confirmation_due(self, *, service: str) -> bool:
         """Whether the service's assignment must be confirmed now."""
-        return service in self.fenced and self.confirming < CONFIRMED_AT_ONCE
+        return service in self.fenced and self.confirming < MAX_CONCURRENT_CONFIRMATIONS
 
     async def confirm(self, *, service: str, assignment: ServicePrimary) -> None:
         """Rewrites an unchanged assignment, so that no incomplete write of an earlier holder can take effect."""
--- a/src/cinderstair/failover/shard_forecast.py
+++ b/src/cinderstair/failover/shard_forecast.py
@@ -18,7 +18,7 @@
     :param silent: the number of participants that are silent now.
     :param usual_us: the delay if all proxies answer.
     :param silent_us: the delay if a proxy is silent.
-    :param most_us: the maximum delay, after which the change is withdrawn.
+    :param max_us: the maximum delay, after which the change is withdrawn.
     :param measured: whether `usual_us` is the measured duration of the last change, and not calculated.
     """
 
@@ -26,7 +26,7 @@
     silent: int
     usual_us: int
     silent_us: int
-    most_us: int
+    max_us: int
     measured: bool
 
     def summary(self) -> str:
@@ -40,7 +40,7 @@
         return (
             f"writes of moving databases wait about {self.usual_us // 1_000} ms ({base}), "
             f"{self.silent_us // 1_000} ms with a proxy silent; "
-            f"the change is withdrawn after {self.most_us // 1_000} ms; {now}"
+            f"the change is withdrawn after {self.max_us // 1_000} ms; {now}"
         )
 
 
@@ -61,6 +61,6 @@
         silent=silent,
         usual_us=usual_us,
         silent_us=expiry_us + COUNT_PERIOD_US + handover_us + POLL_PERIOD_US,
-        most_us=withdrawn_us + POLL_PERIOD_US,
+        max_us=withdrawn_us + POLL_PERIOD_US,
         measured=closing_us is not None,
     )
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -37,9 +37,9 @@
 TIMER_PERIOD_US = 150_000
 SHARD_MAP_LEASE = "shards"
 # A proposal without enough agreement is withdrawn after this long, in microseconds.
-PROPOSED_MOST_US = 30_000_000
+PROPOSED_TIMEOUT_US = 30_000_000
 # A change whose data is incomplete is withdrawn this long after all proxies stopped writing, in microseconds.
-HANDOVER_MOST_US = 5_000_000
+HANDOVER_TIMEOUT_US = 5_000_000
 # Estimated duration of the closing phase, sent to clients, in microseconds.
 EXPECTED_CLOSING_US = 900_000
 
@@ -167,7 +167,7 @@
             proxies=progress.participants,
             silent=progress.silent,
             expiry_us=expiry_us,
-            withdrawn_us=expiry_us + HANDOVER_MOST_US,
+            withdrawn_us=expiry_us + HANDOVER_TIMEOUT_US,
             closing_us=self.closing_us,
             handover_us=self.handover_us,
         )
@@ -242,7 +242,7 @@
     # -- steps --
 
     async def _count_agreement(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
-        """Moves from proposed to closing once enough participants agree; withdraws after `PROPOSED_MOST_US`."""
+        """Moves from proposed to closing once enough participants agree; withdraws after `PROPOSED_TIMEOUT_US`."""
         participants = self._participants()
         agreeing = self._votes(proxies=proxies).with_vote(vote=Vote.agrees) & participants
         waited_us = self.ctx.now_us() - self.since_us
@@ -251,13 +251,13 @@
             if waited_us >= UNNOTIFIED_GRACE_US:
                 closing = replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_CLOSING_US)
                 await self._compare_and_set(old=state, new=closing)
-        elif waited_us > PROPOSED_MOST_US:
+        elif waited_us > PROPOSED_TIMEOUT_US:
             await self._withdraw(state=state, reason=f"{len(agreeing)} of {len(participants)} proxies agree")
 
     async def _activate(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> None:
         """Activates the new map once no proxy writes at the old services and the data is complete.
 
-        Withdraws the change if the data is still incomplete `HANDOVER_MOST_US` after the last possible write.
+        Withdraws the change if the data is still incomplete `HANDOVER_TIMEOUT_US` after the last possible write.
         """
         began_us = self.since_us
         waited_us = self.ctx.now_us() - began_us
@@ -272,7 +272,7 @@
                 self.closing_us = self.ctx.now_us() - began_us
                 self.ctx.counters.add(name="shards.moved")
                 self.ctx.counters.gauge(name="shards.closing_us", value=self.closing_us)
-        elif waited_us > self.expiry_us + HANDOVER_MOST_US:
+        elif waited_us > self.expiry_us + HANDOVER_TIMEOUT_US:
             await self._withdraw(state=state, reason="the new service does not have all data of the moving databases")
 
     def _all_closed(self, *, state: ShardState, proxies: dict[str, ProxyVote]) -> bool:
--- a/src/cinderstair/maintenance/window_forecast.py
+++ b/src/cinderstair/maintenance/window_forecast.py
@@ -99,7 +99,7 @@
     if joining and primary not in lost:
         note = f"{joining[0]} comes in sync first, then the lead moves to it from {primary}"
         return _Step(names=(joining[0],), note=note)
-    note = f"held back: nobody outside could lead instead of {primary}"
+    note = f"held back: no backend outside the windows can replace {primary}"
     return _Step(names=(primary,), note=note, finishes=False)
 
 
@@ -113,7 +113,7 @@
     if kept:
         note = f"held back: {kept} stays in sync, since nobody outside can"
         return _Step(names=(kept,), note=note, finishes=False)
-    return _Step(names=(), note="nobody is in sync: writes are denied", finishes=False)
+    return _Step(names=(), note="no replica is in sync: writes are denied", finishes=False)
 
 
 def proxy_forecast(
