--- a/features/steps/service_failover_steps.py
+++ b/features/steps/service_failover_steps.py
@@ -131,8 +131,10 @@
 
 @then('the deregistration of "{name}" is settled: {words}')
 def then_deregistration_settled(context: Any, name: str, words: str) -> None:
-    left = [each.name for each in context.controller_stages[0].service_failover.departures.unsettled(service="s")]
-    assert (name not in left) == (words == "yes"), left
+    unsettled = [
+        each.name for each in context.controller_stages[0].service_failover.deregistrations.unsettled(service="s")
+    ]
+    assert (name not in unsettled) == (words == "yes"), unsettled
 
 
 @when('"{name}" ends')
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/deregistrations.py
@@ -16,7 +16,7 @@
 RETRY_US = 300_000
 
 
-class Departures:
+class Deregistrations:
     """Owns the set of settled deregistrations.
 
     A replica confirms commits until its process exits, possibly long after its deregistration. Such an acknowledged
@@ -61,7 +61,7 @@
         if departed:
             self.settling.add(service)
             work = self._settle(service=service, departed=departed, primary=primary, replicas=replicas)
-            self.ctx.spawn(work=work, name="departures.settle")
+            self.ctx.spawn(work=work, name="deregistrations.settle")
 
     async def _settle(
         self, *, service: str, departed: list[Announcement], primary: Announcement, replicas: list[Announcement]
--- a/src/cinderstair/failover/move_reason.py
+++ b/src/cinderstair/failover/move_reason.py
@@ -6,7 +6,7 @@
 class MoveReason(Enum):
     """The value completes the sentence "<primary> ..." in status texts and log lines."""
 
-    UNKNOWN = "has sent no heartbeat since the assignment"
+    UNKNOWN = "has sent no heartbeat to this controller"
     GONE = "has deregistered or is unreachable"
     SILENT = "does not answer, and its heartbeats are missing"
     EMPTYING = "is draining"
--- a/src/cinderstair/failover/replica_fencing.py
+++ b/src/cinderstair/failover/replica_fencing.py
@@ -4,7 +4,7 @@
 from ..membership.announcement import Announcement
 from ..membership.heartbeat import READY
 from .backend_control import BackendState
-from .departures import Departures
+from .deregistrations import Deregistrations
 from .service_failover_context import ServiceFailoverContext
 from .service_primary import ServicePrimary
 from .successor import Successor, most_advanced_paused
@@ -25,9 +25,9 @@
     commit confirmed. A replica is resumed only after the assignment was written again.
     """
 
-    def __init__(self, *, failover: ServiceFailoverContext, departures: Departures) -> None:
+    def __init__(self, *, failover: ServiceFailoverContext, deregistrations: Deregistrations) -> None:
         self.failover = failover
-        self.departures = departures
+        self.deregistrations = deregistrations
         # the highest term of a failed fencing attempt, by service
         self.terms: dict[str, int] = {}
         # services whose replicas may be paused and whose assignment has not been rewritten since
@@ -45,7 +45,7 @@
         """Pauses replicas in a new term and returns the one with the longest log; None if too few could be paused."""
         term = max(assignment.term, self.terms.get(service.name, 0)) + 1
         self.fenced.add(service.name)
-        unsettled = self.departures.unsettled(service=service.name)
+        unsettled = self.deregistrations.unsettled(service=service.name)
         departed = [each for each in unsettled if each.name != assignment.primary]
         replicas = [*others, *departed]
         needed = _fence_quorum(replicas=len(replicas), confirmations=service.confirmations)
--- a/src/cinderstair/failover/service_failover.py
+++ b/src/cinderstair/failover/service_failover.py
@@ -20,7 +20,7 @@
 from .backend_control import BackendControl, Promoter
 from .backend_poller import BackendPoller
 from .blocking_reasons import BlockingReasons
-from .departures import Departures
+from .deregistrations import Deregistrations
 from .move_reason import MoveReason
 from .primary_monitor import PrimaryMonitor
 from .promotion import Promotion
@@ -101,14 +101,14 @@
             control=failover.control,
             reachability_poll=reachability_poll,
         )
-        self.departures = Departures(
+        self.deregistrations = Deregistrations(
             ctx=failover.ctx,
             heartbeat_table=heartbeat_table,
             members=failover.members,
             control=failover.control,
             reachability_poll=reachability_poll,
         )
-        self.fencing = ReplicaFencing(failover=failover, departures=self.departures)
+        self.fencing = ReplicaFencing(failover=failover, deregistrations=self.deregistrations)
         self.switchover = Switchover(failover=failover, monitor=self.monitor)
         self.promotion = Promotion(
             failover=failover, fencing=self.fencing, promoter=promoter, fence_number=lambda: self.fence_number
@@ -189,7 +189,7 @@
             await self._adopt_first_primary(service=name)
             return
         if assignment.state == PrimaryState.settled:
-            self._settle_departures(service=name, primary=assignment.primary)
+            self._settle_deregistrations(service=name, primary=assignment.primary)
         if assignment.state == PrimaryState.moving:
             await self.promotion.finish(service=service, assignment=assignment)
             return
@@ -202,9 +202,9 @@
         elif not self.fencing.start_resuming(service=name, assignment=assignment):
             await self.failover.assignments.reopen(service=name, assignment=assignment)
 
-    def _settle_departures(self, *, service: str, primary: str) -> None:
+    def _settle_deregistrations(self, *, service: str, primary: str) -> None:
         members = self.failover.members
-        self.departures.settle(
+        self.deregistrations.settle(
             service=service,
             primary=members.latest(name=primary),
             replicas=members.of_service(service=service),
--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -1,7 +1,7 @@
 """Coordinates changes of the shard map.
 
-A new map is proposed to all proxies, accepted by a quorum of them, and activated atomically once writes to the moving
-databases have stopped everywhere. Operators' transitions are in `shard_transitions`, vote counting in `shard_votes`.
+A new map is proposed to all proxies and activated once the required percentage of them has agreed and writes to the
+moving databases have stopped everywhere. Operators' transitions are in `shard_transitions`, vote counting in `shard_votes`.
 """
 
 from collections.abc import Callable
