--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -1,7 +1,8 @@
 """Coordinates changes of the shard map.
 
 A new map is proposed to all proxies and activated once the required percentage of them has agreed and writes to the
-moving databases have stopped everywhere. Operators' transitions are in `shard_transitions`, vote counting in `shard_votes`.
+moving databases have stopped everywhere. Operators' transitions are in `shard_transitions`, vote counting in
+`shard_votes`.
 """
 
 from collections.abc import Callable
