--- a/src/cinderstair/failover/database_promotion.py
+++ b/src/cinderstair/failover/database_promotion.py
@@ -56,9 +56,7 @@
             return
         # Promoting a draining primary again would only cause an outage.
         if found.name == assignment.primary and (reason == MoveReason.EMPTYING or closing):
-            failover.blocking.report(
-                name=database, reason=f"{explanation}, and no other backend holds every acknowledged commit"
-            )
+            failover.blocking.report(name=database, reason=f"{explanation}, and no other in-sync replica answers")
             return
         failover.ctx.log.info("database %s: promoting %s, because %s", database, found.name, explanation)
         failover.ctx.counters.add(name="leads.moved")
