--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -108,7 +108,7 @@
         if result.is_ok():
             return True
         ctx.log.warning(
-            "service %s: the platform rejected the promotion of %s: %s",
+            "service %s: the platform did not accept the promotion of %s: %s",
             service.name,
             assignment.primary,
             result.error.reason,
@@ -135,7 +135,7 @@
         states = await failover.poller.states(members=others)
         complete = {name: state for name, state in states.items() if state.received >= assignment.fence}
         if not complete:
-            reason = f"{assignment.primary} was not promoted, and no other backend has all acknowledged commits"
+            reason = f"{assignment.primary} was not promoted, and no other backend that answers has all acknowledged commits"
             failover.blocking.report(name=service.name, reason=reason)
             return
         term = max([assignment.term, *(state.term_held for state in states.values())]) + 1
--- a/src/cinderstair/failover/switchover.py
+++ b/src/cinderstair/failover/switchover.py
@@ -72,7 +72,7 @@
     async def _cancel_without_replica(
         self, *, service: str, assignment: ServicePrimary, primary_answered: bool
     ) -> None:
-        reason = f"{assignment.primary} is draining, and no replica is ready to replace it"
+        reason = f"{assignment.primary} must be replaced, and no replica is ready to follow it"
         self.failover.blocking.report(name=service, reason=reason)
         if not primary_answered:
             self.monitor.suspect(name=assignment.primary)
