--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -135,7 +135,7 @@
         states = await failover.poller.states(members=others)
         complete = {name: state for name, state in states.items() if state.received >= assignment.fence}
         if not complete:
-            reason = f"{assignment.primary} was not promoted, and no other backend that answers has all acknowledged commits"
+            reason = f"{assignment.primary} was not promoted, and no other backend that answers has every commit"
             failover.blocking.report(name=service.name, reason=reason)
             return
         term = max([assignment.term, *(state.term_held for state in states.values())]) + 1
