--- a/src/cinderstair/failover/shard_forecast.py
+++ b/src/cinderstair/failover/shard_forecast.py
@@ -35,7 +35,7 @@
         now = (
             f"{self.silent} of {self.proxies} proxies silent now"
             if self.silent
-            else f"all {self.proxies} proxies answer"
+            else f"all {self.proxies} proxies heard"
         )
         return (
             f"writes of moving databases wait about {self.usual_us // 1_000} ms ({base}), "
--- a/src/cinderstair/failover/shard_transitions.py
+++ b/src/cinderstair/failover/shard_transitions.py
@@ -48,7 +48,7 @@
         return Ok(replace(state, phase=ShardPhase.steady, following=ShardMap(), ready_in_us=0, reason=ABANDONED))
     if state.reason == ABANDONED and state.current.version < version:
         return Ok(state)
-    reason = f"shard map {state.current.version} is active, and no change is in progress"
+    reason = f"map {state.current.version} stands, and no change is in progress"
     return Error(CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
 
 
