--- a/features/steps/control_api_steps.py
+++ b/features/steps/control_api_steps.py
@@ -27,7 +27,7 @@
         )
         self.departed: list[str] = []
         self.in_touch = True
-        self.orders = self
+        self.plan_store = self
 
     async def receive(self, *, announcement: Announcement) -> bool:
         self.received.append(announcement)
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -23,7 +23,7 @@
 from .compiled_plan import without_document
 from .controller_addresses import ControllerAddresses
 from .controller_status import ControllerStatus
-from .orders import Orders
+from .plan_store import PlanStore
 from .proxy_census import ProxyCensus, ShardMapStep
 from .proxy_id_assigner import ProxyIdAssigner
 from .reachability_poll import ReachabilityPoll
@@ -178,7 +178,7 @@
         )
 
     def _start_operator_handlers(self) -> None:
-        self.orders = Orders(register=self.register_replica.register, view=self.view)
+        self.plan_store = PlanStore(register=self.register_replica.register, view=self.view)
         self.shard_map_handler = ShardMapHandler(
             dispatcher=self.register_replica.dispatcher,
             register=self.register_replica.register,
--- a/src/cinderstair/control_plane/orders.py
+++ b/src/cinderstair/control_plane/plan_store.py
@@ -11,7 +11,7 @@
 SUBMIT_TRIES = 4
 
 
-class Orders:
+class PlanStore:
     """Takes configurations and returns the newest one; without a quorum in reach it does neither."""
 
     def __init__(self, *, register: Register, view: RegisterView) -> None:
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -11,9 +11,9 @@
 from expression import Ok
 
 from ...config.service_plan import PLAN_KEY, ServicePlan, read_service_plan
-from ...control_plane import orders
+from ...control_plane import plan_store
 from ...control_plane.announcer import Announcer
-from ...control_plane.orders import Orders
+from ...control_plane.plan_store import PlanStore
 from ...control_plane.position_samples import PositionSamples
 from ...failover.replica_fencing import ReplicaFencing
 from ...pooler.link_pool import LinkPool
@@ -230,12 +230,12 @@
 
 def older_again() -> Patches:
     """An older configuration takes the place of a newer one."""
-    read = orders.read_service_plan
+    read = plan_store.read_service_plan
 
     def as_of_nothing(*, data: bytes) -> Any:
         return replace(read(data=data), version=0, accepted=())
 
-    return [patch.object(orders, "read_service_plan", as_of_nothing)]
+    return [patch.object(plan_store, "read_service_plan", as_of_nothing)]
 
 
 def any_content_confirmed() -> Patches:
@@ -264,18 +264,18 @@
     async def known(self: Any) -> Any:
         return Ok(read_service_plan(data=self.view.known[PLAN_KEY].value).document)
 
-    return [patch.object(Orders, "fetch", known)]
+    return [patch.object(PlanStore, "fetch", known)]
 
 
 def altered_read_back() -> Patches:
     """What is read back says the same in other bytes."""
-    fetch = Orders.fetch
+    fetch = PlanStore.fetch
 
     async def other(self: Any) -> Any:
         found = await fetch(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(Orders, "fetch", other)]
+    return [patch.object(PlanStore, "fetch", other)]
 
 
 def disks_forget() -> Patches:
