--- a/src/cinderstair/config/check.py
+++ b/src/cinderstair/config/check.py
@@ -17,17 +17,17 @@
 from .route import Policy, Route
 from .schema import ConfigurationSchema, join_lines
 from .selector import Selector
-from .window import Window, moment_us
+from .window import Window, parse_time_us
 
 MAX_DOCUMENT_BYTES = 1024 * 1024
 #: So many errors go into the reason; the details list them all.
-REASON_ERRORS = 3
+MAX_ERRORS_IN_REASON = 3
 #: Steps that marshmallow puts into the path of an error and that the document doesn't have.
-MARSHMALLOW_STEPS = ("value", "key", "_schema")
+MARSHMALLOW_PATH_KEYS = ("value", "key", "_schema")
 
 
 def _invalid(*, errors: list[str]) -> Result[Any, CinderstairError]:
-    reason = "; ".join(errors[:REASON_ERRORS])
+    reason = "; ".join(errors[:MAX_ERRORS_IN_REASON])
     return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason=reason, details={"errors": errors}))
 
 
@@ -37,7 +37,7 @@
         return [f"{path or '/'}: {message}" for message in messages]
     lines: list[str] = []
     for key, inner in messages.items():
-        inner_path = path if key in MARSHMALLOW_STEPS else f"{path}/{key}"
+        inner_path = path if key in MARSHMALLOW_PATH_KEYS else f"{path}/{key}"
         lines += _schema_errors(messages=inner, path=inner_path)
     return lines
 
@@ -157,7 +157,7 @@
 
     :param known: names of the windows before it
     """
-    starts, ends = moment_us(text=entry["starts"]), moment_us(text=entry["ends"])
+    starts, ends = parse_time_us(text=entry["starts"]), parse_time_us(text=entry["ends"])
     selector = compile_selector(text=entry["empties"])
     if starts.is_error():
         errors.append(f"{path}/starts: {starts.error}")
@@ -198,10 +198,10 @@
         *(backend.labels for backend in configuration.backends.values()),
         *configuration.http_proxy_labels.values(),
     ]
-    known_keys = {key for labels in labelled for key in labels}
+    labels_in_use = {key for labels in labelled for key in labels}
     warnings: list[str] = []
     for used in _used_selectors(configuration=configuration):
-        unknown_keys = sorted(used.selector.keys - known_keys)
+        unknown_keys = sorted(used.selector.keys - labels_in_use)
         warnings += [f"{used.user}: no label '{key}' anywhere" for key in unknown_keys]
         if not any(used.selector.matches(labels=labels) for labels in labelled):
             warnings.append(f"{used.user}: selects nothing")
--- a/src/cinderstair/config/policy_kinds.py
+++ b/src/cinderstair/config/policy_kinds.py
@@ -12,7 +12,7 @@
     """What a policy's value is; the value is the word that error messages use."""
 
     DURATION = "duration"
-    WHOLE = "whole"
+    INTEGER = "whole"
     WORD = "word"
 
 
@@ -33,8 +33,8 @@
     return PolicyKind(value_kind=ValueKind.DURATION, minimum=minimum_us, maximum=maximum_us)
 
 
-def _whole(*, minimum: int, maximum: int) -> PolicyKind:
-    return PolicyKind(value_kind=ValueKind.WHOLE, minimum=minimum, maximum=maximum)
+def _integer(*, minimum: int, maximum: int) -> PolicyKind:
+    return PolicyKind(value_kind=ValueKind.INTEGER, minimum=minimum, maximum=maximum)
 
 
 # Margins beyond the contract's bounds would let a policy break a promise, so they can't be written.
@@ -42,9 +42,9 @@
     "liveAge": _duration(minimum_us=50_000, maximum_us=1_300_000),
     "freshAge": _duration(minimum_us=50_000, maximum_us=2_300_000),
     "commitWait": _duration(minimum_us=10_000, maximum_us=5_000_000),
-    "subsetSize": _whole(minimum=0, maximum=10_000),
-    "active": _whole(minimum=1, maximum=100_000),
+    "subsetSize": _integer(minimum=0, maximum=10_000),
+    "active": _integer(minimum=1, maximum=100_000),
     "closeWait": _duration(minimum_us=0, maximum_us=3_000_000),
-    "inSync": _whole(minimum=1, maximum=16),
+    "inSync": _integer(minimum=1, maximum=16),
     "site": PolicyKind(value_kind=ValueKind.WORD),
 }
--- a/src/cinderstair/config/program_builder.py
+++ b/src/cinderstair/config/program_builder.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Amount:
+class PolicyValue:
     """A policy's value as written; a duration is in microseconds. The token says where it stands."""
 
     kind: ValueKind
@@ -68,7 +68,7 @@
     def value(self, token: Token) -> str:
         return str(token).strip('"')
 
-    def equal(self, key: Token, value: str) -> Selector:
+    def equals(self, key: Token, value: str) -> Selector:
         name = str(key)
         return Selector(
             test=lambda labels: labels.get(name) == value,
@@ -76,7 +76,7 @@
             keys=frozenset([name]),
         )
 
-    def unequal(self, key: Token, value: str) -> Selector:
+    def not_equals(self, key: Token, value: str) -> Selector:
         name = str(key)
         return Selector(
             test=lambda labels: labels.get(name) != value,
@@ -84,7 +84,7 @@
             keys=frozenset([name]),
         )
 
-    def among(self, key: Token, *values: str) -> Selector:
+    def in_list(self, key: Token, *values: str) -> Selector:
         name, wanted = str(key), frozenset(values)
         listed = ", ".join(quoted(value=value) for value in sorted(wanted))
         return Selector(
@@ -93,17 +93,17 @@
             keys=frozenset([name]),
         )
 
-    def present(self, key: Token) -> Selector:
+    def has_label(self, key: Token) -> Selector:
         name = str(key)
         return Selector(test=lambda labels: name in labels, text=f"has {name}", keys=frozenset([name]))
 
-    def negated(self, inner: Selector) -> Selector:
+    def not_expr(self, inner: Selector) -> Selector:
         return Selector(test=lambda labels: not inner.test(labels), text=f"not ({inner.text})", keys=inner.keys)
 
-    def both(self, *parts: Selector) -> Selector:
+    def and_expr(self, *parts: Selector) -> Selector:
         return _joined(parts=parts, operator=" and ", test=lambda labels: all(part.test(labels) for part in parts))
 
-    def either(self, *parts: Selector) -> Selector:
+    def or_expr(self, *parts: Selector) -> Selector:
         return _joined(parts=parts, operator=" or ", test=lambda labels: any(part.test(labels) for part in parts))
 
     def selection(self, selector: Selector) -> Selector:
@@ -117,22 +117,22 @@
     def kinds(self, *names: Token) -> tuple[Token, ...]:
         return names
 
-    def everydb(self) -> None:
+    def all_databases(self) -> None:
         return None
 
-    def somedbs(self, *names: Token) -> tuple[str, ...]:
+    def named_databases(self, *names: Token) -> tuple[str, ...]:
         return tuple(str(name) for name in names)
 
-    def primary(self) -> str:
+    def primary_target(self) -> str:
         return "primary"
 
-    def replica(self) -> str:
+    def replica_target(self) -> str:
         return "replica"
 
-    def anyone(self) -> str:
+    def any_target(self) -> str:
         return "any"
 
-    def rejected(self) -> str:
+    def deny_target(self) -> str:
         return "deny"
 
     def route(
@@ -151,18 +151,18 @@
 
     # -- policies --
 
-    def duration(self, token: Token) -> Amount:
+    def duration(self, token: Token) -> PolicyValue:
         digits = "".join(character for character in token if character.isdigit())
         unit = token[len(digits) :]
-        return Amount(kind=ValueKind.DURATION, value=int(digits) * DURATION_UNITS_US[unit], token=token)
+        return PolicyValue(kind=ValueKind.DURATION, value=int(digits) * DURATION_UNITS_US[unit], token=token)
 
-    def whole(self, token: Token) -> Amount:
-        return Amount(kind=ValueKind.WHOLE, value=int(token), token=token)
+    def integer(self, token: Token) -> PolicyValue:
+        return PolicyValue(kind=ValueKind.INTEGER, value=int(token), token=token)
 
-    def word(self, token: Token) -> Amount:
-        return Amount(kind=ValueKind.WORD, value=str(token), token=token)
+    def word(self, token: Token) -> PolicyValue:
+        return PolicyValue(kind=ValueKind.WORD, value=str(token), token=token)
 
-    def policy(self, name: Token, databases: tuple[str, ...] | None, amount: Amount) -> Policy:
+    def policy(self, name: Token, databases: tuple[str, ...] | None, amount: PolicyValue) -> Policy:
         kind = POLICY_KINDS.get(str(name))
         if kind is None:
             raise LanguageError(token=name, reason=f"expected one of {', '.join(sorted(POLICY_KINDS))}")
@@ -181,7 +181,7 @@
         )
 
 
-def _check_amount(*, name: Token, kind: PolicyKind, amount: Amount) -> None:
+def _check_amount(*, name: Token, kind: PolicyKind, amount: PolicyValue) -> None:
     """Raises LanguageError where a policy can't take that value."""
     if amount.kind != kind.value_kind:
         raise LanguageError(token=amount.token, reason=f"{name} takes a {kind.value_kind.value}")
--- a/src/cinderstair/config/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -125,9 +125,9 @@
         """A short digest of the document."""
         return hashlib.blake2b(self.document, digest_size=DIGEST_BYTES).digest()
 
-    def following(self, *, standing: "ServicePlan | None") -> "ServicePlan":
+    def as_successor_of(self, *, current: "ServicePlan | None") -> "ServicePlan":
         """This plan as the one that comes into force after `standing`."""
-        before = self if standing is None else replace(self, accepted=standing.accepted)
+        before = self if current is None else replace(self, accepted=current.accepted)
         return before.with_accepted(other=self)
 
     def with_accepted(self, *, other: "ServicePlan") -> "ServicePlan":
@@ -168,7 +168,7 @@
     return Service(name=unpacker.text(), link_cap=unpacker.u32(), confirmations=unpacker.u32())
 
 
-def _inflated(*, data: bytes) -> bytes:
+def _decompressed(*, data: bytes) -> bytes:
     inflater = zlib.decompressobj()
     try:
         body = inflater.decompress(data, MAX_PLAN_BYTES)
@@ -183,7 +183,7 @@
 def read_service_plan(*, data: bytes) -> ServicePlan:
     """What ServicePlan.bytes gave; raises ValueError where the bytes are no plan."""
     version = plan_version(data=data)
-    unpacker = Unpacker(data=_inflated(data=data[VERSION_BYTES:]))
+    unpacker = Unpacker(data=_decompressed(data=data[VERSION_BYTES:]))
     rest_limit_us = unpacker.u64()
     routes = unpacker.many(each=_read_route)
     services = unpacker.many(each=_read_service)
--- a/src/cinderstair/config/shard_check.py
+++ b/src/cinderstair/config/shard_check.py
@@ -17,7 +17,7 @@
         return f"line {self.line}: {self.reason}" if self.line else self.reason
 
 
-def _wanted_problems(*, text: str, wanted: ShardMap, plan: ServicePlan) -> list[_Problem]:
+def _unknown_names(*, text: str, wanted: ShardMap, plan: ServicePlan) -> list[_Problem]:
     """What the map names and the configuration doesn't know."""
     problems: list[_Problem] = []
     for database, service in wanted.placements.items():
@@ -31,7 +31,7 @@
     return problems
 
 
-def _lost_databases(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[_Problem]:
+def _unplaced_databases(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[_Problem]:
     """What has moved and the map doesn't name: the plan's service would be asked, which doesn't hold the data."""
     return [
         _Problem(
@@ -51,7 +51,7 @@
     :returns: one line each; empty where the map may come into force
     """
     problems = [
-        *_wanted_problems(text=text, wanted=wanted, plan=plan),
-        *_lost_databases(text=text, wanted=wanted, current=current, plan=plan),
+        *_unknown_names(text=text, wanted=wanted, plan=plan),
+        *_unplaced_databases(text=text, wanted=wanted, current=current, plan=plan),
     ]
     return [problem.text() for problem in sorted(problems)]
--- a/src/cinderstair/config/shard_map.py
+++ b/src/cinderstair/config/shard_map.py
@@ -75,7 +75,7 @@
     return Error(CinderstairError(code=ErrorCode.BROKEN_CONFIGURATION, reason=reason))
 
 
-def _is_whole(value: Any) -> TypeGuard[int]:
+def _is_integer(value: Any) -> TypeGuard[int]:
     # JSON's true and false are numbers to Python.
     return isinstance(value, int) and not isinstance(value, bool)
 
@@ -115,11 +115,11 @@
         return _invalid(reason=f"/{unknown[0]}: not known")
     version, placements = document.get("version"), document.get("places")
     agree_percent = document.get("agree_percent", AGREE_PERCENT)
-    if not _is_whole(version) or not 0 < version <= MAX_VERSION:
+    if not _is_integer(version) or not 0 < version <= MAX_VERSION:
         return _invalid(reason="/version: a whole number above 0 is needed")
     if not _are_placements(placements):
         return _invalid(reason="/places: databases and their services are needed")
     # With half or less, two maps could each be agreed to by different proxies.
-    if not _is_whole(agree_percent) or not 50 < agree_percent <= 100:
+    if not _is_integer(agree_percent) or not 50 < agree_percent <= 100:
         return _invalid(reason="/agree_percent: a whole number from 51 to 100 is needed")
     return Ok(ShardMap(version=version, placements=placements, agree_percent=agree_percent))
--- a/src/cinderstair/config/window.py
+++ b/src/cinderstair/config/window.py
@@ -27,7 +27,7 @@
         return self.starts_us <= wall_us < self.ends_us
 
 
-def moment_us(*, text: str) -> Result[int, str]:
+def parse_time_us(*, text: str) -> Result[int, str]:
     """A calendar time with its offset from UTC.
 
     :param text: as in ISO 8601, such as 2026-12-04T22:00:00+07:00
--- a/src/cinderstair/control_plane/__init__.py
+++ b/src/cinderstair/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: takes configurations and heartbeats, relays the register to proxies, assigns proxy ids."""
+"""The controller: accepts configurations and heartbeats, relays the register to proxies, assigns proxy ids."""
--- a/src/cinderstair/control_plane/acknowledgement.py
+++ b/src/cinderstair/control_plane/acknowledgement.py
@@ -1,3 +1,3 @@
-"""The answer to a record that only has to be taken in."""
+"""The empty response to a record that asks for nothing but its receipt."""
 
 ACKNOWLEDGEMENT = b"\0"
--- a/src/cinderstair/control_plane/announcer.py
+++ b/src/cinderstair/control_plane/announcer.py
@@ -19,10 +19,10 @@
 
 
 class Announcer:
-    """Owns which backends' states a majority of the voters is known to hold.
+    """Owns the last state of each backend that a majority of the voters has acknowledged.
 
-    A majority of all voters, not of those in reach: any two majorities share a voter, so every side of a network
-    partition that goes on serving knows the state, and one lost machine loses no acknowledged one.
+    The majority counts all voters, not only the reachable ones. Any two majorities share a voter, so each side of a
+    network partition that still serves knows the state, and losing one machine loses no acknowledged state.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         :returns: whether a majority of the voters holds it, or a later one of the same backend. False without voters.
         """
         name = announcement.name
-        # a leaving backend repeats its announcement, and only its state matters
+        # a leaving backend repeats its announcement under new numbers; an unchanged state needs no new round
         if self.replicated_states.get(name) == announcement.state:
             return True
         body = Packer().u8(value=MessageType.ANNOUNCE).bytes() + self._encoded(announcement=announcement)
@@ -79,7 +79,10 @@
         return result.is_ok()
 
     async def deregister(self, *, name: str) -> bool:
-        """Takes a backend's deregistration; whether a majority of the voters holds it."""
+        """Records a backend as gone and replicates that.
+
+        :returns: whether a majority of the voters holds it.
+        """
         known = await self._last_announcement(name=name)
         if known.state == GONE:
             return await self.replicate(announcement=known)
@@ -88,13 +91,16 @@
         return await self.replicate(announcement=gone)
 
     async def _last_announcement(self, *, name: str) -> Announcement:
-        """The backend's newest announcement; the voters are asked where none is known here."""
+        """The backend's newest announcement; pulls the voters' heartbeats first if this controller has none.
+
+        Where no voter knows the backend either, the result is an announcement with number 0 and only its name set.
+        """
         received = self.heartbeat_table.latest(name=name)
         if received is None:
-            # this controller may just have started, while the others know the backend
+            # after a restart this controller has no heartbeats yet, while the others may have
             await self.heartbeat_table.refresh(peers=self.voters())
             received = self.heartbeat_table.latest(name=name)
         if received is None:
-            # a proxy may still route to a backend that no controller remembers, so it is deregistered all the same
+            # a proxy may still route to a backend that every controller has forgotten, so it is deregistered anyway
             return Announcement(name=name, number=0, service="", address="", site="", state=READY, is_primary=False)
         return received.heartbeat
--- a/src/cinderstair/control_plane/backend_registry.py
+++ b/src/cinderstair/control_plane/backend_registry.py
@@ -1,4 +1,4 @@
-"""Takes heartbeats and deregistrations of backends, and says which of them may be acknowledged."""
+"""Records heartbeats and deregistrations of backends and decides which may be acknowledged."""
 
 from ..consensus.register_view import RegisterView
 from ..membership.announcement import Announcement
@@ -8,9 +8,9 @@
 
 
 class BackendRegistry:
-    """A state that was acknowledged is held by more than this controller.
+    """Acknowledges a backend's state only once it is known beyond this controller.
 
-    Otherwise it would be lost with this controller, or known to no other while this one is cut off.
+    Otherwise the state would be lost with this controller, or stay unknown to the others while it is partitioned.
     """
 
     def __init__(
@@ -21,10 +21,10 @@
         self.view = view
 
     async def receive(self, *, announcement: Announcement) -> bool:
-        """Takes a backend's heartbeat.
+        """Records a backend's heartbeat.
 
-        :returns: whether it may be acknowledged: for a ready backend whether this controller is in touch with the
-            register, for any other whether a majority of the voters holds the state.
+        :returns: whether it may be acknowledged. For a ready backend: whether this controller's view of the register
+            is current. For any other state: whether a majority of the voters holds it.
         """
         self.heartbeat_table.receive(heartbeat=announcement)
         if announcement.state != READY:
@@ -32,8 +32,8 @@
         return self.view.current
 
     async def deregister(self, *, name: str) -> bool:
-        """Takes a backend's deregistration, whether or not the backend is known here.
+        """Records a backend's deregistration, whether or not this controller knows the backend.
 
-        :returns: whether it may be acknowledged: whether a majority of the voters holds it.
+        :returns: whether it may be acknowledged, that is whether a majority of the voters holds it.
         """
         return await self.announcer.deregister(name=name)
--- a/src/cinderstair/control_plane/compiled_plan.py
+++ b/src/cinderstair/control_plane/compiled_plan.py
@@ -1,12 +1,12 @@
-"""The form of the register's values in which proxies get them."""
+"""Converts register values to the form in which they are relayed to proxies."""
 
 from ..config.service_plan import PLAN_KEY, read_service_plan
 
 
 def without_document(key: str, value: bytes) -> bytes:
-    """Leaves the operator's document out of a plan, since proxies act on the compiled plan alone.
+    """Removes the operator's document from a plan, since proxies only use the compiled part.
 
-    :param key: the key of the register under which the value stands; other keys' values are returned as they are.
+    :param key: the value's key in the register; values of keys other than the plan's are returned unchanged.
     """
     if key != PLAN_KEY or not value:
         return value
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -1,4 +1,4 @@
-"""The controller of a machine with a disk: a register replica, and the services that rest on the register."""
+"""The controller: a register replica and the services built on the register."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,15 +34,20 @@
 
 VIEW_PULL_PERIOD_US = 200_000
 HEARTBEAT_PULL_PERIOD_US = 250_000
-# two peers that are asked at the same moment would send the same heartbeats twice
+# two peers asked at once would send the same heartbeats twice
 HEARTBEAT_PULL_PEERS = 1
-CENSUS_EVERY_US = 200_000
+CENSUS_PERIOD_US = 200_000
 
 
 class Controller:
-    """Wires the services of one controller together; each of them has a module of its own.
+    """Constructs and connects the services of one controller; each service has its own module.
 
-    `start` builds them, so the attributes set there exist only after it has succeeded.
+    `start` constructs them, so their attributes exist only after it has succeeded.
+
+    :param halt: called with the reason when the disk fails, after which the process must end.
+    :param silent_after_us: a backend without a heartbeat for this time counts as silent.
+    :param proxy_lease_us: how long a view of the register, also a proxy's, stays current after a pull.
+    :param handover: moves a database's data to another service; None where shard maps can't move data.
     """
 
     def __init__(
@@ -68,14 +73,14 @@
         self.handover = handover
 
     async def start(self) -> Result[None, CinderstairError]:
-        """Opens the register replica and starts all that rests on it; the error is that of the replica's disk."""
+        """Opens the register replica, then starts the other services; fails if the replica's disk can't be opened."""
         started = await self.register_replica.start()
         if started.is_error():
             return started
         membership = self.register_replica.membership
         if membership is None:
             raise RuntimeError("a register replica that has started has a membership")
-        # the order of these decides the order in which their timers fire
+        # timers fire in the order in which these services are constructed
         self._start_tables(membership=membership)
         self._start_relay()
         self._start_failover()
@@ -158,7 +163,7 @@
             ctx=self.ctx,
             register=self.register_replica.register,
             view=self.view,
-            census=self._votes,
+            census=self._gather_votes,
             all_controllers_notified=lambda state: self.census.peers_agree(step=_shard_map_step(state)),
             planned=self._planned_service,
             handover=self.handover,
@@ -202,36 +207,36 @@
             },
         )
 
-    async def _votes(self) -> dict[str, ProxyVote]:
-        return dict(await self.census.gather(every_us=CENSUS_EVERY_US))
+    async def _gather_votes(self) -> dict[str, ProxyVote]:
+        return dict(await self.census.gather(every_us=CENSUS_PERIOD_US))
 
     def _planned_service(self, database: str) -> str:
-        """The service to which the plan routes a database; empty without a plan or a route."""
+        """The service to which the plan routes a database; empty if there is no plan or no route."""
         plan = self.service_failover.plan
         route = None if plan is None else plan.routes.get(database)
         return "" if route is None else route.service
 
     async def receive(self, *, announcement: Announcement) -> bool:
-        """Takes a backend's heartbeat; whether it may be acknowledged."""
+        """Records a backend's heartbeat; returns whether it may be acknowledged."""
         return await self.backend_registry.receive(announcement=announcement)
 
     async def deregister(self, *, name: str) -> bool:
-        """Takes a backend's deregistration; whether it may be acknowledged."""
+        """Records a backend's deregistration; returns whether it may be acknowledged."""
         return await self.backend_registry.deregister(name=name)
 
     def status(self) -> ControllerStatus:
-        """What this controller knows now."""
+        """A snapshot of what this controller knows."""
         return self.status_handler.snapshot()
 
     async def drain(self) -> None:
-        """A planned stop: gives its leases back, then deregisters."""
+        """Prepares a planned stop: releases the leases, then drains the register replica."""
         await asyncio.gather(
             self.service_failover.lease.drop(), self.proxy_id_assigner.lease.drop(), self.shards.lease.drop()
         )
         await self.register_replica.drain()
 
     def resettle(self, *, settings: Settings) -> None:
-        """Replaces the settings of the running controller."""
+        """Applies new settings to the running controller."""
         self.settings = self.addresses.settings = settings
         self.register_replica.resettle(settings=settings)
 
--- a/src/cinderstair/control_plane/controller_addresses.py
+++ b/src/cinderstair/control_plane/controller_addresses.py
@@ -1,4 +1,4 @@
-"""The record addresses of the other controllers and of the voters."""
+"""Addresses, for the record protocol, of the other controllers and of the voters."""
 
 from ..consensus.register_replica import RegisterReplica
 from ..consensus.roster import Roster
@@ -7,14 +7,14 @@
 
 
 class ControllerAddresses:
-    """Reads addresses from the membership, the roster and the settings; `settings` may be replaced at any time."""
+    """Combines addresses from the membership, the roster and the settings; `settings` may be replaced at any time."""
 
     def __init__(self, *, settings: Settings, register_replica: RegisterReplica) -> None:
         self.settings = settings
         self.register_replica = register_replica
 
     def controllers(self) -> tuple[str, ...]:
-        """All controllers that are not known to be gone, this one included, in sorted order."""
+        """This controller and those that the membership reports alive, sorted."""
         membership = self.register_replica.membership
         others = (
             [] if membership is None else [member.records for member in membership.alive(role=REGISTER_REPLICA_ROLE)]
@@ -22,12 +22,12 @@
         return tuple(sorted({self.settings.records, *others}))
 
     def voters(self) -> tuple[str, ...]:
-        """The voters of the register; none while no roster is known."""
-        # the register's client may have learned a newer roster than this machine's own replica holds
+        """The voters of the register; empty while no roster is known."""
+        # the register client may have learned a newer roster than the local replica holds
         return _voter_addresses(roster=self.register_replica.register.roster or self.register_replica.roster)
 
     def peers(self) -> list[str]:
-        """The other controllers: the members and the voters, or the seeds while no roster is known."""
+        """The other controllers: members and voters; the configured seeds stand in for voters without a roster."""
         roster = self.register_replica.roster or self.register_replica.register.roster
         voters = self.settings.seeds if roster is None else _voter_addresses(roster=roster)
         addresses = dict.fromkeys((*self.controllers(), *voters))
--- a/src/cinderstair/control_plane/controller_status.py
+++ b/src/cinderstair/control_plane/controller_status.py
@@ -1,4 +1,4 @@
-"""What a controller knows at one moment, as typed values."""
+"""A snapshot of a controller's state, as typed values."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VoterStatus:
-    """One voter of the register; `standing` is None where the membership does not know it."""
+    """One voter of the register; `standing` is None if the membership does not list it."""
 
     name: str
     address: str
@@ -20,24 +20,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuorumStatus:
-    """The voters of the register, and what they can bear.
+    """The voters of the register and how many of them may still fail.
 
-    `present` counts the voters that are alive, `most` those that there are to be. `losses_borne` is negative without
-    a majority. `short_for_us` says for how long voters have been missing, None where none are.
+    :ivar alive_count: voters that are alive
+    :ivar target_count: how many voters the deployment is meant to have
+    :ivar tolerable_losses: how many more voters may fail; negative without a majority
+    :ivar votes_missing_us: how long voters have been missing; None if none are
+    :ivar standbys: names of the replicas that may replace a lost voter
     """
 
     voters: tuple[VoterStatus, ...]
-    present: int
-    most: int
+    alive_count: int
+    target_count: int
     epoch: int
-    losses_borne: int
-    short_for_us: int | None
+    tolerable_losses: int
+    votes_missing_us: int | None
     standbys: tuple[str, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceStatus:
-    """A service's primary; `blocked_reason` says why it can't be moved, and is empty where it can."""
+    """A service's primary; `blocked_reason` says what blocks a failover, and is empty if nothing does."""
 
     name: str
     primary: ServicePrimary
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendStatus:
-    """A backend's newest heartbeat, and whether it has been silent for too long since."""
+    """A backend's newest heartbeat, and whether that is too old."""
 
     announcement: Announcement
     silent: bool
@@ -54,7 +57,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerStatus:
-    """A snapshot of one controller. `quorum` is None while no roster is known, `plan_version` before any plan."""
+    """A snapshot of one controller.
+
+    :ivar register_age_us: how old the controller's view of the register is
+    :ivar current: whether that view is recent enough to act on
+    :ivar plan_version: version of the configuration in force; None before the first
+    :ivar withdrawn_reason: why the last shard map proposal was withdrawn; empty if it was not
+    :ivar quorum: None while no roster is known
+    """
 
     name: str
     register_age_us: int
--- a/src/cinderstair/control_plane/operator_answer.py
+++ b/src/cinderstair/control_plane/operator_answer.py
@@ -1,4 +1,4 @@
-"""The answer to an operator's record: the code of an error, empty for success, and a text."""
+"""Responses to operators' records: an error code, empty on success, followed by a text."""
 
 from typing import Any
 
@@ -9,15 +9,15 @@
 
 
 def operator_answer(*, text: str) -> Packer:
-    """A success; further fields may be appended to the packer."""
+    """Starts a success response; the caller may append further fields to the packer."""
     return Packer().text(value="").text(value=text)
 
 
 def operator_error(*, error: CinderstairError) -> bytes:
-    """A failure, with its reason as the text."""
+    """An error response with the error's reason as its text."""
     return Packer().text(value=error.code.value).text(value=error.reason).bytes()
 
 
 def operator_result(*, result: Result[Any, CinderstairError], text: str) -> bytes:
-    """The error of a failed result, or the given text for a success."""
+    """An error response for a failed result, otherwise a success response with the given text."""
     return operator_error(error=result.error) if result.is_error() else operator_answer(text=text).bytes()
--- a/src/cinderstair/control_plane/position_samples.py
+++ b/src/cinderstair/control_plane/position_samples.py
@@ -1,4 +1,4 @@
-"""The newest sample of each primary's position that proxies have reported, for the proxies that read of it."""
+"""Keeps the newest reported position of each service's primary, so that proxies share samples."""
 
 from dataclasses import dataclass
 
@@ -6,13 +6,16 @@
 from ..runtime.context import Context
 from ..runtime.position import Position
 
-KEEP_US = 10_000_000
-ASK_AGAIN_US = 600_000
+MAX_SAMPLE_AGE_US = 10_000_000
+ASK_RETRY_US = 600_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class PositionSample:
-    """A primary's position at a moment of the controller's clock; `revision` orders the samples of one controller."""
+    """A primary's log position at a time of the controller's clock.
+
+    :ivar revision: rises with each sample that this controller stores
+    """
 
     term: int
     moment_us: int
@@ -21,9 +24,9 @@
 
 
 class PositionSamples:
-    """Owns the samples of one controller.
+    """Owns the newest sample by service, and when a proxy was last asked to take one.
 
-    Moments are by this process's clock alone; a restarted process accepts none that an earlier one has given out.
+    Sample times refer to this process's monotonic clock, so times issued before a restart are not comparable.
     """
 
     def __init__(self, *, ctx: Context) -> None:
@@ -33,11 +36,11 @@
         self.ask_sent_us: dict[str, int] = {}
 
     def add(self, *, samples: tuple[ReportedSample, ...]) -> None:
-        """Takes a proxy's samples, whose moments must be by this process's clock; others are counted and dropped."""
+        """Stores a proxy's samples; those whose time can't be of this process's clock are counted and dropped."""
         now_us = self.ctx.now_us()
         for sample in samples:
-            # a moment in the future is not of this clock, or this clock has stood still
-            if not now_us - KEEP_US < sample.moment_us <= now_us:
+            # a time in the future stems from another clock, or this clock was stopped
+            if not now_us - MAX_SAMPLE_AGE_US < sample.moment_us <= now_us:
                 self.ctx.counters.add(name="samples.strange")
                 continue
             known = self.samples.get(sample.service)
@@ -50,19 +53,21 @@
             self.ctx.counters.add(name="samples.told")
 
     def expire(self) -> None:
-        """Forgets samples that are too old for any read."""
+        """Drops samples that are too old for any read."""
         now_us = self.ctx.now_us()
         self.samples = {
-            service: sample for service, sample in self.samples.items() if now_us - sample.moment_us < KEEP_US
+            service: sample
+            for service, sample in self.samples.items()
+            if now_us - sample.moment_us < MAX_SAMPLE_AGE_US
         }
         self.ask_sent_us = {
-            service: sent_us for service, sent_us in self.ask_sent_us.items() if now_us - sent_us < KEEP_US
+            service: sent_us for service, sent_us in self.ask_sent_us.items() if now_us - sent_us < MAX_SAMPLE_AGE_US
         }
 
     def newer_than(self, *, wanted: tuple[WantedSample, ...], same_source: bool) -> tuple[PooledSample, ...]:
-        """The wanted services' samples that the asker lacks.
+        """The samples of the wanted services that the requesting proxy does not have yet.
 
-        :param same_source: whether the asker's revisions were given out by this process; if not, they don't count.
+        :param same_source: whether the proxy's revisions were issued by this process; otherwise they are ignored.
         """
         now_us = self.ctx.now_us()
         found = []
@@ -82,13 +87,13 @@
         return tuple(found)
 
     def assign_asks(self, *, wanted: tuple[WantedSample, ...]) -> tuple[str, ...]:
-        """The services without a recent sample whose primary this asker, and no other, is to ask now."""
+        """The wanted services without a recent sample; only the requesting proxy is to sample them now."""
         now_us = self.ctx.now_us()
         assigned = []
         for want in wanted:
             sample, sent_us = self.samples.get(want.service), self.ask_sent_us.get(want.service)
             recent = sample is not None and now_us - sample.moment_us < ASK_AFTER_US
-            if recent or (sent_us is not None and now_us - sent_us < ASK_AGAIN_US):
+            if recent or (sent_us is not None and now_us - sent_us < ASK_RETRY_US):
                 continue
             self.ask_sent_us[want.service] = now_us
             assigned.append(want.service)
--- a/src/cinderstair/control_plane/proxy_census.py
+++ b/src/cinderstair/control_plane/proxy_census.py
@@ -1,4 +1,4 @@
-"""Which proxies there are, when any controller last heard of each, how each votes, and at which address it is."""
+"""Collects from all controllers the known proxies: last contact, shard map vote and address of each."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,25 +15,25 @@
 from .proxy_contact import ProxyContact, read_proxy_contact
 from .relay import Relay
 
-WITHIN_US = 30_000_000
+CONTACT_WINDOW_US = 30_000_000
 REQUEST_WAIT_US = 500_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class ShardMapStep:
-    """How far a controller knows a change of the shard map to have come: the proposal's number, and the phase."""
+    """The step of a shard map change that a controller has seen: proposal number and phase."""
 
     proposal: int = 0
     phase: int = 0
 
     def write(self, *, packer: Packer) -> Packer:
-        """Appends the step's fields in their order on the wire."""
+        """Appends the step's fields in wire order."""
         return packer.u64(value=self.proposal).u8(value=self.phase)
 
 
 @dataclass(frozen=True, kw_only=True)
 class LastContact:
-    """When a proxy last asked any controller, by the local clock; `vote` is about proposal number `proposal`."""
+    """When a proxy last asked any controller, by the local clock; `vote` refers to proposal number `proposal`."""
 
     at_us: int
     proposal: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AddressReport:
-    """A proxy's address, and when the proxy reported it by the local clock."""
+    """A proxy's address, and when the proxy reported it, by the local clock."""
 
     at_us: int
     address: ProxyAddress
@@ -54,9 +54,10 @@
 
 
 class ProxyCensus:
-    """Collects what the controllers know of the proxies.
+    """Owns the last contact and the reported address of each proxy, and the shard map step of each peer.
 
-    Each controller knows the proxies that ask it; the holder of a lease asks the other controllers for theirs.
+    Each controller knows only the proxies that ask it; a lease holder pulls the other controllers' lists. Peers that
+    don't answer keep their last known step and entries; malformed answers are counted and dropped.
     """
 
     def __init__(
@@ -75,13 +76,13 @@
         self.peer_steps: dict[str, ShardMapStep] = {}
         self.contacts: dict[str, LastContact] = {}
         self.addresses: dict[str, AddressReport] = {}
-        self.contacts_requested_us = self.addresses_requested_us = -WITHIN_US
+        self.contacts_requested_us = self.addresses_requested_us = -CONTACT_WINDOW_US
         dispatcher.add_handler(message_type=MessageType.PROXIES, handler=self._on_proxies)
         dispatcher.add_handler(message_type=MessageType.ANNOUNCE_ADDRESS, handler=self._on_announce_address)
         dispatcher.add_handler(message_type=MessageType.PROXY_ADDRESSES, handler=self._on_proxy_addresses)
 
     async def _on_announce_address(self, unpacker: Unpacker) -> bytes:
-        """A proxy reports its address, and repeats it until the register's table has it."""
+        """Stores a proxy's address; the proxy repeats its report until the register lists the address."""
         name, address = unpacker.text(), _read_address(unpacker)
         unpacker.done()
         self.addresses[name] = AddressReport(at_us=self.ctx.now_us(), address=address)
@@ -90,9 +91,9 @@
     async def _on_proxies(self, unpacker: Unpacker) -> bytes:
         unpacker.done()
         step = self.shard_map_step()
-        contacts = self.relay.recent_proxies(within_us=WITHIN_US)
+        contacts = self.relay.recent_proxies(within_us=CONTACT_WINDOW_US)
         packer = Packer().many(values=contacts, each=lambda p, contact: contact.write(packer=p))
-        # the step stands at the end, where a controller of a version without it does not look
+        # the step comes last, so that older versions, which do not read it, accept the record
         return step.write(packer=packer).bytes()
 
     async def _on_proxy_addresses(self, unpacker: Unpacker) -> bytes:
@@ -107,22 +108,22 @@
         return packer.bytes()
 
     def peers_agree(self, *, step: ShardMapStep) -> bool:
-        """Whether every other controller knows this step and has since named the proxies that ask it.
+        """Whether every other controller has reported this step together with its list of proxies.
 
-        Before that, one of them may relay an older step to a proxy that no other controller knows.
+        Before that, a controller may still relay an older step to a proxy that no other controller knows.
         """
         return all(self.peer_steps.get(address) == step for address in self.peers())
 
     async def gather(self, *, every_us: int) -> dict[str, LastContact]:
-        """The last contact of all known proxies; the other controllers are asked every `every_us` at most."""
+        """The last contact of all known proxies; pulls from the other controllers at most once every `every_us`."""
         now_us = self.ctx.now_us()
-        for contact in self.relay.recent_proxies(within_us=WITHIN_US):
-            self._take_contact(contact=contact, now_us=now_us)
+        for contact in self.relay.recent_proxies(within_us=CONTACT_WINDOW_US):
+            self._merge_contact(contact=contact, now_us=now_us)
         if now_us - self.contacts_requested_us >= every_us:
             self.contacts_requested_us = now_us
             await self._pull_contacts(now_us=now_us)
         self.contacts = {
-            name: contact for name, contact in self.contacts.items() if now_us - contact.at_us < 2 * WITHIN_US
+            name: contact for name, contact in self.contacts.items() if now_us - contact.at_us < 2 * CONTACT_WINDOW_US
         }
         return self.contacts
 
@@ -134,9 +135,9 @@
         ]
         for address, result in zip(peers, await asyncio.gather(*requests), strict=True):
             if result.is_ok():
-                self._take_answer(address=address, data=result.ok, requested_us=now_us)
+                self._merge_peer_answer(address=address, data=result.ok, requested_us=now_us)
 
-    def _take_answer(self, *, address: str, data: bytes, requested_us: int) -> None:
+    def _merge_peer_answer(self, *, address: str, data: bytes, requested_us: int) -> None:
         try:
             unpacker = Unpacker(data=data)
             contacts = unpacker.many(each=read_proxy_contact)
@@ -146,17 +147,20 @@
             return
         self.peer_steps[address] = step
         for contact in contacts:
-            # an answer may be delayed anywhere after the request, so its ages count from the request
-            self._take_contact(contact=contact, now_us=requested_us)
+            # the answer may arrive much later; counting ages from the request never makes a contact look too recent
+            self._merge_contact(contact=contact, now_us=requested_us)
 
-    def _take_contact(self, *, contact: ProxyContact, now_us: int) -> None:
+    def _merge_contact(self, *, contact: ProxyContact, now_us: int) -> None:
         at_us = now_us - contact.age_us
         known = self.contacts.get(contact.name)
         if known is None or at_us > known.at_us:
             self.contacts[contact.name] = LastContact(at_us=at_us, proposal=contact.proposal, vote=contact.vote)
 
     async def gather_addresses(self, *, every_us: int) -> dict[str, ProxyAddress]:
-        """Addresses that proxies reported lately; the other controllers are asked every `every_us` at most."""
+        """Addresses that proxies reported within `CONTACT_WINDOW_US`, by proxy.
+
+        Pulls from the other controllers at most once every `every_us`.
+        """
         now_us = self.ctx.now_us()
         if now_us - self.addresses_requested_us >= every_us:
             self.addresses_requested_us = now_us
@@ -167,11 +171,11 @@
             ]
             for result in await asyncio.gather(*requests):
                 if result.is_ok():
-                    self._take_addresses(data=result.ok, requested_us=now_us)
+                    self._merge_addresses(data=result.ok, requested_us=now_us)
         self._forget_addresses(now_us=now_us)
         return {name: report.address for name, report in self.addresses.items()}
 
-    def _take_addresses(self, *, data: bytes, requested_us: int) -> None:
+    def _merge_addresses(self, *, data: bytes, requested_us: int) -> None:
         try:
             entries = Unpacker(data=data).many(each=lambda u: (u.text(), u.u64(), _read_address(u)))
         except ValueError:
@@ -184,7 +188,7 @@
 
     def _forget_addresses(self, *, now_us: int) -> None:
         self.addresses = {
-            name: report for name, report in self.addresses.items() if now_us - report.at_us <= WITHIN_US
+            name: report for name, report in self.addresses.items() if now_us - report.at_us <= CONTACT_WINDOW_US
         }
 
 
--- a/src/cinderstair/control_plane/proxy_contact.py
+++ b/src/cinderstair/control_plane/proxy_contact.py
@@ -9,7 +9,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyContact:
-    """`age_us` is how long ago the proxy asked; `vote` is about proposal number `proposal`."""
+    """A proxy's last request to one controller.
+
+    :ivar age_us: time since that request
+    :ivar vote: the proxy's vote on proposal number `proposal`
+    """
 
     name: str
     age_us: int
@@ -17,12 +21,12 @@
     vote: Vote
 
     def write(self, *, packer: Packer) -> None:
-        """Appends the record's fields in their order on the wire."""
+        """Appends the fields in wire order."""
         packer.text(value=self.name).u64(value=self.age_us).u64(value=self.proposal).u8(value=self.vote)
 
 
 def read_proxy_contact(unpacker: Unpacker) -> ProxyContact:
-    """Raises ValueError where the fields are none of a contact."""
+    """Reads what ProxyContact.write appended; raises ValueError for an unknown vote or a truncated record."""
     return ProxyContact(
         name=unpacker.text(), age_us=unpacker.u64(), proposal=unpacker.u64(), vote=Vote(unpacker.u8())
     )
--- a/src/cinderstair/control_plane/proxy_id_assigner.py
+++ b/src/cinderstair/control_plane/proxy_id_assigner.py
@@ -1,4 +1,4 @@
-"""Singleton role that assigns dense, stable ids to proxies, frees lost ones, and keeps their addresses."""
+"""Singleton service that assigns dense, stable ids to proxies, frees unused ids and maintains the address table."""
 
 from expression import Error, Ok, Result
 
@@ -13,14 +13,18 @@
 from .proxy_census import ProxyCensus
 
 TIMER_PERIOD_US = 500_000
-ASK_EVERY_US = 2_000_000
-SETTLED_EVERY_US = 6_000_000
-GRACE_US = 30_000_000
+CENSUS_PERIOD_US = 2_000_000
+SETTLED_CENSUS_PERIOD_US = 6_000_000
+ID_GRACE_US = 30_000_000
 PROXY_ID_LEASE = "slots"
 
 
 class ProxyIdAssigner(CommandQueueMixin):
-    """Assigns ids to all new proxies in one write; a proxy that asks no controller for `GRACE_US` loses its id."""
+    """Maintains the register's tables of proxy ids and proxy addresses while this controller holds the lease.
+
+    All new proxies get their ids in one write. A proxy that has asked no controller for `ID_GRACE_US` loses its id.
+    A failed write is retried at the next timer.
+    """
 
     def __init__(
         self,
@@ -46,40 +50,42 @@
                 self.held_since_us = self.ctx.now_us()
         if not self.lease.may_act(as_of_us=self.view.as_of_us) or not self.view.current:
             return
-        await self._keep_ids()
-        await self._keep_addresses()
+        await self._update_ids()
+        await self._update_addresses()
 
-    async def _keep_ids(self) -> None:
-        """Assigns ids to proxies that are new, and frees those of proxies that are lost."""
-        contacts = await self.census.gather(every_us=ASK_EVERY_US)
+    async def _update_ids(self) -> None:
+        """Assigns ids to new proxies and frees the ids of lost ones."""
+        contacts = await self.census.gather(every_us=CENSUS_PERIOD_US)
         last_us = {name: contact.at_us for name, contact in contacts.items()}
         now_us = self.ctx.now_us()
-        named = self._named()
-        fresh = [name for name, us in sorted(last_us.items()) if name not in named and now_us - us < ASK_EVERY_US]
-        # a new holder of the lease does not know yet which proxies the other controllers have heard of
-        gone = [name for name in sorted(named) if now_us - max(last_us.get(name, 0), self.held_since_us) > GRACE_US]
-        if fresh or gone:
-            await self._change(fresh=fresh, gone=gone)
+        with_id = self._proxies_with_id()
+        new = [name for name, us in sorted(last_us.items()) if name not in with_id and now_us - us < CENSUS_PERIOD_US]
+        # a new lease holder starts without the other controllers' contacts, so the grace period starts with its lease
+        lost = [
+            name for name in sorted(with_id) if now_us - max(last_us.get(name, 0), self.held_since_us) > ID_GRACE_US
+        ]
+        if new or lost:
+            await self._write_ids(new=new, lost=lost)
 
     def _value(self, *, key: str) -> bytes:
         found = self.view.known.get(key)
         return b"" if found is None else found.value
 
-    def _named(self) -> frozenset[str]:
-        """The proxies that have an id."""
+    def _proxies_with_id(self) -> frozenset[str]:
+        """Names of the proxies that have an id."""
         return frozenset(name for _, name in read_proxy_ids(data=self._value(key=PROXY_IDS_KEY)).names)
 
-    async def _keep_addresses(self) -> None:
-        """One write for all addresses that differ from the table's; a proxy without an id has none."""
-        named = self._named()
+    async def _update_addresses(self) -> None:
+        """Writes all changed addresses at once and drops those of proxies without an id."""
+        with_id = self._proxies_with_id()
         data = self._value(key=PROXY_ADDRESSES_KEY)
-        # once all are in the table no proxy reports its address, and only new proxies have to be asked about
-        every_us = ASK_EVERY_US if named - set(read_addresses(data=data)) else SETTLED_EVERY_US
+        # proxies stop reporting an address that the table lists, so only new or moved proxies remain to be found
+        every_us = CENSUS_PERIOD_US if with_id - set(read_addresses(data=data)) else SETTLED_CENSUS_PERIOD_US
         found = await self.census.gather_addresses(every_us=every_us)
-        reported = {name: address for name, address in found.items() if name in named}
+        reported = {name: address for name, address in found.items() if name in with_id}
 
         def wanted(data: bytes) -> dict[str, ProxyAddress]:
-            kept = {name: address for name, address in read_addresses(data=data).items() if name in named}
+            kept = {name: address for name, address in read_addresses(data=data).items() if name in with_id}
             return kept | reported
 
         if wanted(data) == read_addresses(data=data):
@@ -89,12 +95,12 @@
         )
         self.view.take_own(key=PROXY_ADDRESSES_KEY, result=result)
 
-    async def _change(self, *, fresh: list[str], gone: list[str]) -> None:
+    async def _write_ids(self, *, new: list[str], lost: list[str]) -> None:
         def decide(data: bytes) -> Result[bytes, CinderstairError]:
             proxy_ids: ProxyIds = read_proxy_ids(data=data)
-            for name in gone:
+            for name in lost:
                 proxy_ids = proxy_ids.without(name=name)
-            for name in fresh:
+            for name in new:
                 proxy_ids = proxy_ids.with_name(name=name)
             if proxy_ids.bytes() == data:
                 return Error(CinderstairError(code=ErrorCode.VERSION_TAKEN, reason="the ids are assigned already"))
@@ -103,9 +109,9 @@
         result = await self.register.change(key=PROXY_IDS_KEY, decide=decide)
         self.view.take_own(key=PROXY_IDS_KEY, result=result)
         if result.is_ok():
-            self.ctx.log.info("proxy ids were assigned to %s, and those of the lost proxies %s freed", fresh, gone)
+            self.ctx.log.info("assigned proxy ids to %s, freed the ids of lost proxies %s", new, lost)
 
 
 def read_addresses(*, data: bytes) -> dict[str, ProxyAddress]:
-    """The addresses by proxy; none for an absent value. Raises ValueError where the bytes are no table."""
+    """The addresses by proxy; empty if no table was written. Raises ValueError for malformed bytes."""
     return dict(read_proxy_addresses(data=data).addresses) if data else {}
--- a/src/cinderstair/control_plane/reachability_poll.py
+++ b/src/cinderstair/control_plane/reachability_poll.py
@@ -1,4 +1,4 @@
-"""Asks the other controllers whether they reach a backend, and answers when they ask."""
+"""Asks the other controllers whether they can reach a backend, and answers the same question."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,10 @@
 
 
 class ReachabilityPoll:
-    """A backend counts as reachable where a connection to it is accepted, whatever it answers."""
+    """Collects reachability votes on a backend from the other controllers.
+
+    A backend is reachable if it accepts a connection, whatever it answers then.
+    """
 
     def __init__(
         self,
@@ -37,7 +40,7 @@
         dispatcher.add_handler(message_type=MessageType.OPINION, handler=self._on_opinion)
 
     async def poll(self, name: str) -> ReachabilityVotes:
-        """The votes of the other controllers on one backend; those that don't answer in time have none."""
+        """The other controllers' votes on one backend; those that don't answer within `VOTE_WAIT_US` don't count."""
         body = Packer().u8(value=MessageType.OPINION).text(value=name).bytes()
         requests = [
             self.ctx.peer_client.request(address=address, body=body, wait_us=VOTE_WAIT_US) for address in self.peers()
@@ -50,7 +53,7 @@
         unpacker.done()
         received = self.heartbeat_table.latest(name=name)
         if received is None:
-            raise ValueError(f"no heartbeat of backend {name} has been received")
+            raise ValueError(f"can't probe backend {name}: no heartbeat of it has been received")
         state = await self.control.state(backend=received.heartbeat, wait_us=PROBE_WAIT_US)
         reachable = state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT
         return Packer().u8(value=int(reachable)).bytes()
--- a/src/cinderstair/control_plane/relay.py
+++ b/src/cinderstair/control_plane/relay.py
@@ -1,4 +1,4 @@
-"""Answers proxies: all that changed since they last asked, and how old this controller's knowledge is."""
+"""Answers proxies with all changes since their last question and the age of this controller's register view."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -23,14 +23,14 @@
 from .proxy_contact import ProxyContact
 
 TIMER_PERIOD_US = 100_000
-FORGET_US = 30_000_000
-KEEP_US = 60_000_000
+GONE_RETENTION_US = 30_000_000
+QUESTION_RETENTION_US = 60_000_000
 Shorten = Callable[[str, bytes], bytes]
 
 
 @dataclass(frozen=True, kw_only=True)
 class BackendRevision:
-    """What proxies are told of a backend, and the revision with which it last changed."""
+    """A backend's relayed state, and the revision at which it last changed."""
 
     revision: int
     backend: RelayedBackend
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProxyQuestion:
-    """When a proxy last asked, and its vote on the shard map of proposal number `proposal`."""
+    """When a proxy last asked, and its vote on proposal number `proposal` of the shard map."""
 
     at_us: int
     proposal: int
@@ -46,10 +46,13 @@
 
 
 class Relay:
-    """Numbers every change by a revision of its own; an asker that knows another relay gets everything.
+    """Owns the revisions of all relayed values, backends and controllers, and each proxy's last question.
 
-    :param on_link_failure: called with a backend and the proxy that can't reach it.
-    :param shorten: turns a key's value into the form in which proxies get it.
+    Revisions are valid for one process of one controller, identified by `source`. A proxy that names another source,
+    or a revision later than the newest, gets the full state instead of changes.
+
+    :param on_link_failure: called with the names of a backend and of the proxy that can't reach it.
+    :param shorten: called with a key and its value; returns the value in the form that is relayed to proxies.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
         self.value_revisions[key] = self.revision
 
     def refresh(self) -> None:
-        """Takes over what has changed of the backends and the controllers since the last turn."""
+        """Assigns revisions to changes of backends and controllers since the last call; drops expired entries."""
         self.position_samples.expire()
         self._refresh_backends()
         self._forget_backends()
@@ -99,7 +102,7 @@
         now_us = self.ctx.now_us()
         for name, received in self.heartbeat_table.newest.items():
             announcement = received.heartbeat
-            if announcement.state == GONE and now_us - received.observed_at_us > FORGET_US:
+            if announcement.state == GONE and now_us - received.observed_at_us > GONE_RETENTION_US:
                 continue
             backend = RelayedBackend(announcement=announcement, silent=self.heartbeat_table.silent(name=name))
             known = self.backends.get(name)
@@ -110,27 +113,27 @@
     def _forget_backends(self) -> None:
         for name, entry in list(self.backends.items()):
             gone = entry.backend.announcement.state == GONE
-            if gone and self.heartbeat_table.age_us(name=name) > FORGET_US:
+            if gone and self.heartbeat_table.age_us(name=name) > GONE_RETENTION_US:
                 del self.backends[name]
 
     async def answer(self, unpacker: Unpacker) -> bytes:
-        """Answers one question of a proxy; ValueError where the record is none."""
+        """Answers a proxy's question; raises ValueError for a malformed record."""
         question = read_relay_question(unpacker=unpacker)
         if question.brief:
-            # a proxy that looks for the nearest controller asks them all, and becomes a user of only one
+            # a proxy that selects the nearest controller asks them all, and will use only one of them
             return RelayAnswer(
                 source=self.source, revision=self.revision, age_us=self._age_us(), full=False, site=self.ctx.site
             ).bytes()
-        self._take_question(question=question)
+        self._record_question(question=question)
         return self._changes_for(question=question).bytes()
 
-    def _take_question(self, *, question: RelayQuestion) -> None:
+    def _record_question(self, *, question: RelayQuestion) -> None:
         self.proxies[question.proxy] = ProxyQuestion(
             at_us=self.ctx.now_us(), proposal=question.proposal, vote=question.vote
         )
         for name in question.suspected:
             self.on_link_failure(name, question.proxy)
-        # moments given out by an earlier process of this controller mean nothing by this one's clock
+        # sample times issued by an earlier process of this controller are not comparable with this process's clock
         if question.source == self.source:
             self.position_samples.add(samples=question.samples)
 
@@ -145,7 +148,7 @@
             age_us=self._age_us(),
             full=full,
             values=tuple(
-                self._value(key=key, found=found)
+                self._relayed_value(key=key, found=found)
                 for key, found in self.view.known.items()
                 if full or self.value_revisions.get(key, 0) > since
             ),
@@ -159,13 +162,15 @@
     def _age_us(self) -> int:
         return max(0, self.ctx.now_us() - self.view.as_of_us)
 
-    def _value(self, *, key: str, found: VersionedValue) -> RelayedValue:
+    def _relayed_value(self, *, key: str, found: VersionedValue) -> RelayedValue:
         return RelayedValue(key=key, ballot=found.ballot, value=self.shorten(key, found.value))
 
     def recent_proxies(self, *, within_us: int) -> list[ProxyContact]:
-        """The proxies that asked within the given span."""
+        """The proxies that asked within the last `within_us`; drops questions older than `QUESTION_RETENTION_US`."""
         now_us = self.ctx.now_us()
-        self.proxies = {name: entry for name, entry in self.proxies.items() if now_us - entry.at_us < KEEP_US}
+        self.proxies = {
+            name: entry for name, entry in self.proxies.items() if now_us - entry.at_us < QUESTION_RETENTION_US
+        }
         return [
             ProxyContact(name=name, age_us=now_us - entry.at_us, proposal=entry.proposal, vote=entry.vote)
             for name, entry in self.proxies.items()
@@ -174,7 +179,7 @@
 
 
 def same_for_proxies(one: RelayedBackend, other: RelayedBackend) -> bool:
-    """Whether two entries agree in everything that proxies act on."""
+    """Whether two entries are equal in every field that proxies use."""
     first, second = one.announcement, other.announcement
     return (
         one.silent == other.silent
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -1,4 +1,4 @@
-"""Answers operators about the shard map: propose one, plan one as a dry run, abandon one, show its progress."""
+"""Serves operators' shard map requests: propose, dry run, abandon, show the current map and the progress."""
 
 from collections.abc import Callable
 
@@ -19,11 +19,13 @@
 
 
 class ShardMapHandler:
-    """Answers operators' records.
+    """Checks operators' shard maps against the configuration and passes them to the coordinator.
 
-    :param plan: the configuration in force, None before the first.
-    :param planned_service: the service to which the plan routes a database.
-    :param can_move_data: whether anything here brings a database's data to another service.
+    Errors are returned to the operator as a code and a reason.
+
+    :param plan: returns the configuration in force, None before the first.
+    :param planned_service: returns the service to which the plan routes a database.
+    :param can_move_data: whether this deployment can move a database's data to another service.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         dispatcher.add_handler(message_type=MessageType.SHARDS_PROGRESS, handler=self._on_progress)
 
     async def _on_shard_map(self, unpacker: Unpacker) -> bytes:
-        """Proposes an operator's shard map; an empty one asks for a description of the map in force."""
+        """Proposes an operator's shard map; an empty document requests a description of the map in force."""
         raw = unpacker.blob()
         unpacker.done()
         if not raw:
@@ -60,7 +62,7 @@
         return operator_result(result=result, text="put to the proxies")
 
     def _checked(self, *, raw: bytes) -> Result[ShardMap, CinderstairError]:
-        """An operator's map, checked against the configuration and the map in force; the error names each problem."""
+        """Parses a map and checks it against the configuration and the map in force; the error lists each problem."""
         checked = check_shard_map(raw=raw)
         if checked.is_error():
             return checked
@@ -76,7 +78,7 @@
         return checked
 
     async def _on_dry_run(self, unpacker: Unpacker) -> bytes:
-        """Says what an operator's shard map would move, and proposes nothing."""
+        """Lists what an operator's shard map would move, without proposing it."""
         raw = unpacker.blob()
         unpacker.done()
         checked = self._checked(raw=raw)
@@ -84,17 +86,17 @@
             return operator_error(error=checked.error)
         current = self.shards.state.current
         if checked.ok.version <= current.version:
-            reason = f"version {current.version} stands"
+            reason = f"version {checked.ok.version} is not above version {current.version}, which is in force"
             return operator_error(error=CinderstairError(code=ErrorCode.VERSION_OLD, reason=reason))
         lines = self._moves(wanted=checked.ok)
         forecast = await self.shards.forecast()
-        lines.append(forecast.summary() if lines else "nothing moves")
+        lines.append(forecast.summary() if lines else "no database moves")
         if not self.can_move_data():
-            lines.append("begin would be refused: nothing here brings a database's data to another place")
+            lines.append("begin would be refused: this deployment can't move a database's data to another service")
         return operator_answer(text="\n".join(lines)).bytes()
 
     def _moves(self, *, wanted: ShardMap) -> list[str]:
-        """A line for each database that a map would move to another service."""
+        """One line for each database that a map would move to another service."""
         lines = []
         for database, target in sorted(wanted.placements.items()):
             source = self.shards.state.current.service_of(database=database, planned=self.planned_service(database))
@@ -108,7 +110,7 @@
         return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is given up")
 
     async def _on_progress(self, unpacker: Unpacker) -> bytes:
-        """A text, then the phase, the proposal, the version in force, and why the last proposal was withdrawn."""
+        """Responds with a summary, then phase, proposal, version in force and why the last proposal was withdrawn."""
         unpacker.done()
         progress = await self.shards.progress()
         state = progress.state
--- a/src/cinderstair/control_plane/shard_map_text.py
+++ b/src/cinderstair/control_plane/shard_map_text.py
@@ -1,10 +1,10 @@
-"""Describes the shard map for an operator to read."""
+"""Formats the shard map for operators."""
 
 from ..failover.shard_state import ShardPhase, ShardState
 
 
 def shard_map_text(*, state: ShardState) -> str:
-    """The shard map in force, and the phase and version of the one that is to follow it, if any."""
+    """The shard map in force, followed by the phase and version of a pending change."""
     placements = ", ".join(
         f"{database} at {service}" for database, service in sorted(state.current.placements.items())
     )
--- a/src/cinderstair/control_plane/status_handler.py
+++ b/src/cinderstair/control_plane/status_handler.py
@@ -1,4 +1,4 @@
-"""Takes the snapshot of a controller's status, and answers operators that ask for it."""
+"""Collects a controller's status and serves it to operators."""
 
 from ..consensus.lease import Lease
 from ..consensus.register_replica import RegisterReplica
@@ -15,11 +15,14 @@
 from .relay import Relay
 from .status_text import status_text
 
-PROXY_CONTACT_US = 10_000_000
+RECENT_PROXY_US = 10_000_000
 
 
 class StatusHandler:
-    """Answers with the status as text. `leases` are listed under the names that operators know them by."""
+    """Serves the status as text.
+
+    :param leases: the controller's leases by the names shown to operators.
+    """
 
     def __init__(
         self,
@@ -48,9 +51,9 @@
         return operator_answer(text=status_text(status=self.snapshot())).bytes()
 
     def snapshot(self) -> ControllerStatus:
-        """What the controller knows now; proxies are those that asked within `PROXY_CONTACT_US`."""
+        """The controller's current status; lists the proxies that asked within `RECENT_PROXY_US`."""
         plan = self.service_failover.plan
-        proxies = self.relay.recent_proxies(within_us=PROXY_CONTACT_US)
+        proxies = self.relay.recent_proxies(within_us=RECENT_PROXY_US)
         return ControllerStatus(
             name=self.ctx.name,
             register_age_us=self.ctx.now_us() - self.view.as_of_us,
@@ -68,7 +71,7 @@
 
     def _quorum(self) -> QuorumStatus | None:
         replica = self.register_replica
-        roster, membership, short_since_us = replica.roster, replica.membership, replica.missing_votes.since_us
+        roster, membership, missing_since_us = replica.roster, replica.membership, replica.missing_votes.since_us
         if roster is None:
             return None
         return QuorumStatus(
@@ -80,11 +83,11 @@
                 )
                 for voter in roster.voters
             ),
-            present=len(replica.alive_voters()),
-            most=replica.max_voters,
+            alive_count=len(replica.alive_voters()),
+            target_count=replica.max_voters,
             epoch=roster.epoch,
-            losses_borne=replica.tolerable_losses(),
-            short_for_us=None if short_since_us is None else self.ctx.now_us() - short_since_us,
+            tolerable_losses=replica.tolerable_losses(),
+            votes_missing_us=None if missing_since_us is None else self.ctx.now_us() - missing_since_us,
             standbys=tuple(replica.standbys()),
         )
 
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -1,4 +1,4 @@
-"""Describes a controller's status, a line each thing, for an operator to read."""
+"""Formats a controller's status for operators, one line for each item."""
 
 from .controller_status import BackendStatus, ControllerStatus, QuorumStatus, ServiceStatus
 from .proxy_contact import ProxyContact
@@ -9,11 +9,11 @@
 
 
 def status_text(*, status: ControllerStatus) -> str:
-    """A line each thing; HELD and QUIET mark what can't go on, and HELD says why."""
+    """One line for each item; HELD marks a service with a blocked failover and its reason, QUIET a silent backend."""
     return "\n".join(
         [
             _register_line(status=status),
-            f"configuration: {'none yet' if status.plan_version is None else status.plan_version}",
+            f"configuration: {'none accepted yet' if status.plan_version is None else status.plan_version}",
             _shard_map_line(status=status),
             *_quorum_lines(quorum=status.quorum),
             *(_service_line(service=service) for service in status.services),
@@ -26,10 +26,9 @@
 
 
 def _register_line(*, status: ControllerStatus) -> str:
-    age = f"knows the register as of {status.register_age_us // US_PER_MS} ms ago"
-    return (
-        f"{status.name}: {age}{'' if status.current else ', NOT CURRENT: no majority of register_replicas answers'}"
-    )
+    age = f"register view is {status.register_age_us // US_PER_MS} ms old"
+    stale = "" if status.current else ", NOT CURRENT: no majority of the register replicas answers"
+    return f"{status.name}: {age}{stale}"
 
 
 def _shard_map_line(*, status: ControllerStatus) -> str:
@@ -38,18 +37,18 @@
 
 
 def _quorum_lines(*, quorum: QuorumStatus | None) -> list[str]:
-    """Each voter, how many more may be lost, and who would take the place of one."""
+    """One line for each voter, then how many more may fail and which standbys could replace one."""
     if quorum is None:
-        return ["votes: no roster is known"]
+        return ["votes: no roster known"]
     lines = [
         f"register replica {voter.name} at {voter.address}: "
         f"{'unknown' if voter.standing is None else voter.standing.name}"
         for voter in quorum.voters
     ]
-    short = "" if quorum.short_for_us is None else f", VOTES MISSING for {quorum.short_for_us // US_PER_S} s"
-    borne = f"bears the loss of {quorum.losses_borne} more" if quorum.losses_borne >= 0 else "NO MAJORITY"
+    short = "" if quorum.votes_missing_us is None else f", VOTES MISSING for {quorum.votes_missing_us // US_PER_S} s"
+    borne = f"bears the loss of {quorum.tolerable_losses} more" if quorum.tolerable_losses >= 0 else "NO MAJORITY"
     lines.append(
-        f"votes: {quorum.present} of {quorum.most}, epoch {quorum.epoch}, {borne}{short}; "
+        f"votes: {quorum.alive_count} of {quorum.target_count}, epoch {quorum.epoch}, {borne}{short}; "
         f"standing by: {', '.join(quorum.standbys) or 'nobody'}"
     )
     return lines
@@ -63,7 +62,7 @@
 
 def _backend_line(*, backend: BackendStatus) -> str:
     announcement = backend.announcement
-    marks = (" and leads" if announcement.is_primary else "") + (", QUIET" if backend.silent else "")
+    marks = (", primary" if announcement.is_primary else "") + (", QUIET" if backend.silent else "")
     return f"backend {announcement.name} of {announcement.service}: {announcement.state}{marks}"
 
 
--- a/src/cinderstair/control_plane/suspicion_reporter.py
+++ b/src/cinderstair/control_plane/suspicion_reporter.py
@@ -1,4 +1,4 @@
-"""Brings proxies' suspicions of a primary to the controller that holds the failover lease."""
+"""Forwards proxies' suspicions of a primary to the controller that holds the failover lease."""
 
 from collections.abc import Callable
 
@@ -11,11 +11,14 @@
 from .acknowledgement import ACKNOWLEDGEMENT
 
 REPORT_WAIT_US = 400_000
-REPORT_EVERY_US = 250_000
+REPORT_INTERVAL_US = 250_000
 
 
 class SuspicionReporter:
-    """Owns when each primary was last reported; reports of one primary are `REPORT_EVERY_US` apart at least."""
+    """Owns when each primary was last reported, to limit reports to one per `REPORT_INTERVAL_US` and primary.
+
+    Reports to peers are sent once, without retry: a proxy that still can't reach the primary reports it again.
+    """
 
     def __init__(
         self,
@@ -32,11 +35,11 @@
         dispatcher.add_handler(message_type=MessageType.SUSPECT, handler=self._on_suspect)
 
     def report(self, *, backend: str) -> None:
-        """Takes a proxy's failure to reach a backend; only the loss of a primary asks for failover."""
+        """Reports that a proxy can't reach a backend; backends that are no primary are ignored."""
         now_us = self.ctx.now_us()
         if not any(assignment.primary == backend for assignment in self.service_failover.primaries.values()):
             return
-        if now_us - self.reported_at_us.get(backend, -REPORT_EVERY_US) < REPORT_EVERY_US:
+        if now_us - self.reported_at_us.get(backend, -REPORT_INTERVAL_US) < REPORT_INTERVAL_US:
             return
         self.reported_at_us[backend] = now_us
         self.ctx.counters.add(name="promotion.suspicions")
