--- a/features/config/compiler.feature
+++ b/features/config/compiler.feature
@@ -1,28 +1,28 @@
 Feature: The configuration language
-  Selectors, routes and policies; every error with its line, its column and what was expected.
+  Selectors, routes and policies are compiled; each error names its line, its column and what was expected.
 
-  Scenario Outline: <text> selects by labels
+  Scenario Outline: The selector <text> matches machines by their labels
     When the selector <text> is compiled
-    Then it picks <picked> of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"
+    Then it matches <matched> of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"
 
     Examples:
-      | text                                     | picked |
-      | hall = old                               | 1      |
-      | hall != old                              | 2 3    |
-      | hall in (old, new)                       | 1 2    |
-      | has hall                                 | 1 2    |
-      | not has hall                             | 3      |
-      | hall = old or rack = c                   | 1 3    |
-      | hall = old and rack = b                  |        |
-      | not (hall = old or rack = b)             | 3      |
-      | rack = a or rack = b and hall = old      | 1      |
-      | (rack = a or rack = b) and hall = new    | 2      |
-      | tier = "gold"                            | 3      |
-      | nowhere = 1                              |        |
+      | text                                     | matched |
+      | hall = old                               | 1       |
+      | hall != old                              | 2 3     |
+      | hall in (old, new)                       | 1 2     |
+      | has hall                                 | 1 2     |
+      | not has hall                             | 3       |
+      | hall = old or rack = c                   | 1 3     |
+      | hall = old and rack = b                  |         |
+      | not (hall = old or rack = b)             | 3       |
+      | rack = a or rack = b and hall = old      | 1       |
+      | (rack = a or rack = b) and hall = new    | 2       |
+      | tier = "gold"                            | 3       |
+      | nowhere = 1                              |         |
 
-  Scenario Outline: Formatting <text> twice gives the same as once, and the same choice
+  Scenario Outline: The canonical form of <text> is stable and matches the same machines
     When the selector <text> is compiled
-    Then its canonical form compiles to itself
+    Then its canonical form compiles to the same form and the same matches
 
     Examples:
       | text                                     |
@@ -30,12 +30,12 @@
       | not(has hall)and(rack in(b,a))           |
       | a = 1 or (b = "two words" and not c = 3) |
 
-  Scenario Outline: <text> is an error at line <line>, column <column>
+  Scenario Outline: The program <text> is rejected at line <line>, column <column>
     When the program <text> is compiled
-    Then it fails at line <line>, column <column> with the words "<words>"
+    Then compilation fails at line <line>, column <column> with "<message>"
 
     Examples:
-      | text                                        | line | column | words                  |
+      | text                                        | line | column | message                |
       | route live on * to repica                   | 1    | 20     | found 'repica'         |
       | route lve on * to replica                   | 1    | 7      | expected one of        |
       | route write on * to replica                 | 1    | 7      | primary or deny        |
--- a/features/config/formatter.feature
+++ b/features/config/formatter.feature
@@ -1,7 +1,7 @@
-Feature: The formatter
-  One canonical form; comments and meaning stay, and formatting twice changes nothing.
+Feature: Formatting the configuration language
+  Formatting yields one canonical form, preserves comments and meaning, and is idempotent.
 
-  Scenario Outline: <text> becomes <form>
+  Scenario Outline: <text> is formatted as <form>
     Then formatting "<text>" gives "<form>"
     And formatting "<form>" gives "<form>"
 
@@ -14,6 +14,6 @@
       | # only words                                | # only words                                      |
       | policy site on * is near;policy inSync on * is 2 | policy site on * is near; policy inSync on * is 2 |
 
-  Scenario: The command prints the formatted document, and reports an invalid one with the place of its error
-    Then the format command prints the example with the same meaning, and printing that again changes nothing
-    And a document whose language is invalid is refused with the place of its error
+  Scenario: The format command prints the formatted document and rejects an invalid one with the error's location
+    Then the format command prints an equivalent example document, and formatting that again changes nothing
+    And the format command rejects a document with an invalid program, naming the error's location
--- a/features/config/shard_map.feature
+++ b/features/config/shard_map.feature
@@ -1,6 +1,6 @@
-Feature: Shard maps as operators write them
+Feature: Validation of shard map documents
 
-  Scenario Outline: A document is checked whole: <document>
+  Scenario Outline: Checking <document> yields <found>
     When the shard map <document> is checked
     Then the shard map is <found>
 
@@ -18,24 +18,24 @@
       | {"version": 1, "places": {}, "agree_percent": 50}                 | refused: /agree_percent        |
       | {"version": 1, "places": {}, "agree_percent": 101}                | refused: /agree_percent        |
       | {"version": 1, "places": {}, "more": 1}                           | refused: /more                 |
-      | ["version"]                                                       | refused: /: not an object      |
+      | ["version"]                                                       | refused: /: must be an object  |
       | {"version": 1, "places": {"a                                      | refused: not JSON              |
-      | {"version": 1, "places": {"a": "s", "a": "t"}}                    | refused: line 1: 'a' is named twice |
+      | {"version": 1, "places": {"a": "s", "a": "t"}}                    | refused: line 1: 'a' occurs more than once |
 
-  Scenario Outline: A map is held against the configuration and the map in force: <why>
-    Given databases "a, b, c", services "s, t", and a map in force with "<stands>"
-    When the places "<places>", each on a line of its own, are checked
-    Then the reasons are "<why>"
+  Scenario Outline: Checking <places> against the configuration and the current map <current> yields <problems>
+    Given databases "a, b, c", services "s, t", and a map in force with "<current>"
+    When a map with the places "<places>", one per line, is checked
+    Then the problems are "<problems>"
 
     Examples:
-      | stands | places         | why                                                              |
-      |        | a: t           | none                                                             |
-      | a: t   | a: t, b: t     | none                                                             |
-      | a: t   | b: t           | 'a' is lost: map 1 has it at 't'; name its place                 |
-      |        | a: t, d: t     | line 5: 'd' is no database of configuration 7                    |
-      |        | a: u, b: t     | line 4: 'a': 'u' is no service of configuration 7                |
-      | c: t   | a: u, d: t     | 'c' is lost: map 1 has it at 't'; name its place / line 4: 'a': 'u' is no service of configuration 7 / line 5: 'd' is no database of configuration 7 |
+      | current | places     | problems                                              |
+      |         | a: t       | none                                                  |
+      | a: t    | a: t, b: t | none                                                  |
+      | a: t    | b: t       | 'a' is lost: map 1 places it at 't'; add it to places |
+      |         | a: t, d: t | line 5: 'd' is no database of configuration 7         |
+      |         | a: u, b: t | line 4: 'a': 'u' is no service of configuration 7     |
+      | c: t    | a: u, d: t | 'c' is lost: map 1 places it at 't'; add it to places / line 4: 'a': 'u' is no service of configuration 7 / line 5: 'd' is no database of configuration 7 |
 
-  Scenario: Maps and states go through records unchanged, and what is cut short is no map
-    Then 200 made-up shard states read back as they were written
-    And none of them reads when it is cut short
+  Scenario: Shard states survive encoding, and truncated encodings are rejected
+    Then 200 random shard states decode to what was encoded
+    And every truncation of their encodings is rejected
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the language and for checking configurations."""
+"""Steps for the configuration language and for the validation of configuration documents."""
 
 import json
 import subprocess
@@ -25,13 +25,13 @@
             database: {
                 "backends": [
                     {
-                        "name": f"{database}-{letter}",
+                        "name": f"{database}-{suffix}",
                         "address": f"10.0.0.{number + offset}:1",
                         "site": "kingston",
                         "cap": 60,
-                        "labels": {"hall": "old" if letter == "a" else "new"},
+                        "labels": {"hall": "old" if suffix == "a" else "new"},
                     }
-                    for offset, letter in enumerate("abc")
+                    for offset, suffix in enumerate("abc")
                 ]
             }
             for database, number in (("league", 1), ("ledger", 11))
@@ -48,18 +48,19 @@
     }
 
 
-def changed(*, document: dict[str, Any], change: str) -> dict[str, Any]:
+def with_change(*, document: dict[str, Any], change: str) -> dict[str, Any]:
+    """Sets one value of a document; a change reads `path/to/key=JSON`, and an index past the end appends."""
     path, _, value = change.partition("=")
     *steps, last = path.split("/")
-    place: Any = document
+    node: Any = document
     for step in steps:
-        place = place[int(step)] if isinstance(place, list) else place[step]
-    if isinstance(place, list) and int(last) == len(place):
-        place.append(json.loads(value))
-    elif isinstance(place, list):
-        place[int(last)] = json.loads(value)
+        node = node[int(step)] if isinstance(node, list) else node[step]
+    if isinstance(node, list) and int(last) == len(node):
+        node.append(json.loads(value))
+    elif isinstance(node, list):
+        node[int(last)] = json.loads(value)
     else:
-        place[last] = json.loads(value) if value[:1] in '"{[0123456789tfn' else value
+        node[last] = json.loads(value) if value[:1] in '"{[0123456789tfn' else value
     return document
 
 
@@ -67,19 +68,21 @@
 
 
 @when(r"the selector (?P<text>.*) is compiled")
-def when_selector(context: Any, text: str) -> None:
+def when_selector_compiled(context: Any, text: str) -> None:
     context.result = compile_selector(text=text)
 
 
-@then(r'it picks (?P<picked>[0-9 ]*)\s*of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"')
-def then_picks(context: Any, picked: str) -> None:
+@then(
+    r'it matches (?P<matched>[0-9 ]*)\s*of the machines "hall=old rack=a", "hall=new rack=b" and "rack=c tier=gold"'
+)
+def then_matches(context: Any, matched: str) -> None:
     assert context.result.is_ok(), context.result
     found = [str(n) for n, labels in enumerate(MACHINES, start=1) if context.result.ok.matches(labels=labels)]
-    assert " ".join(found) == picked.strip(), found
+    assert " ".join(found) == matched.strip(), found
 
 
-@then(r"its canonical form compiles to itself")
-def then_form(context: Any) -> None:
+@then(r"its canonical form compiles to the same form and the same matches")
+def then_canonical_form_stable(context: Any) -> None:
     first = context.result.ok
     second = compile_selector(text=first.text).ok
     assert first.text == second.text, (first.text, second.text)
@@ -87,54 +90,54 @@
 
 
 @when(r"the program (?P<text>.*) is compiled")
-def when_program(context: Any, text: str) -> None:
+def when_program_compiled(context: Any, text: str) -> None:
     context.result = compile_program(text=text)
 
 
-@then(r'it fails at line (?P<line>\d+), column (?P<column>\d+) with the words "(?P<words>.*)"')
-def then_fails(context: Any, line: str, column: str, words: str) -> None:
+@then(r'compilation fails at line (?P<line>\d+), column (?P<column>\d+) with "(?P<message>.*)"')
+def then_compilation_fails(context: Any, line: str, column: str, message: str) -> None:
     assert context.result.is_error(), context.result
     error = context.result.error
     assert (error.details["line"], error.details["column"]) == (int(line), int(column)), error
-    assert words in error.reason, error.reason
+    assert message in error.reason, error.reason
 
 
 @when(r"the valid document is checked")
-def when_good(context: Any) -> None:
+def when_valid_document_checked(context: Any) -> None:
     context.result = check_configuration(raw=json.dumps(valid_document()).encode())
 
 
 @when(r"the valid document is checked with (?P<change>.+)")
-def when_changed(context: Any, change: str) -> None:
-    document = changed(document=valid_document(), change=change)
+def when_changed_document_checked(context: Any, change: str) -> None:
+    document = with_change(document=valid_document(), change=change)
     context.result = check_configuration(raw=json.dumps(document).encode())
 
 
 @when(r"the bytes (?P<text>.+) are checked")
-def when_bytes(context: Any, text: str) -> None:
+def when_bytes_checked(context: Any, text: str) -> None:
     context.result = check_configuration(raw=text.encode("latin-1").decode("unicode_escape").encode("latin-1"))
 
 
 @then(r"it is accepted with 2 databases, 6 backends and 1 window")
-def then_good(context: Any) -> None:
+def then_accepted(context: Any) -> None:
     assert context.result.is_ok(), context.result
     configuration = context.result.ok
     assert (len(configuration.databases), len(configuration.backends), len(configuration.windows)) == (2, 6, 1)
     assert not configuration.warnings, configuration.warnings
 
 
-@then(r'it is denied with "(?P<words>.*)"')
-def then_denied(context: Any, words: str) -> None:
+@then(r'it is rejected with "(?P<message>.*)"')
+def then_rejected(context: Any, message: str) -> None:
     assert context.result.is_error(), context.result.ok
     errors = context.result.error.details["errors"]
-    assert any(words in line for line in errors), errors
+    assert any(message in line for line in errors), errors
 
 
 @then(r'it is accepted with the warnings "(?P<one>.*)" and "(?P<other>.*)"')
 def then_warned(context: Any, one: str, other: str) -> None:
     assert context.result.is_ok(), context.result
-    for words in (one, other):
-        assert any(words in warning for warning in context.result.ok.warnings), context.result.ok.warnings
+    for message in (one, other):
+        assert any(message in warning for warning in context.result.ok.warnings), context.result.ok.warnings
 
 
 @then(r'formatting "(?P<text>.*)" gives "(?P<form>.*)"')
@@ -148,7 +151,7 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
 
-@then(r"the format command prints the example with the same meaning, and printing that again changes nothing")
+@then(r"the format command prints an equivalent example document, and formatting that again changes nothing")
 def then_format_command(context: Any) -> None:
     first = run_format(path=EXAMPLE)
     before, after = (
@@ -163,8 +166,8 @@
         assert run_format(path=Path(file.name)).stdout == first.stdout
 
 
-@then(r"a document whose language is invalid is refused with the place of its error")
-def then_invalid(context: Any) -> None:
+@then(r"the format command rejects a document with an invalid program, naming the error's location")
+def then_format_rejects(context: Any) -> None:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(json.dumps({**valid_document(), "language": "route live on * to"}))
         file.flush()
--- a/src/cinderstair/config/__init__.py
+++ b/src/cinderstair/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its language, checks, compiler, the plan of services and the shard map."""
+"""Configuration documents: language, compiler, checks, service plan and shard map."""
--- a/src/cinderstair/config/backend.py
+++ b/src/cinderstair/config/backend.py
@@ -1,4 +1,4 @@
-"""A backend as an operator declares it."""
+"""A backend as declared in a configuration document."""
 
 from dataclasses import dataclass, field
 
@@ -7,8 +7,9 @@
 class Backend:
     """One database server.
 
-    :ivar address: `host:port` at which it answers
-    :ivar cap: the most connections that it takes, from all HTTP proxies together
+    :ivar address: `host:port` on which it accepts connections
+    :ivar cap: maximum number of connections from all HTTP proxies together
+    :ivar labels: free key-value pairs that selectors match
     """
 
     name: str
--- a/src/cinderstair/config/check.py
+++ b/src/cinderstair/config/check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration document whole: a Configuration, or every error with its place."""
+"""Validates a configuration document as a whole: yields a Configuration, or all errors with their locations."""
 
 import json
 from collections import Counter
@@ -20,9 +20,9 @@
 from .window import Window, parse_time_us
 
 MAX_DOCUMENT_BYTES = 1024 * 1024
-#: So many errors go into the reason; the details list them all.
+#: The reason is a summary; the error details list every error.
 MAX_ERRORS_IN_REASON = 3
-#: Steps that marshmallow puts into the path of an error and that the document doesn't have.
+#: Keys in marshmallow's nested errors that are no part of a path in the document.
 MARSHMALLOW_PATH_KEYS = ("value", "key", "_schema")
 
 
@@ -32,7 +32,7 @@
 
 
 def _schema_errors(*, messages: Any, path: str) -> list[str]:
-    """One line for each message in marshmallow's nested errors, each with its path in the document."""
+    """Flattens marshmallow's nested errors into one line per message, with its path in the document."""
     if not isinstance(messages, dict):
         return [f"{path or '/'}: {message}" for message in messages]
     lines: list[str] = []
@@ -43,10 +43,10 @@
 
 
 def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # JSON would silently keep the last of two values under one key.
+    # json.loads would silently keep only the last of two values under one key
     for name, count in Counter(name for name, _ in pairs).items():
         if count > 1:
-            raise ValueError(f"the key '{name}' stands twice")
+            raise ValueError(f"duplicate key '{name}'")
     return dict(pairs)
 
 
@@ -62,16 +62,16 @@
     except (ValueError, RecursionError) as error:
         return _invalid(errors=[str(error)])
     if not isinstance(document, dict):
-        return _invalid(errors=["/: not an object"])
+        return _invalid(errors=["/: must be an object"])
     return Ok(document)
 
 
 def check_configuration(*, raw: bytes) -> Result[Configuration, CinderstairError]:
-    """Checks and compiles a document, so that only a valid one is ever written to the register.
+    """Validates and compiles a document before it may be written to the register.
 
     :param raw: the operator's document, JSON in UTF-8
-    :returns: the compiled configuration with its warnings; or BROKEN_CONFIGURATION, whose details hold one line for
-        each error under `errors`
+    :returns: the compiled configuration with its warnings, or a BROKEN_CONFIGURATION error whose details list one
+        line per error under `errors`
     """
     document = _read_document(raw=raw)
     if document.is_error():
@@ -109,11 +109,11 @@
     for database, entry in loaded["databases"].items():
         for index, fields in enumerate(entry["backends"]):
             path = f"/databases/{database}/backends/{index}"
-            # Heartbeats and primaries name a backend without its database, so names are unique among all databases.
+            # heartbeats and primary assignments name a backend without its database, so names must be unique overall
             if fields["name"] in backends:
-                errors.append(f"{path}/name: '{fields['name']}' stands twice")
+                errors.append(f"{path}/name: '{fields['name']}' is used more than once")
             if fields["address"] in addresses:
-                errors.append(f"{path}/address: '{fields['address']}' stands twice")
+                errors.append(f"{path}/address: '{fields['address']}' is used more than once")
             addresses.add(fields["address"])
             backends[fields["name"]] = Backend(database=database, **fields)
     return backends
@@ -153,9 +153,9 @@
 
 
 def _read_window(*, entry: dict[str, str], path: str, known: Collection[str], errors: list[str]) -> Window | None:
-    """A window as declared; None where a part of it can't be read, which `errors` then says.
+    """Parses one window; returns None and appends to `errors` if a time or the selector is invalid.
 
-    :param known: names of the windows before it
+    :param known: names of the preceding windows
     """
     starts, ends = parse_time_us(text=entry["starts"]), parse_time_us(text=entry["ends"])
     selector = compile_selector(text=entry["empties"])
@@ -166,17 +166,17 @@
     if selector.is_error():
         errors.append(f"{path}/empties: {selector.error.reason}")
     if entry["name"] in known:
-        errors.append(f"{path}/name: '{entry['name']}' stands twice")
+        errors.append(f"{path}/name: '{entry['name']}' is used more than once")
     if starts.is_error() or ends.is_error() or selector.is_error():
         return None
     if ends.ok <= starts.ok:
-        errors.append(f"{path}/ends: not after its start")
+        errors.append(f"{path}/ends: must be later than the start")
     return Window(name=entry["name"], starts_us=starts.ok, ends_us=ends.ok, drained=selector.ok)
 
 
 @dataclass(frozen=True, kw_only=True)
 class _UsedSelector:
-    """A selector, and what uses it as operators call that."""
+    """A selector, and the name of its user as shown in warnings."""
 
     user: str
     selector: Selector
@@ -193,7 +193,7 @@
 
 
 def _warnings(*, configuration: Configuration) -> tuple[str, ...]:
-    """Unknown labels and selectors that match nothing are allowed, and probably mistakes."""
+    """Warns of unknown labels and of selectors that match nothing: valid, but probably mistakes."""
     labelled: list[Mapping[str, str]] = [
         *(backend.labels for backend in configuration.backends.values()),
         *configuration.http_proxy_labels.values(),
@@ -202,7 +202,7 @@
     warnings: list[str] = []
     for used in _used_selectors(configuration=configuration):
         unknown_keys = sorted(used.selector.keys - labels_in_use)
-        warnings += [f"{used.user}: no label '{key}' anywhere" for key in unknown_keys]
+        warnings += [f"{used.user}: no backend or HTTP proxy has the label '{key}'" for key in unknown_keys]
         if not any(used.selector.matches(labels=labels) for labels in labelled):
-            warnings.append(f"{used.user}: selects nothing")
+            warnings.append(f"{used.user}: the selector matches no backend or HTTP proxy")
     return tuple(warnings)
--- a/src/cinderstair/config/compiler.py
+++ b/src/cinderstair/config/compiler.py
@@ -1,4 +1,4 @@
-"""The compiler of the configuration language: text in, routes and policies out, every error with its place."""
+"""Compiles the configuration language into routes, policies and selectors; errors carry line and column."""
 
 from dataclasses import dataclass
 from functools import cache
@@ -13,9 +13,9 @@
 from .program_builder import LanguageError, Program, ProgramBuilder
 from .selector import Selector
 
-#: The grammar's two entry rules: a whole program, and a selector alone.
+#: The grammar's start rules: a program of statements, and a single selector.
 PROGRAM_RULE, SELECTOR_RULE = "start", "selection"
-#: What error messages call the grammar's terminals; others go by their name in lower case.
+#: How error messages name the grammar's terminals; all others appear by their name in lower case.
 TERMINAL_NAMES = {
     "EQUAL": "=",
     "__ANON_0": "!=",
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SourceLocation:
-    """A place in a text; both count from 1."""
+    """A position in a source text; line and column count from 1."""
 
     line: int
     column: int
@@ -46,7 +46,7 @@
 
 
 def _expectation(*, error: UnexpectedInput) -> str:
-    """What was found and what could have stood there, without lark's own names for its terminals."""
+    """Describes the unexpected input and the expected terminals, without lark's internal terminal names."""
     if isinstance(error, UnexpectedToken):
         expected = error.accepts or error.expected
         found = "the line's end" if error.token.type == "_NL" else f"'{error.token}'"
@@ -59,7 +59,7 @@
 
 
 def _location(*, error: UnexpectedInput, text: str) -> SourceLocation:
-    # At the end of the text lark knows no place, and the operator still needs one.
+    # lark reports no location at the end of input; report the position after the last character
     if isinstance(error, UnexpectedEOF) or error.line < 1:
         lines = text.splitlines() or [""]
         return SourceLocation(line=len(lines), column=len(lines[-1]) + 1)
@@ -83,7 +83,7 @@
     except UnexpectedInput as error:
         return _invalid(location=_location(error=error, text=text), reason=_expectation(error=error))
     except VisitError as error:
-        # lark wraps what a builder's method raises
+        # lark wraps exceptions raised by ProgramBuilder's methods
         cause = error.orig_exc
         if not isinstance(cause, LanguageError):
             raise
@@ -91,14 +91,14 @@
 
 
 def compile_program(*, text: str) -> Result[Program, CinderstairError]:
-    """Compiles routes and policies.
+    """Compiles a program of routes and policies.
 
-    :param text: statements, one a line or with semicolons between
-    :returns: the program, or the first error; its details hold `line` and `column`
+    :param text: statements, one per line or separated by semicolons
+    :returns: the program, or the first error as BROKEN_CONFIGURATION with `line` and `column` in its details
     """
     return _compile(text=text + "\n", rule=PROGRAM_RULE)
 
 
 def compile_selector(*, text: str) -> Result[Selector, CinderstairError]:
-    """Compiles a selector alone, such as `hall = old`; errors are as those of compile_program."""
+    """Compiles a single selector such as `hall = old`; errors are reported as by compile_program."""
     return _compile(text=text, rule=SELECTOR_RULE)
--- a/src/cinderstair/config/configuration.py
+++ b/src/cinderstair/config/configuration.py
@@ -1,4 +1,4 @@
-"""A whole configuration, checked and compiled."""
+"""A validated and compiled configuration, with the default policies and routes."""
 
 from dataclasses import dataclass, field
 
@@ -7,35 +7,37 @@
 from .route import Route
 from .window import Window
 
-#: The register's key for the newest accepted document.
+#: Register key of the newest accepted document.
 CONFIGURATION_KEY = "charter"
 
-#: Values of policies that a configuration does not set; durations are in microseconds.
+#: Values of policies that a configuration does not set; durations in microseconds.
 DEFAULTS: dict[str, int | str] = {
     "liveAge": 1_100_000,
     "freshAge": 2_000_000,
     "commitWait": 2_000_000,
-    # typical subsets hold 20 to 100 backends; shorter lists are taken whole
+    # typical subsets hold 20 to 100 backends; a list shorter than this is used entirely
     "subsetSize": 20,
-    # statements under way on one set of connections, beyond which a backend counts as full
+    # statements in flight on one connection pool, beyond which the backend counts as full
     "active": 100,
-    # each replica in sync is waited for by every commit; two outlive the loss of one
+    # every commit waits for each in-sync replica; with two, one may fail
     "inSync": 2,
-    # transactions are short; a longer one is told that it was ended, and nothing of it is kept
+    # transactions are short; one that is still open after this is rolled back and its client gets an error
     "closeWait": 1_000_000,
     "site": "near",
 }
-#: Targets of statements, by kind, where no route of the configuration names them.
+#: Targets by kind of statement, used if no route of the configuration covers the statement.
 DEFAULT_TARGETS = {"primary": "primary", "write": "primary", "live": "replica", "fresh": "replica"}
 
 
 @dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """What is in force once a version of it has been accepted.
+    """One version of the configuration.
 
-    :ivar raw: the operator's own bytes, for reading back
-    :ivar databases: names of the backends of each database
-    :ivar warnings: what is allowed and probably a mistake, one line each
+    :ivar raw: the operator's document, returned unchanged when it is read back
+    :ivar backends: by name
+    :ivar databases: names of the backends of each database, sorted
+    :ivar http_proxy_labels: labels of each HTTP proxy, by its name
+    :ivar warnings: probable mistakes that are valid, one line each
     """
 
     version: int
@@ -48,7 +50,7 @@
     warnings: tuple[str, ...] = ()
 
     def policy(self, *, name: str, database: str) -> int | str:
-        """The value of a policy for a database; the last statement that names both counts."""
+        """The value of a policy for a database; the last matching statement wins."""
         value = DEFAULTS[name]
         for policy in self.program.policies:
             if policy.name == name and (policy.databases is None or database in policy.databases):
@@ -56,11 +58,11 @@
         return value
 
     def amount(self, *, name: str, database: str) -> int:
-        """The value of a policy that takes a number or a duration; durations are in microseconds."""
+        """The value of a numeric policy; durations are in microseconds."""
         return int(self.policy(name=name, database=database))
 
     def route(self, *, kind: str, database: str) -> Route:
-        """The first route that covers a kind of statement on a database, or the default one."""
+        """The first route that covers a kind of statement on a database, or the default route."""
         for route in self.program.routes:
             if route.covers(kind=kind, database=database):
                 return route
--- a/src/cinderstair/config/formatter.py
+++ b/src/cinderstair/config/formatter.py
@@ -1,4 +1,4 @@
-"""Writes the configuration language in its canonical form; comments stay."""
+"""Formats the configuration language canonically, keeping comments."""
 
 from dataclasses import dataclass
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _SourceLine:
-    """A line's statements, and its comment with the '#'; either may be empty."""
+    """One line split into its statements and its comment including the '#'; either may be empty."""
 
     statements: str
     comment: str = ""
@@ -61,7 +61,7 @@
 
 
 def format_program(*, text: str) -> Result[str, CinderstairError]:
-    """The text in its canonical form, line by line, or the first error of the text as a whole."""
+    """The canonical form of a program, line by line, or its first compile error."""
     whole = compile_program(text=text)
     if whole.is_error():
         return Error(whole.error)
@@ -75,5 +75,5 @@
 
 
 def format_selector(*, text: str) -> Result[str, CinderstairError]:
-    """A selector in its canonical form, or its error."""
+    """The canonical form of a selector, or its compile error."""
     return compile_selector(text=text).map(lambda selector: selector.text)
--- a/src/cinderstair/config/policy_kinds.py
+++ b/src/cinderstair/config/policy_kinds.py
@@ -1,15 +1,15 @@
-"""The policies that the language knows: the kind of value each takes, and its bounds."""
+"""The policies of the configuration language, with the type and bounds of each one's value."""
 
 from dataclasses import dataclass
 from enum import Enum
 
-#: Microseconds in one unit of a duration, as the language spells the unit.
+#: Microseconds per unit of a duration, by the unit's spelling in the language.
 DURATION_UNITS_US = {"us": 1, "ms": 1_000, "s": 1_000_000}
 SITES = ("near", "any")
 
 
 class ValueKind(Enum):
-    """What a policy's value is; the value is the word that error messages use."""
+    """The type of a policy's value; the enum value is its name in error messages."""
 
     DURATION = "duration"
     INTEGER = "whole"
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PolicyKind:
-    """The values that one policy accepts.
+    """The type and range of one policy's value.
 
-    :ivar minimum: the smallest value, in microseconds for a duration; unused for a word
-    :ivar maximum: the largest value, in the same unit
+    :ivar minimum: smallest value, in microseconds for a duration; unused for a word
+    :ivar maximum: largest value, in the same unit
     """
 
     value_kind: ValueKind
@@ -37,7 +37,7 @@
     return PolicyKind(value_kind=ValueKind.INTEGER, minimum=minimum, maximum=maximum)
 
 
-# Margins beyond the contract's bounds would let a policy break a promise, so they can't be written.
+# the bounds keep policies within the contract: a larger margin would break a guarantee given to clients
 POLICY_KINDS = {
     "liveAge": _duration(minimum_us=50_000, maximum_us=1_300_000),
     "freshAge": _duration(minimum_us=50_000, maximum_us=2_300_000),
--- a/src/cinderstair/config/program_builder.py
+++ b/src/cinderstair/config/program_builder.py
@@ -1,4 +1,4 @@
-"""Builds routes, policies and selectors from the parse tree of the configuration language."""
+"""Transforms parse trees of the configuration language into routes, policies and selectors."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,20 +10,20 @@
 from .route import KINDS, Policy, Route
 from .selector import EVERYTHING, Labels, Selector
 
-#: Kinds of statement that only the primary can serve.
+#: Kinds of statement that only a primary may serve.
 PRIMARY_KINDS = ("primary", "write")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Program:
-    """All routes and policies of a configuration, in the order of its text."""
+    """All routes and policies of a configuration, in source order."""
 
     routes: tuple[Route, ...] = ()
     policies: tuple[Policy, ...] = ()
 
 
 class LanguageError(Exception):
-    """An error at one place of the text; line and column count from 1, and are 0 where the place is not known."""
+    """A semantic error in the text; line and column count from 1 and are 0 if unknown."""
 
     def __init__(self, *, token: Token, reason: str) -> None:
         super().__init__(reason)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PolicyValue:
-    """A policy's value as written; a duration is in microseconds. The token says where it stands."""
+    """A policy's value, a duration in microseconds; the token holds its source location."""
 
     kind: ValueKind
     value: int | str
@@ -42,13 +42,13 @@
 
 
 def quoted(*, value: str) -> str:
-    """A label's value as the language writes it: in quotes where it isn't a plain name."""
+    """A label's value in source form: in quotes unless it is a plain name."""
     plain = value.replace("-", "_").replace(".", "_").isidentifier()
     return value if plain else f'"{value}"'
 
 
 def _joined(*, parts: tuple[Selector, ...], operator: str, test: Callable[[Labels], bool]) -> Selector:
-    # A single part needs no brackets, and formatting twice must give the same text.
+    # a single part stays without parentheses, so that formatting is idempotent
     if len(parts) == 1:
         return parts[0]
     texts = [f"({part.text})" if " and " in part.text or " or " in part.text else part.text for part in parts]
@@ -58,9 +58,9 @@
 
 @v_args(inline=True)
 class ProgramBuilder(Transformer[Token, Any]):
-    """Turns a parse tree into typed values, from the leaves up; each method is a rule of `language.lark`.
+    """Transforms a parse tree bottom-up into typed values; each method handles its namesake rule of `language.lark`.
 
-    Raises LanguageError where a statement parses and still means nothing.
+    Raises LanguageError for a statement that is syntactically correct but invalid.
     """
 
     # -- selectors --
@@ -142,7 +142,7 @@
         for kind in kinds:
             if str(kind) not in KINDS:
                 raise LanguageError(token=kind, reason=f"expected one of {', '.join(KINDS)}")
-        # Only the primary can keep the promises of these kinds, so no route may send them elsewhere.
+        # only the primary can give the guarantees of these kinds, so no route may send them to a replica
         if target in ("replica", "any") and any(name in PRIMARY_KINDS for name in names):
             raise LanguageError(token=kinds[0], reason="kinds primary and write go to primary or deny")
         return Route(
@@ -169,7 +169,7 @@
         _check_amount(name=name, kind=kind, amount=amount)
         return Policy(name=str(name), databases=databases, amount=amount.value, line=name.line or 0)
 
-    # -- the whole text --
+    # -- programs --
 
     def statement(self, inner: Route | Policy) -> Route | Policy:
         return inner
@@ -182,12 +182,12 @@
 
 
 def _check_amount(*, name: Token, kind: PolicyKind, amount: PolicyValue) -> None:
-    """Raises LanguageError where a policy can't take that value."""
+    """Raises LanguageError if the value's type or range doesn't fit the policy."""
     if amount.kind != kind.value_kind:
         raise LanguageError(token=amount.token, reason=f"{name} takes a {kind.value_kind.value}")
     if isinstance(amount.value, str):
         if amount.value not in SITES:
             raise LanguageError(token=amount.token, reason=f"expected one of {', '.join(SITES)}")
     elif not kind.minimum <= amount.value <= kind.maximum:
-        bounds = f"from {kind.minimum} to {kind.maximum} (us or whole)"
+        bounds = f"from {kind.minimum} to {kind.maximum} (durations in microseconds)"
         raise LanguageError(token=amount.token, reason=f"{name} must be {bounds}")
--- a/src/cinderstair/config/route.py
+++ b/src/cinderstair/config/route.py
@@ -1,21 +1,21 @@
-"""Routes and policies as compiled."""
+"""Compiled routes and policies."""
 
 from dataclasses import dataclass
 
 from .selector import EVERYTHING, Selector
 
-# Each kind of statement is a promise to clients: operators route the kinds, and can't add any.
+# each kind is a guarantee to clients, so operators can route the kinds but not add new ones
 KINDS = ("primary", "live", "fresh", "write")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where statements of some kinds go; the first route that names a kind and a database counts.
+    """A rule for statements of some kinds; the first route that covers a kind and a database applies.
 
     :ivar databases: None for all
     :ivar target: `primary`, `replica`, `any` or `deny`
-    :ivar where: which backends may serve
-    :ivar line: its line in the text, from 1; 0 for a default route
+    :ivar where: selects the backends that may serve
+    :ivar line: line in the source text, from 1; 0 for a default route
     """
 
     kinds: tuple[str, ...]
@@ -25,17 +25,17 @@
     line: int = 0
 
     def covers(self, *, kind: str, database: str) -> bool:
-        """Whether the route is for a kind of statement on a database."""
+        """Whether the route applies to a kind of statement on a database."""
         return kind in self.kinds and (self.databases is None or database in self.databases)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Policy:
-    """A named setting for some databases; the last policy that names one counts.
+    """A named setting for some databases; the last policy that covers a database applies.
 
     :ivar databases: None for all
     :ivar amount: microseconds for a duration
-    :ivar line: its line in the text, from 1
+    :ivar line: line in the source text, from 1
     """
 
     name: str
--- a/src/cinderstair/config/schema.py
+++ b/src/cinderstair/config/schema.py
@@ -1,4 +1,4 @@
-"""The marshmallow schema of a configuration document."""
+"""Marshmallow schemas of a configuration document."""
 
 from marshmallow import Schema, ValidationError, fields, validate
 
@@ -30,7 +30,7 @@
 
 
 class WindowSchema(Schema):
-    """One maintenance window; times and the selector are compiled after."""
+    """One maintenance window; times and the selector are parsed later."""
 
     name = fields.String(required=True, validate=NAME)
     starts = fields.String(required=True)
@@ -39,7 +39,7 @@
 
 
 class ConfigurationSchema(Schema):
-    """The document as a whole; relations between its parts are checked after."""
+    """A whole document; constraints between its parts are checked later."""
 
     version = fields.Integer(required=True, strict=True, validate=validate.Range(min=1, max=2**62))
     databases = fields.Dict(
@@ -54,7 +54,7 @@
 
 
 def join_lines(value: object) -> str:
-    """The language's text from one string, or from a list with a string a line, which reads better in JSON.
+    """The program text from one string, or from a list of lines, which is more readable in JSON.
 
     Raises ValidationError for any other value.
     """
--- a/src/cinderstair/config/selector.py
+++ b/src/cinderstair/config/selector.py
@@ -1,4 +1,4 @@
-"""Selectors over labels: they name what machines are like, never which machines."""
+"""Selectors over labels: they match backends and HTTP proxies by their properties, not by name."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 class Selector:
     """A compiled selector.
 
-    :ivar test: whether the selector matches a set of labels
-    :ivar text: the selector in its canonical form; empty for the one that matches everything
-    :ivar keys: the labels that it mentions
+    :ivar test: returns whether the selector matches a set of labels
+    :ivar text: canonical source text; empty for the selector that matches everything
+    :ivar keys: label keys that the selector mentions
     """
 
     test: Callable[[Labels], bool]
@@ -20,7 +20,7 @@
     keys: frozenset[str]
 
     def matches(self, *, labels: Labels) -> bool:
-        """Whether whatever carries these labels is selected."""
+        """Whether the selector matches a set of labels."""
         return self.test(labels)
 
 
--- a/src/cinderstair/config/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -1,4 +1,4 @@
-"""A configuration by service: which database names lead to which service, and under which guarantees."""
+"""The service plan: which service each database name is routed to, with which guarantees."""
 
 import hashlib
 import zlib
@@ -9,23 +9,23 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
-#: The register's key for the plan in force.
+#: Register key of the plan in force.
 PLAN_KEY = "plan"
 MAX_PLAN_BYTES = 32 * 1024 * 1024
-# Digests can't be compressed, and go with each change to every register replica, so they are short.
+# short, because digests don't compress and are sent to every register replica with each change
 DIGEST_BYTES = 4
-#: So many of the acknowledged versions are known by their digests.
+#: How many acknowledged versions keep their digest in the plan.
 MAX_ACCEPTED = 256
 VERSION_MODULUS = 2**64
-#: The version stands uncompressed ahead of the rest.
+#: The version is stored uncompressed before the compressed remainder.
 VERSION_BYTES = 8
 
 
 class Consistency(IntEnum):
-    """What a read must have seen.
+    """Which commits a read must observe.
 
-    primary: every commit acknowledged before it. bounded: every one older than the age. session: as bounded,
-    and every commit of its own session.
+    primary: every commit acknowledged before the read. bounded: every commit older than the maximum age.
+    session: as bounded, and every commit of the read's own session.
     """
 
     primary = 0
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DatabaseRoute:
-    """Where one database name leads.
+    """The route of one database name.
 
     :ivar time_limit_us: how long one statement may take
-    :ivar rank: 0 is served first under overload
-    :ivar max_age_us: how old a read may be under `bounded` and `session`
+    :ivar rank: priority under overload; 0 is served first
+    :ivar max_age_us: maximum staleness of a read under `bounded` and `session`
     """
 
     database: str
@@ -50,7 +50,7 @@
     max_age_us: int = 0
 
     def write(self, *, packer: Packer) -> None:
-        """Appends it to a record."""
+        """Appends the fields in wire order."""
         packer.text(value=self.database).text(value=self.service).u8(value=self.consistency)
         packer.u64(value=self.time_limit_us).u32(value=self.rank).u64(value=self.max_age_us)
 
@@ -59,7 +59,7 @@
 class Service:
     """A group of backends that hold the same data: one primary and its replicas.
 
-    :ivar link_cap: the most connections that each of its backends takes
+    :ivar link_cap: maximum number of connections to each of its backends
     :ivar confirmations: how many replicas must confirm a commit
     """
 
@@ -68,7 +68,7 @@
     confirmations: int
 
     def write(self, *, packer: Packer) -> None:
-        """Appends it to a record."""
+        """Appends the fields in wire order."""
         packer.text(value=self.name).u32(value=self.link_cap).u32(value=self.confirmations)
 
 
@@ -81,7 +81,7 @@
 
 
 def _write_accepted(*, packer: Packer, accepted: tuple[AcceptedVersion, ...]) -> None:
-    # Steps from version to version come first and together, since they are much alike and compress well.
+    # the differences between versions are stored together, since they are similar and compress well
     packer.u64(value=accepted[0].version if accepted else 0)
     steps = [after.version - before.version for before, after in pairwise(accepted)]
     packer.many(values=steps, each=lambda p, step: p.u64(value=step % VERSION_MODULUS))
@@ -95,7 +95,9 @@
     versions = accumulate([first, *steps], lambda version, step: (version + step) % VERSION_MODULUS)
     parts = [digests[at : at + DIGEST_BYTES] for at in range(0, len(digests), DIGEST_BYTES)]
     if len(parts) > len(steps) + 1 or any(len(part) != DIGEST_BYTES for part in parts):
-        raise ValueError("digests without versions, or of another length")
+        raise ValueError(
+            f"service plan has {len(parts)} digests for {len(steps) + 1} versions, or one not of {DIGEST_BYTES} bytes"
+        )
     return tuple(
         AcceptedVersion(version=version, digest=part) for version, part in zip(versions, parts, strict=False)
     )
@@ -108,9 +110,9 @@
     :ivar routes: by database
     :ivar services: by name
     :ivar rest_limit_us: how long a session may be idle
-    :ivar document: the operator's own bytes, for reading back
-    :ivar accepted: the last versions that were acknowledged, this one among them, in that order. A version that was
-        superseded before it came into force is acknowledged and listed too, so that its number stands for one content
+    :ivar document: the operator's document, returned unchanged when it is read back
+    :ivar accepted: the last acknowledged versions in order of acknowledgement, including this one. A version that was
+        superseded before it came into force is listed too, so that its number can't be reused for other content
     """
 
     version: int
@@ -122,34 +124,34 @@
 
     @property
     def digest(self) -> bytes:
-        """A short digest of the document."""
+        """A digest of the document, `DIGEST_BYTES` long."""
         return hashlib.blake2b(self.document, digest_size=DIGEST_BYTES).digest()
 
     def as_successor_of(self, *, current: "ServicePlan | None") -> "ServicePlan":
-        """This plan as the one that comes into force after `standing`."""
+        """This plan with the accepted versions of `current`, which it replaces, and its own."""
         before = self if current is None else replace(self, accepted=current.accepted)
         return before.with_accepted(other=self)
 
     def with_accepted(self, *, other: "ServicePlan") -> "ServicePlan":
-        """This plan, which stays in force, with another one noted as acknowledged under its number."""
+        """This plan, which stays in force, with another plan's version recorded as acknowledged."""
         noted = AcceptedVersion(version=other.version, digest=other.digest)
         return replace(self, accepted=(*self.accepted, noted)[-MAX_ACCEPTED:])
 
     def digest_of(self, *, version: int) -> bytes | None:
-        """The digest of the document that was acknowledged under a version; None where that is not known."""
+        """The digest of the document acknowledged under a version; None if unknown or no longer listed."""
         if version == self.version:
             return self.digest
         return next((each.digest for each in self.accepted if each.version == version), None)
 
     def bytes(self, *, with_document: bool = True) -> bytes:
-        """The plan as it stands in the register; proxies get it without the document and the digests."""
+        """The plan in its stored form; for proxies, without the document and the digests."""
         packer = Packer().u64(value=self.rest_limit_us)
         packer.many(values=self.routes.values(), each=lambda p, r: r.write(packer=p))
         packer.many(values=self.services.values(), each=lambda p, s: s.write(packer=p))
         packer.blob(value=self.document if with_document else b"")
         _write_accepted(packer=packer, accepted=self.accepted if with_document else ())
         body = packer.bytes()
-        # A plan goes whole to every register replica, and routes are much alike
+        # compressed, because a plan is sent whole to every register replica and its routes are similar
         return Packer().u64(value=self.version).bytes() + zlib.compress(body)
 
 
@@ -173,22 +175,22 @@
     try:
         body = inflater.decompress(data, MAX_PLAN_BYTES)
     except zlib.error as error:
-        raise ValueError("a plan that can't be decompressed") from error
-    # A few bytes may inflate to gigabytes, and no plan is cut short or followed by more.
+        raise ValueError(f"service plan can't be decompressed: {error}") from error
+    # the limit guards against a small input that decompresses to gigabytes
     if not inflater.eof or inflater.unused_data:
-        raise ValueError("a plan that is too large, cut short or followed by other bytes")
+        raise ValueError(f"service plan is truncated, has trailing bytes or exceeds {MAX_PLAN_BYTES} bytes")
     return body
 
 
 def read_service_plan(*, data: bytes) -> ServicePlan:
-    """What ServicePlan.bytes gave; raises ValueError where the bytes are no plan."""
+    """Decodes the result of ServicePlan.bytes; raises ValueError for malformed bytes."""
     version = plan_version(data=data)
     unpacker = Unpacker(data=_decompressed(data=data[VERSION_BYTES:]))
     rest_limit_us = unpacker.u64()
     routes = unpacker.many(each=_read_route)
     services = unpacker.many(each=_read_service)
     document = unpacker.blob()
-    # What was written before digests were kept ends here.
+    # plans written by versions without digests end here
     accepted = _read_accepted(unpacker=unpacker) if unpacker.more else ()
     unpacker.done()
     return ServicePlan(
@@ -202,5 +204,5 @@
 
 
 def plan_version(*, data: bytes) -> int:
-    """The version alone, without reading the rest; 0 where there is nothing yet."""
+    """The version, read without decompressing the plan; 0 if there is no plan yet."""
     return Unpacker(data=data).u64() if data else 0
--- a/src/cinderstair/config/shard_check.py
+++ b/src/cinderstair/config/shard_check.py
@@ -1,4 +1,4 @@
-"""Checks a shard map against the configuration and the map in force."""
+"""Validates a shard map against the configuration and the map in force."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, order=True)
 class _Problem:
-    """A reason against a map; line 0 where the document doesn't name the database."""
+    """A reason to refuse a map; line 0 if the document doesn't name the database."""
 
     line: int
     reason: str
@@ -18,7 +18,7 @@
 
 
 def _unknown_names(*, text: str, wanted: ShardMap, plan: ServicePlan) -> list[_Problem]:
-    """What the map names and the configuration doesn't know."""
+    """Databases and services that the map names and the configuration doesn't contain."""
     problems: list[_Problem] = []
     for database, service in wanted.placements.items():
         line = line_of_name(text=text, name=database)
@@ -32,11 +32,11 @@
 
 
 def _unplaced_databases(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[_Problem]:
-    """What has moved and the map doesn't name: the plan's service would be asked, which doesn't hold the data."""
+    """Moved databases that the map omits: they would be routed to the planned service, which lacks their data."""
     return [
         _Problem(
             line=line_of_name(text=text, name=database),
-            reason=f"'{database}' is lost: map {current.version} has it at '{service}'; name its place",
+            reason=f"'{database}' is lost: map {current.version} places it at '{service}'; add it to places",
         )
         for database, service in current.placements.items()
         if database in plan.routes and database not in wanted.placements
@@ -44,11 +44,11 @@
 
 
 def shard_map_problems(*, text: str, wanted: ShardMap, current: ShardMap, plan: ServicePlan) -> list[str]:
-    """Every reason against a map, in the order of its document.
+    """All reasons to refuse a map, in the order of its document.
 
-    :param text: the document of `wanted`, in which lines are looked up
+    :param text: the document of `wanted`, for line numbers
     :param current: the map in force
-    :returns: one line each; empty where the map may come into force
+    :returns: one line for each reason; empty if the map is acceptable
     """
     problems = [
         *_unknown_names(text=text, wanted=wanted, plan=plan),
--- a/src/cinderstair/config/shard_map.py
+++ b/src/cinderstair/config/shard_map.py
@@ -1,4 +1,4 @@
-"""The shard map: which service holds a database, where that differs from the configuration."""
+"""The shard map: services of those databases that moved away from their configured service."""
 
 import json
 import re
@@ -12,7 +12,7 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 
-#: The share of proxies that must agree to a map, unless its document says another.
+#: Default share of proxies that must agree to a map.
 AGREE_PERCENT = 51
 KNOWN_KEYS = {"version", "places", "agree_percent"}
 MAX_VERSION = 2**63 - 1
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ShardMap:
-    """Which service holds which database. Version 0 is the empty map: every database is where the plan has it.
+    """Placements of databases on services. Version 0 is the empty map: every database is at its planned service.
 
-    :ivar placements: services by database
-    :ivar agree_percent: the share of proxies that must agree before the map comes into force
+    :ivar placements: service by database
+    :ivar agree_percent: share of proxies that must agree before the map comes into force
     """
 
     version: int = 0
@@ -31,7 +31,7 @@
     agree_percent: int = AGREE_PERCENT
 
     def service_of(self, *, database: str, planned: str) -> str:
-        """The service that holds a database; `planned` where the map doesn't name the database."""
+        """The service that holds a database; `planned` if the map doesn't place it."""
         return self.placements.get(database, planned)
 
     def write(self, *, packer: Packer) -> None:
@@ -41,14 +41,14 @@
 
 
 def read_shard_map(*, unpacker: Unpacker) -> ShardMap:
-    """What ShardMap.write appended; raises ValueError where the bytes are no map."""
+    """Reads what ShardMap.write appended; raises ValueError for malformed bytes."""
     version, agree_percent = unpacker.u64(), unpacker.u32()
     placements = dict(unpacker.many(each=lambda u: (u.text(), u.text())))
     return ShardMap(version=version, placements=placements, agree_percent=agree_percent)
 
 
 def line_of_name(*, text: str, name: str, nth: int = 1) -> int:
-    """The line of a document on which a key stands for the nth time, from 1; 0 where it doesn't."""
+    """The line, from 1, of the nth occurrence of a key in a document; 0 if there is none."""
     start = max(0, text.find('"places"'))
     spellings = {json.dumps(name), json.dumps(name, ensure_ascii=False)}
     pattern = "(?:" + "|".join(map(re.escape, sorted(spellings))) + r")\s*:"
@@ -59,7 +59,7 @@
 
 
 def _duplicate_keys(*, raw: bytes) -> list[str]:
-    """The keys that an object holds more than once, of which JSON would silently keep the last."""
+    """Keys that occur more than once in an object; json.loads would silently keep the last value."""
     duplicates: list[str] = []
 
     def collect(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -76,7 +76,7 @@
 
 
 def _is_integer(value: Any) -> TypeGuard[int]:
-    # JSON's true and false are numbers to Python.
+    # in Python, bool is a subclass of int
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -92,19 +92,19 @@
     except (ValueError, RecursionError) as error:
         return _invalid(reason=f"not JSON: {error}")
     if not isinstance(document, dict):
-        return _invalid(reason="/: not an object")
+        return _invalid(reason="/: must be an object")
     duplicates = _duplicate_keys(raw=raw)
     if duplicates:
         line = line_of_name(text=raw.decode(errors="replace"), name=duplicates[0], nth=2)
-        return _invalid(reason=f"line {line}: '{duplicates[0]}' is named twice")
+        return _invalid(reason=f"line {line}: '{duplicates[0]}' occurs more than once")
     return Ok(document)
 
 
 def check_shard_map(*, raw: bytes) -> Result[ShardMap, CinderstairError]:
-    """Checks an operator's document by itself.
+    """Validates an operator's document on its own, without the configuration.
 
-    :param raw: JSON with `version`, `places`, and perhaps `agree_percent`
-    :returns: the map, or BROKEN_CONFIGURATION with the first error and its place
+    :param raw: JSON with `version`, `places` and optionally `agree_percent`
+    :returns: the map, or BROKEN_CONFIGURATION with the first error and its location
     """
     read = _read_document(raw=raw)
     if read.is_error():
@@ -112,14 +112,14 @@
     document = read.ok
     unknown = sorted(set(document) - KNOWN_KEYS)
     if unknown:
-        return _invalid(reason=f"/{unknown[0]}: not known")
+        return _invalid(reason=f"/{unknown[0]}: unknown key; known are {', '.join(sorted(KNOWN_KEYS))}")
     version, placements = document.get("version"), document.get("places")
     agree_percent = document.get("agree_percent", AGREE_PERCENT)
     if not _is_integer(version) or not 0 < version <= MAX_VERSION:
-        return _invalid(reason="/version: a whole number above 0 is needed")
+        return _invalid(reason=f"/version: must be an integer from 1 to {MAX_VERSION}")
     if not _are_placements(placements):
-        return _invalid(reason="/places: databases and their services are needed")
-    # With half or less, two maps could each be agreed to by different proxies.
+        return _invalid(reason="/places: must be an object with a service name for each database")
+    # at half or less, two maps could each be accepted by disjoint sets of proxies
     if not _is_integer(agree_percent) or not 50 < agree_percent <= 100:
-        return _invalid(reason="/agree_percent: a whole number from 51 to 100 is needed")
+        return _invalid(reason="/agree_percent: must be an integer from 51 to 100")
     return Ok(ShardMap(version=version, placements=placements, agree_percent=agree_percent))
--- a/src/cinderstair/config/window.py
+++ b/src/cinderstair/config/window.py
@@ -1,4 +1,4 @@
-"""A maintenance window as a configuration declares it."""
+"""Maintenance windows as declared in a configuration."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Window:
-    """Everything that the selector matches must be drained between two moments.
+    """A time span during which all backends and HTTP proxies that match a selector must be drained.
 
-    :ivar starts_us: the first moment, in microseconds since 1970
-    :ivar ends_us: the first moment after the window, likewise
-    :ivar drained: selects what must be drained
+    :ivar starts_us: start, inclusive, in microseconds since the Unix epoch
+    :ivar ends_us: end, exclusive, likewise
+    :ivar drained: selects the backends and HTTP proxies to drain
     """
 
     name: str
@@ -23,21 +23,21 @@
     drained: Selector
 
     def open_at(self, *, wall_us: int) -> bool:
-        """Whether a calendar time, in microseconds since 1970, lies within the window."""
+        """Whether a wall-clock time, in microseconds since the Unix epoch, lies within the window."""
         return self.starts_us <= wall_us < self.ends_us
 
 
 def parse_time_us(*, text: str) -> Result[int, str]:
-    """A calendar time with its offset from UTC.
+    """Parses a date and time with its offset from UTC.
 
-    :param text: as in ISO 8601, such as 2026-12-04T22:00:00+07:00
-    :returns: microseconds since 1970, or what is wrong with the text
+    :param text: ISO 8601, such as 2026-12-04T22:00:00+07:00
+    :returns: microseconds since the Unix epoch, or an error message
     """
     try:
         moment = datetime.fromisoformat(text)
     except ValueError:
-        return Error("not a time such as 2026-12-04T22:00:00+07:00")
-    # A time without an offset means another moment on every machine
+        return Error("not an ISO 8601 time such as 2026-12-04T22:00:00+07:00")
+    # a time without an offset would depend on the time zone of the machine that reads it
     if moment.tzinfo is None:
-        return Error("a time needs its offset from UTC, such as +07:00 or Z")
+        return Error("the time has no offset from UTC; add one such as +07:00 or Z")
     return Ok(int(moment.timestamp()) * 1_000_000 + moment.microsecond)
