--- a/features/control_plane/announcer.feature
+++ b/features/control_plane/announcer.feature
@@ -1,71 +1,71 @@
-Feature: A leaving backend's state is held by a majority before it is acknowledged
+Feature: A leaving backend's state is acknowledged once a majority of the voters holds it
 
   Background:
-    Given an announcer among the voters v1, v2 and v3
+    Given an announcer with the voters v1, v2 and v3
 
-  Scenario Outline: <reached> of three voters are reached
-    Given of the voters <reached> are reached
-    When srv-1 announces that it empties
+  Scenario Outline: With the reachable voters <reachable> the announcement is <answer>
+    Given the reachable voters are <reachable>
+    When srv-1 announces that it is emptying
     Then the announcement is <answer>
     And <received> voters received that srv-1 is emptying
-    And srv-1 is known here as emptying
+    And the heartbeat table lists srv-1 as emptying
 
     Examples:
-      | reached      | answer           | received |
+      | reachable    | answer           | received |
       | v1, v2, v3   | acknowledged     | 3        |
       | v1, v3       | acknowledged     | 2        |
       | v1           | not acknowledged | 1        |
-      | nobody       | not acknowledged | 0        |
+      | none         | not acknowledged | 0        |
 
-  Scenario: While no roster is known nothing is acknowledged
+  Scenario: Without a known roster no announcement is acknowledged
     Given no roster is known
-    When srv-1 announces that it empties
+    When srv-1 announces that it is emptying
     Then the announcement is not acknowledged
 
-  Scenario: What a majority holds is not sent again with each later heartbeat
-    Given of the voters v1, v2, v3 are reached
-    When srv-1 announces that it empties
-    And srv-1 announces that it empties
+  Scenario: A state that a majority holds is not sent again with later heartbeats
+    Given the reachable voters are v1, v2, v3
+    When srv-1 announces that it is emptying
+    And srv-1 announces that it is emptying
     Then the announcement is acknowledged
     And 3 voters received that srv-1 is emptying
 
-  Scenario: What no majority took is sent again with the next heartbeat
-    Given of the voters v1 are reached
-    When srv-1 announces that it empties
-    Given of the voters v1, v2 are reached
-    When srv-1 announces that it empties
+  Scenario: A state that no majority acknowledged is sent again with the next heartbeat
+    Given the reachable voters are v1
+    When srv-1 announces that it is emptying
+    Given the reachable voters are v1, v2
+    When srv-1 announces that it is emptying
     Then the announcement is acknowledged
 
-  Scenario: A deregistration of a backend that is known here
-    Given of the voters v1, v2, v3 are reached
-    And srv-1 is registered here as ready
+  Scenario: Deregistering a backend that this controller knows keeps its service
+    Given the reachable voters are v1, v2, v3
+    And this controller has a heartbeat of srv-1 as ready
     When srv-1 deregisters
     Then the announcement is acknowledged
     And 3 voters received that srv-1 is gone
-    And srv-1 is known here as gone of service s1
+    And the heartbeat table lists srv-1 as gone with service s1
 
-  Scenario: A deregistration of a backend that another controller knows
-    Given of the voters v1, v2, v3 are reached
-    And srv-1 is registered at v2 as ready
+  Scenario: Deregistering a backend that only another controller knows keeps its service
+    Given the reachable voters are v1, v2, v3
+    And v2 has a heartbeat of srv-1 as ready
     When srv-1 deregisters
     Then the announcement is acknowledged
-    And srv-1 is known here as gone of service s1
+    And the heartbeat table lists srv-1 as gone with service s1
 
-  Scenario: A deregistration of a backend that no controller knows consists of its name alone
-    Given of the voters v1, v2, v3 are reached
+  Scenario: Deregistering a backend that no controller knows replicates its name without a service
+    Given the reachable voters are v1, v2, v3
     When srv-1 deregisters
     Then the announcement is acknowledged
-    And srv-1 is known here as gone of no service
+    And the heartbeat table lists srv-1 as gone with no service
 
-  Scenario: A deregistration that no majority takes is not acknowledged, and is sent again
-    Given of the voters v1 are reached
-    And srv-1 is registered here as ready
+  Scenario: A deregistration that no majority acknowledged is not acknowledged, and is sent again when repeated
+    Given the reachable voters are v1
+    And this controller has a heartbeat of srv-1 as ready
     When srv-1 deregisters
     Then the announcement is not acknowledged
-    Given of the voters v1, v2 are reached
+    Given the reachable voters are v1, v2
     When srv-1 deregisters
     Then the announcement is acknowledged
 
-  Scenario: An announcement of another controller is known here
+  Scenario: An announcement received from another controller enters the heartbeat table
     When another controller announces that srv-1 is emptying
-    Then srv-1 is known here as emptying
+    Then the heartbeat table lists srv-1 as emptying
--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -24,16 +24,16 @@
 
 
 class FakeVoters:
-    """A network of voters; each may know a backend."""
+    """A network of voters, which records announcements and answers with the heartbeats of `known`."""
 
     def __init__(self) -> None:
-        self.reached: tuple[str, ...] = ()
+        self.reachable: tuple[str, ...] = ()
         self.known: dict[str, Announcement] = {}
         self.received: list[tuple[str, Announcement]] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        if address not in self.reached:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="cut off"))
+        if address not in self.reachable:
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="voter is unreachable"))
         if body[0] == MessageType.ANNOUNCE:
             self.received.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
             return Ok(b"\0")
@@ -61,7 +61,7 @@
     )
 
 
-@given("an announcer among the voters v1, v2 and v3")
+@given("an announcer with the voters v1, v2 and v3")
 def given_announcer(context: Any) -> None:
     context.stage = Stage(context=context, name="core-1")
     context.voters, context.roster, context.number = FakeVoters(), VOTERS, 4
@@ -86,9 +86,9 @@
     context.stage.call(call=work)
 
 
-@given("of the voters {names} are reached")
-def given_reached(context: Any, names: str) -> None:
-    context.voters.reached = () if names == "nobody" else tuple(names.split(", "))
+@given("the reachable voters are {names}")
+def given_reachable(context: Any, names: str) -> None:
+    context.voters.reachable = () if names == "none" else tuple(names.split(", "))
 
 
 @given("no roster is known")
@@ -96,18 +96,18 @@
     context.roster = ()
 
 
-@given("srv-1 is registered here as {state}")
-def given_heard(context: Any, state: str) -> None:
+@given("this controller has a heartbeat of srv-1 as {state}")
+def given_heartbeat(context: Any, state: str) -> None:
     context.stage.call(call=lambda: context.heartbeat_table.receive(heartbeat=announcement_as(state=state)))
 
 
-@given("srv-1 is registered at {name} as {state}")
-def given_heard_elsewhere(context: Any, name: str, state: str) -> None:
+@given("{name} has a heartbeat of srv-1 as {state}")
+def given_heartbeat_at_voter(context: Any, name: str, state: str) -> None:
     context.voters.known[name] = announcement_as(state=state)
 
 
-@when("srv-1 announces that it empties")
-def when_empties(context: Any) -> None:
+@when("srv-1 announces that it is emptying")
+def when_emptying_announced(context: Any) -> None:
     context.number += 1
     announcement = announcement_as(state="emptying", number=context.number)
 
@@ -130,9 +130,9 @@
     context.stage.run(work=context.dispatcher.handlers[MessageType.ANNOUNCE](Unpacker(data=packer.bytes()[1:])))
 
 
-@then("the announcement is {words}")
-def then_acknowledged(context: Any, words: str) -> None:
-    assert context.acknowledged == (words == "acknowledged"), context.acknowledged
+@then("the announcement is {answer}")
+def then_acknowledged(context: Any, answer: str) -> None:
+    assert context.acknowledged == (answer == "acknowledged"), context.acknowledged
 
 
 @then("{count:d} voters received that srv-1 is {state}")
@@ -146,15 +146,15 @@
     assert len(found) == count, found
 
 
-@then("srv-1 is known here as {state} of {service}")
-def then_known_of(context: Any, state: str, service: str) -> None:
+@then("the heartbeat table lists srv-1 as {state} with {service}")
+def then_listed_with_service(context: Any, state: str, service: str) -> None:
     heartbeat = context.heartbeat_table.latest(name="srv-1").heartbeat
     named = "" if service == "no service" else service.removeprefix("service ")
     assert (heartbeat.state, heartbeat.service) == (STATES[state], named), heartbeat
 
 
-@then("srv-1 is known here as {state}")
-def then_known(context: Any, state: str) -> None:
+@then("the heartbeat table lists srv-1 as {state}")
+def then_listed(context: Any, state: str) -> None:
     assert context.heartbeat_table.latest(name="srv-1").heartbeat.state == STATES[state], (
         context.heartbeat_table.latest(name="srv-1")
     )
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the ids of proxies."""
+"""Steps for the assignment of proxy ids and for the table of proxy addresses."""
 
 import asyncio
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class FakeRelay:
-    """Which proxies asked a controller lately."""
+    """Reports the proxies in `asking` as asking at every moment, and others by their last question."""
 
     def __init__(self, *, stage: Stage) -> None:
         self.stage = stage
@@ -43,7 +43,7 @@
 
 
 class DispatcherNet:
-    """Carries records from one controller of a stage to another."""
+    """Delivers records between the controllers of a stage after 2 ms."""
 
     def __init__(self, *, dispatchers: dict[str, Dispatcher]) -> None:
         self.dispatchers = dispatchers
@@ -51,7 +51,9 @@
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         await asyncio.sleep(0.002)
         if address not in self.dispatchers:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: nobody"))
+            return Error(
+                CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no controller at this address")
+            )
         return Ok(await self.dispatchers[address].dispatch(body))
 
 
@@ -59,14 +61,14 @@
 def given_controllers(context: Any, count: int) -> None:
     new_stage(context=context)
     context.dispatchers, context.shard_map_steps, context.censuses = {}, {}, {}
-    context.every = []
+    context.names = []
     context.id_assigners = []
     for _ in range(count):
         controller = new_controller(context=context)
         controller.ctx.net = DispatcherNet(dispatchers=context.dispatchers)
         context.dispatchers[controller.ctx.name] = controller.dispatcher
         context.shard_map_steps[controller.ctx.name] = ShardMapStep()
-        context.every.append(controller.ctx.name)
+        context.names.append(controller.ctx.name)
         controller.relay = FakeRelay(stage=context.stage)
 
         def work(controller: ControllerStage = controller) -> None:
@@ -74,7 +76,7 @@
                 ctx=controller.ctx,
                 dispatcher=controller.dispatcher,
                 relay=controller.relay,
-                peers=lambda: [name for name in context.every if name != controller.ctx.name],
+                peers=lambda: [name for name in context.names if name != controller.ctx.name],
                 shard_map_step=lambda: context.shard_map_steps[controller.ctx.name],
             )
             context.censuses[controller.ctx.name] = census
@@ -86,15 +88,15 @@
         context.stage.call(call=work)
 
 
-@given('"{proxies}" ask {where}')
-@when('"{proxies}" ask {where}')
+@given('proxies "{proxies}" ask {where}')
+@when('proxies "{proxies}" ask {where}')
 def when_proxies_ask(context: Any, proxies: str, where: str) -> None:
     for name in proxies.split(", "):
         context.controller_stages[int(where.removeprefix("core-")) - 1].relay.asking.add(name)
 
 
-@when('"{proxies}" are silent from now on')
-def when_proxies_silent(context: Any, proxies: str) -> None:
+@when('proxies "{proxies}" stop asking')
+def when_proxies_stop(context: Any, proxies: str) -> None:
     for controller in context.controller_stages:
         controller.relay.recent_proxies(within_us=0)
         controller.relay.asking -= set(proxies.split(", "))
@@ -113,8 +115,8 @@
     assert text == words, text
 
 
-@given('"{proxy}" reports to {where} that it is in "{site}" at "{address}"')
-@when('"{proxy}" reports to {where} that it is in "{site}" at "{address}"')
+@given('"{proxy}" reports to {where} its address in "{site}" as "{address}"')
+@when('"{proxy}" reports to {where} its address in "{site}" as "{address}"')
 def when_reports_address(context: Any, proxy: str, where: str, site: str, address: str) -> None:
     body = (
         Packer().u8(value=MessageType.ANNOUNCE_ADDRESS).text(value=proxy).text(value=site).text(value=address).bytes()
@@ -145,19 +147,19 @@
     assert len(writes) == count, len(writes)
 
 
-@given("{name} knows proposal {proposal:d} and phase {phase:d} of the shard map")
-@when("{name} knows proposal {proposal:d} and phase {phase:d} of the shard map")
-def when_knows(context: Any, name: str, proposal: int, phase: int) -> None:
+@given("{name} has reached proposal {proposal:d} and phase {phase:d} of the shard map")
+@when("{name} has reached proposal {proposal:d} and phase {phase:d} of the shard map")
+def when_step_reached(context: Any, name: str, proposal: int, phase: int) -> None:
     context.shard_map_steps[name] = ShardMapStep(proposal=proposal, phase=phase)
 
 
-@when("{name} answers nobody")
-def when_answers_nobody(context: Any, name: str) -> None:
+@when("{name} stops answering")
+def when_stops_answering(context: Any, name: str) -> None:
     context.dispatchers.pop(name)
 
 
-@then("{name} knows that all others are at proposal {proposal:d} and phase {phase:d}: {answer}")
-def then_others_at_step(context: Any, name: str, proposal: int, phase: int, answer: str) -> None:
+@then("{name} finds all peers at proposal {proposal:d} and phase {phase:d}: {answer}")
+def then_peers_at_step(context: Any, name: str, proposal: int, phase: int, answer: str) -> None:
     census = context.censuses[name]
     context.stage.run(work=census.gather(every_us=0))
     assert census.peers_agree(step=ShardMapStep(proposal=proposal, phase=phase)) == (answer == "yes"), (
@@ -165,19 +167,19 @@
     )
 
 
-@when("the controller that holds the lease dies, and its proxies find another after {seconds:d} s")
-def when_holder_dies(context: Any, seconds: int) -> None:
-    dead = next(
+@when("the lease holder crashes, and its proxies switch to another controller after {seconds:d} s")
+def when_holder_crashes(context: Any, seconds: int) -> None:
+    crashed = next(
         context.controller_stages[n] for n, id_assigner in enumerate(context.id_assigners) if id_assigner.lease.held
     )
-    dead.kill()
-    context.dispatchers.pop(dead.ctx.name)
+    crashed.kill()
+    context.dispatchers.pop(crashed.ctx.name)
     context.stage.advance(for_us=seconds * 1_000_000)
     other = next(controller for controller in context.controller_stages if controller.ctx.name in context.dispatchers)
-    other.relay.asking |= dead.relay.asking
+    other.relay.asking |= crashed.relay.asking
 
 
-@then("a controller that is asked says how long ago each proxy asked it, and its vote")
+@then("a controller reports the age of each proxy's last question and its vote")
 def then_proxies(context: Any) -> None:
     context.controller_stages[0].relay.asking, context.controller_stages[0].relay.requested_us = (
         {"b"},
@@ -187,9 +189,9 @@
     body = Packer().u8(value=MessageType.PROXIES).bytes()
     unpacker = Unpacker(data=context.stage.run(work=context.dispatchers["core-1"].dispatch(body)))
     found = unpacker.many(each=lambda u: (u.text(), u.u64(), u.u64(), Vote(u.u8())))
-    word = unpacker.u64(), unpacker.u8()
+    step = unpacker.u64(), unpacker.u8()
     unpacker.done()
-    assert word == (0, 0), word
+    assert step == (0, 0), step
     assert sorted(found) == [("a", 7_000, 0, Vote.silent), ("b", 0, 4, Vote.agrees)], found
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the relay."""
+"""Steps for the relay of register values and backends to proxies."""
 
 from typing import Any
 
@@ -70,13 +70,13 @@
 
 @given('the register holds "{key}" as "{value}"')
 @when('the register holds "{key}" as "{value}"')
-def when_holds(context: Any, key: str, value: str) -> None:
+def when_register_holds(context: Any, key: str, value: str) -> None:
     put(context=context, key=key, value=value.encode())
     context.stage.advance(for_us=500_000)
 
 
 @when("{wait_ms:d} ms pass at the relay")
-def when_relay_passes(context: Any, wait_ms: int) -> None:
+def when_time_passes_at_relay(context: Any, wait_ms: int) -> None:
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
@@ -86,7 +86,7 @@
     context.stage.advance(for_us=150_000)
 
 
-def ask_relay(*, context: Any, proxy: str = "booth-1", suspected: tuple[str, ...] = ()) -> RelayAnswer:
+def ask_relay(*, context: Any, proxy: str = "proxy-1", suspected: tuple[str, ...] = ()) -> RelayAnswer:
     question = RelayQuestion(
         proxy=proxy, site="kingston", source=context.source, revision=context.revision, suspected=suspected
     )
@@ -99,10 +99,10 @@
 @then(
     'a proxy that asks gets {what}: the values "{values}", the backends "{backends}", the controllers "{controllers}"'
 )
-def then_relay_tells(context: Any, what: str, values: str, backends: str, controllers: str) -> None:
+def then_relay_answers(context: Any, what: str, values: str, backends: str, controllers: str) -> None:
     answer = ask_relay(context=context)
     found = (
-        "all" if answer.full else "changes",
+        "the full state" if answer.full else "changes",
         " ".join(sorted(f"{each.key}={each.value.decode()}" for each in answer.values)) or "none",
         " ".join(
             sorted(
@@ -119,9 +119,12 @@
     assert found == (what, values, backends, controllers), found
 
 
-@when("the proxy asks with {what} of another relay")
-def when_other_relay(context: Any, what: str) -> None:
-    context.source, context.revision = {"the revision": (12345, 2), "a later revision": (context.source, 10**9)}[what]
+@when("the proxy asks with {revision}")
+def when_asks_with_revision(context: Any, revision: str) -> None:
+    context.source, context.revision = {
+        "the revision of another relay": (12345, 2),
+        "a revision later than the newest": (context.source, 10**9),
+    }[revision]
 
 
 @then("the answer is between {least_ms:d} and {most_ms:d} ms old")
@@ -130,23 +133,23 @@
     assert least_ms * 1_000 <= age_us <= most_ms * 1_000, age_us
 
 
-@then('a proxy that looks for the nearest gets the site "{site}", an age below {most_ms:d} ms, and nothing else')
+@then('a brief question gets the site "{site}", an age below {most_ms:d} ms, and nothing else')
 def then_brief(context: Any, site: str, most_ms: int) -> None:
-    question = RelayQuestion(proxy="booth-9", site="kingston", brief=True)
+    question = RelayQuestion(proxy="proxy-9", site="kingston", brief=True)
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     answer = read_relay_answer(data=context.stage.run(work=context.controller.dispatcher.dispatch(body)))
     assert answer.site == site and 0 <= answer.age_us <= most_ms * 1_000, answer
     assert not (answer.values or answer.backends or answer.controllers or answer.samples or answer.ask), answer
 
 
-@when("a proxy reports a sample with the clock of {what} process")
+@when("a proxy reports a sample timed by {what} process")
 def when_reports_sample(context: Any, what: str) -> None:
     ask_relay(context=context)
     sample = ReportedSample(
         service="s", term=3, moment_us=context.controller.ctx.now_us() - 1_000, position=Position(3, 7)
     )
     source = context.source + (what == "another")
-    question = RelayQuestion(proxy="booth-1", site="kingston", source=source, revision=1, samples=(sample,))
+    question = RelayQuestion(proxy="proxy-1", site="kingston", source=source, revision=1, samples=(sample,))
     body = question.write(packer=Packer().u8(value=MessageType.RELAY)).bytes()
     context.stage.run(work=context.controller.dispatcher.dispatch(body))
 
@@ -158,8 +161,8 @@
     )
 
 
-@when("the relay's controller is cut off from the register")
-def when_relay_cut(context: Any) -> None:
+@when("the relay's controller loses the register")
+def when_register_lost(context: Any) -> None:
     context.controller.register.cut = True
 
 
@@ -168,12 +171,12 @@
     ask_relay(context=context, proxy=proxy, suspected=tuple(names.split(", ")))
 
 
-@then('the suspicions passed on are "{suspicions}"')
+@then('the reported suspicions are "{suspicions}"')
 def then_suspicions(context: Any, suspicions: str) -> None:
     assert ", ".join(context.suspected) == suspicions, context.suspected
 
 
-@then('within {within_ms:d} ms it was asked by "{names}"')
-def then_requested_by(context: Any, within_ms: int, names: str) -> None:
+@then('within {within_ms:d} ms the proxies that asked were "{names}"')
+def then_recent_proxies(context: Any, within_ms: int, names: str) -> None:
     seen = context.controller.relay.recent_proxies(within_us=within_ms * 1_000)
     assert (" ".join(sorted(entry.name for entry in seen)) or "none") == names, seen
