--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -96,7 +96,7 @@
         version=version,
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
-        rest_limit_us=30_000_000,
+        idle_transaction_limit_us=30_000_000,
         document=f'{{"version": {version}}}'.encode(),
         accepted=(AcceptedVersion(version=version, digest=b"\x01\x02\x03\x04"),),
     )
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -324,7 +324,7 @@
         "revision": plan.version,
         "routes": routes,
         "services": services,
-        "rest limit": plan.rest_limit_us,
+        "rest limit": plan.idle_transaction_limit_us,
         "bytes kept": as_text(data=plan.document),
     }
 
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -139,7 +139,7 @@
         version=9,
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
-        rest_limit_us=30_000_000,
+        idle_transaction_limit_us=30_000_000,
         document=b'{"version": 9}',
         accepted=(
             AcceptedVersion(version=8, digest=b"\x01\x02\x03\x04"),
--- a/features/steps/record_steps.py
+++ b/features/steps/record_steps.py
@@ -87,7 +87,7 @@
         version=u64(rng),
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
-        rest_limit_us=u64(rng),
+        idle_transaction_limit_us=u64(rng),
         document=rng.randbytes(rng.randrange(80)),
         accepted=accepted,
     )
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -357,13 +357,13 @@
     version: int = 1,
     confirmations: int = 1,
     services: tuple[str, ...] = ("s",),
-    rest_limit_us: int = 0,
+    idle_transaction_limit_us: int = 0,
 ) -> ServicePlan:
     return ServicePlan(
         version=version,
         routes={route.database: route for route in routes},
         services={n: Service(name=n, link_cap=link_cap, confirmations=confirmations) for n in services},
-        rest_limit_us=rest_limit_us,
+        idle_transaction_limit_us=idle_transaction_limit_us,
     )
 
 
--- a/src/cinderstair/config/service_plan.py
+++ b/src/cinderstair/config/service_plan.py
@@ -109,7 +109,7 @@
 
     :ivar routes: by database
     :ivar services: by name
-    :ivar rest_limit_us: how long a session may be idle
+    :ivar idle_transaction_limit_us: idle time after which an open transaction is ended; 0 for no limit
     :ivar document: the operator's document, returned unchanged when it is read back
     :ivar accepted: the last acknowledged versions in order of acknowledgement, including this one. A version that was
         superseded before it came into force is listed too, so that its number can't be reused for other content
@@ -118,7 +118,7 @@
     version: int
     routes: dict[str, DatabaseRoute] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
-    rest_limit_us: int = 0
+    idle_transaction_limit_us: int = 0
     document: bytes = b""
     accepted: tuple[AcceptedVersion, ...] = ()
 
@@ -145,7 +145,7 @@
 
     def bytes(self, *, with_document: bool = True) -> bytes:
         """The plan in its stored form; for proxies, without the document and the digests."""
-        packer = Packer().u64(value=self.rest_limit_us)
+        packer = Packer().u64(value=self.idle_transaction_limit_us)
         packer.many(values=self.routes.values(), each=lambda p, r: r.write(packer=p))
         packer.many(values=self.services.values(), each=lambda p, s: s.write(packer=p))
         packer.blob(value=self.document if with_document else b"")
@@ -186,7 +186,7 @@
     """Decodes the result of ServicePlan.bytes; raises ValueError for malformed bytes."""
     version = plan_version(data=data)
     unpacker = Unpacker(data=_decompressed(data=data[VERSION_BYTES:]))
-    rest_limit_us = unpacker.u64()
+    idle_transaction_limit_us = unpacker.u64()
     routes = unpacker.many(each=_read_route)
     services = unpacker.many(each=_read_service)
     document = unpacker.blob()
@@ -195,7 +195,7 @@
     unpacker.done()
     return ServicePlan(
         version=version,
-        rest_limit_us=rest_limit_us,
+        idle_transaction_limit_us=idle_transaction_limit_us,
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
         document=document,
--- a/src/cinderstair/pooler/proxy.py
+++ b/src/cinderstair/pooler/proxy.py
@@ -97,10 +97,10 @@
             self.reported_ready = self.ready
             self.ctx.log.info("ready" if self.ready else "not ready")
         plan = self.view.plan
-        if plan is None or not plan.rest_limit_us:
+        if plan is None or not plan.idle_transaction_limit_us:
             return
         for session in self.sessions:
-            session.end_idle_transaction(limit_us=plan.rest_limit_us)
+            session.end_idle_transaction(limit_us=plan.idle_transaction_limit_us)
 
     def open(self, *, database: str) -> Session:
         """The session of a client that has connected."""
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/made_up.py
@@ -28,7 +28,7 @@
         version=version,
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
-        rest_limit_us=10_000_000,
+        idle_transaction_limit_us=10_000_000,
     )
 
 
