--- a/src/cinderstair/config/configuration.py
+++ b/src/cinderstair/config/configuration.py
@@ -21,7 +21,8 @@
     "active": 100,
     # every commit waits for each in-sync replica; with two, one may fail
     "inSync": 2,
-    # transactions are short; one that is still open after this is rolled back and its client gets an error
+    # time for open transactions to finish before a planned change of primary; transactions are short, and one that is
+    # still open after this is rolled back and its client gets an error
     "closeWait": 1_000_000,
     "site": "near",
 }
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -107,7 +107,7 @@
     async def _on_abandon(self, unpacker: Unpacker) -> bytes:
         version = unpacker.u64()
         unpacker.done()
-        return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is given up")
+        return operator_result(result=await self.shards.abandon(version=version), text=f"map {version} is abandoned")
 
     async def _on_progress(self, unpacker: Unpacker) -> bytes:
         """Responds with a summary, then phase, proposal, version in force and why the last proposal was withdrawn."""
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -45,10 +45,12 @@
         f"{'unknown' if voter.standing is None else voter.standing.name}"
         for voter in quorum.voters
     ]
-    short = "" if quorum.votes_missing_us is None else f", VOTES MISSING for {quorum.votes_missing_us // US_PER_S} s"
-    borne = f"bears the loss of {quorum.tolerable_losses} more" if quorum.tolerable_losses >= 0 else "NO MAJORITY"
+    missing = (
+        "" if quorum.votes_missing_us is None else f", VOTES MISSING for {quorum.votes_missing_us // US_PER_S} s"
+    )
+    tolerance = f"bears the loss of {quorum.tolerable_losses} more" if quorum.tolerable_losses >= 0 else "NO MAJORITY"
     lines.append(
-        f"votes: {quorum.alive_count} of {quorum.target_count}, epoch {quorum.epoch}, {borne}{short}; "
+        f"votes: {quorum.alive_count} of {quorum.target_count}, epoch {quorum.epoch}, {tolerance}{missing}; "
         f"standing by: {', '.join(quorum.standbys) or 'nobody'}"
     )
     return lines
