--- a/src/cinderstair/config/program_builder.py
+++ b/src/cinderstair/config/program_builder.py
@@ -1,4 +1,4 @@
-"""Builds routes, policies and selectors from the parse tree of the configuration language."""
+"""Transforms parse trees of the configuration language into routes, policies and selectors."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,20 +10,20 @@
 from .route import KINDS, Policy, Route
 from .selector import EVERYTHING, Labels, Selector
 
-#: Kinds of statement that only the primary can serve.
+#: Kinds of statement that only a primary may serve.
 PRIMARY_KINDS = ("primary", "write")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Program:
-    """All routes and policies of a configuration, in the order of its text."""
+    """All routes and policies of a configuration, in source order."""
 
     routes: tuple[Route, ...] = ()
     policies: tuple[Policy, ...] = ()
 
 
 class LanguageError(Exception):
-    """An error at one place of the text; line and column count from 1, and are 0 where the place is not known."""
+    """A semantic error in the text; line and column count from 1 and are 0 if unknown."""
 
     def __init__(self, *, token: Token, reason: str) -> None:
         super().__init__(reason)
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Amount:
-    """A policy's value as written; a duration is in microseconds. The token says where it stands."""
+class PolicyValue:
+    """A policy's value, a duration in microseconds; the token holds its source location."""
 
     kind: ValueKind
     value: int | str
@@ -42,13 +42,13 @@
 
 
 def quoted(*, value: str) -> str:
-    """A label's value as the language writes it: in quotes where it isn't a plain name."""
+    """A label's value in source form: in quotes unless it is a plain name."""
     plain = value.replace("-", "_").replace(".", "_").isidentifier()
     return value if plain else f'"{value}"'
 
 
 def _joined(*, parts: tuple[Selector, ...], operator: str, test: Callable[[Labels], bool]) -> Selector:
-    # A single part needs no brackets, and formatting twice must give the same text.
+    # a single part stays without parentheses, so that formatting is idempotent
     if len(parts) == 1:
         return parts[0]
     texts = [f"({part.text})" if " and " in part.text or " or " in part.text else part.text for part in parts]
@@ -58,9 +58,9 @@
 
 @v_args(inline=True)
 class ProgramBuilder(Transformer[Token, Any]):
-    """Turns a parse tree into typed values, from the leaves up; each method is a rule of `language.lark`.
+    """Transforms a parse tree bottom-up into typed values; each method handles its namesake rule of `language.lark`.
 
-    Raises LanguageError where a statement parses and still means nothing.
+    Raises LanguageError for a statement that is syntactically correct but invalid.
     """
 
     # -- selectors --
@@ -68,7 +68,7 @@
     def value(self, token: Token) -> str:
         return str(token).strip('"')
 
-    def equal(self, key: Token, value: str) -> Selector:
+    def equals(self, key: Token, value: str) -> Selector:
         name = str(key)
         return Selector(
             test=lambda labels: labels.get(name) == value,
@@ -76,7 +76,7 @@
             keys=frozenset([name]),
         )
 
-    def unequal(self, key: Token, value: str) -> Selector:
+    def not_equals(self, key: Token, value: str) -> Selector:
         name = str(key)
         return Selector(
             test=lambda labels: labels.get(name) != value,
@@ -84,7 +84,7 @@
             keys=frozenset([name]),
         )
 
-    def among(self, key: Token, *values: str) -> Selector:
+    def in_list(self, key: Token, *values: str) -> Selector:
         name, wanted = str(key), frozenset(values)
         listed = ", ".join(quoted(value=value) for value in sorted(wanted))
         return Selector(
@@ -93,17 +93,17 @@
             keys=frozenset([name]),
         )
 
-    def present(self, key: Token) -> Selector:
+    def has_label(self, key: Token) -> Selector:
         name = str(key)
         return Selector(test=lambda labels: name in labels, text=f"has {name}", keys=frozenset([name]))
 
-    def negated(self, inner: Selector) -> Selector:
+    def not_expr(self, inner: Selector) -> Selector:
         return Selector(test=lambda labels: not inner.test(labels), text=f"not ({inner.text})", keys=inner.keys)
 
-    def both(self, *parts: Selector) -> Selector:
+    def and_expr(self, *parts: Selector) -> Selector:
         return _joined(parts=parts, operator=" and ", test=lambda labels: all(part.test(labels) for part in parts))
 
-    def either(self, *parts: Selector) -> Selector:
+    def or_expr(self, *parts: Selector) -> Selector:
         return _joined(parts=parts, operator=" or ", test=lambda labels: any(part.test(labels) for part in parts))
 
     def selection(self, selector: Selector) -> Selector:
@@ -117,22 +117,22 @@
     def kinds(self, *names: Token) -> tuple[Token, ...]:
         return names
 
-    def everydb(self) -> None:
+    def all_databases(self) -> None:
         return None
 
-    def somedbs(self, *names: Token) -> tuple[str, ...]:
+    def named_databases(self, *names: Token) -> tuple[str, ...]:
         return tuple(str(name) for name in names)
 
-    def primary(self) -> str:
+    def primary_target(self) -> str:
         return "primary"
 
-    def replica(self) -> str:
+    def replica_target(self) -> str:
         return "replica"
 
-    def anyone(self) -> str:
+    def any_target(self) -> str:
         return "any"
 
-    def rejected(self) -> str:
+    def deny_target(self) -> str:
         return "deny"
 
     def route(
@@ -142,7 +142,7 @@
         for kind in kinds:
             if str(kind) not in KINDS:
                 raise LanguageError(token=kind, reason=f"expected one of {', '.join(KINDS)}")
-        # Only the primary can keep the promises of these kinds, so no route may send them elsewhere.
+        # only the primary can give the guarantees of these kinds, so no route may send them to a replica
         if target in ("replica", "any") and any(name in PRIMARY_KINDS for name in names):
             raise LanguageError(token=kinds[0], reason="kinds primary and write go to primary or deny")
         return Route(
@@ -151,25 +151,25 @@
 
     # -- policies --
 
-    def duration(self, token: Token) -> Amount:
+    def duration(self, token: Token) -> PolicyValue:
         digits = "".join(character for character in token if character.isdigit())
         unit = token[len(digits) :]
-        return Amount(kind=ValueKind.DURATION, value=int(digits) * DURATION_UNITS_US[unit], token=token)
+        return PolicyValue(kind=ValueKind.DURATION, value=int(digits) * DURATION_UNITS_US[unit], token=token)
 
-    def whole(self, token: Token) -> Amount:
-        return Amount(kind=ValueKind.WHOLE, value=int(token), token=token)
+    def integer(self, token: Token) -> PolicyValue:
+        return PolicyValue(kind=ValueKind.INTEGER, value=int(token), token=token)
 
-    def word(self, token: Token) -> Amount:
-        return Amount(kind=ValueKind.WORD, value=str(token), token=token)
+    def word(self, token: Token) -> PolicyValue:
+        return PolicyValue(kind=ValueKind.WORD, value=str(token), token=token)
 
-    def policy(self, name: Token, databases: tuple[str, ...] | None, amount: Amount) -> Policy:
+    def policy(self, name: Token, databases: tuple[str, ...] | None, amount: PolicyValue) -> Policy:
         kind = POLICY_KINDS.get(str(name))
         if kind is None:
             raise LanguageError(token=name, reason=f"expected one of {', '.join(sorted(POLICY_KINDS))}")
         _check_amount(name=name, kind=kind, amount=amount)
         return Policy(name=str(name), databases=databases, amount=amount.value, line=name.line or 0)
 
-    # -- the whole text --
+    # -- programs --
 
     def statement(self, inner: Route | Policy) -> Route | Policy:
         return inner
@@ -181,13 +181,13 @@
         )
 
 
-def _check_amount(*, name: Token, kind: PolicyKind, amount: Amount) -> None:
-    """Raises LanguageError where a policy can't take that value."""
+def _check_amount(*, name: Token, kind: PolicyKind, amount: PolicyValue) -> None:
+    """Raises LanguageError if the value's type or range doesn't fit the policy."""
     if amount.kind != kind.value_kind:
         raise LanguageError(token=amount.token, reason=f"{name} takes a {kind.value_kind.value}")
     if isinstance(amount.value, str):
         if amount.value not in SITES:
             raise LanguageError(token=amount.token, reason=f"expected one of {', '.join(SITES)}")
     elif not kind.minimum <= amount.value <= kind.maximum:
-        bounds = f"from {kind.minimum} to {kind.maximum} (us or whole)"
+        bounds = f"from {kind.minimum} to {kind.maximum} (durations in microseconds)"
         raise LanguageError(token=amount.token, reason=f"{name} must be {bounds}")
