--- a/src/cinderstair/runtime/http_request.py
+++ b/src/cinderstair/runtime/http_request.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 
-class Line:
+class ClientConnection:
     """The client connection of a request. Two are equal if they stand for the same connection.
 
     This base class stands for a connection that has ended already.
@@ -30,4 +30,4 @@
     path: str
     body: bytes = b""
     query: dict[str, str] = field(default_factory=dict)
-    line: Any = None
+    client_connection: Any = None
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -9,7 +9,7 @@
 from .counters import Counters
 from .errors import CinderstairError, ErrorCode
 from .http_connection import HttpConnection
-from .http_request import HttpRequest, Line
+from .http_request import HttpRequest, ClientConnection
 from .http_response import HttpResponse
 from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport, split_address
@@ -19,7 +19,7 @@
 SHUTDOWN_S = 2
 
 
-class RealLine(Line):
+class TransportConnection(ClientConnection):
     """The client connection of a request, by its asyncio transport."""
 
     def __init__(self, *, transport: asyncio.BaseTransport) -> None:
@@ -31,7 +31,7 @@
         return self.transport.is_closing()
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, RealLine) and other.transport is self.transport
+        return isinstance(other, TransportConnection) and other.transport is self.transport
 
     def __hash__(self) -> int:
         return id(self.transport)
@@ -102,8 +102,16 @@
         # The handler rejects a body above the limit with an error code of its own, so it is given one.
         body = b"\0" * (MAX_BODY_BYTES + 1)
     # The client may have disconnected already; the base class stands for a closed connection.
-    line = Line() if request.transport is None else RealLine(transport=request.transport)
-    return HttpRequest(method=request.method, path=request.path, body=body, query=dict(request.query), line=line)
+    client_connection = (
+        ClientConnection() if request.transport is None else TransportConnection(transport=request.transport)
+    )
+    return HttpRequest(
+        method=request.method,
+        path=request.path,
+        body=body,
+        query=dict(request.query),
+        client_connection=client_connection,
+    )
 
 
 def _encode_response(*, response: HttpResponse) -> web.Response:
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -11,7 +11,7 @@
 from expression import Error, Ok, Result
 
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.http_request import HttpRequest, Line
+from ..runtime.http_request import HttpRequest, ClientConnection
 from ..runtime.http_response import HttpResponse
 from ..runtime.net import Connection, HttpHandler, RecordHandler
 from ..runtime.protocol_versions import split_version_header
@@ -51,7 +51,7 @@
     return HttpResponse(status=response.status, body=rng.choice(ways), headers=response.headers)
 
 
-class SimLine(Line):
+class SimClientConnection(ClientConnection):
     """A server's end of a channel."""
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
         self.client = client
         self.server = server
         self.answer = answer
-        self.line = SimLine()
+        self.client_connection = SimClientConnection()
         self.broken = False
         self.waiting: asyncio.Future[HttpResponse] | None = None
         self.limit: asyncio.Timeout | None = None
@@ -152,7 +152,7 @@
 
     def reset(self) -> None:
         self.broken = True
-        self.line.ended = True
+        self.client_connection.ended = True
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_exception(ConnectionResetError())
 
@@ -163,7 +163,7 @@
         self.wires.later(call=self._end, delay_s=10.0 if cut else None)
 
     def _end(self) -> None:
-        self.line.ended = True
+        self.client_connection.ended = True
 
     async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
         if self.broken:
@@ -202,13 +202,17 @@
         if not self.wires.passes(source=self.client.name, target=self.server.name):
             self._again(call=lambda next_us: self._arrive(request=request, wait_us=next_us), wait_us=wait_us)
             return
-        if self.server.dead or self.line.ended:
+        if self.server.dead or self.client_connection.ended:
             self.reset()
             return
         self.path = request.path
         self.wires.arrived(source=self.client.name, target=self.server.name, request=request)
         served = HttpRequest(
-            method=request.method, path=request.path, body=request.body, query=request.query, line=self.line
+            method=request.method,
+            path=request.path,
+            body=request.body,
+            query=request.query,
+            client_connection=self.client_connection,
         )
         task = self.wires.run_at(boot=self.server, work=self.answer(served))  # type: ignore[arg-type]
         task.add_done_callback(self._answered, context=contextvars.Context())
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..runtime.context import Context
-from ..runtime.http_request import HttpRequest, Line
+from ..runtime.http_request import HttpRequest, ClientConnection
 from ..runtime.http_response import HttpResponse, json_response
 from ..runtime.net import Connection
 from .sent import Sent, sent_as
@@ -78,8 +78,8 @@
         self.entries: list[Entry] = []
         self.applied = 0
         self.current: dict[str, Any] = {}
-        self.open: dict[Line, Open] = {}
-        self.lines: set[Line] = set()
+        self.open: dict[ClientConnection, Open] = {}
+        self.lines: set[ClientConnection] = set()
         self.number = 0
         self.deaf = False
         self.beating = True
@@ -156,14 +156,14 @@
         body = json.loads(request.body) if request.body else {}
         if request.path in ("/run", "/position"):
             self._sweep()
-            if request.line not in self.lines:
+            if request.client_connection not in self.lines:
                 # why: a server takes so many connections and no more
                 if len(self.lines) >= self.cap:
                     return self._no(reason="full", message="no connection left")
-                self.lines.add(request.line)
+                self.lines.add(request.client_connection)
                 self.most_lines = max(self.most_lines, len(self.lines))
         if request.path == "/run":
-            return await self._run(body=body, line=request.line)
+            return await self._run(body=body, line=request.client_connection)
         if request.path == "/position":
             return await self._position(body=body)
         if request.path == "/pull":
@@ -209,7 +209,7 @@
         }
         return json_response(status=200, value=value)
 
-    async def _run(self, *, body: dict[str, Any], line: Line) -> HttpResponse:
+    async def _run(self, *, body: dict[str, Any], line: ClientConnection) -> HttpResponse:
         step, kind = body["step"], body["kind"]
         primary = kind in ("write", "primary") or step != "alone"
         if primary and (not self.is_primary or body["term"] != self.term):
@@ -237,7 +237,7 @@
             return self._commit(writes=transaction.writes, rows=[])
         return self._statement(body=body, line=line, step=step)
 
-    def _statement(self, *, body: dict[str, Any], line: Line, step: str) -> HttpResponse:
+    def _statement(self, *, body: dict[str, Any], line: ClientConnection, step: str) -> HttpResponse:
         transaction = self.open.get(line)
         if step == "in" and transaction is None:
             return self._no(reason="noTransaction", message="no transaction on this line")
