--- a/features/steps/adapter_common.py
+++ b/features/steps/adapter_common.py
@@ -54,7 +54,7 @@
         await asyncio.sleep(0.001)
         words = self.script.popleft()
         if words == "refuse":
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: refused"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: refused"))
         made = protocol()
         transport = MemoryTransport(protocol=made)
         self.transports.append(transport)
--- a/features/steps/announcer_steps.py
+++ b/features/steps/announcer_steps.py
@@ -33,13 +33,13 @@
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         if address not in self.reached:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="cut off"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="cut off"))
         if body[0] == MessageType.ANNOUNCE:
             self.received.append((address, read_announcement(unpacker=Unpacker(data=body[1:]))))
             return Ok(b"\0")
         if body[0] == MessageType.HEARTBEATS:
             return Ok(self._heartbeats(address=address))
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no handler"))
+        return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="no handler"))
 
     def _heartbeats(self, *, address: str) -> bytes:
         def each(packer: Packer, announcement: Announcement) -> None:
--- a/features/steps/cluster_stage.py
+++ b/features/steps/cluster_stage.py
@@ -196,10 +196,10 @@
         if not backend.up or backend.reach == "no":
             await asyncio.sleep(0.001 if not backend.up else wait_us / 1_000_000)
             details = {"ended": int(not backend.up and backend.reach == "yes")}
-            return CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="not reached", details=details)
+            return CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason="not reached", details=details)
         if backend.reach == "silent":
             await asyncio.sleep(wait_us / 1_000_000)
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="silent")
+            return CinderstairError(code=ErrorCode.NO_RESPONSE, reason="silent")
         await asyncio.sleep(0.001)
         if text != "state":
             backend.log.append(text)
@@ -216,7 +216,7 @@
         if isinstance(found, CinderstairError):
             return Error(found)
         if not found.pausable:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="BUSY"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="BUSY"))
         if term > found.held and not found.is_primary:
             found.held, found.paused = term, True
         return self._state(found)
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -24,7 +24,7 @@
 from cinderstair.runtime.errors import ErrorCode
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.record_transport import RecordTransport
-from cinderstair.runtime.settings import Settings, may_change_live, read_settings
+from cinderstair.runtime.settings import Settings, read_settings, settings_needing_restart
 from cinderstair.simulation.fleet import free_ports
 
 REPOSITORY = Path(__file__).resolve().parents[2]
@@ -311,7 +311,7 @@
         key = line.split(" = ")[0]
         kept = [each for each in old.splitlines() if not each.startswith(f"{key} = ")]
         after = settings_of(text="\n".join([*kept, line]))[0].ok
-        found[line] = bool(may_change_live(old=before, new=after))
+        found[line] = bool(settings_needing_restart(old=before, new=after))
     return found
 
 
--- a/features/steps/error_response_steps.py
+++ b/features/steps/error_response_steps.py
@@ -26,7 +26,7 @@
     assert unknown == {
         ErrorCode.OUTCOME_UNKNOWN,
         ErrorCode.REGISTER_UNSURE,
-        ErrorCode.WIRE_UNSURE,
+        ErrorCode.NO_RESPONSE,
         ErrorCode.INTERNAL,
         ErrorCode.BACKEND_FAULT,
     }, unknown
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -35,7 +35,7 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await asyncio.shield(work))
         except (TimeoutError, ConnectionError) as error:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: {type(error).__name__}"))
 
     async def _arrive(self, *, body: bytes) -> bytes:
         await asyncio.sleep(0.001)
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -51,7 +51,7 @@
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         await asyncio.sleep(0.002)
         if address not in self.dispatchers:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: nobody"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: nobody"))
         return Ok(await self.dispatchers[address].dispatch(body))
 
 
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -81,13 +81,13 @@
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         dispatcher = self.dispatchers.get(address)
         if dispatcher is None:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="nobody is there"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="nobody is there"))
         try:
             answer = await dispatcher.dispatch(body)
         except ValueError:
             # why: a record that is refused is left without an answer
             self.carried.append((body, b""))
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="no answer"))
         self.carried.append((body, answer))
         return Ok(answer)
 
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -228,7 +228,7 @@
     async def request_or_hold(*, address: str, body: bytes, wait_us: int) -> Any:
         if test(body):
             kept.append((address, body))
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="held back"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="held back"))
         return await request(address=address, body=body, wait_us=wait_us)
 
     register.ctx.net.request = request_or_hold
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -94,7 +94,7 @@
     """Reaches nobody."""
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no net"))
+        return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="no net"))
 
 
 class MemoryTransport(asyncio.Transport):
@@ -336,7 +336,7 @@
         found.dialled += 1
         word = found.dials.popleft() if found.dials else "ok"
         await asyncio.sleep(int(word.split()[1]) / 1_000 if word.startswith("slow") else ANSWER_US / 1_000_000)
-        kinds = {"full": ErrorCode.OVERLOADED, "refused": ErrorCode.WIRE_UNSENT, "unsure": ErrorCode.WIRE_UNSURE}
+        kinds = {"full": ErrorCode.OVERLOADED, "refused": ErrorCode.REQUEST_NOT_SENT, "unsure": ErrorCode.NO_RESPONSE}
         if word in kinds:
             return Error(CinderstairError(code=kinds[word], reason=word))
         return Ok(FakeLink(backend=found))
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -59,7 +59,7 @@
         relay = self.relays[address]
         if relay.silent:
             await asyncio.sleep(wait_us / 1_000_000)
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: silent"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: silent"))
         await asyncio.sleep(relay.away_us / 1_000_000)
         return Ok(relay.answer(body=body))
 
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -13,7 +13,7 @@
 
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError
-from ..runtime.settings import LIVE, Settings, may_change_live, read_settings
+from ..runtime.settings import RELOADABLE_SETTINGS, Settings, read_settings, settings_needing_restart
 from ..runtime.traces import Sink, Traces
 from .container import Container
 from .exit_code import ExitCode
@@ -31,7 +31,7 @@
     async def drain(self) -> None:
         """Ends in an orderly way: hands on what others can take over."""
 
-    def resettle(self, *, settings: Settings) -> None:
+    def update_settings(self, *, settings: Settings) -> None:
         """Takes settings of which those in LIVE may have changed."""
 
 
@@ -147,14 +147,14 @@
         if read.is_error():
             self.log.error("settings not changed (%s): %s", cause, read.error.reason)
             return
-        fixed = may_change_live(old=self.settings, new=read.ok)
+        fixed = settings_needing_restart(old=self.settings, new=read.ok)
         # Half a change would leave the process in a state that no file describes.
         if fixed:
             self.log.error("settings not changed (%s): %s need a restart", cause, ", ".join(fixed))
             return
         if read.ok == self.settings:
             return
-        self.settings = replace(self.settings, **{key: getattr(read.ok, key) for key in LIVE})
+        self.settings = replace(self.settings, **{key: getattr(read.ok, key) for key in RELOADABLE_SETTINGS})
         logging.getLogger().setLevel(self.settings.log_level.upper())
-        role.resettle(settings=self.settings)
+        role.update_settings(settings=self.settings)
         self.log.info("settings changed (%s)", cause)
--- a/src/cinderstair/cli/http_client.py
+++ b/src/cinderstair/cli/http_client.py
@@ -17,7 +17,7 @@
 
 
 async def ask(*, address: str, method: str, path: str, body: bytes = b"") -> Result[HttpResponse, CinderstairError]:
-    """Sends one request on a connection of its own; WIRE_UNSURE where nobody knows whether it was served."""
+    """Sends one request on a connection of its own; NO_RESPONSE where nobody knows whether it was served."""
     net = RealNet(counters=Counters())
     dialled = await net.dial(address=address, wait_us=DIAL_WAIT_US)
     if dialled.is_error():
--- a/src/cinderstair/cli/http_command.py
+++ b/src/cinderstair/cli/http_command.py
@@ -33,7 +33,7 @@
         result = ask_now(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_ok():
             return Ok(result.ok)
-        unknown = result.error.code == ErrorCode.WIRE_UNSURE and method != "GET"
+        unknown = result.error.code == ErrorCode.NO_RESPONSE and method != "GET"
         message = f"{result.error.code.value}: {result.error.reason}"
         return Error(self.fail(message=message, code=ExitCode.UNKNOWN if unknown else ExitCode.FAILED))
 
--- a/src/cinderstair/cli/record_client.py
+++ b/src/cinderstair/cli/record_client.py
@@ -44,7 +44,7 @@
 
 
 async def ask(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
-    """Sends one request to one controller; WIRE_UNSURE where nobody knows whether it arrived."""
+    """Sends one request to one controller; NO_RESPONSE where nobody knows whether it arrived."""
     transport = RecordTransport(counters=Counters())
     try:
         return await transport.request(address=address, body=body, wait_us=ANSWER_WAIT_US)
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -212,7 +212,7 @@
         while self.votes and self.standbys() and self.ctx.now_us() < until_us:
             await self.ctx.sleep(duration_us=LEAVE_POLL_US)
 
-    def resettle(self, *, settings: Settings) -> None:
+    def update_settings(self, *, settings: Settings) -> None:
         """Takes settings that have changed while the daemon runs."""
         self.settings = settings
         self.register.seeds = settings.seeds
--- a/src/cinderstair/control_plane/controller.py
+++ b/src/cinderstair/control_plane/controller.py
@@ -230,10 +230,10 @@
         )
         await self.register_replica.drain()
 
-    def resettle(self, *, settings: Settings) -> None:
+    def update_settings(self, *, settings: Settings) -> None:
         """Replaces the settings of the running controller."""
         self.settings = self.addresses.settings = settings
-        self.register_replica.resettle(settings=settings)
+        self.register_replica.update_settings(settings=settings)
 
 
 def _shard_map_step(state: ShardState) -> ShardMapStep:
--- a/src/cinderstair/control_plane/reachability_poll.py
+++ b/src/cinderstair/control_plane/reachability_poll.py
@@ -52,5 +52,5 @@
         if received is None:
             raise ValueError(f"no heartbeat of backend {name} has been received")
         state = await self.control.state(backend=received.heartbeat, wait_us=PROBE_WAIT_US)
-        reachable = state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT
+        reachable = state.is_ok() or state.error.code != ErrorCode.REQUEST_NOT_SENT
         return Packer().u8(value=int(reachable)).bytes()
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -203,7 +203,7 @@
                 CinderstairError(code=ErrorCode.UNKNOWN_DATABASE, reason=f"no backend '{backend}' of '{database}'")
             )
         if old is None:
-            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
+            return Error(CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: nobody leads yet"))
         new = DatabasePrimary(term=old.term + 1, primary=backend, incarnation=0, state=MOVING)
         self.ctx.log.warning(
             "OVERRIDE by an operator: %s is made primary of database %s in term %d; acknowledged commits may be lost",
--- a/src/cinderstair/failover/departures.py
+++ b/src/cinderstair/failover/departures.py
@@ -88,7 +88,7 @@
             return False
         if state.error.details.get("ended"):
             return True
-        if state.error.code != ErrorCode.WIRE_UNSENT:
+        if state.error.code != ErrorCode.REQUEST_NOT_SENT:
             return False
         # A backend that is merely cut off from this daemon may go on confirming commits for its primary.
         votes = await self.reachability_poll(backend.name)
--- a/src/cinderstair/failover/primary_monitor.py
+++ b/src/cinderstair/failover/primary_monitor.py
@@ -77,7 +77,7 @@
         self.ctx.counters.add(name="promotion.examined")
         if own.is_ok():
             return None if own.ok.is_primary else MoveReason.DEMOTED
-        unreachable = own.error.code == ErrorCode.WIRE_UNSENT
+        unreachable = own.error.code == ErrorCode.REQUEST_NOT_SENT
         # A silent primary that takes connections may only be slow, so its heartbeats must be missed as well.
         if not unreachable and not quiet:
             return None
--- a/src/cinderstair/failover/promotion.py
+++ b/src/cinderstair/failover/promotion.py
@@ -117,7 +117,7 @@
         state = await self.failover.control.state(backend=member, wait_us=PROBE_WAIT_US)
         if state.is_ok() and state.ok.is_primary:
             return state.ok
-        if state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT:
+        if state.is_ok() or state.error.code != ErrorCode.REQUEST_NOT_SENT:
             attempt.reached_us = self.failover.ctx.now_us()
         return state.ok if state.is_ok() else None
 
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -98,7 +98,7 @@
         """Jobs that wait for what won't come, or would not count, are answered now and not when their time is up."""
         for name in names:
             if name in self.pools and not self.reachable(name=name):
-                self.pools[name].give_up()
+                self.pools[name].expire_in_flight()
         for database, assignment in self.view.primaries.items():
             before = self.last_assignments.get(database, assignment)
             self.last_assignments[database] = assignment
@@ -108,7 +108,7 @@
                 and before.primary != assignment.primary
                 and before.primary in self.pools
             ):
-                self.pools[before.primary].give_up()
+                self.pools[before.primary].expire_in_flight()
 
     def _compute(self, *, configuration: Configuration) -> None:
         self.computed += 1
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -55,7 +55,7 @@
         """The lead that new jobs of a database go to; an error where none can be acknowledged now."""
         assignment = self.view.assignment(database=database)
         if assignment is None:
-            return Result.Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
+            return Result.Error(CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: nobody leads yet"))
         # while a planned move closes, reads go on; what is new and would write waits for the move's end
         if not assignment.serves or (writes and assignment.state != SETTLED):
             return Result.Error(
@@ -65,7 +65,7 @@
             )
         if not self.connection_pools.usable(name=assignment.primary):
             return Result.Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {assignment.primary} is not fit")
+                CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: {assignment.primary} is not fit")
             )
         # what could not be acknowledged in the end is denied before it is sent
         if writes and not any(self.heartbeat_table.healthy(name=name) for name in assignment.in_sync):
@@ -126,7 +126,7 @@
     def _rejected(self, *, reply: Reply) -> HttpResponse | CinderstairError:
         """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
         if reply.reason in NOT_RUN:
-            code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_LEAD
+            code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_PRIMARY
             return CinderstairError(code=code, reason=reply.message)
         return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=reply.message)
 
--- a/src/cinderstair/http_frontend/filters/retry_mixin.py
+++ b/src/cinderstair/http_frontend/filters/retry_mixin.py
@@ -16,7 +16,7 @@
 # the longest that a planned move takes when nothing fails; jobs with less time left are rejected at once
 PLANNED_MOVE_US = 5_500_000
 # another attempt would only make a full queue longer, or wait for what takes longer than a retry
-NOT_RETRIED = frozenset([ErrorCode.OVERLOADED, ErrorCode.NO_LEAD, ErrorCode.MOVING, ErrorCode.NOT_IN_SYNC])
+NOT_RETRIED = frozenset([ErrorCode.OVERLOADED, ErrorCode.NO_PRIMARY, ErrorCode.MOVING, ErrorCode.NOT_IN_SYNC])
 
 # makes one attempt (`request`, and `tried`: the backends of earlier ones); an error where the job ran nowhere
 Attempt = Callable[..., Awaitable[HttpResponse | CinderstairError]]
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -58,7 +58,7 @@
         # final only when everyone who might have it has said no
         if sought.unsure:
             return self.reject(
-                kind=ErrorCode.SESSION_SOUGHT, reason="not found yet; some HTTP proxies have not answered"
+                kind=ErrorCode.SESSION_NOT_LOCATED, reason="not found yet; some HTTP proxies have not answered"
             )
         # a session is never quietly opened anew; its values and transaction would be gone unnoticed
         return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="no such session here; it is gone, open a new one")
@@ -86,4 +86,4 @@
             reason = f"{reason}; its commit may have been kept, or not"
             return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason, details=details)
         reason = f"{reason}; an open transaction is gone, and nothing of it was kept unless its commit was sent"
-        return self.reject(kind=ErrorCode.HANDLE_OLD, reason=reason, details=details)
+        return self.reject(kind=ErrorCode.HANDLE_SUPERSEDED, reason=reason, details=details)
--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -18,7 +18,7 @@
         assignment = found.ok
         result = await self._run_once(name=assignment.primary, request=request, term=assignment.term, tried=tried)
         if result.is_error():
-            if result.error.code == ErrorCode.WIRE_UNSURE:
+            if result.error.code == ErrorCode.NO_RESPONSE:
                 return self._unknown(reason=f"the answer was lost: {result.error.reason}")
             return result.error
         reply = result.ok
@@ -70,7 +70,7 @@
         database = request.bound.database
         assignment = self.view.assignment(database=database)
         if assignment is None:
-            return CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet")
+            return CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: nobody leads yet")
         policy = "liveAge" if request.kind == "live" else "freshAge"
         age_us = self.configuration.amount(name=policy, database=database)
         # a session taken over has left its floor with the HTTP proxy that was lost; all that it had committed is
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -82,7 +82,7 @@
     ) -> Result[Reply, CinderstairError]:
         """A step of an open transaction, over the channel that is its own."""
         if not self._holds(transaction=transaction):
-            return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the lead moved"))
+            return Result.Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason="the lead moved"))
         left_us = self._left_us(request=request)
         result = await self.pass_to(
             connection=transaction.connection, request=request, step=step, term=transaction.term, wait_us=left_us
@@ -116,7 +116,7 @@
         session = request.bound
         result = await self._pass_open(request=request, transaction=transaction, step="commit")
         self._end(session=session, transaction=transaction, result=result)
-        if result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
+        if result.is_error() and result.error.code == ErrorCode.REQUEST_NOT_SENT:
             return self.reject(
                 kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.error.reason}; the commit was never sent"
             )
--- a/src/cinderstair/http_frontend/forward_mixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -50,7 +50,7 @@
     ) -> Result[Reply, CinderstairError]:
         """Sends one step (`alone`, `begin`, `in`, `commit` or `rollback`) of a term.
 
-        :returns: the reply; an error of the connection, or WIRE_UNSURE where the reply can't be read.
+        :returns: the reply; an error of the connection, or NO_RESPONSE where the reply can't be read.
         """
         prepared = request.body.get("prepared")
         body: dict[str, Any] = {
@@ -70,4 +70,4 @@
         try:
             return Ok(read_reply(value=result.ok.json()))
         except (ValueError, KeyError, TypeError, AttributeError):
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend's answer can't be read"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason="the backend's answer can't be read"))
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -276,7 +276,7 @@
             self.session_replicas.adopt()
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         # new connections are refused, and their clients go elsewhere; those that are open are still answered
-        await self.ctx.net.refuse()
+        await self.ctx.net.stop_accepting_http()
         self.requested_us = max(self.requested_us, self.ctx.now_us() - SILENT_AFTER_US + LAST_ANSWERS_US)
         # clients with open connections are answered where their sessions are, until none has come for a while
         while self.ctx.now_us() < min(until_us, self.requested_us + SILENT_AFTER_US):
@@ -291,7 +291,7 @@
         if self.ctx.traces is not None:
             self.ctx.traces.flush()
 
-    def resettle(self, *, settings: Settings) -> None:
+    def update_settings(self, *, settings: Settings) -> None:
         """Takes over the settings that may change while the process runs."""
         self.settings = settings
         self.sessions.idle_transaction_us = settings.idle_transaction_us
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -221,7 +221,7 @@
         """For how long the channel that has been out longest has been out."""
         return max((self.ctx.now_us() - channel.since_us for channel in self.in_use.values()), default=0)
 
-    def give_up(self) -> None:
+    def expire_in_flight(self) -> None:
         """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
         for channel in list(self.in_use.values()):
-            channel.connection.give_up()
+            channel.connection.expire_in_flight()
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -69,7 +69,7 @@
 
 
 def read_answer(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
-    """Parses an answer; WIRE_UNSURE where it is no position."""
+    """Parses an answer; NO_RESPONSE where it is no position."""
     try:
         value = response.json()
         reading = BackendPosition(
@@ -80,5 +80,5 @@
             incarnation=int(value["incarnation"]),
         )
     except (ValueError, KeyError, TypeError):
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{name}: no position in its answer"))
+        return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{name}: no position in its answer"))
     return Ok(reading)
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -40,11 +40,11 @@
         finally:
             self.asking.discard(name)
         # a slow statement is no sign of anything while its backend still answers other questions
-        if reading.is_ok() or reading.error.code not in (ErrorCode.WIRE_UNSURE, ErrorCode.WIRE_UNSENT):
+        if reading.is_ok() or reading.error.code not in (ErrorCode.NO_RESPONSE, ErrorCode.REQUEST_NOT_SENT):
             self.misses.pop(name, None)
             return
         self.misses[name] += 1
         pool = self.connection_pools.pool(name=name)
         if self.misses[name] >= MAX_MISSES and pool is not None:
             self.ctx.counters.add(name="jobs.givenUp")
-            pool.give_up()
+            pool.expire_in_flight()
--- a/src/cinderstair/pooler/forward_checks.py
+++ b/src/cinderstair/pooler/forward_checks.py
@@ -71,7 +71,7 @@
         if primary.is_ok() and primary.ok is not pool:
             return Error(
                 CinderstairError(
-                    code=ErrorCode.NO_LEAD, reason=f"{question.backend} does not lead by what is known here"
+                    code=ErrorCode.NO_PRIMARY, reason=f"{question.backend} does not lead by what is known here"
                 )
             )
         return primary
--- a/src/cinderstair/pooler/forwarded_link.py
+++ b/src/cinderstair/pooler/forwarded_link.py
@@ -109,7 +109,7 @@
         reply: Reply | None = None
         if result.is_ok() and result.ok.outcome != Outcome.lost:
             reply = result.ok.reply
-        elif result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
+        elif result.is_error() and result.error.code == ErrorCode.REQUEST_NOT_SENT:
             reply = Reply(rows=[], fault=ErrorCode.NO_BACKEND, not_run=True, state=self.state)
         if reply is None or (self.begun and reply.not_run and result.is_error()):
             self._fail(future=future)
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -136,11 +136,11 @@
         """Sends a question.
 
         :param limit_us: for how long from now on anything may reach the backend.
-        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where that is unknown.
+        Errors: REQUEST_NOT_SENT where nothing was sent at all, NO_RESPONSE where that is unknown.
         """
         peer = self.peer(address=address)
         if not peer.life:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not in touch"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: not in touch"))
         # Its clock is ahead by at least `ahead_us`, so by its clock the limit ends no later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(question, life=peer.life, until_us=max(0, until_us))
@@ -168,7 +168,7 @@
             answer = read_forward_answer(data=result.ok)
         except ValueError:
             self.ctx.counters.add(name="records.malformed")
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no answer of a forward"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: no answer of a forward"))
         self._record_answer(peer=peer, answer=answer)
         return Ok(answer)
 
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -25,11 +25,11 @@
     def confirmed_primary(self, *, service: str) -> Result[LinkPool, CinderstairError]:
         """The primary's pool, or that of a detour to it.
 
-        Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; their detail `left_us` says when to ask again.
+        Errors: NO_PRIMARY, NOT_CURRENT, MOVING or NO_BACKEND; their detail `left_us` says when to ask again.
         """
         assignment = self.view.primaries.get(service)
         if assignment is None:
-            return _refuse(code=ErrorCode.NO_LEAD, reason=f"{service}: nobody leads yet", left_us=VIEW_LAPSE_US)
+            return _refuse(code=ErrorCode.NO_PRIMARY, reason=f"{service}: nobody leads yet", left_us=VIEW_LAPSE_US)
         if not self.view.current:
             return _refuse(
                 code=ErrorCode.NOT_CURRENT,
@@ -58,7 +58,7 @@
         pool = self.pools.get(assignment.primary)
         if pool is None or pool.closed:
             return Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{service}: {assignment.primary} is not there")
+                CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{service}: {assignment.primary} is not there")
             )
         detour = self.detours.detour(pool=pool) if pool.unreachable else None
         if detour is not None:
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -134,7 +134,7 @@
         # Without a position only the current primary will do, and it may have changed during the wait for a link.
         if at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
-            return CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile")
+            return CinderstairError(code=ErrorCode.NO_PRIMARY, reason="the lead moved meanwhile")
         requested_us = self.ctx.now_us()
         reply = await self._read_on(link=link, statement=statement, candidate=candidate)
         if isinstance(reply, Reply):
@@ -156,7 +156,7 @@
             reply = await asyncio.shield(future)
         except ConnectionError:
             pool.release(link=link)
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the link was lost")
+            return CinderstairError(code=ErrorCode.NO_RESPONSE, reason="the link was lost")
         except asyncio.CancelledError:
             # Closing the link would interrupt a working backend and cost a new link.
             pool.release_answered(link=link, answer=future)
--- a/src/cinderstair/pooler/transaction_begin.py
+++ b/src/cinderstair/pooler/transaction_begin.py
@@ -82,7 +82,7 @@
         # Without a position only the current primary will do, and it may have changed during the wait for a link.
         if candidate.at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
-            return Error(CinderstairError(code=ErrorCode.NO_LEAD, reason="the lead moved meanwhile"))
+            return Error(CinderstairError(code=ErrorCode.NO_PRIMARY, reason="the lead moved meanwhile"))
         begun = False
         try:
             refused = await self._begin_on(
@@ -95,7 +95,9 @@
             return Ok(link)
         except ConnectionError:
             return Error(
-                CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the link was lost before the first statement")
+                CinderstairError(
+                    code=ErrorCode.REQUEST_NOT_SENT, reason="the link was lost before the first statement"
+                )
             )
         finally:
             if not begun:
@@ -115,7 +117,7 @@
         future = link.begin(read_only=transaction.read_only, at_least=candidate.at_least)
         reply = await await_reply(ctx=self.ctx, future=future, until_us=min(until_us, requested_us + BEGIN_WAIT_US))
         if reply is None:
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer to a begin")
+            return CinderstairError(code=ErrorCode.NO_RESPONSE, reason="no answer to a begin")
         record_reply(
             router=self.router,
             pool=candidate.pool,
--- a/src/cinderstair/runtime/http_connection.py
+++ b/src/cinderstair/runtime/http_connection.py
@@ -45,7 +45,7 @@
         # Nothing has been written yet, so the backend can't have seen the request.
         if not self.open:
             self.close()
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.address}: channel closed"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.address}: channel closed"))
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self._timeout:
                 return Ok(await self._exchange(request=request))
@@ -55,7 +55,7 @@
             return self._lost(error=error)
         except httpcore.ConnectionNotAvailable as error:
             self.close()
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.address}: {error!r}"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.address}: {error!r}"))
         except asyncio.CancelledError:
             self.close()
             raise
@@ -88,9 +88,9 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
         # Once bytes may have been sent, only a response tells what became of the request.
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{self.address}: {type(error).__name__}"))
+        return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{self.address}: {type(error).__name__}"))
 
-    def give_up(self) -> None:
+    def expire_in_flight(self) -> None:
         """End the wait of the request in flight, if there is one, as if its time were up."""
         if self._timeout is not None and not self._timeout.expired():
             self._timeout.reschedule(asyncio.get_running_loop().time())
--- a/src/cinderstair/runtime/net.py
+++ b/src/cinderstair/runtime/net.py
@@ -28,13 +28,13 @@
         """Send a request and wait for its response; one request at a time.
 
         :param wait_us: how long to wait, in microseconds.
-        :returns: the response, whatever its status. Errors: WIRE_UNSENT if the server has seen nothing of the
-            request; WIRE_UNSURE if it may have handled it.
+        :returns: the response, whatever its status. Errors: REQUEST_NOT_SENT if the server has seen nothing of the
+            request; NO_RESPONSE if it may have handled it.
         """
         ...
 
-    def give_up(self) -> None:
-        """End the wait of the request in flight as if its time were up; its outcome is then WIRE_UNSURE."""
+    def expire_in_flight(self) -> None:
+        """End the wait of the request in flight as if its time were up; its outcome is then NO_RESPONSE."""
         ...
 
     def close(self) -> None:
@@ -49,7 +49,7 @@
         """Send a message to another process and wait for its response.
 
         :param wait_us: how long to wait, in microseconds.
-        :returns: the response, or the error WIRE_UNSURE if none came.
+        :returns: the response, or the error NO_RESPONSE if none came.
         """
         ...
 
@@ -64,7 +64,7 @@
         """Open an HTTP connection.
 
         :param wait_us: how long to wait, in microseconds.
-        :returns: the connection, or the error WIRE_UNSENT.
+        :returns: the connection, or the error REQUEST_NOT_SENT.
         """
         ...
 
@@ -75,7 +75,7 @@
         """
         ...
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         """Accept no new HTTP connections; requests on open ones are still served."""
         ...
 
--- a/src/cinderstair/runtime/peer_client.py
+++ b/src/cinderstair/runtime/peer_client.py
@@ -80,7 +80,7 @@
         :param body: the request without its version header.
         :param wait_us: how long to wait, in microseconds.
         :returns: the response without its version header. Errors: OTHER_VERSION if no version is shared, in which
-            case the request was not handled; WIRE_UNSURE if no valid response came, and it may have been.
+            case the request was not handled; NO_RESPONSE if no valid response came, and it may have been.
         """
         peer_versions = self.versions_by_address.get(address)
         version = self.version(address=address)
@@ -133,7 +133,7 @@
             self.versions_by_address.pop(address, None)
             self.ctx.counters.add(name="records.malformed")
             reason = f"{address}: an answer in no version that was asked in"
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=reason))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=reason))
         return Ok(data[1:])
 
     def _version_mismatch(self, *, address: str, versions: ProtocolVersions) -> CinderstairError:
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -9,7 +9,7 @@
 from .counters import Counters
 from .errors import CinderstairError, ErrorCode
 from .http_connection import HttpConnection
-from .http_request import HttpRequest, ClientConnection
+from .http_request import ClientConnection, HttpRequest
 from .http_response import HttpResponse
 from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport, split_address
@@ -63,7 +63,9 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 stream = await httpcore.AnyIOBackend().connect_tcp(host, port)
         except (TimeoutError, OSError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: {type(error).__name__}"))
+            return Error(
+                CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: {type(error).__name__}")
+            )
         origin = httpcore.Origin(scheme=b"http", host=host.encode(), port=port)
         connection = httpcore.AsyncHTTP11Connection(origin=origin, stream=stream)
         return Ok(HttpConnection(address=address, connection=connection, stream=stream))
@@ -82,7 +84,7 @@
         await web.TCPSite(runner, host, port, reuse_address=True, shutdown_timeout=SHUTDOWN_S).start()
         self._runners.append(runner)
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         """Close the listening HTTP sockets; open connections are kept."""
         for runner in self._runners:
             for site in list(runner.sites):
--- a/src/cinderstair/runtime/record_net.py
+++ b/src/cinderstair/runtime/record_net.py
@@ -33,7 +33,7 @@
         """Raise NotImplementedError."""
         raise NotImplementedError("this process has no HTTP server")
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         """Do nothing: there are no HTTP connections."""
 
     async def close(self) -> None:
--- a/src/cinderstair/runtime/record_transport.py
+++ b/src/cinderstair/runtime/record_transport.py
@@ -65,7 +65,7 @@
         """Send a request, over a new connection if there is none, and wait for the response.
 
         :param wait_us: how long to wait in all, in microseconds.
-        :returns: the response; or the error WIRE_UNSURE, after which the peer may or may not have handled the
+        :returns: the response; or the error NO_RESPONSE, after which the peer may or may not have handled the
             request. It is never sent again.
         """
         try:
@@ -76,7 +76,7 @@
         except (TimeoutError, OSError, KeyError) as error:
             self.counters.add(name="records.unanswered")
             self._request_failed(address=address)
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: {type(error).__name__}"))
 
     async def close(self) -> None:
         """Close all connections in both directions; requests in flight fail."""
--- a/src/cinderstair/runtime/settings.py
+++ b/src/cinderstair/runtime/settings.py
@@ -16,7 +16,7 @@
 
 NAME = validate.Regexp(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$", error="not a name (letters, digits, . _ -)")
 
-LIVE = ("log_level", "drain_wait_us", "queue_limit", "idle_transaction_us", "idle_session_us")
+RELOADABLE_SETTINGS = ("log_level", "drain_wait_us", "queue_limit", "idle_transaction_us", "idle_session_us")
 """The settings that can change while the process runs; all others need a restart."""
 
 SEED_COUNT = 3
@@ -149,10 +149,10 @@
     return _check_settings(file=file.ok, flags=flags, where=path or "flags")
 
 
-def may_change_live(*, old: Settings, new: Settings) -> list[str]:
+def settings_needing_restart(*, old: Settings, new: Settings) -> list[str]:
     """Return the names of the settings that differ and can't change without a restart."""
     names = [field.name for field in dataclass_fields(Settings)]
-    return [name for name in names if name not in LIVE and getattr(old, name) != getattr(new, name)]
+    return [name for name in names if name not in RELOADABLE_SETTINGS and getattr(old, name) != getattr(new, name)]
 
 
 def _read_file(*, path: str) -> Result[_SettingsFile, CinderstairError]:
--- a/src/cinderstair/simulation/explorer/choice_net.py
+++ b/src/cinderstair/simulation/explorer/choice_net.py
@@ -32,7 +32,7 @@
 
     def lose(self, *, number: int) -> None:
         """The asker's wait runs out, whatever became of its question."""
-        fault = CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="not answered")
+        fault = CinderstairError(code=ErrorCode.NO_RESPONSE, reason="not answered")
         self.waiting.pop(number).set_result(Error(fault))
 
     def serve_record(self, *, loop: asyncio.AbstractEventLoop, token: Token, body: bytes) -> None:
@@ -57,7 +57,7 @@
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
         raise NotImplementedError
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         return
 
     async def close(self) -> None:
--- a/src/cinderstair/simulation/injected_faults.py
+++ b/src/cinderstair/simulation/injected_faults.py
@@ -161,7 +161,7 @@
 def settings_changed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     for name in day.world.ups():
         http_proxy = day.world.http_proxy(name=name)
-        http_proxy.resettle(settings=replace(http_proxy.settings, queue_limit=rng.randrange(100, 300)))
+        http_proxy.update_settings(settings=replace(http_proxy.settings, queue_limit=rng.randrange(100, 300)))
     return nothing
 
 
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -35,7 +35,7 @@
             details = {"ended": int(isinstance(error, ConnectionRefusedError))}
             return Error(
                 CinderstairError(
-                    code=ErrorCode.WIRE_UNSENT, reason=f"{address}: {type(error).__name__}", details=details
+                    code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: {type(error).__name__}", details=details
                 )
             )
         made = protocol()
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -275,7 +275,7 @@
 
 def never_give_up() -> Patches:
     """What waits for a backend waits until its time is up, whatever has become of that backend."""
-    return [patch.object(Pool, "give_up", lambda self: None)]
+    return [patch.object(Pool, "expire_in_flight", lambda self: None)]
 
 
 def whole_cap() -> Patches:
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -11,7 +11,7 @@
 from expression import Error, Ok, Result
 
 from ..runtime.errors import CinderstairError, ErrorCode
-from ..runtime.http_request import HttpRequest, ClientConnection
+from ..runtime.http_request import ClientConnection, HttpRequest
 from ..runtime.http_response import HttpResponse
 from ..runtime.net import Connection, HttpHandler, RecordHandler
 from ..runtime.protocol_versions import split_version_header
@@ -167,7 +167,9 @@
 
     async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
         if self.broken:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: channel closed"))
+            return Error(
+                CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.server.name}: channel closed")
+            )
         self.waiting = asyncio.get_running_loop().create_future()
         self.wires.sent += 1
         self.wires.work[f"http {request.path if request.path in PATHS else 'other'}"] += 1
@@ -178,7 +180,7 @@
         except (TimeoutError, ConnectionResetError) as error:
             self.close()
             return Error(
-                CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{self.server.name}: {type(error).__name__}")
+                CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{self.server.name}: {type(error).__name__}")
             )
         except asyncio.CancelledError:
             self.close()
@@ -186,7 +188,7 @@
         finally:
             self.limit = None
 
-    def give_up(self) -> None:
+    def expire_in_flight(self) -> None:
         if self.limit is not None and not self.limit.expired():
             self.limit.reschedule(asyncio.get_running_loop().time())
 
@@ -292,7 +294,7 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await waiting)
         except (TimeoutError, ConnectionRefusedError) as error:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: {type(error).__name__}"))
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
         self.wires.records[address] = (self.boot, handler)
@@ -326,14 +328,14 @@
         except TimeoutError:
             connection = None
         if connection is None:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not reached"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: not reached"))
         return Ok(connection)
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
         self.wires.https[address] = (self.boot, handler)
         self.wires.hosts[address] = self.boot.name
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         self.wires.https = {a: entry for a, entry in self.wires.https.items() if entry[0] is not self.boot}
 
     async def close(self) -> None:
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..runtime.context import Context
-from ..runtime.http_request import HttpRequest, ClientConnection
+from ..runtime.http_request import ClientConnection, HttpRequest
 from ..runtime.http_response import HttpResponse, json_response
 from ..runtime.net import Connection
 from .sent import Sent, sent_as
