--- a/src/cinderstair/runtime/__init__.py
+++ b/src/cinderstair/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every daemon stands on: context, records and their transport, settings, errors, counters, traces."""
+"""The foundation of every daemon: process context, message transport, settings, errors, counters and traces."""
--- a/src/cinderstair/runtime/command_queue.py
+++ b/src/cinderstair/runtime/command_queue.py
@@ -7,13 +7,13 @@
 from .context import Context
 
 Command = Callable[[], Any]
-"""Changes the component's state; may return an awaitable, which is then awaited before the next command."""
+"""Changes the component's state; if it returns an awaitable, that is awaited before the next command runs."""
 
 
 class _QueuedCommand(NamedTuple):
-    """A command and who waits for it.
+    """A queued command and the future of its caller.
 
-    :ivar result: receives the command's result or exception; None if nobody waits.
+    :ivar result: receives the command's result or exception; None if no caller waits for it.
     :ivar key: the key that ``post`` was given; empty if none.
     """
 
@@ -25,18 +25,19 @@
 class CommandQueueMixin:
     """Runs a component's commands one at a time, in the order in which they were queued.
 
-    A class that inherits from it sets ``ctx`` and then calls ``open_queue`` in its event loop.
+    Commands are queued without bound. A class that inherits from it sets ``ctx`` and then calls ``open_queue`` in its
+    event loop.
     """
 
     ctx: Context
 
     def open_queue(self) -> None:
-        """Start to run commands."""
+        """Create the queue and start the task that runs its commands."""
         self._commands: asyncio.Queue[_QueuedCommand] = asyncio.Queue()
         self._queued_keys: set[str] = set()
         self.ctx.spawn(work=self._run_commands(), name=f"{type(self).__name__}.queue")
 
-    async def order(self, *, command: Command) -> Any:
+    async def execute(self, *, command: Command) -> Any:
         """Queue a command, wait until it has run, and return its result.
 
         :raises Exception: what the command raises.
@@ -50,7 +51,7 @@
 
         :param once: a key; while a command with the same key is queued, this one is dropped. Empty: never dropped.
         """
-        # A timer that is faster than the commands would otherwise fill the queue without bound.
+        # A timer that fires faster than its command runs would otherwise grow the queue without bound.
         if once and once in self._queued_keys:
             return
         if once:
@@ -58,7 +59,7 @@
         self._commands.put_nowait(_QueuedCommand(command=command, result=None, key=once))
 
     def every(self, *, every_us: int, command: Command, name: str) -> None:
-        """Queue a command at an interval, unless its predecessor is still queued.
+        """Queue a command at a fixed interval, unless the one of the previous interval is still queued.
 
         :param every_us: the interval in microseconds.
         :param name: the key of the command in the queue.
@@ -77,7 +78,7 @@
             if isinstance(value, Awaitable):
                 value = await value
         except Exception as error:  # noqa: BLE001
-            # A command that fails must not end the queue, or the component would never change again.
+            # An exception must not end the task, or no later command would ever run.
             self._fail(queued=queued, error=error)
         else:
             if queued.result is not None and not queued.result.done():
--- a/src/cinderstair/runtime/context.py
+++ b/src/cinderstair/runtime/context.py
@@ -1,4 +1,4 @@
-"""The context of a process: its access to time, randomness, network and disk."""
+"""The context of a process: its clocks, randomness, network, disk, log and metrics."""
 
 import asyncio
 import logging
@@ -18,17 +18,17 @@
 from .protocol_versions import PROTOCOL_VERSIONS, ProtocolVersions
 
 if TYPE_CHECKING:
-    # Most processes write no traces, and then do not load the library for them.
+    # Most processes write no traces; they do not load the protobuf library that traces need.
     from .traces import Traces
 
 
 @dataclass(kw_only=True)
 class Context:
-    """Passed to every component in place of globals, so that a test can supply a virtual clock, network and disk.
+    """A process's dependencies, passed to every component; tests supply a virtual clock, network and disk.
 
     :ivar name: the process's name.
     :ivar site: the site that it runs at.
-    :ivar rng: the only source of randomness.
+    :ivar rng: the only source of randomness, so that a simulation with the same seed repeats exactly.
     :ivar clock: returns the monotonic time in microseconds.
     :ivar wall: returns the calendar time in microseconds since 1970.
     :ivar net: messages between processes, and HTTP.
@@ -58,7 +58,7 @@
         self.peer_client = PeerClient(ctx=self)
 
     def now_us(self) -> int:
-        """Return the monotonic time in microseconds. It can't be compared with that of another process."""
+        """Return the monotonic time in microseconds; values of different processes can't be compared."""
         return self.clock()
 
     def wall_us(self) -> int:
@@ -85,7 +85,7 @@
 
     def _task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
-        # Nobody awaits the task, so its exception would be lost.
+        # No other code awaits the task, so its exception would go unnoticed.
         if not task.cancelled() and task.exception() is not None:
             self.crash(where=task.get_name(), error=task.exception())
 
@@ -95,7 +95,7 @@
         :param where: the component or task that raised it.
         """
         self.counters.add(name="internal.crashes")
-        self.log.error("crash in %s: %r", where, error, exc_info=error)
+        self.log.error("unexpected exception in %s: %r", where, error, exc_info=error)
 
     def timer(self, *, every_us: int) -> reactivex.Observable[int]:
         """Return an observable that emits 0, 1, 2, ... on the running event loop.
--- a/src/cinderstair/runtime/dispatcher.py
+++ b/src/cinderstair/runtime/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches the messages that arrive at a process's one address to the handlers of their types."""
+"""Dispatches the messages that a process receives to the handlers of their types."""
 
 from collections.abc import Awaitable, Callable
 
@@ -32,7 +32,7 @@
         self.handlers[message_type] = handler
 
     async def dispatch(self, data: bytes) -> bytes:
-        """Handle one request and return the encoded response.
+        """Handle one request and return the encoded response, or a version rejection.
 
         :param data: the request, with its version header if it has one.
         :raises ValueError: if the request is malformed, or if no handler has its type. The transport then sends
@@ -50,7 +50,7 @@
         return add_version_header(version=version, body=response)
 
     def _split(self, *, data: bytes) -> VersionedMessage:
-        # A process that supports version 1 alone reads a version header as a message type.
+        # A process that supports only version 1 does not know version headers: it reads one as a message type.
         if self.ctx.protocol_versions.highest == FIRST_VERSION:
             return VersionedMessage(FIRST_VERSION, data)
         return split_version_header(data=data)
@@ -61,14 +61,14 @@
 
     def _reject(self, *, version: int) -> bytes:
         self.ctx.counters.add(name="records.otherVersion")
-        # Version 1 has no rejection message, and a sender must not get what it can't read.
+        # Version 1 has no rejection message, and the sender could not decode one.
         if version == FIRST_VERSION:
             raise ValueError("protocol version 1 is no longer supported")
         return version_rejection(protocol_versions=self.ctx.protocol_versions)
 
     def _check_type(self, *, number: int) -> MessageType:
         """Return the message type with this number; ValueError if it has no handler here."""
-        # A newer process may send types that an older one does not have: it gets no response, and nothing crashes.
+        # A newer process may send types that this version does not have: the request is dropped as malformed.
         if number not in self.handlers or not self.ctx.protocol_versions.supports_type(message_type=number):
             raise ValueError(f"no handler for message type {number}")
         return MessageType(number)
--- a/src/cinderstair/runtime/error_responses.py
+++ b/src/cinderstair/runtime/error_responses.py
@@ -7,11 +7,11 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What a client is told about an error.
+    """The HTTP status and retry advice that a client receives with an error.
 
     :ivar status: the HTTP status.
     :ivar outcome: REJECTED or UNKNOWN.
-    :ivar retry_after_us: after how many microseconds the client may retry; 0 means that a retry is of no use.
+    :ivar retry_after_us: after how many microseconds the client may retry; 0 means that a retry can't succeed.
     """
 
     status: int
--- a/src/cinderstair/runtime/http_connection.py
+++ b/src/cinderstair/runtime/http_connection.py
@@ -45,14 +45,16 @@
         # Nothing has been written yet, so the backend can't have seen the request.
         if not self.open:
             self.close()
-            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.address}: channel closed"))
+            return Error(
+                CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.address}: connection is closed")
+            )
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self._timeout:
                 return Ok(await self._exchange(request=request))
         except (TimeoutError, OSError, RuntimeError, httpcore.ConnectError) as error:
-            return self._lost(error=error)
+            return self._request_failed(error=error)
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
-            return self._lost(error=error)
+            return self._request_failed(error=error)
         except httpcore.ConnectionNotAvailable as error:
             self.close()
             return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{self.address}: {error!r}"))
@@ -66,7 +68,7 @@
         response = await self.connection.handle_async_request(self._encode(request=request))
         body = await response.aread()
         await response.aclose()
-        # Only the headers of an error response say anything that its body does not.
+        # Only error responses carry information in their headers, such as Retry-After.
         is_error = response.status >= FIRST_ERROR_STATUS
         headers = {key.decode().title(): value.decode() for key, value in response.headers} if is_error else {}
         return HttpResponse(status=response.status, body=body, headers=headers)
@@ -80,18 +82,18 @@
         url = f"http://{self.address}{request.path}"
         return httpcore.Request(request.method, url, headers=headers, content=request.body)
 
-    def _lost(self, *, error: Exception) -> Result[HttpResponse, CinderstairError]:
+    def _request_failed(self, *, error: Exception) -> Result[HttpResponse, CinderstairError]:
         sock = self.stream.get_extra_info("socket")
-        # Reset the connection: what is still in the send buffer must not reach the backend after the request has
-        # been given up.
+        # Reset the connection: what is still in the send buffer must not reach the backend after the caller has been
+        # told that the request failed.
         if sock is not None and sock.fileno() >= 0:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
-        # Once bytes may have been sent, only a response tells what became of the request.
+        # Bytes may have been sent, so only a response could have told whether the backend handled the request.
         return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{self.address}: {type(error).__name__}"))
 
     def expire_in_flight(self) -> None:
-        """End the wait of the request in flight, if there is one, as if its time were up."""
+        """Make the request in flight, if there is one, time out now."""
         if self._timeout is not None and not self._timeout.expired():
             self._timeout.reschedule(asyncio.get_running_loop().time())
 
--- a/src/cinderstair/runtime/http_request.py
+++ b/src/cinderstair/runtime/http_request.py
@@ -5,9 +5,9 @@
 
 
 class ClientConnection:
-    """The client connection of a request. Two are equal if they stand for the same connection.
+    """The client connection that a request arrived on; equal objects represent the same connection.
 
-    This base class stands for a connection that has ended already.
+    This base class represents a connection that has already ended.
     """
 
     @property
@@ -23,7 +23,7 @@
     :ivar method: the method, in upper case.
     :ivar path: the path without the query.
     :ivar query: the parameters of the query.
-    :ivar line: the client connection that the request came in on; None if it is sent to a backend.
+    :ivar client_connection: the connection that the request arrived on; None for a request to a backend.
     """
 
     method: str
--- a/src/cinderstair/runtime/message_types.py
+++ b/src/cinderstair/runtime/message_types.py
@@ -1,4 +1,4 @@
-"""The types of the messages that processes exchange, and the protocol version that introduced each."""
+"""The types of the messages that processes exchange, and the protocol versions that have each."""
 
 from enum import IntEnum
 from types import MappingProxyType
@@ -7,7 +7,7 @@
 class MessageType(IntEnum):
     """The first byte of a message's body: it selects the handler.
 
-    The numbers are part of the wire format. A number, once released, is never changed and never used again, and
+    The numbers are part of the wire format. A number, once released, is never changed and never reused, and
     every number stays below ``protocol_versions.VERSION_FLAG``. The members are grouped by the component that
     handles them.
     """
--- a/src/cinderstair/runtime/net.py
+++ b/src/cinderstair/runtime/net.py
@@ -34,7 +34,7 @@
         ...
 
     def expire_in_flight(self) -> None:
-        """End the wait of the request in flight as if its time were up; its outcome is then NO_RESPONSE."""
+        """Make the request in flight time out now, with the error NO_RESPONSE; no effect without one."""
         ...
 
     def close(self) -> None:
--- a/src/cinderstair/runtime/no_disk.py
+++ b/src/cinderstair/runtime/no_disk.py
@@ -4,7 +4,7 @@
 
 
 class NoDisk:
-    """Has no files and refuses every write, so that a proxy can't come to depend on a disk."""
+    """Has no files and raises OSError on every write, which keeps a proxy from depending on a disk."""
 
     def read(self, *, name: str) -> bytes | None:
         """Return None: there are no files."""
@@ -12,12 +12,12 @@
 
     def write(self, *, name: str, data: bytes) -> None:
         """Raise OSError."""
-        raise OSError(f"no data folder for {name}")
+        raise OSError(f"cannot write {name}: this process has no data folder")
 
     def append(self, *, name: str, data: bytes) -> None:
         """Raise OSError."""
-        raise OSError(f"no data folder for {name}")
+        raise OSError(f"cannot write {name}: this process has no data folder")
 
     def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
         """Raise OSError."""
-        raise OSError("no data folder")
+        raise OSError("cannot write: this process has no data folder")
--- a/src/cinderstair/runtime/packer.py
+++ b/src/cinderstair/runtime/packer.py
@@ -1,4 +1,4 @@
-"""Encodes the binary records that processes exchange and keep on disk."""
+"""Encodes the binary records that processes exchange and store on disk; ``unpacker`` decodes them."""
 
 import struct
 from collections.abc import Callable, Iterable
--- a/src/cinderstair/runtime/peer_client.py
+++ b/src/cinderstair/runtime/peer_client.py
@@ -34,7 +34,7 @@
 class VersionMismatch(NamedTuple):
     """A peer with which no protocol version is shared.
 
-    :ivar peer: its address if it was asked, its name if it asked.
+    :ivar peer: its address if this process sent the request, its name if it sent a handshake.
     :ivar versions: the versions that it supports.
     """
 
@@ -43,10 +43,11 @@
 
 
 class PeerClient:
-    """Uses the lowest supported version with a peer until a handshake has shown that it supports a higher one.
+    """Sends requests in the lowest supported version until a handshake has shown that the peer supports a higher one.
 
-    So no request ever waits for a handshake, and a peer that supports version 1 alone, which has no handshake,
-    understands every request from the first on.
+    Requests therefore never wait for a handshake, and a peer that supports only version 1, which has no handshake,
+    understands every request. The versions of a peer are forgotten after ``MAX_UNANSWERED_REQUESTS`` failed requests
+    in a row or a response in another version; at most ``MAX_PEERS`` peers are remembered.
 
     :param ctx: the process's context.
     """
@@ -67,9 +68,9 @@
         return self.ctx.protocol_versions.highest_common(other=peer_versions)
 
     def is_version_uncertain(self, *, address: str) -> bool:
-        """Return whether this peer has completed a handshake whose result no longer counts.
+        """Return whether this peer has completed a handshake whose result has been discarded.
 
-        Until the next handshake it is sent a lower version than it may support.
+        Until the next handshake, requests to it may use a lower version than it supports.
         """
         return address in self._completed_handshakes and address not in self.versions_by_address
 
@@ -80,7 +81,7 @@
         :param body: the request without its version header.
         :param wait_us: how long to wait, in microseconds.
         :returns: the response without its version header. Errors: OTHER_VERSION if no version is shared, in which
-            case the request was not handled; NO_RESPONSE if no valid response came, and it may have been.
+            case the peer has not handled the request; NO_RESPONSE if no valid response came, and it may have.
         """
         peer_versions = self.versions_by_address.get(address)
         version = self.version(address=address)
@@ -115,7 +116,7 @@
             return
         self._start_handshake(address=address)
         unanswered = self._unanswered_requests.get(address, 0) + 1
-        # A single request may well be lost on the way to a peer that is the same as before.
+        # Single requests are also lost on the network, without any change of the peer.
         if unanswered < MAX_UNANSWERED_REQUESTS:
             self._unanswered_requests[address] = unanswered
             return
@@ -132,7 +133,7 @@
         if data[:1] != bytes([VERSION_FLAG | version]):
             self.versions_by_address.pop(address, None)
             self.ctx.counters.add(name="records.malformed")
-            reason = f"{address}: an answer in no version that was asked in"
+            reason = f"{address}: the response is not in protocol version {version}, as the request was"
             return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=reason))
         return Ok(data[1:])
 
@@ -143,10 +144,11 @@
 
     def _report_mismatch(self, *, peer: str, versions: ProtocolVersions) -> str:
         """Count a mismatch, log it the first time, and return its description."""
-        reason = f"{peer} speaks records {versions}, this daemon {self.ctx.protocol_versions}"
+        supported = self.ctx.protocol_versions
+        reason = f"{peer} supports protocol versions {versions}, this process {supported}: none is shared"
         self.ctx.counters.add(name="records.otherVersion")
         mismatch = VersionMismatch(peer=peer, versions=versions)
-        # A mismatch lasts until one side is upgraded: a line for each request would flood the log.
+        # A mismatch lasts until one side is upgraded, so a log line for each request would flood the log.
         if mismatch not in self.logged_mismatches and len(self.logged_mismatches) < MAX_PEERS:
             self.logged_mismatches.add(mismatch)
             self.ctx.log.error("%s", reason)
--- a/src/cinderstair/runtime/position.py
+++ b/src/cinderstair/runtime/position.py
@@ -1,10 +1,10 @@
-"""Positions in the log of a backend."""
+"""Positions in the commit log of a backend."""
 
 from typing import NamedTuple
 
 
 class Position(NamedTuple):
-    """A position in a backend's log, ordered by term and then by commit.
+    """A position in a backend's commit log, ordered by term and then by commit.
 
     :ivar term: the term of the primary that made the commit.
     :ivar number: the number of the commit.
--- a/src/cinderstair/runtime/protocol_versions.py
+++ b/src/cinderstair/runtime/protocol_versions.py
@@ -7,14 +7,14 @@
 from .packer import Packer
 from .unpacker import Unpacker
 
-# No message type has this bit, so a process that supports version 1 alone takes a version header for an unknown
-# message type and drops the message.
+# No message type has this bit set. A process that supports only version 1 therefore reads a version header as an
+# unknown message type and drops the message.
 VERSION_FLAG = 0x80
 
-# The first version has no version header.
+# Messages of the first version have no version header.
 FIRST_VERSION = 1
 
-# Stands for "no version" in the result of ``highest_common`` and in a version rejection.
+# Means "no version" in the result of ``highest_common`` and in a version rejection.
 NO_VERSION = 0
 
 
--- a/src/cinderstair/runtime/real_disk.py
+++ b/src/cinderstair/runtime/real_disk.py
@@ -8,7 +8,9 @@
 
 
 class RealDisk:
-    """Files are overwritten in place, not renamed: the store writes two slots in turn and detects a torn one.
+    """A data folder whose files are overwritten in place; a power loss during ``write`` leaves a torn file.
+
+    The register store copes with that: it alternates between two slots and detects a torn one.
 
     :param folder: the path of the data folder; it is created if it does not exist.
     :raises OSError: if the folder can't be created.
@@ -18,7 +20,7 @@
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self._append_handles: dict[str, int] = {}
-        # In a thread of its own a disk that hangs delays only those who wait for it.
+        # A dedicated thread: a disk that hangs blocks only the tasks that await a write, not the event loop.
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="disk")
 
     def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
@@ -50,7 +52,7 @@
         """Append to a file, which is created if it does not exist, and sync it."""
         handle = self._append_handle(name=name)
         remaining = memoryview(data)
-        # A write may be short.
+        # os.write may write fewer bytes than it was given.
         while remaining:
             remaining = remaining[os.write(handle, remaining) :]
         os.fsync(handle)
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -20,7 +20,7 @@
 
 
 class TransportConnection(ClientConnection):
-    """The client connection of a request, by its asyncio transport."""
+    """A client connection, identified by its asyncio transport."""
 
     def __init__(self, *, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -38,9 +38,9 @@
 
 
 class RealNet:
-    """Implements ``net.Net``; see there.
+    """Implements ``net.Net`` on real sockets.
 
-    :param counters: counts as ``RecordTransport`` does.
+    :param counters: passed to ``RecordTransport``.
     """
 
     def __init__(self, *, counters: Counters) -> None:
@@ -101,9 +101,9 @@
     try:
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
-        # The handler rejects a body above the limit with an error code of its own, so it is given one.
+        # The handler rejects bodies above the limit with the error code tooLarge, so pass it one that exceeds it.
         body = b"\0" * (MAX_BODY_BYTES + 1)
-    # The client may have disconnected already; the base class stands for a closed connection.
+    # The client may have disconnected already; the base class represents a closed connection.
     client_connection = (
         ClientConnection() if request.transport is None else TransportConnection(transport=request.transport)
     )
--- a/src/cinderstair/runtime/record_connection.py
+++ b/src/cinderstair/runtime/record_connection.py
@@ -1,4 +1,4 @@
-"""The client's end of one TCP connection that carries any number of concurrent requests."""
+"""The client side of a TCP connection that carries any number of concurrent requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class RecordConnection:
-    """Matches the responses that arrive with the requests in flight, by number.
+    """Matches responses with the requests in flight by their number.
 
     :ivar pending: the requests that wait for a response, by number.
     """
@@ -34,7 +34,7 @@
     async def read_responses(self, *, on_response: Callable[[], None]) -> None:
         """Complete pending requests until the connection ends; those still pending then fail.
 
-        :param on_response: called whenever a response arrives, also one that is too late for its request.
+        :param on_response: called for each response, including one that arrives after its request has timed out.
         """
         try:
             while True:
@@ -50,11 +50,11 @@
             self._fail_pending()
 
     def abort(self) -> None:
-        """End the connection at once; what has not been sent is discarded."""
+        """Reset the connection; unsent data is discarded."""
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Close the connection after what has been written."""
+        """Close the connection once buffered data has been sent."""
         self._writer.close()
 
     def _fail_pending(self) -> None:
--- a/src/cinderstair/runtime/record_frame.py
+++ b/src/cinderstair/runtime/record_frame.py
@@ -34,5 +34,5 @@
     header = await reader.readexactly(FRAME_HEADER.size)
     magic, version, _flags, size, number = FRAME_HEADER.unpack(header)
     if magic != FRAME_MAGIC or version != FRAME_VERSION or size > MAX_BODY_BYTES:
-        raise ValueError("not a valid frame header")
+        raise ValueError(f"invalid frame header: magic {magic:#06x}, version {version}, body of {size} bytes")
     return Frame(number, await reader.readexactly(size))
--- a/src/cinderstair/runtime/record_net.py
+++ b/src/cinderstair/runtime/record_net.py
@@ -1,4 +1,4 @@
-"""The network of a process without HTTP: messages between processes alone."""
+"""The network of a process without HTTP: only messages between processes."""
 
 from expression import Result
 
@@ -11,7 +11,7 @@
 class RecordNet:
     """A ``Net`` without HTTP, so that neither of the HTTP libraries is loaded.
 
-    :param counters: counts as ``RecordTransport`` does.
+    :param counters: passed to ``RecordTransport``.
     """
 
     def __init__(self, *, counters: Counters) -> None:
--- a/src/cinderstair/runtime/record_server.py
+++ b/src/cinderstair/runtime/record_server.py
@@ -51,7 +51,7 @@
         except ValueError:
             self._counters.add(name="records.malformed")
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            # The peer closed the connection, or the process ends: cancellation has no other cause here.
+            # The peer closed the connection, or the process shuts down: nothing else cancels this task.
             pass
         finally:
             self._writers.discard(writer)
@@ -66,7 +66,7 @@
         try:
             response = await handler(frame.body)
         except ValueError:
-            # A malformed request gets no response: the sender's wait runs out.
+            # A malformed request gets no response, so the sender's request times out.
             self._counters.add(name="records.malformed")
             return
         if not writer.is_closing():
--- a/src/cinderstair/runtime/record_transport.py
+++ b/src/cinderstair/runtime/record_transport.py
@@ -1,4 +1,4 @@
-"""Requests and responses over TCP: one lasting connection per peer, with any number of requests in flight."""
+"""Requests and responses over TCP: one persistent connection per peer, with any number of requests in flight."""
 
 import asyncio
 from typing import NamedTuple
@@ -11,11 +11,11 @@
 from .record_connection import RecordConnection
 from .record_server import RecordServer
 
-# After a network partition TCP retransmits at ever longer intervals. A new connection works at once, so one
-# without responses for this long is replaced.
+# During a network partition TCP retransmits at exponentially growing intervals, so an old connection recovers long
+# after the partition ends, while a new one works at once. A connection without responses for this long is replaced.
 MAX_SILENCE_S = 1.0
 
-# For the same reason a connection attempt that hangs is given up and started anew.
+# For the same reason a connection attempt that hangs is cancelled; the next request starts another.
 CONNECT_TIMEOUT_S = 0.7
 
 
@@ -48,7 +48,7 @@
         self._connect_tasks: dict[str, asyncio.Task[None]] = {}
         self._reader_tasks: set[asyncio.Task[None]] = set()
         self._last_number = 0
-        # When the first request failed since the last response, by address, in the event loop's seconds.
+        # Event loop time of the first failed request since the last response, by address.
         self._silent_since_s: dict[str, float] = {}
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
@@ -89,7 +89,7 @@
     async def _connection(self, *, address: str) -> RecordConnection:
         """Return the connection to a peer; KeyError if a new one has ended before it could be used."""
         if address not in self._connections:
-            # Concurrent requests share one attempt; the time limit of one must not cancel it for the others.
+            # Concurrent requests share one attempt; a timeout of one must not cancel it for the others.
             await asyncio.shield(self._connect_task(address=address))
         return self._connections[address]
 
@@ -113,7 +113,7 @@
 
     def _connect_done(self, *, address: str, task: asyncio.Task[None]) -> None:
         self._connect_tasks.pop(address, None)
-        # The waiting requests report a failure. Reading it here keeps asyncio from logging it if none waits.
+        # Waiting requests report the exception. Retrieving it here keeps asyncio from logging it if there are none.
         if not task.cancelled():
             task.exception()
 
@@ -128,7 +128,7 @@
         self._silent_since_s.pop(address, None)
 
     def _request_failed(self, *, address: str) -> None:
-        """Abort a connection on which requests have failed and no response has arrived for a while."""
+        """Abort the connection if no response has arrived for ``MAX_SILENCE_S`` since the first failed request."""
         now_s = asyncio.get_running_loop().time()
         since_s = self._silent_since_s.setdefault(address, now_s)
         connection = self._connections.get(address)
--- a/src/cinderstair/runtime/settings.py
+++ b/src/cinderstair/runtime/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process, from a settings file and flags that override it."""
+"""The settings of a process, read from a settings file and from flags that override it."""
 
 import logging
 import tomllib
@@ -17,13 +17,13 @@
 NAME = validate.Regexp(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$", error="not a name (letters, digits, . _ -)")
 
 RELOADABLE_SETTINGS = ("log_level", "drain_wait_us", "queue_limit", "idle_transaction_us", "idle_session_us")
-"""The settings that can change while the process runs; all others need a restart."""
+"""The settings that can change while the process runs; a change of any other needs a restart."""
 
 SEED_COUNT = 3
 MAX_REGISTER_REPLICAS = 15
 
-# A connection is given up after 2.5 s without a response. What a paused machine still sends within that time has to
-# count as in flight.
+# A connection is closed after 2.5 s without a response. Until then a machine that was paused may still send a
+# statement, which therefore has to count as in flight.
 MIN_IN_FLIGHT_US = 2_500_000
 MAX_IN_FLIGHT_US = 60_000_000
 
@@ -88,23 +88,24 @@
     :ivar records: the address for messages from other processes.
     :ivar seeds: the addresses of three register replicas, through which a process joins.
     :ivar http: the address of its HTTP server.
-    :ivar folder: its data folder.
-    :ivar founding_replicas: how many register replicas found the system.
+    :ivar folder: the path of its data folder.
+    :ivar founding_replicas: the number of register replicas that form the first voter set.
     :ivar platform: the address of the platform that promotes backends.
     :ivar traces: the file that traces are appended to.
     :ivar log_level: debug, info, warning or error.
-    :ivar drain_wait_us: how long a planned stop may take.
+    :ivar drain_wait_us: how long a graceful shutdown may take.
     :ivar queue_limit: how many requests may wait for one backend.
-    :ivar idle_transaction_us: when an unused transaction counts as abandoned.
-    :ivar idle_session_us: when an unused session is forgotten.
-    :ivar max_voters: how many register replicas may vote in the end; 0 means ``founding_replicas``.
-    :ivar may_found: whether a register replica with an empty disk may take part in founding the system. One that
-        has lost its disk may not.
-    :ivar catch_up_us: how long after a register replica's start the next loss has to be survived.
-    :ivar leave_within_us: how long a register replica that stops goes on voting until another takes its place.
-    :ivar probe_every_us: the interval of the membership's probes.
+    :ivar idle_transaction_us: after how long without a statement a transaction is abandoned.
+    :ivar idle_session_us: after how long without a request a session is closed.
+    :ivar max_voters: the maximum number of voting register replicas; 0 means ``founding_replicas``.
+    :ivar may_found: whether a register replica with an empty disk may join the first voter set. Must be false for one
+        that has lost its disk.
+    :ivar catch_up_us: within how long a lost register replica has to be replaced, so that the loss of another is
+        survived; determines after how long without a response one counts as lost.
+    :ivar leave_within_us: how long a register replica that shuts down keeps voting while it waits to be replaced.
+    :ivar probe_every_us: the interval between membership probes.
     :ivar in_flight_us: how long a statement may still take effect at a backend after its connection was lost. A
-        change of the shard map waits as long for a proxy that does not respond.
+        change of the shard map waits equally long for a proxy that does not respond.
     """
 
     name: str
@@ -135,9 +136,9 @@
 
 
 def read_settings(*, path: str, flags: dict[str, Any]) -> Result[Settings, CinderstairError]:
-    """Read and check the settings; nothing is used before everything has been checked.
+    """Read and validate the settings; an error in one rejects all of them.
 
-    Old names of settings (see ``settings_names``) are accepted. If the file uses any, one warning names them.
+    Old names of settings (see ``settings_names``) are accepted. One warning lists those that the file uses.
 
     :param path: the settings file (TOML); empty if there is none.
     :param flags: values that override those of the file, by name.
@@ -182,7 +183,7 @@
         return Error(_bad_settings(where=_location(where=where, text=file.text, key=key), reason=f"{key}: {reason}"))
     if from_file.old_names:
         names = ", ".join(f"{renaming.old} (now {renaming.new})" for renaming in from_file.old_names)
-        _log.warning("%s: old names of settings, which the next version will refuse: %s", where, names)
+        _log.warning("%s: deprecated setting names, which the next version rejects: %s", where, names)
     return Ok(Settings(**{**loaded, "seeds": tuple(loaded["seeds"])}))
 
 
--- a/src/cinderstair/runtime/settings_names.py
+++ b/src/cinderstair/runtime/settings_names.py
@@ -1,9 +1,9 @@
-"""The old names of settings, which this version still accepts and the next one will refuse."""
+"""The old names of settings, which this version still accepts and the next one will reject."""
 
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
-NEW_NAMES = MappingProxyType(
+NEW_NAME_BY_OLD = MappingProxyType(
     {
         "foundingVaults": "founding_replicas",
         "logLevel": "log_level",
@@ -33,7 +33,7 @@
     """Values of settings by their new names.
 
     :ivar values: the values; names that are neither old nor new are kept as they are.
-    :ivar old_names: the old names that were used, in the order of ``NEW_NAMES``.
+    :ivar old_names: the old names that were used, in the order of ``NEW_NAME_BY_OLD``.
     :ivar conflict: a setting that was given under both its names; None if there is none.
     """
 
@@ -48,9 +48,9 @@
 
 def rename_old_names(*, values: dict[str, Any]) -> RenamedValues:
     """Replace the old names among the keys by the new ones."""
-    old_names = tuple(Renaming(old, new) for old, new in NEW_NAMES.items() if old in values)
+    old_names = tuple(Renaming(old, new) for old, new in NEW_NAME_BY_OLD.items() if old in values)
     return RenamedValues(
-        values={NEW_NAMES.get(name, name): value for name, value in values.items()},
+        values={NEW_NAME_BY_OLD.get(name, name): value for name, value in values.items()},
         old_names=old_names,
         conflict=next((renaming for renaming in old_names if renaming.new in values), None),
     )
--- a/src/cinderstair/runtime/settings_validation.py
+++ b/src/cinderstair/runtime/settings_validation.py
@@ -1,8 +1,9 @@
-"""Checks that all settings files share."""
+"""Validation that the settings of all daemons share."""
 
 import re
 
-# Host names are refused: processes are told apart by their addresses, and a name server is one more point of failure.
+# Host names are rejected: processes are identified by their addresses, and a name server would be one more point of
+# failure.
 _ADDRESS = re.compile(r"^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$")
 
 MAX_OCTET = 255
@@ -10,7 +11,7 @@
 
 
 def address_error(*, value: str) -> str:
-    """Return why a text is not an IPv4 address with a port, or an empty text if it is one."""
+    """Return the reason why a text is not an IPv4 address with a port, or an empty text if it is one."""
     match = _ADDRESS.match(value)
     if match is None or any(int(part) > MAX_OCTET for part in match.groups()[:4]):
         return f"'{value}' is not an address such as 127.0.0.1:7101"
--- a/src/cinderstair/runtime/traces.py
+++ b/src/cinderstair/runtime/traces.py
@@ -12,7 +12,7 @@
 from opentelemetry.proto.trace.v1.trace_pb2 import ResourceSpans, ScopeSpans, Span, Status, TracesData
 
 Sink = Callable[[bytes], None]
-"""Takes one line, with its line feed."""
+"""Writes one line, which ends with a line feed."""
 
 MAX_SPANS = 2_000
 
@@ -42,11 +42,11 @@
 
 
 class Traces:
-    """Keeps spans until they are flushed; above ``MAX_SPANS`` they are counted and dropped.
+    """Buffers spans until they are flushed; while ``MAX_SPANS`` are buffered, further ones are counted and dropped.
 
     :param service: the name of the process in the traces.
     :param rng: generates the ids.
-    :param sink: takes the lines; None turns traces off.
+    :param sink: writes the lines; None turns traces off.
     :ivar dropped: how many spans have been dropped.
     """
 
--- a/src/cinderstair/runtime/unpacker.py
+++ b/src/cinderstair/runtime/unpacker.py
@@ -1,4 +1,4 @@
-"""Decodes the binary records that ``packer`` encodes; no length in a record is trusted."""
+"""Decodes the binary records that ``packer`` encodes; lengths and counts are checked before use."""
 
 import struct
 from collections.abc import Callable
@@ -21,9 +21,11 @@
 
     def _take(self, *, size: int) -> bytes:
         end = self.offset + size
-        # A slice beyond the end would be shorter than asked for, without an error.
+        # Slicing beyond the end raises no error; it returns fewer bytes.
         if end > len(self.data):
-            raise ValueError("record too short")
+            raise ValueError(
+                f"record of {len(self.data)} bytes ends within a field of {size} at offset {self.offset}"
+            )
         part = self.data[self.offset : end]
         self.offset = end
         return part
@@ -41,7 +43,7 @@
         return int(struct.unpack("!Q", self._take(size=8))[0])
 
     def blob(self) -> bytes:
-        """Read bytes that have their length in front."""
+        """Read bytes that are preceded by their length."""
         return self._take(size=self.u32())
 
     def text(self) -> str:
@@ -49,23 +51,23 @@
         return self.blob().decode()
 
     def many(self, *, each: Callable[["Unpacker"], T]) -> list[T]:
-        """Read a list that has its number of entries in front.
+        """Read a list that is preceded by its number of entries.
 
         :param each: reads one entry from the unpacker that it is given.
         """
         count = self.u32()
-        # Every entry takes at least one byte; a larger count must not cost time or memory.
+        # Every entry takes at least one byte, so a larger count is rejected before it costs time or memory.
         if count > len(self.data) - self.offset:
-            raise ValueError("count beyond record")
+            raise ValueError(f"record of {len(self.data)} bytes can't hold {count} entries from offset {self.offset}")
         return [each(self) for _ in range(count)]
 
     @property
     def more(self) -> bool:
-        """Whether anything is left to read."""
+        """Whether there are bytes left to read."""
         return self.offset < len(self.data)
 
     def done(self) -> None:
-        """Check that the whole record has been read."""
-        # Otherwise the two sides disagree on the encoding.
+        """Raise ValueError if there are bytes left to read."""
+        # Trailing data means that the sender and the receiver disagree on the encoding.
         if self.offset != len(self.data):
-            raise ValueError("bytes left over")
+            raise ValueError(f"record of {len(self.data)} bytes has trailing data from offset {self.offset}")
