--- a/src/cinderstair/cli/check_commands.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -50,12 +50,12 @@
         read = self.read_configuration(path=self.argument("file"))
         if read.is_error():
             return read.error
-        document = formatted(document=json.loads(read.ok.raw))
+        document = format_document(document=json.loads(read.ok.raw))
         print(json.dumps(document, indent=2))
         return ExitCode.DONE
 
 
-def formatted(*, document: dict[str, Any]) -> dict[str, Any]:
+def format_document(*, document: dict[str, Any]) -> dict[str, Any]:
     """A valid document with its language in canonical form."""
     language = document.get("language", "")
     text = language if isinstance(language, str) else "\n".join(language)
--- a/src/cinderstair/cli/controller_command.py
+++ b/src/cinderstair/cli/controller_command.py
@@ -14,4 +14,4 @@
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
-        return self.ask_controller(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
+        return self.request_controller(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
--- a/src/cinderstair/cli/http_client.py
+++ b/src/cinderstair/cli/http_client.py
@@ -12,25 +12,27 @@
 from ..runtime.http_response import HttpResponse
 from ..runtime.real_net import RealNet
 
-DIAL_WAIT_US = 2_000_000
-ANSWER_WAIT_US = 15_000_000
+CONNECT_TIMEOUT_US = 2_000_000
+RESPONSE_TIMEOUT_US = 15_000_000
 
 
-async def ask(*, address: str, method: str, path: str, body: bytes = b"") -> Result[HttpResponse, CinderstairError]:
+async def send_request(
+    *, address: str, method: str, path: str, body: bytes = b""
+) -> Result[HttpResponse, CinderstairError]:
     """Sends one request on a connection of its own; NO_RESPONSE where nobody knows whether it was served."""
     net = RealNet(counters=Counters())
-    dialled = await net.dial(address=address, wait_us=DIAL_WAIT_US)
-    if dialled.is_error():
-        return Result.Error(dialled.error)
+    connected = await net.dial(address=address, wait_us=CONNECT_TIMEOUT_US)
+    if connected.is_error():
+        return Result.Error(connected.error)
     request = HttpRequest(method=method, path=path, body=body)
-    result = await dialled.ok.send_request(request=request, wait_us=ANSWER_WAIT_US)
-    dialled.ok.close()
+    result = await connected.ok.send_request(request=request, wait_us=RESPONSE_TIMEOUT_US)
+    connected.ok.close()
     # lets the transport close before the loop ends
     await asyncio.sleep(0)
     return result
 
 
-def ask_now(
+def request_blocking(
     *, address: str, method: str, path: str, value: Any = None, body: bytes = b""
 ) -> Result[HttpResponse, CinderstairError]:
     """As `ask`, from code that runs no event loop.
@@ -38,4 +40,4 @@
     :param value: sent as JSON in place of `body`, where it isn't None
     """
     data = body if value is None else json.dumps(value).encode()
-    return asyncio.run(ask(address=address, method=method, path=path, body=data))
+    return asyncio.run(send_request(address=address, method=method, path=path, body=data))
--- a/src/cinderstair/cli/http_command.py
+++ b/src/cinderstair/cli/http_command.py
@@ -10,7 +10,7 @@
 from ..runtime.http_response import HttpResponse
 from .base_command import BaseCommand
 from .exit_code import ExitCode
-from .http_client import ask_now
+from .http_client import request_blocking
 
 PROXY_ADDRESS = option("at", "a", "HTTP address of any HTTP proxy", flag=False, default="127.0.0.1:7200")
 
@@ -30,7 +30,7 @@
 
         :param value: sent as JSON in place of `body`, where it isn't None
         """
-        result = ask_now(address=self.option("at"), method=method, path=path, value=value, body=body)
+        result = request_blocking(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_ok():
             return Ok(result.ok)
         unknown = result.error.code == ErrorCode.NO_RESPONSE and method != "GET"
--- a/src/cinderstair/cli/record_client.py
+++ b/src/cinderstair/cli/record_client.py
@@ -9,44 +9,44 @@
 from ..runtime.record_transport import RecordTransport
 from ..runtime.unpacker import Unpacker
 
-ANSWER_WAIT_US = 5_000_000
+RESPONSE_TIMEOUT_US = 5_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class ControllerAnswer:
+class ControllerResponse:
     """What every answer of a controller begins with.
 
     :ivar kind: the spelling of an error code; empty where the request was served
     :ivar text: for people
     """
 
-    kind: str
+    error_code: str
     text: str
 
     @property
     def message(self) -> str:
         """The error as one line."""
-        return f"{self.kind}: {self.text}"
+        return f"{self.error_code}: {self.text}"
 
 
-def unpack_answer(*, unpacker: Unpacker) -> ControllerAnswer:
+def unpack_response(*, unpacker: Unpacker) -> ControllerResponse:
     """The beginning of an answer; raises ValueError where the bytes are none."""
-    kind, text = unpacker.text(), unpacker.text()
-    return ControllerAnswer(kind=kind, text=text)
+    error_code, text = unpacker.text(), unpacker.text()
+    return ControllerResponse(error_code=error_code, text=text)
 
 
-def read_answer(*, data: bytes) -> ControllerAnswer:
+def read_response(*, data: bytes) -> ControllerResponse:
     """An answer that holds nothing more; raises ValueError where the bytes are none."""
     unpacker = Unpacker(data=data)
-    answer = unpack_answer(unpacker=unpacker)
+    response = unpack_response(unpacker=unpacker)
     unpacker.done()
-    return answer
+    return response
 
 
-async def ask(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
+async def send_request(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
     """Sends one request to one controller; NO_RESPONSE where nobody knows whether it arrived."""
     transport = RecordTransport(counters=Counters())
     try:
-        return await transport.request(address=address, body=body, wait_us=ANSWER_WAIT_US)
+        return await transport.request(address=address, body=body, wait_us=RESPONSE_TIMEOUT_US)
     finally:
         await transport.close()
--- a/src/cinderstair/cli/record_command.py
+++ b/src/cinderstair/cli/record_command.py
@@ -9,10 +9,10 @@
 from ..runtime.settings_validation import address_error
 from .base_command import BaseCommand
 from .exit_code import ExitCode
-from .record_client import ask, read_answer
+from .record_client import read_response, send_request
 
 CONTROLLER_ADDRESS = option("at", "a", "records address of any controller", flag=False, default="127.0.0.1:7101")
-UNREADABLE_ANSWER = "an answer that can't be read: is this a controller's records address?"
+UNREADABLE_RESPONSE = "an answer that can't be read: is this a controller's records address?"
 
 
 def error_text(*, error: CinderstairError) -> str:
@@ -36,7 +36,7 @@
             return Error(self.fail(message=f"--at: {problem}", code=ExitCode.USAGE))
         return Ok(address)
 
-    def ask_controller(self, *, body: bytes, changes: bool) -> ExitCode:
+    def request_controller(self, *, body: bytes, changes: bool) -> ExitCode:
         """Sends a request and prints the answer.
 
         :param body: the request's record
@@ -45,15 +45,15 @@
         address = self.controller_address()
         if address.is_error():
             return address.error
-        result = asyncio.run(ask(address=address.ok, body=body))
+        result = asyncio.run(send_request(address=address.ok, body=body))
         if result.is_error():
             code = ExitCode.UNKNOWN if changes else ExitCode.FAILED
             return self.fail(message=error_text(error=result.error), code=code)
         try:
-            answer = read_answer(data=result.ok)
+            response = read_response(data=result.ok)
         except ValueError:
-            return self.fail(message=UNREADABLE_ANSWER, code=ExitCode.FAILED)
-        if answer.kind:
-            return self.fail(message=answer.message, code=ExitCode.FAILED)
-        print(answer.text)
+            return self.fail(message=UNREADABLE_RESPONSE, code=ExitCode.FAILED)
+        if response.error_code:
+            return self.fail(message=response.message, code=ExitCode.FAILED)
+        print(response.text)
         return ExitCode.DONE
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -27,7 +27,7 @@
                 return read.error
             raw = read.ok
         body = Packer().u8(value=MessageType.SHARDS).blob(value=raw).bytes()
-        return self.ask_controller(body=body, changes=bool(raw))
+        return self.request_controller(body=body, changes=bool(raw))
 
 
 class ShardMapCommand(RecordCommand):
@@ -51,7 +51,7 @@
         if not read.ok:
             return self.fail(message=f"{path}: empty", code=ExitCode.USAGE)
         body = Packer().u8(value=self.message_type).blob(value=read.ok).bytes()
-        return self.ask_controller(body=body, changes=self.changes)
+        return self.request_controller(body=body, changes=self.changes)
 
 
 class ShardsPlanCommand(ShardMapCommand):
@@ -95,4 +95,4 @@
         if version.is_error():
             return version.error
         body = Packer().u8(value=MessageType.SHARDS_ABANDON).u64(value=version.ok).bytes()
-        return self.ask_controller(body=body, changes=True)
+        return self.request_controller(body=body, changes=True)
--- a/src/cinderstair/cli/shards_watch_command.py
+++ b/src/cinderstair/cli/shards_watch_command.py
@@ -13,8 +13,8 @@
 from ..runtime.packer import Packer
 from ..runtime.unpacker import Unpacker
 from .exit_code import ExitCode
-from .record_client import ask, unpack_answer
-from .record_command import CONTROLLER_ADDRESS, UNREADABLE_ANSWER, error_text
+from .record_client import send_request, unpack_response
+from .record_command import CONTROLLER_ADDRESS, UNREADABLE_RESPONSE, error_text
 from .shard_commands import MapVersionCommand
 
 POLL_INTERVAL_S = 0.2
@@ -65,11 +65,11 @@
         """
         printed = ""
         while time.monotonic() < until_s:
-            result = await ask(address=address, body=Packer().u8(value=MessageType.SHARDS_PROGRESS).bytes())
+            result = await send_request(address=address, body=Packer().u8(value=MessageType.SHARDS_PROGRESS).bytes())
             try:
                 step = watch_step(result=result, version=version)
             except ValueError:
-                return self.fail(message=UNREADABLE_ANSWER, code=ExitCode.FAILED)
+                return self.fail(message=UNREADABLE_RESPONSE, code=ExitCode.FAILED)
             if step.text != printed:
                 print(step.text, flush=True)
                 printed = step.text
@@ -85,18 +85,18 @@
     if result.is_error():
         return WatchStep(text=error_text(error=result.error))
     unpacker = Unpacker(data=result.ok)
-    answer = unpack_answer(unpacker=unpacker)
-    if answer.kind:
+    response = unpack_response(unpacker=unpacker)
+    if response.error_code:
         unpacker.done()
-        return WatchStep(text=answer.message, code=ExitCode.FAILED)
+        return WatchStep(text=response.message, code=ExitCode.FAILED)
     phase = ShardPhase(unpacker.u8())
     unpacker.u64()  # the number of the change's step, which nothing here depends on
     current_version = unpacker.u64()
     withdrawal_reason = unpacker.text()
     unpacker.done()
     if current_version >= version:
-        return WatchStep(text=answer.text, code=ExitCode.DONE)
+        return WatchStep(text=response.text, code=ExitCode.DONE)
     if phase != ShardPhase.steady:
-        return WatchStep(text=answer.text)
-    text = answer.text if withdrawal_reason else f"{answer.text}; no change is on its way"
+        return WatchStep(text=response.text)
+    text = response.text if withdrawal_reason else f"{response.text}; no change is on its way"
     return WatchStep(text=text, code=ExitCode.FAILED)
--- a/src/cinderstair/cli/status_report.py
+++ b/src/cinderstair/cli/status_report.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from .http_client import ask_now
+from .http_client import request_blocking
 
 PROXY_ROLE = "stall"
 
@@ -20,7 +20,7 @@
         name = member["name"]
         if member["role"] != PROXY_ROLE or name in by_daemon or member["standing"] != "alive":
             continue
-        result = ask_now(address=member["http"], method="GET", path="/status")
+        result = request_blocking(address=member["http"], method="GET", path="/status")
         # That an HTTP proxy does not answer is part of the status.
         if result.is_error():
             by_daemon[name] = {"configuration": None, "answers": False}
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from ..cli.container import Container
-from ..cli.http_client import ask
+from ..cli.http_client import send_request
 from ..runtime.context import Context
 from . import checks
 from .caller import Caller
@@ -153,11 +153,11 @@
             await asyncio.sleep(0.1)
 
     async def status(self, *, name: str) -> dict[str, Any]:
-        result = await ask(address=self.http(name=name), method="GET", path="/status")
+        result = await send_request(address=self.http(name=name), method="GET", path="/status")
         return result.ok.json() if result.is_ok() else {}
 
     async def is_ready(self, *, name: str) -> bool:
-        result = await ask(address=self.http(name=name), method="GET", path="/ready")
+        result = await send_request(address=self.http(name=name), method="GET", path="/ready")
         return result.is_ok() and result.ok.status == 200
 
     def running(self, *, name: str) -> bool:
@@ -263,7 +263,7 @@
         dumps: dict[str, dict[str, Any]] = {}
         for name in self.backend_names():
             if self.running(name=name):
-                result = await ask(address=self.http(name=name), method="POST", path="/dump")
+                result = await send_request(address=self.http(name=name), method="POST", path="/dump")
                 dumps[name] = result.ok.json()
         return dumps
 
@@ -296,7 +296,7 @@
 
     async def say(self, *, name: str, path: str) -> None:
         """Tells a stand-in backend something that is not a job."""
-        await ask(address=self.http(name=name), method="POST", path=path, body=b"{}")
+        await send_request(address=self.http(name=name), method="POST", path=path, body=b"{}")
 
     async def work(
         self, *, callers: int, for_us: int, meanwhile: Callable[[], Awaitable[None]] | None = None
