--- a/src/cinderstair/__init__.py
+++ b/src/cinderstair/__init__.py
@@ -1,3 +1,3 @@
-"""cinderstair: a database pooler with failover, the near half of a move between two data centres."""
+"""cinderstair: a database connection pooler with failover, for planned maintenance and moves between data centres."""
 
 VERSION = "0.1.0"
--- a/src/cinderstair/__main__.py
+++ b/src/cinderstair/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: daemons, operators' commands and tools are commands of one program."""
+"""The command line: daemons, operators' commands and tools are subcommands of one program."""
 
 import sys
 
@@ -40,13 +40,13 @@
 
 
 def main() -> None:
-    """Runs the command that the arguments name, and exits with its code."""
+    """Runs the command that the arguments select, and exits with its exit code."""
     app = Application("cinderstair", VERSION)
     for command in COMMANDS:
         app.add(command())
     app.auto_exits(False)
     app.catch_exceptions(False)
-    # Asked for help alone, cleo explains its list command; an operator wants the list itself.
+    # Without a command, --help would describe cleo's list command; print the list of commands instead.
     if sys.argv[1:] in (["--help"], ["-h"]):
         sys.argv[1:] = ["list"]
     try:
--- a/src/cinderstair/cli/__init__.py
+++ b/src/cinderstair/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The commands of the program, and the process setup of its daemons."""
--- a/src/cinderstair/cli/base_command.py
+++ b/src/cinderstair/cli/base_command.py
@@ -1,4 +1,4 @@
-"""What every command of the program shares."""
+"""The base class of all commands."""
 
 import sys
 from pathlib import Path
@@ -11,13 +11,13 @@
 
 
 class BaseCommand(Command):
-    """A command that reports failures on standard error and warns where it is called by a deprecated name.
+    """A command that reports failures on standard error and warns if it is called by a deprecated name.
 
-    Every alias of a command is its name of the version before.
+    Every alias of a command is the name that it had in the previous version.
     """
 
     def initialize(self, io: IO) -> None:
-        """Called before the arguments are validated, so the warning is given for a wrong usage as well."""
+        """Warns of a deprecated name; runs before the arguments are validated, so invalid usage is warned of too."""
         called_name = io.input.first_argument
         if called_name in self.aliases:
             print(
@@ -27,16 +27,16 @@
             )
 
     def fail(self, *, message: str, code: ExitCode) -> ExitCode:
-        """Prints one line on standard error.
+        """Prints a message on standard error.
 
-        :param code: how the command ends
+        :param code: the command's exit code
         :returns: the same code, for the caller to return
         """
         print(message, file=sys.stderr)
         return code
 
     def read_file(self, *, path: str) -> Result[bytes, ExitCode]:
-        """The bytes of a file; where it can't be read the reason is printed, and the exit code returned."""
+        """Returns the content of a file; if it can't be read, prints the reason and returns the exit code."""
         try:
             return Ok(Path(path).read_bytes())
         except OSError as error:
--- a/src/cinderstair/cli/check_commands.py
+++ b/src/cinderstair/cli/check_commands.py
@@ -12,10 +12,10 @@
 
 
 class CheckCommand(DocumentCommand):
-    """Prints what a document holds; its errors and warnings go to standard error."""
+    """Prints a summary of a valid document; errors and warnings go to standard error."""
 
     name = "check"
-    description = "Check a configuration document; needs no running system"
+    description = "Validate a configuration document; needs no running system"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
@@ -41,12 +41,12 @@
     """Prints a document with its routes, policies and selectors in canonical form."""
 
     name = "format"
-    description = "Print a configuration document with its language in its canonical form"
+    description = "Print a configuration document with its routes, policies and selectors in canonical form"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
-        # What does not compile has no canonical form, and a guess at one would change its meaning.
+        # A document that does not compile has no canonical form.
         read = self.read_configuration(path=self.argument("file"))
         if read.is_error():
             return read.error
@@ -56,7 +56,7 @@
 
 
 def format_document(*, document: dict[str, Any]) -> dict[str, Any]:
-    """A valid document with its language in canonical form."""
+    """Returns a valid document with its language in canonical form; changes the document that it is given."""
     language = document.get("language", "")
     text = language if isinstance(language, str) else "\n".join(language)
     if text:
--- a/src/cinderstair/cli/configuration_commands.py
+++ b/src/cinderstair/cli/configuration_commands.py
@@ -12,10 +12,10 @@
 
 
 class SubmitCommand(HttpCommand):
-    """Submits a document; a proxy checks it whole before it is accepted."""
+    """Submits a configuration; a proxy validates all of it before it is accepted."""
 
     name = "submit"
-    description = "Submit a whole configuration"
+    description = "Submit a complete configuration, which replaces the current one"
     arguments = [argument("file", "the configuration document (JSON)")]
 
     def handle(self) -> int:
@@ -27,10 +27,10 @@
 
 
 class FetchCommand(HttpCommand):
-    """Prints the accepted document's own bytes."""
+    """Prints the accepted document byte for byte."""
 
     name = "fetch"
-    description = "Read back the newest accepted configuration, to the byte"
+    description = "Print the latest accepted configuration, byte for byte"
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
--- a/src/cinderstair/cli/container.py
+++ b/src/cinderstair/cli/container.py
@@ -1,4 +1,4 @@
-"""Wires the context of a real process."""
+"""Dependency injection of a real process's context."""
 
 import logging
 import random
@@ -14,17 +14,17 @@
 
 
 def monotonic_us() -> int:
-    """The monotonic clock, in microseconds."""
+    """Returns the monotonic time in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
 def calendar_us() -> int:
-    """The calendar clock, in microseconds since 1970."""
+    """Returns the calendar time in microseconds since 1970."""
     return time.time_ns() // 1_000
 
 
 class Container(containers.DeclarativeContainer):
-    """The real clocks, randomness, network and disk; the simulator wires its own."""
+    """Provides a context with the real clocks, randomness, network and disk; the simulator builds its own."""
 
     config = providers.Configuration()
     counters = providers.Singleton(Counters)
--- a/src/cinderstair/cli/controller_command.py
+++ b/src/cinderstair/cli/controller_command.py
@@ -6,11 +6,11 @@
 
 
 class ControllerCommand(RecordCommand):
-    """Prints a controller's own report."""
+    """Prints the state that a controller reports."""
 
     name = "controller"
     aliases = ["guildhall"]
-    description = "Show what a controller knows: register replicas, leads, backends, proxies, duties, counters"
+    description = "Show a controller's state: register replicas, primaries, backends, proxies, held leases, counters"
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon as a process: signals, changed settings, and an orderly shutdown."""
+"""Runs a daemon as a process: signals, reload of settings, and graceful shutdown."""
 
 import asyncio
 import logging
@@ -18,21 +18,25 @@
 from .container import Container
 from .exit_code import ExitCode
 
-#: How often the settings file is looked at.
+#: The interval at which the settings file is checked for changes.
 WATCH_INTERVAL_US = 1_000_000
 
 
 class DaemonRole(Protocol):
-    """What a daemon runs: an HTTP proxy or a register replica."""
+    """The service that a daemon runs: an HTTP proxy or a register replica."""
 
     async def start(self) -> Result[None, CinderstairError]:
-        """Begins to serve; raises OSError where an address can't be listened on."""
+        """Starts to serve.
+
+        :returns: an error if the service can't run, for example because its files are damaged
+        :raises OSError: if an address can't be bound
+        """
 
     async def drain(self) -> None:
-        """Ends in an orderly way: hands on what others can take over."""
+        """Shuts down gracefully: hands over to other processes what they can take over."""
 
     def update_settings(self, *, settings: Settings) -> None:
-        """Takes settings of which those in LIVE may have changed."""
+        """Applies new settings, which differ from the old ones only in those of RELOADABLE_SETTINGS."""
 
 
 RoleFactory = Callable[[Context, Settings, Callable[[str], None]], DaemonRole]
@@ -40,14 +44,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FileVersion:
-    """Tells whether a file has changed; both are 0 where there is no file."""
+    """The modification time and size of a file, to detect changes; both are 0 if there is no file."""
 
     modified_ns: int = 0
     size: int = 0
 
 
 def file_version(*, path: str) -> FileVersion:
-    """The version of a file at this moment."""
+    """Returns the current version of a file."""
     try:
         status = os.stat(path)
     except OSError:
@@ -56,7 +60,7 @@
 
 
 def file_sink(*, path: str) -> Sink:
-    """A sink that appends to a file."""
+    """Returns a sink that appends to a file, which it opens for each line."""
 
     def sink(data: bytes) -> None:
         with open(path, "ab") as file:
@@ -66,10 +70,10 @@
 
 
 class Daemon:
-    """Runs one role until SIGTERM or SIGINT, and rereads its settings file when that changes or on SIGHUP.
+    """Runs one role until SIGTERM or SIGINT, and reloads its settings file when that changes or on SIGHUP.
 
-    :param path: the settings file; empty where all settings are flags
-    :param flags: settings from the command line, which win over the file
+    :param path: the settings file; empty if all settings are flags
+    :param flags: settings from the command line, which override the file
     """
 
     def __init__(self, *, path: str, flags: dict[str, Any], settings: Settings, make_role: RoleFactory) -> None:
@@ -82,13 +86,19 @@
         self.log = logging.getLogger(settings.name)
 
     def halt(self, reason: str) -> None:
-        """Ends the process at once where going on would be wrong: nothing is handed on, flushed or answered."""
-        self.log.critical("halts: %s", reason)
+        """Ends the process immediately, without handover, flush or response, because it must not go on.
+
+        :param reason: why, for the log
+        """
+        self.log.critical("halting immediately: %s", reason)
         logging.shutdown()
         os._exit(ExitCode.FAILED)
 
     async def run(self) -> ExitCode:
-        """Serves until a signal, and then drains; where the role can't start the reason is printed."""
+        """Serves until a signal, then shuts down; if the role can't start, prints the reason.
+
+        :returns: DONE after a shutdown, USAGE if an address can't be bound, FAILED if the role reports an error
+        """
         ctx = self._context()
         role = self.make_role(ctx, self.settings, self.halt)
         self._handle_signals(role=role)
@@ -129,7 +139,7 @@
         loop.add_signal_handler(signal.SIGHUP, lambda: self._reread_settings(role=role, cause="signal"))
 
     async def _shut_down(self, *, ctx: Context, role: DaemonRole) -> None:
-        self.log.info("stops")
+        self.log.info("shutting down")
         await role.drain()
         await ctx.net.close()
         ctx.close()
@@ -137,7 +147,7 @@
 
     def _watch_settings(self, *, role: DaemonRole) -> None:
         version = file_version(path=self.path)
-        # A file that is read while it is being written is seen again at the next tick.
+        # If the file is read while it is being written, its version changes again and the next check reloads it.
         if self.path and version not in (self.settings_version, FileVersion()):
             self.settings_version = version
             self._reread_settings(role=role, cause="file changed")
@@ -148,7 +158,7 @@
             self.log.error("settings not changed (%s): %s", cause, read.error.reason)
             return
         fixed = settings_needing_restart(old=self.settings, new=read.ok)
-        # Half a change would leave the process in a state that no file describes.
+        # Applying only some of the changes would leave the process with settings that no file describes.
         if fixed:
             self.log.error("settings not changed (%s): %s need a restart", cause, ", ".join(fixed))
             return
--- a/src/cinderstair/cli/daemon_commands.py
+++ b/src/cinderstair/cli/daemon_commands.py
@@ -18,21 +18,21 @@
 from .daemon import Daemon, DaemonRole
 from .exit_code import ExitCode
 
-#: Settings that flags may set, with their descriptions.
+#: The settings that can be given as flags, with their descriptions.
 FLAGS = (
-    ("name", "this process's name"),
-    ("site", "its site"),
-    ("records", "address for the records between daemons, such as 127.0.0.1:7101"),
-    ("http", "address of the HTTP edge"),
+    ("name", "name of this process, unique in the system"),
+    ("site", "site at which this process runs"),
+    ("records", "address for messages from other daemons, such as 127.0.0.1:7101"),
+    ("http", "address of the HTTP server"),
     ("folder", "data folder"),
-    ("platform", "address of the platform"),
-    ("traces", "file for traces in the OpenTelemetry JSON form (none: off)"),
+    ("platform", "address of the platform, which promotes backends"),
+    ("traces", "file for traces in OpenTelemetry's JSON encoding; without it no traces are written"),
     ("logLevel", "debug, info, warning or error"),
 )
 
 
 class DaemonCommand(BaseCommand):
-    """Reads and checks the settings, then runs one role until it is told to stop.
+    """Reads and validates the settings, then runs one role until a signal ends it.
 
     :cvar needs_http: whether the role needs an HTTP address
     :cvar needs_folder: whether the role needs a data folder
@@ -41,21 +41,21 @@
     options = [
         option("settings", "s", "settings file (TOML)", flag=False),
         *(option(name, None, description, flag=False) for name, description in FLAGS),
-        option("seeds", None, "three seed addresses with commas between", flag=False),
-        option("foundingVaults", None, "how many register replicas found the system", flag=False),
+        option("seeds", None, "three seed addresses, separated by commas", flag=False),
+        option("foundingVaults", None, "number of register replicas that form the first voter set", flag=False),
     ]
     needs_http = False
     needs_folder = False
 
     def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
-        """The role that this command runs.
+        """Creates the role that this command runs.
 
-        :param halt: ends the process at once, with a reason for the log
+        :param halt: ends the process immediately; its argument is the reason for the log
         """
         raise NotImplementedError
 
     def _flags(self) -> Result[dict[str, Any], str]:
-        """The settings on the command line, or what is wrong with them."""
+        """Returns the settings from the command line, or the reason why they are invalid."""
         flags: dict[str, Any] = {name: self.option(name) for name, _ in FLAGS if self.option(name) is not None}
         if self.option("seeds"):
             flags["seeds"] = self.option("seeds").split(",")
@@ -67,7 +67,7 @@
         return Ok(flags)
 
     def _role_error(self, *, settings: Settings) -> str:
-        """What the role needs and the settings lack; empty where there is nothing."""
+        """Returns what the settings lack for this role; empty if nothing."""
         if self.needs_http and not settings.http:
             return "http: an address is needed for this role"
         problem = folder_error(folder=settings.folder) if self.needs_folder else ""
@@ -94,13 +94,13 @@
         return asyncio.run(self._run(path=path, flags=flags.ok, settings=settings))
 
     async def _run(self, *, path: str, flags: dict[str, Any], settings: Settings) -> ExitCode:
-        # The daemon's event belongs to the running loop, so the daemon is made within it.
+        # The daemon creates an asyncio.Event, which belongs to the running event loop.
         daemon = Daemon(path=path, flags=flags, settings=settings, make_role=self.make_role)
         return await daemon.run()
 
 
 def folder_error(*, folder: str) -> str:
-    """Why a data folder can't be used; empty where it can. It is created where there is none."""
+    """Creates the data folder if needed, and returns why it can't be used; empty if it can."""
     if not folder:
         return "a data folder is needed for this role"
     try:
@@ -123,7 +123,7 @@
     needs_http = True
 
     def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
-        """Returns the role that this command runs."""
+        """Creates the role that this command runs."""
         return HttpProxy(ctx=ctx, settings=settings)
 
 
@@ -132,9 +132,9 @@
 
     name = "register-replica"
     aliases = ["vault"]
-    description = "Run a register replica on a machine with a disk: one vote of the register"
+    description = "Run a register replica, one voter of the consensus register, on a machine with a disk"
     needs_folder = True
 
     def make_role(self, ctx: Context, settings: Settings, halt: Callable[[str], None]) -> DaemonRole:
-        """Returns the role that this command runs."""
+        """Creates the role that this command runs."""
         return RegisterReplica(ctx=ctx, settings=settings, halt=halt)
--- a/src/cinderstair/cli/document_command.py
+++ b/src/cinderstair/cli/document_command.py
@@ -9,10 +9,10 @@
 
 
 class DocumentCommand(BaseCommand):
-    """Reads and checks a configuration document."""
+    """Reads and validates a configuration document."""
 
     def read_configuration(self, *, path: str) -> Result[Configuration, ExitCode]:
-        """The checked configuration; otherwise every error is printed with its place, and the exit code returned."""
+        """Returns the compiled configuration; on errors prints each with its location and returns the exit code."""
         raw = self.read_file(path=path)
         if raw.is_error():
             return Error(raw.error)
--- a/src/cinderstair/cli/exit_code.py
+++ b/src/cinderstair/cli/exit_code.py
@@ -1,17 +1,17 @@
-"""How the program ends."""
+"""The exit codes of the program."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """The exit codes that scripts may rely on (docs/install.md, Exit codes)."""
+    """The exit codes, which scripts may rely on (docs/install.md, Exit codes)."""
 
     DONE = 0
-    #: denied or failed; for `simulate`: something holds back
+    #: rejected or failed; for `simulate`: a maintenance window does not finish
     FAILED = 1
-    #: usage, settings or unreadable input
+    #: invalid usage, invalid settings or unreadable input
     USAGE = 2
-    #: nobody knows whether the change took place; look before repeating it
+    #: the change may or may not have taken effect; check before repeating it
     UNKNOWN = 3
     #: 128 plus the number of SIGINT, as shells report it
     INTERRUPTED = 130
--- a/src/cinderstair/cli/http_command.py
+++ b/src/cinderstair/cli/http_command.py
@@ -1,4 +1,4 @@
-"""The base of commands that ask an HTTP proxy."""
+"""The base class of commands that send a request to an HTTP proxy."""
 
 import json
 from typing import Any
@@ -16,9 +16,9 @@
 
 
 class HttpCommand(BaseCommand):
-    """Asks one question of an HTTP proxy and prints the answer.
+    """Sends one request to an HTTP proxy and prints the response.
 
-    Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown.
+    Exit codes: 0 done, 1 rejected or failed, 2 invalid usage, 3 outcome unknown.
     """
 
     options = [PROXY_ADDRESS]
@@ -26,9 +26,9 @@
     def request(
         self, *, method: str, path: str, value: Any = None, body: bytes = b""
     ) -> Result[HttpResponse, ExitCode]:
-        """Sends a request; where no answer comes the reason is printed, and the exit code returned.
+        """Sends a request; if no response arrives, prints the reason and returns the exit code as the error.
 
-        :param value: sent as JSON in place of `body`, where it isn't None
+        :param value: sent as JSON in place of `body` unless it is None
         """
         result = request_blocking(address=self.option("at"), method=method, path=path, value=value, body=body)
         if result.is_ok():
@@ -38,12 +38,12 @@
         return Error(self.fail(message=message, code=ExitCode.UNKNOWN if unknown else ExitCode.FAILED))
 
     def change(self, *, method: str, path: str, value: Any = None, body: bytes = b"") -> ExitCode:
-        """Sends a request that changes something, and reports its outcome; parameters are as for `request`."""
+        """Sends a request that changes state, and reports its outcome; the parameters are those of `request`."""
         response = self.request(method=method, path=path, value=value, body=body)
         return response.error if response.is_error() else self.report(response=response.ok)
 
     def report(self, *, response: HttpResponse) -> ExitCode:
-        """Prints what an HTTP proxy answered; the exit code follows the outcome that it names."""
+        """Prints the response of an HTTP proxy; its outcome determines the exit code."""
         value = response.json()
         if value.get("outcome") == "done":
             print(json.dumps(value))
--- a/src/cinderstair/cli/operator_commands.py
+++ b/src/cinderstair/cli/operator_commands.py
@@ -7,7 +7,7 @@
 
 
 class CountersCommand(HttpCommand):
-    """Prints one counter a line."""
+    """Prints one counter per line."""
 
     name = "counters"
     description = "Show an HTTP proxy's counters"
@@ -23,10 +23,10 @@
 
 
 class DrainCommand(HttpCommand):
-    """Makes a proxy refuse new sessions."""
+    """Makes an HTTP proxy drain: it accepts no new sessions."""
 
     name = "drain"
-    description = "Make an HTTP proxy take nothing new"
+    description = "Make an HTTP proxy drain: it accepts no new sessions"
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
@@ -34,12 +34,15 @@
 
 
 class OverrideCommand(HttpCommand):
-    """Makes a backend primary without asking whether it has every acknowledged commit."""
+    """Makes a backend primary without checking that it has every acknowledged commit."""
 
     name = "override"
-    description = "Name a database's primary by hand; acknowledged commits may be lost"
-    arguments = [argument("database", "which database"), argument("backend", "which backend is to lead")]
-    options = [PROXY_ADDRESS, option("i-accept-loss", None, "say so, or nothing is done")]
+    description = "Assign a database's primary manually; acknowledged commits may be lost"
+    arguments = [argument("database", "the database"), argument("backend", "the backend that becomes primary")]
+    options = [
+        PROXY_ADDRESS,
+        option("i-accept-loss", None, "required: confirms that acknowledged commits may be lost"),
+    ]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
@@ -52,13 +55,13 @@
 
 
 class ReplaceReplicaCommand(HttpCommand):
-    """Gives the vote of one register replica to another."""
+    """Replaces one voter of the register by another register replica."""
 
     name = "replace-replica"
     aliases = ["replace-vault"]
-    description = "Let a new register replica take the place of one that is gone for good"
+    description = "Replace a register replica that is permanently lost"
     arguments = [
-        argument("leaves", "the register replica that is gone"),
+        argument("leaves", "the register replica that is lost"),
         argument("enters", "the register replica that takes its place"),
     ]
 
--- a/src/cinderstair/cli/record_client.py
+++ b/src/cinderstair/cli/record_client.py
@@ -1,4 +1,4 @@
-"""Asks a running controller by records, for the operators' commands."""
+"""The client with which operators' commands send messages to a controller."""
 
 from dataclasses import dataclass
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerResponse:
-    """What every answer of a controller begins with.
+    """The fields that every response of a controller begins with.
 
-    :ivar kind: the spelling of an error code; empty where the request was served
-    :ivar text: for people
+    :ivar error_code: the value of an `ErrorCode`; empty if the request succeeded
+    :ivar text: the result, or the reason of the error, for people
     """
 
     error_code: str
@@ -25,18 +25,24 @@
 
     @property
     def message(self) -> str:
-        """The error as one line."""
+        """The error as one line for operators."""
         return f"{self.error_code}: {self.text}"
 
 
 def unpack_response(*, unpacker: Unpacker) -> ControllerResponse:
-    """The beginning of an answer; raises ValueError where the bytes are none."""
+    """Reads the leading fields of a response.
+
+    :raises ValueError: if the message is malformed
+    """
     error_code, text = unpacker.text(), unpacker.text()
     return ControllerResponse(error_code=error_code, text=text)
 
 
 def read_response(*, data: bytes) -> ControllerResponse:
-    """An answer that holds nothing more; raises ValueError where the bytes are none."""
+    """Reads a response that has no further fields.
+
+    :raises ValueError: if the message is malformed
+    """
     unpacker = Unpacker(data=data)
     response = unpack_response(unpacker=unpacker)
     unpacker.done()
@@ -44,7 +50,10 @@
 
 
 async def send_request(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
-    """Sends one request to one controller; NO_RESPONSE where nobody knows whether it arrived."""
+    """Sends one request to a controller over a new connection.
+
+    :returns: the response, or NO_RESPONSE if none came and the request may have been handled
+    """
     transport = RecordTransport(counters=Counters())
     try:
         return await transport.request(address=address, body=body, wait_us=RESPONSE_TIMEOUT_US)
--- a/src/cinderstair/cli/record_command.py
+++ b/src/cinderstair/cli/record_command.py
@@ -1,4 +1,4 @@
-"""The base of commands that ask a controller by records."""
+"""The base class of commands that send a message to a controller."""
 
 import asyncio
 
@@ -11,25 +11,27 @@
 from .exit_code import ExitCode
 from .record_client import read_response, send_request
 
-CONTROLLER_ADDRESS = option("at", "a", "records address of any controller", flag=False, default="127.0.0.1:7101")
-UNREADABLE_RESPONSE = "an answer that can't be read: is this a controller's records address?"
+CONTROLLER_ADDRESS = option(
+    "at", "a", "message address (setting records) of any controller", flag=False, default="127.0.0.1:7101"
+)
+UNREADABLE_RESPONSE = "malformed response: is --at a controller's records address?"
 
 
 def error_text(*, error: CinderstairError) -> str:
-    """An error as one line for operators."""
+    """Returns an error as one line for operators."""
     return f"{error.code.value}: {error.reason}"
 
 
 class RecordCommand(BaseCommand):
-    """Asks one question of a controller and prints the answer.
+    """Sends one request to a controller and prints the response.
 
-    Exit codes: 0 done, 1 denied, 2 usage, 3 outcome unknown.
+    Exit codes: 0 done, 1 rejected or failed, 2 invalid usage, 3 outcome unknown.
     """
 
     options = [CONTROLLER_ADDRESS]
 
     def controller_address(self) -> Result[str, ExitCode]:
-        """The value of `--at`; where it is no address that is printed, and the exit code returned."""
+        """Returns the value of `--at`; if it is not an address, prints that and returns the exit code."""
         address = self.option("at")
         problem = address_error(value=address)
         if problem:
@@ -37,10 +39,10 @@
         return Ok(address)
 
     def request_controller(self, *, body: bytes, changes: bool) -> ExitCode:
-        """Sends a request and prints the answer.
+        """Sends a request and prints the response.
 
-        :param body: the request's record
-        :param changes: whether the request changes anything, so that a lost answer leaves its outcome unknown
+        :param body: the encoded request
+        :param changes: whether the request changes state, so that without a response its outcome is unknown
         """
         address = self.controller_address()
         if address.is_error():
--- a/src/cinderstair/cli/shard_commands.py
+++ b/src/cinderstair/cli/shard_commands.py
@@ -12,11 +12,11 @@
 
 
 class ShardsCommand(RecordCommand):
-    """Without a file the same question shows the map in force."""
+    """Submits a shard map, or without a file shows the one in force; both use the same message type."""
 
     name = "shards"
     description = "Show the shard map, or submit a new one to the proxies"
-    arguments = [argument("file", "the new map (JSON); none: show the one in force", optional=True)]
+    arguments = [argument("file", "the new map (JSON); without it the map in force is shown", optional=True)]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
@@ -31,10 +31,10 @@
 
 
 class ShardMapCommand(RecordCommand):
-    """Sends the map that a file holds.
+    """Sends the shard map in a file to a controller.
 
-    :cvar message_type: the record that carries the map
-    :cvar changes: whether the request changes anything
+    :cvar message_type: the type of the message that carries the map
+    :cvar changes: whether the request changes state
     """
 
     arguments = [argument("file", "the new map (JSON)")]
@@ -47,7 +47,7 @@
         read = self.read_file(path=path)
         if read.is_error():
             return read.error
-        # An empty map would be taken as the question for the one in force.
+        # The message type SHARDS with an empty map requests the map in force.
         if not read.ok:
             return self.fail(message=f"{path}: empty", code=ExitCode.USAGE)
         body = Packer().u8(value=self.message_type).blob(value=read.ok).bytes()
@@ -55,15 +55,15 @@
 
 
 class ShardsPlanCommand(ShardMapCommand):
-    """Asks what a map would change."""
+    """Prints what the change to a map would do."""
 
     name = "shards plan"
-    description = "Check a shard map and predict how long writes would wait; changes nothing"
+    description = "Validate a shard map and predict how long writes would wait; changes nothing"
     message_type = MessageType.SHARDS_PLAN
 
 
 class ShardsBeginCommand(ShardMapCommand):
-    """Begins the change to a map."""
+    """Starts the change to a new map."""
 
     name = "shards begin"
     description = "Submit a shard map to the proxies"
@@ -72,10 +72,10 @@
 
 
 class MapVersionCommand(RecordCommand):
-    """Takes the version of a map as its argument."""
+    """A command whose argument is the version of a map."""
 
     def map_version(self) -> Result[int, ExitCode]:
-        """The argument `version`; where it is none that is printed, and the exit code returned."""
+        """Returns the argument `version`; if it is invalid, prints that and returns the exit code as the error."""
         version = self.argument("version")
         if not version.isdigit() or not 0 < int(version) <= MAX_VERSION:
             return Error(self.fail(message="version: a whole number above 0 is needed", code=ExitCode.USAGE))
@@ -83,11 +83,11 @@
 
 
 class ShardsAbandonCommand(MapVersionCommand):
-    """Withdraws a map that is not in force yet."""
+    """Withdraws a map that is not yet in force."""
 
     name = "shards abandon"
-    description = "Abandon the shard map's change that is in progress, before any proxy has applied it"
-    arguments = [argument("version", "the version of the map that is to be abandoned")]
+    description = "Abandon a change of the shard map that is in progress, before any proxy has applied it"
+    arguments = [argument("version", "the version of the map to abandon")]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
--- a/src/cinderstair/cli/shards_watch_command.py
+++ b/src/cinderstair/cli/shards_watch_command.py
@@ -23,19 +23,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WatchStep:
-    """What one look at the change shows; `code` is None while the change goes on."""
+    """The state of the change in one response; `code` is None while the change is in progress."""
 
     text: str
     code: ExitCode | None = None
 
 
 class ShardsWatchCommand(MapVersionCommand):
-    """Exit codes: 0 the map is in force, 1 it was withdrawn, 2 usage, 3 neither within the time given."""
+    """Polls a controller until the change has ended.
+
+    Exit codes: 0 the map is in force, 1 it was withdrawn, 2 invalid usage, 3 neither within the time given.
+    """
 
     name = "shards watch"
     description = "Follow the change of the shard map until it is done or withdrawn"
-    arguments = [argument("version", "the version of the map that is awaited")]
-    options = [CONTROLLER_ADDRESS, option("wait", "w", "seconds to follow it at most", flag=False, default="60")]
+    arguments = [argument("version", "the version of the map to wait for")]
+    options = [
+        CONTROLLER_ADDRESS,
+        option("wait", "w", "how many seconds to follow it at most", flag=False, default="60"),
+    ]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
@@ -61,7 +67,7 @@
     async def _follow(self, *, version: int, until_s: float, address: str) -> ExitCode:
         """Prints each new state until the change has ended or the time is up.
 
-        :param until_s: on the monotonic clock
+        :param until_s: when to stop, in seconds of the monotonic clock
         """
         printed = ""
         while time.monotonic() < until_s:
@@ -76,12 +82,18 @@
             if step.code is not None:
                 return step.code
             await asyncio.sleep(POLL_INTERVAL_S)
-        return self.fail(message=f"map {version} is neither in force nor withdrawn yet", code=ExitCode.UNKNOWN)
+        return self.fail(
+            message=f"map {version} is still neither in force nor withdrawn when --wait ends", code=ExitCode.UNKNOWN
+        )
 
 
 def watch_step(*, result: Result[bytes, CinderstairError], version: int) -> WatchStep:
-    """What an answer says of a map; raises ValueError where the bytes are no answer."""
-    # A controller may be restarted meanwhile, and the change goes on without it.
+    """Returns the state of the change to a map, as a response describes it.
+
+    :param version: the version of the map
+    :raises ValueError: if the response is malformed
+    """
+    # The change continues while this controller restarts, so a missing response does not end the command.
     if result.is_error():
         return WatchStep(text=error_text(error=result.error))
     unpacker = Unpacker(data=result.ok)
@@ -90,7 +102,7 @@
         unpacker.done()
         return WatchStep(text=response.message, code=ExitCode.FAILED)
     phase = ShardPhase(unpacker.u8())
-    unpacker.u64()  # the number of the change's step, which nothing here depends on
+    unpacker.u64()  # the number of the change's step, which is not used here
     current_version = unpacker.u64()
     withdrawal_reason = unpacker.text()
     unpacker.done()
--- a/src/cinderstair/cli/simulate_command.py
+++ b/src/cinderstair/cli/simulate_command.py
@@ -1,7 +1,7 @@
 """The command that answers what-if questions.
 
-It is the only command that imports the simulator: `--rehearse` plays the scenario with the daemons' own code on
-virtual time, so its answer does not rest on a second model of them. No daemon imports the simulator.
+It is the only command that imports the simulator: `--rehearse` runs the scenario with the daemons' own code in
+virtual time, so its result does not depend on a separate model of them. No daemon imports the simulator.
 """
 
 import json
@@ -16,21 +16,24 @@
 
 
 class SimulateCommand(DocumentCommand):
-    """Exit codes: 0 every window finishes, 1 something holds one back, 2 unreadable input."""
+    """Prints how the windows of a scenario would proceed.
+
+    Exit codes: 0 every window finishes, 1 a window does not finish, 2 unreadable input.
+    """
 
     name = "simulate"
-    description = "Answer what-if questions from a configuration and a scenario; needs no running system"
+    description = "Predict whether the maintenance windows of a scenario finish; needs no running system"
     arguments = [
         argument("configuration", "the configuration document (JSON)"),
         argument("scenario", "the scenario (JSON)"),
     ]
-    options = [option("rehearse", "r", "also run the real daemons through it in the simulator")]
+    options = [option("rehearse", "r", "also run the scenario with the daemons' code in the simulator")]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
         read = self.read_configuration(path=self.argument("configuration"))
         raw = self.read_file(path=self.argument("scenario"))
-        # Exit code 1 says that something holds a window back, so an unusable document has another one.
+        # Exit code 1 means that a window does not finish, so an invalid document has another one.
         if read.is_error() or raw.is_error():
             return ExitCode.USAGE
         scenario = read_scenario(raw=raw.ok, configuration=read.ok)
--- a/src/cinderstair/cli/status_command.py
+++ b/src/cinderstair/cli/status_command.py
@@ -10,11 +10,11 @@
 
 
 class StatusCommand(HttpCommand):
-    """Asks one HTTP proxy for its status, and every other one that it knows for theirs."""
+    """Requests the status of one HTTP proxy, and of every other one that it lists as alive."""
 
     name = "status"
-    description = "Show what an HTTP proxy knows of the system"
-    options = [PROXY_ADDRESS, option("json", None, "as JSON")]
+    description = "Show the system's state as an HTTP proxy sees it"
+    options = [PROXY_ADDRESS, option("json", None, "print the status as JSON")]
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
--- a/src/cinderstair/cli/status_report.py
+++ b/src/cinderstair/cli/status_report.py
@@ -1,4 +1,4 @@
-"""The status of all HTTP proxies put together, as JSON and as text.
+"""Combines the status of all HTTP proxies, as JSON and as text.
 
 The keys are those of the HTTP interface (docs/interface.md), where an HTTP proxy is called `stall`.
 """
@@ -11,9 +11,9 @@
 
 
 def with_other_proxies(*, value: dict[str, Any]) -> dict[str, Any]:
-    """One proxy's status with what every other one says of itself, under `byDaemon`.
+    """Returns one proxy's status with a summary of every proxy that it lists as alive, under `byDaemon`.
 
-    What holds a duty back (`held`) and the duties of all proxies are added too.
+    The reasons in `held`, by database, and the leases (`duties`) of the other proxies are merged into its own.
     """
     by_daemon = {value["stall"]: _proxy_summary(value=value)}
     for member in value["members"]:
@@ -21,7 +21,7 @@
         if member["role"] != PROXY_ROLE or name in by_daemon or member["standing"] != "alive":
             continue
         result = request_blocking(address=member["http"], method="GET", path="/status")
-        # That an HTTP proxy does not answer is part of the status.
+        # An HTTP proxy that does not respond is reported as such; it does not fail the command.
         if result.is_error():
             by_daemon[name] = {"configuration": None, "answers": False}
             continue
@@ -39,7 +39,7 @@
         "answers": True,
         "viewCurrent": value["viewCurrent"],
         "sessions": value["sessions"],
-        # an HTTP proxy of the version before does not report it
+        # HTTP proxies of the previous version do not report this key.
         "sessionsOnOneStall": value.get("sessionsOnOneStall", value["sessions"]),
         "channelsOpened": sum(each["opened"] for each in connections),
         "channelsClosed": sum(each["closed"] for each in connections),
@@ -47,7 +47,7 @@
 
 
 def status_text(*, value: dict[str, Any]) -> str:
-    """A status with other proxies' summaries, for people."""
+    """Formats a status with the summaries of all proxies for people."""
     lines = [
         *_head_lines(value=value),
         *(_database_line(name=name, assignment=assignment) for name, assignment in value["leads"].items()),
