--- a/features/cli/controller_commands.feature
+++ b/features/cli/controller_commands.feature
@@ -1,7 +1,7 @@
-Feature: Operators' commands that ask a controller
+Feature: Operators' commands that send requests to a controller
 
-  Scenario Outline: <command> with <answer> ends with <code> and says "<words>"
-    Given a controller's address that answers <answer>
+  Scenario Outline: <command> exits with <code> and prints "<words>" if the response is <answer>
+    Given a controller that responds with <answer>
     When an operator runs "<command>"
     Then it ends with <code> and says "<words>"
 
@@ -28,7 +28,7 @@
       | shards watch 3 --wait 0 | text "never asked"    | 2 | --wait                   |
       | shards watch 3     | bytes of another shape     | 1 | records address          |
 
-  Scenario Outline: An address that is none, or at which nobody answers
+  Scenario Outline: <command> exits with <code> if <address> is invalid or does not respond
     When an operator runs "<command>" at <address>
     Then it ends with <code> and says "<words>"
 
--- a/features/runtime/architecture.feature
+++ b/features/runtime/architecture.feature
@@ -1,8 +1,8 @@
-Feature: Packages import one another in known directions
+Feature: Packages import one another only in allowed directions
 
-  Scenario: No package imports another one that it did not before
-    Then each import from one package to another is among the allowed ones
-    And each allowed one is still needed
+  Scenario: Every import between packages is in the table of allowed imports
+    Then every import between packages is allowed
+    And every allowed import is in use
 
-  Scenario: The platform's names stay in its adapter
-    Then nothing in the product imports the adapter
+  Scenario: The product does not depend on the platform adapter
+    Then no module of the product outside the simulator imports the adapter
--- a/features/runtime/dispatcher.feature
+++ b/features/runtime/dispatcher.feature
@@ -1,6 +1,6 @@
 Feature: Dispatch of requests by their message type
 
-  Scenario: Handled requests are counted by type, with their bytes
+  Scenario: Requests and bytes are counted by type if a handler responds, and not otherwise
     Given a dispatcher whose handler of heartbeats responds with 30 bytes
-    When it gets two requests of 10 bytes for heartbeats, and one of a type without a handler
-    Then its counters hold 2 responses of type heartbeats and 80 bytes, and nothing else
+    When two heartbeats requests of 10 bytes and one request of a type without a handler arrive
+    Then its only counters are 2 responses of type heartbeats and 80 bytes
--- a/features/runtime/error_responses.feature
+++ b/features/runtime/error_responses.feature
@@ -1,7 +1,7 @@
-Feature: The responses to error codes
-  The table in the code and the one in the interface page agree.
+Feature: HTTP responses to error codes
+  The table in the code matches the table of the interface documentation.
 
-  Scenario: Every error code has one response, and a client can tell the three outcomes apart
+  Scenario: Every error code has a documented response whose outcome says whether the request may have run
     Then every error code has a response, with the outcome denied or unknown and an error status
-    And the outcome is unknown only where the request may have run
-    And the interface page lists every error code that a client can get, with its status
+    And the outcome is unknown only for codes after which the request may have run
+    And the interface documentation lists every error code that a client can receive, with its status
--- a/features/runtime/settings.feature
+++ b/features/runtime/settings.feature
@@ -1,10 +1,10 @@
-Feature: Settings
-  A checked file, overridden by flags; one line that names file, line, key and reason.
+Feature: Settings files and flags
+  Flags override the file. An error is one line with the file, line, key and reason.
 
-  Scenario Outline: <change> is refused
-    Given a good settings file
+  Scenario Outline: A settings file with <change> is rejected
+    Given a valid settings file
     When it is read with <change>
-    Then it is refused with "<words>"
+    Then it is rejected with "<words>"
 
     Examples:
       | change                                                     | words                                           |
@@ -21,19 +21,19 @@
       | logLevel = "debug"                                         | :8: logLevel: is the old name of log_level      |
       | site =                                                     | not TOML: Invalid value (at line 2              |
 
-  Scenario: Flags override the file, and are checked as it is
-    Given a good settings file
+  Scenario: Flags override the file, and are validated like it
+    Given a valid settings file
     Then the flag site as "montego" gives the site "montego"
-    And the flag records as "x" is refused with "records: 'x' is not an address"
+    And the flag records as "x" is rejected with "records: 'x' is not an address"
 
-  Scenario: A file that is not there
-    Then reading "/nowhere/at/all.toml" is refused with "can't be read: No such file or directory"
+  Scenario: A missing settings file is rejected with the reason
+    Then reading "/nowhere/at/all.toml" is rejected with "can't be read: No such file or directory"
 
-  Scenario Outline: The old name <old> still works, and one warning gives the new name
-    Given a good settings file without <new>
+  Scenario Outline: The old name <old> sets <new>, with one warning that states the new name
+    Given a valid settings file without <new>
     When it is read with <old> = <value>
     Then the setting <new> is <value>
-    And one warning says "<old> (now <new>)"
+    And a single warning contains "<old> (now <new>)"
 
     Examples:
       | old               | new                 | value   |
@@ -50,24 +50,24 @@
       | probeEveryUs      | probe_every_us      | 60000   |
       | underWayUs        | in_flight_us        | 2600000 |
 
-  Scenario: Several old names are one warning
-    Given a good settings file with queueMost = 2 and mayFound = false
+  Scenario: Several old names give a single warning
+    Given a valid settings file with queueMost = 2 and mayFound = false
     When it is read with idleSessionUs = 4000000
-    Then one warning says "queueMost (now queue_limit), idleSessionUs (now idle_session_us), mayFound (now may_found)"
+    Then a single warning contains "queueMost (now queue_limit), idleSessionUs (now idle_session_us), mayFound (now may_found)"
 
   Scenario: New names give no warning
-    Given a good settings file
+    Given a valid settings file
     When it is read with queue_limit = 2
     Then the setting queue_limit is 2
-    And there is no warning
+    And no warning is logged
 
-  Scenario: A flag overrides the file, whichever name each uses
-    Given a good settings file with queue_limit = 2 and drainWaitUs = 1
+  Scenario: A flag overrides the file if one uses the old name and the other the new one
+    Given a valid settings file with queue_limit = 2 and drainWaitUs = 1
     Then the flag queueMost as 3 gives queue_limit 3
     And the flag drain_wait_us as 4 gives drain_wait_us 4
 
-  Scenario: A refused file gives its error alone
-    Given a good settings file with queueMost = 2 and mayFound = false
+  Scenario: A rejected file gives its error and no warning
+    Given a valid settings file with queueMost = 2 and mayFound = false
     When it is read with probe_every_us = 1
-    Then it is refused with "probe_every_us: Must be"
-    And there is no warning
+    Then it is rejected with "probe_every_us: Must be"
+    And no warning is logged
--- a/features/runtime/traces.feature
+++ b/features/runtime/traces.feature
@@ -1,8 +1,8 @@
 Feature: Traces
-  One span a job in the OpenTelemetry JSON form; off by default.
+  One span per request in OpenTelemetry's JSON encoding; off by default.
 
-  Scenario: Jobs become spans that the form's own library reads back
+  Scenario: Each statement is written as a span if traces have a sink, and none is kept otherwise
     Given a system at work with an open session
-    When stall-0 traces into a list, and 5 statements are sent to it
-    Then the lines hold 5 spans with hex ids, the right times and the right outcome
-    And without a sink nothing is kept
+    When traces of stall-0 are collected and 5 statements are sent to it
+    Then the lines hold 5 spans with hex ids and the times and statuses of the statements
+    And without a sink no span is kept
--- a/features/steps/architecture_steps.py
+++ b/features/steps/architecture_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the directions in which packages import one another."""
+"""Steps that check the imports between packages against a table of allowed ones."""
 
 import ast
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 from behave import then
 
 SOURCES = Path(__file__).resolve().parents[2] / "src" / "cinderstair"
-# may only shrink
+# The allowed imports of each package. Entries may be removed but not added.
 ALLOWED: dict[str, set[str]] = {
     "cli": {"config", "consensus", "failover", "http_frontend", "maintenance", "runtime", "simulation"},
     "config": {"runtime"},
@@ -34,8 +34,8 @@
 }
 
 
-def imported(*, path: Path) -> Iterator[str]:
-    """The full names of the modules that a file imports from."""
+def imported_modules(*, path: Path) -> Iterator[str]:
+    """Yields the full names of the modules that a file imports from."""
     package = ("cinderstair", *path.relative_to(SOURCES).parts[:-1])
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -47,34 +47,34 @@
             yield node.module or ""
 
 
-def edges() -> dict[str, set[str]]:
-    """Which packages each package imports from."""
+def package_imports() -> dict[str, set[str]]:
+    """Returns the packages that each package imports from."""
     found: dict[str, set[str]] = {}
     for path in SOURCES.rglob("*.py"):
         package = path.relative_to(SOURCES).parts[0]
-        for name in imported(path=path):
+        for name in imported_modules(path=path):
             parts = name.split(".")
             if parts[0] == "cinderstair" and len(parts) > 1 and path.parent != SOURCES and parts[1] != package:
                 found.setdefault(package, set()).add(parts[1])
     return found
 
 
-@then("each import from one package to another is among the allowed ones")
+@then("every import between packages is allowed")
 def then_allowed(context: Any) -> None:
-    new = {name: targets - ALLOWED.get(name, set()) for name, targets in edges().items()}
+    new = {name: targets - ALLOWED.get(name, set()) for name, targets in package_imports().items()}
     assert not any(new.values()), {name: targets for name, targets in new.items() if targets}
 
 
-@then("each allowed one is still needed")
-def then_needed(context: Any) -> None:
-    found = edges()
-    unneeded = {name: targets - found.get(name, set()) for name, targets in ALLOWED.items()}
-    assert not any(unneeded.values()), {name: targets for name, targets in unneeded.items() if targets}
+@then("every allowed import is in use")
+def then_in_use(context: Any) -> None:
+    found = package_imports()
+    unused = {name: targets - found.get(name, set()) for name, targets in ALLOWED.items()}
+    assert not any(unused.values()), {name: targets for name, targets in unused.items() if targets}
 
 
-@then("nothing in the product imports the adapter")
-def then_apart(context: Any) -> None:
-    # why: the simulator plays the adapter's roles, and loads them by the repository's path
+@then("no module of the product outside the simulator imports the adapter")
+def then_adapter_not_imported(context: Any) -> None:
+    # The simulator runs the adapter's roles, which it imports by their path in the repository.
     paths = [path for path in SOURCES.rglob("*.py") if path.relative_to(SOURCES).parts[0] != "simulation"]
-    wrong = [path.name for path in paths for name in imported(path=path) if name.split(".")[0] == "adapter"]
+    wrong = [path.name for path in paths for name in imported_modules(path=path) if name.split(".")[0] == "adapter"]
     assert not wrong, wrong
--- a/features/steps/controller_command_steps.py
+++ b/features/steps/controller_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the commands that ask a controller, on real sockets of loopback."""
+"""Steps for the commands that send requests to a controller, on real loopback sockets."""
 
 import asyncio
 import contextlib
@@ -36,36 +36,36 @@
 )
 
 
-def answer_of(*, words: str) -> bytes:
-    """The record of an answer that a feature describes."""
-    if words.startswith("text "):
-        return Packer().text(value="").text(value=words.removeprefix("text ").strip('"')).bytes()
-    if words.startswith("progress "):
-        phase, stands, reason = words.removeprefix("progress ").split(", ")
+def encode_response(*, description: str) -> bytes:
+    """Encodes the response that a feature describes."""
+    if description.startswith("text "):
+        return Packer().text(value="").text(value=description.removeprefix("text ").strip('"')).bytes()
+    if description.startswith("progress "):
+        phase, current_version, reason = description.removeprefix("progress ").split(", ")
         packer = Packer().text(value="").text(value=f"{phase}: so it is")
         return (
             packer.u8(value=ShardPhase[phase])
             .u64(value=2)
-            .u64(value=int(stands))
+            .u64(value=int(current_version))
             .text(value=reason.strip('"'))
             .bytes()
         )
-    if words.startswith("kind "):
-        return Packer().text(value=words.removeprefix("kind ")).text(value="so it is").bytes()
+    if description.startswith("kind "):
+        return Packer().text(value=description.removeprefix("kind ")).text(value="so it is").bytes()
     return b"\x00\x01"
 
 
-@given("a controller's address that answers {words}")
-def given_controller(context: Any, words: str) -> None:
+@given("a controller that responds with {description}")
+def given_controller(context: Any, description: str) -> None:
     port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
     transport = RecordTransport(counters=Counters())
 
-    async def answer(body: bytes) -> bytes:
-        return answer_of(words=words)
+    async def handle(body: bytes) -> bytes:
+        return encode_response(description=description)
 
-    loop.run_until_complete(transport.listen(address=f"127.0.0.1:{port}", handler=answer))
-    # The command runs a loop of its own and waits in it, so its controller needs another thread.
+    loop.run_until_complete(transport.listen(address=f"127.0.0.1:{port}", handler=handle))
+    # The command blocks this thread with an event loop of its own, so the controller runs in another thread.
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
 
@@ -78,28 +78,28 @@
     context.address = f"127.0.0.1:{port}"
 
 
-@when('an operator runs "{words}" at {address}')
-def when_runs_at(context: Any, words: str, address: str) -> None:
+@when('an operator runs "{line}" at {address}')
+def when_runs_at(context: Any, line: str, address: str) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "map.json")
         path.write_text('{"version": 1, "places": {}}')
-        given = {"MAP": str(path), "MISSING": str(Path(folder, "missing.json"))}
-        argv = [given.get(word, word) for word in words.split()] + ["--at", address]
+        paths = {"MAP": str(path), "MISSING": str(Path(folder, "missing.json"))}
+        argv = [paths.get(word, word) for word in line.split()] + ["--at", address]
         app = Application("cinderstair", "0")
         for command in COMMANDS:
             app.add(command())
         app.auto_exits(False)
-        said = io.StringIO()
-        with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
             context.code = app.run(input=ArgvInput(["cinderstair", *argv]))
-        context.said = said.getvalue()
+        context.output = output.getvalue()
 
 
-@when('an operator runs "{words}"')
-def when_runs(context: Any, words: str) -> None:
-    when_runs_at(context=context, words=words, address=context.address)
+@when('an operator runs "{line}"')
+def when_runs(context: Any, line: str) -> None:
+    when_runs_at(context=context, line=line, address=context.address)
 
 
 @then('it ends with {code:d} and says "{words}"')
 def then_ends(context: Any, code: int, words: str) -> None:
-    assert context.code == code and words in context.said, (context.code, context.said)
+    assert context.code == code and words in context.output, (context.code, context.output)
--- a/features/steps/deprecated_command_steps.py
+++ b/features/steps/deprecated_command_steps.py
@@ -8,7 +8,7 @@
 
 
 def run_program(*, line: str) -> subprocess.CompletedProcess[str]:
-    """The program's exit code and output for one command line."""
+    """Runs the program with a command line and returns its exit code and output."""
     command = [sys.executable, "-m", "cinderstair", *line.split()]
     return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
@@ -25,7 +25,7 @@
     assert context.old.stdout == context.new.stdout, (context.old.stdout, context.new.stdout)
 
 
-@then('the old name alone adds one line, "{warning}"')
+@then('only the old name prints the additional line "{warning}"')
 def then_one_warning(context: Any, warning: str) -> None:
     assert context.old.stderr == f"{warning}\n{context.new.stderr}", (context.old.stderr, context.new.stderr)
 
--- a/features/steps/dispatcher_steps.py
+++ b/features/steps/dispatcher_steps.py
@@ -21,7 +21,7 @@
     context.dispatcher.add_handler(message_type=MessageType.HEARTBEATS, handler=handler)
 
 
-@when("it gets two requests of 10 bytes for heartbeats, and one of a type without a handler")
+@when("two heartbeats requests of 10 bytes and one request of a type without a handler arrive")
 def when_requested(context: Any) -> None:
     async def send() -> None:
         for _ in range(2):
@@ -30,12 +30,12 @@
             await context.dispatcher.dispatch(bytes([MessageType.PROBE]))
         except ValueError:
             return
-        raise AssertionError("it responded to a type without a handler")
+        raise AssertionError("the dispatcher responded to a type without a handler")
 
     context.stage.run(work=send())
 
 
-@then("its counters hold 2 responses of type heartbeats and 80 bytes, and nothing else")
+@then("its only counters are 2 responses of type heartbeats and 80 bytes")
 def then_counted(context: Any) -> None:
     counts = context.stage.ctx.counters.snapshot()
     assert counts == {"records.answered.heartbeats": 2, "records.bytes.heartbeats": 80}, counts
--- a/features/steps/error_response_steps.py
+++ b/features/steps/error_response_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the responses to error codes."""
+"""Steps for the HTTP responses to error codes."""
 
 from pathlib import Path
 from typing import Any
@@ -19,10 +19,10 @@
         assert response.outcome in (REJECTED, UNKNOWN) and 400 <= response.status <= 599, code
 
 
-@then("the outcome is unknown only where the request may have run")
+@then("the outcome is unknown only for codes after which the request may have run")
 def then_unknown(context: Any) -> None:
     unknown = {code for code, response in ERROR_RESPONSES.items() if response.outcome == UNKNOWN}
-    # A backend that responds with an error of its own may have run the request, whatever it calls the error.
+    # A backend that responds with an error of its own may have run the request, whichever error it reports.
     assert unknown == {
         ErrorCode.OUTCOME_UNKNOWN,
         ErrorCode.REGISTER_UNSURE,
@@ -32,7 +32,7 @@
     }, unknown
 
 
-@then("the interface page lists every error code that a client can get, with its status")
+@then("the interface documentation lists every error code that a client can receive, with its status")
 def then_page(context: Any) -> None:
     page = PAGE.read_text()
     missing = [
--- a/features/steps/peer_client_steps.py
+++ b/features/steps/peer_client_steps.py
@@ -29,16 +29,16 @@
 
 
 def open_dispatcher(*, context: Any, name: str, versions: str) -> Dispatcher:
-    """A dispatcher whose response holds the version and the text of the request."""
+    """Listens with a dispatcher whose responses hold the version and the text of the request."""
     ctx = new_context(context=context, name=name, versions=versions)
     dispatcher = Dispatcher(ctx=ctx)
 
-    async def seek(unpacker: Unpacker) -> bytes:
+    async def echo(unpacker: Unpacker) -> bytes:
         word = unpacker.text()
         unpacker.done()
         return Packer().u8(value=unpacker.version).text(value=word).bytes()
 
-    dispatcher.add_handler(message_type=MessageType.SEEK, handler=seek)
+    dispatcher.add_handler(message_type=MessageType.SEEK, handler=echo)
     context.world.run(work=ctx.net.listen(address=ADDRESS, handler=dispatcher.dispatch))
     return dispatcher
 
@@ -62,7 +62,7 @@
     send_requests(context=context, times=3)
 
 
-@when("the other is replaced by one that supports versions {other}, and is sent six requests")
+@when("the receiver is replaced by one that supports versions {other}, and six more requests are sent")
 def when_replaced(context: Any, other: str) -> None:
     open_dispatcher(context=context, name="other-2", versions=other)
     send_requests(context=context, times=6)
@@ -73,7 +73,7 @@
     assert context.results[-1].ok == Packer().u8(value=version).text(value="word").bytes(), context.results
 
 
-@then("the request is rejected; the error gives both ranges, and is logged once and counted")
+@then("the request is rejected with an error that states both ranges, is logged once and is counted")
 def then_rejected(context: Any) -> None:
     error = context.results[-1].error
     assert error.code == ErrorCode.OTHER_VERSION, error
@@ -87,32 +87,32 @@
     new_world(context=context, seed=1, http_proxies=0, register_replicas=0, databases=0)
     dispatcher = open_dispatcher(context=context, name="other-1", versions=versions)
     rng = random.Random(seed)
-    whole = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
-    context.outcomes = {"malformed": 0, "rejected": 0, "answered": 0}
+    request = Packer().u8(value=MessageType.SEEK).text(value="word").bytes()
+    context.outcomes = {"malformed": 0, "rejected": 0, "handled": 0}
     for _ in range(count):
-        body = bytes([VERSION_FLAG | rng.randrange(0, 6)]) * rng.randrange(0, 3) + whole
-        how = rng.choice(["as it is", "cut", "longer", "twice", "flipped"])
-        at = rng.randrange(len(body))
-        if how == "cut":
-            body = body[:at]
-        elif how == "longer":
+        body = bytes([VERSION_FLAG | rng.randrange(0, 6)]) * rng.randrange(0, 3) + request
+        mutation = rng.choice(["none", "truncated", "extended", "repeated", "bit flip"])
+        offset = rng.randrange(len(body))
+        if mutation == "truncated":
+            body = body[:offset]
+        elif mutation == "extended":
             body += rng.randbytes(rng.randrange(1, 40))
-        elif how == "twice":
+        elif mutation == "repeated":
             body += body
-        elif how == "flipped":
-            body = body[:at] + bytes([body[at] ^ (1 << rng.randrange(8))]) + body[at + 1 :]
+        elif mutation == "bit flip":
+            body = body[:offset] + bytes([body[offset] ^ (1 << rng.randrange(8))]) + body[offset + 1 :]
         try:
-            answer = context.world.run(work=dispatcher.dispatch(body))
+            response = context.world.run(work=dispatcher.dispatch(body))
         except ValueError:
             context.outcomes["malformed"] += 1
             continue
-        rejected = answer == bytes([VERSION_FLAG, 1, 2])
-        # Only a complete request of a supported version may get a response, and only that to what it asked.
-        sound = answer[-4:] != b"word" or body[-4:] == b"word"
-        assert rejected or sound, (body, answer)
-        context.outcomes["rejected" if rejected else "answered"] += 1
+        rejected = response == bytes([VERSION_FLAG, 1, 2])
+        # Only a complete request of a supported version may get a response, and only the one to its own text.
+        own_response = response[-4:] != b"word" or body[-4:] == b"word"
+        assert rejected or own_response, (body, response)
+        context.outcomes["rejected" if rejected else "handled"] += 1
 
 
-@then("each is dropped as malformed, rejected for its version, or gets the response to what it asked")
+@then("each is dropped as malformed, rejected for its version, or gets its own response")
 def then_outcomes(context: Any) -> None:
     assert all(count > 50 for count in context.outcomes.values()), context.outcomes
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for settings."""
+"""Steps for settings files and flags."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 
 from cinderstair.runtime.settings import read_settings
 
-GOOD = (
+VALID_LINES = (
     'name = "stall-1"',
     'site = "kingston"',
     'records = "127.0.0.1:7101"',
@@ -49,30 +49,30 @@
         logging.getLogger().removeHandler(self)
 
 
-@given("a good settings file")
-def given_good(context: Any) -> None:
-    context.lines = list(GOOD)
+@given("a valid settings file")
+def given_valid(context: Any) -> None:
+    context.lines = list(VALID_LINES)
     assert read_lines(lines=context.lines, flags={}).is_ok()
 
 
-@given("a good settings file without {key}")
+@given("a valid settings file without {key}")
 def given_without(context: Any, key: str) -> None:
-    context.lines = [line for line in GOOD if not line.startswith(f"{key} ")]
+    context.lines = [line for line in VALID_LINES if not line.startswith(f"{key} ")]
     assert read_lines(lines=context.lines, flags={}).is_ok()
 
 
-@given("a good settings file with {one} and {other}")
+@given("a valid settings file with {one} and {other}")
 def given_with(context: Any, one: str, other: str) -> None:
-    context.lines = [*GOOD, one, other]
+    context.lines = [*VALID_LINES, one, other]
     assert read_lines(lines=context.lines, flags={}).is_ok()
 
 
 @when("it is read with {change}")
 def when_read(context: Any, change: str) -> None:
     key = change.split()[0]
-    places = [number for number, line in enumerate(context.lines) if line.startswith(f"{key} ")]
-    if places:
-        context.lines[places[0]] = change
+    matches = [number for number, line in enumerate(context.lines) if line.startswith(f"{key} ")]
+    if matches:
+        context.lines[matches[0]] = change
     else:
         context.lines.append(change)
     with WarningList() as warnings:
@@ -86,13 +86,13 @@
     assert getattr(context.result.ok, key) == expected, context.result
 
 
-@then('one warning says "{words}"')
+@then('a single warning contains "{words}"')
 def then_warned(context: Any, words: str) -> None:
     assert len(context.warnings) == 1, context.warnings
     assert words in context.warnings[0] and "\n" not in context.warnings[0], context.warnings
 
 
-@then("there is no warning")
+@then("no warning is logged")
 def then_not_warned(context: Any) -> None:
     assert context.warnings == [], context.warnings
 
@@ -103,8 +103,8 @@
     assert result.is_ok() and getattr(result.ok, key) == expected, result
 
 
-@then('it is refused with "{words}"')
-def then_refused(context: Any, words: str) -> None:
+@then('it is rejected with "{words}"')
+def then_rejected(context: Any, words: str) -> None:
     assert context.result.is_error() and words in context.result.error.reason, context.result
     assert "\n" not in context.result.error.reason
 
@@ -114,13 +114,13 @@
     assert read_lines(lines=context.lines, flags={key: value}).ok.site == site
 
 
-@then('the flag {key} as "{value}" is refused with "{words}"')
-def then_flag_refused(context: Any, key: str, value: str, words: str) -> None:
+@then('the flag {key} as "{value}" is rejected with "{words}"')
+def then_flag_rejected(context: Any, key: str, value: str, words: str) -> None:
     result = read_lines(lines=context.lines, flags={key: value})
     assert result.is_error() and words in result.error.reason, result
 
 
-@then('reading "{path}" is refused with "{words}"')
+@then('reading "{path}" is rejected with "{words}"')
 def then_missing(context: Any, path: str, words: str) -> None:
     result = read_settings(path=path, flags={})
     assert result.is_error() and words in result.error.reason, result
--- a/features/steps/trace_steps.py
+++ b/features/steps/trace_steps.py
@@ -12,7 +12,7 @@
 from cinderstair.simulation.world import WALL_START_US
 
 
-@when("stall-0 traces into a list, and {count:d} statements are sent to it")
+@when("traces of stall-0 are collected and {count:d} statements are sent to it")
 def when_traced(context: Any, count: int) -> None:
     ctx = context.world.contexts["stall-0"]
     context.lines = []
@@ -24,7 +24,7 @@
     context.world.advance(for_us=1_000_000)
 
 
-@then("the lines hold {count:d} spans with hex ids, the right times and the right outcome")
+@then("the lines hold {count:d} spans with hex ids and the times and statuses of the statements")
 def then_spans(context: Any, count: int) -> None:
     values = [json.loads(line) for line in context.lines]
     spans = [s for v in values for r in v["resourceSpans"] for scope in r["scopeSpans"] for s in scope["spans"]]
@@ -45,7 +45,7 @@
     assert statuses == [422] + [200] * (count - 1), statuses
 
 
-@then("without a sink nothing is kept")
+@then("without a sink no span is kept")
 def then_off(context: Any) -> None:
     traces = Traces(service="x", rng=random.Random(1))
     traces.span(name="statement", wall_us=1, took_us=1, attributes={}, failed=False)
