--- a/src/cinderstair/cli/daemon.py
+++ b/src/cinderstair/cli/daemon.py
@@ -157,10 +157,10 @@
         if read.is_error():
             self.log.error("settings not changed (%s): %s", cause, read.error.reason)
             return
-        fixed = settings_needing_restart(old=self.settings, new=read.ok)
+        restart_needed = settings_needing_restart(old=self.settings, new=read.ok)
         # Applying only some of the changes would leave the process with settings that no file describes.
-        if fixed:
-            self.log.error("settings not changed (%s): %s need a restart", cause, ", ".join(fixed))
+        if restart_needed:
+            self.log.error("settings not changed (%s): %s need a restart", cause, ", ".join(restart_needed))
             return
         if read.ok == self.settings:
             return
