--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -52,7 +52,7 @@
         await asyncio.sleep(0.002)
         if address not in self.dispatchers:
             return Error(
-                CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: no controller at this address")
+                CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: no controller at this address")
             )
         return Ok(await self.dispatchers[address].dispatch(body))
 
--- a/features/steps/view_steps.py
+++ b/features/steps/view_steps.py
@@ -61,7 +61,7 @@
         controller = self.controllers[address]
         if controller.silent:
             await asyncio.sleep(wait_us / 1_000_000)
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: silent"))
+            return Error(CinderstairError(code=ErrorCode.NO_RESPONSE, reason=f"{address}: silent"))
         await asyncio.sleep(controller.delay_us / 1_000_000)
         return Ok(controller.answer(body=body))
 
--- a/src/cinderstair/cli/controller_command.py
+++ b/src/cinderstair/cli/controller_command.py
@@ -6,12 +6,12 @@
 
 
 class ControllerCommand(RecordCommand):
-    """Prints a controller's own report."""
+    """Prints the state that a controller reports."""
 
     name = "controller"
     aliases = ["guildhall"]
-    description = "Show what a controller knows: register replicas, leads, backends, proxies, duties, counters"
+    description = "Show a controller's state: register replicas, primaries, backends, proxies, held leases, counters"
 
     def handle(self) -> int:
         """Runs the command; returns its exit code."""
-        return self.ask_controller(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
+        return self.request_controller(body=Packer().u8(value=MessageType.CONTROLLER).bytes(), changes=False)
--- a/src/cinderstair/cli/http_client.py
+++ b/src/cinderstair/cli/http_client.py
@@ -1,4 +1,4 @@
-"""Asks a running HTTP proxy over HTTP, for the operators' commands."""
+"""The HTTP client with which operators' commands send requests to an HTTP proxy."""
 
 import asyncio
 import json
@@ -12,30 +12,36 @@
 from ..runtime.http_response import HttpResponse
 from ..runtime.real_net import RealNet
 
-DIAL_WAIT_US = 2_000_000
-ANSWER_WAIT_US = 15_000_000
+CONNECT_TIMEOUT_US = 2_000_000
+RESPONSE_TIMEOUT_US = 15_000_000
 
 
-async def ask(*, address: str, method: str, path: str, body: bytes = b"") -> Result[HttpResponse, CinderstairError]:
-    """Sends one request on a connection of its own; WIRE_UNSURE where nobody knows whether it was served."""
+async def send_request(
+    *, address: str, method: str, path: str, body: bytes = b""
+) -> Result[HttpResponse, CinderstairError]:
+    """Sends one request over a new connection.
+
+    :returns: the response, whatever its status. Errors: REQUEST_NOT_SENT if the proxy can't be connected to;
+        NO_RESPONSE if the request may have been handled
+    """
     net = RealNet(counters=Counters())
-    dialled = await net.dial(address=address, wait_us=DIAL_WAIT_US)
-    if dialled.is_error():
-        return Result.Error(dialled.error)
+    connected = await net.dial(address=address, wait_us=CONNECT_TIMEOUT_US)
+    if connected.is_error():
+        return Result.Error(connected.error)
     request = HttpRequest(method=method, path=path, body=body)
-    result = await dialled.ok.send_request(request=request, wait_us=ANSWER_WAIT_US)
-    dialled.ok.close()
-    # lets the transport close before the loop ends
+    result = await connected.ok.send_request(request=request, wait_us=RESPONSE_TIMEOUT_US)
+    connected.ok.close()
+    # Let the transport close before the event loop ends.
     await asyncio.sleep(0)
     return result
 
 
-def ask_now(
+def request_blocking(
     *, address: str, method: str, path: str, value: Any = None, body: bytes = b""
 ) -> Result[HttpResponse, CinderstairError]:
-    """As `ask`, from code that runs no event loop.
+    """Calls `send_request` from code that runs outside an event loop.
 
-    :param value: sent as JSON in place of `body`, where it isn't None
+    :param value: sent as JSON in place of `body` unless it is None
     """
     data = body if value is None else json.dumps(value).encode()
-    return asyncio.run(ask(address=address, method=method, path=path, body=data))
+    return asyncio.run(send_request(address=address, method=method, path=path, body=data))
--- a/src/cinderstair/cli/record_client.py
+++ b/src/cinderstair/cli/record_client.py
@@ -1,4 +1,4 @@
-"""Asks a running controller by records, for the operators' commands."""
+"""The client with which operators' commands send messages to a controller."""
 
 from dataclasses import dataclass
 
@@ -9,44 +9,53 @@
 from ..runtime.record_transport import RecordTransport
 from ..runtime.unpacker import Unpacker
 
-ANSWER_WAIT_US = 5_000_000
+RESPONSE_TIMEOUT_US = 5_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class ControllerAnswer:
-    """What every answer of a controller begins with.
+class ControllerResponse:
+    """The fields that every response of a controller begins with.
 
-    :ivar kind: the spelling of an error code; empty where the request was served
-    :ivar text: for people
+    :ivar error_code: the value of an `ErrorCode`; empty if the request succeeded
+    :ivar text: the result, or the reason of the error, for people
     """
 
-    kind: str
+    error_code: str
     text: str
 
     @property
     def message(self) -> str:
-        """The error as one line."""
-        return f"{self.kind}: {self.text}"
+        """The error as one line for operators."""
+        return f"{self.error_code}: {self.text}"
 
 
-def unpack_answer(*, unpacker: Unpacker) -> ControllerAnswer:
-    """The beginning of an answer; raises ValueError where the bytes are none."""
-    kind, text = unpacker.text(), unpacker.text()
-    return ControllerAnswer(kind=kind, text=text)
+def unpack_response(*, unpacker: Unpacker) -> ControllerResponse:
+    """Reads the leading fields of a response.
 
+    :raises ValueError: if the message is malformed
+    """
+    error_code, text = unpacker.text(), unpacker.text()
+    return ControllerResponse(error_code=error_code, text=text)
+
+
+def read_response(*, data: bytes) -> ControllerResponse:
+    """Reads a response that has no further fields.
 
-def read_answer(*, data: bytes) -> ControllerAnswer:
-    """An answer that holds nothing more; raises ValueError where the bytes are none."""
+    :raises ValueError: if the message is malformed
+    """
     unpacker = Unpacker(data=data)
-    answer = unpack_answer(unpacker=unpacker)
+    response = unpack_response(unpacker=unpacker)
     unpacker.done()
-    return answer
+    return response
+
 
+async def send_request(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
+    """Sends one request to a controller over a new connection.
 
-async def ask(*, address: str, body: bytes) -> Result[bytes, CinderstairError]:
-    """Sends one request to one controller; WIRE_UNSURE where nobody knows whether it arrived."""
+    :returns: the response, or NO_RESPONSE if none came and the request may have been handled
+    """
     transport = RecordTransport(counters=Counters())
     try:
-        return await transport.request(address=address, body=body, wait_us=ANSWER_WAIT_US)
+        return await transport.request(address=address, body=body, wait_us=RESPONSE_TIMEOUT_US)
     finally:
         await transport.close()
--- a/src/cinderstair/consensus/register_replica.py
+++ b/src/cinderstair/consensus/register_replica.py
@@ -214,7 +214,7 @@
         while self.is_voter and self.standbys() and self.ctx.now_us() < until_us:
             await self.ctx.sleep(duration_us=LEAVE_POLL_US)
 
-    def resettle(self, *, settings: Settings) -> None:
+    def update_settings(self, *, settings: Settings) -> None:
         """Applies settings that were changed at runtime."""
         self.settings = settings
         self.register.seeds = settings.seeds
--- a/src/cinderstair/control_plane/reachability_poll.py
+++ b/src/cinderstair/control_plane/reachability_poll.py
@@ -55,5 +55,5 @@
         if received is None:
             raise ValueError(f"can't probe backend {name}: no heartbeat of it has been received")
         state = await self.control.state(backend=received.heartbeat, wait_us=PROBE_WAIT_US)
-        reachable = state.is_ok() or state.error.code != ErrorCode.WIRE_UNSENT
+        reachable = state.is_ok() or state.error.code != ErrorCode.REQUEST_NOT_SENT
         return Packer().u8(value=int(reachable)).bytes()
--- a/src/cinderstair/failover/deregistrations.py
+++ b/src/cinderstair/failover/deregistrations.py
@@ -88,7 +88,7 @@
             return False
         if state.error.details.get("ended"):
             return True
-        if state.error.code != ErrorCode.WIRE_UNSENT:
+        if state.error.code != ErrorCode.REQUEST_NOT_SENT:
             return False
         # A backend that is unreachable only from this daemon may still confirm commits for its primary.
         votes = await self.reachability_poll(backend.name)
--- a/src/cinderstair/failover/primary_monitor.py
+++ b/src/cinderstair/failover/primary_monitor.py
@@ -85,7 +85,7 @@
         self.ctx.counters.add(name="promotion.examined")
         if own.is_ok():
             return None if own.ok.is_primary else MoveReason.DEMOTED
-        unreachable = own.error.code == ErrorCode.WIRE_UNSENT
+        unreachable = own.error.code == ErrorCode.REQUEST_NOT_SENT
         # A primary that accepts connections without answering may only be slow, so missed heartbeats are required.
         if not unreachable and not heartbeats_missing:
             return None
--- a/src/cinderstair/pooler/forward_checks.py
+++ b/src/cinderstair/pooler/forward_checks.py
@@ -45,8 +45,8 @@
         A request with a minimum log position may be sent to any backend, all others only to the primary.
 
         Errors: TIME_LEFT_SPENT after the request's deadline, DRAINING while this proxy stops, NO_BACKEND without
-        links to the backend, MOVING where the database belongs or moves to another service, NO_LEAD where the backend
-        is not the primary, and those of `Router.confirmed_primary`.
+        links to the backend, MOVING where the database belongs or moves to another service, NO_PRIMARY where the
+        backend is not the primary, and those of `Router.confirmed_primary`.
         """
         # After the deadline the requester may already have reported the outcome to its client.
         if self.ctx.now_us() >= request.until_us:
@@ -85,7 +85,7 @@
         if primary.is_ok() and primary.ok is not pool:
             return Error(
                 CinderstairError(
-                    code=ErrorCode.NO_LEAD,
+                    code=ErrorCode.NO_PRIMARY,
                     reason=f"by this proxy's view, {request.backend} is not the primary of {request.service}",
                 )
             )
--- a/src/cinderstair/pooler/forwarder.py
+++ b/src/cinderstair/pooler/forwarder.py
@@ -138,11 +138,11 @@
         """Sends a request and waits for its response.
 
         :param limit_us: how long from now the statement may be sent to the backend.
-        Errors: WIRE_UNSENT where nothing was sent at all, WIRE_UNSURE where the outcome is unknown.
+        Errors: REQUEST_NOT_SENT where nothing was sent at all, NO_RESPONSE where the outcome is unknown.
         """
         peer = self.peer(address=address)
         if not peer.incarnation:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: no handshake yet"))
+            return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: no handshake yet"))
         # Its clock is ahead by at least `ahead_us`, so the deadline by its clock is never later than by this proxy's.
         until_us = self.ctx.now_us() + limit_us + peer.ahead_us - CLOCK_MARGIN_US
         stamped = replace(request, incarnation=peer.incarnation, until_us=max(0, until_us))
@@ -172,7 +172,7 @@
             self.ctx.counters.add(name="records.malformed")
             return Error(
                 CinderstairError(
-                    code=ErrorCode.WIRE_UNSURE, reason=f"{address}: malformed response to a forwarded request"
+                    code=ErrorCode.NO_RESPONSE, reason=f"{address}: malformed response to a forwarded request"
                 )
             )
         self._record_response(peer=peer, response=response)
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -25,13 +25,13 @@
     def confirmed_primary(self, *, service: str) -> Result[LinkPool, CinderstairError]:
         """The primary's pool, or the pool of a detour to it by another proxy.
 
-        Errors: NO_LEAD, NOT_CURRENT, MOVING or NO_BACKEND; the detail `left_us` is the expected wait before a retry
-        (microseconds), absent where the assigned primary is not among the backends.
+        Errors: NO_PRIMARY, NOT_CURRENT, MOVING or NO_BACKEND; the detail `left_us` is the expected wait before a
+        retry (microseconds), absent where the assigned primary is not among the backends.
         """
         assignment = self.view.primaries.get(service)
         if assignment is None:
             return _refuse(
-                code=ErrorCode.NO_LEAD, reason=f"{service}: no primary assigned yet", left_us=VIEW_LAPSE_US
+                code=ErrorCode.NO_PRIMARY, reason=f"{service}: no primary assigned yet", left_us=VIEW_LAPSE_US
             )
         if not self.view.current:
             return _refuse(
@@ -62,7 +62,7 @@
         if pool is None or pool.closed:
             return Error(
                 CinderstairError(
-                    code=ErrorCode.NO_LEAD,
+                    code=ErrorCode.NO_PRIMARY,
                     reason=f"{service}: primary {assignment.primary} is not among the announced backends",
                 )
             )
--- a/src/cinderstair/pooler/single_read.py
+++ b/src/cinderstair/pooler/single_read.py
@@ -140,7 +140,7 @@
         if at_least is None and not (was_primary and self._on_same_service(route=route)):
             pool.release(link=link)
             return CinderstairError(
-                code=ErrorCode.NO_LEAD,
+                code=ErrorCode.NO_PRIMARY,
                 reason=f"{route.service}: the primary or the placement changed during the wait for a link",
             )
         requested_us = self.ctx.now_us()
@@ -164,7 +164,7 @@
             reply = await asyncio.shield(future)
         except ConnectionError:
             pool.release(link=link)
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the link was lost before the reply to a read")
+            return CinderstairError(code=ErrorCode.NO_RESPONSE, reason="the link was lost before the reply to a read")
         except asyncio.CancelledError:
             # Closing the link would interrupt a working backend and require a new link.
             pool.release_answered(link=link, answer=future)
--- a/src/cinderstair/pooler/transaction_begin.py
+++ b/src/cinderstair/pooler/transaction_begin.py
@@ -87,7 +87,7 @@
             pool.release(link=link)
             return Error(
                 CinderstairError(
-                    code=ErrorCode.NO_LEAD,
+                    code=ErrorCode.NO_PRIMARY,
                     reason=f"{route.service}: the primary or the placement changed during the wait for a link",
                 )
             )
@@ -104,7 +104,7 @@
         except ConnectionError:
             return Error(
                 CinderstairError(
-                    code=ErrorCode.WIRE_UNSENT, reason="the link was lost before the transaction was begun"
+                    code=ErrorCode.REQUEST_NOT_SENT, reason="the link was lost before the transaction was begun"
                 )
             )
         finally:
@@ -125,7 +125,7 @@
         future = link.begin(read_only=transaction.read_only, at_least=candidate.at_least)
         reply = await await_reply(ctx=self.ctx, future=future, until_us=min(until_us, requested_us + BEGIN_WAIT_US))
         if reply is None:
-            return CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend did not answer the begin in time")
+            return CinderstairError(code=ErrorCode.NO_RESPONSE, reason="the backend did not answer the begin in time")
         record_reply(
             router=self.router,
             pool=candidate.pool,
--- a/src/cinderstair/runtime/error_responses.py
+++ b/src/cinderstair/runtime/error_responses.py
@@ -7,11 +7,11 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What a client is told about an error.
+    """The HTTP status and retry advice that a client receives with an error.
 
     :ivar status: the HTTP status.
     :ivar outcome: REJECTED or UNKNOWN.
-    :ivar retry_after_us: after how many microseconds the client may retry; 0 means that a retry is of no use.
+    :ivar retry_after_us: after how many microseconds the client may retry; 0 means that a retry can't succeed.
     """
 
     status: int
@@ -33,8 +33,8 @@
         ErrorCode.WRONG_METHOD: ErrorResponse(405, REJECTED, 0),
         ErrorCode.UNKNOWN_SESSION: ErrorResponse(410, REJECTED, 0),
         ErrorCode.SESSION_ELSEWHERE: ErrorResponse(421, REJECTED, 1_000),
-        ErrorCode.SESSION_SOUGHT: ErrorResponse(503, REJECTED, 500_000),
-        ErrorCode.HANDLE_OLD: ErrorResponse(409, REJECTED, 1_000),
+        ErrorCode.SESSION_NOT_LOCATED: ErrorResponse(503, REJECTED, 500_000),
+        ErrorCode.HANDLE_SUPERSEDED: ErrorResponse(409, REJECTED, 1_000),
         ErrorCode.UNKNOWN_DATABASE: ErrorResponse(404, REJECTED, 0),
         ErrorCode.UNKNOWN_KIND: ErrorResponse(400, REJECTED, 0),
         ErrorCode.UNKNOWN_PREPARED: ErrorResponse(404, REJECTED, 0),
@@ -42,7 +42,7 @@
         ErrorCode.TIME_LEFT_SPENT: ErrorResponse(504, REJECTED, 250_000),
         ErrorCode.NOT_CURRENT: ErrorResponse(503, REJECTED, 500_000),
         ErrorCode.DRAINING: ErrorResponse(503, REJECTED, 100_000),
-        ErrorCode.NO_LEAD: ErrorResponse(503, REJECTED, 1_000_000),
+        ErrorCode.NO_PRIMARY: ErrorResponse(503, REJECTED, 1_000_000),
         ErrorCode.MOVING: ErrorResponse(503, REJECTED, 1_000_000),
         ErrorCode.NOT_IN_SYNC: ErrorResponse(503, REJECTED, 1_000_000),
         ErrorCode.NO_BACKEND: ErrorResponse(503, REJECTED, 500_000),
@@ -63,8 +63,8 @@
         ErrorCode.NO_CONFIGURATION: ErrorResponse(404, REJECTED, 1_000_000),
         ErrorCode.REGISTER_UNREACHABLE: ErrorResponse(503, REJECTED, 1_000_000),
         ErrorCode.REGISTER_UNSURE: ErrorResponse(504, UNKNOWN, 1_000_000),
-        ErrorCode.WIRE_UNSENT: ErrorResponse(503, REJECTED, 250_000),
-        ErrorCode.WIRE_UNSURE: ErrorResponse(504, UNKNOWN, 250_000),
+        ErrorCode.REQUEST_NOT_SENT: ErrorResponse(503, REJECTED, 250_000),
+        ErrorCode.NO_RESPONSE: ErrorResponse(504, UNKNOWN, 250_000),
         ErrorCode.OTHER_VERSION: ErrorResponse(503, REJECTED, 1_000_000),
         ErrorCode.BAD_SETTINGS: ErrorResponse(500, REJECTED, 0),
         ErrorCode.DISK_DAMAGED: ErrorResponse(500, REJECTED, 0),
--- a/src/cinderstair/runtime/http_request.py
+++ b/src/cinderstair/runtime/http_request.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 
-class Line:
-    """The client connection of a request. Two are equal if they stand for the same connection.
+class ClientConnection:
+    """The client connection that a request arrived on; equal objects represent the same connection.
 
-    This base class stands for a connection that has ended already.
+    This base class represents a connection that has already ended.
     """
 
     @property
@@ -23,11 +23,11 @@
     :ivar method: the method, in upper case.
     :ivar path: the path without the query.
     :ivar query: the parameters of the query.
-    :ivar line: the client connection that the request came in on; None if it is sent to a backend.
+    :ivar client_connection: the connection that the request arrived on; None for a request to a backend.
     """
 
     method: str
     path: str
     body: bytes = b""
     query: dict[str, str] = field(default_factory=dict)
-    line: Any = None
+    client_connection: Any = None
--- a/src/cinderstair/runtime/real_net.py
+++ b/src/cinderstair/runtime/real_net.py
@@ -9,7 +9,7 @@
 from .counters import Counters
 from .errors import CinderstairError, ErrorCode
 from .http_connection import HttpConnection
-from .http_request import HttpRequest, Line
+from .http_request import ClientConnection, HttpRequest
 from .http_response import HttpResponse
 from .net import Connection, HttpHandler, RecordHandler
 from .record_transport import RecordTransport, split_address
@@ -19,8 +19,8 @@
 SHUTDOWN_S = 2
 
 
-class RealLine(Line):
-    """The client connection of a request, by its asyncio transport."""
+class TransportConnection(ClientConnection):
+    """A client connection, identified by its asyncio transport."""
 
     def __init__(self, *, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -31,16 +31,16 @@
         return self.transport.is_closing()
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, RealLine) and other.transport is self.transport
+        return isinstance(other, TransportConnection) and other.transport is self.transport
 
     def __hash__(self) -> int:
         return id(self.transport)
 
 
 class RealNet:
-    """Implements ``net.Net``; see there.
+    """Implements ``net.Net`` on real sockets.
 
-    :param counters: counts as ``RecordTransport`` does.
+    :param counters: passed to ``RecordTransport``.
     """
 
     def __init__(self, *, counters: Counters) -> None:
@@ -63,7 +63,9 @@
             async with asyncio.timeout(wait_us / 1_000_000):
                 stream = await httpcore.AnyIOBackend().connect_tcp(host, port)
         except (TimeoutError, OSError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: {type(error).__name__}"))
+            return Error(
+                CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: {type(error).__name__}")
+            )
         origin = httpcore.Origin(scheme=b"http", host=host.encode(), port=port)
         connection = httpcore.AsyncHTTP11Connection(origin=origin, stream=stream)
         return Ok(HttpConnection(address=address, connection=connection, stream=stream))
@@ -82,7 +84,7 @@
         await web.TCPSite(runner, host, port, reuse_address=True, shutdown_timeout=SHUTDOWN_S).start()
         self._runners.append(runner)
 
-    async def refuse(self) -> None:
+    async def stop_accepting_http(self) -> None:
         """Close the listening HTTP sockets; open connections are kept."""
         for runner in self._runners:
             for site in list(runner.sites):
@@ -99,11 +101,19 @@
     try:
         body = await request.read()
     except web.HTTPRequestEntityTooLarge:
-        # The handler rejects a body above the limit with an error code of its own, so it is given one.
+        # The handler rejects bodies above the limit with the error code tooLarge, so pass it one that exceeds it.
         body = b"\0" * (MAX_BODY_BYTES + 1)
-    # The client may have disconnected already; the base class stands for a closed connection.
-    line = Line() if request.transport is None else RealLine(transport=request.transport)
-    return HttpRequest(method=request.method, path=request.path, body=body, query=dict(request.query), line=line)
+    # The client may have disconnected already; the base class represents a closed connection.
+    client_connection = (
+        ClientConnection() if request.transport is None else TransportConnection(transport=request.transport)
+    )
+    return HttpRequest(
+        method=request.method,
+        path=request.path,
+        body=body,
+        query=dict(request.query),
+        client_connection=client_connection,
+    )
 
 
 def _encode_response(*, response: HttpResponse) -> web.Response:
