--- a/features/runtime/settings.feature
+++ b/features/runtime/settings.feature
@@ -4,7 +4,7 @@
   Scenario Outline: A settings file with <change> is rejected
     Given a valid settings file
     When it is read with <change>
-    Then it is rejected with "<words>"
+    Then the settings are rejected with "<words>"
 
     Examples:
       | change                                                     | words                                           |
@@ -69,5 +69,5 @@
   Scenario: A rejected file gives its error and no warning
     Given a valid settings file with queueMost = 2 and mayFound = false
     When it is read with probe_every_us = 1
-    Then it is rejected with "probe_every_us: Must be"
+    Then the settings are rejected with "probe_every_us: Must be"
     And no warning is logged
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -103,7 +103,7 @@
     assert result.is_ok() and getattr(result.ok, key) == expected, result
 
 
-@then('it is rejected with "{words}"')
+@then('the settings are rejected with "{words}"')
 def then_rejected(context: Any, words: str) -> None:
     assert context.result.is_error() and words in context.result.error.reason, context.result
     assert "\n" not in context.result.error.reason
