--- a/features/platform/adapter/settings_file.feature
+++ b/features/platform/adapter/settings_file.feature
@@ -20,7 +20,7 @@
       | provider      | 10.9.0.5:5009                      |
       | first_run     | True                                   |
       | losses        | 2                                      |
-      | beat_every_us | 900000                                |
+      | heartbeat_interval_us | 900000                        |
       | grace_us      | 4500000                                |
       | drain_us      | 3500000                                |
       | catch_up_us   | 2500000                                |
--- a/features/steps/adapter_http_steps.py
+++ b/features/steps/adapter_http_steps.py
@@ -6,15 +6,15 @@
 
 import h11
 from adapter.http_client import post
-from adapter.http_messages import HttpAnswer, HttpRequest
-from adapter.http_server import MAX_BODY_BYTES, HttpServer
+from adapter.http_messages import HttpRequest, HttpResponse
+from adapter.http_server import MAX_BODY_BYTES, HttpServerConnection
 from adapter.promotion_call import PromotionCall
 from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
 from stage import Stage
 
 
-def responses(*, data: bytes, methods: list[str]) -> list[HttpAnswer]:
+def parse_responses(*, data: bytes, methods: list[str]) -> list[HttpResponse]:
     """Reads answers the way a client would."""
     wire, found = h11.Connection(h11.CLIENT), []
     for method in methods:
@@ -31,7 +31,7 @@
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-        found.append(HttpAnswer(status=status, body=body))
+        found.append(HttpResponse(status=status, body=body))
         if wire.our_state is not h11.DONE or wire.their_state is not h11.DONE:
             return found
         wire.start_next_cycle()
@@ -44,15 +44,15 @@
     context.handled = []
     context.wait_s = 0.0
 
-    async def echo(request: HttpRequest) -> HttpAnswer:
+    async def echo(request: HttpRequest) -> HttpResponse:
         text = request.body[:40].decode(errors="replace")
         context.handled.append(f"{request.method} {request.target} {text}".strip())
         if request.target == "/crash":
             raise RuntimeError("crash")
         await asyncio.sleep(0.05 if request.target == "/slow" else 0.001)
-        return HttpAnswer(status=200, body=request.body)
+        return HttpResponse(status=200, body=request.body)
 
-    connect(context=context, make=lambda: HttpServer(ctx=context.stage.ctx, handle=echo))
+    connect(context=context, make=lambda: HttpServerConnection(ctx=context.stage.ctx, handle=echo))
 
 
 def request(*, text: str) -> bytes:
@@ -76,7 +76,7 @@
 
 @then('the answers are "{texts}"')
 def then_answers(context: Any, texts: str) -> None:
-    found = responses(data=context.transport.sent, methods=context.methods)
+    found = parse_responses(data=context.transport.sent, methods=context.methods)
     text = ", ".join(f"{answer.status} {answer.body.decode()}".strip() for answer in found)
     assert text == texts, text
 
@@ -115,7 +115,9 @@
 
 @then("the statuses are {statuses}")
 def then_statuses(context: Any, statuses: str) -> None:
-    found = " ".join(str(answer.status) for answer in responses(data=context.transport.sent, methods=context.methods))
+    found = " ".join(
+        str(answer.status) for answer in parse_responses(data=context.transport.sent, methods=context.methods)
+    )
     assert found == statuses, (found, context.transport.sent[:200])
 
 
@@ -135,8 +137,8 @@
         for part in parts:
             context.stage.call(call=lambda part=part: context.transport.feed(part))
         context.stage.advance(for_us=20_000)
-        found = responses(data=context.transport.sent, methods=["PUT", "GET", "PUT"])
-        wanted = [HttpAnswer(status=200, body=body) for body in (b"one", b"", b"three")]
+        found = parse_responses(data=context.transport.sent, methods=["PUT", "GET", "PUT"])
+        wanted = [HttpResponse(status=200, body=body) for body in (b"one", b"", b"three")]
         assert found == wanted, (cut, found)
 
 
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -11,8 +11,8 @@
 from adapter.client_connection import ClientConnection, encode
 from adapter.control_api import ControlApi
 from adapter.error_words import error_word
-from adapter.http_messages import HttpAnswer, HttpRequest
-from adapter.http_server import HttpServer
+from adapter.http_messages import HttpRequest, HttpResponse
+from adapter.http_server import HttpServerConnection
 from adapter.line_splitter import LineSplitter
 from adapter.operator_document import read_document
 from adapter.promotion_call import PromotionCall
@@ -345,11 +345,11 @@
     """The bytes of an answer at an HTTP edge."""
     context.stage = Stage(context=context)
 
-    async def handle(request: HttpRequest) -> HttpAnswer:
+    async def handle(request: HttpRequest) -> HttpResponse:
         body = json.dumps({"error": f"{request.method} {request.target}"}).encode()
-        return HttpAnswer(status=409, body=body)
+        return HttpResponse(status=409, body=body)
 
-    connect(context=context, make=lambda: HttpServer(ctx=context.stage.ctx, handle=handle))
+    connect(context=context, make=lambda: HttpServerConnection(ctx=context.stage.ctx, handle=handle))
     request = b"PUT /cinderstair/settings HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
     context.stage.call(call=lambda: context.transport.feed(request))
     context.stage.advance(for_us=ANSWER_US)
@@ -444,7 +444,7 @@
         "ip": machine.ip,
         "seeds": list(machine.seeds),
         "zones": machine.regions,
-        "spare_ports first": machine.spare_port,
+        "spare_ports first": machine.records_port,
         "data_folder": machine.folder,
         "addresses.front": machine.front,
         "addresses.ready": machine.ready,
@@ -452,7 +452,7 @@
         "provider_api.address": machine.provider,
         "first_run": machine.first_run,
         "survive": machine.losses,
-        "beat_every_ms": machine.beat_every_us,
+        "beat_every_ms": machine.heartbeat_interval_us,
         "bounds.grace_s": machine.grace_us,
         "bounds.catch_up_s": machine.catch_up_us,
         "bounds.drain_ms": machine.drain_us,
--- a/features/steps/settings_file_steps.py
+++ b/features/steps/settings_file_steps.py
@@ -104,7 +104,7 @@
         if found.is_error():
             refused += 1
             continue
-        for field in ("name", "site", "ip", "seeds", "spare_port"):
+        for field in ("name", "site", "ip", "seeds", "records_port"):
             assert getattr(found.ok, field) == getattr(whole, field), (end, field)
     assert refused > len(text) // 3
 
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -35,7 +35,7 @@
             control=options["control"],
             first_run=options["first_run"],
             losses=options["voters"] // 2,
-            beat_every_us=options["beat_every_us"],
+            heartbeat_interval_us=options["beat_every_us"],
         )
         self.ctx = metered_context(
             name=machine.name, site=machine.site, disk=RealDisk(folder=machine.folder), seed=options["seed"]
