--- a/features/steps/backend_link_steps.py
+++ b/features/steps/backend_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps for links to backends."""
+"""Steps for links to backends, and for the dialer and the commands that use them."""
 
 import asyncio
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 def ask_link(*, context: Any, text: str) -> None:
-    """Asks through the link's own methods, as a session does."""
+    """Sends one request through the link's public methods, as a session does."""
     link: BackendLink = context.protocol
     at_least = None
     if text.startswith("AFTER "):
@@ -64,7 +64,7 @@
     context.requested.append(future)
 
 
-@when("the link asks `{texts}`")
+@when("the link sends `{texts}`")
 def when_link_asks(context: Any, texts: str) -> None:
     for text in texts.split(" / "):
         context.stage.call(call=lambda text=text: ask_link(context=context, text=text))
@@ -76,21 +76,21 @@
     assert found == "".join(line + "\r\n" for line in context.text.strip().splitlines()), found
 
 
-@when("the backend says `{text}`")
-@when("the backend says `{text}` at once")
+@when("the backend sends `{text}`")
+@when("the backend sends `{text}` at once")
 def when_backend_says(context: Any, text: str) -> None:
     context.stage.call(call=lambda: context.transport.feed(raw(text=text)))
     context.stage.advance(for_us=1_000)
 
 
-@when("the backend says `{text}` byte by byte")
+@when("the backend sends `{text}` byte by byte")
 def when_backend_says_bytes(context: Any, text: str) -> None:
     for byte in raw(text=text):
         context.stage.call(call=lambda byte=byte: context.transport.feed(bytes([byte])))
     context.stage.advance(for_us=1_000)
 
 
-@when("the link is cut")
+@when("the backend resets the link's connection")
 def when_cut(context: Any) -> None:
     context.stage.call(call=lambda: context.transport.lose(error=ConnectionResetError("reset")))
     context.stage.advance(for_us=1_000)
@@ -107,29 +107,29 @@
     return f"{reported}{marks} {'ITE'[reply.state]} {shown(at=reply.position)}"
 
 
-@then("the answers to the link are `{texts}`")
+@then("the outcomes of the link's requests are `{texts}`")
 def then_link_answers(context: Any, texts: str) -> None:
     found = " / ".join(outcome(future=future) for future in context.requested)
     assert found == texts, found
 
 
-@then("the link is {word}, and was reported lost {count:d} times")
+@then("the link is {word} and on_lost was called {count:d} times")
 def then_link(context: Any, word: str, count: int) -> None:
     context.stage.advance(for_us=1_000)
     assert (context.protocol.open, context.lost) == (word == "open", count), (context.protocol.open, context.lost)
 
 
-@when("the link is closed here")
+@when("the proxy closes the link")
 def when_closed_here(context: Any) -> None:
     context.stage.call(call=context.protocol.close)
 
 
-@then("its connection {ends}")
+@then("the link's connection {ends}")
 def then_ends(context: Any, ends: str) -> None:
     assert context.transport.closing and context.transport.aborted == (ends == "is reset"), ends
 
 
-@then('the link holds the values "{values}" and has prepared "{prepared}"')
+@then('the link has the session values "{values}" and the prepared statements "{prepared}"')
 def then_holds(context: Any, values: str, prepared: str) -> None:
     link: BackendLink = context.protocol
     found = " ".join(f"{k.decode()}={v.decode()}" for k, v in link.values.items()) or "none"
@@ -137,7 +137,7 @@
     assert (found, names) == (values, prepared), (found, names)
 
 
-@when("a backend is dialled, and answers `{script}`")
+@when("a backend that answers `{script}` is dialled")
 def when_dialled(context: Any, script: str) -> None:
     context.stage = Stage(context=context)
     context.streams = MemoryStreams(script=[script])
@@ -151,23 +151,23 @@
     context.stage.advance(for_us=1_000)
 
 
-@then("the one that was meant has surely ended: {words}")
+@then("the error reports the backend as ended: {words}")
 def then_ended(context: Any, words: str) -> None:
     assert context.result.is_error()
     assert bool(context.result.error.details.get("ended")) == (words == "yes"), context.result
 
 
-@then("its greeting was `{text}`")
+@then("the handshake that was sent was `{text}`")
 def then_handshake(context: Any, text: str) -> None:
     assert context.streams.transports[0].sent == raw(text=text), context.streams.transports[0].sent
 
 
-@then("the connection that was dialled is {word}")
+@then("the dialled connection is {word}")
 def then_dialled(context: Any, word: str) -> None:
     assert context.streams.transports[0].closing == (word == "closed")
 
 
-@when("a backend is commanded to {command}, and answers `{script}`")
+@when("the command {command} is sent to a backend that answers `{script}`")
 def when_command(context: Any, command: str, script: str) -> None:
     context.stage = Stage(context=context)
     context.streams = MemoryStreams(script=[script])
@@ -180,17 +180,17 @@
     assert context.stage.now_us - began_us <= 310_000
     if context.result.is_ok():
         state = context.result.ok
-        role = "leads" if state.is_primary else "follows"
+        role = "primary" if state.is_primary else "replica"
         context.result = Ok(f"{role} {state.term} {shown(at=state.received)} {state.term_held}")
     context.stage.advance(for_us=1_000)
 
 
-@then("it was sent `{text}` after the greeting")
+@then("the backend received `{text}` after the handshake")
 def then_command_sent(context: Any, text: str) -> None:
     found = context.streams.transports[0].sent.split(b"\r\n")[1:-1]
     assert found == [raw(text=text)], found
 
 
-@then("a position that was never sent counts as the start")
+@then("a position that was never sent is the start")
 def then_start(context: Any) -> None:
     assert Position(0, 0) == START
--- a/features/steps/client_connection_steps.py
+++ b/features/steps/client_connection_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the connections of clients."""
+"""Steps for client connections, over fakes of the proxy and its sessions."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class FakeSession:
-    """Answers each statement after a while, and keeps a state as a session does."""
+    """Answers each statement after the proxy's `work_us`, and tracks the transaction state as a session does."""
 
     def __init__(self, *, proxy: "FakeProxy") -> None:
         self.proxy = proxy
@@ -35,6 +35,8 @@
 
 
 class FakeProxy:
+    """Opens fake sessions for the database db1; records the statements that ran and the states of closed sessions."""
+
     def __init__(self, *, stage: Stage) -> None:
         self.ctx = stage.ctx
         self.view: Any = type("View", (), {"plan": object()})()
@@ -56,7 +58,7 @@
         self.ended.append(session.state)
 
 
-@given("a client's connection")
+@given("a client connection")
 def given_connection(context: Any) -> None:
     context.stage = Stage(context=context)
     context.proxy = FakeProxy(stage=context.stage)
@@ -70,40 +72,40 @@
     )
 
 
-@given("a client's connection that was greeted")
+@given("a client connection with a completed handshake")
 def given_handshake_done(context: Any) -> None:
-    context.execute_steps("Given a client's connection")
+    context.execute_steps("Given a client connection")
     context.stage.call(call=lambda: context.transport.feed(b"GREET db1 u1\r\n"))
     context.stage.advance(for_us=1_000)
     assert context.transport.take() == b"READY I -\r\n"
 
 
-@when("it sends `{text}`")
+@when("the client sends `{text}`")
 def when_sends(context: Any, text: str) -> None:
     context.stage.call(call=lambda: context.transport.feed(raw(text=text)))
     context.stage.advance(for_us=100_000)
 
 
-@when("it sends `{text}` byte by byte")
+@when("the client sends `{text}` byte by byte")
 def when_sends_bytes(context: Any, text: str) -> None:
     for byte in raw(text=text):
         context.stage.call(call=lambda byte=byte: context.transport.feed(bytes([byte])))
     context.stage.advance(for_us=100_000)
 
 
-@when("it sends a line of more than 1 MiB")
+@when("the client sends a line of more than 1 MiB")
 def when_sends_long(context: Any) -> None:
     context.stage.call(call=lambda: context.transport.feed(b"ASK 1 PUT a " + b"x" * MAX_LINE_BYTES))
     context.stage.advance(for_us=100_000)
 
 
-@then("it receives")
+@then("the client receives")
 def then_receives(context: Any) -> None:
     found = context.transport.take().decode().replace("\r\n", "\n").strip()
     assert found == context.text.strip(), found
 
 
-@then("it receives nothing")
+@then("the client receives nothing")
 def then_receives_nothing(context: Any) -> None:
     assert context.transport.take() == b""
 
@@ -114,7 +116,7 @@
     assert found == texts, found
 
 
-@then('the proxy has ended sessions in "{states}"')
+@then('the proxy has closed sessions in the states "{states}"')
 def then_ended(context: Any, states: str) -> None:
     context.stage.advance(for_us=10_000)
     found = ", ".join(state.name for state in context.proxy.ended) or "none"
@@ -122,7 +124,7 @@
     assert not context.connections
 
 
-@given("no configuration yet")
+@given("the proxy has no configuration")
 def given_none_yet(context: Any) -> None:
     context.proxy.view.plan = None
 
@@ -132,12 +134,12 @@
     context.stage.advance(for_us=wait_ms * 1_000)
 
 
-@when("the time for a greeting is over")
+@when("the handshake timeout expires")
 def when_handshake_over(context: Any) -> None:
     context.stage.advance(for_us=HANDSHAKE_TIMEOUT_US + 1_000)
 
 
-@when("a client that does not read sends {count:d} asks")
+@when("a client that does not read its replies sends {count:d} statements")
 def when_not_reading(context: Any, count: int) -> None:
     context.count = count
     context.stage.call(call=context.protocol.pause_writing)
@@ -146,34 +148,34 @@
     context.stage.advance(for_us=500_000)
 
 
-@then("no more than {count:d} is run, and reading is paused")
+@then("at most {count:d} statement is run and reading is paused")
 def then_paused(context: Any, count: int) -> None:
     assert len(context.proxy.ran) <= count, context.proxy.ran
     assert context.transport.paused and len(context.protocol.queue) > MAX_QUEUED_MESSAGES // 2
 
 
-@when("it reads again")
+@when("the client reads again")
 def when_reads(context: Any) -> None:
     context.stage.call(call=context.protocol.resume_writing)
     context.stage.advance(for_us=1_000_000)
 
 
-@then("all are answered in order, and reading goes on")
+@then("all statements are answered in order and reading resumes")
 def then_all_in_order(context: Any) -> None:
     found = [line.split()[1] for line in context.transport.take().split(b"\r\n") if line.startswith(b"DONE")]
     assert found == [b"%d" % number for number in range(context.count)], found
     assert not context.transport.paused
 
 
-@when("the client vanishes while {what}")
+@when("the client's connection is lost while {what}")
 def when_client_vanishes(context: Any, what: str) -> None:
-    wait_us = {"its statement runs": 1_000, "nothing runs": 100_000}[what]
+    wait_us = {"a statement runs": 1_000, "no statement runs": 100_000}[what]
     context.stage.call(call=lambda: context.transport.feed(b"ASK 7 BEGIN\r\n"))
     context.stage.advance(for_us=wait_us)
     context.stage.call(call=lambda: context.transport.lose(error=ConnectionResetError("reset")))
     context.stage.advance(for_us=100_000)
 
 
-@then("the connection has not crashed")
+@then("the connection's handler has not crashed")
 def then_not_crashed(context: Any) -> None:
     assert not context.stage.crashed, context.stage.crashes
