--- a/features/platform/adapter/error_words.feature
+++ b/features/platform/adapter/error_words.feature
@@ -1,10 +1,10 @@
-Feature: Error words, positions and replies on the wire
+Feature: Error words, positions and replies of the wire protocol
 
-  Scenario Outline: What a session may say, and the word that a client is sent
-    Then <kind> is reported as <word>
+  Scenario Outline: Each error code of a session is reported as one error word
+    Then <code> is reported as <word>
 
-    Examples: promises that nothing is kept, for kinds that are used only where that is so
-      | kind            | word    |
+    Examples: words that guarantee no effect, for codes that are used only where that holds
+      | code            | word    |
       | noLead          | BUSY    |
       | notCurrent      | BUSY    |
       | moving          | BUSY    |
@@ -15,12 +15,12 @@
       | statementDenied | BUSY    |
       | transactionLost | ABORTED |
 
-    Examples: reads alone end with this one
-      | kind       | word |
+    Examples: a code that only reads end with
+      | code       | word |
       | wireUnsure | BUSY |
 
-    Examples: no promises
-      | kind              | word    |
+    Examples: words without that guarantee
+      | code              | word    |
       | outcomeUnknown    | UNKNOWN |
       | internal          | UNKNOWN |
       | timeLeftSpent     | TIMEOUT |
@@ -32,31 +32,31 @@
       | noTransaction     | GARBLED |
       | transactionFailed | GARBLED |
 
-  Scenario: What a backend itself puts as an error is no promise of ours
-    Then no promise is made for "outcomeUnknown, internal, timeLeftSpent, unknownDatabase, malformed"
-    And every kind has a word
+  Scenario: Codes that may leave an effect are reported without the guarantee of none
+    Then no guarantee is given by the words for "outcomeUnknown, internal, timeLeftSpent, unknownDatabase, malformed"
+    And every error code has a word
 
-  Scenario: An error for which a backend had no word may have been run
-    Then no promise is made for "backendFault"
+  Scenario: A backend's error without an error word is reported without a guarantee
+    Then no guarantee is given by the words for "backendFault"
 
-  Scenario Outline: Positions
-    Then the position "<text>" reads as <found>
+  Scenario Outline: A position is parsed, and a malformed one is unknown
+    Then the position "<text>" is parsed as <found>
 
     Examples:
-      | text   | found  |
-      | 4.88 | 4.88 |
-      | 0.0    | 0.0    |
-      | -      | -      |
+      | text    | found |
+      | 4.88    | 4.88  |
+      | 0.0     | 0.0   |
+      | -       | -     |
       | (empty) | -     |
-      | 3      | -      |
-      | 3.     | -      |
-      | .7     | -      |
-      | 3.-7   | -      |
-      | 3.7.1  | -      |
-      | a.b    | -      |
+      | 3       | -     |
+      | 3.      | -     |
+      | .7      | -     |
+      | 3.-7    | -     |
+      | 3.7.1   | -     |
+      | a.b     | -     |
 
-  Scenario: Success, with rows and a stamp
-    Then a reply of 2 rows, stamp st.9, in state I at 4.91 is written as
+  Scenario: A successful reply with rows and a stamp
+    Then a reply of 2 rows, stamp st.9, in state I at 4.91 is encoded as
       """
       ROW row 0
       ROW row 1
@@ -64,29 +64,29 @@
       READY I 4.91
       """
 
-  Scenario: What the system answers itself
-    Then a reply of 0 rows, done, in state T at - is written as
+  Scenario: A reply of the proxy itself has no stamp
+    Then a reply of 0 rows, done, in state T at - is encoded as
       """
       DONE -
       READY T -
       """
 
-  Scenario: A backend's own error, in its words
-    Then a reply of 0 rows, native READONLY srv-2, in state E at 4.91 is written as
+  Scenario: A backend's error is passed on word for word
+    Then a reply of 0 rows, native READONLY srv-2, in state E at 4.91 is encoded as
       """
       ERROR READONLY srv-2
       READY E 4.91
       """
 
-  Scenario: A refusal says when to come back
-    Then a reply of 0 rows, crowded 500, in state I at - is written as
+  Scenario: A refusal states the delay of a retry
+    Then a reply of 0 rows, crowded 500, in state I at - is encoded as
       """
       ERROR BUSY come back in 500 ms
       READY I -
       """
 
-  Scenario: A refusal that nobody should come back from
-    Then a reply of 0 rows, transactionFailed, in state E at - is written as
+  Scenario: A refusal that a retry can't cure states no delay
+    Then a reply of 0 rows, transactionFailed, in state E at - is encoded as
       """
       ERROR GARBLED -
       READY E -
--- a/features/steps/adapter_http_steps.py
+++ b/features/steps/adapter_http_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the adapter's HTTP server and client."""
+"""Steps for the adapter's HTTP server and client, and for the promotion call."""
 
 import asyncio
 import json
@@ -15,16 +15,16 @@
 
 
 def parse_responses(*, data: bytes, methods: list[str]) -> list[HttpResponse]:
-    """Reads answers the way a client would."""
-    wire, found = h11.Connection(h11.CLIENT), []
+    """Parses the responses to requests of these methods as an HTTP client does."""
+    parser, found = h11.Connection(h11.CLIENT), []
     for method in methods:
-        wire.send(h11.Request(method=method, target="/", headers=[("Host", "x")]))
-        wire.send(h11.EndOfMessage())
+        parser.send(h11.Request(method=method, target="/", headers=[("Host", "x")]))
+        parser.send(h11.EndOfMessage())
         if data:
-            wire.receive_data(data)
+            parser.receive_data(data)
             data = b""
         body, status = b"", 0
-        while not isinstance(event := wire.next_event(), h11.EndOfMessage):
+        while not isinstance(event := parser.next_event(), h11.EndOfMessage):
             if event in (h11.NEED_DATA, h11.PAUSED) or isinstance(event, h11.ConnectionClosed):
                 return found
             if isinstance(event, h11.Response):
@@ -32,13 +32,13 @@
             elif isinstance(event, h11.Data):
                 body += event.data
         found.append(HttpResponse(status=status, body=body))
-        if wire.our_state is not h11.DONE or wire.their_state is not h11.DONE:
+        if parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             return found
-        wire.start_next_cycle()
+        parser.start_next_cycle()
     return found
 
 
-@given("an HTTP server that echoes")
+@given("an HTTP server that echoes bodies")
 def given_server(context: Any) -> None:
     context.stage = Stage(context=context)
     context.handled = []
@@ -60,7 +60,7 @@
     return f"{method} {target} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
-@when('the requests "{texts}" come {how}')
+@when('the requests "{texts}" arrive {how}')
 def when_requests(context: Any, texts: str, how: str) -> None:
     each = texts.split(", ")
     context.methods = [text.split()[0] for text in each]
@@ -74,14 +74,14 @@
     context.stage.advance(for_us=200_000)
 
 
-@then('the answers are "{texts}"')
+@then('the responses are "{texts}"')
 def then_answers(context: Any, texts: str) -> None:
     found = parse_responses(data=context.transport.sent, methods=context.methods)
     text = ", ".join(f"{answer.status} {answer.body.decode()}".strip() for answer in found)
     assert text == texts, text
 
 
-@then('what was handled is "{texts}"')
+@then('the handled requests are "{texts}"')
 def then_handled(context: Any, texts: str) -> None:
     found = ", ".join(context.handled) or "nothing"
     assert found == texts, found
@@ -93,14 +93,14 @@
     assert context.transport.closing == (word == "closed")
 
 
-@when("the bytes `{text}` come")
+@when("the bytes `{text}` arrive")
 def when_bytes(context: Any, text: str) -> None:
     context.methods = ["GET"]
     context.stage.call(call=lambda: context.transport.feed(raw(text=text)))
     context.stage.advance(for_us=200_000)
 
 
-@when("a body of {size} bytes comes in chunks of {chunk:d}")
+@when("a body of {size} bytes arrives in chunks of {chunk:d}")
 def when_body(context: Any, size: str, chunk: int) -> None:
     length = MAX_BODY_BYTES + int(size.removeprefix("4 MiB +"))
     context.methods = ["PUT"]
@@ -121,18 +121,18 @@
     assert found == statuses, (found, context.transport.sent[:200])
 
 
-@when("the client ends its side")
+@when("the client closes its sending side")
 def when_ends(context: Any) -> None:
     context.stage.call(call=context.transport.end)
     context.stage.advance(for_us=200_000)
 
 
-@when("the requests come in any two parts, and byte by byte, they are answered alike")
+@when("requests arrive cut at each byte, or byte by byte, the responses are the same")
 def when_any_parts(context: Any) -> None:
     texts = ["PUT /a one", "GET /b", "PUT /c three"]
     data = b"".join(request(text=text) for text in texts)
     for cut in range(len(data)):
-        context.execute_steps("Given an HTTP server that echoes")
+        context.execute_steps("Given an HTTP server that echoes bodies")
         parts = [data[:cut], data[cut:]] if cut else [data[n : n + 1] for n in range(len(data))]
         for part in parts:
             context.stage.call(call=lambda part=part: context.transport.feed(part))
@@ -142,7 +142,7 @@
         assert found == wanted, (cut, found)
 
 
-@when("a post is answered by `{script}`")
+@when("a POST is answered by `{script}`")
 def when_post(context: Any, script: str) -> None:
     context.stage = Stage(context=context)
     context.streams = MemoryStreams(script=[script])
@@ -170,7 +170,7 @@
     promote(context=context, script=script, holds=True)
 
 
-@when("a promotion's lease runs out while its connection is being made")
+@when("the lease of a promotion expires during the connection setup")
 def when_lease_runs_out(context: Any) -> None:
     promote(context=context, script="silence", holds=False)
 
@@ -181,7 +181,7 @@
     assert transport.aborted
 
 
-@then("nothing of it was sent, and the connection closed")
+@then("nothing was sent and the connection is closed")
 def then_nothing_sent(context: Any) -> None:
     (transport,) = context.streams.transports
     assert transport.sent == b"" and transport.closing, (transport.sent, transport.closing)
@@ -193,19 +193,19 @@
     assert found == word, found
 
 
-@then("one whole call was sent, and the connection closed")
+@then("one complete request was sent and the connection is closed")
 def then_sent_whole(context: Any) -> None:
     context.stage.advance(for_us=10_000)
     (transport,) = context.streams.transports
-    wire = h11.Connection(h11.SERVER)
-    wire.receive_data(transport.sent)
-    called = wire.next_event()
-    assert isinstance(called, h11.Request) and isinstance(wire.next_event(), h11.Data)
-    assert isinstance(wire.next_event(), h11.EndOfMessage) and wire.trailing_data == (b"", False)
+    parser = h11.Connection(h11.SERVER)
+    parser.receive_data(transport.sent)
+    called = parser.next_event()
+    assert isinstance(called, h11.Request) and isinstance(parser.next_event(), h11.Data)
+    assert isinstance(parser.next_event(), h11.EndOfMessage) and parser.trailing_data == (b"", False)
     assert transport.closing
 
 
-@then("the call names the holder core-1, the fence 12, the service s1 and the backend srv-1")
+@then("the request has the lease holder core-1, the fencing token 12, the service s1 and the backend srv-1")
 def then_call(context: Any) -> None:
     sent = context.streams.transports[0].sent
     head, _, body = sent.partition(b"\r\n\r\n")
--- a/features/steps/control_api_steps.py
+++ b/features/steps/control_api_steps.py
@@ -1,4 +1,4 @@
-"""Steps for backends' heartbeats and operators' configurations over HTTP."""
+"""Steps for the control API, over a fake controller."""
 
 import json
 from typing import Any
@@ -18,6 +18,8 @@
 
 
 class FakeController:
+    """Records calls; returns the configured results. Takes the part of the controller's `orders`, too."""
+
     def __init__(self) -> None:
         self.received: list[Announcement] = []
         self.submitted: list[ServicePlan] = []
@@ -25,17 +27,17 @@
         self.document: Result[bytes, CinderstairError] = Error(
             CinderstairError(code=ErrorCode.NO_CONFIGURATION, reason="none yet")
         )
-        self.departed: list[str] = []
-        self.in_touch = True
+        self.deregistered: list[str] = []
+        self.has_majority = True
         self.orders = self
 
     async def receive(self, *, announcement: Announcement) -> bool:
         self.received.append(announcement)
-        return self.in_touch
+        return self.has_majority
 
     async def deregister(self, *, name: str) -> bool:
-        self.departed.append(name)
-        return self.in_touch
+        self.deregistered.append(name)
+        return self.has_majority
 
     async def submit(self, *, plan: ServicePlan) -> Result[bool, CinderstairError]:
         self.submitted.append(plan)
@@ -59,7 +61,7 @@
 
 
 @given("a control API")
-def given_edge(context: Any) -> None:
+def given_control_api(context: Any) -> None:
     context.stage = Stage(context=context)
     context.controller = FakeController()
     closer = {"yard-b": "10.2.0.2:5001"}
@@ -82,7 +84,7 @@
     heartbeat = {key: each for key, each in HEARTBEAT.items() if key != field}
     text = json.dumps(heartbeat)
     if value != "missing":
-        # why: as text, since not every JSON can be made from Python's values
+        # appended as text, since json.dumps can't produce every JSON value, such as 1e999
         text = text[:-1] + f', "{field}": {value}}}'
     handle(context=context, method="PUT", target="/cinderstair/servers/srv-1", body=text.encode())
 
@@ -97,42 +99,42 @@
     handle(context=context, method=method, target=target, body=raw(text=body))
 
 
-@when("the operator puts a {what} document")
+@when("the operator puts a document that is {what}")
 def when_puts(context: Any, what: str) -> None:
     found = document()
-    if what == "broken":
+    if what == "invalid":
         found["routes"][0]["give_up_ms"] = 0
     context.raw = json.dumps(found).encode()
     handle(context=context, method="PUT", target="/cinderstair/settings", body=context.raw)
 
 
-@given("a controller out of touch with a majority")
-def given_out_of_touch(context: Any) -> None:
-    context.controller.in_touch = False
+@given("a controller that can't reach a majority")
+def given_no_majority(context: Any) -> None:
+    context.controller.has_majority = False
 
 
 @then("the deregistration of {name} was received")
-def then_departed(context: Any, name: str) -> None:
-    assert context.controller.departed == [name], context.controller.departed
+def then_deregistered(context: Any, name: str) -> None:
+    assert context.controller.deregistered == [name], context.controller.deregistered
 
 
-@given("a controller that answers {kind}")
-def given_kind(context: Any, kind: str) -> None:
-    fault = Error(CinderstairError(code=ErrorCode(kind), reason="so"))
+@given("a controller that returns the error {code}")
+def given_error(context: Any, code: str) -> None:
+    fault = Error(CinderstairError(code=ErrorCode(code), reason="so"))
     context.controller.submits = context.controller.document = fault
 
 
-@given("a controller that keeps `{text}`")
-def given_keeps(context: Any, text: str) -> None:
+@given("a controller that stores `{text}`")
+def given_stored(context: Any, text: str) -> None:
     context.controller.document = Ok(raw(text=text))
 
 
-@then("the answer is {status:d} with `{body}`")
+@then("the response is {status:d} with `{body}`")
 def then_answer(context: Any, status: int, body: str) -> None:
     assert (context.status, context.body) == (status, raw(text=body)), (context.status, context.body)
 
 
-@then("the answer is {status:d}")
+@then("the response is {status:d}")
 def then_status(context: Any, status: int) -> None:
     assert context.status == status, (context.status, context.body)
 
@@ -155,7 +157,7 @@
         assert read_announcement(unpacker=Unpacker(data=packer.bytes())) == each
 
 
-@then("the plan that was submitted keeps the operator's bytes, or there is none: {word}")
-def then_submitted(context: Any, word: str) -> None:
+@then("{count:d} plans with the operator's original bytes were submitted")
+def then_submitted(context: Any, count: int) -> None:
     found = [plan.document for plan in context.controller.submitted]
-    assert found == ([context.raw] if word == "keeps" else []), found
+    assert found == [context.raw] * count, found
--- a/features/steps/error_word_steps.py
+++ b/features/steps/error_word_steps.py
@@ -1,4 +1,4 @@
-"""Steps for error words, positions and replies of the platform's wire."""
+"""Steps for error words, positions and replies of the platform's wire protocol."""
 
 import re
 from typing import Any
@@ -13,28 +13,29 @@
 from cinderstair.pooler.reply import Reply, State, refusal
 from cinderstair.runtime.errors import ErrorCode
 
-PROMISES = (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"WRONGHOST", b"FULL")
+# error words that guarantee that the statement had no effect
+NO_EFFECT_WORDS = (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"WRONGHOST", b"FULL")
 STATES = {"I": State.idle, "T": State.open, "E": State.failed}
 
 
-@then("{kind} is reported as {text}")
-def then_word(context: Any, kind: str, text: str) -> None:
-    found = error_word(code=ErrorCode(kind)).decode()
+@then("{code} is reported as {text}")
+def then_word(context: Any, code: str, text: str) -> None:
+    found = error_word(code=ErrorCode(code)).decode()
     assert found == text, found
 
 
-@then('no promise is made for "{kinds}"')
-def then_no_promise(context: Any, kinds: str) -> None:
-    reported = {kind: error_word(code=ErrorCode(kind)).decode() for kind in kinds.split(", ")}
-    assert not any(found.encode() in PROMISES for found in reported.values()), reported
+@then('no guarantee is given by the words for "{codes}"')
+def then_no_guarantee(context: Any, codes: str) -> None:
+    reported = {code: error_word(code=ErrorCode(code)).decode() for code in codes.split(", ")}
+    assert not any(found.encode() in NO_EFFECT_WORDS for found in reported.values()), reported
 
 
-@then("every kind has a word")
+@then("every error code has a word")
 def then_all_words(context: Any) -> None:
-    assert all(re.fullmatch(rb"[A-Z]+", error_word(code=kind)) for kind in ErrorCode)
+    assert all(re.fullmatch(rb"[A-Z]+", error_word(code=code)) for code in ErrorCode)
 
 
-@then('the position "{text}" reads as {found}')
+@then('the position "{text}" is parsed as {found}')
 def then_position(context: Any, text: str, found: str) -> None:
     read = parse_position(text=raw(text=text))
     assert shown(at=read) == found, read
@@ -42,7 +43,7 @@
         assert parse_position(text=format_position(position=read)) == read
 
 
-@then("a reply of {rows:d} rows, {outcome}, in state {state} at {at} is written as")
+@then("a reply of {rows:d} rows, {outcome}, in state {state} at {at} is encoded as")
 def then_encoded(context: Any, rows: int, outcome: str, state: str, at: str) -> None:
     reply = Reply(rows=[b"row %d" % n for n in range(rows)], state=STATES[state], position=position(text=at))
     kind, _, rest = outcome.partition(" ")
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -273,7 +273,7 @@
     """The control edge's answer to one request, with a controller in the recorded state."""
     stage = Stage(context=context)
     controller = FakeController()
-    controller.in_touch = exchange.get("in_touch", True)
+    controller.has_majority = exchange.get("in_touch", True)
     if "kind" in exchange:
         fault = Error(CinderstairError(code=ErrorCode(exchange["kind"]), reason="because"))
         controller.submits = controller.document = fault
@@ -288,7 +288,7 @@
         "status": answer.status,
         "body": as_text(data=answer.body),
         "heard": [heard_form(each=each) for each in controller.received],
-        "departed": controller.departed,
+        "departed": controller.deregistered,
     }
 
 
