--- a/features/steps/adapter_common.py
+++ b/features/steps/adapter_common.py
@@ -1,4 +1,4 @@
-"""What several steps of the adapter share."""
+"""Shared helpers of the adapter's steps: escaped bytes, a valid document and scripted connections."""
 
 import asyncio
 from collections import deque
@@ -14,11 +14,12 @@
 
 
 def raw(*, text: str) -> bytes:
-    r"""The bytes of a text in which \r, \n, \t and \xNN stand for what they stand for in Python."""
+    r"""The bytes of a text with Python's escapes (\r, \n, \t, \xNN); `(empty)` for none."""
     return b"" if text == "(empty)" else text.encode().decode("unicode_escape").encode("latin-1")
 
 
 def document() -> dict[str, Any]:
+    """A valid configuration document with two services and three routes, two of which are of db2."""
     base = {"path_start": "/", "sort": "primary", "give_up_ms": 650, "rank": 1, "target": "s1", "max_age_ms": 1100}
     return {
         "revision": 21,
@@ -36,6 +37,8 @@
 
 
 def connect(*, context: Any, make: Any) -> None:
+    """Sets `context.protocol` to the protocol that `make` creates, and `context.transport` to its transport."""
+
     def work() -> None:
         context.protocol = make()
         context.transport = MemoryTransport(protocol=context.protocol)
@@ -44,7 +47,9 @@
 
 
 class MemoryStreams:
-    """Connects to a far end that answers by a script: a text to send, `close`, `silence`, `refuse`."""
+    """Connects to a scripted peer. Each entry of the script serves one connection: texts to send, `close`, `silence`
+    or `refuse`, joined by ` + ` and run 1 ms apart.
+    """
 
     def __init__(self, *, script: list[str]) -> None:
         self.script = deque(script)
--- a/features/steps/launch_steps.py
+++ b/features/steps/launch_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the launch of a role, and for the deploy file."""
+"""Steps for the launcher, and for the deploy file (deploy/system.toml)."""
 
 import json
 import math
@@ -26,7 +26,7 @@
 """
 
 
-@when("a Python with the launcher's path loads the role {role}")
+@when("an interpreter with the launcher's path loads the role {role}")
 def when_loads(context: Any, role: str) -> None:
     code = IMPORTS.format(platform=str(REPOSITORY / "platform"), src=str(REPOSITORY / "src"), role=role)
     with tempfile.TemporaryDirectory() as folder:
@@ -37,19 +37,19 @@
     context.loaded = json.loads(done.stdout)
 
 
-@then("its platform is the standard library's")
-def then_standard(context: Any) -> None:
+@then("its platform module is the standard library's")
+def then_standard_platform(context: Any) -> None:
     assert Path(context.loaded["platform"]).parent == Path(os.__file__).parent, context.loaded["platform"]
     assert context.loaded["python"] == "CPython"
 
 
-@then('none of "{names}" are loaded')
+@then('none of the modules "{names}" is loaded')
 def then_not_loaded(context: Any, names: str) -> None:
     found = set(names.split(", ")) & set(context.loaded["loaded"])
     assert not found, found
 
 
-@then('the launcher run as "{arguments}" ends with {code:d} and says "{words}"')
+@then('the launcher with the arguments "{arguments}" exits with {code:d} and prints "{words}"')
 def then_launcher(context: Any, arguments: str, code: int, words: str) -> None:
     command = [sys.executable, str(REPOSITORY / "platform" / "launch.py")]
     command += [] if arguments == "nothing" else arguments.split()
@@ -62,23 +62,23 @@
 def then_deploys(context: Any, count: int, machines: str) -> None:
     role = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())["roles"]["controller"]
     zones = [int(each) for each in machines.split(", ")]
-    # why: a share is rounded up in each zone, and no zone has more than its machines
+    # the platform rounds a share up in each zone, and places at most one controller on each machine
     placed = sum(min(zone, role["count"]) if "count" in role else math.ceil(zone * role["share"]) for zone in zones)
     assert placed == count, placed
     context.placed = placed
 
 
-@then("a majority of them outlives the loss of {losses:d}")
-def then_outlive(context: Any, losses: int) -> None:
+@then("a majority of them remains after the loss of {losses:d}")
+def then_majority(context: Any, losses: int) -> None:
     assert (context.placed - 1) // 2 >= losses, context.placed
 
 
-# which package of the system brings a program, or a module that is run as one
+# system package that provides a program, or a module that is run with `python3 -m`
 PACKAGES = {"python3": "python3", "pip": "python3-pip"}
 SHELL_WORDS = {"[", "{", "}", "touch", "&&", "||"}
 
 
-@then("the deploy file's packages bring each program that its commands begin with")
+@then("the deploy file's packages provide each program that its commands start")
 def then_packages(context: Any) -> None:
     deploy = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())
     commands = re.split(r"&&|\|\||;", deploy["build"])
@@ -88,7 +88,7 @@
         words = [word for word in command.split() if word not in SHELL_WORDS]
         if not words:
             continue
-        # why: what a shell and its base system bring needs no package
+        # shell builtins and programs of the base system need no package
         if words[0] in PACKAGES:
             needed.add(PACKAGES[words[0]])
         if "-m" in words:
@@ -96,7 +96,7 @@
     assert needed == set(deploy["packages"]), (needed, deploy["packages"])
 
 
-@then("every library that the build installs is pure Python, for which no compiler is needed")
+@then("every library that the build installs is pure Python and needs no compiler")
 def then_pure(context: Any) -> None:
     for line in (REPOSITORY / "platform" / "requirements.txt").read_text().split():
         name, _, version = line.partition("==")
--- a/features/steps/line_splitter_steps.py
+++ b/features/steps/line_splitter_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the splitting of a byte stream into lines."""
+"""Steps for the splitter of a byte stream into lines."""
 
 import random
 from typing import Any
@@ -13,14 +13,14 @@
     return [line for chunk in chunks for line in splitter.feed(chunk)]
 
 
-@then('the chunks "{chunks}" make the lines "{lines}"')
+@then('the chunks "{chunks}" are split into the lines "{lines}"')
 def then_lines(context: Any, chunks: str, lines: str) -> None:
     found = feed_all(chunks=[raw(text=chunk) for chunk in chunks.split(" + ")])
     wanted = [] if lines == "none" else [raw(text=line) for line in lines.split(" / ")]
     assert found == wanted, found
 
 
-@then("{count:d} seeded streams make the same lines however they are split")
+@then("{count:d} seeded streams are split into the same lines with any chunks")
 def then_any_split(context: Any, count: int) -> None:
     rng = random.Random("lines")
     for _ in range(count):
@@ -37,10 +37,10 @@
     return b"x" * (MAX_LINE_BYTES + over)
 
 
-@then("a line of 1 MiB is accepted, split {where}")
+@then("a line of 1 MiB is accepted with a chunk boundary {where}")
 def then_mebibyte(context: Any, where: str) -> None:
     stream = long_line(over=0) + b"\r\n"
-    ends = {"nowhere": [], "in its middle": [1000], "before CR": [MAX_LINE_BYTES], "before LF": [MAX_LINE_BYTES + 1]}[
+    ends = {"nowhere": [], "in the middle": [1000], "before CR": [MAX_LINE_BYTES], "before LF": [MAX_LINE_BYTES + 1]}[
         where
     ]
     parts = [stream[a:b] for a, b in zip([0, *ends], [*ends, len(stream)], strict=True)]
@@ -49,8 +49,8 @@
 
 @then("a line over 1 MiB is refused {when}")
 def then_too_long(context: Any, when: str) -> None:
-    end = {"before it ends": b"", "when it ends": b"\r\n", "after another": b"\r\nx\r\n"}[when]
-    # why: a CR may be the first half of an end, and must not count
+    end = {"before its end": b"", "at its end": b"\r\n", "before another line": b"\r\nx\r\n"}[when]
+    # two bytes over the limit: the splitter doesn't count a trailing CR, which may belong to a CR LF
     try:
         LineSplitter().feed(long_line(over=2) + end)
     except ValueError:
--- a/features/steps/operator_document_steps.py
+++ b/features/steps/operator_document_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operator's document."""
+"""Steps for the validation of the operator's document."""
 
 import json
 from typing import Any
@@ -33,7 +33,7 @@
     return read_document(raw=context.raw)
 
 
-@then("it is accepted")
+@then("the document is accepted")
 def then_accepted(context: Any) -> None:
     context.plan = read_changed(context=context)
     assert context.plan.is_ok(), context.plan
@@ -42,7 +42,7 @@
     assert read_service_plan(data=context.plan.bytes()) == context.plan
 
 
-@then("its database {database} leads to {service} as {sort} within {limit_us:d} us, {age_us:d} us old at most")
+@then("the route of the database {database} is {service} as {sort} within {limit_us:d} us, at most {age_us:d} us old")
 def then_route(context: Any, database: str, service: str, sort: str, limit_us: int, age_us: int) -> None:
     found = context.plan.routes[database]
     assert (found.service, found.consistency.name, found.time_limit_us, found.max_age_us) == (
@@ -53,28 +53,28 @@
     ), found
 
 
-@then("its version is {version:d}, its service {service} has {cap:d} links and {confirmations:d} confirmations")
+@then("version {version:d} is read, and service {service} has {cap:d} links and {confirmations:d} confirmations")
 def then_service(context: Any, version: int, service: str, cap: int, confirmations: int) -> None:
     found = context.plan.services[service]
     assert (context.plan.version, found.link_cap, found.confirmations) == (version, cap, confirmations)
 
 
-@then("it is broken")
-def then_broken(context: Any) -> None:
+@then("the document is refused")
+def then_refused(context: Any) -> None:
     found = read_changed(context=context)
     assert found.is_error() and found.error.code == ErrorCode.BROKEN_CONFIGURATION, found
     assert found.error.reason
 
 
-@then("every beginning of it is broken")
-def then_beginnings(context: Any) -> None:
+@then("every proper prefix of the document is refused")
+def then_prefixes(context: Any) -> None:
     whole = json.dumps(context.document).encode()
     for end in range(len(whole)):
         assert read_document(raw=whole[:end]).is_error(), whole[:end]
 
 
-@then("the document {text} is broken")
-def then_raw_broken(context: Any, text: str) -> None:
+@then("the document {text} is refused")
+def then_raw_refused(context: Any, text: str) -> None:
     data = {"of 100000 brackets": b"[" * 100_000, "of noise": b"\xff\xfe\x00{", "of nothing": b""}.get(text)
     found = read_document(raw=raw(text=text) if data is None else data)
     assert found.is_error() and found.error.code == ErrorCode.BROKEN_CONFIGURATION, found
--- a/features/steps/settings_file_steps.py
+++ b/features/steps/settings_file_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the platform's settings file."""
+"""Steps for reading the platform's settings file."""
 
 import os
 import tempfile
@@ -50,17 +50,17 @@
         os.unlink(path)
 
 
-@given("a good platform settings file")
+@given("a valid platform settings file")
 def given_settings(context: Any) -> None:
     context.lines = settings_lines()
 
 
-@when("line {number:d} of it is `{line}`")
+@when("line {number:d} of the file is `{line}`")
 def when_line(context: Any, number: int, line: str) -> None:
     context.lines[number - 1] = "" if line == "-" else raw(text=line).decode()
 
 
-@when("every table and its top gain a field that nobody knows")
+@when("unknown fields are added to every table and to the top level")
 def when_gains(context: Any) -> None:
     context.lines = [line + '\nnew = { a = ["b"] }' if line.startswith("[") else line for line in context.lines]
     context.lines.insert(0, "new = 1979-05-27T07:32:00Z")
@@ -74,28 +74,28 @@
     assert (str(getattr(machine.ok, field)) or "(empty)") == value, getattr(machine.ok, field)
 
 
-@then("the machine stands {distances} from yard-a, yard-b, yard-c and yard-z")
+@then("the distances of the machine are {distances} to yard-a, yard-b, yard-c and yard-z")
 def then_distances(context: Any, distances: str) -> None:
     machine = read_text(context=context, text="\n".join(context.lines).encode()).ok
     found = " ".join(str(machine.distance(site=f"yard-{letter}")) for letter in "abcz")
     assert found == distances, found
 
 
-@then("the file is refused, and {key} on line {number:d} is named")
+@then("the file is refused with an error at {key} on line {number:d}")
 def then_refused_at(context: Any, key: str, number: int) -> None:
     found = read_text(context=context, text="\n".join(context.lines).encode())
     assert found.is_error() and found.error.code == ErrorCode.BAD_SETTINGS, found
     assert found.error.reason.startswith(f"{context.path}:{number}: {key}: "), found.error.reason
 
 
-@then("the file is refused as no TOML")
+@then("the file is refused as invalid TOML")
 def then_no_toml(context: Any) -> None:
     found = read_text(context=context, text="\n".join(context.lines).encode())
     assert found.is_error() and "not TOML" in found.error.reason, found
 
 
-@then("every beginning of it is refused, or says nothing of the machine that the whole does not")
-def then_half(context: Any) -> None:
+@then("every prefix of the file is refused, or has the required fields of the whole file")
+def then_prefixes(context: Any) -> None:
     text = "\n".join(context.lines).encode()
     whole = read_text(context=context, text=text).ok
     refused = 0
@@ -109,7 +109,7 @@
     assert refused > len(text) // 3
 
 
-@then("a file that is not there, and one of noise, are refused")
-def then_not_there(context: Any) -> None:
+@then("a missing file and a file of random bytes are refused")
+def then_unreadable(context: Any) -> None:
     assert read_machine_settings(path="/nowhere/at/all.toml").error.code == ErrorCode.BAD_SETTINGS
     assert read_text(context=context, text=b"\xff\xfe\x00").error.code == ErrorCode.BAD_SETTINGS
--- a/features/steps/statement_steps.py
+++ b/features/steps/statement_steps.py
@@ -1,4 +1,4 @@
-"""Steps for statements as clients write them."""
+"""Steps for parsing clients' statements and formatting them for backends."""
 
 import random
 from typing import Any
@@ -10,13 +10,13 @@
 from cinderstair.pooler.statement import Verb
 
 
-@then('the text "{text}" is a {verb}')
+@then('the text "{text}" is parsed as {verb}')
 def then_statement(context: Any, text: str, verb: str) -> None:
     context.statement = read_statement(ident=b"id1", text=raw(text=text))
     assert context.statement.verb == Verb[verb], context.statement
 
 
-@then('with "{field}" as "{value}"')
+@then('the field "{field}" is "{value}"')
 def then_field(context: Any, field: str, value: str) -> None:
     found = getattr(context.statement, field)
     assert (str(found) if isinstance(found, bool) else found) == (
@@ -24,7 +24,7 @@
     ), found
 
 
-@then('the text "{text}" is no statement')
+@then('the text "{text}" is refused')
 def then_no_statement(context: Any, text: str) -> None:
     try:
         found = read_statement(ident=b"1", text=raw(text=text))
@@ -33,13 +33,13 @@
     raise AssertionError(found)
 
 
-@then("a backend is sent {count:d} seeded reads, writes and commits byte for byte, whatever the alias")
+@then("a backend is sent {count:d} seeded reads, writes and commits byte for byte, with any alias")
 def then_bytes(context: Any, count: int) -> None:
     rng = random.Random("texts")
     for _ in range(count):
         data = rng.randbytes(rng.randrange(1, 60)).replace(b"\r\n", b"")
-        thing = rng.randbytes(rng.randrange(1, 9)).translate(None, b" \r\n") or b"q"
-        for text in (b"FETCH " + thing + data, b"PUT " + thing + b" q" + data, b"COMMIT"):
+        row_key = rng.randbytes(rng.randrange(1, 9)).translate(None, b" \r\n") or b"q"
+        for text in (b"FETCH " + row_key + data, b"PUT " + row_key + b" q" + data, b"COMMIT"):
             read = read_statement(ident=b"1", text=text)
             assert text_for(statement=read, alias=rng.choice([b"", b"p7"])) == text
 
