--- a/features/steps/adapter_common.py
+++ b/features/steps/adapter_common.py
@@ -57,16 +57,16 @@
 
     async def connect(self, *, address: str, protocol: Any, wait_us: int) -> Result[Any, CinderstairError]:
         await asyncio.sleep(0.001)
-        words = self.script.popleft()
-        if words == "refuse":
+        answer_script = self.script.popleft()
+        if answer_script == "refuse":
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: refused"))
-        made = protocol()
-        transport = MemoryTransport(protocol=made)
+        client_protocol = protocol()
+        transport = MemoryTransport(protocol=client_protocol)
         self.transports.append(transport)
         loop = asyncio.get_running_loop()
-        for number, each in enumerate(words.split(" + "), start=1):
-            if each == "close":
+        for number, part in enumerate(answer_script.split(" + "), start=1):
+            if part == "close":
                 loop.call_later(number / 1_000, lambda: transport.lose(error=None))
-            elif each != "silence":
-                loop.call_later(number / 1_000, transport.feed, raw(text=each))
-        return Ok(made)
+            elif part != "silence":
+                loop.call_later(number / 1_000, transport.feed, raw(text=part))
+        return Ok(client_protocol)
--- a/features/steps/operator_document_steps.py
+++ b/features/steps/operator_document_steps.py
@@ -18,14 +18,14 @@
 
 @when("the document has its {path} as {value}")
 def when_changed(context: Any, path: str, value: str) -> None:
-    at: Any = context.document
+    parent: Any = context.document
     *steps, last = [int(step) if step.isdigit() else step for step in path.split(".")]
     for step in steps:
-        at = at[step]
+        parent = parent[step]
     if value == "missing":
-        del at[last]
+        del parent[last]
     else:
-        at[last] = json.loads(value)
+        parent[last] = json.loads(value)
 
 
 def read_changed(*, context: Any) -> Any:
