--- a/features/steps/adapter_common.py
+++ b/features/steps/adapter_common.py
@@ -1,4 +1,4 @@
-"""What several steps of the adapter share."""
+"""Shared helpers of the adapter's steps: escaped bytes, a valid document and scripted connections."""
 
 import asyncio
 from collections import deque
@@ -14,11 +14,12 @@
 
 
 def raw(*, text: str) -> bytes:
-    r"""The bytes of a text in which \r, \n, \t and \xNN stand for what they stand for in Python."""
+    r"""The bytes of a text with Python's escapes (\r, \n, \t, \xNN); `(empty)` for none."""
     return b"" if text == "(empty)" else text.encode().decode("unicode_escape").encode("latin-1")
 
 
 def document() -> dict[str, Any]:
+    """A valid configuration document with two services and three routes, two of which are of db2."""
     base = {"path_start": "/", "sort": "primary", "give_up_ms": 650, "rank": 1, "target": "s1", "max_age_ms": 1100}
     return {
         "revision": 21,
@@ -36,6 +37,8 @@
 
 
 def connect(*, context: Any, make: Any) -> None:
+    """Sets `context.protocol` to the protocol that `make` creates, and `context.transport` to its transport."""
+
     def work() -> None:
         context.protocol = make()
         context.transport = MemoryTransport(protocol=context.protocol)
@@ -44,7 +47,9 @@
 
 
 class MemoryStreams:
-    """Connects to a far end that answers by a script: a text to send, `close`, `silence`, `refuse`."""
+    """Connects to a scripted peer. Each entry of the script serves one connection: texts to send, `close`, `silence`
+    or `refuse`, joined by ` + ` and run 1 ms apart.
+    """
 
     def __init__(self, *, script: list[str]) -> None:
         self.script = deque(script)
@@ -52,16 +57,16 @@
 
     async def connect(self, *, address: str, protocol: Any, wait_us: int) -> Result[Any, CinderstairError]:
         await asyncio.sleep(0.001)
-        words = self.script.popleft()
-        if words == "refuse":
+        answer_script = self.script.popleft()
+        if answer_script == "refuse":
             return Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=f"{address}: refused"))
-        made = protocol()
-        transport = MemoryTransport(protocol=made)
+        client_protocol = protocol()
+        transport = MemoryTransport(protocol=client_protocol)
         self.transports.append(transport)
         loop = asyncio.get_running_loop()
-        for number, each in enumerate(words.split(" + "), start=1):
-            if each == "close":
+        for number, part in enumerate(answer_script.split(" + "), start=1):
+            if part == "close":
                 loop.call_later(number / 1_000, lambda: transport.lose(error=None))
-            elif each != "silence":
-                loop.call_later(number / 1_000, transport.feed, raw(text=each))
-        return Ok(made)
+            elif part != "silence":
+                loop.call_later(number / 1_000, transport.feed, raw(text=part))
+        return Ok(client_protocol)
