--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -143,11 +143,11 @@
     await ctx.sleep(duration_us=1)
     held = first.sessions.add(database="orders")
     assert held is not None
-    assert await first.session_replicator.keep(session=held, until_us=ctx.now_us() + WAIT_US)
+    assert await first.session_replicator.replicate(session=held, until_us=ctx.now_us() + WAIT_US)
     await ctx.sleep(duration_us=PAUSE_US)
     await first.handover.find(handle=SessionToken("front-9.00ee", Tag(2, "00c0ffee")))
     second.ready.draining = True
-    assert await first.handover.hand_all() == 1
+    assert await first.handover.hand_over_all() == 1
     first.sessions.close(session=held)
     await ctx.sleep(duration_us=1)
 
--- a/features/steps/subsetting_steps.py
+++ b/features/steps/subsetting_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cinderstair.http_frontend.subsetting import allotment, shuffled, subset, users, with_replacements
+from cinderstair.http_frontend.subsetting import allotment, proxies_using, shuffled, subset, with_replacements
 
 RECORDED = {
     0: "b04 b08 b05 b11 b10 b03 b00 b02 b01 b07 b09 b06",
@@ -120,7 +120,7 @@
 @then("the allotments of a cap of {cap:d} add up to it and differ by at most 1")
 def then_cap(context: Any, cap: int) -> None:
     for name in context.names:
-        ids = users(
+        ids = proxies_using(
             names=context.names, http_proxy_ids=range(context.http_proxies), subset_size=context.size, name=name
         )
         parts = [allotment(cap=cap, user_ids=ids, http_proxy_id=http_proxy_id) for http_proxy_id in ids]
--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -97,7 +97,7 @@
 
     async def _on_timer(self) -> None:
         # A daemon that reaches no backend can promote none, and must not keep the others from it.
-        if self.reachability.blind:
+        if self.reachability.isolated:
             if self.lease.held:
                 self.ctx.log.warning(
                     "the lease of database failover is given up, since this HTTP proxy reaches no backend"
--- a/src/cinderstair/http_frontend/backend_reachability.py
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -27,7 +27,7 @@
         self.every(every_us=CHECK_EVERY_US, command=self._check, name="sight")
 
     @property
-    def blind(self) -> bool:
+    def isolated(self) -> bool:
         """Whether no backend has answered for BLIND_US."""
         # measured between checks: a process that stood still has received nothing meanwhile, which proves nothing
         return self.checked_us - self.seen_us > BLIND_US
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -89,24 +89,24 @@
             return Result.Error(
                 CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name} is not in this HTTP proxy's share")
             )
-        taken = await pool.take(wait_us=self._left_us(request=request))
+        taken = await pool.acquire(wait_us=self._left_us(request=request))
         if taken.is_error():
             return Result.Error(taken.error)
         connection = taken.ok
         # the wait for a channel may have outlasted the view, the term, or the backend's fitness
         if not self.view.current or not self.connection_pools.usable(name=name):
-            pool.give(connection=connection)
+            pool.release(connection=connection)
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view ran out while the job waited")
             )
-        result = await self.pass_to(
+        result = await self.send_step(
             connection=connection,
             request=request,
             step="alone",
             term=term,
             wait_us=self._reply_wait_us(request=request),
         )
-        pool.give(connection=connection, keep=result.is_ok())
+        pool.release(connection=connection, keep=result.is_ok())
         if result.is_error():
             pool.blame()
             # a read leaves nothing behind, so a lost answer to it leaves nothing unknown
--- a/src/cinderstair/http_frontend/filters/ready_filter.py
+++ b/src/cinderstair/http_frontend/filters/ready_filter.py
@@ -37,12 +37,12 @@
         self.membership = membership
         self.draining = False
         self.emptied_by = ""
-        self.blind = False
+        self.isolated = False
 
     @property
     def leaving(self) -> bool:
         """Whether sessions are to go elsewhere, for a stop or for a window."""
-        return self.draining or bool(self.emptied_by) or self.blind
+        return self.draining or bool(self.emptied_by) or self.isolated
 
     def unready(self) -> NotReady | None:
         """Why no job may pass now; None where jobs may."""
@@ -50,7 +50,7 @@
             return NotReady(ErrorCode.DRAINING, "this HTTP proxy is emptying")
         if self.emptied_by:
             return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.emptied_by}")
-        if self.blind:
+        if self.isolated:
             return NotReady(ErrorCode.NO_BACKEND, "this HTTP proxy reaches no backend")
         if not self.view.current:
             return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy's view of the register is not current")
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -55,7 +55,7 @@
             return self.reject(kind=ErrorCode.OVERLOADED, reason="as many sessions as this HTTP proxy takes")
         session.busy = True
         try:
-            stands = await self.session_replicator.keep(session=session, until_us=request.until_us)
+            stands = await self.session_replicator.replicate(session=session, until_us=request.until_us)
         finally:
             session.busy = False
         value = {"session": session.handle, "stall": self.ctx.name, "stands": 1 + stands}
@@ -72,7 +72,7 @@
             was=session.tag,
             transaction=None,
         )
-        stands = await self.session_replicator.keep(
+        stands = await self.session_replicator.replicate(
             session=changed, until_us=request.until_us or self.ctx.now_us() + KEEP_WAIT_US
         )
         session.values, session.prepared = values, prepared
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -40,11 +40,11 @@
         pool = self.connection_pools.pool(name=assignment.primary)
         if pool is None:
             raise LookupError(f"no pool for the usable backend {assignment.primary}")
-        taken = await pool.take(wait_us=self._left_us(request=request))
+        taken = await pool.acquire(wait_us=self._left_us(request=request))
         if taken.is_error():
             return taken.error
         connection = taken.ok
-        result = await self.pass_to(
+        result = await self.send_step(
             connection=connection,
             request=request,
             step="begin",
@@ -53,7 +53,7 @@
         )
         if result.is_error() or not result.ok.ran:
             # a begin whose answer was lost leaves nothing behind once its channel is closed
-            pool.give(connection=connection, keep=False)
+            pool.release(connection=connection, keep=False)
             if result.is_error():
                 pool.blame()
                 return CinderstairError(code=ErrorCode.NO_BACKEND, reason=result.error.reason)
@@ -84,7 +84,7 @@
         if not self._holds(transaction=transaction):
             return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the lead moved"))
         left_us = self._left_us(request=request)
-        result = await self.pass_to(
+        result = await self.send_step(
             connection=transaction.connection, request=request, step=step, term=transaction.term, wait_us=left_us
         )
         transaction.used_us = self.ctx.now_us()
@@ -110,7 +110,7 @@
     def _end(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
         """The transaction is over; its channel goes on only if the backend has said so."""
         session.transaction = None
-        transaction.pool.give(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
+        transaction.pool.release(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
 
     async def _commit(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
--- a/src/cinderstair/http_frontend/forward_mixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -45,7 +45,7 @@
 class ForwardMixin:
     """Sends the text of a job unchanged, with the session's values beside it."""
 
-    async def pass_to(
+    async def send_step(
         self, *, connection: Connection, request: Request, step: str, term: int, wait_us: int
     ) -> Result[Reply, CinderstairError]:
         """Sends one step (`alone`, `begin`, `in`, `commit` or `rollback`) of a term.
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -87,7 +87,7 @@
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
         # the proxy that hands it over may end as soon as this one has answered
-        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
+        await self.session_replicator.replicate(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
     async def _sought(self, unpacker: Unpacker) -> bytes:
@@ -112,14 +112,14 @@
         self.ctx.rng.shuffle(others)
         return sorted(others, key=lambda member: member.site != self.ctx.site)
 
-    async def hand_all(self) -> int:
+    async def hand_over_all(self) -> int:
         """Hands over every idle session; returns how many are still here."""
         idle = [s for s in self.sessions.open.values() if not s.busy and s.transaction is None]
         for start in range(0, len(idle), MAX_CONCURRENT):
-            await asyncio.gather(*(self._hand(session=each) for each in idle[start : start + MAX_CONCURRENT]))
+            await asyncio.gather(*(self._hand_over(session=each) for each in idle[start : start + MAX_CONCURRENT]))
         return len(self.sessions.open)
 
-    async def _hand(self, *, session: Session) -> None:
+    async def _hand_over(self, *, session: Session) -> None:
         # while others were handed over it may have become busy, or been handed over already
         if session.busy or session.transaction is not None or session.ident not in self.sessions.open:
             return
@@ -209,5 +209,5 @@
         self.session_replicator.forget(
             session=replace(session, tag=older), members=self.membership.alive(role="stall")
         )
-        await self.session_replicator.keep(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
+        await self.session_replicator.replicate(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return session
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -243,9 +243,9 @@
         return self.session_drain.held_back
 
     def _tend(self) -> None:
-        if self.ready.blind != self.reachability.blind:
-            self.ctx.log.warning("reaches no backend" if self.reachability.blind else "reaches backends again")
-            self.ready.blind = self.reachability.blind
+        if self.ready.isolated != self.reachability.isolated:
+            self.ctx.log.warning("reaches no backend" if self.reachability.isolated else "reaches backends again")
+            self.ready.isolated = self.reachability.isolated
         self.session_drain.follow_windows()
         if self.ctx.traces is not None:
             self.ctx.traces.flush()
@@ -272,7 +272,7 @@
         self.ready.draining = True
         until_us = self.ctx.now_us() + self.settings.drain_wait_us
         # replicas held for others: their owners need a moment to replicate elsewhere, or are lost
-        while (await self.handover.hand_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
+        while (await self.handover.hand_over_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
             self.session_replicas.adopt()
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         # new connections are refused, and their clients go elsewhere; those that are open are still answered
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -78,12 +78,12 @@
         """Records an error of the backend, which adds to its weight for a while."""
         self.errors.append(self.ctx.now_us())
 
-    def _room(self, *, gauge: bool) -> bool:
+    def _room(self, *, priority: bool) -> bool:
         # a gauge that waits behind jobs would make every freshness promise wait with it
-        spare = 0 if gauge or self.limit < 2 else 1
+        spare = 0 if priority or self.limit < 2 else 1
         return self.taken < self.limit - spare
 
-    async def take(self, *, wait_us: int, gauge: bool = False) -> Result[Connection, CinderstairError]:
+    async def acquire(self, *, wait_us: int, priority: bool = False) -> Result[Connection, CinderstairError]:
         """A channel for one job or one transaction, to be given back by `give`.
 
         :param gauge: a position query, which goes ahead of jobs and may use the channel that is kept for it.
@@ -92,8 +92,8 @@
         """
         if self.limit == 0:
             return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's share"))
-        if not self._room(gauge=gauge):
-            waited = await self._wait_for_room(wait_us=wait_us, gauge=gauge)
+        if not self._room(priority=priority):
+            waited = await self._wait_for_room(wait_us=wait_us, priority=priority)
             if waited.is_error():
                 return Error(waited.error)
         self.taken += 1
@@ -107,28 +107,28 @@
     def _error(self, *, code: ErrorCode, reason: str, details: dict[str, int] | None = None) -> CinderstairError:
         return CinderstairError(code=code, reason=f"{self.name}: {reason}", details=details or {})
 
-    async def _wait_for_room(self, *, wait_us: int, gauge: bool) -> Result[None, CinderstairError]:
+    async def _wait_for_room(self, *, wait_us: int, priority: bool) -> Result[None, CinderstairError]:
         entered_us = self.ctx.now_us()
-        expected_us = self._expected_us(gauge=gauge)
+        expected_us = self._expected_us(priority=priority)
         # whoever is not likely to be served in time is rejected now, with the time to come back, and not when it is
         # too late; twice the expected wait, since jobs differ widely
         if len(self.waiting) >= self.queue_limit or wait_us <= 2 * (expected_us + self._hold_us()):
             details = {"retryAfterUs": max(MIN_RETRY_US, expected_us)}
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="too many wait already", details=details))
-        if not await self._queue(wait_us=wait_us, gauge=gauge):
+        if not await self._queue(wait_us=wait_us, priority=priority):
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="no channel within the time left"))
         if self.limit == 0:
             return Error(self._error(code=ErrorCode.NO_BACKEND, reason="left this HTTP proxy's share"))
         # what would most likely run out of time at the backend is better not sent, while nothing is kept
-        if not gauge and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
+        if not priority and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
             self._wake()
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="too little time is left after the wait"))
         return Ok(None)
 
-    async def _queue(self, *, wait_us: int, gauge: bool) -> bool:
+    async def _queue(self, *, wait_us: int, priority: bool) -> bool:
         """Waits for a connection; false where none came in time."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        if gauge:
+        if priority:
             self.waiting.appendleft(waiter)
         else:
             self.waiting.append(waiter)
@@ -145,10 +145,10 @@
                 self.waiting.remove(waiter)
         return True
 
-    def _expected_us(self, *, gauge: bool) -> int:
+    def _expected_us(self, *, priority: bool) -> int:
         """How long one more job would wait, by how long channels were held of late."""
-        ahead = 0 if gauge else len(self.waiting)
-        return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if gauge else 1))
+        ahead = 0 if priority else len(self.waiting)
+        return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if priority else 1))
 
     def _hold_us(self) -> int:
         """How long a job holds a channel; those under way count too, so a backend that turns slow shows early."""
@@ -175,7 +175,7 @@
         self.ctx.counters.add(name="channels.opened")
         return self._lend(connection=dialled.ok)
 
-    def give(self, *, connection: Connection, keep: bool = True) -> None:
+    def release(self, *, connection: Connection, keep: bool = True) -> None:
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
         channel = self.in_use.pop(id(connection), None)
         if channel is not None:
@@ -192,7 +192,7 @@
         self._wake()
 
     def _wake(self) -> None:
-        while self.waiting and (self._room(gauge=False) or self.limit == 0):
+        while self.waiting and (self._room(priority=False) or self.limit == 0):
             waiter = self.waiting.popleft()
             if not waiter.done():
                 waiter.set_result(None)
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -37,14 +37,14 @@
         return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name}: not to be asked"))
     if direct and pool.limit == 0:
         return await query_position_directly(connection_pools=connection_pools, address=pool.address, name=name)
-    taken = await pool.take(wait_us=POSITION_QUERY_WAIT_US, gauge=True)
+    taken = await pool.acquire(wait_us=POSITION_QUERY_WAIT_US, priority=True)
     if taken.is_error():
         return Error(taken.error)
     body = json.dumps({"atLeast": at_least, "holdUs": hold_us}).encode()
     result = await taken.ok.send_request(
         request=HttpRequest(method="POST", path="/position", body=body), wait_us=POSITION_QUERY_WAIT_US + hold_us
     )
-    pool.give(connection=taken.ok, keep=result.is_ok())
+    pool.release(connection=taken.ok, keep=result.is_ok())
     if result.is_error():
         pool.blame()
         return Error(result.error)
--- a/src/cinderstair/http_frontend/session_drain.py
+++ b/src/cinderstair/http_frontend/session_drain.py
@@ -59,6 +59,6 @@
 
     async def _hand_over(self) -> None:
         try:
-            await self.handover.hand_all()
+            await self.handover.hand_over_all()
         finally:
             self.running = False
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -73,7 +73,7 @@
             members = [*first[offset:], *first[:offset], *members[SECONDARIES:]]
         return sorted(members, key=lambda member: member.name != session.replica_holder)
 
-    async def keep(self, *, session: Session, until_us: int) -> bool:
+    async def replicate(self, *, session: Session, until_us: int) -> bool:
         """Replicates a session; whether a second HTTP proxy now holds it."""
         for member in self._secondaries_for(session=session)[:2]:
             wait_us = min(REPLICA_WAIT_US, (until_us - self.ctx.now_us()) // 3)
@@ -148,7 +148,7 @@
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
         # at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
         if members:
-            await asyncio.gather(*(self.keep(session=each, until_us=until_us) for each in alone[:MAX_REPAIRS]))
+            await asyncio.gather(*(self.replicate(session=each, until_us=until_us) for each in alone[:MAX_REPAIRS]))
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.alone)
 
     async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -49,7 +49,7 @@
         if transaction is not None:
             session.transaction = None
             session.lost = True
-            transaction.pool.give(connection=transaction.connection, keep=False)
+            transaction.pool.release(connection=transaction.connection, keep=False)
             self.ctx.counters.add(name="transactions.abandoned")
 
     def _sweep(self) -> None:
--- a/src/cinderstair/http_frontend/subsetting.py
+++ b/src/cinderstair/http_frontend/subsetting.py
@@ -64,7 +64,7 @@
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
 
 
-def users(*, names: Sequence[str], http_proxy_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
+def proxies_using(*, names: Sequence[str], http_proxy_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
     """The HTTP proxies, by id, in whose subset a backend is."""
     return [
         http_proxy_id
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -112,21 +112,21 @@
     def abandon(self: Any, *, session: Any) -> None:
         transaction, session.transaction = session.transaction, None
         if transaction is not None:
-            transaction.pool.give(connection=transaction.connection, keep=True)
+            transaction.pool.release(connection=transaction.connection, keep=True)
 
     return [patch.object(Sessions, "abandon", abandon)]
 
 
 def other_text() -> Patches:
     """The text of a statement is changed on its way."""
-    original = ForwardMixin.pass_to
+    original = ForwardMixin.send_step
 
-    async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
+    async def send_step(self: Any, *, request: Any, **rest: Any) -> Any:
         if request.body.get("text", "").startswith("list"):
             request.body["text"] = request.body["text"] + " "
         return await original(self, request=request, **rest)
 
-    return [patch.object(ForwardMixin, "pass_to", pass_to)]
+    return [patch.object(ForwardMixin, "send_step", send_step)]
 
 
 def mixed_values() -> Patches:
@@ -149,12 +149,12 @@
 def lose_sessions() -> Patches:
     """An HTTP proxy that must stand empty forgets its sessions instead of handing them on."""
 
-    async def hand_all(self: Any) -> int:
+    async def hand_over_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
     # why: their copies would bring them back
-    return [*no_replicas(), patch.object(Handover, "hand_all", hand_all)]
+    return [*no_replicas(), patch.object(Handover, "hand_over_all", hand_over_all)]
 
 
 def newest_always() -> Patches:
@@ -252,25 +252,25 @@
 
 def other_params() -> Patches:
     """The parameters of a statement are changed on their way."""
-    original = ForwardMixin.pass_to
+    original = ForwardMixin.send_step
 
-    async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
+    async def send_step(self: Any, *, request: Any, **rest: Any) -> Any:
         if request.body.get("params"):
             request.body["params"] = [str(each).upper() for each in request.body["params"]]
         return await original(self, request=request, **rest)
 
-    return [patch.object(ForwardMixin, "pass_to", pass_to)]
+    return [patch.object(ForwardMixin, "send_step", send_step)]
 
 
 def lose_prepared() -> Patches:
     """A session is handed on without what it has prepared."""
-    original = Handover._hand
+    original = Handover._hand_over
 
     async def hand(self: Any, *, session: Any) -> None:
         session.prepared.clear()
         await original(self, session=session)
 
-    return [patch.object(Handover, "_hand", hand)]
+    return [patch.object(Handover, "_hand_over", hand)]
 
 
 def never_give_up() -> Patches:
@@ -286,11 +286,11 @@
 def no_replicas() -> Patches:
     """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
 
-    async def keep(self: Any, *, session: Any, until_us: int) -> bool:
+    async def replicate(self: Any, *, session: Any, until_us: int) -> bool:
         session.replica_holder = "nobody"
         return True
 
-    return [patch.object(SessionReplicator, "keep", keep)]
+    return [patch.object(SessionReplicator, "replicate", replicate)]
 
 
 class AnyTag(Tag):
@@ -331,9 +331,9 @@
     original = Pool.resize
 
     async def fill(*, pool: Pool) -> None:
-        for taken in [await pool.take(wait_us=1_000_000, gauge=True) for _ in range(pool.limit - pool.open)]:
+        for taken in [await pool.acquire(wait_us=1_000_000, priority=True) for _ in range(pool.limit - pool.open)]:
             if taken.is_ok():
-                pool.give(connection=taken.ok)
+                pool.release(connection=taken.ok)
 
     def resize(self: Any, *, limit: int) -> None:
         original(self, limit=limit)
