--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -264,14 +264,14 @@
         floor=77,
         used_us=NOW_US - 250_000,
         tag=SESSION_TAG if marked else UNMARKED,
-        was=Tag(3, "00c0ffee") if marked else UNMARKED,
+        previous_tag=Tag(3, "00c0ffee") if marked else UNMARKED,
     )
 
 
 def first_version_session(*, marked: bool) -> Session:
     """What the first version carries of a session: neither its age nor its former state."""
     found = session(marked=marked)
-    found.used_us, found.was = NOW_US, UNMARKED
+    found.used_us, found.previous_tag = NOW_US, UNMARKED
     return found
 
 
--- a/src/cinderstair/http_frontend/backend_reachability.py
+++ b/src/cinderstair/http_frontend/backend_reachability.py
@@ -8,7 +8,7 @@
 
 CHECK_EVERY_US = 500_000
 # without an answer for so long, this proxy counts as cut off from all backends
-BLIND_US = 4_000_000
+ISOLATED_AFTER_US = 4_000_000
 
 
 class BackendReachability(CommandQueueMixin):
@@ -21,8 +21,8 @@
         self.ctx = ctx
         self.connection_pools = connection_pools
         self.heartbeat_table = heartbeat_table
-        self.seen_us = ctx.now_us()
-        self.checked_us = ctx.now_us()
+        self.last_answer_us = ctx.now_us()
+        self.last_check_us = ctx.now_us()
         self.open_queue()
         self.every(every_us=CHECK_EVERY_US, command=self._check, name="sight")
 
@@ -30,29 +30,29 @@
     def isolated(self) -> bool:
         """Whether no backend has answered for BLIND_US."""
         # measured between checks: a process that stood still has received nothing meanwhile, which proves nothing
-        return self.checked_us - self.seen_us > BLIND_US
+        return self.last_check_us - self.last_answer_us > ISOLATED_AFTER_US
 
-    def seen(self) -> None:
+    def record_answer(self) -> None:
         """Records that a backend has answered just now."""
-        self.seen_us = max(self.seen_us, self.ctx.now_us())
+        self.last_answer_us = max(self.last_answer_us, self.ctx.now_us())
 
     async def _check(self) -> None:
         now_us = self.ctx.now_us()
-        if now_us - self.checked_us > 2 * CHECK_EVERY_US:
-            self.seen_us += now_us - self.checked_us
-        self.checked_us = now_us
-        fit = [
+        if now_us - self.last_check_us > 2 * CHECK_EVERY_US:
+            self.last_answer_us += now_us - self.last_check_us
+        self.last_check_us = now_us
+        healthy = [
             name
             for name in self.connection_pools.pools
             if self.heartbeat_table.healthy(name=name) and self.connection_pools.open(name=name)
         ]
         # where no backend is fit, none can answer
-        if not fit:
-            self.seen()
-        elif now_us - self.seen_us > CHECK_EVERY_US:
-            self.ctx.spawn(work=self._ask(name=self.ctx.rng.choice(fit)), name="sight.ask")
-
-    async def _ask(self, *, name: str) -> None:
-        reading = await query_position(connection_pools=self.connection_pools, name=name)
-        if reading.is_ok():
-            self.seen()
+        if not healthy:
+            self.record_answer()
+        elif now_us - self.last_answer_us > CHECK_EVERY_US:
+            self.ctx.spawn(work=self._probe(name=self.ctx.rng.choice(healthy)), name="sight.ask")
+
+    async def _probe(self, *, name: str) -> None:
+        position = await query_position(connection_pools=self.connection_pools, name=name)
+        if position.is_ok():
+            self.record_answer()
--- a/src/cinderstair/http_frontend/commit_watermarks.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -18,15 +18,15 @@
         self.ctx = ctx
         self.view = view
         self.connection_pools = connection_pools
-        self.lines: dict[str, ReplicaWatermark] = {}
+        self.watermarks: dict[str, ReplicaWatermark] = {}
 
-    def line(self, *, name: str) -> ReplicaWatermark:
+    def watermark(self, *, name: str) -> ReplicaWatermark:
         """The watermark of a replica, created when it is first needed."""
-        if name not in self.lines:
-            self.lines[name] = ReplicaWatermark(ctx=self.ctx, connection_pools=self.connection_pools, name=name)
-        return self.lines[name]
+        if name not in self.watermarks:
+            self.watermarks[name] = ReplicaWatermark(ctx=self.ctx, connection_pools=self.connection_pools, name=name)
+        return self.watermarks[name]
 
-    def holds(self, *, database: str, term: int) -> bool:
+    def term_in_force(self, *, database: str, term: int) -> bool:
         """The term is still the one in force, by a view that is current now."""
         assignment = self.view.assignment(database=database)
         return self.view.current and assignment is not None and assignment.term == term and assignment.serves
@@ -36,7 +36,7 @@
 
         :returns: whether they do, in a term that is still in force; false at `until_us`.
         """
-        requested: set[str] = set()
+        polled: set[str] = set()
         while True:
             assignment = self.view.assignment(database=database)
             # once another term has begun, nothing of this one may be acknowledged any more
@@ -45,7 +45,7 @@
             missing = [
                 name
                 for name in assignment.confirmers
-                if not self.line(name=name).covers(term=term, position=position)
+                if not self.watermark(name=name).covers(term=term, position=position)
             ]
             # with nobody in sync a commit would stand on one disk alone
             if assignment.in_sync and not missing and self.view.current:
@@ -54,21 +54,23 @@
             if left_us <= 0:
                 return False
             for name in missing:
-                if name not in requested or not self.line(name=name).asking:
-                    requested.add(name)
-                    self.line(name=name).want(term=term, position=position)
-            await self._change(names=missing, wait_us=min(left_us, RECHECK_US))
+                if name not in polled or not self.watermark(name=name).polling:
+                    polled.add(name)
+                    self.watermark(name=name).request(term=term, position=position)
+            await self._wait_for_any(names=missing, wait_us=min(left_us, RECHECK_US))
 
-    async def _change(self, *, names: list[str], wait_us: int) -> None:
-        waits = [self.ctx.spawn(work=self._one(name=name, wait_us=wait_us), name="line") for name in names]
+    async def _wait_for_any(self, *, names: list[str], wait_us: int) -> None:
+        waits = [
+            self.ctx.spawn(work=self._wait_for_watermark(name=name, wait_us=wait_us), name="line") for name in names
+        ]
         if not waits:
             await self.ctx.sleep(duration_us=wait_us)
             return
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
 
-    async def _one(self, *, name: str, wait_us: int) -> None:
+    async def _wait_for_watermark(self, *, name: str, wait_us: int) -> None:
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
-                await self.line(name=name).changed.wait()
+                await self.watermark(name=name).changed.wait()
         except TimeoutError:
             pass
--- a/src/cinderstair/http_frontend/filters/body_filter.py
+++ b/src/cinderstair/http_frontend/filters/body_filter.py
@@ -9,8 +9,8 @@
 from ..request import Request
 
 MAX_BODY_BYTES = 1024 * 1024
-NO_BODY = frozenset(["ready", "drain", "counters", "status", "fetch", "close", "unprepare"])
-RAW_BODY = frozenset(["submit"])
+NO_BODY_VERBS = frozenset(["ready", "drain", "counters", "status", "fetch", "close", "unprepare"])
+RAW_BODY_VERBS = frozenset(["submit"])
 
 
 class BodyFilter(RejectMixin):
@@ -24,7 +24,7 @@
         if len(request.http.body) > MAX_BODY_BYTES:
             return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a body holds {MAX_BODY_BYTES} bytes at the most")
         # a configuration is kept to the byte, so it is not taken apart here
-        if request.verb in NO_BODY or request.verb in RAW_BODY:
+        if request.verb in NO_BODY_VERBS or request.verb in RAW_BODY_VERBS:
             return None
         try:
             body = json.loads(request.http.body)
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -83,7 +83,7 @@
     async def _submit(self, *, request: Request) -> HttpResponse:
         result = await self.configuration_store.submit(raw=request.http.body)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         configuration, found = result.ok.configuration, result.ok.found
         self.view.take_own(key=CONFIGURATION_KEY, result=type(result).Ok(found))
         return self.done(value={"version": configuration.version, "warnings": list(configuration.warnings)})
@@ -91,7 +91,7 @@
     async def _fetch(self) -> HttpResponse:
         result = await self.configuration_store.fetch()
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         # read back to the byte, so it leaves as it came and not as we would write it
         return HttpResponse(status=200, body=result.ok)
 
@@ -108,7 +108,7 @@
         succession = Succession(ctx=self.ctx, register=self.configuration_store.register)
         result = await succession.succeed(leaves=leaves, enters=voter, max_voters=max_voters)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         names = [each.name for each in result.ok.voters]
         return self.done(value={"epoch": result.ok.epoch, "vaults": names})
 
@@ -120,5 +120,5 @@
             )
         result = await self.database_failover.override(database=database, backend=backend)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         return self.done(value={"term": result.ok.term})
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -6,7 +6,7 @@
 from ..reject_mixin import RejectMixin
 from ..request import MAX_TIME_LEFT_US, Request
 
-TIMED = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
+TIMED_VERBS = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
 
 
 class DeadlineFilter(RejectMixin):
@@ -17,7 +17,7 @@
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Rejects a time left that is missing, malformed or spent; else None."""
-        if request.verb not in TIMED:
+        if request.verb not in TIMED_VERBS:
             return None
         left = request.body.get("timeLeftUs")
         if left is None:
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -18,7 +18,7 @@
 from .retry_mixin import RetryMixin
 
 # what a read gets at least of its time left, before it is sent to another backend
-READ_WAIT_US = 250_000
+MIN_READ_WAIT_US = 250_000
 
 
 class ForwardBase(RetryMixin, ForwardMixin):
@@ -72,10 +72,10 @@
             return Result.Error(
                 CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
             )
-        unasked = [name for name in assignment.confirmers if not self.connection_pools.open(name=name)]
-        if writes and unasked:
+        unconnected = [name for name in assignment.confirmers if not self.connection_pools.open(name=name)]
+        if writes and unconnected:
             return Result.Error(
-                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unasked[0]}")
+                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unconnected[0]}")
             )
         return Result.Ok(assignment)
 
@@ -108,7 +108,7 @@
         )
         pool.release(connection=connection, keep=result.is_ok())
         if result.is_error():
-            pool.blame()
+            pool.record_error()
             # a read leaves nothing behind, so a lost answer to it leaves nothing unknown
             if request.kind != "write":
                 return Result.Error(
@@ -121,7 +121,7 @@
         if request.kind == "write":
             return left_us
         # a read may be sent again to another backend, so a silent one must not use up all of its time
-        return max(left_us // 2, min(left_us, READ_WAIT_US))
+        return max(left_us // 2, min(left_us, MIN_READ_WAIT_US))
 
     def _rejected(self, *, reply: Reply) -> HttpResponse | CinderstairError:
         """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
@@ -140,7 +140,7 @@
             return self._unknown(reason="the primary answered in another term")
         if not reply.wrote:
             # nothing was written, so only what was read must still hold
-            if not self.commit_watermarks.holds(database=database, term=term):
+            if not self.commit_watermarks.term_in_force(database=database, term=term):
                 return self.reject(kind=ErrorCode.NOT_CURRENT, reason="the lead moved meanwhile; nothing was written")
             return self.done(value={"rows": reply.rows})
         wait_us = self.configuration.amount(name="commitWait", database=database)
--- a/src/cinderstair/http_frontend/filters/ready_filter.py
+++ b/src/cinderstair/http_frontend/filters/ready_filter.py
@@ -10,10 +10,10 @@
 from ..reject_mixin import RejectMixin
 from ..request import Request
 from ..view import View
-from .deadline_filter import TIMED
+from .deadline_filter import TIMED_VERBS
 
 # addresses that a client is given at most
-MAX_ELSEWHERE = 3
+MAX_ALTERNATIVES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,20 +36,20 @@
         self.view = view
         self.membership = membership
         self.draining = False
-        self.emptied_by = ""
+        self.drained_by = ""
         self.isolated = False
 
     @property
     def leaving(self) -> bool:
         """Whether sessions are to go elsewhere, for a stop or for a window."""
-        return self.draining or bool(self.emptied_by) or self.isolated
+        return self.draining or bool(self.drained_by) or self.isolated
 
     def unready(self) -> NotReady | None:
         """Why no job may pass now; None where jobs may."""
         if self.draining:
             return NotReady(ErrorCode.DRAINING, "this HTTP proxy is emptying")
-        if self.emptied_by:
-            return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.emptied_by}")
+        if self.drained_by:
+            return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.drained_by}")
         if self.isolated:
             return NotReady(ErrorCode.NO_BACKEND, "this HTTP proxy reaches no backend")
         if not self.view.current:
@@ -64,11 +64,11 @@
         """A response's details: the addresses of other HTTP proxies, for the client to go to."""
         others = [member.http for member in self.membership.alive(role="stall")]
         self.ctx.rng.shuffle(others)
-        return {"elsewhere": others[:MAX_ELSEWHERE]}
+        return {"elsewhere": others[:MAX_ALTERNATIVES]}
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Rejects a timed job; jobs that end a transaction pass while sessions are handed over."""
-        if request.verb not in TIMED:
+        if request.verb not in TIMED_VERBS:
             return None
         not_ready = self.unready()
         # an open transaction may end here even while the HTTP proxy empties; nothing new may begin
--- a/src/cinderstair/http_frontend/filters/retry_mixin.py
+++ b/src/cinderstair/http_frontend/filters/retry_mixin.py
@@ -35,20 +35,20 @@
     async def _retry(self, *, request: Request, attempt: Attempt) -> HttpResponse:
         """Repeats attempts of a job that provably ran nowhere, or that only reads; rejects with the last error."""
         tried: set[str] = set()
-        fault = CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="no time was left for another round")
+        error = CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="no time was left for another round")
         for number in range(MAX_ATTEMPTS):
             outcome = await attempt(request=request, tried=tried)
             if isinstance(outcome, HttpResponse):
                 return outcome
-            fault = outcome
+            error = outcome
             self.ctx.counters.add(name="jobs.rounds")
-            if fault.code == ErrorCode.MOVING and await self._wait_for_move(request=request):
+            if error.code == ErrorCode.MOVING and await self._wait_for_move(request=request):
                 tried.clear()
                 continue
-            if fault.code in NOT_RETRIED or self._left_us(request=request) <= RETRY_PAUSE_US * 2:
+            if error.code in NOT_RETRIED or self._left_us(request=request) <= RETRY_PAUSE_US * 2:
                 break
             await self.ctx.sleep(duration_us=RETRY_PAUSE_US * number)
-        return self.reject_with(fault=fault)
+        return self.reject_with(error=error)
 
     async def _wait_for_move(self, *, request: Request) -> bool:
         """Waits for a planned move to end; false where it doesn't, at once where the job has too little time left."""
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -28,13 +28,17 @@
         handle = parse_session_token(text=request.session_id)
         session = self.sessions.find(ident=handle.ident)
         # the client was promised a later state than the one here, so this HTTP proxy was away for too long
-        if session is not None and handle.tag.revision >= session.tag.revision and not session.known(tag=handle.tag):
+        if (
+            session is not None
+            and handle.tag.revision >= session.tag.revision
+            and not session.accepts(tag=handle.tag)
+        ):
             self.sessions.close(session=session)
             session = None
         if session is None:
-            return await self._elsewhere(request=request, handle=handle)
+            return await self._find_elsewhere(request=request, handle=handle)
         if handle.tag != session.tag:
-            return self._older(request=request, handle=handle, session=session)
+            return self._on_old_token(request=request, handle=handle, session=session)
         if session.busy:
             return self.reject(kind=ErrorCode.SESSION_BUSY, reason="another job of this session is under way")
         not_ready = self.ready.unready()
@@ -45,37 +49,39 @@
         session.used_us = self.ctx.now_us()
         return None
 
-    async def _elsewhere(self, *, request: Request, handle: SessionToken) -> HttpResponse:
+    async def _find_elsewhere(self, *, request: Request, handle: SessionToken) -> HttpResponse:
         """The session is not here: where it is, or what became of it."""
-        sought = await self.handover.find(handle=handle)
-        if sought.where:
+        search = await self.handover.find(handle=handle)
+        if search.address:
             reason = "the session is at another HTTP proxy"
-            return self.reject(kind=ErrorCode.SESSION_ELSEWHERE, reason=reason, details={"elsewhere": [sought.where]})
-        if sought.session is not None:
-            return self._renamed(
-                request=request, session=sought.session, reason="its HTTP proxy was lost; it was taken over here"
+            return self.reject(
+                kind=ErrorCode.SESSION_ELSEWHERE, reason=reason, details={"elsewhere": [search.address]}
+            )
+        if search.session is not None:
+            return self._reject_old_token(
+                request=request, session=search.session, reason="its HTTP proxy was lost; it was taken over here"
             )
         # final only when everyone who might have it has said no
-        if sought.unsure:
+        if search.incomplete:
             return self.reject(
                 kind=ErrorCode.SESSION_SOUGHT, reason="not found yet; some HTTP proxies have not answered"
             )
         # a session is never quietly opened anew; its values and transaction would be gone unnoticed
         return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="no such session here; it is gone, open a new one")
 
-    def _older(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
+    def _on_old_token(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
         """A handle that is not the newest one."""
-        if handle.tag != session.was:
+        if handle.tag != session.previous_tag:
             return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="a handle from before; the session has gone on")
         # nobody may go on in the middle of what it does not know to be over
         if not session.busy:
             self.sessions.abandon(session=session)
             session.lost = False
-        return self._renamed(
+        return self._reject_old_token(
             request=request, session=session, reason="the answer that told of its newest handle was lost"
         )
 
-    def _renamed(self, *, request: Request, session: Session, reason: str) -> HttpResponse:
+    def _reject_old_token(self, *, request: Request, session: Session, reason: str) -> HttpResponse:
         """Nothing is run before the client knows the handle, so it can't mistake what is gone for what is here."""
         if request.verb == "close":
             self.sessions.close(session=session)
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -13,9 +13,9 @@
 from ..view import View
 
 # of a session: values, and as many prepared texts
-MAX_KEPT = 256
+MAX_ENTRIES = 256
 # for a replica of a change that has no deadline of its own
-KEEP_WAIT_US = 1_000_000
+REPLICATE_WAIT_US = 1_000_000
 
 
 class SessionStateFilter(RejectMixin):
@@ -55,10 +55,10 @@
             return self.reject(kind=ErrorCode.OVERLOADED, reason="as many sessions as this HTTP proxy takes")
         session.busy = True
         try:
-            stands = await self.session_replicator.replicate(session=session, until_us=request.until_us)
+            stored = await self.session_replicator.replicate(session=session, until_us=request.until_us)
         finally:
             session.busy = False
-        value = {"session": session.handle, "stall": self.ctx.name, "stands": 1 + stands}
+        value = {"session": session.handle, "stall": self.ctx.name, "stands": 1 + stored}
         return self.done(value=value, status=201)
 
     async def _change(self, *, request: Request, values: dict[str, Any], prepared: dict[str, str]) -> HttpResponse:
@@ -68,34 +68,38 @@
             session,
             values=values,
             prepared=prepared,
-            tag=session.next(rng=self.ctx.rng),
-            was=session.tag,
+            tag=session.next_tag(rng=self.ctx.rng),
+            previous_tag=session.tag,
             transaction=None,
         )
-        stands = await self.session_replicator.replicate(
-            session=changed, until_us=request.until_us or self.ctx.now_us() + KEEP_WAIT_US
+        stored = await self.session_replicator.replicate(
+            session=changed, until_us=request.until_us or self.ctx.now_us() + REPLICATE_WAIT_US
         )
         session.values, session.prepared = values, prepared
-        session.tag, session.was, session.replica_holder = changed.tag, changed.was, changed.replica_holder
-        return self.done(value={"session": session.handle, "stands": 1 + stands})
+        session.tag, session.previous_tag, session.replica_holder = (
+            changed.tag,
+            changed.previous_tag,
+            changed.replica_holder,
+        )
+        return self.done(value={"session": session.handle, "stands": 1 + stored})
 
     async def _values(self, *, request: Request) -> HttpResponse:
         values = request.body.get("values")
         if not isinstance(values, dict):
             return self.reject(kind=ErrorCode.MALFORMED, reason="values: an object is needed")
-        if len(request.bound.values | values) > MAX_KEPT:
-            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_KEPT} values at the most")
+        if len(request.bound.values | values) > MAX_ENTRIES:
+            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_ENTRIES} values at the most")
         # setting a value to null is how it is taken away
-        kept = {key: value for key, value in (request.bound.values | values).items() if value is not None}
-        return await self._change(request=request, values=kept, prepared=request.bound.prepared)
+        merged = {key: value for key, value in (request.bound.values | values).items() if value is not None}
+        return await self._change(request=request, values=merged, prepared=request.bound.prepared)
 
     async def _prepare(self, *, request: Request) -> HttpResponse:
         text = request.body.get("text")
         if not isinstance(text, str):
             return self.reject(kind=ErrorCode.MALFORMED, reason="text: a text is needed")
-        if len(request.bound.prepared) >= MAX_KEPT and request.name not in request.bound.prepared:
+        if len(request.bound.prepared) >= MAX_ENTRIES and request.name not in request.bound.prepared:
             return self.reject(
-                kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_KEPT} prepared texts at the most"
+                kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_ENTRIES} prepared texts at the most"
             )
         return await self._change(
             request=request, values=request.bound.values, prepared={**request.bound.prepared, request.name: text}
--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -38,7 +38,7 @@
         if not result.ok.ran:
             return self._rejected(reply=result.ok)
         # the answer counts only if nobody else can have led at the moment at which it ran
-        if result.ok.term != assignment.term or not self.commit_watermarks.holds(
+        if result.ok.term != assignment.term or not self.commit_watermarks.term_in_force(
             database=database, term=assignment.term
         ):
             return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the lead moved while the read ran")
@@ -52,7 +52,7 @@
         # an operator's selector speaks of labels, so it narrows the share and never widens it
         names = [
             name
-            for name in self.connection_pools.share(database=database)
+            for name in self.connection_pools.subset_of(database=database)
             if name not in tried
             and (name != assignment.primary or route.target == "any")
             and self.connection_pools.usable(name=name)
@@ -75,7 +75,7 @@
         age_us = self.configuration.amount(name=policy, database=database)
         # a session taken over has left its floor with the HTTP proxy that was lost; all that it had committed is
         # at or below any position of the primary's from after that
-        since_us = max(request.start_us - age_us, request.bound.taken_us if request.kind == "fresh" else 0)
+        since_us = max(request.start_us - age_us, request.bound.taken_over_us if request.kind == "fresh" else 0)
         floor = self.samples.floor(database=database, term=assignment.term, since_us=since_us)
         name = None if floor is None else self._choose_replica(request=request, assignment=assignment, tried=tried)
         if name is None or floor is None:
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -55,7 +55,7 @@
             # a begin whose answer was lost leaves nothing behind once its channel is closed
             pool.release(connection=connection, keep=False)
             if result.is_error():
-                pool.blame()
+                pool.record_error()
                 return CinderstairError(code=ErrorCode.NO_BACKEND, reason=result.error.reason)
             return self._rejected(reply=result.ok)
         session.transaction = Transaction(
@@ -67,21 +67,21 @@
         )
         return self.done()
 
-    def _lose(self, *, session: Session, reason: str) -> HttpResponse:
+    def _reject_lost(self, *, session: Session, reason: str) -> HttpResponse:
         self.sessions.abandon(session=session)
         session.lost = False
         return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
-    def _holds(self, *, transaction: Transaction) -> bool:
-        return self.connection_pools.reachable(name=transaction.pool.name) and self.commit_watermarks.holds(
+    def _is_valid(self, *, transaction: Transaction) -> bool:
+        return self.connection_pools.reachable(name=transaction.pool.name) and self.commit_watermarks.term_in_force(
             database=transaction.database, term=transaction.term
         )
 
-    async def _pass_open(
+    async def _send_in_transaction(
         self, *, request: Request, transaction: Transaction, step: str
     ) -> Result[Reply, CinderstairError]:
         """A step of an open transaction, over the channel that is its own."""
-        if not self._holds(transaction=transaction):
+        if not self._is_valid(transaction=transaction):
             return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the lead moved"))
         left_us = self._left_us(request=request)
         result = await self.send_step(
@@ -89,33 +89,37 @@
         )
         transaction.used_us = self.ctx.now_us()
         if result.is_error():
-            transaction.pool.blame()
+            transaction.pool.record_error()
         return result
 
     async def _run_in_transaction(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="in")
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="in")
         if result.is_error():
-            return self._lose(session=session, reason=f"{result.error.reason}; nothing of the transaction was kept")
+            return self._reject_lost(
+                session=session, reason=f"{result.error.reason}; nothing of the transaction was kept"
+            )
         if not result.ok.ran and (result.ok.reason in NOT_RUN or result.ok.reason == NO_TRANSACTION):
-            return self._lose(session=session, reason=f"{result.ok.message}; nothing of the transaction was kept")
+            return self._reject_lost(
+                session=session, reason=f"{result.ok.message}; nothing of the transaction was kept"
+            )
         if not result.ok.ran:
             return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=result.ok.message)
         # what was read inside the transaction must be as new as any other read of the primary
-        if result.ok.term != transaction.term or not self._holds(transaction=transaction):
-            return self._lose(session=session, reason="the lead moved; nothing of the transaction was kept")
+        if result.ok.term != transaction.term or not self._is_valid(transaction=transaction):
+            return self._reject_lost(session=session, reason="the lead moved; nothing of the transaction was kept")
         # a client must be able to tell that what it wrote is not kept until it commits
         return self.done(value={"rows": result.ok.rows, "transaction": True})
 
-    def _end(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
+    def _finish(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
         """The transaction is over; its channel goes on only if the backend has said so."""
         session.transaction = None
         transaction.pool.release(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
 
     async def _commit(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="commit")
-        self._end(session=session, transaction=transaction, result=result)
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="commit")
+        self._finish(session=session, transaction=transaction, result=result)
         if result.is_error() and result.error.code == ErrorCode.WIRE_UNSENT:
             return self.reject(
                 kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.error.reason}; the commit was never sent"
@@ -128,7 +132,7 @@
 
     async def _rollback(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="rollback")
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="rollback")
         # closing the channel rolls back as surely as the word does, so a rollback is always done
-        self._end(session=session, transaction=transaction, result=result)
+        self._finish(session=session, transaction=transaction, result=result)
         return self.done()
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -25,23 +25,23 @@
 # sessions that are handed over at the same time
 MAX_CONCURRENT = 16
 # answers: not here; here and in service; here as a replica
-NO, YES, COPIED = 0, 1, 2
+NO, YES, REPLICA = 0, 1, 2
 # sessions whose new proxy is remembered
 MAX_REMEMBERED = 60_000
 # a client that is back sooner hasn't found its session at the proxy that it was referred to
-REFERRED_US = 3_000_000
+REFERRAL_RETRY_US = 3_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sought:
+class SearchResult:
     """The result of a search: the address of the proxy that has the session, or the session, or neither.
 
     `unsure`: some proxies that may have it have not answered.
     """
 
-    where: str = ""
+    address: str = ""
     session: Session | None = None
-    unsure: bool = False
+    incomplete: bool = False
 
 
 class Handover:
@@ -65,12 +65,12 @@
         self.sessions = sessions
         self.ready = ready
         # by session: the address of the HTTP proxy it was handed to, for clients that come back here
-        self.gone: dict[str, str] = {}
-        self.referred_us: dict[str, int] = {}
-        dispatcher.add_handler(message_type=MessageType.HANDOVER, handler=self._offered)
-        dispatcher.add_handler(message_type=MessageType.SEEK, handler=self._sought)
+        self.forwarding_addresses: dict[str, str] = {}
+        self.last_referral_us: dict[str, int] = {}
+        dispatcher.add_handler(message_type=MessageType.HANDOVER, handler=self._on_handover)
+        dispatcher.add_handler(message_type=MessageType.SEEK, handler=self._on_seek)
 
-    async def _offered(self, unpacker: Unpacker) -> bytes:
+    async def _on_handover(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
         # an offer that is repeated because its answer was lost finds the session here already
@@ -81,8 +81,8 @@
             return Packer().u8(value=NO).bytes()
         # a daemon of the first version changes what a session keeps without changing the handle
         if unpacker.version == 1 and session.tag != UNMARKED:
-            session.was, session.tag = session.tag, session.next(rng=self.ctx.rng)
-        self.gone.pop(session.ident, None)
+            session.previous_tag, session.tag = session.tag, session.next_tag(rng=self.ctx.rng)
+        self.forwarding_addresses.pop(session.ident, None)
         self.session_replicas.take(ident=session.ident)
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
@@ -90,21 +90,21 @@
         await self.session_replicator.replicate(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
-    async def _sought(self, unpacker: Unpacker) -> bytes:
+    async def _on_seek(self, unpacker: Unpacker) -> bytes:
         if unpacker.version == 1:
             handle = parse_session_token(text=unpacker.text())
         else:
             handle = SessionToken(unpacker.text(), Tag(unpacker.u64(), unpacker.text()))
         unpacker.done()
-        return Packer().u8(value=self._fits(handle=handle, session_replicas=unpacker.version > 1)).bytes()
+        return Packer().u8(value=self._match(handle=handle, session_replicas=unpacker.version > 1)).bytes()
 
-    def _fits(self, *, handle: SessionToken, session_replicas: bool = True) -> int:
+    def _match(self, *, handle: SessionToken, session_replicas: bool = True) -> int:
         """Whether what is here, alive or as a copy, is what the client was promised."""
         live = self.sessions.find(ident=handle.ident)
-        if live is not None and live.known(tag=handle.tag):
+        if live is not None and live.accepts(tag=handle.tag):
             return YES
         held = self.session_replicas.held.get(handle.ident)
-        return COPIED if session_replicas and held is not None and held.session.known(tag=handle.tag) else NO
+        return REPLICA if session_replicas and held is not None and held.session.accepts(tag=handle.tag) else NO
 
     def _targets(self) -> list[Member]:
         """Other HTTP proxies, those of the same site first."""
@@ -134,8 +134,10 @@
             if await self._offer(target=target, body=body):
                 self.sessions.open.pop(session.ident, None)
                 self._remember(ident=session.ident, http=target.http)
-                seconds = [m for m in self._targets() if m.name == session.replica_holder and m.name != target.name]
-                self.session_replicator.forget(session=session, members=seconds, mine=True)
+                replica_holders = [
+                    m for m in self._targets() if m.name == session.replica_holder and m.name != target.name
+                ]
+                self.session_replicator.forget(session=session, members=replica_holders, own_only=True)
                 self.ctx.counters.add(name="sessions.handed")
                 return
         session.busy = False
@@ -148,22 +150,22 @@
         return False
 
     def _remember(self, *, ident: str, http: str) -> None:
-        self.gone[ident] = http
+        self.forwarding_addresses[ident] = http
         # an HTTP proxy that runs for long hands on more sessions than it needs to remember
-        if len(self.gone) > MAX_REMEMBERED:
-            oldest = next(iter(self.gone))
-            del self.gone[oldest]
-            self.referred_us.pop(oldest, None)
+        if len(self.forwarding_addresses) > MAX_REMEMBERED:
+            oldest = next(iter(self.forwarding_addresses))
+            del self.forwarding_addresses[oldest]
+            self.last_referral_us.pop(oldest, None)
 
-    async def find(self, *, handle: SessionToken) -> Sought:
+    async def find(self, *, handle: SessionToken) -> SearchResult:
         """A session that isn't alive here: where it is, or taken over from its copy, or not found."""
         members = self.membership.alive(role="stall")
-        known = self.gone.get(handle.ident)
-        referred_us = self.referred_us.pop(handle.ident, -REFERRED_US)
+        known = self.forwarding_addresses.get(handle.ident)
+        last_referral_us = self.last_referral_us.pop(handle.ident, -REFERRAL_RETRY_US)
         # a client that is back so soon has not found it there, so all proxies are asked
-        if known in [member.http for member in members] and self.ctx.now_us() - referred_us > REFERRED_US:
-            self.referred_us[handle.ident] = self.ctx.now_us()
-            return Sought(where=str(known))
+        if known in [member.http for member in members] and self.ctx.now_us() - last_referral_us > REFERRAL_RETRY_US:
+            self.last_referral_us[handle.ident] = self.ctx.now_us()
+            return SearchResult(address=str(known))
 
         def body(version: int) -> bytes:
             packer = Packer().u8(value=MessageType.SEEK)
@@ -171,25 +173,25 @@
                 return packer.text(value=str(handle)).bytes()
             return packer.text(value=handle.ident).u64(value=handle.tag.revision).text(value=handle.tag.mark).bytes()
 
-        asks = [
+        searches = [
             self.ctx.peer_client.request(address=member.records, body=body, wait_us=SEEK_WAIT_US)
             for member in members
         ]
-        answers = dict(zip(members, await asyncio.gather(*asks), strict=True))
+        answers = dict(zip(members, await asyncio.gather(*searches), strict=True))
         # another job of the same session may have taken it over while this one was asking
         live = self.sessions.find(ident=handle.ident)
-        if live is not None and live.known(tag=handle.tag):
-            return Sought(session=live)
-        for wanted in (YES, COPIED):
+        if live is not None and live.accepts(tag=handle.tag):
+            return SearchResult(session=live)
+        for wanted in (YES, REPLICA):
             # what is alive elsewhere stays there; of copies our own is the nearest
-            if wanted == COPIED and self._fits(handle=handle) == COPIED:
-                return Sought(session=await self._take_over(handle=handle))
+            if wanted == REPLICA and self._match(handle=handle) == REPLICA:
+                return SearchResult(session=await self._take_over(handle=handle))
             for member, result in answers.items():
                 if result.is_ok() and result.ok == bytes([wanted]):
-                    return Sought(where=member.http)
+                    return SearchResult(address=member.http)
         # the first version of the protocol has no replicas
-        return Sought(
-            unsure=any(
+        return SearchResult(
+            incomplete=any(
                 result.is_error() or self.ctx.peer_client.is_version_uncertain(address=member.records)
                 for member, result in answers.items()
             )
@@ -202,8 +204,8 @@
         older = session.tag
         # an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
         # nothing that either does can be taken for the other's
-        session.was, session.tag = handle.tag, session.next(rng=self.ctx.rng)
-        session.replica_holder, session.taken_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
+        session.previous_tag, session.tag = handle.tag, session.next_tag(rng=self.ctx.rng)
+        session.replica_holder, session.taken_over_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.takenOver")
         self.session_replicator.forget(
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -47,10 +47,10 @@
 from .status_page import StatusPage
 from .view import View
 
-TEND_EVERY_US = 250_000
+MAINTENANCE_EVERY_US = 250_000
 DRAIN_POLL_US = 50_000
 # a stopping proxy answers until no client has come for so long; for the last answers at least LAST_ANSWERS_US
-SILENT_AFTER_US = 600_000
+IDLE_AFTER_US = 600_000
 LAST_ANSWERS_US = 200_000
 
 
@@ -106,7 +106,7 @@
             handover=self.handover,
         )
         # when a client last asked for something
-        self.requested_us = 0
+        self.last_request_us = 0
         self.chain = self._chain()
 
     def _create_backend_parts(self) -> None:
@@ -207,7 +207,7 @@
         """Listens for other daemons and for clients."""
         await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
         await self.ctx.net.serve(address=self.settings.http, handler=self.answer)
-        self.ctx.timer(every_us=TEND_EVERY_US).subscribe(lambda _: self._tend())
+        self.ctx.timer(every_us=MAINTENANCE_EVERY_US).subscribe(lambda _: self._run_maintenance())
         self.ctx.log.info("HTTP proxy %s at %s", self.settings.name, self.settings.http)
         return Ok(None)
 
@@ -229,7 +229,7 @@
             if request.session is not None:
                 request.session.busy = False
             if request.session_id or request.verb == "open":
-                self.requested_us = self.ctx.now_us()
+                self.last_request_us = self.ctx.now_us()
 
     def _close_if_leaving(self, *, response: HttpResponse) -> HttpResponse:
         # so the client's next request doesn't meet a connection that is being closed
@@ -242,7 +242,7 @@
         """Why an open window can't empty this proxy; empty where nothing holds it back."""
         return self.session_drain.held_back
 
-    def _tend(self) -> None:
+    def _run_maintenance(self) -> None:
         if self.ready.isolated != self.reachability.isolated:
             self.ctx.log.warning("reaches no backend" if self.reachability.isolated else "reaches backends again")
             self.ready.isolated = self.reachability.isolated
@@ -277,9 +277,9 @@
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         # new connections are refused, and their clients go elsewhere; those that are open are still answered
         await self.ctx.net.refuse()
-        self.requested_us = max(self.requested_us, self.ctx.now_us() - SILENT_AFTER_US + LAST_ANSWERS_US)
+        self.last_request_us = max(self.last_request_us, self.ctx.now_us() - IDLE_AFTER_US + LAST_ANSWERS_US)
         # clients with open connections are answered where their sessions are, until none has come for a while
-        while self.ctx.now_us() < min(until_us, self.requested_us + SILENT_AFTER_US):
+        while self.ctx.now_us() < min(until_us, self.last_request_us + IDLE_AFTER_US):
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         await asyncio.gather(
             self.database_failover.lease.drop(),
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -18,10 +18,10 @@
 ERROR_MEMORY_US = 10_000_000
 ERROR_WEIGHT = 4
 # how long a backend is not dialled after a failure to connect
-SHUN_US = 500_000
-MIN_RETRY_US = 100_000
+DIAL_BACKOFF_US = 500_000
+MIN_RETRY_AFTER_US = 100_000
 # one job's part of the sliding mean is 1 / MEAN_WEIGHT
-MEAN_WEIGHT = 4
+MEAN_HOLD_WEIGHT = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,43 +45,43 @@
         self.queue_limit = queue_limit
         self.limit = 0
         self.idle: deque[Channel] = deque()
-        self.taken = 0
-        self.waiting: deque[asyncio.Future[None]] = deque()
-        self.errors: deque[int] = deque()
+        self.in_use_count = 0
+        self.waiters: deque[asyncio.Future[None]] = deque()
+        self.recent_errors_us: deque[int] = deque()
         self.opened = 0
         self.closed = 0
-        self.shun_until_us = 0
+        self.backoff_until_us = 0
         # by the connection's identity
-        self.in_use: dict[int, Channel] = {}
+        self.acquired: dict[int, Channel] = {}
         # how long jobs hold a channel: a sliding mean
-        self.held_us = 0
+        self.mean_hold_us = 0
 
     @property
     def open(self) -> int:
         """How many channels exist, in use or idle."""
-        return self.taken + len(self.idle)
+        return self.in_use_count + len(self.idle)
 
     @property
     def weight(self) -> int:
         """Least is best: jobs under way and waiting, and each recent error counts as several."""
         now_us = self.ctx.now_us()
-        while self.errors and self.errors[0] < now_us - ERROR_MEMORY_US:
-            self.errors.popleft()
-        return self.taken + len(self.waiting) + ERROR_WEIGHT * len(self.errors)
+        while self.recent_errors_us and self.recent_errors_us[0] < now_us - ERROR_MEMORY_US:
+            self.recent_errors_us.popleft()
+        return self.in_use_count + len(self.waiters) + ERROR_WEIGHT * len(self.recent_errors_us)
 
     @property
-    def shunned(self) -> bool:
+    def backing_off(self) -> bool:
         """Whether the last connection failed moments ago."""
-        return self.ctx.now_us() < self.shun_until_us
+        return self.ctx.now_us() < self.backoff_until_us
 
-    def blame(self) -> None:
+    def record_error(self) -> None:
         """Records an error of the backend, which adds to its weight for a while."""
-        self.errors.append(self.ctx.now_us())
+        self.recent_errors_us.append(self.ctx.now_us())
 
-    def _room(self, *, priority: bool) -> bool:
+    def _has_capacity(self, *, priority: bool) -> bool:
         # a gauge that waits behind jobs would make every freshness promise wait with it
         spare = 0 if priority or self.limit < 2 else 1
-        return self.taken < self.limit - spare
+        return self.in_use_count < self.limit - spare
 
     async def acquire(self, *, wait_us: int, priority: bool = False) -> Result[Connection, CinderstairError]:
         """A channel for one job or one transaction, to be given back by `give`.
@@ -92,16 +92,16 @@
         """
         if self.limit == 0:
             return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's share"))
-        if not self._room(priority=priority):
+        if not self._has_capacity(priority=priority):
             waited = await self._wait_for_room(wait_us=wait_us, priority=priority)
             if waited.is_error():
                 return Error(waited.error)
-        self.taken += 1
+        self.in_use_count += 1
         while self.idle:
             channel = self.idle.pop()
             if channel.connection.open and self.ctx.now_us() - channel.since_us < MAX_IDLE_US:
                 return self._lend(connection=channel.connection)
-            self._shut(connection=channel.connection)
+            self._close(connection=channel.connection)
         return await self._dial(wait_us=wait_us)
 
     def _error(self, *, code: ErrorCode, reason: str, details: dict[str, int] | None = None) -> CinderstairError:
@@ -112,8 +112,8 @@
         expected_us = self._expected_us(priority=priority)
         # whoever is not likely to be served in time is rejected now, with the time to come back, and not when it is
         # too late; twice the expected wait, since jobs differ widely
-        if len(self.waiting) >= self.queue_limit or wait_us <= 2 * (expected_us + self._hold_us()):
-            details = {"retryAfterUs": max(MIN_RETRY_US, expected_us)}
+        if len(self.waiters) >= self.queue_limit or wait_us <= 2 * (expected_us + self._hold_us()):
+            details = {"retryAfterUs": max(MIN_RETRY_AFTER_US, expected_us)}
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="too many wait already", details=details))
         if not await self._queue(wait_us=wait_us, priority=priority):
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="no channel within the time left"))
@@ -129,9 +129,9 @@
         """Waits for a connection; false where none came in time."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if priority:
-            self.waiting.appendleft(waiter)
+            self.waiters.appendleft(waiter)
         else:
-            self.waiting.append(waiter)
+            self.waiters.append(waiter)
         try:
             async with asyncio.timeout(wait_us / US_PER_S):
                 await waiter
@@ -141,23 +141,23 @@
                 self._wake()
             return False
         finally:
-            if waiter in self.waiting:
-                self.waiting.remove(waiter)
+            if waiter in self.waiters:
+                self.waiters.remove(waiter)
         return True
 
     def _expected_us(self, *, priority: bool) -> int:
         """How long one more job would wait, by how long channels were held of late."""
-        ahead = 0 if priority else len(self.waiting)
+        ahead = 0 if priority else len(self.waiters)
         return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if priority else 1))
 
     def _hold_us(self) -> int:
         """How long a job holds a channel; those under way count too, so a backend that turns slow shows early."""
         now_us = self.ctx.now_us()
-        ages = [now_us - channel.since_us for channel in self.in_use.values()]
-        return max(self.held_us, sum(ages) // len(ages) if ages else 0)
+        ages = [now_us - channel.since_us for channel in self.acquired.values()]
+        return max(self.mean_hold_us, sum(ages) // len(ages) if ages else 0)
 
     def _lend(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
-        self.in_use[id(connection)] = Channel(connection, self.ctx.now_us())
+        self.acquired[id(connection)] = Channel(connection, self.ctx.now_us())
         return Ok(connection)
 
     async def _dial(self, *, wait_us: int) -> Result[Connection, CinderstairError]:
@@ -167,8 +167,8 @@
             self._release()
             raise
         if dialled.is_error():
-            self.blame()
-            self.shun_until_us = self.ctx.now_us() + SHUN_US
+            self.record_error()
+            self.backoff_until_us = self.ctx.now_us() + DIAL_BACKOFF_US
             self._release()
             return dialled
         self.opened += 1
@@ -177,28 +177,28 @@
 
     def release(self, *, connection: Connection, keep: bool = True) -> None:
         """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
-        channel = self.in_use.pop(id(connection), None)
+        channel = self.acquired.pop(id(connection), None)
         if channel is not None:
             # a sliding mean, in which one long transaction doesn't count for long
-            self.held_us += (self.ctx.now_us() - channel.since_us - self.held_us) // MEAN_WEIGHT
+            self.mean_hold_us += (self.ctx.now_us() - channel.since_us - self.mean_hold_us) // MEAN_HOLD_WEIGHT
         if keep and connection.open and self.open <= self.limit:
             self.idle.append(Channel(connection, self.ctx.now_us()))
         else:
-            self._shut(connection=connection)
+            self._close(connection=connection)
         self._release()
 
     def _release(self) -> None:
-        self.taken -= 1
+        self.in_use_count -= 1
         self._wake()
 
     def _wake(self) -> None:
-        while self.waiting and (self._room(priority=False) or self.limit == 0):
-            waiter = self.waiting.popleft()
+        while self.waiters and (self._has_capacity(priority=False) or self.limit == 0):
+            waiter = self.waiters.popleft()
             if not waiter.done():
                 waiter.set_result(None)
                 return
 
-    def _shut(self, *, connection: Connection) -> None:
+    def _close(self, *, connection: Connection) -> None:
         connection.close()
         self.closed += 1
         self.ctx.counters.add(name="channels.closed")
@@ -208,20 +208,20 @@
         self.limit = limit
         # idle channels go at once; those at work go when they are given back
         while self.idle and self.open > limit:
-            self._shut(connection=self.idle.popleft().connection)
+            self._close(connection=self.idle.popleft().connection)
         self._wake()
 
-    def shut_idle(self) -> None:
+    def close_idle(self) -> None:
         """Closes the idle channels."""
         while self.idle:
-            self._shut(connection=self.idle.popleft().connection)
+            self._close(connection=self.idle.popleft().connection)
 
     @property
-    def oldest_us(self) -> int:
+    def longest_hold_us(self) -> int:
         """For how long the channel that has been out longest has been out."""
-        return max((self.ctx.now_us() - channel.since_us for channel in self.in_use.values()), default=0)
+        return max((self.ctx.now_us() - channel.since_us for channel in self.acquired.values()), default=0)
 
     def give_up(self) -> None:
         """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
-        for channel in list(self.in_use.values()):
+        for channel in list(self.acquired.values()):
             channel.connection.give_up()
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -46,9 +46,9 @@
     )
     pool.release(connection=taken.ok, keep=result.is_ok())
     if result.is_error():
-        pool.blame()
+        pool.record_error()
         return Error(result.error)
-    return read_answer(name=name, response=result.ok)
+    return parse_position(name=name, response=result.ok)
 
 
 async def query_position_directly(
@@ -65,14 +65,14 @@
     dialled.ok.close()
     if result.is_error():
         return Error(result.error)
-    return read_answer(name=name, response=result.ok)
+    return parse_position(name=name, response=result.ok)
 
 
-def read_answer(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
+def parse_position(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
     """Parses an answer; WIRE_UNSURE where it is no position."""
     try:
         value = response.json()
-        reading = BackendPosition(
+        position = BackendPosition(
             term=int(value["term"]),
             received=int(value["received"]),
             applied=int(value["applied"]),
@@ -81,4 +81,4 @@
         )
     except (ValueError, KeyError, TypeError):
         return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{name}: no position in its answer"))
-    return Ok(reading)
+    return Ok(position)
--- a/src/cinderstair/http_frontend/reject_mixin.py
+++ b/src/cinderstair/http_frontend/reject_mixin.py
@@ -29,9 +29,9 @@
             headers["Retry-After"] = str(max(1, -(-retry_us // 1_000_000)))
         return json_response(status=answer.status, value={**value, **(details or {})}, headers=headers)
 
-    def reject_with(self, *, fault: CinderstairError) -> HttpResponse:
+    def reject_with(self, *, error: CinderstairError) -> HttpResponse:
         """The response of an error value."""
-        return self.reject(kind=fault.code, reason=fault.reason, details=fault.details)
+        return self.reject(kind=error.code, reason=error.reason, details=error.details)
 
     def done(self, *, value: dict[str, Any] | None = None, status: int = 200) -> HttpResponse:
         """A response of a job that was done, with further fields."""
--- a/src/cinderstair/http_frontend/replica_watermark.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -10,11 +10,11 @@
 # how long a replica may hold a question until it covers the position
 HOLD_US = 200_000
 RETRY_PAUSE_US = 20_000
-MAX_MISSES = 20
+MAX_FAILURES = 20
 
 
 @dataclass(frozen=True, slots=True)
-class WantedPosition:
+class PendingPosition:
     """A position that a commit waits for."""
 
     term: int
@@ -30,35 +30,35 @@
         self.name = name
         self.term = 0
         self.received = 0
-        self.wanted: list[WantedPosition] = []
-        self.asking = False
+        self.pending: list[PendingPosition] = []
+        self.polling = False
         self.changed = asyncio.Event()
 
     def covers(self, *, term: int, position: int) -> bool:
         """Whether the replica is known to hold a position of a term."""
         return self.term == term and self.received >= position
 
-    def want(self, *, term: int, position: int) -> None:
+    def request(self, *, term: int, position: int) -> None:
         """Has the replica asked until it covers a position; `changed` is set at each answer."""
-        self.wanted.append(WantedPosition(term, position))
-        if not self.asking:
-            self.asking = True
-            self.ctx.spawn(work=self._ask(), name=f"waterline.{self.name}")
+        self.pending.append(PendingPosition(term, position))
+        if not self.polling:
+            self.polling = True
+            self.ctx.spawn(work=self._poll(), name=f"waterline.{self.name}")
 
-    def _still_wanted(self) -> int:
+    def _lowest_pending(self) -> int:
         """The lowest position that is still waited for; 0 where none is."""
-        self.wanted = [
+        self.pending = [
             each
-            for each in self.wanted
+            for each in self.pending
             if not self.covers(term=each.term, position=each.position) and each.term >= self.term
         ]
-        return min((each.position for each in self.wanted), default=0)
+        return min((each.position for each in self.pending), default=0)
 
-    async def _ask(self) -> None:
-        misses = 0
+    async def _poll(self) -> None:
+        failures = 0
         try:
             # a replica that does not answer is the failover's to drop; the commits have their own limits
-            while (position := self._still_wanted()) and misses < MAX_MISSES:
+            while (position := self._lowest_pending()) and failures < MAX_FAILURES:
                 reading = await query_position(
                     connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
                 )
@@ -68,11 +68,11 @@
                     self.changed.set()
                     self.changed = asyncio.Event()
                 else:
-                    misses += 1
+                    failures += 1
                     await self.ctx.sleep(duration_us=RETRY_PAUSE_US * 2)
                 await self.ctx.sleep(
                     duration_us=0 if reading.is_ok() and reading.ok.received >= position else RETRY_PAUSE_US
                 )
         finally:
-            self.wanted = []
-            self.asking = False
+            self.pending = []
+            self.polling = False
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -35,11 +35,11 @@
         self.ctx = ctx
         self.view = view
         self.connection_pools = connection_pools
-        self.taken: dict[str, deque[Sample]] = {}
+        self.samples: dict[str, deque[Sample]] = {}
         self.open_queue()
-        self.every(every_us=SAMPLE_EVERY_US, command=self._on_timer, name="sample")
+        self.every(every_us=SAMPLE_EVERY_US, command=self._sample_all, name="sample")
 
-    def _on_timer(self) -> None:
+    def _sample_all(self) -> None:
         for database in self.view.primaries:
             self.ctx.spawn(work=self.sample(database=database), name="sample")
 
@@ -49,23 +49,23 @@
         if assignment is None or not assignment.serves:
             return
         began_us = self.ctx.now_us()
-        reading = await query_position(connection_pools=self.connection_pools, name=assignment.primary)
-        if reading.is_error() or not reading.ok.is_primary or reading.ok.term != assignment.term:
+        position = await query_position(connection_pools=self.connection_pools, name=assignment.primary)
+        if position.is_error() or not position.ok.is_primary or position.ok.term != assignment.term:
             return
         # only while nobody else can have been made to lead is the primary's position the newest
-        if not self.view.current or not self._same(database=database, assignment=assignment):
+        if not self.view.current or not self._unchanged(database=database, assignment=assignment):
             return
-        self.reachability.seen()
-        taken = self.taken.setdefault(database, deque())
-        taken.append(Sample(began_us=began_us, term=assignment.term, position=reading.ok.received))
-        while taken and taken[0].began_us < self.ctx.now_us() - KEEP_US:
-            taken.popleft()
+        self.reachability.record_answer()
+        samples = self.samples.setdefault(database, deque())
+        samples.append(Sample(began_us=began_us, term=assignment.term, position=position.ok.received))
+        while samples and samples[0].began_us < self.ctx.now_us() - KEEP_US:
+            samples.popleft()
 
-    def _same(self, *, database: str, assignment: DatabasePrimary) -> bool:
+    def _unchanged(self, *, database: str, assignment: DatabasePrimary) -> bool:
         now = self.view.assignment(database=database)
         return now is not None and now.term == assignment.term and now.serves
 
     def floor(self, *, database: str, term: int, since_us: int) -> int | None:
         """The position that covers all that was acknowledged before `since_us`; None where no sample covers it."""
-        fitting = [s for s in self.taken.get(database, ()) if s.term == term and s.began_us >= since_us]
-        return min((sample.position for sample in fitting), default=None)
+        eligible = [s for s in self.samples.get(database, ()) if s.term == term and s.began_us >= since_us]
+        return min((sample.position for sample in eligible), default=None)
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -41,24 +41,24 @@
     lost: bool = False
     tag: Tag = UNMARKED
     # the tag before the last change: a client whose answer was lost knows this one
-    was: Tag = UNMARKED
+    previous_tag: Tag = UNMARKED
     # the HTTP proxy that holds the replica; empty where none does
     replica_holder: str = ""
     # when it was taken over from a replica; 0 where it was not
-    taken_us: int = 0
+    taken_over_us: int = 0
 
     @property
     def handle(self) -> str:
         """The text that the client is given: the name with the newest tag."""
         return str(SessionToken(self.ident, self.tag))
 
-    def next(self, *, rng: random.Random) -> Tag:
+    def next_tag(self, *, rng: random.Random) -> Tag:
         """The tag of a state that follows this one."""
         return Tag(self.tag.revision + 1, f"{rng.getrandbits(32):08x}")
 
-    def known(self, *, tag: Tag) -> bool:
+    def accepts(self, *, tag: Tag) -> bool:
         """Whether a client that was promised this state may go on with what is here."""
-        return tag in (self.tag, self.was)
+        return tag in (self.tag, self.previous_tag)
 
     def write(self, *, packer: Packer, version: int, now_us: int) -> Packer:
         """Writes the session as a record of a version."""
@@ -67,7 +67,7 @@
         packer.text(value=json.dumps(self.values)).text(value=json.dumps(self.prepared)).u64(value=self.floor)
         if version > 1:
             packer.u64(value=max(0, now_us - self.used_us))
-            for tag in (self.tag, self.was):
+            for tag in (self.tag, self.previous_tag):
                 packer.u64(value=tag.revision).text(value=tag.mark)
         return packer
 
@@ -87,5 +87,5 @@
         session.ident, session.tag = parse_session_token(text=ident)
         return session
     session.used_us -= unpacker.u64()
-    session.tag, session.was = (Tag(unpacker.u64(), unpacker.text()) for _ in range(2))
+    session.tag, session.previous_tag = (Tag(unpacker.u64(), unpacker.text()) for _ in range(2))
     return session
--- a/src/cinderstair/http_frontend/session_drain.py
+++ b/src/cinderstair/http_frontend/session_drain.py
@@ -32,24 +32,24 @@
         self.ready = ready
         self.handover = handover
         self.held_back = ""
-        self.running = False
+        self.handing_over = False
 
     def follow_windows(self) -> None:
         """Drains while an open window wants it, as long as another HTTP proxy that stays can serve."""
         reason = self.view.leaving.reason(name=self.ctx.name)
-        staying = self._others_stay()
+        staying = self._another_proxy_stays()
         # a window never leaves nobody to serve; without another HTTP proxy this one stays, or comes back
         wanted = reason if staying else ""
         self.held_back = f"{reason} holds back: no other HTTP proxy stays" if reason and not staying else ""
-        if wanted != self.ready.emptied_by:
+        if wanted != self.ready.drained_by:
             self.ctx.log.info("emptied by %s" if wanted else "no longer emptied%s", wanted)
-            self.ready.emptied_by = wanted
+            self.ready.drained_by = wanted
         # also where the platform has asked for it, since it may end this process as soon as it is empty
-        if self.ready.leaving and self.sessions.open and not self.running:
-            self.running = True
+        if self.ready.leaving and self.sessions.open and not self.handing_over:
+            self.handing_over = True
             self.ctx.spawn(work=self._hand_over(), name="hand.on")
 
-    def _others_stay(self) -> bool:
+    def _another_proxy_stays(self) -> bool:
         return any(
             name != self.ctx.name
             and name not in self.view.leaving.http_proxies
@@ -61,4 +61,4 @@
         try:
             await self.handover.hand_over_all()
         finally:
-            self.running = False
+            self.handing_over = False
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -14,10 +14,10 @@
 
 NO, YES = 0, 1
 # in place of an owner: whoever has sent the replica
-ANYONE = 0
+ANY_OWNER = 0
 SWEEP_EVERY_US = 5_000_000
 # an owner that has not touched its replicas for so long counts as lost
-ORPHAN_US = 2_500_000
+OWNER_LOST_AFTER_US = 2_500_000
 MAX_SESSION_REPLICAS = 60_000
 
 
@@ -38,14 +38,14 @@
         self.sessions = sessions
         self.ready = ready
         self.held: dict[str, SessionReplica] = {}
-        self.seen_us: dict[int, int] = {}
-        dispatcher.add_handler(message_type=MessageType.REPLICA, handler=self._copied)
-        dispatcher.add_handler(message_type=MessageType.TOUCH, handler=self._touched)
-        dispatcher.add_handler(message_type=MessageType.FORGET, handler=self._forgot)
+        self.last_contact_us: dict[int, int] = {}
+        dispatcher.add_handler(message_type=MessageType.REPLICA, handler=self._on_replica)
+        dispatcher.add_handler(message_type=MessageType.TOUCH, handler=self._on_touch)
+        dispatcher.add_handler(message_type=MessageType.FORGET, handler=self._on_forget)
         self.open_queue()
         self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="copies")
 
-    async def _copied(self, unpacker: Unpacker) -> bytes:
+    async def _on_replica(self, unpacker: Unpacker) -> bytes:
         owner, number = unpacker.u64(), unpacker.u64()
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
@@ -57,40 +57,40 @@
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
         self.held[session.ident] = SessionReplica(owner=owner, number=number, session=session)
-        self.seen_us[owner] = self.ctx.now_us()
+        self.last_contact_us[owner] = self.ctx.now_us()
         return Packer().u8(value=YES).bytes()
 
-    async def _touched(self, unpacker: Unpacker) -> bytes:
+    async def _on_touch(self, unpacker: Unpacker) -> bytes:
         """An owner names the replicas that it expects here; others of it are dropped, missing ones are answered."""
-        owner, up_to = unpacker.u64(), unpacker.u64()
-        named = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
+        owner, last_number = unpacker.u64(), unpacker.u64()
+        expected = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
         unpacker.done()
         now_us = self.ctx.now_us()
-        self.seen_us[owner] = now_us
+        self.last_contact_us[owner] = now_us
         for ident, replica in list(self.held.items()):
             # a copy that was sent after the list was written is not on it
-            if replica.owner == owner and ident not in named and replica.number <= up_to:
+            if replica.owner == owner and ident not in expected and replica.number <= last_number:
                 del self.held[ident]
-        lacking = []
-        for ident, revision in named.items():
+        missing = []
+        for ident, revision in expected.items():
             held = self.held.get(ident)
             if held is None or held.owner != owner or held.session.tag.revision < revision:
-                lacking.append(ident)
+                missing.append(ident)
             else:
                 # its owner vouches for it; only when nobody does any more its age counts
                 held.session.used_us = now_us
         packer = Packer().u8(value=int(self.ready.leaving))
-        return packer.many(values=lacking, each=lambda p, ident: p.text(value=ident)).bytes()
+        return packer.many(values=missing, each=lambda p, ident: p.text(value=ident)).bytes()
 
-    async def _forgot(self, unpacker: Unpacker) -> bytes:
+    async def _on_forget(self, unpacker: Unpacker) -> bytes:
         """A session that has ended, or goes on elsewhere in a later state: nothing older of it may stay here."""
         owner, ident, revision = unpacker.u64(), unpacker.text(), unpacker.u64()
         unpacker.done()
         held, live = self.held.get(ident), self.sessions.find(ident=ident)
         # an owner that has handed it on speaks of its own copy, and not of the next owner's
-        if held is not None and owner in (held.owner, ANYONE) and held.session.tag.revision <= revision:
+        if held is not None and owner in (held.owner, ANY_OWNER) and held.session.tag.revision <= revision:
             del self.held[ident]
-        if live is not None and owner == ANYONE and live.tag.revision <= revision:
+        if live is not None and owner == ANY_OWNER and live.tag.revision <= revision:
             self.ctx.counters.add(name="sessions.superseded")
             self.sessions.close(session=live)
         return Packer().u8(value=YES).bytes()
@@ -108,7 +108,7 @@
         """
         now_us = self.ctx.now_us()
         for ident, replica in list(self.held.items()):
-            if now_us - self.seen_us.get(replica.owner, 0) > ORPHAN_US:
+            if now_us - self.last_contact_us.get(replica.owner, 0) > OWNER_LOST_AFTER_US:
                 del self.held[ident]
                 replica.session.replica_holder = ""
                 self.sessions.open.setdefault(ident, replica.session)
@@ -121,5 +121,5 @@
             if now_us - replica.session.used_us > self.sessions.idle_session_us:
                 del self.held[ident]
         owners = {replica.owner for replica in self.held.values()}
-        self.seen_us = {owner: at_us for owner, at_us in self.seen_us.items() if owner in owners}
+        self.last_contact_us = {owner: at_us for owner, at_us in self.last_contact_us.items() if owner in owners}
         self.ctx.counters.gauge(name="copies.held", value=len(self.held))
--- a/src/cinderstair/http_frontend/session_token.py
+++ b/src/cinderstair/http_frontend/session_token.py
@@ -3,7 +3,7 @@
 import re
 from typing import NamedTuple
 
-SHAPE = re.compile(r"^(?P<ident>.+)\.(?P<edition>[0-9]{1,15})-(?P<mark>[0-9a-f]{8})$")
+TOKEN_PATTERN = re.compile(r"^(?P<ident>.+)\.(?P<edition>[0-9]{1,15})-(?P<mark>[0-9a-f]{8})$")
 
 
 class Tag(NamedTuple):
@@ -36,7 +36,7 @@
 
 def parse_session_token(*, text: str) -> SessionToken:
     """Parses a client's text; one without a tag is a name alone."""
-    match = SHAPE.match(text)
+    match = TOKEN_PATTERN.match(text)
     if match is None:
         return SessionToken(text, UNMARKED)
     return SessionToken(match["ident"], Tag(int(match["edition"]), match["mark"]))
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -29,7 +29,7 @@
         # a session's name is its key; nobody may guess another's
         ident = f"{self.ctx.name}.{self.ctx.rng.getrandbits(96):024x}"
         session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
-        session.tag = session.next(rng=self.ctx.rng)
+        session.tag = session.next_tag(rng=self.ctx.rng)
         self.open[ident] = session
         return session
 
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -12,7 +12,7 @@
 # a channel in use for so long has its backend probed
 SILENT_US = 2_500_000
 # probes in a row without an answer, after which the backend's jobs are given up
-MAX_MISSES = 2
+MAX_MISSED_PROBES = 2
 
 
 class SilentBackendProbe(CommandQueueMixin):
@@ -21,30 +21,30 @@
     def __init__(self, *, ctx: Context, connection_pools: ConnectionPools) -> None:
         self.ctx = ctx
         self.connection_pools = connection_pools
-        self.misses: Counter[str] = Counter()
-        self.asking: set[str] = set()
+        self.missed_probes: Counter[str] = Counter()
+        self.probing: set[str] = set()
         self.open_queue()
         self.every(every_us=CHECK_EVERY_US, command=self._check, name="doubts")
 
     def _check(self) -> None:
         for name, pool in self.connection_pools.pools.items():
-            if pool.oldest_us < SILENT_US:
-                self.misses.pop(name, None)
-            elif name not in self.asking:
-                self.asking.add(name)
+            if pool.longest_hold_us < SILENT_US:
+                self.missed_probes.pop(name, None)
+            elif name not in self.probing:
+                self.probing.add(name)
                 self.ctx.spawn(work=self._probe(name=name), name=f"doubt.{name}")
 
     async def _probe(self, *, name: str) -> None:
         try:
-            reading = await query_position(connection_pools=self.connection_pools, name=name)
+            position = await query_position(connection_pools=self.connection_pools, name=name)
         finally:
-            self.asking.discard(name)
+            self.probing.discard(name)
         # a slow statement is no sign of anything while its backend still answers other questions
-        if reading.is_ok() or reading.error.code not in (ErrorCode.WIRE_UNSURE, ErrorCode.WIRE_UNSENT):
-            self.misses.pop(name, None)
+        if position.is_ok() or position.error.code not in (ErrorCode.WIRE_UNSURE, ErrorCode.WIRE_UNSENT):
+            self.missed_probes.pop(name, None)
             return
-        self.misses[name] += 1
+        self.missed_probes[name] += 1
         pool = self.connection_pools.pool(name=name)
-        if self.misses[name] >= MAX_MISSES and pool is not None:
+        if self.missed_probes[name] >= MAX_MISSED_PROBES and pool is not None:
             self.ctx.counters.add(name="jobs.givenUp")
             pool.give_up()
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -67,21 +67,23 @@
                 }
                 for database, assignment in sorted(self.view.primaries.items())
             },
-            "held": {database: reason for database, reason in self.held().items()},
+            "held": {database: reason for database, reason in self.hold_reasons().items()},
             "windows": self._windows(),
             "duties": ["lead"] if self.database_failover.lease.held else [],
             "backends": {name: self._backend(name=name) for name in sorted(self.connection_pools.pools)},
-            "shares": {database: list(names) for database, names in self.connection_pools.shares.items()},
+            "shares": {
+                database: list(names) for database, names in self.connection_pools.subsets_by_database.items()
+            },
             "sessions": len(self.sessions.open),
-            "sessionsOnOneStall": self.session_replicator.alone,
+            "sessionsOnOneStall": self.session_replicator.unreplicated,
             "copies": len(self.session_replicas.held),
             "queueMost": self.connection_pools.queue_limit,
         }
 
-    def held(self) -> dict[str, str]:
+    def hold_reasons(self) -> dict[str, str]:
         """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
-        held = {database: reason for database, reason in self.database_failover.reasons.items() if reason}
-        return {**held, **self.database_failover.sync_holds, **self.database_failover.window_holds}
+        hold_reasons = {database: reason for database, reason in self.database_failover.reasons.items() if reason}
+        return {**hold_reasons, **self.database_failover.sync_holds, **self.database_failover.window_holds}
 
     def _windows(self) -> dict[str, Any]:
         """Each booked window: its stage, what it still has to empty, and what holds it back."""
@@ -89,19 +91,19 @@
         leaving = self.view.leaving
         windows: dict[str, Any] = {}
         for window in () if configuration is None else configuration.windows:
-            mine = [name for name, ws in leaving.backends.items() if window.name in ws]
-            left = [
+            backends = [name for name, ws in leaving.backends.items() if window.name in ws]
+            blockers = [
                 f"{name} {'leads' if assignment.primary == name else 'is in sync for'} {database}"
                 for database, assignment in sorted(self.view.primaries.items())
-                for name in mine
+                for name in backends
                 if name in (assignment.primary, *assignment.confirmers)
             ]
             windows[window.name] = {
                 "stage": self.view.window_states.stage(window=window).name,
                 "empties": window.drained.text,
-                "backends": mine,
+                "backends": backends,
                 "stalls": [name for name, ws in leaving.http_proxies.items() if window.name in ws],
-                "left": left,
+                "left": blockers,
             }
         return windows
 
@@ -115,7 +117,7 @@
             "channels": {
                 "limit": pool.limit,
                 "open": pool.open,
-                "waiting": len(pool.waiting),
+                "waiting": len(pool.waiters),
                 "opened": pool.opened,
                 "closed": pool.closed,
             },
--- a/src/cinderstair/http_frontend/subsetting.py
+++ b/src/cinderstair/http_frontend/subsetting.py
@@ -11,7 +11,7 @@
 
 
 @lru_cache(maxsize=4096)
-def allocated(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
+def _cached_shuffle(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
     """`shuffled`, cached."""
     # drawing a rank for each name shuffles as well as swapping does, and leaves all other names in
     # their order when one is listed or struck off, so that a change of the list moves few channels
@@ -20,29 +20,29 @@
 
 def shuffled(*, names: Sequence[str], seed: int) -> tuple[str, ...]:
     """The list in one round's order, whatever order it arrives in."""
-    return allocated(tuple(names), seed)
+    return _cached_shuffle(tuple(names), seed)
 
 
-def subset_count(*, listed: int, subset_size: int) -> int:
+def subset_count(*, name_count: int, subset_size: int) -> int:
     """How many subsets one round of a list makes."""
     # a list shorter than a subset is still one subset, or its backends would serve nobody
-    return max(1, listed // subset_size) if subset_size > 0 else 0
+    return max(1, name_count // subset_size) if subset_size > 0 else 0
 
 
-def bounds(*, listed: int, count: int, index: int) -> tuple[int, int]:
+def bounds(*, name_count: int, count: int, index: int) -> tuple[int, int]:
     """Even division: the remainder goes to the first subsets, one each."""
-    base, over = divmod(listed, count)
-    start = index * base + min(index, over)
-    return start, start + base + (1 if index < over else 0)
+    base, remainder = divmod(name_count, count)
+    start = index * base + min(index, remainder)
+    return start, start + base + (1 if index < remainder else 0)
 
 
 def subset(*, names: Sequence[str], http_proxy_id: int, subset_size: int) -> tuple[str, ...]:
     """The design's deterministic subset of one HTTP proxy."""
     if not names or subset_size <= 0:
         return ()
-    count = subset_count(listed=len(names), subset_size=subset_size)
+    count = subset_count(name_count=len(names), subset_size=subset_size)
     order = shuffled(names=names, seed=http_proxy_id // count)
-    start, end = bounds(listed=len(names), count=count, index=http_proxy_id % count)
+    start, end = bounds(name_count=len(names), count=count, index=http_proxy_id % count)
     return tuple(order[start:end])
 
 
@@ -56,9 +56,9 @@
     own = subset(names=names, http_proxy_id=http_proxy_id, subset_size=subset_size)
     if not any(name in unfit for name in own):
         return own
-    count = subset_count(listed=len(names), subset_size=subset_size)
+    count = subset_count(name_count=len(names), subset_size=subset_size)
     order = shuffled(names=names, seed=http_proxy_id // count)
-    _, end = bounds(listed=len(names), count=count, index=http_proxy_id % count)
+    _, end = bounds(name_count=len(names), count=count, index=http_proxy_id % count)
     # going on from the subset's own end gives each subset of a round another replacement first
     spare = [name for name in (*order[end:], *order[:end]) if name not in own and name not in unfit]
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
@@ -77,5 +77,5 @@
     """One HTTP proxy's part of a backend's cap: even, with the remainder dealt by id. The sum is the cap."""
     if http_proxy_id not in user_ids:
         return 0
-    base, over = divmod(cap, len(user_ids))
-    return base + (1 if sorted(user_ids).index(http_proxy_id) < over else 0)
+    base, remainder = divmod(cap, len(user_ids))
+    return base + (1 if sorted(user_ids).index(http_proxy_id) < remainder else 0)
--- a/src/cinderstair/simulation/dry_run.py
+++ b/src/cinderstair/simulation/dry_run.py
@@ -43,7 +43,7 @@
             if not empty_us and world.now_us - start_us > 1_000_000 and emptied(world=world):
                 empty_us = world.now_us - start_us
         end_us = world.now_us
-        held = sorted({text for n in world.ups() for text in world.http_proxy(name=n).status.held().values()})
+        held = sorted({text for n in world.ups() for text in world.http_proxy(name=n).status.hold_reasons().values()})
         lost = sum(caller.sessions_lost for caller in world.callers)
         world.callers_end()
         return {
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -128,13 +128,13 @@
     trial.verdict.note(name="the calm database, p99", value_us=calm_spans[len(calm_spans) * 99 // 100])
     if any(e.kind == "crowded" for e in calm) or calm_spans[len(calm_spans) * 99 // 100] > 200_000:
         trial.verdict.wrong.append("the calm database suffers from the other's membership")
-    waiting = max(
-        len(p.waiting)
+    waiters = max(
+        len(p.waiters)
         for n in world.http_proxy_names
         for p in world.http_proxy(name=n).connection_pools.pools.values()
     )
-    if waiting > world.http_proxy(name="stall-0").connection_pools.queue_limit:
-        trial.verdict.wrong.append(f"{waiting} jobs wait in one queue")
+    if waiters > world.http_proxy(name="stall-0").connection_pools.queue_limit:
+        trial.verdict.wrong.append(f"{waiters} jobs wait in one queue")
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 2_000
     trial.fault()
--- a/src/cinderstair/simulation/window_trials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -112,7 +112,9 @@
     trial.fault()
     trial.go(for_us=8_000_000)
     held = [world.http_proxy(name=name).window_held for name in world.http_proxy_names]
-    texts = [text for name in world.http_proxy_names for text in world.http_proxy(name=name).status.held().values()]
+    texts = [
+        text for name in world.http_proxy_names for text in world.http_proxy(name=name).status.hold_reasons().values()
+    ]
     if not all(held) or not any("holds back" in text for text in texts):
         trial.verdict.wrong.append(f"nobody says what holds back: {held} {texts}")
     trial.go(for_us=8_000_000)
