--- a/src/cinderstair/http_frontend/__init__.py
+++ b/src/cinderstair/http_frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of the product's own HTTP interface."""
+"""The HTTP proxy: serves clients' sessions over HTTP and forwards their statements to backends."""
--- a/src/cinderstair/http_frontend/commit_watermarks.py
+++ b/src/cinderstair/http_frontend/commit_watermarks.py
@@ -1,4 +1,4 @@
-"""The watermarks of all replicas: when a commit may be acknowledged."""
+"""Decides when a commit may be acknowledged, from the watermarks of the replicas that must hold it."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from .replica_watermark import ReplicaWatermark
 from .view import View
 
-# the lead and the view are looked at this often while a commit waits
+# how often the primary assignment and the view are checked while a commit waits
 RECHECK_US = 50_000
 
 
 class CommitWatermarks:
-    """Says of a position in a term whether all that must hold it do."""
+    """Owns one watermark per replica, and waits for replicas to reach a position of a term."""
 
     def __init__(self, *, ctx: Context, view: View, connection_pools: ConnectionPools) -> None:
         self.ctx = ctx
@@ -21,25 +21,27 @@
         self.watermarks: dict[str, ReplicaWatermark] = {}
 
     def watermark(self, *, name: str) -> ReplicaWatermark:
-        """The watermark of a replica, created when it is first needed."""
+        """The watermark of a replica, created on first use."""
         if name not in self.watermarks:
             self.watermarks[name] = ReplicaWatermark(ctx=self.ctx, connection_pools=self.connection_pools, name=name)
         return self.watermarks[name]
 
     def term_in_force(self, *, database: str, term: int) -> bool:
-        """The term is still the one in force, by a view that is current now."""
+        """Whether the term is still in force and serves, by a view that is current."""
         assignment = self.view.assignment(database=database)
         return self.view.current and assignment is not None and assignment.term == term and assignment.serves
 
     async def durable(self, *, database: str, term: int, position: int, until_us: int) -> bool:
-        """Waits until every in-sync and joining replica holds a position.
+        """Waits until every in-sync and joining replica has received a position.
 
-        :returns: whether they do, in a term that is still in force; false at `until_us`.
+        :param until_us: the deadline on the local clock.
+        :returns: True once they all have it and the term is still in force; False when the term has ended or the
+            deadline has passed.
         """
         polled: set[str] = set()
         while True:
             assignment = self.view.assignment(database=database)
-            # once another term has begun, nothing of this one may be acknowledged any more
+            # once another term has begun, no commit of this one may be acknowledged
             if assignment is None or assignment.term != term or not assignment.serves:
                 return False
             missing = [
@@ -47,7 +49,7 @@
                 for name in assignment.confirmers
                 if not self.watermark(name=name).covers(term=term, position=position)
             ]
-            # with nobody in sync a commit would stand on one disk alone
+            # without an in-sync replica the commit would exist on the primary's disk only
             if assignment.in_sync and not missing and self.view.current:
                 return True
             left_us = until_us - self.ctx.now_us()
@@ -61,7 +63,8 @@
 
     async def _wait_for_any(self, *, names: list[str], wait_us: int) -> None:
         waits = [
-            self.ctx.spawn(work=self._wait_for_watermark(name=name, wait_us=wait_us), name="line") for name in names
+            self.ctx.spawn(work=self._wait_for_watermark(name=name, wait_us=wait_us), name="watermark")
+            for name in names
         ]
         if not waits:
             await self.ctx.sleep(duration_us=wait_us)
--- a/src/cinderstair/http_frontend/configuration_store.py
+++ b/src/cinderstair/http_frontend/configuration_store.py
@@ -1,4 +1,4 @@
-"""Takes configurations in and gives the newest accepted one back."""
+"""Stores the operator's configuration in the register and reads it back."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,26 +12,26 @@
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 
-#: How often a write is tried whose outcome stays unknown.
+# attempts of a write whose outcome is unknown
 MAX_ATTEMPTS = 4
 
 
 @dataclass(frozen=True, kw_only=True)
 class AcceptedConfiguration:
-    """A configuration that is in force, and its value in the register."""
+    """An accepted configuration and its value in the register."""
 
     configuration: Configuration
     found: VersionedValue
 
 
 def _check_follows(*, current: bytes, raw: bytes, version: int) -> Result[bytes, CinderstairError]:
-    """What is to be written over the current document, or why the submitted one can't follow it."""
+    """The bytes to write, or why the submitted document can't replace the current one."""
     if not current or current == raw:
         return Ok(raw)
-    # The current document was checked before it was written, but perhaps by a newer release than this one.
+    # the current document was checked before it was written, but perhaps by a newer release
     checked = check_configuration(raw=current)
     if checked.is_error():
-        reason = "what stands can't be read by this version"
+        reason = "this release can't read the accepted configuration; submit it by a newer release"
         return Error(CinderstairError(code=ErrorCode.INTERNAL, reason=reason))
     current_version = checked.ok.version
     details = {"stands": current_version}
@@ -45,17 +45,20 @@
 
 
 class ConfigurationStore:
-    """Checks a configuration whole before it is written to the register; of two writers the second is told so."""
+    """Validates a document before it is written to the register.
+
+    Versions only increase: of two concurrent writers the second gets VERSION_TAKEN or VERSION_OLD.
+    """
 
     def __init__(self, *, ctx: Context, register: Register) -> None:
         self.ctx = ctx
         self.register = register
 
     async def submit(self, *, raw: bytes) -> Result[AcceptedConfiguration, CinderstairError]:
-        """Checks a document and writes it over an older one.
+        """Validates a document and replaces an older version by it.
 
-        :param raw: the operator's document
-        :returns: the accepted configuration, or why it is refused; REGISTER_UNSURE where the outcome is unknown
+        :param raw: the operator's document.
+        :returns: the accepted configuration, or why it was rejected; REGISTER_UNSURE where the outcome is unknown.
         """
         checked = check_configuration(raw=raw)
         if checked.is_error():
@@ -74,17 +77,19 @@
         self, *, decide: Callable[[bytes], Result[bytes, CinderstairError]]
     ) -> Result[VersionedValue, CinderstairError]:
         result: Result[VersionedValue, CinderstairError] = Error(
-            CinderstairError(code=ErrorCode.REGISTER_UNREACHABLE, reason="not tried")
+            CinderstairError(
+                code=ErrorCode.REGISTER_UNREACHABLE, reason="no attempt was made to write the configuration"
+            )
         )
         for _ in range(MAX_ATTEMPTS):
             result = await self.register.change(key=CONFIGURATION_KEY, decide=decide)
-            # Writing the same bytes again has no further effect, so a write whose outcome is unknown is repeated.
+            # writing the same bytes again has no further effect, so a write of unknown outcome can be repeated
             if result.is_ok() or result.error.code != ErrorCode.REGISTER_UNSURE:
                 break
         return result
 
     async def fetch(self) -> Result[bytes, CinderstairError]:
-        """The newest accepted document, to the byte; NO_CONFIGURATION where there is none yet."""
+        """The bytes of the newest accepted document; NO_CONFIGURATION where there is none yet."""
         found = await self.register.read(key=CONFIGURATION_KEY)
         if found.is_error():
             return Error(found.error)
--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -1,4 +1,4 @@
-"""All of an HTTP proxy's connection pools, sized by its share of the backends."""
+"""The connection pools of an HTTP proxy, sized by its subset of the backends and their caps."""
 
 from collections.abc import Iterable
 
@@ -13,14 +13,19 @@
 from .view import View
 
 REFRESH_EVERY_US = 250_000
-# growth waits until every HTTP proxy has either shrunk or lost its view, so the cap holds in between
+# a pool grows only after every HTTP proxy has shrunk or lost its view lease, so the cap is never exceeded
 GROW_MARGIN_US = 300_000
-# what is under way at a backend goes on for so long after it has become unfit
+# requests in flight at a backend continue for this long after it has become unhealthy
 UNHEALTHY_GRACE_US = 3_000_000
 
 
 class ConnectionPools(CommandQueueMixin):
-    """Owns the pools. The share is computed here, only when the list, the ids or fitness change."""
+    """Owns one pool per backend and decides their limits.
+
+    Subsets and limits are recomputed only when the configuration, the proxy ids, the primary assignments or the
+    health of backends change. A reduced limit applies at once; a raised one waits for the view lease and
+    GROW_MARGIN_US.
+    """
 
     def __init__(self, *, ctx: Context, view: View, heartbeat_table: HeartbeatTable, queue_limit: int) -> None:
         self.ctx = ctx
@@ -48,9 +53,9 @@
         return self.subsets_by_database.get(database, ())
 
     def usable(self, *, name: str) -> bool:
-        """Whether new jobs may be sent to a backend."""
+        """Whether new requests may be sent to a backend."""
         pool = self.pools.get(name)
-        # what a window empties keeps what it still leads, until the lead has moved, and gets nothing else
+        # a backend drained by a window serves as primary until the switchover, and gets no other requests
         if name in self.view.leaving.backends and not self._is_primary(name=name):
             return False
         return (
@@ -61,20 +66,20 @@
         return any(assignment.primary == name for assignment in self.view.primaries.values())
 
     def open(self, *, name: str) -> bool:
-        """Whether this HTTP proxy may have channels there at all."""
+        """Whether the limit of a backend's pool allows any channels."""
         pool = self.pools.get(name)
         return pool is not None and pool.limit > 0
 
     def reachable(self, *, name: str) -> bool:
-        """Whether anything at all may still be sent to a backend."""
-        # by the clock itself, since a process that stood still has not noticed yet who fell silent meanwhile
+        """Whether requests may still be sent to a backend: it is healthy, or became unhealthy a short while ago."""
+        # checks the age of the heartbeat, since a paused process has not run `refresh` meanwhile
         if self.heartbeat_table.age_us(name=name) > SILENT_AFTER_US + UNHEALTHY_GRACE_US:
             return False
         since_us = self.unhealthy_since_us.get(name)
         return since_us is None or self.ctx.now_us() - since_us < UNHEALTHY_GRACE_US
 
     def refresh(self) -> None:
-        """Brings the pools up to the configuration, the proxy ids, the leads and the backends' fitness."""
+        """Applies the configuration, proxy ids, primary assignments and health of backends to the pools."""
         configuration = self.view.configuration
         if configuration is None:
             return
@@ -84,7 +89,7 @@
                 self.unhealthy_since_us.pop(name, None)
             else:
                 self.unhealthy_since_us.setdefault(name, now_us)
-                # a backend that empties or fell silent is left alone as soon as no job is under way
+                # a draining or silent backend keeps only the channels that are in use
                 if name in self.pools:
                     self.pools[name].close_idle()
         self._give_up_stale(names=configuration.backends)
@@ -99,14 +104,14 @@
         self._grow()
 
     def _give_up_stale(self, *, names: Iterable[str]) -> None:
-        """Jobs that wait for what won't come, or would not count, are answered now and not when their time is up."""
+        """Ends requests in flight whose replies won't come or can't be used, instead of letting them time out."""
         for name in names:
             if name in self.pools and not self.reachable(name=name):
                 self.pools[name].give_up()
         for database, assignment in self.view.primaries.items():
             before = self.last_assignments.get(database, assignment)
             self.last_assignments[database] = assignment
-            # whatever the old primary answers now belongs to a term that is over
+            # replies of the former primary belong to a term that has ended
             if (
                 before.term < assignment.term
                 and before.primary != assignment.primary
@@ -129,7 +134,7 @@
             self.subsets_by_database[database] = () if my_id is None else subsets[my_id]
             assignment = self.view.primaries.get(database)
             for name in names:
-                # every HTTP proxy writes, whatever its subset, and asks those that must hold what it wrote
+                # every HTTP proxy writes to the primary and queries the confirming replicas, whatever its subset
                 assigned = assignment is not None and name in (assignment.primary, *assignment.confirmers)
                 user_ids = [n for n, assigned_backends in subsets.items() if assigned or name in assigned_backends]
                 limit = (
@@ -137,7 +142,7 @@
                     if my_id is None
                     else allotment(cap=configuration.backends[name].cap, user_ids=user_ids, http_proxy_id=my_id)
                 )
-                # the source's flow control, a bound on one backend's active jobs from one HTTP proxy
+                # the `active` policy bounds the requests of one HTTP proxy in flight at one backend
                 target_limits[name] = min(limit, configuration.amount(name="active", database=database))
         self._resize(target_limits=target_limits, backends=configuration.backends)
 
@@ -145,7 +150,7 @@
         now_us = self.ctx.now_us()
         for name, backend in backends.items():
             pool = self.pools.get(name)
-            # a backend declared at another address is another server; its old channels lead astray
+            # a new address means another server, so channels to the old one are closed
             if pool is None or pool.address != backend.address:
                 if pool is not None:
                     pool.resize(limit=0)
@@ -167,6 +172,6 @@
                 pool.resize(limit=target_limits)
 
     def stop(self) -> None:
-        """Closes all channels; those in use when they are given back."""
+        """Closes all channels; those in use are closed on release."""
         for pool in self.pools.values():
             pool.resize(limit=0)
--- a/src/cinderstair/http_frontend/filters/body_filter.py
+++ b/src/cinderstair/http_frontend/filters/body_filter.py
@@ -20,10 +20,10 @@
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Rejects a body that is too large, or no JSON object; else None."""
+        """Rejects a body that is too large or not a JSON object; otherwise None."""
         if len(request.http.body) > MAX_BODY_BYTES:
-            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a body holds {MAX_BODY_BYTES} bytes at the most")
-        # a configuration is kept to the byte, so it is not taken apart here
+            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"the body exceeds {MAX_BODY_BYTES} bytes")
+        # a configuration is stored byte for byte, so it is not parsed here
         if request.verb in NO_BODY_VERBS or request.verb in RAW_BODY_VERBS:
             return None
         try:
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -1,4 +1,4 @@
-"""Answers readiness probes, heartbeats of backends, and the operators' requests."""
+"""Answers readiness probes, backends' heartbeats and operators' requests."""
 
 from ...config.configuration import CONFIGURATION_KEY
 from ...consensus.succession import Succession
@@ -19,7 +19,7 @@
 class ControlFilter(RejectMixin):
     """Answers every request that isn't for a session.
 
-    :param foundingVaults: how many voters founded the register; a replacement keeps at least as many.
+    :param founding_replicas: number of voters at the founding of the register; a replacement keeps at least as many.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.database_failover = database_failover
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Answers by the verb; None for those of sessions."""
+        """Answers by the verb; None for requests of sessions."""
         if request.verb == "ready":
             return self._ready()
         if request.verb == "drain":
@@ -92,7 +92,7 @@
         result = await self.configuration_store.fetch()
         if result.is_error():
             return self.reject_with(error=result.error)
-        # read back to the byte, so it leaves as it came and not as we would write it
+        # returned byte for byte as submitted, not re-serialized
         return HttpResponse(status=200, body=result.ok)
 
     async def _replace_register_replica(self, *, request: Request) -> HttpResponse:
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -1,4 +1,4 @@
-"""Reads the time left of timed requests (`timeLeftUs`, microseconds)."""
+"""Reads the client's remaining time (`timeLeftUs`, microseconds) of requests with a deadline."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
@@ -10,13 +10,13 @@
 
 
 class DeadlineFilter(RejectMixin):
-    """Sets `request.until_us`."""
+    """Sets `request.until_us`, for verbs with a deadline."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Rejects a time left that is missing, malformed or spent; else None."""
+        """Rejects a `timeLeftUs` that is missing, malformed or not positive; otherwise None."""
         if request.verb not in TIMED_VERBS:
             return None
         left = request.body.get("timeLeftUs")
--- a/src/cinderstair/http_frontend/filters/forward_base.py
+++ b/src/cinderstair/http_frontend/filters/forward_base.py
@@ -1,4 +1,4 @@
-"""What single statements and transactions share: the lead to use, one run on one backend, the acknowledgement."""
+"""Shared by single statements and transactions: choice of the primary, one run on a backend, acknowledgement."""
 
 from expression import Result
 
@@ -17,12 +17,12 @@
 from ..view import View
 from .retry_mixin import RetryMixin
 
-# what a read gets at least of its time left, before it is sent to another backend
+# the least time, if it has that much left, that a read waits for one backend before another one is tried
 MIN_READ_WAIT_US = 250_000
 
 
 class ForwardBase(RetryMixin, ForwardMixin):
-    """Answers only what the replies of backends prove."""
+    """Runs requests on backends; reports an outcome as known only where the replies prove it."""
 
     def __init__(
         self,
@@ -52,52 +52,69 @@
         return configuration
 
     def _assignment_for(self, *, database: str, writes: bool) -> Result[DatabasePrimary, CinderstairError]:
-        """The lead that new jobs of a database go to; an error where none can be acknowledged now."""
+        """The primary assignment for new requests of a database.
+
+        :returns: the assignment; NO_LEAD without a usable primary, MOVING during a switchover, NOT_IN_SYNC where a
+            write could not be acknowledged.
+        """
         assignment = self.view.assignment(database=database)
         if assignment is None:
-            return Result.Error(CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet"))
-        # while a planned move closes, reads go on; what is new and would write waits for the move's end
+            return Result.Error(
+                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: no primary has been assigned yet")
+            )
+        # during a planned switchover reads continue, while new writes wait for its end
         if not assignment.serves or (writes and assignment.state != SETTLED):
             return Result.Error(
                 CinderstairError(
-                    code=ErrorCode.MOVING, reason=f"{database}: the lead is moving to {assignment.primary}"
+                    code=ErrorCode.MOVING, reason=f"{database}: a switchover to {assignment.primary} is in progress"
                 )
             )
         if not self.connection_pools.usable(name=assignment.primary):
             return Result.Error(
-                CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: {assignment.primary} is not fit")
+                CinderstairError(
+                    code=ErrorCode.NO_LEAD, reason=f"{database}: the primary {assignment.primary} is not usable"
+                )
             )
-        # what could not be acknowledged in the end is denied before it is sent
+        # a write that could not be acknowledged is rejected before it is sent
         if writes and not any(self.heartbeat_table.healthy(name=name) for name in assignment.in_sync):
             return Result.Error(
-                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no replica is in sync")
+                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no in-sync replica is healthy")
             )
         unconnected = [name for name in assignment.confirmers if not self.connection_pools.open(name=name)]
         if writes and unconnected:
             return Result.Error(
-                CinderstairError(code=ErrorCode.NOT_IN_SYNC, reason=f"{database}: no channel yet to {unconnected[0]}")
+                CinderstairError(
+                    code=ErrorCode.NOT_IN_SYNC,
+                    reason=f"{database}: no channels are allowed yet to the replica {unconnected[0]}",
+                )
             )
         return Result.Ok(assignment)
 
     async def _run_once(
         self, *, name: str, request: Request, term: int, tried: set[str]
     ) -> Result[Reply, CinderstairError]:
-        """Runs a job outside of transactions on one backend, which is added to `tried`."""
+        """Runs a statement outside of transactions on one backend, which is added to `tried`.
+
+        :returns: the reply; an error of the pool or connection; NOT_CURRENT where the wait outlasted the view.
+        """
         pool = self.connection_pools.pool(name=name)
         tried.add(name)
         if pool is None:
             return Result.Error(
-                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name} is not in this HTTP proxy's share")
+                CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name} is not in this HTTP proxy's subset")
             )
         taken = await pool.acquire(wait_us=self._left_us(request=request))
         if taken.is_error():
             return Result.Error(taken.error)
         connection = taken.ok
-        # the wait for a channel may have outlasted the view, the term, or the backend's fitness
+        # the view, the term or the backend's health may have changed during the wait for a channel
         if not self.view.current or not self.connection_pools.usable(name=name):
             pool.release(connection=connection)
             return Result.Error(
-                CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view ran out while the job waited")
+                CinderstairError(
+                    code=ErrorCode.NOT_CURRENT,
+                    reason="the view expired or the backend became unusable during the wait for a channel",
+                )
             )
         result = await self.send_step(
             connection=connection,
@@ -109,7 +126,7 @@
         pool.release(connection=connection, keep=result.is_ok())
         if result.is_error():
             pool.record_error()
-            # a read leaves nothing behind, so a lost answer to it leaves nothing unknown
+            # a read has no effects, so a lost reply to it leaves no unknown outcome
             if request.kind != "write":
                 return Result.Error(
                     CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{result.error.reason}; nothing was written")
@@ -120,11 +137,11 @@
         left_us = self._left_us(request=request)
         if request.kind == "write":
             return left_us
-        # a read may be sent again to another backend, so a silent one must not use up all of its time
+        # a read may be retried on another backend, so a silent one must not use up all of its time
         return max(left_us // 2, min(left_us, MIN_READ_WAIT_US))
 
     def _rejected(self, *, reply: Reply) -> HttpResponse | CinderstairError:
-        """A backend's refusal: an error where it has not run the job, else an answer; nothing was kept."""
+        """Maps a backend's refusal: an error where the request was not run and may be retried, else a response."""
         if reply.reason in NOT_RUN:
             code = ErrorCode.NO_BACKEND if reply.reason == FULL else ErrorCode.NO_LEAD
             return CinderstairError(code=code, reason=reply.message)
@@ -134,21 +151,23 @@
         return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason)
 
     async def _acknowledge(self, *, request: Request, reply: Reply, term: int) -> HttpResponse:
-        """A commit is acknowledged only once it can't be lost; else its outcome is unknown."""
+        """Acknowledges a write once all confirming replicas hold it; otherwise the outcome is unknown."""
         database = request.bound.database
         if reply.term != term:
-            return self._unknown(reason="the primary answered in another term")
+            return self._unknown(reason=f"the primary answered in term {reply.term} instead of {term}")
         if not reply.wrote:
-            # nothing was written, so only what was read must still hold
+            # nothing was written, so it is enough that the rows were read in the term in force
             if not self.commit_watermarks.term_in_force(database=database, term=term):
-                return self.reject(kind=ErrorCode.NOT_CURRENT, reason="the lead moved meanwhile; nothing was written")
+                return self.reject(
+                    kind=ErrorCode.NOT_CURRENT, reason="the primary changed or the view expired; nothing was written"
+                )
             return self.done(value={"rows": reply.rows})
         wait_us = self.configuration.amount(name="commitWait", database=database)
         until_us = min(request.until_us, self.ctx.now_us() + wait_us)
         if not await self.commit_watermarks.durable(
             database=database, term=term, position=reply.position, until_us=until_us
         ):
-            return self._unknown(reason="run, and not known to be held by every replica in sync")
+            return self._unknown(reason="the write ran, but not all in-sync replicas are known to hold it")
         request.bound.floor = max(request.bound.floor, reply.position)
         self.ctx.counters.add(name="commits.acknowledged")
         return self.done(value={"rows": reply.rows, "position": reply.position})
--- a/src/cinderstair/http_frontend/filters/forward_filter.py
+++ b/src/cinderstair/http_frontend/filters/forward_filter.py
@@ -1,4 +1,4 @@
-"""Forwards jobs to backends; the last filter of the chain."""
+"""Forwards statements and transactions to backends; the last filter of the chain."""
 
 from ...runtime.errors import ErrorCode
 from ...runtime.http_response import HttpResponse
@@ -9,7 +9,7 @@
 
 
 class ForwardFilter(SingleStatementMixin, TransactionMixin):
-    """Runs statements and transactions."""
+    """Chooses how a request is run: in a transaction, as a write, or as a read of the primary or of a replica."""
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Answers every request that reaches it."""
@@ -24,7 +24,7 @@
             return await end(request=request, transaction=transaction)
         if transaction is not None:
             return await self._run_in_transaction(request=request, transaction=transaction)
-        # a statement meant for a transaction that is gone must not run outside one
+        # a statement meant for an abandoned transaction must not run outside of it
         if session.lost:
             session.lost = False
             return self.reject(
@@ -33,10 +33,10 @@
         return await self._retry(request=request, attempt=self._attempt_for(request=request))
 
     def _attempt_for(self, *, request: Request) -> Attempt:
-        """How a statement outside of transactions is run."""
+        """The attempt function for a statement outside of transactions."""
         if request.kind == "write":
             return self._write
-        # an operator may route reads that a replica could answer to the primary as well
+        # a route may send reads that a replica could serve to the primary
         route = self.configuration.route(kind=request.kind, database=request.bound.database)
         if request.kind == "primary" or route.target == "primary":
             return self._primary_read
--- a/src/cinderstair/http_frontend/filters/ready_filter.py
+++ b/src/cinderstair/http_frontend/filters/ready_filter.py
@@ -1,4 +1,4 @@
-"""Whether this HTTP proxy may take jobs: it must know the configuration in force and reach a backend."""
+"""Decides whether this HTTP proxy may serve: it needs a current view, a configuration, a proxy id and a backend."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,23 +12,23 @@
 from ..view import View
 from .deadline_filter import TIMED_VERBS
 
-# addresses that a client is given at most
+# addresses of other proxies in a response
 MAX_ALTERNATIVES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class NotReady:
-    """Why an HTTP proxy can't take jobs."""
+    """Why an HTTP proxy can't serve requests."""
 
     code: ErrorCode
     reason: str
 
 
 class ReadyFilter(RejectMixin):
-    """Rejects timed jobs while this HTTP proxy isn't ready.
+    """Rejects requests with a deadline while this HTTP proxy isn't ready.
 
-    `draining` is set by a planned stop, `emptied_by` by a maintenance window (its name), `blind` while no backend
-    answers.
+    `draining` is set by a planned stop, `drained_by` by a maintenance window (its name), and `isolated` while no
+    backend answers.
     """
 
     def __init__(self, *, ctx: Context, view: View, membership: Membership) -> None:
@@ -41,37 +41,37 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether sessions are to go elsewhere, for a stop or for a window."""
+        """Whether sessions are to be handed over: for a stop, for a window, or without any backend."""
         return self.draining or bool(self.drained_by) or self.isolated
 
     def unready(self) -> NotReady | None:
-        """Why no job may pass now; None where jobs may."""
+        """Why requests can't be served now; None while ready."""
         if self.draining:
             return NotReady(ErrorCode.DRAINING, "this HTTP proxy is emptying")
         if self.drained_by:
-            return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is emptied by {self.drained_by}")
+            return NotReady(ErrorCode.DRAINING, f"this HTTP proxy is drained by {self.drained_by}")
         if self.isolated:
-            return NotReady(ErrorCode.NO_BACKEND, "this HTTP proxy reaches no backend")
+            return NotReady(ErrorCode.NO_BACKEND, "this HTTP proxy gets no answer from any backend")
         if not self.view.current:
             return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy's view of the register is not current")
         if self.view.configuration is None:
             return NotReady(ErrorCode.NO_CONFIGURATION, "no configuration has been accepted yet")
         if self.view.proxy_ids.id_of(name=self.ctx.name) is None:
-            return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy holds no slot yet")
+            return NotReady(ErrorCode.NOT_CURRENT, "this HTTP proxy has no proxy id yet")
         return None
 
     def elsewhere(self) -> dict[str, Any]:
-        """A response's details: the addresses of other HTTP proxies, for the client to go to."""
+        """Response details with addresses of other HTTP proxies, at random, for the client to use instead."""
         others = [member.http for member in self.membership.alive(role="stall")]
         self.ctx.rng.shuffle(others)
         return {"elsewhere": others[:MAX_ALTERNATIVES]}
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Rejects a timed job; jobs that end a transaction pass while sessions are handed over."""
+        """Rejects a request with a deadline while not ready; open transactions may still end while draining."""
         if request.verb not in TIMED_VERBS:
             return None
         not_ready = self.unready()
-        # an open transaction may end here even while the HTTP proxy empties; nothing new may begin
+        # while draining, an open transaction may be completed, but nothing new may begin
         if not_ready is not None and not (self.leaving and request.verb in ("statement", "commit", "rollback")):
             return self.reject(kind=not_ready.code, reason=not_ready.reason, details=self.elsewhere())
         return None
--- a/src/cinderstair/http_frontend/filters/retry_mixin.py
+++ b/src/cinderstair/http_frontend/filters/retry_mixin.py
@@ -1,4 +1,4 @@
-"""Retries of jobs that ran nowhere, within their time left."""
+"""Retries requests that no backend has run, within their deadline."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,31 +11,34 @@
 from ..view import View
 
 MAX_ATTEMPTS = 4
-# the pause grows by this with each attempt, from none; also how often a move is looked at
+# linear backoff: attempt n waits n times this; also the interval at which a switchover is checked
 RETRY_PAUSE_US = 30_000
-# the longest that a planned move takes when nothing fails; jobs with less time left are rejected at once
+# longest planned switchover without faults; requests with an earlier deadline are rejected at once
 PLANNED_MOVE_US = 5_500_000
-# another attempt would only make a full queue longer, or wait for what takes longer than a retry
+# a retry would only lengthen a full queue, or the cause lasts longer than the retries
 NOT_RETRIED = frozenset([ErrorCode.OVERLOADED, ErrorCode.NO_LEAD, ErrorCode.MOVING, ErrorCode.NOT_IN_SYNC])
 
-# makes one attempt (`request`, and `tried`: the backends of earlier ones); an error where the job ran nowhere
+# makes one attempt (`request`; `tried`: backends of earlier attempts); an error where no backend ran the request
 Attempt = Callable[..., Awaitable[HttpResponse | CinderstairError]]
 
 
 class RetryMixin(RejectMixin):
-    """Gives a filter the retry loop."""
+    """The retry loop of the forwarding filter."""
 
     ctx: Context
     view: View
 
     def _left_us(self, *, request: Request) -> int:
-        """The request's time left."""
+        """Microseconds until the request's deadline."""
         return request.time_left_us(now_us=self.ctx.now_us())
 
     async def _retry(self, *, request: Request, attempt: Attempt) -> HttpResponse:
-        """Repeats attempts of a job that provably ran nowhere, or that only reads; rejects with the last error."""
+        """Repeats attempts, up to MAX_ATTEMPTS, as long as they end in errors; rejects with the last error.
+
+        Safe, since an attempt returns an error only for requests that provably were not run, or only read.
+        """
         tried: set[str] = set()
-        error = CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="no time was left for another round")
+        error = CinderstairError(code=ErrorCode.TIME_LEFT_SPENT, reason="the deadline passed before a retry")
         for number in range(MAX_ATTEMPTS):
             outcome = await attempt(request=request, tried=tried)
             if isinstance(outcome, HttpResponse):
@@ -51,13 +54,13 @@
         return self.reject_with(error=error)
 
     async def _wait_for_move(self, *, request: Request) -> bool:
-        """Waits for a planned move to end; false where it doesn't, at once where the job has too little time left."""
+        """Waits for a planned switchover; False if it doesn't end in time, at once if the deadline comes first."""
         database = request.bound.database
         assignment = self.view.assignment(database=database)
         if assignment is None or not assignment.planned:
             return False
         ends_us = self.view.planned_since_us.get(database, self.ctx.now_us()) + PLANNED_MOVE_US
-        # a job that can't outlast the move is rejected now, not after it has waited in vain
+        # a request whose deadline is before the end of the switchover is rejected now instead of after a wait
         if request.until_us < ends_us or self.ctx.now_us() > ends_us:
             return False
         while self.ctx.now_us() < ends_us:
--- a/src/cinderstair/http_frontend/filters/route_filter.py
+++ b/src/cinderstair/http_frontend/filters/route_filter.py
@@ -1,4 +1,4 @@
-"""Validates a statement's body, and rejects kinds that a route denies."""
+"""Validates a statement's body and rejects kinds that a route denies."""
 
 from ...config.route import KINDS
 from ...runtime.context import Context
@@ -17,11 +17,12 @@
         self.view = view
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Rejects what can't be forwarded; else None."""
+        """Rejects a request that can't be forwarded; otherwise None."""
         configuration = self.view.configuration
         if configuration is None or request.bound.database not in configuration.databases:
             return self.reject(
-                kind=ErrorCode.UNKNOWN_DATABASE, reason=f"no database '{request.bound.database}' any more"
+                kind=ErrorCode.UNKNOWN_DATABASE,
+                reason=f"database '{request.bound.database}' is no longer in the configuration",
             )
         if request.verb != "statement":
             request.kind = "write"
--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -1,4 +1,4 @@
-"""Finds the session that a request is for; a session runs one request at a time."""
+"""Finds the session of a request, and ensures that a session runs one request at a time."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
@@ -13,7 +13,7 @@
 
 
 class SessionFilter(RejectMixin):
-    """Binds a request to its session, or answers what became of the session."""
+    """Binds a request to its session, or rejects it with what is known about the session."""
 
     def __init__(self, *, ctx: Context, sessions: Sessions, ready: ReadyFilter, handover: Handover) -> None:
         self.ctx = ctx
@@ -22,12 +22,12 @@
         self.handover = handover
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Sets `request.session` and marks it busy; `HttpProxy.answer` ends that."""
+        """Sets `request.session` and marks it busy; `HttpProxy.answer` clears the mark."""
         if not request.session_id:
             return None
         handle = parse_session_token(text=request.session_id)
         session = self.sessions.find(ident=handle.ident)
-        # the client was promised a later state than the one here, so this HTTP proxy was away for too long
+        # the client knows a later state than the one here: another proxy took the session over while this was cut off
         if (
             session is not None
             and handle.tag.revision >= session.tag.revision
@@ -40,7 +40,7 @@
         if handle.tag != session.tag:
             return self._on_old_token(request=request, handle=handle, session=session)
         if session.busy:
-            return self.reject(kind=ErrorCode.SESSION_BUSY, reason="another job of this session is under way")
+            return self.reject(kind=ErrorCode.SESSION_BUSY, reason="another request of this session is in flight")
         not_ready = self.ready.unready()
         if not_ready is not None and session.transaction is None and request.verb != "close":
             return self.reject(kind=not_ready.code, reason=not_ready.reason, details=self.ready.elsewhere())
@@ -50,7 +50,7 @@
         return None
 
     async def _find_elsewhere(self, *, request: Request, handle: SessionToken) -> HttpResponse:
-        """The session is not here: where it is, or what became of it."""
+        """Answers for a session that is not open here: where it is, that it was taken over, or that it is unknown."""
         search = await self.handover.find(handle=handle)
         if search.address:
             reason = "the session is at another HTTP proxy"
@@ -61,19 +61,21 @@
             return self._reject_old_token(
                 request=request, session=search.session, reason="its HTTP proxy was lost; it was taken over here"
             )
-        # final only when everyone who might have it has said no
+        # the session is unknown only once all proxies that may have it have answered
         if search.incomplete:
             return self.reject(
                 kind=ErrorCode.SESSION_SOUGHT, reason="not found yet; some HTTP proxies have not answered"
             )
-        # a session is never quietly opened anew; its values and transaction would be gone unnoticed
+        # a new session is never opened silently, or the loss of values and transaction would go unnoticed
         return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="no such session here; it is gone, open a new one")
 
     def _on_old_token(self, *, request: Request, handle: SessionToken, session: Session) -> HttpResponse:
-        """A handle that is not the newest one."""
+        """Answers for a handle whose tag is not the newest one."""
         if handle.tag != session.previous_tag:
-            return self.reject(kind=ErrorCode.UNKNOWN_SESSION, reason="a handle from before; the session has gone on")
-        # nobody may go on in the middle of what it does not know to be over
+            return self.reject(
+                kind=ErrorCode.UNKNOWN_SESSION, reason="the handle is out of date; the session has changed since"
+            )
+        # the client missed a change, so it must not continue in a transaction begun before
         if not session.busy:
             self.sessions.abandon(session=session)
             session.lost = False
@@ -82,12 +84,12 @@
         )
 
     def _reject_old_token(self, *, request: Request, session: Session, reason: str) -> HttpResponse:
-        """Nothing is run before the client knows the handle, so it can't mistake what is gone for what is here."""
+        """Rejects a request with an old handle and returns the new one; nothing runs until the client uses that."""
         if request.verb == "close":
             self.sessions.close(session=session)
             return self.done()
         details = {"session": session.handle}
-        # a commit may have been sent before, by the HTTP proxy that was lost, and nobody here can know
+        # the lost HTTP proxy may have sent the commit, which can't be determined here
         if request.verb == "commit":
             reason = f"{reason}; its commit may have been kept, or not"
             return self.reject(kind=ErrorCode.OUTCOME_UNKNOWN, reason=reason, details=details)
--- a/src/cinderstair/http_frontend/filters/session_state_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_state_filter.py
@@ -1,4 +1,4 @@
-"""Opens and closes sessions, and changes their values and prepared texts."""
+"""Opens and closes sessions and changes their values and prepared texts."""
 
 from dataclasses import replace
 from typing import Any
@@ -12,14 +12,14 @@
 from ..sessions import Sessions
 from ..view import View
 
-# of a session: values, and as many prepared texts
+# limit per session of values, and of prepared texts
 MAX_ENTRIES = 256
-# for a replica of a change that has no deadline of its own
+# replication timeout for a change without a deadline of its own
 REPLICATE_WAIT_US = 1_000_000
 
 
 class SessionStateFilter(RejectMixin):
-    """Answers the requests that concern the session itself and reach no backend."""
+    """Answers the requests that change a session and need no backend."""
 
     def __init__(
         self, *, ctx: Context, sessions: Sessions, view: View, session_replicator: SessionReplicator
@@ -52,7 +52,9 @@
             return self.reject(kind=ErrorCode.UNKNOWN_DATABASE, reason=f"no database '{database}'")
         session = self.sessions.add(database=str(database))
         if session is None:
-            return self.reject(kind=ErrorCode.OVERLOADED, reason="as many sessions as this HTTP proxy takes")
+            return self.reject(
+                kind=ErrorCode.OVERLOADED, reason="the maximum number of sessions is open at this HTTP proxy"
+            )
         session.busy = True
         try:
             stored = await self.session_replicator.replicate(session=session, until_us=request.until_us)
@@ -62,7 +64,7 @@
         return self.done(value=value, status=201)
 
     async def _change(self, *, request: Request, values: dict[str, Any], prepared: dict[str, str]) -> HttpResponse:
-        """A change is answered when it stands at a second HTTP proxy too, or when none can be had."""
+        """Applies a change after trying to replicate it; `stands` in the response counts the proxies that hold it."""
         session = request.bound
         changed = replace(
             session,
@@ -88,8 +90,8 @@
         if not isinstance(values, dict):
             return self.reject(kind=ErrorCode.MALFORMED, reason="values: an object is needed")
         if len(request.bound.values | values) > MAX_ENTRIES:
-            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_ENTRIES} values at the most")
-        # setting a value to null is how it is taken away
+            return self.reject(kind=ErrorCode.TOO_LARGE, reason=f"a session can hold at most {MAX_ENTRIES} values")
+        # a value set to null is removed
         merged = {key: value for key, value in (request.bound.values | values).items() if value is not None}
         return await self._change(request=request, values=merged, prepared=request.bound.prepared)
 
@@ -99,7 +101,7 @@
             return self.reject(kind=ErrorCode.MALFORMED, reason="text: a text is needed")
         if len(request.bound.prepared) >= MAX_ENTRIES and request.name not in request.bound.prepared:
             return self.reject(
-                kind=ErrorCode.TOO_LARGE, reason=f"a session keeps {MAX_ENTRIES} prepared texts at the most"
+                kind=ErrorCode.TOO_LARGE, reason=f"a session can hold at most {MAX_ENTRIES} prepared texts"
             )
         return await self._change(
             request=request, values=request.bound.values, prepared={**request.bound.prepared, request.name: text}
--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -1,4 +1,4 @@
-"""Statements outside of transactions: writes, reads of the primary, reads of replicas."""
+"""Statements outside of transactions: writes, primary reads and replica reads."""
 
 from ...failover.database_primary import DatabasePrimary
 from ...runtime.errors import CinderstairError, ErrorCode
@@ -8,7 +8,7 @@
 
 
 class SingleStatementMixin(ForwardBase):
-    """One attempt of each kind of statement, for the retry loop."""
+    """One attempt for each kind of statement, run by the retry loop."""
 
     async def _write(self, *, request: Request, tried: set[str]) -> HttpResponse | CinderstairError:
         database = request.bound.database
@@ -19,7 +19,7 @@
         result = await self._run_once(name=assignment.primary, request=request, term=assignment.term, tried=tried)
         if result.is_error():
             if result.error.code == ErrorCode.WIRE_UNSURE:
-                return self._unknown(reason=f"the answer was lost: {result.error.reason}")
+                return self._unknown(reason=f"the reply of {assignment.primary} was lost: {result.error.reason}")
             return result.error
         reply = result.ok
         if not reply.ran:
@@ -37,19 +37,21 @@
             return result.error
         if not result.ok.ran:
             return self._rejected(reply=result.ok)
-        # the answer counts only if nobody else can have led at the moment at which it ran
+        # the rows are valid only if no other backend can have been primary when the read ran
         if result.ok.term != assignment.term or not self.commit_watermarks.term_in_force(
             database=database, term=assignment.term
         ):
-            return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the lead moved while the read ran")
+            return CinderstairError(
+                code=ErrorCode.NOT_CURRENT, reason="the primary changed or the view expired during the read"
+            )
         return self.done(value={"rows": result.ok.rows, "position": result.ok.position})
 
     def _choose_replica(self, *, request: Request, assignment: DatabasePrimary, tried: set[str]) -> str | None:
-        """The fit replica of the least weight that the route selects; None where there is none."""
+        """The usable replica of the least weight among those that the route selects; None where there is none."""
         database = request.bound.database
         route = self.configuration.route(kind=request.kind, database=database)
         near = self.configuration.policy(name="site", database=database) == "near"
-        # an operator's selector speaks of labels, so it narrows the share and never widens it
+        # a route's selector filters the subset by labels; it never adds backends to it
         names = [
             name
             for name in self.connection_pools.subset_of(database=database)
@@ -70,16 +72,16 @@
         database = request.bound.database
         assignment = self.view.assignment(database=database)
         if assignment is None:
-            return CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: nobody leads yet")
+            return CinderstairError(code=ErrorCode.NO_LEAD, reason=f"{database}: no primary has been assigned yet")
         policy = "liveAge" if request.kind == "live" else "freshAge"
         age_us = self.configuration.amount(name=policy, database=database)
-        # a session taken over has left its floor with the HTTP proxy that was lost; all that it had committed is
-        # at or below any position of the primary's from after that
+        # a session that was taken over may have lost its latest floor with the former proxy; samples from after the
+        # takeover are at or above everything that the session had committed
         since_us = max(request.start_us - age_us, request.bound.taken_over_us if request.kind == "fresh" else 0)
         floor = self.samples.floor(database=database, term=assignment.term, since_us=since_us)
         name = None if floor is None else self._choose_replica(request=request, assignment=assignment, tried=tried)
         if name is None or floor is None:
-            # with no sample or no replica left the primary can still tell, and nobody else can
+            # without a sample or a replica left only the primary can serve the read
             return await self._primary_read(request=request, tried=tried)
         if request.kind == "fresh":
             floor = max(floor, request.bound.floor)
@@ -91,7 +93,9 @@
             return self._rejected(reply=reply)
         if reply.term != assignment.term or reply.position < floor:
             self.ctx.counters.add(name="reads.stale")
-            return CinderstairError(code=ErrorCode.TOO_STALE, reason=f"{name} is behind")
+            return CinderstairError(
+                code=ErrorCode.TOO_STALE, reason=f"{name} has applied {reply.position}, and the read needs {floor}"
+            )
         if not self.view.current:
-            return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view ran out while the read ran")
+            return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view expired during the read")
         return self.done(value={"rows": reply.rows, "position": reply.position})
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -1,4 +1,4 @@
-"""Transactions: each has a channel of its own from its begin to its end."""
+"""Transactions: each holds a channel of its own from begin to commit or rollback."""
 
 from expression import Result
 
@@ -9,12 +9,12 @@
 from ..session import Session, Transaction
 from .forward_base import ForwardBase
 
-# a backend's word that it has no such transaction (any more)
+# a backend's reason: it has no such transaction (any more)
 NO_TRANSACTION = "noTransaction"
 
 
 class TransactionMixin(ForwardBase):
-    """Begin, statements, commit and rollback."""
+    """Runs begin, statements, commit and rollback of transactions."""
 
     def _without_transaction(self, *, session: Session) -> HttpResponse:
         if session.lost:
@@ -52,7 +52,7 @@
             wait_us=self._left_us(request=request),
         )
         if result.is_error() or not result.ok.ran:
-            # a begin whose answer was lost leaves nothing behind once its channel is closed
+            # closing the channel ends a transaction that was begun although the reply was lost
             pool.release(connection=connection, keep=False)
             if result.is_error():
                 pool.record_error()
@@ -80,9 +80,10 @@
     async def _send_in_transaction(
         self, *, request: Request, transaction: Transaction, step: str
     ) -> Result[Reply, CinderstairError]:
-        """A step of an open transaction, over the channel that is its own."""
+        """Sends a step of an open transaction over its channel; WIRE_UNSENT where it is no longer valid."""
         if not self._is_valid(transaction=transaction):
-            return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason="the lead moved"))
+            reason = f"the primary {transaction.pool.name} can no longer be used in term {transaction.term}"
+            return Result.Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=reason))
         left_us = self._left_us(request=request)
         result = await self.send_step(
             connection=transaction.connection, request=request, step=step, term=transaction.term, wait_us=left_us
@@ -105,14 +106,16 @@
             )
         if not result.ok.ran:
             return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=result.ok.message)
-        # what was read inside the transaction must be as new as any other read of the primary
+        # rows read inside the transaction must be as current as those of any primary read
         if result.ok.term != transaction.term or not self._is_valid(transaction=transaction):
-            return self._reject_lost(session=session, reason="the lead moved; nothing of the transaction was kept")
-        # a client must be able to tell that what it wrote is not kept until it commits
+            return self._reject_lost(
+                session=session, reason="the primary changed or the view expired; nothing of the transaction was kept"
+            )
+        # tells the client that its writes are not durable before the commit
         return self.done(value={"rows": result.ok.rows, "transaction": True})
 
     def _finish(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
-        """The transaction is over; its channel goes on only if the backend has said so."""
+        """Ends the transaction; its channel is reused only if the backend has confirmed the end."""
         session.transaction = None
         transaction.pool.release(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
 
@@ -125,7 +128,7 @@
                 kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.error.reason}; the commit was never sent"
             )
         if result.is_error():
-            return self._unknown(reason=f"the answer to the commit was lost: {result.error.reason}")
+            return self._unknown(reason=f"the reply to the commit was lost: {result.error.reason}")
         if not result.ok.ran:
             return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.ok.message}; nothing was kept")
         return await self._acknowledge(request=request, reply=result.ok, term=transaction.term)
@@ -133,6 +136,6 @@
     async def _rollback(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
         result = await self._send_in_transaction(request=request, transaction=transaction, step="rollback")
-        # closing the channel rolls back as surely as the word does, so a rollback is always done
+        # closing the channel also rolls back, so a rollback always succeeds
         self._finish(session=session, transaction=transaction, result=result)
         return self.done()
--- a/src/cinderstair/http_frontend/forward_mixin.py
+++ b/src/cinderstair/http_frontend/forward_mixin.py
@@ -1,4 +1,4 @@
-"""Sends one job over one channel to a backend, and parses the reply."""
+"""Sends one request to a backend over one channel and parses the reply."""
 
 import json
 from dataclasses import dataclass
@@ -12,13 +12,17 @@
 from .request import Request
 
 FULL = "full"
-# with these reasons a backend says that it has not run the job, so that it may be sent again elsewhere
+# reasons by which a backend reports that it has not run the request, so it may be sent to another one
 NOT_RUN = frozenset(["term", "notLeading", "emptying", FULL])
 
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A backend's reply. `reason` and `message` say why it has not run the job; `wrote`: it changed something."""
+    """A backend's reply.
+
+    `ran` is false where the request was not run or failed: `reason` is then the machine-readable cause and `message`
+    its text. `wrote` says whether data was changed, `position` is the log position of `term` after the request.
+    """
 
     ran: bool
     reason: str
@@ -30,7 +34,10 @@
 
 
 def read_reply(*, value: Any) -> Reply:
-    """Parses a reply's JSON; raises one of the built-in errors where it is none."""
+    """Parses a reply's JSON.
+
+    :raises ValueError, KeyError, TypeError, AttributeError: where the value is not a reply.
+    """
     return Reply(
         ran=bool(value["ok"]),
         reason=str(value.get("reason", "")),
@@ -43,12 +50,12 @@
 
 
 class ForwardMixin:
-    """Sends the text of a job unchanged, with the session's values beside it."""
+    """Sends the text of a statement unchanged, together with the session's values."""
 
     async def send_step(
         self, *, connection: Connection, request: Request, step: str, term: int, wait_us: int
     ) -> Result[Reply, CinderstairError]:
-        """Sends one step (`alone`, `begin`, `in`, `commit` or `rollback`) of a term.
+        """Sends one step: `begin`, `commit`, `rollback`, or a statement inside (`in`) or outside (`alone`) of those.
 
         :returns: the reply; an error of the connection, or WIRE_UNSURE where the reply can't be read.
         """
@@ -70,4 +77,4 @@
         try:
             return Ok(read_reply(value=result.ok.json()))
         except (ValueError, KeyError, TypeError, AttributeError):
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend's answer can't be read"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="the backend's reply can't be parsed"))
--- a/src/cinderstair/http_frontend/handover.py
+++ b/src/cinderstair/http_frontend/handover.py
@@ -1,4 +1,4 @@
-"""Hands sessions over to another HTTP proxy when this one stops or drains, and finds those handed over."""
+"""Hands sessions over to other HTTP proxies when this one drains, and locates sessions that are not here."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -20,15 +20,15 @@
 
 OFFER_WAIT_US = 600_000
 SEEK_WAIT_US = 400_000
-# HTTP proxies that a session is offered to, and how often to each
+# HTTP proxies that a session is offered to, and attempts at each
 MAX_ATTEMPTS = 3
-# sessions that are handed over at the same time
+# sessions handed over concurrently
 MAX_CONCURRENT = 16
-# answers: not here; here and in service; here as a replica
+# replies: not here; open here; held here as a replica
 NO, YES, REPLICA = 0, 1, 2
-# sessions whose new proxy is remembered
+# handed-over sessions whose new proxy is remembered
 MAX_REMEMBERED = 60_000
-# a client that is back sooner hasn't found its session at the proxy that it was referred to
+# a client that returns sooner did not find its session at the proxy that it was referred to
 REFERRAL_RETRY_US = 3_000_000
 
 
@@ -36,7 +36,7 @@
 class SearchResult:
     """The result of a search: the address of the proxy that has the session, or the session, or neither.
 
-    `unsure`: some proxies that may have it have not answered.
+    `incomplete`: some proxies that may have the session have not answered.
     """
 
     address: str = ""
@@ -45,7 +45,10 @@
 
 
 class Handover:
-    """A session is taken out of service here before it is offered, so that one proxy at a time runs its requests."""
+    """Moves sessions between HTTP proxies and remembers where they went.
+
+    A session is marked busy here before it is offered, so that only one proxy at a time runs its requests.
+    """
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
         self.membership = membership
         self.sessions = sessions
         self.ready = ready
-        # by session: the address of the HTTP proxy it was handed to, for clients that come back here
+        # HTTP address of the new proxy by session id, for clients that return here
         self.forwarding_addresses: dict[str, str] = {}
         self.last_referral_us: dict[str, int] = {}
         dispatcher.add_handler(message_type=MessageType.HANDOVER, handler=self._on_handover)
@@ -73,20 +76,20 @@
     async def _on_handover(self, unpacker: Unpacker) -> bytes:
         session = read_session(unpacker=unpacker, now_us=self.ctx.now_us())
         unpacker.done()
-        # an offer that is repeated because its answer was lost finds the session here already
+        # the offer is repeated where its reply was lost; the session is here already
         known = self.sessions.find(ident=session.ident)
         if known is not None and known.tag.revision >= session.tag.revision:
             return Packer().u8(value=YES).bytes()
         if self.ready.unready() is not None:
             return Packer().u8(value=NO).bytes()
-        # a daemon of the first version changes what a session keeps without changing the handle
+        # daemons of protocol version 1 change a session's state without changing its tag
         if unpacker.version == 1 and session.tag != UNMARKED:
             session.previous_tag, session.tag = session.tag, session.next_tag(rng=self.ctx.rng)
         self.forwarding_addresses.pop(session.ident, None)
         self.session_replicas.take(ident=session.ident)
         self.sessions.open[session.ident] = session
         self.ctx.counters.add(name="sessions.taken")
-        # the proxy that hands it over may end as soon as this one has answered
+        # the offering proxy may exit as soon as it gets the reply, so a replica is needed before
         await self.session_replicator.replicate(session=session, until_us=self.ctx.now_us() + OFFER_WAIT_US)
         return Packer().u8(value=YES).bytes()
 
@@ -99,7 +102,7 @@
         return Packer().u8(value=self._match(handle=handle, session_replicas=unpacker.version > 1)).bytes()
 
     def _match(self, *, handle: SessionToken, session_replicas: bool = True) -> int:
-        """Whether what is here, alive or as a copy, is what the client was promised."""
+        """Whether a session or a replica held here has the state that the client's handle names."""
         live = self.sessions.find(ident=handle.ident)
         if live is not None and live.accepts(tag=handle.tag):
             return YES
@@ -113,17 +116,17 @@
         return sorted(others, key=lambda member: member.site != self.ctx.site)
 
     async def hand_over_all(self) -> int:
-        """Hands over every idle session; returns how many are still here."""
+        """Offers every idle session to other proxies; returns how many sessions are still here."""
         idle = [s for s in self.sessions.open.values() if not s.busy and s.transaction is None]
         for start in range(0, len(idle), MAX_CONCURRENT):
             await asyncio.gather(*(self._hand_over(session=each) for each in idle[start : start + MAX_CONCURRENT]))
         return len(self.sessions.open)
 
     async def _hand_over(self, *, session: Session) -> None:
-        # while others were handed over it may have become busy, or been handed over already
+        # it may have become busy or been handed over while others were
         if session.busy or session.transaction is not None or session.ident not in self.sessions.open:
             return
-        # from here on no job of it is run here, whatever becomes of the offer
+        # blocks requests of this session while it is offered
         session.busy = True
 
         def body(version: int) -> bytes:
@@ -151,18 +154,18 @@
 
     def _remember(self, *, ident: str, http: str) -> None:
         self.forwarding_addresses[ident] = http
-        # an HTTP proxy that runs for long hands on more sessions than it needs to remember
+        # drops the oldest entry, so that memory stays bounded
         if len(self.forwarding_addresses) > MAX_REMEMBERED:
             oldest = next(iter(self.forwarding_addresses))
             del self.forwarding_addresses[oldest]
             self.last_referral_us.pop(oldest, None)
 
     async def find(self, *, handle: SessionToken) -> SearchResult:
-        """A session that isn't alive here: where it is, or taken over from its copy, or not found."""
+        """Locates a session that is not open here; takes it over from a replica held here if no proxy has it."""
         members = self.membership.alive(role="stall")
         known = self.forwarding_addresses.get(handle.ident)
         last_referral_us = self.last_referral_us.pop(handle.ident, -REFERRAL_RETRY_US)
-        # a client that is back so soon has not found it there, so all proxies are asked
+        # refers the client once; if it returns within REFERRAL_RETRY_US, all proxies are asked instead
         if known in [member.http for member in members] and self.ctx.now_us() - last_referral_us > REFERRAL_RETRY_US:
             self.last_referral_us[handle.ident] = self.ctx.now_us()
             return SearchResult(address=str(known))
@@ -178,18 +181,18 @@
             for member in members
         ]
         answers = dict(zip(members, await asyncio.gather(*searches), strict=True))
-        # another job of the same session may have taken it over while this one was asking
+        # a concurrent request of the same session may have taken it over meanwhile
         live = self.sessions.find(ident=handle.ident)
         if live is not None and live.accepts(tag=handle.tag):
             return SearchResult(session=live)
         for wanted in (YES, REPLICA):
-            # what is alive elsewhere stays there; of copies our own is the nearest
+            # an open session elsewhere comes first; among replicas the one held here
             if wanted == REPLICA and self._match(handle=handle) == REPLICA:
                 return SearchResult(session=await self._take_over(handle=handle))
             for member, result in answers.items():
                 if result.is_ok() and result.ok == bytes([wanted]):
                     return SearchResult(address=member.http)
-        # the first version of the protocol has no replicas
+        # protocol version 1 has no replicas, so a reply at an uncertain version does not rule one out
         return SearchResult(
             incomplete=any(
                 result.is_error() or self.ctx.peer_client.is_version_uncertain(address=member.records)
@@ -202,8 +205,8 @@
         if session is None:
             raise LookupError(f"no replica of session {handle.ident}")
         older = session.tag
-        # an HTTP proxy that was only frozen or cut off has the state that the client came with; under a new tag
-        # nothing that either does can be taken for the other's
+        # the former proxy may only be paused or cut off and still have this state; with a new tag, later states of
+        # the two can't be mistaken for each other
         session.previous_tag, session.tag = handle.tag, session.next_tag(rng=self.ctx.rng)
         session.replica_holder, session.taken_over_us, session.used_us = "", self.ctx.now_us(), self.ctx.now_us()
         self.sessions.open[session.ident] = session
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -49,21 +49,21 @@
 
 MAINTENANCE_EVERY_US = 250_000
 DRAIN_POLL_US = 50_000
-# a stopping proxy answers until no client has come for so long; for the last answers at least LAST_ANSWERS_US
+# a draining proxy ends after this long without a client's request, but not before LAST_ANSWERS_US
 IDLE_AFTER_US = 600_000
 LAST_ANSWERS_US = 200_000
 
 
 class Filter(Protocol):
-    """One step on a request's way."""
+    """One stage of the request chain."""
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """A response ends the request's way; None passes it on to the next filter."""
+        """Returns a response, or None to pass the request to the next filter."""
         ...
 
 
 def own_member(*, settings: Settings) -> Member:
-    """This HTTP proxy, as the membership's other members know it."""
+    """The membership entry of this HTTP proxy."""
     return Member(
         name=settings.name,
         role="stall",
@@ -75,7 +75,7 @@
 
 
 class HttpProxy(RejectMixin):
-    """Creates the proxy's parts and its chain of filters, answers requests, and drains at a planned stop."""
+    """Creates the components and the filter chain, answers requests, and drains at a planned stop."""
 
     def __init__(self, *, ctx: Context, settings: Settings) -> None:
         self.ctx = ctx
@@ -89,7 +89,7 @@
             ctx=ctx, dispatcher=self.dispatcher, membership=self.membership
         )
         self.view = View(ctx=ctx, register=self.register)
-        # the order of creation is the order of the timers
+        # components start their timers when created: the order matters for reproducible simulations
         self._create_backend_parts()
         self.sessions = Sessions(
             ctx=ctx, idle_transaction_us=settings.idle_transaction_us, idle_session_us=settings.idle_session_us
@@ -105,7 +105,7 @@
             ready=self.ready,
             handover=self.handover,
         )
-        # when a client last asked for something
+        # time of the last request that opened or used a session
         self.last_request_us = 0
         self.chain = self._chain()
 
@@ -124,7 +124,7 @@
         self.commit_watermarks = CommitWatermarks(ctx=ctx, view=self.view, connection_pools=self.connection_pools)
 
     def _create_singleton_roles(self) -> None:
-        """What one proxy at a time does for all, under a lease each."""
+        """Creates the roles that one proxy at a time runs for all, each under a lease of its own."""
         ctx, settings = self.ctx, self.settings
         self.proxy_id_reclaimer = ProxyIdReclaimer(
             ctx=ctx, register=self.register, view=self.view, membership=self.membership
@@ -204,15 +204,15 @@
         )
 
     async def start(self) -> Result[None, CinderstairError]:
-        """Listens for other daemons and for clients."""
+        """Starts to listen for other daemons and for clients."""
         await self.ctx.net.listen(address=self.settings.records, handler=self.dispatcher.dispatch)
         await self.ctx.net.serve(address=self.settings.http, handler=self.answer)
         self.ctx.timer(every_us=MAINTENANCE_EVERY_US).subscribe(lambda _: self._run_maintenance())
-        self.ctx.log.info("HTTP proxy %s at %s", self.settings.name, self.settings.http)
+        self.ctx.log.info("HTTP proxy %s listens for clients at %s", self.settings.name, self.settings.http)
         return Ok(None)
 
     async def answer(self, http: HttpRequest) -> HttpResponse:
-        """Passes a request through the filters; the first response counts."""
+        """Passes a request through the filter chain and returns the first response."""
         request = Request(http=http, start_us=self.ctx.now_us())
         try:
             for each in self.chain:
@@ -220,9 +220,9 @@
                 if response is not None:
                     trace_request(ctx=self.ctx, request=request, response=response)
                     return self._close_if_leaving(response=response)
-            return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason="nobody answers for this")
+            return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason=f"no filter answers {request.http.path}")
         except Exception as error:  # noqa: BLE001
-            # one job that breaks must not take others with it, and it may have reached a backend
+            # an unexpected error must not affect other requests; this one may have reached a backend
             self.ctx.crash(where=f"job {request.verb}", error=error)
             return self.reject(kind=ErrorCode.INTERNAL, reason="an error of ours; it is logged")
         finally:
@@ -232,19 +232,23 @@
                 self.last_request_us = self.ctx.now_us()
 
     def _close_if_leaving(self, *, response: HttpResponse) -> HttpResponse:
-        # so the client's next request doesn't meet a connection that is being closed
+        # asks the client to reconnect elsewhere before this proxy closes the connection
         if not self.ready.leaving:
             return response
         return replace(response, headers={**response.headers, "Connection": "close"})
 
     @property
     def window_held(self) -> str:
-        """Why an open window can't empty this proxy; empty where nothing holds it back."""
+        """Why an open window can't drain this proxy; empty where nothing prevents it."""
         return self.session_drain.held_back
 
     def _run_maintenance(self) -> None:
         if self.ready.isolated != self.reachability.isolated:
-            self.ctx.log.warning("reaches no backend" if self.reachability.isolated else "reaches backends again")
+            self.ctx.log.warning(
+                "no backend answers; rejecting requests until one does"
+                if self.reachability.isolated
+                else "backends answer again"
+            )
             self.ready.isolated = self.reachability.isolated
         self.session_drain.follow_windows()
         if self.ctx.traces is not None:
@@ -259,7 +263,7 @@
             )
 
     def _abandon_unreachable(self) -> None:
-        """Ends transactions on backends that have to be left, before anything more is sent there."""
+        """Ends idle transactions on backends that are no longer reachable."""
         for session in list(self.sessions.open.values()):
             transaction = session.transaction
             if transaction is None or session.busy:
@@ -268,17 +272,17 @@
                 self.sessions.abandon(session=session)
 
     async def drain(self) -> None:
-        """A planned stop: hands the sessions over, answers what is under way, then deregisters."""
+        """Planned stop: hands sessions over, finishes requests in flight, drops leases, leaves the membership."""
         self.ready.draining = True
         until_us = self.ctx.now_us() + self.settings.drain_wait_us
-        # replicas held for others: their owners need a moment to replicate elsewhere, or are lost
+        # owners of replicas held here need time to replicate elsewhere; `adopt` covers owners that are lost
         while (await self.handover.hand_over_all() or self.session_replicas.held) and self.ctx.now_us() < until_us:
             self.session_replicas.adopt()
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
-        # new connections are refused, and their clients go elsewhere; those that are open are still answered
+        # refuses new connections; requests on open ones are still answered
         await self.ctx.net.refuse()
         self.last_request_us = max(self.last_request_us, self.ctx.now_us() - IDLE_AFTER_US + LAST_ANSWERS_US)
-        # clients with open connections are answered where their sessions are, until none has come for a while
+        # clients on open connections are told where their sessions are, until none has asked for IDLE_AFTER_US
         while self.ctx.now_us() < min(until_us, self.last_request_us + IDLE_AFTER_US):
             await self.ctx.sleep(duration_us=DRAIN_POLL_US)
         await asyncio.gather(
@@ -292,7 +296,7 @@
             self.ctx.traces.flush()
 
     def resettle(self, *, settings: Settings) -> None:
-        """Takes over the settings that may change while the process runs."""
+        """Applies the settings that may change at run time."""
         self.settings = settings
         self.sessions.idle_transaction_us = settings.idle_transaction_us
         self.sessions.idle_session_us = settings.idle_session_us
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -1,4 +1,4 @@
-"""One HTTP proxy's connections (channels) to one backend."""
+"""A pool of connections (channels) from one HTTP proxy to one backend, with a bounded queue."""
 
 import asyncio
 from collections import deque
@@ -12,30 +12,32 @@
 
 US_PER_S = 1_000_000
 DIAL_WAIT_US = 400_000
-# idle channels are not used again after this
+# channels idle for longer are closed instead of reused
 MAX_IDLE_US = 45_000_000
-# how long an error counts in the weight, and as how many jobs
+# how long an error counts in `weight`, and as how many requests
 ERROR_MEMORY_US = 10_000_000
 ERROR_WEIGHT = 4
-# how long a backend is not dialled after a failure to connect
+# how long no requests are sent to a backend after a failure to connect
 DIAL_BACKOFF_US = 500_000
 MIN_RETRY_AFTER_US = 100_000
-# one job's part of the sliding mean is 1 / MEAN_WEIGHT
+# each new value contributes 1 / MEAN_HOLD_WEIGHT to the moving mean of hold times
 MEAN_HOLD_WEIGHT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Channel:
-    """A connection, and since when it has been idle, or in use."""
+    """A connection, and the time since which it has been idle or in use."""
 
     connection: Connection
     since_us: int
 
 
 class Pool:
-    """Owns the channels. Jobs wait in order; one channel is kept for gauges, which jump the queue.
+    """Owns the channels to one backend and the queue of requests that wait for one.
 
-    :param queueMost: how many may wait for a channel.
+    Requests are served in order. One channel is reserved for position queries, which go to the head of the queue.
+
+    :param queue_limit: how many requests may wait for a channel.
     """
 
     def __init__(self, *, ctx: Context, name: str, address: str, queue_limit: int) -> None:
@@ -51,19 +53,19 @@
         self.opened = 0
         self.closed = 0
         self.backoff_until_us = 0
-        # by the connection's identity
+        # by `id` of the connection
         self.acquired: dict[int, Channel] = {}
-        # how long jobs hold a channel: a sliding mean
+        # exponential moving mean of how long a channel is held
         self.mean_hold_us = 0
 
     @property
     def open(self) -> int:
-        """How many channels exist, in use or idle."""
+        """The number of channels, in use or idle."""
         return self.in_use_count + len(self.idle)
 
     @property
     def weight(self) -> int:
-        """Least is best: jobs under way and waiting, and each recent error counts as several."""
+        """The backend's load as seen here: requests in flight and waiting, plus ERROR_WEIGHT per recent error."""
         now_us = self.ctx.now_us()
         while self.recent_errors_us and self.recent_errors_us[0] < now_us - ERROR_MEMORY_US:
             self.recent_errors_us.popleft()
@@ -71,27 +73,27 @@
 
     @property
     def backing_off(self) -> bool:
-        """Whether the last connection failed moments ago."""
+        """Whether connecting failed less than DIAL_BACKOFF_US ago."""
         return self.ctx.now_us() < self.backoff_until_us
 
     def record_error(self) -> None:
-        """Records an error of the backend, which adds to its weight for a while."""
+        """Records an error of the backend, which adds to `weight` for ERROR_MEMORY_US."""
         self.recent_errors_us.append(self.ctx.now_us())
 
     def _has_capacity(self, *, priority: bool) -> bool:
-        # a gauge that waits behind jobs would make every freshness promise wait with it
+        # reads with a freshness bound wait for position queries, so these must not wait behind requests
         spare = 0 if priority or self.limit < 2 else 1
         return self.in_use_count < self.limit - spare
 
     async def acquire(self, *, wait_us: int, priority: bool = False) -> Result[Connection, CinderstairError]:
-        """A channel for one job or one transaction, to be given back by `give`.
+        """Acquires a channel for one request or one transaction; the caller returns it by `release`.
 
-        :param gauge: a position query, which goes ahead of jobs and may use the channel that is kept for it.
-        :returns: NO_BACKEND where the pool has no channels; OVERLOADED where none is likely to be free in time; an
-            error of the connection.
+        :param priority: for position queries: goes to the head of the queue and may use the reserved channel.
+        :returns: the connection; NO_BACKEND where the pool has no channels; OVERLOADED where none is likely to be
+            free in time; an error of the connection.
         """
         if self.limit == 0:
-            return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's share"))
+            return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's subset"))
         if not self._has_capacity(priority=priority):
             waited = await self._wait_for_room(wait_us=wait_us, priority=priority)
             if waited.is_error():
@@ -110,23 +112,27 @@
     async def _wait_for_room(self, *, wait_us: int, priority: bool) -> Result[None, CinderstairError]:
         entered_us = self.ctx.now_us()
         expected_us = self._expected_us(priority=priority)
-        # whoever is not likely to be served in time is rejected now, with the time to come back, and not when it is
-        # too late; twice the expected wait, since jobs differ widely
+        # a request unlikely to be served in time is rejected at once, with a time to retry, instead of timing out;
+        # twice the expected wait, since requests differ widely
         if len(self.waiters) >= self.queue_limit or wait_us <= 2 * (expected_us + self._hold_us()):
             details = {"retryAfterUs": max(MIN_RETRY_AFTER_US, expected_us)}
-            return Error(self._error(code=ErrorCode.OVERLOADED, reason="too many wait already", details=details))
+            return Error(
+                self._error(code=ErrorCode.OVERLOADED, reason="too many requests wait for a channel", details=details)
+            )
         if not await self._queue(wait_us=wait_us, priority=priority):
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="no channel within the time left"))
         if self.limit == 0:
-            return Error(self._error(code=ErrorCode.NO_BACKEND, reason="left this HTTP proxy's share"))
-        # what would most likely run out of time at the backend is better not sent, while nothing is kept
+            return Error(
+                self._error(code=ErrorCode.NO_BACKEND, reason="removed from this HTTP proxy's subset during the wait")
+            )
+        # a request that would probably time out at the backend is rejected before it is sent, while nothing has run
         if not priority and entered_us + wait_us - self.ctx.now_us() < self._hold_us():
             self._wake()
             return Error(self._error(code=ErrorCode.OVERLOADED, reason="too little time is left after the wait"))
         return Ok(None)
 
     async def _queue(self, *, wait_us: int, priority: bool) -> bool:
-        """Waits for a connection; false where none came in time."""
+        """Waits in the queue; False where no channel became free in time."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if priority:
             self.waiters.appendleft(waiter)
@@ -136,7 +142,7 @@
             async with asyncio.timeout(wait_us / US_PER_S):
                 await waiter
         except TimeoutError:
-            # a connection that came with the timeout goes to the next waiter
+            # a channel granted at the moment of the timeout goes to the next waiter
             if waiter.done() and not waiter.cancelled():
                 self._wake()
             return False
@@ -146,12 +152,12 @@
         return True
 
     def _expected_us(self, *, priority: bool) -> int:
-        """How long one more job would wait, by how long channels were held of late."""
+        """Estimated wait of one more request, from recent hold times."""
         ahead = 0 if priority else len(self.waiters)
         return (ahead + 1) * self._hold_us() // max(1, self.limit - (0 if priority else 1))
 
     def _hold_us(self) -> int:
-        """How long a job holds a channel; those under way count too, so a backend that turns slow shows early."""
+        """Typical hold time of a channel; includes those in use, so that a slowing backend is noticed early."""
         now_us = self.ctx.now_us()
         ages = [now_us - channel.since_us for channel in self.acquired.values()]
         return max(self.mean_hold_us, sum(ages) // len(ages) if ages else 0)
@@ -176,10 +182,10 @@
         return self._lend(connection=dialled.ok)
 
     def release(self, *, connection: Connection, keep: bool = True) -> None:
-        """Returns a channel. One that may still hold somebody's state must be given back with keep=False."""
+        """Returns a channel to the pool; with keep=False it is closed, as it may still carry a session's state."""
         channel = self.acquired.pop(id(connection), None)
         if channel is not None:
-            # a sliding mean, in which one long transaction doesn't count for long
+            # exponential moving mean: a single long transaction soon loses its weight
             self.mean_hold_us += (self.ctx.now_us() - channel.since_us - self.mean_hold_us) // MEAN_HOLD_WEIGHT
         if keep and connection.open and self.open <= self.limit:
             self.idle.append(Channel(connection, self.ctx.now_us()))
@@ -204,9 +210,9 @@
         self.ctx.counters.add(name="channels.closed")
 
     def resize(self, *, limit: int) -> None:
-        """Changes how many channels may exist; at 0 whoever waits is refused."""
+        """Changes the maximum number of channels; at 0 all waiting requests fail."""
         self.limit = limit
-        # idle channels go at once; those at work go when they are given back
+        # excess idle channels are closed at once, those in use on release
         while self.idle and self.open > limit:
             self._close(connection=self.idle.popleft().connection)
         self._wake()
@@ -218,10 +224,10 @@
 
     @property
     def longest_hold_us(self) -> int:
-        """For how long the channel that has been out longest has been out."""
+        """How long the longest-held channel in use has been held."""
         return max((self.ctx.now_us() - channel.since_us for channel in self.acquired.values()), default=0)
 
     def give_up(self) -> None:
-        """Ends the waits of all jobs under way: what they wait for won't come, or would not count."""
+        """Aborts all requests in flight, whose replies won't come or can't be used."""
         for channel in list(self.acquired.values()):
             channel.connection.give_up()
--- a/src/cinderstair/http_frontend/position_query.py
+++ b/src/cinderstair/http_frontend/position_query.py
@@ -1,4 +1,4 @@
-"""Asks backends for their positions in the log."""
+"""Queries backends for their positions in the replication log."""
 
 import json
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendPosition:
-    """A backend's own word on its term and how far it has received and applied the log."""
+    """The term that a backend reports, and the log positions it has received and applied."""
 
     term: int
     received: int
@@ -27,14 +27,15 @@
 async def query_position(
     *, connection_pools: ConnectionPools, name: str, at_least: int = 0, hold_us: int = 0, direct: bool = False
 ) -> Result[BackendPosition, CinderstairError]:
-    """One question to one backend, over its pool's spare channel; the backend may hold it for a while.
+    """Queries one backend over a channel of its pool, with priority.
 
-    :param at_least: the backend answers once it has received this position, or after `hold_us`.
-    :param direct: also where the share has no channels to the backend, or its heartbeats call it unfit.
+    :param at_least: the backend replies once it has received this position, or after `hold_us`.
+    :param direct: also queries a backend outside of the subset, over a connection of its own, or an unhealthy one.
+    :returns: the position; NO_BACKEND where the backend must not be queried; an error of the pool or connection.
     """
     pool = connection_pools.pool(name=name)
     if pool is None or not (direct or connection_pools.reachable(name=name)):
-        return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name}: not to be asked"))
+        return Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason=f"{name}: unknown or not reachable"))
     if direct and pool.limit == 0:
         return await query_position_directly(connection_pools=connection_pools, address=pool.address, name=name)
     taken = await pool.acquire(wait_us=POSITION_QUERY_WAIT_US, priority=True)
@@ -54,7 +55,7 @@
 async def query_position_directly(
     *, connection_pools: ConnectionPools, address: str, name: str
 ) -> Result[BackendPosition, CinderstairError]:
-    """The same question over a channel opened for it alone."""
+    """Queries a backend over a connection that is opened for this query only."""
     dialled = await connection_pools.ctx.net.dial(address=address, wait_us=POSITION_QUERY_WAIT_US)
     if dialled.is_error():
         return Error(dialled.error)
@@ -69,7 +70,7 @@
 
 
 def parse_position(*, name: str, response: HttpResponse) -> Result[BackendPosition, CinderstairError]:
-    """Parses an answer; WIRE_UNSURE where it is no position."""
+    """Parses a reply; WIRE_UNSURE where it is not a position."""
     try:
         value = response.json()
         position = BackendPosition(
@@ -80,5 +81,5 @@
             incarnation=int(value["incarnation"]),
         )
     except (ValueError, KeyError, TypeError):
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{name}: no position in its answer"))
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{name}: its reply is not a position"))
     return Ok(position)
--- a/src/cinderstair/http_frontend/replica_watermark.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -1,4 +1,4 @@
-"""How far one replica has durably received the log, and the commits that wait for it to get further."""
+"""Tracks how far one replica has durably received the log, for the commits that wait for it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from .connection_pools import ConnectionPools
 from .position_query import query_position
 
-# how long a replica may hold a question until it covers the position
+# how long a replica may hold a position query until it has received the position
 HOLD_US = 200_000
 RETRY_PAUSE_US = 20_000
 MAX_FAILURES = 20
@@ -15,14 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPosition:
-    """A position that a commit waits for."""
+    """A position of a term that a commit waits for."""
 
     term: int
     position: int
 
 
 class ReplicaWatermark:
-    """One question at a time to a replica serves all the commits that wait on it."""
+    """Owns the term and the position that a replica last reported.
+
+    One position query at a time serves all commits that wait for the replica. Polling stops when nothing is pending
+    or after MAX_FAILURES failed queries.
+    """
 
     def __init__(self, *, ctx: Context, connection_pools: ConnectionPools, name: str) -> None:
         self.ctx = ctx
@@ -35,18 +39,18 @@
         self.changed = asyncio.Event()
 
     def covers(self, *, term: int, position: int) -> bool:
-        """Whether the replica is known to hold a position of a term."""
+        """Whether the replica is known to have received a position of a term."""
         return self.term == term and self.received >= position
 
     def request(self, *, term: int, position: int) -> None:
-        """Has the replica asked until it covers a position; `changed` is set at each answer."""
+        """Polls the replica until it has received a position; `changed` is set at each answer."""
         self.pending.append(PendingPosition(term, position))
         if not self.polling:
             self.polling = True
-            self.ctx.spawn(work=self._poll(), name=f"waterline.{self.name}")
+            self.ctx.spawn(work=self._poll(), name=f"watermark.{self.name}")
 
     def _lowest_pending(self) -> int:
-        """The lowest position that is still waited for; 0 where none is."""
+        """Drops positions that are covered or of an older term; the lowest one left, or 0."""
         self.pending = [
             each
             for each in self.pending
@@ -57,13 +61,13 @@
     async def _poll(self) -> None:
         failures = 0
         try:
-            # a replica that does not answer is the failover's to drop; the commits have their own limits
+            # the failover removes a replica that does not answer; commits have deadlines of their own
             while (position := self._lowest_pending()) and failures < MAX_FAILURES:
                 reading = await query_position(
                     connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
                 )
                 if reading.is_ok():
-                    # a position counts only within its own term, so both are replaced together
+                    # positions of different terms can't be compared, so both are replaced together
                     self.term, self.received = reading.ok.term, reading.ok.received
                     self.changed.set()
                     self.changed = asyncio.Event()
--- a/src/cinderstair/http_frontend/request.py
+++ b/src/cinderstair/http_frontend/request.py
@@ -1,4 +1,4 @@
-"""A request on its way through the filters."""
+"""A client's request as it passes through the filter chain."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,16 +6,16 @@
 from ..runtime.http_request import HttpRequest
 from .session import Session
 
-# ten minutes, of `timeLeftUs`
+# ten minutes: the largest accepted `timeLeftUs`
 MAX_TIME_LEFT_US = 600_000_000
 
 
 @dataclass(kw_only=True)
 class Request:
-    """Filters fill it in as it passes; each may answer instead.
+    """An HTTP request and what the filters have found out about it.
 
-    `verb` is what the path and the method ask for, `session_id` and `name` the path's parts, `body` the parsed JSON
-    object, `until_us` when the client gives up, and `kind` the statement's kind.
+    `verb` is the operation named by path and method, `session_id` and `name` are parts of the path, `body` is the
+    parsed JSON object, `until_us` the client's deadline on the local clock, and `kind` the statement's kind.
     """
 
     http: HttpRequest
@@ -29,12 +29,12 @@
     kind: str = ""
 
     def time_left_us(self, *, now_us: int) -> int:
-        """Microseconds until the client gives up; negative after that."""
+        """Microseconds until the client's deadline; negative after it."""
         return self.until_us - now_us
 
     @property
     def bound(self) -> Session:
-        """The session; only filters behind the one that finds it may ask.
+        """The session; for filters after `SessionFilter`.
 
         :raises LookupError: where no session has been found.
         """
--- a/src/cinderstair/http_frontend/request_trace.py
+++ b/src/cinderstair/http_frontend/request_trace.py
@@ -1,15 +1,15 @@
-"""Trace spans of the HTTP proxy's requests."""
+"""Records trace spans of the HTTP proxy's requests."""
 
 from ..runtime.context import Context
 from ..runtime.http_response import HttpResponse
 from .request import Request
 
-# the first status that counts as a failure of the proxy's side
+# statuses from this one on mark a span as failed
 FIRST_SERVER_ERROR = 500
 
 
 def trace_request(*, ctx: Context, request: Request, response: HttpResponse) -> None:
-    """Records a span where traces are on; of sessions' requests only, since heartbeats and probes would bury them."""
+    """Records a span for a session's request if tracing is enabled; heartbeats and probes are left out as noise."""
     if ctx.traces is None or not request.session_id:
         return
     took_us = ctx.now_us() - request.start_us
--- a/src/cinderstair/http_frontend/samples.py
+++ b/src/cinderstair/http_frontend/samples.py
@@ -1,4 +1,4 @@
-"""Samples of the primary's position: they bound the age of a replica's answer without comparing clocks."""
+"""Samples the primary's log position, to bound the staleness of replica reads without comparing clocks."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from .view import View
 
 SAMPLE_EVERY_US = 250_000
-# older samples are dropped; reads that may be older use the oldest one
+# older samples are dropped; reads with a longer staleness bound use the oldest one left
 KEEP_US = 3_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """At some moment after `began_us` the primary of `term` was at `position`."""
+    """At some time after `began_us` (local clock) the primary of `term` was at `position`."""
 
     began_us: int
     term: int
@@ -26,7 +26,7 @@
 
 
 class Samples(CommandQueueMixin):
-    """Owns the samples of all databases."""
+    """Owns the recent samples of all databases, taken every SAMPLE_EVERY_US."""
 
     def __init__(
         self, *, ctx: Context, view: View, connection_pools: ConnectionPools, reachability: BackendReachability
@@ -44,7 +44,7 @@
             self.ctx.spawn(work=self.sample(database=database), name="sample")
 
     async def sample(self, *, database: str) -> None:
-        """Asks the primary of a database for its position, and keeps the answer as a sample."""
+        """Queries the primary of a database and records its position; without a valid reply nothing is recorded."""
         assignment = self.view.assignment(database=database)
         if assignment is None or not assignment.serves:
             return
@@ -52,7 +52,7 @@
         position = await query_position(connection_pools=self.connection_pools, name=assignment.primary)
         if position.is_error() or not position.ok.is_primary or position.ok.term != assignment.term:
             return
-        # only while nobody else can have been made to lead is the primary's position the newest
+        # the position is the newest one only while no other backend can have been promoted
         if not self.view.current or not self._unchanged(database=database, assignment=assignment):
             return
         self.reachability.record_answer()
@@ -66,6 +66,6 @@
         return now is not None and now.term == assignment.term and now.serves
 
     def floor(self, *, database: str, term: int, since_us: int) -> int | None:
-        """The position that covers all that was acknowledged before `since_us`; None where no sample covers it."""
+        """The position that covers all commits acknowledged before `since_us`; None without a sample since then."""
         eligible = [s for s in self.samples.get(database, ()) if s.term == term and s.began_us >= since_us]
         return min((sample.position for sample in eligible), default=None)
--- a/src/cinderstair/http_frontend/session.py
+++ b/src/cinderstair/http_frontend/session.py
@@ -1,4 +1,4 @@
-"""A client's session, as its HTTP proxy keeps it."""
+"""The state of a client's session, and its record for other HTTP proxies."""
 
 import json
 import random
@@ -14,7 +14,7 @@
 
 @dataclass(kw_only=True)
 class Transaction:
-    """An open transaction and the channel that is its own until it ends."""
+    """An open transaction and the channel reserved for it until it ends."""
 
     pool: Pool
     connection: Connection
@@ -25,9 +25,10 @@
 
 @dataclass(kw_only=True)
 class Session:
-    """Values and prepared texts live here, not in any backend, so channels hold nothing between jobs.
+    """A session's values and prepared texts, which are kept here so that channels carry no state between requests.
 
-    `floor` is the position that fresh reads must cover; `lost` is set when its transaction was abandoned.
+    `floor` is the log position that fresh reads must cover. `lost` is set when the open transaction was abandoned,
+    until the client has been told. `busy` is set while a request runs or the session is handed over.
     """
 
     ident: str
@@ -40,29 +41,29 @@
     transaction: Transaction | None = None
     lost: bool = False
     tag: Tag = UNMARKED
-    # the tag before the last change: a client whose answer was lost knows this one
+    # the tag before the last change, known to a client whose response was lost
     previous_tag: Tag = UNMARKED
     # the HTTP proxy that holds the replica; empty where none does
     replica_holder: str = ""
-    # when it was taken over from a replica; 0 where it was not
+    # time of the takeover from a replica; 0 without one
     taken_over_us: int = 0
 
     @property
     def handle(self) -> str:
-        """The text that the client is given: the name with the newest tag."""
+        """The text by which the client refers to the session: its id and newest tag."""
         return str(SessionToken(self.ident, self.tag))
 
     def next_tag(self, *, rng: random.Random) -> Tag:
-        """The tag of a state that follows this one."""
+        """The tag of the state after the next change."""
         return Tag(self.tag.revision + 1, f"{rng.getrandbits(32):08x}")
 
     def accepts(self, *, tag: Tag) -> bool:
-        """Whether a client that was promised this state may go on with what is here."""
+        """Whether a client that knows this tag may continue: it is the current one or the one before."""
         return tag in (self.tag, self.previous_tag)
 
     def write(self, *, packer: Packer, version: int, now_us: int) -> Packer:
-        """Writes the session as a record of a version."""
-        # a daemon of the first version takes the whole handle for a name, and so gives it back unchanged
+        """Writes the session as a record of a protocol version."""
+        # protocol version 1 has no tags: it treats the whole handle as the id and returns it unchanged
         packer.text(value=self.handle if version == 1 else self.ident).text(value=self.database)
         packer.text(value=json.dumps(self.values)).text(value=json.dumps(self.prepared)).u64(value=self.floor)
         if version > 1:
@@ -73,14 +74,14 @@
 
 
 def read_session(*, unpacker: Unpacker, now_us: int) -> Session:
-    """Reads a record of a session.
+    """Reads the record of a session.
 
-    :raises ValueError: where it is none.
+    :raises ValueError: where the record is malformed.
     """
     ident, database = unpacker.text(), unpacker.text()
     values, prepared = json.loads(unpacker.text()), json.loads(unpacker.text())
     if not isinstance(values, dict) or not isinstance(prepared, dict):
-        raise ValueError("a session keeps objects")
+        raise ValueError("values and prepared texts of a session must be JSON objects")
     session = Session(ident=ident, database=database, values=values, prepared=prepared, floor=unpacker.u64())
     session.used_us = now_us
     if unpacker.version == 1:
--- a/src/cinderstair/http_frontend/session_drain.py
+++ b/src/cinderstair/http_frontend/session_drain.py
@@ -1,4 +1,4 @@
-"""Empties the HTTP proxy of its sessions while it leaves, or while a maintenance window wants it empty."""
+"""Hands over all sessions while the HTTP proxy shuts down or a maintenance window drains it."""
 
 from ..membership.member import Standing
 from ..membership.membership import Membership
@@ -10,9 +10,9 @@
 
 
 class SessionDrain:
-    """Owns whether a window empties this proxy, and runs one handover at a time.
+    """Decides whether a window drains this proxy, and runs one handover at a time.
 
-    `held_back` says why an open window can't empty it; empty where nothing holds it back.
+    `held_back` is the reason why an open window can't drain it; empty without one.
     """
 
     def __init__(
@@ -35,19 +35,21 @@
         self.handing_over = False
 
     def follow_windows(self) -> None:
-        """Drains while an open window wants it, as long as another HTTP proxy that stays can serve."""
+        """Drains while an open window selects this proxy and another HTTP proxy remains to serve."""
         reason = self.view.leaving.reason(name=self.ctx.name)
         staying = self._another_proxy_stays()
-        # a window never leaves nobody to serve; without another HTTP proxy this one stays, or comes back
+        # a window must not leave the clients without a proxy: without another one this proxy serves (again)
         wanted = reason if staying else ""
-        self.held_back = f"{reason} holds back: no other HTTP proxy stays" if reason and not staying else ""
+        self.held_back = (
+            f"{reason} holds back: no other HTTP proxy remains to serve clients" if reason and not staying else ""
+        )
         if wanted != self.ready.drained_by:
-            self.ctx.log.info("emptied by %s" if wanted else "no longer emptied%s", wanted)
+            self.ctx.log.info("draining for %s" if wanted else "no open window drains this proxy any more%s", wanted)
             self.ready.drained_by = wanted
-        # also where the platform has asked for it, since it may end this process as soon as it is empty
+        # also after the platform's drain request, since it may stop this process once no sessions are left
         if self.ready.leaving and self.sessions.open and not self.handing_over:
             self.handing_over = True
-            self.ctx.spawn(work=self._hand_over(), name="hand.on")
+            self.ctx.spawn(work=self._hand_over(), name="handover")
 
     def _another_proxy_stays(self) -> bool:
         return any(
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of other HTTP proxies' sessions, held here in case those HTTP proxies are lost."""
+"""Holds replicas of other HTTP proxies' sessions, in case those proxies are lost."""
 
 from dataclasses import dataclass
 
@@ -13,17 +13,17 @@
 from .sessions import Sessions
 
 NO, YES = 0, 1
-# in place of an owner: whoever has sent the replica
+# in place of an owner's run id: a replica of any owner
 ANY_OWNER = 0
 SWEEP_EVERY_US = 5_000_000
-# an owner that has not touched its replicas for so long counts as lost
+# an owner that has not touched its replicas for this long counts as lost
 OWNER_LOST_AFTER_US = 2_500_000
 MAX_SESSION_REPLICAS = 60_000
 
 
 @dataclass(kw_only=True)
 class SessionReplica:
-    """A session as its owner last sent it: `owner` is one run of an HTTP proxy, `number` its count of replicas."""
+    """A session as its owner last sent it: `owner` is the run id of an HTTP proxy, `number` counts its records."""
 
     owner: int
     number: int
@@ -31,7 +31,10 @@
 
 
 class SessionReplicas(CommandQueueMixin):
-    """Owns the replicas. One becomes a session when its client comes with a token that fits it, or at `adopt`."""
+    """Owns the replicas held here, and handles the records that store, touch and delete them.
+
+    A replica becomes a session when its client returns with a matching handle, or by `adopt`.
+    """
 
     def __init__(self, *, ctx: Context, dispatcher: Dispatcher, sessions: Sessions, ready: ReadyFilter) -> None:
         self.ctx = ctx
@@ -43,7 +46,7 @@
         dispatcher.add_handler(message_type=MessageType.TOUCH, handler=self._on_touch)
         dispatcher.add_handler(message_type=MessageType.FORGET, handler=self._on_forget)
         self.open_queue()
-        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="copies")
+        self.every(every_us=SWEEP_EVERY_US, command=self._sweep, name="sweep")
 
     async def _on_replica(self, unpacker: Unpacker) -> bytes:
         owner, number = unpacker.u64(), unpacker.u64()
@@ -52,7 +55,7 @@
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
-        # a proxy that leaves, or has the session, can't hold its replica; a late one must not replace a newer one
+        # refuses while draining, if the session is open here, or if a newer replica is held already
         older = known is not None and known.session.tag.revision > session.tag.revision
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
@@ -61,14 +64,14 @@
         return Packer().u8(value=YES).bytes()
 
     async def _on_touch(self, unpacker: Unpacker) -> bytes:
-        """An owner names the replicas that it expects here; others of it are dropped, missing ones are answered."""
+        """Handles an owner's list of the replicas expected here: drops its others, replies with the missing ones."""
         owner, last_number = unpacker.u64(), unpacker.u64()
         expected = dict(unpacker.many(each=lambda u: (u.text(), u.u64())))
         unpacker.done()
         now_us = self.ctx.now_us()
         self.last_contact_us[owner] = now_us
         for ident, replica in list(self.held.items()):
-            # a copy that was sent after the list was written is not on it
+            # keeps replicas that were sent after the list was written
             if replica.owner == owner and ident not in expected and replica.number <= last_number:
                 del self.held[ident]
         missing = []
@@ -77,17 +80,17 @@
             if held is None or held.owner != owner or held.session.tag.revision < revision:
                 missing.append(ident)
             else:
-                # its owner vouches for it; only when nobody does any more its age counts
+                # counts as used while its owner touches it; idle time starts with the last touch
                 held.session.used_us = now_us
         packer = Packer().u8(value=int(self.ready.leaving))
         return packer.many(values=missing, each=lambda p, ident: p.text(value=ident)).bytes()
 
     async def _on_forget(self, unpacker: Unpacker) -> bytes:
-        """A session that has ended, or goes on elsewhere in a later state: nothing older of it may stay here."""
+        """Deletes what is held of a session, up to a revision, since it has ended or continues elsewhere."""
         owner, ident, revision = unpacker.u64(), unpacker.text(), unpacker.u64()
         unpacker.done()
         held, live = self.held.get(ident), self.sessions.find(ident=ident)
-        # an owner that has handed it on speaks of its own copy, and not of the next owner's
+        # a former owner deletes only the replica that it sent, not one sent by the next owner
         if held is not None and owner in (held.owner, ANY_OWNER) and held.session.tag.revision <= revision:
             del self.held[ident]
         if live is not None and owner == ANY_OWNER and live.tag.revision <= revision:
@@ -96,15 +99,15 @@
         return Packer().u8(value=YES).bytes()
 
     def take(self, *, ident: str) -> Session | None:
-        """Removes and returns a replica, for it to become a session here; None where there is none."""
+        """Removes and returns a replica; None where there is none."""
         replica = self.held.pop(ident, None)
         return None if replica is None else replica.session
 
     def adopt(self) -> None:
-        """Makes sessions of those copies whose owners are gone, so that an HTTP proxy that leaves can hand them on.
+        """Opens the replicas of lost owners as sessions, so that a draining HTTP proxy can hand them over.
 
-        Should such an owner only be cut off, both have the same state under the same tag, and the first change of
-        either is one that the other can't be taken for.
+        If an owner is only cut off, both proxies have the same state and tag; the next change on either side gets a
+        new tag, so that the two states can't be mistaken for each other.
         """
         now_us = self.ctx.now_us()
         for ident, replica in list(self.held.items()):
@@ -117,7 +120,7 @@
     def _sweep(self) -> None:
         now_us = self.ctx.now_us()
         for ident, replica in list(self.held.items()):
-            # its owner may be long gone, and its client as well
+            # both its owner and its client may be gone
             if now_us - replica.session.used_us > self.sessions.idle_session_us:
                 del self.held[ident]
         owners = {replica.owner for replica in self.held.values()}
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -1,4 +1,4 @@
-"""Replicates the state of this HTTP proxy's sessions to a second HTTP proxy."""
+"""Replicates each session of this HTTP proxy to a second HTTP proxy."""
 
 import asyncio
 import zlib
@@ -17,27 +17,31 @@
 REPLICA_WAIT_US = 300_000
 TOUCH_EVERY_US = 1_000_000
 TOUCH_WAIT_US = 500_000
-# HTTP proxies that hold this one's replicas: few, so that touches don't grow with the fleet, and enough to spread
-# a lost proxy's clients
+# HTTP proxies that hold this one's replicas: few, so that the number of touches doesn't grow with the fleet, but
+# enough to spread the clients of a lost proxy
 SECONDARIES = 3
-# sessions without a replica that are replicated again at a time
+# sessions without a replica that one round replicates again
 MAX_REPAIRS_PER_ROUND = 64
-# an HTTP proxy that has refused a replica is tried last for so long
+# how long an HTTP proxy that refused a replica is tried last
 REFUSAL_BACKOFF_US = 3_000_000
-# the first version of the protocol that has replicas
+# first protocol version with replicas
 REPLICA_VERSION = 2
-# the answer that a replica is held
+# reply: the replica is held
 YES = 1
 
 
 class SessionReplicator(CommandQueueMixin):
-    """A change of a session is answered once its replica is held; without a second HTTP proxy, the answer says so."""
+    """Owns which HTTP proxy holds the replica of each session (`Session.replica_holder`).
+
+    A change is acknowledged to the client after replication, or with a count of 1 where no other proxy has stored it.
+    A periodic touch finds replicas that were lost and sends them again.
+    """
 
     def __init__(self, *, ctx: Context, membership: Membership, sessions: Sessions) -> None:
         self.ctx = ctx
         self.membership = membership
         self.sessions = sessions
-        # identifies this run of the process: one that was restarted has none of its former sessions
+        # identifies this run of the process, since a restarted one has none of its former sessions
         self.run_id = ctx.rng.getrandbits(62) | 1
         self.touched_members: set[str] = set()
         self.last_refusal_us: dict[str, int] = {}
@@ -48,7 +52,7 @@
         self.every(every_us=TOUCH_EVERY_US, command=self._touch, name="touch")
 
     def _secondaries(self) -> list[Member]:
-        """Those that may hold copies, other sites first, each HTTP proxy's own order of them."""
+        """Proxies that can hold replicas: not refusing, alive and of other sites first, then by a hash per owner."""
         compatible = [
             member
             for member in self.membership.alive(role="stall")
@@ -65,7 +69,7 @@
         return sorted(compatible, key=order)
 
     def _secondaries_for(self, *, session: Session) -> list[Member]:
-        """The second HTTP proxies to try for a session: the one it has, then those that follow by its own name."""
+        """Candidates for the replica of a session: the current holder, then the first SECONDARIES by a hash."""
         members = self._secondaries()
         first = members[:SECONDARIES]
         if first:
@@ -74,7 +78,7 @@
         return sorted(members, key=lambda member: member.name != session.replica_holder)
 
     async def replicate(self, *, session: Session, until_us: int) -> bool:
-        """Replicates a session; whether a second HTTP proxy now holds it."""
+        """Replicates a session to one of two candidates; returns whether a second HTTP proxy now holds it."""
         for member in self._secondaries_for(session=session)[:2]:
             wait_us = min(REPLICA_WAIT_US, (until_us - self.ctx.now_us()) // 3)
             if wait_us <= 0:
@@ -96,7 +100,7 @@
         finally:
             self.in_flight.discard(number)
         stored = result.is_ok() and result.ok == bytes([YES])
-        # one that leaves, or stands empty for a window, would be tried in vain again and again
+        # so a draining proxy is not tried again for each session
         if not stored:
             self.last_refusal_us[member.name] = self.ctx.now_us()
         self.ctx.counters.add(name="copies.sent" if stored else "copies.failed")
@@ -104,7 +108,7 @@
         return stored
 
     def forget(self, *, session: Session, members: list[Member], own_only: bool = False) -> None:
-        """Has others drop replicas of a session up to this state; with `mine`, only those that this process sent."""
+        """Makes members delete replicas up to this revision; with `own_only`, only those sent by this run."""
         body = (
             Packer()
             .u8(value=MessageType.FORGET)
@@ -126,11 +130,11 @@
 
     @property
     def unreplicated(self) -> int:
-        """How many sessions stand on this HTTP proxy only."""
+        """The number of sessions without a replica."""
         return sum(not session.replica_holder for session in self.sessions.open.values())
 
     async def _touch(self) -> None:
-        """Asks each second HTTP proxy whether it still has what it should, and copies anew what is nowhere else."""
+        """Asks each holder whether it still has its replicas, and replicates sessions without one."""
         members = {member.name: member for member in self._secondaries()}
         sessions_by_holder: dict[str, list[Session]] = {name: [] for name in members}
         for session in self.sessions.open.values():
@@ -138,7 +142,7 @@
                 sessions_by_holder[session.replica_holder].append(session)
             else:
                 session.replica_holder = ""
-        # one that has no session of ours any more must hear that once, or it would keep its copies
+        # a holder whose last session ended is touched once more, so that it drops its replicas
         self.touched_members &= set(members)
         requested = [
             name for name, sessions in sessions_by_holder.items() if sessions or name in self.touched_members
@@ -150,7 +154,7 @@
             session for session in self.sessions.open.values() if not session.replica_holder and not session.busy
         ]
         until_us = self.ctx.now_us() + TOUCH_EVERY_US
-        # at a bounded pace, since all sessions of a lost HTTP proxy's neighbours want a new place at once
+        # bounded per round, since a lost holder leaves many sessions without a replica at once
         if members:
             await asyncio.gather(
                 *(self.replicate(session=each, until_us=until_us) for each in unreplicated[:MAX_REPAIRS_PER_ROUND])
@@ -164,7 +168,7 @@
         result = await self.ctx.peer_client.request(
             address=member.records, body=packer.bytes(), wait_us=TOUCH_WAIT_US
         )
-        # silence proves nothing; when it lasts the member is removed, and its sessions get another place
+        # a single timeout is ignored: a lost member is removed by the membership, and its sessions get another holder
         if result.is_error():
             return
         self.touched_members.discard(member.name)
--- a/src/cinderstair/http_frontend/session_token.py
+++ b/src/cinderstair/http_frontend/session_token.py
@@ -1,4 +1,4 @@
-"""A client's handle of its session: the session's name, and which state of it the client was promised."""
+"""The handle by which a client refers to its session: the session's id and the tag of the state it knows."""
 
 import re
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class Tag(NamedTuple):
-    """The revision counts the changes of what a session keeps; the mark is drawn anew at each.
+    """Identifies a state of a session: `revision` counts changes, `mark` is drawn at random at each change.
 
-    Two HTTP proxies that each go on from the same state make two marks, so neither's later state can be taken for
-    the other's.
+    Two HTTP proxies that both continue from the same state produce different marks, so their later states can't be
+    mistaken for each other.
     """
 
     revision: int
@@ -20,12 +20,12 @@
         return f"{self.revision}-{self.mark}"
 
 
-# a session that came from a daemon which knows no handles goes by its name alone until its first change
+# a session from a daemon without tags has only its id until its first change
 UNMARKED = Tag(0, "")
 
 
 class SessionToken(NamedTuple):
-    """A session's name and the state that the client knows; its text is what clients send."""
+    """A session's id and the tag that the client knows; `str` gives the text that clients send."""
 
     ident: str
     tag: Tag
@@ -35,7 +35,7 @@
 
 
 def parse_session_token(*, text: str) -> SessionToken:
-    """Parses a client's text; one without a tag is a name alone."""
+    """Parses a client's text; without a tag it is an id with UNMARKED."""
     match = TOKEN_PATTERN.match(text)
     if match is None:
         return SessionToken(text, UNMARKED)
--- a/src/cinderstair/http_frontend/sessions.py
+++ b/src/cinderstair/http_frontend/sessions.py
@@ -11,7 +11,10 @@
 
 
 class Sessions(CommandQueueMixin):
-    """Owns the sessions. An abandoned transaction is ended by closing its channel, so the backend rolls back."""
+    """Owns the open sessions, and closes those that are idle for too long.
+
+    An abandoned transaction is ended by closing its channel, upon which the backend rolls it back.
+    """
 
     def __init__(self, *, ctx: Context, idle_transaction_us: int, idle_session_us: int) -> None:
         self.ctx = ctx
@@ -26,7 +29,7 @@
         """Opens a session; None where MAX_SESSIONS are open."""
         if len(self.open) >= MAX_SESSIONS:
             return None
-        # a session's name is its key; nobody may guess another's
+        # the id also authorizes the client, so it must not be guessable
         ident = f"{self.ctx.name}.{self.ctx.rng.getrandbits(96):024x}"
         session = Session(ident=ident, database=database, used_us=self.ctx.now_us())
         session.tag = session.next_tag(rng=self.ctx.rng)
@@ -34,17 +37,17 @@
         return session
 
     def find(self, *, ident: str) -> Session | None:
-        """The open session of a name; None where there is none."""
+        """The open session with an id; None where there is none."""
         return self.open.get(ident)
 
     def close(self, *, session: Session) -> None:
-        """Closes a session, with its transaction, and publishes that on `closed`."""
+        """Closes a session, abandons its transaction, and publishes it on `closed`."""
         self.open.pop(session.ident, None)
         self.abandon(session=session)
         self.closed.on_next(session)
 
     def abandon(self, *, session: Session) -> None:
-        """Ends a session's transaction without a word to the backend but the closing of the channel."""
+        """Ends a session's transaction by closing its channel, and sets `lost`."""
         transaction = session.transaction
         if transaction is not None:
             session.transaction = None
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -1,4 +1,4 @@
-"""Probes backends that keep a job waiting, and gives their jobs up where they can't be reached."""
+"""Probes backends that keep requests waiting, and aborts the requests where a backend is unreachable."""
 
 from collections import Counter
 
@@ -9,14 +9,17 @@
 from .position_query import query_position
 
 CHECK_EVERY_US = 500_000
-# a channel in use for so long has its backend probed
+# a backend is probed when a channel to it has been in use for this long
 SILENT_US = 2_500_000
-# probes in a row without an answer, after which the backend's jobs are given up
+# consecutive unanswered probes after which the backend's requests are aborted
 MAX_MISSED_PROBES = 2
 
 
 class SilentBackendProbe(CommandQueueMixin):
-    """Owns the missed probes. Heartbeats may call a backend fit that this one HTTP proxy is cut off from."""
+    """Counts consecutive unanswered probes per backend.
+
+    Detects a backend that only this HTTP proxy can't reach, while its heartbeats arrive by way of others.
+    """
 
     def __init__(self, *, ctx: Context, connection_pools: ConnectionPools) -> None:
         self.ctx = ctx
@@ -24,7 +27,7 @@
         self.missed_probes: Counter[str] = Counter()
         self.probing: set[str] = set()
         self.open_queue()
-        self.every(every_us=CHECK_EVERY_US, command=self._check, name="doubts")
+        self.every(every_us=CHECK_EVERY_US, command=self._check, name="silent_backends")
 
     def _check(self) -> None:
         for name, pool in self.connection_pools.pools.items():
@@ -32,14 +35,14 @@
                 self.missed_probes.pop(name, None)
             elif name not in self.probing:
                 self.probing.add(name)
-                self.ctx.spawn(work=self._probe(name=name), name=f"doubt.{name}")
+                self.ctx.spawn(work=self._probe(name=name), name=f"probe.{name}")
 
     async def _probe(self, *, name: str) -> None:
         try:
             position = await query_position(connection_pools=self.connection_pools, name=name)
         finally:
             self.probing.discard(name)
-        # a slow statement is no sign of anything while its backend still answers other questions
+        # a slow statement is no fault while its backend answers position queries
         if position.is_ok() or position.error.code not in (ErrorCode.WIRE_UNSURE, ErrorCode.WIRE_UNSENT):
             self.missed_probes.pop(name, None)
             return
--- a/src/cinderstair/http_frontend/status_page.py
+++ b/src/cinderstair/http_frontend/status_page.py
@@ -1,4 +1,4 @@
-"""The status page: an HTTP proxy's state, and the system's as this proxy sees it."""
+"""The status page: the state of an HTTP proxy and its view of the system."""
 
 from typing import Any
 
@@ -40,7 +40,7 @@
         self.database_failover = database_failover
 
     def value(self) -> dict[str, Any]:
-        """The page, as JSON values."""
+        """The fields of the page as JSON values."""
         configuration, roster = self.view.configuration, self.view.register.roster
         return {
             "stall": self.ctx.name,
@@ -81,12 +81,12 @@
         }
 
     def hold_reasons(self) -> dict[str, str]:
-        """Why a database's failover or window can't proceed, as far as this HTTP proxy knows; by database."""
+        """Reasons why a failover, replica change or window can't proceed, by database, as known to this proxy."""
         hold_reasons = {database: reason for database, reason in self.database_failover.reasons.items() if reason}
         return {**hold_reasons, **self.database_failover.sync_holds, **self.database_failover.window_holds}
 
     def _windows(self) -> dict[str, Any]:
-        """Each booked window: its stage, what it still has to empty, and what holds it back."""
+        """For each configured window its stage, the backends and proxies it drains, and what is left to drain."""
         configuration = self.view.configuration
         leaving = self.view.leaving
         windows: dict[str, Any] = {}
--- a/src/cinderstair/http_frontend/subsetting.py
+++ b/src/cinderstair/http_frontend/subsetting.py
@@ -1,4 +1,11 @@
-"""The share: which backends one HTTP proxy keeps channels to. Pure functions, computed by each HTTP proxy alone."""
+"""Deterministic subsetting: which backends a proxy keeps channels to, and its part of each backend's cap.
+
+Source: "Site Reliability Engineering" (Beyer et al., 2016), chapter 20, "A Subset Selection Algorithm".
+
+Pure functions of the list of backends and the proxy ids, so that every proxy computes the same result on its own. The
+proxy ids are divided into rounds: each round shuffles the list with its own seed and splits it into subsets, one per
+proxy.
+"""
 
 import hashlib
 from collections.abc import Sequence
@@ -6,38 +13,38 @@
 
 
 def rank(*, seed: int, name: str) -> bytes:
-    """A name's sort key in one round's order, the same on every machine and in every version of Python."""
+    """The sort key of a name in one round's order; it must not depend on the machine or the version of Python."""
     return hashlib.sha256(b"cinderstair share %d/" % seed + name.encode()).digest()
 
 
 @lru_cache(maxsize=4096)
 def _cached_shuffle(names: tuple[str, ...], seed: int) -> tuple[str, ...]:
     """`shuffled`, cached."""
-    # drawing a rank for each name shuffles as well as swapping does, and leaves all other names in
-    # their order when one is listed or struck off, so that a change of the list moves few channels
+    # ranking each name on its own, unlike a shuffle by swaps, keeps the order of all other names when one is added or
+    # removed, so that a change of the list moves few channels
     return tuple(sorted(names, key=lambda name: (rank(seed=seed, name=name), name)))
 
 
 def shuffled(*, names: Sequence[str], seed: int) -> tuple[str, ...]:
-    """The list in one round's order, whatever order it arrives in."""
+    """The list in one round's order, independent of the order of the input."""
     return _cached_shuffle(tuple(names), seed)
 
 
 def subset_count(*, name_count: int, subset_size: int) -> int:
-    """How many subsets one round of a list makes."""
-    # a list shorter than a subset is still one subset, or its backends would serve nobody
+    """The number of subsets in one round."""
+    # a list shorter than the subset size still makes one subset, or its backends would stay unused
     return max(1, name_count // subset_size) if subset_size > 0 else 0
 
 
 def bounds(*, name_count: int, count: int, index: int) -> tuple[int, int]:
-    """Even division: the remainder goes to the first subsets, one each."""
+    """Start and end of subset `index` in an even division; the first subsets get one more from the remainder."""
     base, remainder = divmod(name_count, count)
     start = index * base + min(index, remainder)
     return start, start + base + (1 if index < remainder else 0)
 
 
 def subset(*, names: Sequence[str], http_proxy_id: int, subset_size: int) -> tuple[str, ...]:
-    """The design's deterministic subset of one HTTP proxy."""
+    """The subset of one proxy, without regard to health; empty for an empty list or a subset size of 0."""
     if not names or subset_size <= 0:
         return ()
     count = subset_count(name_count=len(names), subset_size=subset_size)
@@ -49,9 +56,9 @@
 def with_replacements(
     *, names: Sequence[str], http_proxy_id: int, subset_size: int, unfit: frozenset[str]
 ) -> tuple[str, ...]:
-    """The subset with each unfit member's place taken by the next fit one in the round's own order.
+    """The subset, with each unfit backend replaced by the next fit one in the round's order.
 
-    The list itself stays as it was, so a loss moves one channel set and a return moves it back.
+    The list itself doesn't change, so a lost backend moves one set of channels and its return moves it back.
     """
     own = subset(names=names, http_proxy_id=http_proxy_id, subset_size=subset_size)
     if not any(name in unfit for name in own):
@@ -59,13 +66,13 @@
     count = subset_count(name_count=len(names), subset_size=subset_size)
     order = shuffled(names=names, seed=http_proxy_id // count)
     _, end = bounds(name_count=len(names), count=count, index=http_proxy_id % count)
-    # going on from the subset's own end gives each subset of a round another replacement first
+    # starting at the end of the subset gives each subset of a round a different first replacement
     spare = [name for name in (*order[end:], *order[:end]) if name not in own and name not in unfit]
     return tuple(name for name in ((spare.pop(0) if spare else "") if n in unfit else n for n in own) if name)
 
 
 def proxies_using(*, names: Sequence[str], http_proxy_ids: Sequence[int], subset_size: int, name: str) -> list[int]:
-    """The HTTP proxies, by id, in whose subset a backend is."""
+    """The ids of the proxies whose subset contains a backend, in order."""
     return [
         http_proxy_id
         for http_proxy_id in sorted(http_proxy_ids)
@@ -74,7 +81,7 @@
 
 
 def allotment(*, cap: int, user_ids: Sequence[int], http_proxy_id: int) -> int:
-    """One HTTP proxy's part of a backend's cap: even, with the remainder dealt by id. The sum is the cap."""
+    """One proxy's part of a backend's cap: divided evenly, the remainder by order of ids; parts add up to it."""
     if http_proxy_id not in user_ids:
         return 0
     base, remainder = divmod(cap, len(user_ids))
--- a/src/cinderstair/http_frontend/view.py
+++ b/src/cinderstair/http_frontend/view.py
@@ -1,4 +1,4 @@
-"""An HTTP proxy's view of the register: the configuration, the proxy ids, the windows and the leads."""
+"""An HTTP proxy's view of the register: configuration, proxy ids, window states and primary assignments."""
 
 from ..config.check import check_configuration
 from ..config.configuration import CONFIGURATION_KEY, Configuration
@@ -14,7 +14,7 @@
 
 
 class View(RegisterView):
-    """Owns what the HTTP proxy knows of the register. What it says counts only while it is current."""
+    """Holds the last values read from the register. Decisions may rely on them only while `current` is true."""
 
     def __init__(self, *, ctx: Context, register: Register) -> None:
         self.configuration: Configuration | None = None
@@ -50,22 +50,24 @@
 
     def _apply_configuration(self, *, raw: bytes) -> bool:
         checked = check_configuration(raw=raw)
-        # a configuration that this version can't read is not in force here, so the view can't be current
+        # with a configuration that this release can't parse the view must not count as current
         if checked.is_error():
             self.ctx.counters.add(name="view.unreadable")
-            self.ctx.log.error("accepted configuration can't be read here: %s", checked.error.reason)
+            self.ctx.log.error(
+                "the accepted configuration is invalid for this release; upgrade this proxy: %s", checked.error.reason
+            )
             return False
         if self.configuration is not None and checked.ok.version < self.configuration.version:
             self.ctx.counters.add(name="view.backwards")
             return False
         self.configuration = checked.ok
         self._compute_leaving()
-        self.ctx.log.info("configuration %d in force", checked.ok.version)
+        self.ctx.log.info("configuration version %d is in force", checked.ok.version)
         return True
 
     def _compute_leaving(self) -> None:
         self.leaving = drain_targets(configuration=self.configuration, states=self.window_states)
 
     def assignment(self, *, database: str) -> DatabasePrimary | None:
-        """The lead of a database; None where none has been elected."""
+        """The primary assignment of a database; None before the first one."""
         return self.primaries.get(database)
