--- a/src/cinderstair/http_frontend/connection_pools.py
+++ b/src/cinderstair/http_frontend/connection_pools.py
@@ -92,7 +92,7 @@
                 # a draining or silent backend keeps only the channels that are in use
                 if name in self.pools:
                     self.pools[name].close_idle()
-        self._give_up_stale(names=configuration.backends)
+        self._abort_stale(names=configuration.backends)
         assigned_backends = frozenset(
             (assignment.primary, assignment.confirmers) for assignment in self.view.primaries.values()
         )
@@ -103,11 +103,11 @@
             self._compute(configuration=configuration)
         self._grow()
 
-    def _give_up_stale(self, *, names: Iterable[str]) -> None:
+    def _abort_stale(self, *, names: Iterable[str]) -> None:
         """Ends requests in flight whose replies won't come or can't be used, instead of letting them time out."""
         for name in names:
             if name in self.pools and not self.reachable(name=name):
-                self.pools[name].give_up()
+                self.pools[name].abort_requests()
         for database, assignment in self.view.primaries.items():
             before = self.last_assignments.get(database, assignment)
             self.last_assignments[database] = assignment
@@ -117,7 +117,7 @@
                 and before.primary != assignment.primary
                 and before.primary in self.pools
             ):
-                self.pools[before.primary].give_up()
+                self.pools[before.primary].abort_requests()
 
     def _compute(self, *, configuration: Configuration) -> None:
         self.recomputations += 1
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -223,7 +223,7 @@
             return self.reject(kind=ErrorCode.UNKNOWN_PATH, reason=f"no filter answers {request.http.path}")
         except Exception as error:  # noqa: BLE001
             # an unexpected error must not affect other requests; this one may have reached a backend
-            self.ctx.crash(where=f"job {request.verb}", error=error)
+            self.ctx.crash(where=f"request {request.verb}", error=error)
             return self.reject(kind=ErrorCode.INTERNAL, reason="an error of ours; it is logged")
         finally:
             if request.session is not None:
--- a/src/cinderstair/http_frontend/pool.py
+++ b/src/cinderstair/http_frontend/pool.py
@@ -95,21 +95,21 @@
         if self.limit == 0:
             return Error(self._error(code=ErrorCode.NO_BACKEND, reason="not in this HTTP proxy's subset"))
         if not self._has_capacity(priority=priority):
-            waited = await self._wait_for_room(wait_us=wait_us, priority=priority)
+            waited = await self._wait_for_capacity(wait_us=wait_us, priority=priority)
             if waited.is_error():
                 return Error(waited.error)
         self.in_use_count += 1
         while self.idle:
             channel = self.idle.pop()
             if channel.connection.open and self.ctx.now_us() - channel.since_us < MAX_IDLE_US:
-                return self._lend(connection=channel.connection)
+                return self._grant(connection=channel.connection)
             self._close(connection=channel.connection)
         return await self._dial(wait_us=wait_us)
 
     def _error(self, *, code: ErrorCode, reason: str, details: dict[str, int] | None = None) -> CinderstairError:
         return CinderstairError(code=code, reason=f"{self.name}: {reason}", details=details or {})
 
-    async def _wait_for_room(self, *, wait_us: int, priority: bool) -> Result[None, CinderstairError]:
+    async def _wait_for_capacity(self, *, wait_us: int, priority: bool) -> Result[None, CinderstairError]:
         entered_us = self.ctx.now_us()
         expected_us = self._expected_us(priority=priority)
         # a request unlikely to be served in time is rejected at once, with a time to retry, instead of timing out;
@@ -162,7 +162,7 @@
         ages = [now_us - channel.since_us for channel in self.acquired.values()]
         return max(self.mean_hold_us, sum(ages) // len(ages) if ages else 0)
 
-    def _lend(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
+    def _grant(self, *, connection: Connection) -> Result[Connection, CinderstairError]:
         self.acquired[id(connection)] = Channel(connection, self.ctx.now_us())
         return Ok(connection)
 
@@ -179,7 +179,7 @@
             return dialled
         self.opened += 1
         self.ctx.counters.add(name="channels.opened")
-        return self._lend(connection=dialled.ok)
+        return self._grant(connection=dialled.ok)
 
     def release(self, *, connection: Connection, keep: bool = True) -> None:
         """Returns a channel to the pool; with keep=False it is closed, as it may still carry a session's state."""
@@ -227,7 +227,7 @@
         """How long the longest-held channel in use has been held."""
         return max((self.ctx.now_us() - channel.since_us for channel in self.acquired.values()), default=0)
 
-    def give_up(self) -> None:
+    def abort_requests(self) -> None:
         """Aborts all requests in flight, whose replies won't come or can't be used."""
         for channel in list(self.acquired.values()):
             channel.connection.give_up()
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -83,13 +83,13 @@
             wait_us = min(REPLICA_WAIT_US, (until_us - self.ctx.now_us()) // 3)
             if wait_us <= 0:
                 break
-            if await self._replica(session=session, member=member, wait_us=wait_us):
+            if await self._send_replica(session=session, member=member, wait_us=wait_us):
                 session.replica_holder = member.name
                 return True
         session.replica_holder = ""
         return False
 
-    async def _replica(self, *, session: Session, member: Member, wait_us: int) -> bool:
+    async def _send_replica(self, *, session: Session, member: Member, wait_us: int) -> bool:
         self.number += 1
         number = self.number
         self.in_flight.add(number)
@@ -148,7 +148,7 @@
             name for name, sessions in sessions_by_holder.items() if sessions or name in self.touched_members
         ]
         await asyncio.gather(
-            *(self._ask(member=members[name], sessions=sessions_by_holder[name]) for name in requested)
+            *(self._touch_member(member=members[name], sessions=sessions_by_holder[name]) for name in requested)
         )
         unreplicated = [
             session for session in self.sessions.open.values() if not session.replica_holder and not session.busy
@@ -161,7 +161,7 @@
             )
         self.ctx.counters.gauge(name="sessions.onOneStall", value=self.unreplicated)
 
-    async def _ask(self, *, member: Member, sessions: list[Session]) -> None:
+    async def _touch_member(self, *, member: Member, sessions: list[Session]) -> None:
         last_number = min(self.in_flight, default=self.number + 1) - 1
         packer = Packer().u8(value=MessageType.TOUCH).u64(value=self.run_id).u64(value=last_number)
         packer.many(values=sessions, each=lambda p, s: p.text(value=s.ident).u64(value=s.tag.revision))
--- a/src/cinderstair/http_frontend/silent_backend_probe.py
+++ b/src/cinderstair/http_frontend/silent_backend_probe.py
@@ -50,4 +50,4 @@
         pool = self.connection_pools.pool(name=name)
         if self.missed_probes[name] >= MAX_MISSED_PROBES and pool is not None:
             self.ctx.counters.add(name="jobs.givenUp")
-            pool.give_up()
+            pool.abort_requests()
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -275,7 +275,7 @@
 
 def never_give_up() -> Patches:
     """What waits for a backend waits until its time is up, whatever has become of that backend."""
-    return [patch.object(Pool, "give_up", lambda self: None)]
+    return [patch.object(Pool, "abort_requests", lambda self: None)]
 
 
 def whole_cap() -> Patches:
@@ -317,12 +317,12 @@
 def keep_replicas() -> Patches:
     """Nobody is told that a copy can be forgotten."""
 
-    async def ask(self: Any, **_: Any) -> None:
+    async def touch_member(self: Any, **_: Any) -> None:
         return None
 
     return [
         patch.object(SessionReplicator, "forget", lambda self, **_: None),
-        patch.object(SessionReplicator, "_ask", ask),
+        patch.object(SessionReplicator, "_touch_member", touch_member),
     ]
 
 
