--- a/features/http_frontend/bad_input.feature
+++ b/features/http_frontend/bad_input.feature
@@ -1,18 +1,19 @@
-Feature: Bad input at an HTTP proxy's edges
-  Malformed, oversized, cut, repeated and reordered input is denied by the table, and changes nothing.
+Feature: Malformed input at the interfaces of an HTTP proxy
+  Malformed, oversized, truncated, repeated and reordered input is rejected with the documented error kind, and
+  changes no state.
 
-  Scenario Outline: <count> bad jobs of seed <seed> at all edges change nothing
+  Scenario Outline: <count> malformed requests of seed <seed> at all interfaces change no state
     Given a system at work with an open session
-    When <count> bad jobs made by seed <seed> are sent to clients', platform's, backends' and operators' edges
-    Then each was answered by the table of kinds, at once, and none with an error of ours
-    And the configuration, the leads, the session and what it keeps are as before, and the HTTP proxy serves
+    When <count> malformed requests generated from seed <seed> go to the client, backend and operator interfaces
+    Then each is answered within a second with the status of its error kind, and none with an internal error
+    And the configuration, the primary assignments, the session and its state are unchanged, and reads succeed
 
     Examples:
       | count | seed |
       | 400   | 1    |
       | 400   | 2    |
 
-  Scenario: Beats that come again, late, out of order or from the past don't bring an older state back
+  Scenario: Repeated, late, reordered and outdated heartbeats don't restore an older backend state
     Given a system at work with an open session
-    When a backend's 30 heartbeats that end with emptying come twice each, in an order drawn by seed 3
-    Then the HTTP proxy holds it to be emptying, and goes on with the others
+    When 30 heartbeats of a backend, the last one emptying, arrive twice each in an order drawn from seed 3
+    Then the HTTP proxy regards the backend as emptying, and reads succeed on the others
--- a/features/http_frontend/http_proxy.feature
+++ b/features/http_frontend/http_proxy.feature
@@ -1,9 +1,9 @@
-Feature: An HTTP proxy's edge
-  Bad input gets its closed kind and its status at once, and harms nobody else.
+Feature: The HTTP interface of an HTTP proxy
+  Each invalid request gets its error kind and status at once, and affects no other request.
 
-  Scenario: Every bad job gets its own answer, and the HTTP proxy goes on
+  Scenario: Each invalid request gets its own error kind, and the HTTP proxy keeps serving
     Given a system at work with an open session
-    Then these jobs are answered at once
+    Then these requests are answered within 50 ms
       | method | path                                | body                                                  | status | kind              |
       | GET    | /nowhere                            |                                                       | 404    | unknownPath       |
       | DELETE | /v1/sessions                        |                                                       | 405    | wrongMethod       |
@@ -30,48 +30,48 @@
       | POST   | /v1/beats                           | {"name": "db0-a"}                                     | 400    | malformed         |
       | POST   | /v1/beats                           | {"name": "db0-a", "site": "k", "state": "odd"}        | 400    | malformed         |
       | POST   | /v1/override                        | {"database": "db0", "backend": "db0-b"}               | 400    | malformed         |
-    And a body of 2 MiB is answered with 413 and tooLarge
-    And the session still works, and no channel was left taken
+    And a body of 2 MiB is rejected with 413 and tooLarge
+    And the session still works, and no session has a request or transaction left open
 
-  Scenario: What a session was promised is kept apart from every other
+  Scenario: Prepared texts, values and handles of a session are isolated from other sessions
     Given a system at work with an open session
-    When it prepares "append k ", and sets the value "mine" to "7"
-    Then its prepared text runs with parameters, and its value is shown to it alone
-    And the handle from before the last change runs nothing and is told the newest one
-    And a handle from earlier still is told unknownSession
-    And a job with two tries at once is told sessionBusy
+    When the session prepares "append k " and sets the value "mine" to "7"
+    Then its prepared text runs with parameters, and no other session sees its text or value
+    And a request with the previous handle is not run, and its response contains the current handle
+    And an older handle is rejected with unknownSession
+    And the second of two concurrent requests is rejected with sessionBusy
 
-  Scenario: Commit and rollback do what they say
+  Scenario: Commit applies a transaction, rollback and abandonment discard it
     Given a system at work with an open session
-    Then a transaction that commits is seen by a primary read
-    And a transaction that rolls back is not
-    And a statement after an abandoned transaction is told transactionLost, once
+    Then a committed transaction is visible to primary reads
+    And a rolled back transaction is not visible
+    And only the first statement after an abandoned transaction is rejected with transactionLost
 
-  Scenario: Without a view that can be current nothing is served, and the client is told when to come back
+  Scenario: Without a current view requests are rejected with a time to retry
     Given a system at work with an open session
     When a majority of register replicas is killed
-    Then within 3 seconds the HTTP proxy is not ready
-    And a new session is denied at once with notCurrent, a Retry-After and where else to go
+    Then the HTTP proxy becomes not ready within 3 seconds
+    And a new session is rejected within 50 ms with notCurrent, Retry-After and addresses of other proxies
 
-  Scenario: More than the channels can take waits in order, then is denied at once
-    Given a system of 1 HTTP proxy with a cap of 4, and queues of 10
-    When 60 clients send slow reads at once with 3 seconds left each
-    Then every client is answered within its time left
-    And those denied were told crowded within 50 milliseconds, with when to come back
-    And no backend was given more than 4 channels
+  Scenario: Requests beyond the channels are queued, and beyond the queue rejected at once
+    Given a system of 1 HTTP proxy with a backend cap of 4 and a queue limit of 10
+    When 60 clients send slow reads concurrently with a deadline of 3 seconds
+    Then every client is answered within the deadline
+    And rejected reads got crowded with a time to retry within 50 ms
+    And no backend has had more than 4 channels
 
-  Scenario: Routes and policies are obeyed as soon as they are in force
+  Scenario: Routes and policies apply as soon as their configuration is in force
     Given a system at work with an open session
     When a configuration with the language "route live on * to replica where hall = old" is in force
-    Then 20 live reads all run at the replica in the old hall
+    Then 20 live reads all run on the replica with hall = old
     When a configuration with the language "route live on * to deny; policy active on * is 3" is in force
-    Then a live read is denied with routeDenied, and a fresh read still runs
-    And no pool has room for more than 3 jobs
+    Then a live read is rejected with routeDenied, and a fresh read succeeds
+    And no pool has a limit above 3
     When a configuration with the language "route live, fresh on * to primary" is in force
-    Then 10 live reads all run at the primary
+    Then 10 live reads all run on the primary
 
-  Scenario: A replica that answers too late is passed over, then the primary answers
+  Scenario: Reads fall back to the primary when all replicas lag
     Given a system at work with an open session
-    When both replicas apply 3 seconds late and something is written
-    Then a fresh read at once sees the session's own write
-    And a live read 1.6 seconds after it sees it too
+    When both replicas apply the log 3 seconds late and a value is written
+    Then an immediate fresh read sees the session's own write
+    And a live read 1.6 seconds later sees it too
--- a/features/http_frontend/subsetting.feature
+++ b/features/http_frontend/subsetting.feature
@@ -1,11 +1,11 @@
-Feature: The share
-  The design page's deterministic subsetting, as tables from the page and its chapter.
+Feature: Deterministic subsetting
+  The subset algorithm of "Site Reliability Engineering" (Beyer et al., 2016), chapter 20, and the division of caps.
 
-  Scenario Outline: Every backend gets as many HTTP proxies as any other, or one fewer
+  Scenario Outline: Backends are in equally many subsets, give or take one
     Given <backends> backends, <HTTP proxies> HTTP proxies and subsets of <size>
     Then every backend is in between <least> and <most> subsets
 
-    Examples: the chapter's own cases, then a remainder and lists of all lengths
+    Examples: the chapter's own cases, then lists with a remainder and of other lengths
       | backends | HTTP proxies | size | least | most |
       | 12       | 10     | 3    | 2     | 3    |
       | 300      | 300    | 10   | 10    | 10   |
@@ -16,7 +16,7 @@
       | 1        | 5      | 20   | 5     | 5    |
       | 40       | 7      | 20   | 3     | 4    |
 
-  Scenario Outline: Subset sizes at the edges
+  Scenario Outline: Subset sizes of empty, short and uneven lists
     Given <backends> backends, <HTTP proxies> HTTP proxies and subsets of <size>
     Then every HTTP proxy's subset holds between <least> and <most> backends
 
@@ -29,31 +29,31 @@
       | 13       | 4      | 3    | 3     | 4    |
       | 23       | 4      | 5    | 5     | 6    |
 
-  Scenario: Within a round each backend goes to exactly one HTTP proxy
+  Scenario: Within a round each backend is in exactly one subset
     Given 12 backends, 10 HTTP proxies and subsets of 3
-    Then HTTP proxies 0 to 3 hold every backend once
-    And HTTP proxies 4 to 7 hold every backend once
-    And no two rounds deal in the same order
+    Then the subsets of HTTP proxies 0 to 3 contain every backend once
+    And the subsets of HTTP proxies 4 to 7 contain every backend once
+    And no two rounds have the same order
 
-  Scenario: The order never changes, whatever the version of Python
+  Scenario: The order of a round is the same in every version of Python
     Then the order of 12 backends in rounds 0 and 1 is the recorded one
 
-  Scenario: The order in which the list arrives does not matter
+  Scenario: Subsets do not depend on the order of the input list
     Given 12 backends, 10 HTTP proxies and subsets of 3
-    Then a list that arrives in another order gives the same subsets
+    Then the reversed list gives the same subsets
 
-  Scenario: A loss moves one channel set of those that held it, and nothing else
+  Scenario: An unfit backend is replaced only in the subsets that contain it
     Given 60 backends, 30 HTTP proxies and subsets of 10
     When backend 7 becomes unfit
-    Then each HTTP proxy that held it opens one replacement and closes nothing else
+    Then each subset with that backend gets one replacement and loses no other backend
     And the replacements are spread over at least 3 backends
-    And its return brings every subset back as it was
+    And every subset is as before once the backend is fit again
 
-  Scenario: Subsetting by design is compared with random subsetting
+  Scenario: Deterministic subsetting spreads more evenly than random subsetting
     Given 300 backends, 300 HTTP proxies and subsets of 30
-    Then the spread by design is 1.0 and the spread by random draws is above 1.3
+    Then the ratio of most to least used backend is 1.0, and above 1.3 with random subsets
 
-  Scenario Outline: The cap is shared out whole, and never exceeded
+  Scenario Outline: The allotments of a cap add up to the cap
     Given <backends> backends, <HTTP proxies> HTTP proxies and subsets of <size>
     Then the allotments of a cap of <cap> add up to it and differ by at most 1
 
@@ -64,12 +64,12 @@
       | 3        | 9      | 20   | 5   |
       | 12       | 10     | 3    | 60  |
 
-  Scenario Outline: A change of the list or of the ids moves few channel sets
+  Scenario Outline: A change of the backend list or of the proxies changes few subset members
     Given <backends> backends, <HTTP proxies> HTTP proxies and subsets of <size>
     When <change>
-    Then at most <sets> of the subset places change
+    Then at most <sets> subset members change
 
-    Examples: an HTTP proxy more or less moves nobody else; a listed change moves about one place a subset at the most
+    Examples: a change of proxies changes no other subset; an added backend changes about one member a subset at most
       | backends | HTTP proxies | size | change            | sets |
       | 12       | 10     | 3    | an HTTP proxy joins     | 0    |
       | 12       | 10     | 3    | an HTTP proxy is lost   | 0    |
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps for bad input at an HTTP proxy's edges."""
+"""Steps for malformed input at the interfaces of an HTTP proxy."""
 
 import json
 import random
@@ -10,14 +10,29 @@
 from cinderstair.runtime.error_responses import ERROR_RESPONSES
 from cinderstair.runtime.errors import ErrorCode
 
-ODD: list[Any] = [None, True, -1, 0, 1 << 70, 1.5, "", "x" * 300, [], {}, [[]], {"a": {"b": 1}}, "\u0000", "\ud83d"]
-
-
-OPTIONAL = ("params", "incarnation", "number", "term", "position", "leads", "stalls", "leaves", "enters")
-
-
-def requests(*, context: Any) -> list[tuple[str, str, dict[str, Any]]]:
-    """Whole jobs of every edge, to be spoilt."""
+WRONG_VALUES: list[Any] = [
+    None,
+    True,
+    -1,
+    0,
+    1 << 70,
+    1.5,
+    "",
+    "x" * 300,
+    [],
+    {},
+    [[]],
+    {"a": {"b": 1}},
+    "\u0000",
+    "\ud83d",
+]
+
+
+OPTIONAL_FIELDS = ("params", "incarnation", "number", "term", "position", "leads", "stalls", "leaves", "enters")
+
+
+def valid_requests(*, context: Any) -> list[tuple[str, str, dict[str, Any]]]:
+    """Valid requests of every interface, for `malformed` to change."""
     path = f"/v1/sessions/{context.session}"
     heartbeat = {"name": "db0-z", "incarnation": 1, "number": 1, "site": "k", "state": "ready"}
     return [
@@ -33,27 +48,27 @@
     ]
 
 
-def spoilt(*, rng: random.Random, method: str, path: str, body: dict[str, Any]) -> tuple[str, str, bytes]:
-    """Never a whole job: something that it needs is gone, of another type, cut off, or too large."""
+def malformed(*, rng: random.Random, method: str, path: str, body: dict[str, Any]) -> tuple[str, str, bytes]:
+    """Makes a request invalid: a field is missing or of another type, or the body is truncated or too large."""
     data = json.dumps(body).encode()
-    how = rng.choice(["cut", "field", "field", "method", "path", "noise", "large", "twice"])
-    if how == "cut":
+    mutation = rng.choice(["cut", "field", "field", "method", "path", "noise", "large", "twice"])
+    if mutation == "cut":
         return method, path, data[: rng.randrange(len(data))]
-    if how == "noise":
+    if mutation == "noise":
         return method, path, rng.randbytes(rng.randrange(1, 200))
-    if how == "large":
+    if mutation == "large":
         return method, path, data[:-1] + b', "more": "' + b"x" * (1024 * 1024) + b'"}'
-    if how == "twice":
+    if mutation == "twice":
         return method, path, data + data
-    if how == "method":
+    if mutation == "method":
         return rng.choice(["PATCH", "TRACE", "HEAD"]), path, data
-    if how == "path":
+    if mutation == "path":
         return method, path + rng.choice(["/", "/more", "%2e", "\u00e9"]), data
-    needed = [key for key in body if key not in OPTIONAL] or ["leaves"]
-    key = rng.choice(needed)
+    required = [key for key in body if key not in OPTIONAL_FIELDS] or ["leaves"]
+    key = rng.choice(required)
     changed = {k: v for k, v in body.items() if k != key}
     if rng.random() < 0.7:
-        changed[key] = rng.choice([odd for odd in ODD if not isinstance(odd, type(body[key]))])
+        changed[key] = rng.choice([wrong for wrong in WRONG_VALUES if not isinstance(wrong, type(body[key]))])
     return method, path, json.dumps(changed).encode()
 
 
@@ -70,33 +85,35 @@
     )
 
 
-@when("{count:d} bad jobs made by seed {seed:d} are sent to clients', platform's, backends' and operators' edges")
-def when_bad(context: Any, count: int, seed: int) -> None:
+@when("{count:d} malformed requests generated from seed {seed:d} go to the client, backend and operator interfaces")
+def when_malformed(context: Any, count: int, seed: int) -> None:
     rng = random.Random(seed)
-    whole = requests(context=context)
+    whole = valid_requests(context=context)
     context.before, context.wrong, context.kinds = state(context=context), [], set()
     for _ in range(count):
-        method, path, body = spoilt(rng=rng, **dict(zip(("method", "path", "body"), rng.choice(whole), strict=True)))
+        method, path, body = malformed(
+            rng=rng, **dict(zip(("method", "path", "body"), rng.choice(whole), strict=True))
+        )
         began_us = context.world.now_us
         status, data = context.world.ask(name="stall-0", method=method, path=path, body=body)
         took_us = context.world.now_us - began_us
         value = json.loads(data) if data else {}
         kind = value.get("kind", "")
-        # why: an error of ours would be a kind of the table as well, so it is named apart
+        # `internal` has a status in the table too, so it is excluded by name
         fits = kind and kind != "internal" and ERROR_RESPONSES[ErrorCode(kind)].status == status
         context.kinds.add(kind)
         if not fits or took_us > 1_000_000:
             context.wrong.append((method, path, body[:120], status, value, took_us))
 
 
-@then("each was answered by the table of kinds, at once, and none with an error of ours")
+@then("each is answered within a second with the status of its error kind, and none with an internal error")
 def then_table(context: Any) -> None:
     assert not context.wrong, (len(context.wrong), context.wrong[:4])
     wanted = {"malformed", "tooLarge", "unknownPath", "wrongMethod", "timeLeftMissing", "brokenConfiguration"}
     assert wanted <= context.kinds, context.kinds
 
 
-@then("the configuration, the leads, the session and what it keeps are as before, and the HTTP proxy serves")
+@then("the configuration, the primary assignments, the session and its state are unchanged, and reads succeed")
 def then_before(context: Any) -> None:
     after = state(context=context)
     assert after == context.before, [pair for pair in zip(context.before, after, strict=True) if pair[0] != pair[1]]
@@ -105,7 +122,9 @@
     assert not context.world.errors
 
 
-@when("a backend's {count:d} heartbeats that end with emptying come twice each, in an order drawn by seed {seed:d}")
+@when(
+    "{count:d} heartbeats of a backend, the last one emptying, arrive twice each in an order drawn from seed {seed:d}"
+)
 def when_heartbeats(context: Any, count: int, seed: int) -> None:
     world = context.world
     assignment = world.http_proxy(name="stall-0").view.primaries["db0"]
@@ -114,7 +133,7 @@
     backend.beating = False
     heartbeats = [backend.heartbeat() for _ in range(count)]
     heartbeats[-1]["state"] = "emptying"
-    # why: from an earlier run of it, numbered higher, and still older than all that came since
+    # of an earlier incarnation: older than all the others in spite of its higher number
     heartbeats.append({**heartbeats[0], "incarnation": 0, "number": 10_000})
     order = heartbeats * 2
     random.Random(seed).shuffle(order)
@@ -123,7 +142,7 @@
         assert status == 200, answer
 
 
-@then("the HTTP proxy holds it to be emptying, and goes on with the others")
+@then("the HTTP proxy regards the backend as emptying, and reads succeed on the others")
 def then_emptying(context: Any) -> None:
     http_proxy = context.world.http_proxy(name="stall-0")
     assert http_proxy.heartbeat_table.latest(name=context.name).heartbeat.state == "emptying"
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an HTTP proxy's edge."""
+"""Steps for the HTTP interface of an HTTP proxy."""
 
 import asyncio
 import json
@@ -46,7 +46,7 @@
     context.session = open_session(world=world)
 
 
-@then("these jobs are answered at once")
+@then("these requests are answered within 50 ms")
 def then_answers(context: Any) -> None:
     wrong = []
     for row in context.table:
@@ -59,14 +59,14 @@
     assert not wrong, wrong
 
 
-@then("a body of 2 MiB is answered with {status:d} and {kind}")
+@then("a body of 2 MiB is rejected with {status:d} and {kind}")
 def then_large(context: Any, status: int, kind: str) -> None:
     body = b'{"text": "' + b"x" * (2 * 1024 * 1024) + b'"}'
     found, answer = ask(world=context.world, method="POST", path="/v1/sessions", body=body)
     assert (found, answer["kind"]) == (status, kind), answer
 
 
-@then("the session still works, and no channel was left taken")
+@then("the session still works, and no session has a request or transaction left open")
 def then_works(context: Any) -> None:
     status, answer = statement(context=context, kind="primary", text="get k")
     assert status == 200, answer
@@ -76,18 +76,18 @@
     assert all(session.transaction is None and not session.busy for session in http_proxy.sessions.open.values())
 
 
-@when('it prepares "{text}", and sets the value "{key}" to "{value}"')
+@when('the session prepares "{text}" and sets the value "{key}" to "{value}"')
 def when_keeps(context: Any, text: str, key: str, value: str) -> None:
     keeps = {"prepared/p": {"text": text}, "values": {"values": {key: value}}}
     for path, keep in keeps.items():
         full = f"/v1/sessions/{context.session}/{path}"
         status, answer = ask(world=context.world, method="PUT", path=full, value={**keep, "timeLeftUs": 1_000_000})
         assert (status, answer["stands"]) == (200, 2), answer
-        # why: each change gives the session a new handle, and the one before is good for nothing but to be told so
+        # each change gives the session a new handle; a request with the previous one gets only the new handle
         context.before, context.session = context.session, answer["session"]
 
 
-@then("its prepared text runs with parameters, and its value is shown to it alone")
+@then("its prepared text runs with parameters, and no other session sees its text or value")
 def then_kept(context: Any) -> None:
     status, answer = statement(context=context, kind="write", prepared="p", params=["x"])
     assert status == 200, answer
@@ -99,8 +99,8 @@
     assert (status, answer["kind"]) == (404, "unknownPrepared"), answer
 
 
-@then("the handle from before the last change runs nothing and is told the newest one")
-def then_before(context: Any) -> None:
+@then("a request with the previous handle is not run, and its response contains the current handle")
+def then_previous_handle(context: Any) -> None:
     status, answer = statement(context=context, session=context.before, kind="write", text="append k old")
     assert (status, answer["kind"], answer["session"]) == (409, "handleOld", context.session), answer
     assert "old" not in statement(context=context, kind="primary", text="list k")[1]["rows"]
@@ -109,14 +109,14 @@
     assert (answer["kind"], answer["outcome"]) == ("outcomeUnknown", "unknown"), answer
 
 
-@then("a handle from earlier still is told unknownSession")
-def then_earlier(context: Any) -> None:
+@then("an older handle is rejected with unknownSession")
+def then_older_handle(context: Any) -> None:
     ident = context.session.rpartition(".")[0]
     status, answer = statement(context=context, session=f"{ident}.1-00000000", kind="primary", text="list k")
     assert (status, answer["kind"]) == (410, "unknownSession"), answer
 
 
-@then("a job with two tries at once is told sessionBusy")
+@then("the second of two concurrent requests is rejected with sessionBusy")
 def then_busy(context: Any) -> None:
     body = json.dumps({"kind": "primary", "text": "list k", "timeLeftUs": 2_000_000}).encode()
     path = f"/v1/sessions/{context.session}/statements"
@@ -130,7 +130,7 @@
     assert kinds == ["done", "sessionBusy"], kinds
 
 
-@then("a transaction that commits is seen by a primary read")
+@then("a committed transaction is visible to primary reads")
 def then_commit(context: Any) -> None:
     assert step(context=context, verb="begin")[0] == 200
     assert statement(context=context, kind="write", text="put a 1")[0] == 200
@@ -141,7 +141,7 @@
     assert statement(context=context, session=other, kind="primary", text="get a")[1]["rows"] == ["1"]
 
 
-@then("a transaction that rolls back is not")
+@then("a rolled back transaction is not visible")
 def then_rollback(context: Any) -> None:
     assert step(context=context, verb="begin")[0] == 200
     assert statement(context=context, kind="write", text="put a 2")[0] == 200
@@ -149,7 +149,7 @@
     assert statement(context=context, kind="primary", text="get a")[1]["rows"] == ["1"]
 
 
-@then("a statement after an abandoned transaction is told transactionLost, once")
+@then("only the first statement after an abandoned transaction is rejected with transactionLost")
 def then_abandoned(context: Any) -> None:
     assert step(context=context, verb="begin")[0] == 200
     assert statement(context=context, kind="write", text="put a 3")[0] == 200
@@ -165,7 +165,7 @@
         context.world.kill(name=name)
 
 
-@then("within {seconds:d} seconds the HTTP proxy is not ready")
+@then("the HTTP proxy becomes not ready within {seconds:d} seconds")
 def then_unready(context: Any, seconds: int) -> None:
     context.world.await_that(
         test=lambda: context.world.ask(name="stall-0", method="GET", path="/ready")[0] == 503,
@@ -174,8 +174,8 @@
     )
 
 
-@then("a new session is denied at once with notCurrent, a Retry-After and where else to go")
-def then_elsewhere(context: Any) -> None:
+@then("a new session is rejected within 50 ms with notCurrent, Retry-After and addresses of other proxies")
+def then_rejected_elsewhere(context: Any) -> None:
     net = SimNet(wires=context.world.wires, boot=Boot(name="client"))
     body = json.dumps({"database": "db0", "timeLeftUs": 5_000_000}).encode()
     began_us = context.world.now_us
@@ -193,16 +193,16 @@
     assert context.world.now_us - began_us < 50_000
 
 
-@given("a system of 1 HTTP proxy with a cap of {cap:d}, and queues of {most:d}")
-def given_small(context: Any, cap: int, most: int) -> None:
-    world = new_world(context=context, seed=22, http_proxies=1, cap=cap, changes={"queue_limit": most})
+@given("a system of 1 HTTP proxy with a backend cap of {cap:d} and a queue limit of {queue_limit:d}")
+def given_small(context: Any, cap: int, queue_limit: int) -> None:
+    world = new_world(context=context, seed=22, http_proxies=1, cap=cap, changes={"queue_limit": queue_limit})
     world.begin()
     for name in world.backend_names():
         world.backend(name=name).service_us = 200_000
 
 
-@when("{count:d} clients send slow reads at once with {seconds:d} seconds left each")
-def when_membership(context: Any, count: int, seconds: int) -> None:
+@when("{count:d} clients send slow reads concurrently with a deadline of {seconds:d} seconds")
+def when_concurrent_reads(context: Any, count: int, seconds: int) -> None:
     world = context.world
     context.left_us = seconds * 1_000_000
     context.answers = []
@@ -221,13 +221,13 @@
     world.run(work=everyone())
 
 
-@then("every client is answered within its time left")
+@then("every client is answered within the deadline")
 def then_in_time(context: Any) -> None:
     assert max(took_us for took_us, _, _ in context.answers) <= context.left_us + 50_000
     assert sum(status == 200 for _, status, _ in context.answers) >= 10, context.answers
 
 
-@then("those denied were told crowded within {millis:d} milliseconds, with when to come back")
+@then("rejected reads got crowded with a time to retry within {millis:d} ms")
 def then_overloaded(context: Any, millis: int) -> None:
     rejected = [(took_us, answer) for took_us, status, answer in context.answers if status != 200]
     assert len(rejected) >= 30, len(rejected)
@@ -237,7 +237,7 @@
     assert len(quick) == len(rejected), sorted(took_us for took_us, _ in rejected)[-5:]
 
 
-@then("no backend was given more than {cap:d} channels")
+@then("no backend has had more than {cap:d} channels")
 def then_capped(context: Any, cap: int) -> None:
     for name in context.world.backend_names():
         assert context.world.backend(name=name).most_lines <= cap
@@ -263,7 +263,7 @@
 
 
 def read_where(*, context: Any, kind: str, count: int) -> dict[str, int]:
-    """How many reads each backend ran."""
+    """The number of reads that each backend ran."""
     world = context.world
     before = {name: world.backend(name=name).ran.total() for name in world.backend_names()}
     for _ in range(count):
@@ -272,33 +272,33 @@
     return {name: world.backend(name=name).ran.total() - before[name] for name in before}
 
 
-@then("{count:d} live reads all run at the replica in the old hall")
+@then("{count:d} live reads all run on the replica with hall = old")
 def then_old(context: Any, count: int) -> None:
     found = read_where(context=context, kind="live", count=count)
     assert found[context.old] == count, found
 
 
-@then("{count:d} live reads all run at the primary")
+@then("{count:d} live reads all run on the primary")
 def then_primary(context: Any, count: int) -> None:
     found = read_where(context=context, kind="live", count=count)
     assert found[context.world.http_proxy(name="stall-0").view.primaries["db0"].primary] == count, found
 
 
-@then("a live read is denied with routeDenied, and a fresh read still runs")
+@then("a live read is rejected with routeDenied, and a fresh read succeeds")
 def then_deny(context: Any) -> None:
     status, answer = statement(context=context, kind="live", text="get k")
     assert (status, answer["kind"]) == (403, "routeDenied"), answer
     assert statement(context=context, kind="fresh", text="get k")[0] == 200
 
 
-@then("no pool has room for more than {count:d} jobs")
+@then("no pool has a limit above {count:d}")
 def then_active(context: Any, count: int) -> None:
     for name in context.world.http_proxy_names:
         for pool in context.world.http_proxy(name=name).connection_pools.pools.values():
             assert 0 < pool.limit <= count, (name, pool.name, pool.limit)
 
 
-@when("both replicas apply 3 seconds late and something is written")
+@when("both replicas apply the log 3 seconds late and a value is written")
 def when_late(context: Any) -> None:
     for name in context.world.http_proxy(name="stall-0").view.primaries["db0"].in_sync:
         context.world.backend(name=name).apply_us = 3_000_000
@@ -306,12 +306,12 @@
     assert status == 200, answer
 
 
-@then("a fresh read at once sees the session's own write")
+@then("an immediate fresh read sees the session's own write")
 def then_own(context: Any) -> None:
     assert statement(context=context, kind="fresh", text="list k")[1]["rows"] == ["x"]
 
 
-@then("a live read 1.6 seconds after it sees it too")
+@then("a live read 1.6 seconds later sees it too")
 def then_live(context: Any) -> None:
     context.world.advance(for_us=1_600_000)
     other = open_session(world=context.world)
--- a/features/steps/subsetting_steps.py
+++ b/features/steps/subsetting_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the share."""
+"""Steps for deterministic subsetting."""
 
 import random
 from collections import Counter
@@ -8,7 +8,7 @@
 
 from cinderstair.http_frontend.subsetting import allotment, proxies_using, shuffled, subset, with_replacements
 
-RECORDED = {
+RECORDED_ORDERS = {
     0: "b04 b08 b05 b11 b10 b03 b00 b02 b01 b07 b09 b06",
     1: "b01 b03 b07 b10 b04 b06 b02 b11 b08 b09 b00 b05",
 }
@@ -43,13 +43,13 @@
     assert min(found) >= least and max(found) <= most, found
 
 
-@then("HTTP proxies {first:d} to {last:d} hold every backend once")
+@then("the subsets of HTTP proxies {first:d} to {last:d} contain every backend once")
 def then_round(context: Any, first: int, last: int) -> None:
     held = [name for each in subsets(context=context)[first : last + 1] for name in each]
     assert sorted(held) == context.names, held
 
 
-@then("no two rounds deal in the same order")
+@then("no two rounds have the same order")
 def then_orders(context: Any) -> None:
     orders = {tuple(shuffled(names=context.names, seed=seed)) for seed in range(50)}
     assert len(orders) == 50
@@ -57,14 +57,14 @@
 
 @then("the order of 12 backends in rounds 0 and 1 is the recorded one")
 def then_recorded(context: Any) -> None:
-    for seed, order in RECORDED.items():
+    for seed, order in RECORDED_ORDERS.items():
         assert " ".join(shuffled(names=names(count=12), seed=seed)) == order, (
             seed,
             " ".join(shuffled(names=names(count=12), seed=seed)),
         )
 
 
-@then("a list that arrives in another order gives the same subsets")
+@then("the reversed list gives the same subsets")
 def then_canonical(context: Any) -> None:
     before = subsets(context=context)
     context.names = context.names[::-1]
@@ -86,7 +86,7 @@
     ]
 
 
-@then("each HTTP proxy that held it opens one replacement and closes nothing else")
+@then("each subset with that backend gets one replacement and loses no other backend")
 def then_one_replacement(context: Any) -> None:
     held = 0
     for before, after in zip(context.before, context.after, strict=True):
@@ -103,18 +103,18 @@
     assert len(new) >= count, new
 
 
-@then("its return brings every subset back as it was")
+@then("every subset is as before once the backend is fit again")
 def then_return(context: Any) -> None:
     assert subsets(context=context) == context.before
 
 
-@then("the spread by design is {design:g} and the spread by random draws is above {drawn:g}")
-def then_random(context: Any, design: float, drawn: float) -> None:
+@then("the ratio of most to least used backend is {ratio:g}, and above {random_ratio:g} with random subsets")
+def then_random(context: Any, ratio: float, random_ratio: float) -> None:
     counts = Counter(name for each in subsets(context=context) for name in each)
-    assert max(counts.values()) / min(counts.values()) == design
+    assert max(counts.values()) / min(counts.values()) == ratio
     rng = random.Random(20)
     randoms = Counter(name for _ in range(context.http_proxies) for name in rng.sample(context.names, context.size))
-    assert max(randoms.values()) / min(randoms.values()) > drawn
+    assert max(randoms.values()) / min(randoms.values()) > random_ratio
 
 
 @then("the allotments of a cap of {cap:d} add up to it and differ by at most 1")
@@ -145,7 +145,7 @@
     context.names = [*context.names, "b99"]
 
 
-@then("at most {sets:d} of the subset places change")
+@then("at most {sets:d} subset members change")
 def then_churn(context: Any, sets: int) -> None:
     after = subsets(context=context)
     moved = sum(len(set(a) - set(b)) for b, a in zip(context.before, after, strict=False))
