--- a/src/cinderstair/http_frontend/filters/session_filter.py
+++ b/src/cinderstair/http_frontend/filters/session_filter.py
@@ -27,7 +27,7 @@
             return None
         handle = parse_session_token(text=request.session_id)
         session = self.sessions.find(ident=handle.ident)
-        # the client knows a later state than the one here: another proxy took the session over while this was cut off
+        # the client knows a later state: another proxy took the session over while this one was paused or cut off
         if (
             session is not None
             and handle.tag.revision >= session.tag.revision
--- a/src/cinderstair/http_frontend/http_proxy.py
+++ b/src/cinderstair/http_frontend/http_proxy.py
@@ -55,7 +55,7 @@
 
 
 class Filter(Protocol):
-    """One stage of the request chain."""
+    """One stage of the filter chain."""
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
         """Returns a response, or None to pass the request to the next filter."""
@@ -89,7 +89,7 @@
             ctx=ctx, dispatcher=self.dispatcher, membership=self.membership
         )
         self.view = View(ctx=ctx, register=self.register)
-        # components start their timers when created: the order matters for reproducible simulations
+        # components start their timers when created, so this order is the order of the timers
         self._create_backend_parts()
         self.sessions = Sessions(
             ctx=ctx, idle_transaction_us=settings.idle_transaction_us, idle_session_us=settings.idle_session_us
@@ -263,7 +263,7 @@
             )
 
     def _abandon_unreachable(self) -> None:
-        """Ends idle transactions on backends that are no longer reachable."""
+        """Ends idle transactions on backends that are no longer reachable, before more is sent there."""
         for session in list(self.sessions.open.values()):
             transaction = session.transaction
             if transaction is None or session.busy:
--- a/src/cinderstair/http_frontend/replica_watermark.py
+++ b/src/cinderstair/http_frontend/replica_watermark.py
@@ -43,7 +43,7 @@
         return self.term == term and self.received >= position
 
     def request(self, *, term: int, position: int) -> None:
-        """Polls the replica until it has received a position; `changed` is set at each answer."""
+        """Polls the replica until it has received a position; `changed` is set at each reply."""
         self.pending.append(PendingPosition(term, position))
         if not self.polling:
             self.polling = True
@@ -63,19 +63,19 @@
         try:
             # the failover removes a replica that does not answer; commits have deadlines of their own
             while (position := self._lowest_pending()) and failures < MAX_FAILURES:
-                reading = await query_position(
+                answer = await query_position(
                     connection_pools=self.connection_pools, name=self.name, at_least=position, hold_us=HOLD_US
                 )
-                if reading.is_ok():
+                if answer.is_ok():
                     # positions of different terms can't be compared, so both are replaced together
-                    self.term, self.received = reading.ok.term, reading.ok.received
+                    self.term, self.received = answer.ok.term, answer.ok.received
                     self.changed.set()
                     self.changed = asyncio.Event()
                 else:
                     failures += 1
                     await self.ctx.sleep(duration_us=RETRY_PAUSE_US * 2)
                 await self.ctx.sleep(
-                    duration_us=0 if reading.is_ok() and reading.ok.received >= position else RETRY_PAUSE_US
+                    duration_us=0 if answer.is_ok() and answer.ok.received >= position else RETRY_PAUSE_US
                 )
         finally:
             self.pending = []
--- a/src/cinderstair/http_frontend/session_replicas.py
+++ b/src/cinderstair/http_frontend/session_replicas.py
@@ -55,7 +55,7 @@
         known = self.held.get(session.ident)
         full = known is None and len(self.held) >= MAX_SESSION_REPLICAS
         live = self.sessions.find(ident=session.ident)
-        # refuses while draining, if the session is open here, or if a newer replica is held already
+        # a draining proxy or one with the session open can't hold its replica; a late one must not replace a newer
         older = known is not None and known.session.tag.revision > session.tag.revision
         if self.ready.leaving or full or older or live is not None:
             return Packer().u8(value=NO).bytes()
--- a/src/cinderstair/http_frontend/session_replicator.py
+++ b/src/cinderstair/http_frontend/session_replicator.py
@@ -19,7 +19,7 @@
 TOUCH_WAIT_US = 500_000
 # HTTP proxies that hold this one's replicas: few, so that the number of touches doesn't grow with the fleet, but
 # enough to spread the clients of a lost proxy
-SECONDARIES = 3
+MAX_REPLICA_HOLDERS = 3
 # sessions without a replica that one round replicates again
 MAX_REPAIRS_PER_ROUND = 64
 # how long an HTTP proxy that refused a replica is tried last
@@ -69,12 +69,12 @@
         return sorted(compatible, key=order)
 
     def _secondaries_for(self, *, session: Session) -> list[Member]:
-        """Candidates for the replica of a session: the current holder, then the first SECONDARIES by a hash."""
+        """Candidates for a session's replica: the current holder, then the first MAX_REPLICA_HOLDERS by a hash."""
         members = self._secondaries()
-        first = members[:SECONDARIES]
+        first = members[:MAX_REPLICA_HOLDERS]
         if first:
             offset = zlib.crc32(session.ident.encode()) % len(first)
-            members = [*first[offset:], *first[:offset], *members[SECONDARIES:]]
+            members = [*first[offset:], *first[:offset], *members[MAX_REPLICA_HOLDERS:]]
         return sorted(members, key=lambda member: member.name != session.replica_holder)
 
     async def replicate(self, *, session: Session, until_us: int) -> bool:
@@ -100,7 +100,7 @@
         finally:
             self.in_flight.discard(number)
         stored = result.is_ok() and result.ok == bytes([YES])
-        # so a draining proxy is not tried again for each session
+        # remembered, so that a draining proxy is not tried again and again
         if not stored:
             self.last_refusal_us[member.name] = self.ctx.now_us()
         self.ctx.counters.add(name="copies.sent" if stored else "copies.failed")
