--- a/src/cinderstair/http_frontend/filters/single_statement_mixin.py
+++ b/src/cinderstair/http_frontend/filters/single_statement_mixin.py
@@ -94,7 +94,9 @@
         if reply.term != assignment.term or reply.position < floor:
             self.ctx.counters.add(name="reads.stale")
             return CinderstairError(
-                code=ErrorCode.TOO_STALE, reason=f"{name} has applied {reply.position}, and the read needs {floor}"
+                code=ErrorCode.TOO_STALE,
+                reason=f"{name} is at {reply.position} in term {reply.term}; "
+                f"the read needs {floor} in term {assignment.term}",
             )
         if not self.view.current:
             return CinderstairError(code=ErrorCode.NOT_CURRENT, reason="the view expired during the read")
