--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -105,7 +105,7 @@
 
     async def _on_timer(self) -> None:
         # A daemon that reaches no backend can't promote any, so it releases the lease to a daemon that may.
-        if self.reachability.blind:
+        if self.reachability.isolated:
             if self.lease.held:
                 self.ctx.log.warning(
                     "releasing the database failover lease: this HTTP proxy reaches no backend; check its network"
--- a/src/cinderstair/http_frontend/filters/control_filter.py
+++ b/src/cinderstair/http_frontend/filters/control_filter.py
@@ -1,4 +1,4 @@
-"""Answers readiness probes, heartbeats of backends, and the operators' requests."""
+"""Answers readiness probes, backends' heartbeats and operators' requests."""
 
 from ...config.configuration import CONFIGURATION_KEY
 from ...consensus.voter_replacement import VoterReplacement
@@ -19,7 +19,7 @@
 class ControlFilter(RejectMixin):
     """Answers every request that isn't for a session.
 
-    :param foundingVaults: how many voters founded the register; a replacement keeps at least as many.
+    :param founding_replicas: number of voters at the founding of the register; a replacement keeps at least as many.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.database_failover = database_failover
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Answers by the verb; None for those of sessions."""
+        """Answers by the verb; None for requests of sessions."""
         if request.verb == "ready":
             return self._ready()
         if request.verb == "drain":
@@ -83,7 +83,7 @@
     async def _submit(self, *, request: Request) -> HttpResponse:
         result = await self.configuration_store.submit(raw=request.http.body)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         configuration, found = result.ok.configuration, result.ok.found
         self.view.apply_own_write(key=CONFIGURATION_KEY, result=type(result).Ok(found))
         return self.done(value={"version": configuration.version, "warnings": list(configuration.warnings)})
@@ -91,8 +91,8 @@
     async def _fetch(self) -> HttpResponse:
         result = await self.configuration_store.fetch()
         if result.is_error():
-            return self.reject_with(fault=result.error)
-        # read back to the byte, so it leaves as it came and not as we would write it
+            return self.reject_with(error=result.error)
+        # returned byte for byte as submitted, not re-serialized
         return HttpResponse(status=200, body=result.ok)
 
     async def _replace_register_replica(self, *, request: Request) -> HttpResponse:
@@ -108,7 +108,7 @@
         voter_replacement = VoterReplacement(ctx=self.ctx, register=self.configuration_store.register)
         result = await voter_replacement.replace_voter(leaves=leaves, enters=voter, max_voters=max_voters)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         names = [each.name for each in result.ok.voters]
         return self.done(value={"epoch": result.ok.epoch, "vaults": names})
 
@@ -120,5 +120,5 @@
             )
         result = await self.database_failover.override(database=database, backend=backend)
         if result.is_error():
-            return self.reject_with(fault=result.error)
+            return self.reject_with(error=result.error)
         return self.done(value={"term": result.ok.term})
--- a/src/cinderstair/http_frontend/filters/deadline_filter.py
+++ b/src/cinderstair/http_frontend/filters/deadline_filter.py
@@ -1,4 +1,4 @@
-"""Reads the time left of timed requests (`timeLeftUs`, microseconds)."""
+"""Reads the client's remaining time (`timeLeftUs`, microseconds) of requests with a deadline."""
 
 from ...runtime.context import Context
 from ...runtime.errors import ErrorCode
@@ -6,18 +6,18 @@
 from ..reject_mixin import RejectMixin
 from ..request import MAX_TIME_LEFT_US, Request
 
-TIMED = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
+TIMED_VERBS = frozenset(["open", "statement", "begin", "commit", "rollback", "values", "prepare"])
 
 
 class DeadlineFilter(RejectMixin):
-    """Sets `request.until_us`."""
+    """Sets `request.until_us`, for verbs with a deadline."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
 
     async def answer(self, *, request: Request) -> HttpResponse | None:
-        """Rejects a time left that is missing, malformed or spent; else None."""
-        if request.verb not in TIMED:
+        """Rejects a `timeLeftUs` that is missing, malformed or not positive; otherwise None."""
+        if request.verb not in TIMED_VERBS:
             return None
         left = request.body.get("timeLeftUs")
         if left is None:
--- a/src/cinderstair/http_frontend/filters/transaction_mixin.py
+++ b/src/cinderstair/http_frontend/filters/transaction_mixin.py
@@ -1,4 +1,4 @@
-"""Transactions: each has a channel of its own from its begin to its end."""
+"""Transactions: each holds a channel of its own from begin to commit or rollback."""
 
 from expression import Result
 
@@ -9,12 +9,12 @@
 from ..session import Session, Transaction
 from .forward_base import ForwardBase
 
-# a backend's word that it has no such transaction (any more)
+# a backend's reason: it has no such transaction (any more)
 NO_TRANSACTION = "noTransaction"
 
 
 class TransactionMixin(ForwardBase):
-    """Begin, statements, commit and rollback."""
+    """Runs begin, statements, commit and rollback of transactions."""
 
     def _without_transaction(self, *, session: Session) -> HttpResponse:
         if session.lost:
@@ -40,11 +40,11 @@
         pool = self.connection_pools.pool(name=assignment.primary)
         if pool is None:
             raise LookupError(f"no pool for the usable backend {assignment.primary}")
-        taken = await pool.take(wait_us=self._left_us(request=request))
+        taken = await pool.acquire(wait_us=self._left_us(request=request))
         if taken.is_error():
             return taken.error
         connection = taken.ok
-        result = await self.pass_to(
+        result = await self.send_step(
             connection=connection,
             request=request,
             step="begin",
@@ -52,10 +52,10 @@
             wait_us=self._left_us(request=request),
         )
         if result.is_error() or not result.ok.ran:
-            # a begin whose answer was lost leaves nothing behind once its channel is closed
-            pool.give(connection=connection, keep=False)
+            # closing the channel ends a transaction that was begun although the reply was lost
+            pool.release(connection=connection, keep=False)
             if result.is_error():
-                pool.blame()
+                pool.record_error()
                 return CinderstairError(code=ErrorCode.NO_BACKEND, reason=result.error.reason)
             return self._rejected(reply=result.ok)
         session.transaction = Transaction(
@@ -67,68 +67,75 @@
         )
         return self.done()
 
-    def _lose(self, *, session: Session, reason: str) -> HttpResponse:
+    def _reject_lost(self, *, session: Session, reason: str) -> HttpResponse:
         self.sessions.abandon(session=session)
         session.lost = False
         return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
 
-    def _holds(self, *, transaction: Transaction) -> bool:
-        return self.connection_pools.reachable(name=transaction.pool.name) and self.commit_watermarks.holds(
+    def _is_valid(self, *, transaction: Transaction) -> bool:
+        return self.connection_pools.reachable(name=transaction.pool.name) and self.commit_watermarks.term_in_force(
             database=transaction.database, term=transaction.term
         )
 
-    async def _pass_open(
+    async def _send_in_transaction(
         self, *, request: Request, transaction: Transaction, step: str
     ) -> Result[Reply, CinderstairError]:
-        """A step of an open transaction, over the channel that is its own."""
-        if not self._holds(transaction=transaction):
-            return Result.Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason="the lead moved"))
+        """Sends a step of an open transaction over its channel; REQUEST_NOT_SENT where it is no longer valid."""
+        if not self._is_valid(transaction=transaction):
+            reason = f"the primary {transaction.pool.name} can no longer be used in term {transaction.term}"
+            return Result.Error(CinderstairError(code=ErrorCode.REQUEST_NOT_SENT, reason=reason))
         left_us = self._left_us(request=request)
-        result = await self.pass_to(
+        result = await self.send_step(
             connection=transaction.connection, request=request, step=step, term=transaction.term, wait_us=left_us
         )
         transaction.used_us = self.ctx.now_us()
         if result.is_error():
-            transaction.pool.blame()
+            transaction.pool.record_error()
         return result
 
     async def _run_in_transaction(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="in")
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="in")
         if result.is_error():
-            return self._lose(session=session, reason=f"{result.error.reason}; nothing of the transaction was kept")
+            return self._reject_lost(
+                session=session, reason=f"{result.error.reason}; nothing of the transaction was kept"
+            )
         if not result.ok.ran and (result.ok.reason in NOT_RUN or result.ok.reason == NO_TRANSACTION):
-            return self._lose(session=session, reason=f"{result.ok.message}; nothing of the transaction was kept")
+            return self._reject_lost(
+                session=session, reason=f"{result.ok.message}; nothing of the transaction was kept"
+            )
         if not result.ok.ran:
             return self.reject(kind=ErrorCode.STATEMENT_DENIED, reason=result.ok.message)
-        # what was read inside the transaction must be as new as any other read of the primary
-        if result.ok.term != transaction.term or not self._holds(transaction=transaction):
-            return self._lose(session=session, reason="the lead moved; nothing of the transaction was kept")
-        # a client must be able to tell that what it wrote is not kept until it commits
+        # rows read inside the transaction must be as current as those of any primary read
+        if result.ok.term != transaction.term or not self._is_valid(transaction=transaction):
+            return self._reject_lost(
+                session=session, reason="the primary changed or the view expired; nothing of the transaction was kept"
+            )
+        # tells the client that its writes are not durable before the commit
         return self.done(value={"rows": result.ok.rows, "transaction": True})
 
-    def _end(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
-        """The transaction is over; its channel goes on only if the backend has said so."""
+    def _finish(self, *, session: Session, transaction: Transaction, result: Result[Reply, CinderstairError]) -> None:
+        """Ends the transaction; its channel is reused only if the backend has confirmed the end."""
         session.transaction = None
-        transaction.pool.give(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
+        transaction.pool.release(connection=transaction.connection, keep=result.is_ok() and result.ok.ran)
 
     async def _commit(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="commit")
-        self._end(session=session, transaction=transaction, result=result)
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="commit")
+        self._finish(session=session, transaction=transaction, result=result)
         if result.is_error() and result.error.code == ErrorCode.REQUEST_NOT_SENT:
             return self.reject(
                 kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.error.reason}; the commit was never sent"
             )
         if result.is_error():
-            return self._unknown(reason=f"the answer to the commit was lost: {result.error.reason}")
+            return self._unknown(reason=f"the reply to the commit was lost: {result.error.reason}")
         if not result.ok.ran:
             return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=f"{result.ok.message}; nothing was kept")
         return await self._acknowledge(request=request, reply=result.ok, term=transaction.term)
 
     async def _rollback(self, *, request: Request, transaction: Transaction) -> HttpResponse:
         session = request.bound
-        result = await self._pass_open(request=request, transaction=transaction, step="rollback")
-        # closing the channel rolls back as surely as the word does, so a rollback is always done
-        self._end(session=session, transaction=transaction, result=result)
+        result = await self._send_in_transaction(request=request, transaction=transaction, step="rollback")
+        # closing the channel also rolls back, so a rollback always succeeds
+        self._finish(session=session, transaction=transaction, result=result)
         return self.done()
