--- a/features/environment.py
+++ b/features/environment.py
@@ -1,11 +1,11 @@
-"""Behave's hooks: every scenario clears away the worlds and fleets that it made."""
+"""Behave hooks that close the worlds, fleets and event loop of a scenario after it."""
 
 import asyncio
 import sys
 from pathlib import Path
 from typing import Any
 
-# why: the adapter lies beside the product and is no part of its package
+# the steps import the adapter, which is not part of the product's package
 sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
 
 
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -1,4 +1,4 @@
-"""Small tools that several files of steps share."""
+"""Helpers shared by the steps files."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,7 +9,7 @@
 
 
 def new_world(*, context: Any, **options: Any) -> World:
-    """A simulated world that is cleared away after the scenario."""
+    """Creates a simulated world, kept in `context.world` and closed after the scenario."""
     world = World(**options)
     context.worlds.append(world)
     context.world = world
@@ -17,7 +17,7 @@
 
 
 def new_fleet(*, context: Any, **options: Any) -> Fleet:
-    """A fleet of real processes that is ended after the scenario."""
+    """Creates a fleet of real processes, kept in `context.fleet` and stopped after the scenario."""
     fleet = Fleet(**options)
     context.fleets.append(fleet)
     context.fleet = fleet
@@ -25,7 +25,7 @@
 
 
 def run(*, context: Any, work: Coroutine[Any, Any, Any]) -> Any:
-    """Runs work on the scenario's own loop."""
+    """Runs a coroutine on the scenario's real event loop, which is created at the first call."""
     if context.loop is None:
         context.loop = asyncio.new_event_loop()
         asyncio.set_event_loop(context.loop)
--- a/features/steps/frozen_data.py
+++ b/features/steps/frozen_data.py
@@ -1,4 +1,4 @@
-"""Recorded data that today's code must still reproduce."""
+"""Loads recorded data, which the code must still reproduce, and compares it with what was found."""
 
 import json
 from pathlib import Path
@@ -8,10 +8,10 @@
 
 
 def renamed(*, value: Any, names: dict[str, str], messages: dict[str, str]) -> Any:
-    """Recorded data under today's names.
+    """Returns recorded data with renamed texts replaced.
 
-    `names` are whole texts (commands, counters); `messages` are parts of texts that are written for people. Nothing
-    that a program reads may stand in either.
+    `names` maps whole texts (commands, counters); `messages` maps parts of messages for people. Neither may contain a
+    text that another program reads. A list that was sorted is sorted again.
     """
     if isinstance(value, dict):
         return {
@@ -31,14 +31,14 @@
 
 
 def load(*, name: str) -> Any:
-    """The recorded JSON of that name below the data folder, with what `renamed.json` lists under its new name."""
+    """Loads `data/<name>.json` and applies the renames that `data/renamed.json` lists."""
     changes = json.loads((DATA / "renamed.json").read_text())
     recorded = json.loads((DATA / f"{name}.json").read_text())
     return renamed(value=recorded, names=changes["names"], messages=changes["messages"])
 
 
 def differences(*, recorded: dict[str, Any], found: dict[str, Any]) -> list[str]:
-    """One line for each key whose value was recorded differently, or stands on one side alone."""
+    """Returns a line for each key whose values differ or that only one side has."""
     keys = sorted(recorded.keys() | found.keys())
     return [
         f"{key}: recorded {recorded.get(key)!r}, found {found.get(key)!r}"
@@ -48,14 +48,14 @@
 
 
 def check_same(*, recorded: dict[str, Any], found: dict[str, Any]) -> None:
-    """Fails with every difference; an empty record proves nothing and fails as well."""
+    """Fails with all differences; also fails on an empty record, which would check nothing."""
     assert recorded, "nothing was recorded"
     wrong = differences(recorded=recorded, found=found)
     assert not wrong, "\n".join(wrong)
 
 
 def check_same_list(*, recorded: list[Any], found: list[Any]) -> None:
-    """As check_same, by place in the list."""
+    """Compares two lists index by index, as check_same does."""
     check_same(
         recorded={f"{number:03}": value for number, value in enumerate(recorded)},
         found={f"{number:03}": value for number, value in enumerate(found)},
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -1,4 +1,7 @@
-"""A stage on virtual time for one part of a daemon, and stand-ins for what stands around it."""
+"""A test harness that runs one component of a daemon on virtual time, and fakes of its collaborators.
+
+Times are in microseconds where a name ends with `_us`, and in milliseconds where it ends with `_ms`.
+"""
 
 import asyncio
 import logging
@@ -26,13 +29,17 @@
 from cinderstair.simulation.virtual_loop import VirtualLoop
 
 SITE = "kingston"
-NOT_RUN = ("BUSY", "UNNAMED", "LAGGING", "READONLY")
-RETRIABLE = ("FAILED", "TIMEOUT")
+NOT_RUN_ERRORS = ("BUSY", "UNNAMED", "LAGGING", "READONLY")
+RETRIABLE_ERRORS = ("FAILED", "TIMEOUT")
 ANSWER_US = 1_000
 
 
 class Stage:
-    """Cleared away by behave's hook, as a world is."""
+    """An event loop on virtual time and the context of one daemon; the network reaches nobody, and there is no disk.
+
+    Registers itself in `context.worlds`, so that the after_scenario hook closes it. Exceptions that reach the loop's
+    exception handler are collected in `crashes`.
+    """
 
     def __init__(self, *, context: Any, name: str = "booth-1", seed: int = 1) -> None:
         self.loop = VirtualLoop()
@@ -42,7 +49,7 @@
         context.worlds.append(self)
 
     def context(self, *, name: str, seed: int = 1) -> Context:
-        """Another daemon's context on the same clock."""
+        """Creates the context of another daemon on the same clock."""
         log = logging.getLogger(f"stage.{name}")
         log.setLevel(logging.CRITICAL + 1)
         return Context(
@@ -62,13 +69,14 @@
 
     @property
     def crashed(self) -> int:
+        """The number of unhandled exceptions: those in the loop, and those that the daemon's own tasks counted."""
         return len(self.crashes) + self.ctx.counters.counts["internal.crashes"]
 
     def run(self, *, work: Coroutine[Any, Any, Any]) -> Any:
         return self.loop.run_until_complete(work)
 
     def call(self, *, call: Callable[[], Any]) -> Any:
-        """Calls something that needs a running loop."""
+        """Calls a function that needs a running loop, and returns its result."""
 
         async def work() -> Any:
             return call()
@@ -91,20 +99,22 @@
 
 
 class NoNet:
-    """Reaches nobody."""
+    """A network on which every request fails with an unknown outcome."""
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no net"))
+        return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no network"))
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection, whose other end is the test."""
+    """A transport that collects written bytes; the test plays the peer.
 
-    def __init__(self, *, protocol: Any, deaf: bool = False) -> None:
+    `take` returns what was written since the last call, `feed` delivers bytes to the protocol.
+    """
+
+    def __init__(self, *, protocol: Any) -> None:
         super().__init__()
         self.protocol = protocol
         self.sent = b""
-        self.deaf = deaf
         self.closing = False
         self.paused = False
         self.aborted = False
@@ -147,12 +157,13 @@
             self.protocol.data_received(data)
 
     def end(self) -> None:
-        """The other side has sent all that it will send; as in asyncio, that closes unless the protocol objects."""
+        """Delivers the peer's end of file; as in asyncio, closes unless the protocol's eof_received returns true."""
         if not self.closing and not self.protocol.eof_received():
             self.close()
 
 
 def position(*, text: str) -> Position | None:
+    """Parses `TERM.NUMBER`; an empty text or `-` is no position."""
     if text in ("", "-"):
         return None
     term, _, number = text.partition(".")
@@ -160,16 +171,17 @@
 
 
 def shown(*, at: Position | None) -> str:
+    """Formats a position as `position` parses it."""
     return "-" if at is None else f"{at.term}.{at.number}"
 
 
 def statement(*, text: str) -> Statement:
-    """A client's statement, in the few words that the tests need."""
+    """Parses a client's statement, written as the platform's clients write them, e.g. `SET name value`."""
     word, _, rest = text.partition(" ")
     name, _, content = rest.partition(" ")
     kind, _, shape = content.partition(" ")
     raw = text.encode()
-    made: dict[str, dict[str, Any]] = {
+    fields_by_word: dict[str, dict[str, Any]] = {
         "BEGIN": {"verb": Verb.begin_read if rest else Verb.begin},
         "COMMIT": {"verb": Verb.commit, "text": raw},
         "UNDO": {"verb": Verb.rollback, "text": raw},
@@ -180,13 +192,15 @@
         "FORGET": {"verb": Verb.forget, "name": name.encode()},
         "NAME": {"verb": Verb.prepare, "name": name.encode(), "content": shape.encode(), "writes": kind == "PUT"},
     }
-    return Statement(ident=b"x", **made[word])
+    return Statement(ident=b"x", **fields_by_word[word])
 
 
 class FakeBackend:
-    """What a backend's links are to answer, and what they were sent.
+    """The scripted replies of a backend, and a log of what its links were sent.
 
-    A script's words: `ok`, `ok@TERM.NUMBER`, `silent`, `lose`, `slow MS`, or a word of an error.
+    Each request takes the next entry of its script, or `ok` if the script is empty. Entries of `script` and
+    `rollback_script`: `ok`, `ok@TERM.NUMBER` (a reply with this position), `silent` (no reply), `lose` (the link is
+    lost), `slow MS` (a late reply), or a backend's error word. Entries of `dial_script` are those of FakeDialer.
     """
 
     def __init__(self, *, name: str, at: Position) -> None:
@@ -205,7 +219,7 @@
 
 
 class FakeLink:
-    """A link whose other end follows a script."""
+    """A link to a FakeBackend, which answers by its script."""
 
     def __init__(self, *, backend: FakeBackend) -> None:
         self.backend = backend
@@ -215,23 +229,24 @@
         self.prepared: dict[bytes, PreparedStatement] = {}
         self.on_lost: Callable[[], None] | None = None
         self.open = True
-        self.owed: list[asyncio.Future[Reply]] = []
-        self.sent_at: list[float] = []
+        self.replies: list[asyncio.Future[Reply]] = []
+        self.sent_at_s: list[float] = []
         self.state = State.idle
         self.log: list[str] = []
 
     @property
     def waiting(self) -> int:
-        return sum(not future.done() for future in self.owed)
+        """The number of requests without a reply."""
+        return sum(not future.done() for future in self.replies)
 
     @property
     def oldest_wait_us(self) -> int:
-        """Counted from the sending of the oldest that is not answered."""
+        """The age of the oldest request without a reply, 0 if there is none."""
         now = asyncio.get_running_loop().time()
-        since = [at for future, at in zip(self.owed, self.sent_at, strict=True) if not future.done()]
+        since = [at for future, at in zip(self.replies, self.sent_at_s, strict=True) if not future.done()]
         return int((now - since[0]) * 1_000_000) if since else 0
 
-    def _note(self, text: str) -> None:
+    def _append_log(self, text: str) -> None:
         self.log.append(text)
         self.backend.log.append(text)
 
@@ -243,22 +258,22 @@
                 self.on_lost()
 
     def _fail(self) -> None:
-        for future in self.owed:
+        for future in self.replies:
             if not future.done():
                 future.set_exception(ConnectionResetError("lost"))
 
     def close(self) -> None:
         if self.open:
-            self._note("close")
+            self._append_log("close")
         self.open = False
         asyncio.get_running_loop().call_soon(self._fail)
 
-    def _answer(self, *, text: str, then: State, script: deque[str] | None = None) -> asyncio.Future[Reply]:
-        self._note(text)
+    def _answer(self, *, text: str, next_state: State, script: deque[str] | None = None) -> asyncio.Future[Reply]:
+        self._append_log(text)
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Reply] = loop.create_future()
-        self.owed.append(future)
-        self.sent_at.append(loop.time())
+        self.replies.append(future)
+        self.sent_at_s.append(loop.time())
         if not self.open:
             future.set_exception(ConnectionResetError("lost"))
             return future
@@ -270,27 +285,27 @@
         if word == "lose":
             loop.call_later(wait_us / 1_000_000, self.lose)
         elif word != "silent":
-            loop.call_later(wait_us / 1_000_000, self._deliver, future, word, then)
+            loop.call_later(wait_us / 1_000_000, self._deliver, future, word, next_state)
         return future
 
-    def _deliver(self, future: asyncio.Future[Reply], word: str, then: State) -> None:
+    def _deliver(self, future: asyncio.Future[Reply], word: str, next_state: State) -> None:
         if future.done():
             return
         at = self.backend.at
         if word.startswith("ok"):
-            self.state = then
+            self.state = next_state
             if "@" in word:
                 at = position(text=word.partition("@")[2]) or at
-            reply = Reply(rows=[b"row"], stamp=b"stamp", state=then, position=at)
+            reply = Reply(rows=[b"row"], stamp=b"stamp", state=next_state, position=at)
         else:
-            # why: what was not run leaves a transaction as it was; what failed in one fails it
+            # a statement that was not run leaves its transaction open; one that failed makes it fail
             if self.state == State.open and word not in ("BUSY", "LAGGING"):
                 self.state = State.failed
             reply = Reply(rows=[], fault=ErrorCode.BACKEND_FAULT, native=word.encode(), state=self.state, position=at)
-            reply.not_run, reply.retriable = word in NOT_RUN, word in RETRIABLE
+            reply.not_run, reply.retriable = word in NOT_RUN_ERRORS, word in RETRIABLE_ERRORS
         future.set_result(reply)
 
-    def _then(self, *, verb: Verb) -> State:
+    def _state_after(self, *, verb: Verb) -> State:
         return State.idle if verb == Verb.commit else self.state
 
     def send(
@@ -300,33 +315,33 @@
         text = statement.text.decode()
         if statement.verb == Verb.execute:
             text = f"RUN {alias.decode()} {statement.content.decode()}"
-        return self._answer(text=after + text, then=self._then(verb=statement.verb))
+        return self._answer(text=after + text, next_state=self._state_after(verb=statement.verb))
 
     def set_value(self, *, name: bytes, value: bytes) -> None:
         self.values[name] = value
-        self._note(f"set {name.decode()} {value.decode()}")
+        self._append_log(f"set {name.decode()} {value.decode()}")
 
     def clear(self) -> None:
         self.values, self.prepared = {}, {}
-        self._note("clear")
+        self._append_log("clear")
 
     def prepare(self, *, alias: bytes, shape: bytes, writes: bool) -> None:
         self.prepared[alias] = PreparedStatement(shape, writes)
-        self._note(f"prepare {alias.decode()} {'PUT' if writes else 'FETCH'} {shape.decode()}")
+        self._append_log(f"prepare {alias.decode()} {'PUT' if writes else 'FETCH'} {shape.decode()}")
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
         after = "" if at_least is None else f"after {shown(at=at_least)} "
-        return self._answer(text=after + ("begin read" if read_only else "begin"), then=State.open)
+        return self._answer(text=after + ("begin read" if read_only else "begin"), next_state=State.open)
 
     def rollback(self) -> asyncio.Future[Reply]:
-        return self._answer(text="rollback", then=State.idle, script=self.backend.rollbacks)
+        return self._answer(text="rollback", next_state=State.idle, script=self.backend.rollbacks)
 
     def ask_position(self) -> asyncio.Future[Reply]:
-        return self._answer(text="state", then=State.idle, script=deque())
+        return self._answer(text="state", next_state=State.idle, script=deque())
 
 
 class FakeDialer:
-    """Opens links by each backend's own script: `ok`, `full`, `refused`, `unsure`, `slow MS`."""
+    """Opens links by each backend's `dial_script`: `ok`, `full`, `refused`, `unsure` or `slow MS`."""
 
     def __init__(self, *, backends: dict[str, FakeBackend]) -> None:
         self.backends = backends
@@ -380,7 +395,10 @@
 
 
 class ReportedView:
-    """A proxy's view that is told things without a controller. While `in_touch` it hears ten times a second."""
+    """A proxy's view that the test updates in place of a controller.
+
+    While `in_touch` is set, the view is marked as up to date every 100 ms.
+    """
 
     def __init__(self, *, stage: Stage, name: str = "booth-1") -> None:
         self.stage = stage
@@ -388,7 +406,7 @@
         self.number = 1
         self.in_touch = True
         self.view = RelayedView(ctx=stage.ctx, site=SITE, seeds=tuple)
-        self.listening: asyncio.Task[None] = stage.call(call=lambda: stage.ctx.spawn(work=self._listen()))
+        self.listener: asyncio.Task[None] = stage.call(call=lambda: stage.ctx.spawn(work=self._listen()))
 
     async def _listen(self) -> None:
         while True:
@@ -398,8 +416,9 @@
             await asyncio.sleep(0.1)
 
     def tell(
-        self, *, values: dict[str, bytes] | None = None, backends: tuple[Announcement, ...] = (), quiet: bool = False
+        self, *, values: dict[str, bytes] | None = None, backends: tuple[Announcement, ...] = (), silent: bool = False
     ) -> None:
+        """Delivers a relay answer with these register values and backends; `silent` marks the backends as silent."""
         self.revision += 1
         entries = [
             RelayedValue(key=key, ballot=Ballot(self.revision, 1), value=value)
@@ -411,7 +430,7 @@
             age_us=0,
             full=False,
             values=tuple(entries),
-            backends=tuple(RelayedBackend(announcement=each, silent=quiet) for each in backends),
+            backends=tuple(RelayedBackend(announcement=each, silent=silent) for each in backends),
         )
 
         def take() -> None:
