--- a/features/steps/backend_link_steps.py
+++ b/features/steps/backend_link_steps.py
@@ -10,7 +10,7 @@
 from adapter_common import MemoryStreams, connect, raw
 from behave import given, then, when
 from expression import Ok
-from stage import Stage, announcement, position, shown
+from stage import Stage, announcement, position, position_text
 
 from cinderstair.pooler.reply import Reply
 from cinderstair.pooler.statement import Statement, Verb
@@ -104,7 +104,7 @@
     reply = future.result()
     reported = reply.native.decode() if reply.fault is not None else f"{len(reply.rows)} rows {reply.stamp.decode()}"
     marks = " not run" * reply.not_run + " retriable" * reply.retriable
-    return f"{reported}{marks} {'ITE'[reply.state]} {shown(at=reply.position)}"
+    return f"{reported}{marks} {'ITE'[reply.state]} {position_text(at=reply.position)}"
 
 
 @then("the answers to the link are `{texts}`")
@@ -181,7 +181,7 @@
     if context.result.is_ok():
         state = context.result.ok
         role = "leads" if state.is_primary else "follows"
-        context.result = Ok(f"{role} {state.term} {shown(at=state.received)} {state.term_held}")
+        context.result = Ok(f"{role} {state.term} {position_text(at=state.received)} {state.term_held}")
     context.stage.advance(for_us=1_000)
 
 
--- a/features/steps/error_word_steps.py
+++ b/features/steps/error_word_steps.py
@@ -8,7 +8,7 @@
 from adapter.ready_fields import format_position, parse_position
 from adapter_common import raw
 from behave import then
-from stage import position, shown
+from stage import position, position_text
 
 from cinderstair.pooler.reply import Reply, State, refusal
 from cinderstair.runtime.errors import ErrorCode
@@ -37,7 +37,7 @@
 @then('the position "{text}" reads as {found}')
 def then_position(context: Any, text: str, found: str) -> None:
     read = parse_position(text=raw(text=text))
-    assert shown(at=read) == found, read
+    assert position_text(at=read) == found, read
     if read is not None:
         assert parse_position(text=format_position(position=read)) == read
 
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from stage import (
     position,
-    shown,
+    position_text,
 )
 
 from cinderstair.pooler.freshness import Freshness
@@ -47,7 +47,7 @@
 @then("a read that must see all commits before {since_ms:d} ms requires {at}")
 def then_requires(context: Any, since_ms: int, at: str) -> None:
     found = context.freshness.position_since(since_us=since_ms * 1_000)
-    assert shown(at=found) == at, found
+    assert position_text(at=found) == at, found
 
 
 @then("over {runs:d} seeded runs every required position covers all commits acknowledged before")
--- a/features/steps/link_pool_steps.py
+++ b/features/steps/link_pool_steps.py
@@ -80,7 +80,7 @@
 
 @given('its dials end with "{words}"')
 def given_dials(context: Any, words: str) -> None:
-    context.backend.dials.extend(words.split(", "))
+    context.backend.dial_script.extend(words.split(", "))
 
 
 def request_link(*, context: Any, **options: Any) -> LinkRequest:
--- a/features/steps/proxy_id_steps.py
+++ b/features/steps/proxy_id_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from cluster_stage import ControllerStage, new_controller, new_stage
 from expression import Error, Ok, Result
-from stage import Stage, position, shown
+from stage import Stage, position, position_text
 
 from cinderstair.control_plane.proxy_census import ProxyCensus, ShardMapStep
 from cinderstair.control_plane.proxy_contact import ProxyContact
@@ -204,9 +204,9 @@
     ]
     assert moving and all(assignment.fence.term == 3 for assignment in moving), moving
     before = position(text=context.acknowledged)
-    assert before is not None and moving[0].fence >= before, (shown(at=moving[0].fence), context.acknowledged)
+    assert before is not None and moving[0].fence >= before, (position_text(at=moving[0].fence), context.acknowledged)
 
 
 @when("the acknowledged position is recorded")
 def when_noted(context: Any) -> None:
-    context.acknowledged = shown(at=context.cluster.acknowledged)
+    context.acknowledged = position_text(at=context.cluster.acknowledged)
--- a/features/steps/router_steps.py
+++ b/features/steps/router_steps.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from behave import given, then, when
-from stage import Stage, position, shown
+from stage import Stage, position, position_text
 
 from cinderstair.control_plane.position_samples import PositionSamples
 from cinderstair.failover.service_primary import PrimaryState, ServicePrimary
@@ -193,7 +193,7 @@
 @then("the controller has sample {at} of term {term:d}")
 def then_controller_sample(context: Any, at: str, term: int) -> None:
     entry = context.controller.position_samples.samples[SERVICE]
-    assert (shown(at=entry.position), entry.term) == (at, term), entry
+    assert (position_text(at=entry.position), entry.term) == (at, term), entry
 
 
 @then("the last request reported {count:d} samples")
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -14,8 +14,8 @@
     announcement,
     plan,
     position,
+    position_text,
     route,
-    shown,
     statement,
 )
 
@@ -85,12 +85,12 @@
 
 @given('dialling "{name}" results in "{words}"')
 def given_dialled(context: Any, name: str, words: str) -> None:
-    context.backends[name].dials.extend(words.split(", "))
+    context.backends[name].dial_script.extend(words.split(", "))
 
 
 @given('"{name}" answers rollbacks with "{words}"')
 def given_rollbacks(context: Any, name: str, words: str) -> None:
-    context.backends[name].rollbacks.extend(words.split(", "))
+    context.backends[name].rollback_script.extend(words.split(", "))
 
 
 @given('"{name}" is at distance {distance:d}')
@@ -145,7 +145,7 @@
 def then_to_report(context: Any, what: str) -> None:
     samples = context.reported.view.samples
     samples.answered(source=1, answered_us=7_000_000, requested_us=context.stage.now_us, samples=())
-    found = ", ".join(shown(at=each.position) for each in samples.reported(source=1)) or "none"
+    found = ", ".join(position_text(at=each.position) for each in samples.reported(source=1)) or "none"
     assert found == what, found
 
 
@@ -269,7 +269,7 @@
     found = context.router.required_position(
         route=configured, arrived_us=context.stage.now_us, own_position=position(text=own)
     )
-    text = shown(at=found.ok) if found.is_ok() else found.error.code.value
+    text = position_text(at=found.ok) if found.is_ok() else found.error.code.value
     assert text == at, text
 
 
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -170,7 +170,7 @@
     return Position(int(term), int(number))
 
 
-def shown(*, at: Position | None) -> str:
+def position_text(*, at: Position | None) -> str:
     """Formats a position as `position` parses it."""
     return "-" if at is None else f"{at.term}.{at.number}"
 
@@ -209,8 +209,8 @@
         self.script: deque[str] = deque()
         self.log: list[str] = []
         self.links: list[FakeLink] = []
-        self.dials: deque[str] = deque()
-        self.rollbacks: deque[str] = deque()
+        self.dial_script: deque[str] = deque()
+        self.rollback_script: deque[str] = deque()
         self.dialled = 0
 
     @property
@@ -311,7 +311,7 @@
     def send(
         self, *, statement: Statement, at_least: Position | None = None, alias: bytes = b""
     ) -> asyncio.Future[Reply]:
-        after = "" if at_least is None else f"after {shown(at=at_least)} "
+        after = "" if at_least is None else f"after {position_text(at=at_least)} "
         text = statement.text.decode()
         if statement.verb == Verb.execute:
             text = f"RUN {alias.decode()} {statement.content.decode()}"
@@ -330,11 +330,11 @@
         self._append_log(f"prepare {alias.decode()} {'PUT' if writes else 'FETCH'} {shape.decode()}")
 
     def begin(self, *, read_only: bool, at_least: Position | None) -> asyncio.Future[Reply]:
-        after = "" if at_least is None else f"after {shown(at=at_least)} "
+        after = "" if at_least is None else f"after {position_text(at=at_least)} "
         return self._answer(text=after + ("begin read" if read_only else "begin"), next_state=State.open)
 
     def rollback(self) -> asyncio.Future[Reply]:
-        return self._answer(text="rollback", next_state=State.idle, script=self.backend.rollbacks)
+        return self._answer(text="rollback", next_state=State.idle, script=self.backend.rollback_script)
 
     def ask_position(self) -> asyncio.Future[Reply]:
         return self._answer(text="state", next_state=State.idle, script=deque())
@@ -349,7 +349,7 @@
     async def __call__(self, *, backend: Announcement, wait_us: int) -> Result[FakeLink, CinderstairError]:
         found = self.backends[backend.name]
         found.dialled += 1
-        word = found.dials.popleft() if found.dials else "ok"
+        word = found.dial_script.popleft() if found.dial_script else "ok"
         await asyncio.sleep(int(word.split()[1]) / 1_000 if word.startswith("slow") else ANSWER_US / 1_000_000)
         kinds = {"full": ErrorCode.OVERLOADED, "refused": ErrorCode.WIRE_UNSENT, "unsure": ErrorCode.WIRE_UNSURE}
         if word in kinds:
