--- a/.ci/tests.py
+++ b/.ci/tests.py
@@ -22,6 +22,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 WEIGHTS = ROOT / ".ci" / "weights.json"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
+KNOWN_RED_FORM = "path/to/file.feature:Scenario name | command and seed | what was seen | issue"
 MORE_PATHS = ("platform",)
 JOBS_MOST = 8
 # what a unit is taken to last if weights.json doesn't name it
@@ -164,13 +165,17 @@
 
 
 def known_red_of(text: str, scenarios: Sequence[Scenario]) -> tuple[dict[str, str], list[str]]:
-    """The lines of KNOWN-RED.txt by the location of their scenario, and what is wrong with the file."""
+    """Parses KNOWN-RED.txt: its lines by the location of their scenario, and the errors in the file.
+
+    A line is an entry of four parts: `path/to/file.feature:Scenario name | command and seed | what was seen | issue`.
+    An outline's name may leave out the ' -- @1.2 ...' of its example row. An entry has to match one scenario.
+    """
     known: dict[str, str] = {}
     errors = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = [part.strip() for part in line.split(" | ")]
-        if len(parts) != 3 or not all(parts):
-            errors.append(f"not 'test | cause | issue': {line}")
+        if len(parts) != len(KNOWN_RED_FORM.split(" | ")) or not all(parts):
+            errors.append(f"not '{KNOWN_RED_FORM}': {line}")
             continue
         test = parts[0]
         named = [s for s in scenarios if test in (s.key, f"{s.path}:{s.name_without_row}")]
--- a/features/simulation/testrun.feature
+++ b/features/simulation/testrun.feature
@@ -3,12 +3,12 @@
 
   Scenario: A feature that the weights name is one unit, any other is split by scenario, and the longest come first
     Given a test run of these scenarios
-      | path      | line | name             |
-      | a.feature | 2    | one              |
-      | a.feature | 5    | two              |
-      | b.feature | 4    | three -- @1.1    |
-      | b.feature | 5    | three -- @1.2    |
-      | c.feature | 2    | four             |
+      | path      | line | name          |
+      | a.feature | 2    | one           |
+      | a.feature | 5    | two           |
+      | b.feature | 4    | three -- @1.1 |
+      | b.feature | 5    | three -- @1.2 |
+      | c.feature | 2    | four          |
     And the weights {"a.feature": 3, "b.feature:three -- @1.2": 20, "b.feature:three -- @1.1": 4, "gone.feature": 9}
     Then the units are b.feature:5, c.feature:2, b.feature:4, a.feature
     And every scenario is in one unit
@@ -56,20 +56,20 @@
     And it says <lines>
 
     Examples:
-      | left                  | code | closing            | exit | lines                                                                                                            |
-      | passed 1, passed 1    | 0    | 3 passed, 0 failed | 0    | nothing                                                                                                          |
-      | passed 1, failed 1    | 1    | 2 passed, 1 failed | 1    | failed: a.feature:5 two                                                                                          |
-      | error 1, passed 1     | 1    | 2 passed, 1 failed | 1    | error: a.feature:2 one                                                                                           |
-      | hook_error 1, passed 1 | 1   | 2 passed, 1 failed | 1    | hook_error: a.feature:2 one                                                                                      |
-      | passed 1, undefined 1 | 1    | 2 passed, 1 failed | 1    | undefined: a.feature:5 two                                                                                       |
-      | passed 1, failed 1    | 0    | 2 passed, 1 failed | 1    | failed: a.feature:5 two                                                                                          |
-      | passed 1, skipped 1   | 0    | 2 passed, 1 failed | 1    | skipped: a.feature:5 two                                                                                         |
-      | passed 1, untested 1  | 0    | 2 passed, 1 failed | 1    | untested: a.feature:5 two                                                                                        |
-      | passed 1, absent 1    | 0    | 2 passed, 1 failed | 1    | no result: a.feature:5 two (its worker ended with 0)                                                             |
-      | passed 1, passed 1    | 1    | 3 passed, 1 failed | 1    | worker ended with 1: a.feature                                                                                   |
-      | passed 1, passed 1    | -11  | 3 passed, 1 failed | 1    | worker ended with -11: a.feature                                                                                 |
-      | no results            | 0    | 1 passed, 2 failed | 1    | no result: a.feature:2 one (its worker ended with 0); no result: a.feature:5 two (its worker ended with 0)       |
-      | no results            | -9   | 1 passed, 3 failed | 1    | no result: a.feature:2 one (its worker ended with -9); no result: a.feature:5 two (its worker ended with -9); worker ended with -9: a.feature |
+      | left                   | code | closing            | exit | lines                                                                                                                                         |
+      | passed 1, passed 1     | 0    | 3 passed, 0 failed | 0    | nothing                                                                                                                                       |
+      | passed 1, failed 1     | 1    | 2 passed, 1 failed | 1    | failed: a.feature:5 two                                                                                                                       |
+      | error 1, passed 1      | 1    | 2 passed, 1 failed | 1    | error: a.feature:2 one                                                                                                                        |
+      | hook_error 1, passed 1 | 1    | 2 passed, 1 failed | 1    | hook_error: a.feature:2 one                                                                                                                   |
+      | passed 1, undefined 1  | 1    | 2 passed, 1 failed | 1    | undefined: a.feature:5 two                                                                                                                    |
+      | passed 1, failed 1     | 0    | 2 passed, 1 failed | 1    | failed: a.feature:5 two                                                                                                                       |
+      | passed 1, skipped 1    | 0    | 2 passed, 1 failed | 1    | skipped: a.feature:5 two                                                                                                                      |
+      | passed 1, untested 1   | 0    | 2 passed, 1 failed | 1    | untested: a.feature:5 two                                                                                                                     |
+      | passed 1, absent 1     | 0    | 2 passed, 1 failed | 1    | no result: a.feature:5 two (its worker ended with 0)                                                                                          |
+      | passed 1, passed 1     | 1    | 3 passed, 1 failed | 1    | worker ended with 1: a.feature                                                                                                                |
+      | passed 1, passed 1     | -11  | 3 passed, 1 failed | 1    | worker ended with -11: a.feature                                                                                                              |
+      | no results             | 0    | 1 passed, 2 failed | 1    | no result: a.feature:2 one (its worker ended with 0); no result: a.feature:5 two (its worker ended with 0)                                    |
+      | no results             | -9   | 1 passed, 3 failed | 1    | no result: a.feature:2 one (its worker ended with -9); no result: a.feature:5 two (its worker ended with -9); worker ended with -9: a.feature |
 
   Scenario: A scenario that ran outside its unit is a failure
     Given a test run of these scenarios
@@ -101,45 +101,47 @@
     And it says <lines>
 
     Examples: passed over, or red no longer
-      | line                                    | status   | code | closing            | exit | lines                                                   |
-      | a.feature:two, y \| slow \| #7          | failed 1 | 1    | 4 passed, 0 failed | 0    | known red: a.feature:two, y \| slow \| #7               |
-      | a.feature:two, y -- @1.2 z \| slow \| #7 | error 1 | 1    | 4 passed, 0 failed | 0    | known red: a.feature:two, y -- @1.2 z \| slow \| #7     |
-      | a.feature:two, y \| slow \| #7          | passed 1 | 0    | 5 passed, 0 failed | 0    | no longer red: a.feature:two, y \| slow \| #7           |
-      | a.feature:one: first \| slow \| #7      | passed 1 | 0    | 5 passed, 0 failed | 0    | no longer red: a.feature:one: first \| slow \| #7       |
+      | line                                                                 | status   | code | closing            | exit | lines                                                                           |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7           | failed 1 | 1    | 4 passed, 0 failed | 0    | known red: a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7           |
+      | a.feature:two, y -- @1.2 z \| behave a.feature, seed 3 \| slow \| #7 | error 1  | 1    | 4 passed, 0 failed | 0    | known red: a.feature:two, y -- @1.2 z \| behave a.feature, seed 3 \| slow \| #7 |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7           | passed 1 | 0    | 5 passed, 0 failed | 0    | no longer red: a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7       |
+      | a.feature:one: first \| behave a.feature, seed 3 \| slow \| #7       | passed 1 | 0    | 5 passed, 0 failed | 0    | no longer red: a.feature:one: first \| behave a.feature, seed 3 \| slow \| #7   |
 
     Examples: it excuses nothing else
-      | line                                    | status   | code | closing            | exit | lines                                                   |
-      | a.feature:two, x \| slow \| #7          | failed 1 | 1    | 4 passed, 1 failed | 1    | no longer red: a.feature:two, x \| slow \| #7; failed: a.feature:6 two, y -- @1.2 z |
-      | a.feature:two, y \| slow \| #7          | absent 1 | 1    | 4 passed, 1 failed | 1    | no result: a.feature:6 two, y -- @1.2 z (its worker ended with 1) |
-      | a.feature:two, y \| slow \| #7          | skipped 1 | 0   | 4 passed, 1 failed | 1    | skipped: a.feature:6 two, y -- @1.2 z                   |
-      | a.feature:two, y \| slow \| #7          | failed 1 | -9   | 4 passed, 1 failed | 1    | known red: a.feature:two, y \| slow \| #7; worker ended with -9: a.feature |
+      | line                                                       | status    | code | closing            | exit | lines                                                                                                           |
+      | a.feature:two, x \| behave a.feature, seed 3 \| slow \| #7 | failed 1  | 1    | 4 passed, 1 failed | 1    | no longer red: a.feature:two, x \| behave a.feature, seed 3 \| slow \| #7; failed: a.feature:6 two, y -- @1.2 z |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7 | absent 1  | 1    | 4 passed, 1 failed | 1    | no result: a.feature:6 two, y -- @1.2 z (its worker ended with 1)                                               |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7 | skipped 1 | 0    | 4 passed, 1 failed | 1    | skipped: a.feature:6 two, y -- @1.2 z                                                                           |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7 | failed 1  | -9   | 4 passed, 1 failed | 1    | known red: a.feature:two, y \| behave a.feature, seed 3 \| slow \| #7; worker ended with -9: a.feature          |
 
     Examples: errors of the file itself
-      | line                                    | status   | code | closing            | exit | lines                                                   |
-      | a.feature:three \| slow \| #7           | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: a.feature:three     |
-      | b.feature:two, y \| slow \| #7          | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: b.feature:two, y    |
-      | a.feature:two \| slow \| #7             | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: a.feature:two       |
-      | a.feature:same \| slow \| #7            | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches 2 scenarios: a.feature:same      |
-      | a.feature:two, y \| slow                | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'test \| cause \| issue': a.feature:two, y \| slow |
-      | a.feature:two, y \|  \| #7              | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'test \| cause \| issue': a.feature:two, y \|  \| #7 |
+      | line                                                                | status   | code | closing            | exit | lines                                                                                                                                                                      |
+      | a.feature:three \| behave a.feature, seed 3 \| slow \| #7           | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: a.feature:three                                                                                                                        |
+      | b.feature:two, y \| behave a.feature, seed 3 \| slow \| #7          | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: b.feature:two, y                                                                                                                       |
+      | a.feature:two \| behave a.feature, seed 3 \| slow \| #7             | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches no scenario: a.feature:two                                                                                                                          |
+      | a.feature:same \| behave a.feature, seed 3 \| slow \| #7            | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: matches 2 scenarios: a.feature:same                                                                                                                         |
+      | a.feature:two, y \| slow                                            | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'path/to/file.feature:Scenario name \| command and seed \| what was seen \| issue': a.feature:two, y \| slow                                            |
+      | a.feature:two, y \| slow \| #7                                      | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'path/to/file.feature:Scenario name \| command and seed \| what was seen \| issue': a.feature:two, y \| slow \| #7                                      |
+      | a.feature:two, y \| behave a.feature, seed 3 \| slow \| often \| #7 | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'path/to/file.feature:Scenario name \| command and seed \| what was seen \| issue': a.feature:two, y \| behave a.feature, seed 3 \| slow \| often \| #7 |
+      | a.feature:two, y \| behave a.feature, seed 3 \|  \| #7              | passed 1 | 0    | 5 passed, 1 failed | 1    | KNOWN-RED.txt: not 'path/to/file.feature:Scenario name \| command and seed \| what was seen \| issue': a.feature:two, y \| behave a.feature, seed 3 \|  \| #7              |
 
   Scenario: A scenario that is named twice as known red is an error
     Given a test run of these scenarios
       | path      | line | name          |
       | a.feature | 2    | one           |
       | a.feature | 5    | two -- @1.1 x |
-    And twice known red are "a.feature:two | slow | #7" and "a.feature:two -- @1.1 x | slow | #8"
+    And twice known red are "a.feature:two | behave a.feature, seed 3 | slow | #7" and "a.feature:two -- @1.1 x | behave a.feature, seed 3 | slow | #8"
     When the worker of a.feature ends with 1 and leaves passed 1, failed 1
     Then the test run ends with "1 passed, 1 failed" and exit code 1
-    And it says known red: a.feature:two | slow | #7; KNOWN-RED.txt: named twice: a.feature:two -- @1.1 x
+    And it says known red: a.feature:two | behave a.feature, seed 3 | slow | #7; KNOWN-RED.txt: named twice: a.feature:two -- @1.1 x
 
   Scenario Outline: The paths are those of behave.ini: <text>
     Then the paths of behave.ini with "<text>" are <paths>
 
     Examples:
-      | text                              | paths         |
-      | paths = src/cinderstair           | src/cinderstair |
-      | paths = one\n  two/three          | one two/three |
+      | text                     | paths           |
+      | paths = src/cinderstair  | src/cinderstair |
+      | paths = one\n  two/three | one two/three   |
 
   Scenario Outline: A whole run in a small project: <what>
     Given a project of two features, where a scenario <what>
@@ -147,15 +149,15 @@
     Then the run prints "<line>", ends with the line "<closing>" and exits with <exit>
 
     Examples:
-      | what                        | line                                                    | closing            | exit |
-      | passes                      | 5 scenarios in 5 units, 2 at a time                     | 5 passed, 0 failed | 0    |
-      | fails                       | failed: features/one.feature:6 row x -- @1.1            | 4 passed, 1 failed | 1    |
-      | raises                      | error: features/one.feature:6 row x -- @1.1             | 4 passed, 1 failed | 1    |
-      | ends the process            | no result: features/one.feature:6 row x -- @1.1         | 4 passed, 1 failed | 1    |
-      | kills the process           | no result: features/one.feature:6 row x -- @1.1         | 4 passed, 2 failed | 1    |
-      | has no such step            | error: features/one.feature:6 row x -- @1.1         | 4 passed, 1 failed | 1    |
-      | skips itself                | skipped: features/one.feature:6 row x -- @1.1           | 4 passed, 1 failed | 1    |
-      | fails and is known red      | known red: features/one.feature:row x \| made up \| #1  | 4 passed, 0 failed | 0    |
-      | passes and is known red     | no longer red: features/one.feature:row x \| made up \| #1 | 5 passed, 0 failed | 0 |
-      | passes before a failing hook | worker ended with 1: features/one.feature:6            | 5 passed, 1 failed | 1    |
-      | can't be read               | not listed:                                             | 0 passed, 1 failed | 1    |
+      | what                         | line                                                                                                 | closing            | exit |
+      | passes                       | 5 scenarios in 5 units, 2 at a time                                                                  | 5 passed, 0 failed | 0    |
+      | fails                        | failed: features/one.feature:6 row x -- @1.1                                                         | 4 passed, 1 failed | 1    |
+      | raises                       | error: features/one.feature:6 row x -- @1.1                                                          | 4 passed, 1 failed | 1    |
+      | ends the process             | no result: features/one.feature:6 row x -- @1.1                                                      | 4 passed, 1 failed | 1    |
+      | kills the process            | no result: features/one.feature:6 row x -- @1.1                                                      | 4 passed, 2 failed | 1    |
+      | has no such step             | error: features/one.feature:6 row x -- @1.1                                                          | 4 passed, 1 failed | 1    |
+      | skips itself                 | skipped: features/one.feature:6 row x -- @1.1                                                        | 4 passed, 1 failed | 1    |
+      | fails and is known red       | known red: features/one.feature:row x \| behave features/one.feature:6, no seed \| made up \| #1     | 4 passed, 0 failed | 0    |
+      | passes and is known red      | no longer red: features/one.feature:row x \| behave features/one.feature:6, no seed \| made up \| #1 | 5 passed, 0 failed | 0    |
+      | passes before a failing hook | worker ended with 1: features/one.feature:6                                                          | 5 passed, 1 failed | 1    |
+      | can't be read                | not listed:                                                                                          | 0 passed, 1 failed | 1    |
--- a/features/steps/test_runner_steps.py
+++ b/features/steps/test_runner_steps.py
@@ -200,7 +200,9 @@
     (folder / "features" / "one.feature").write_text(PROJECT_FEATURE.replace("STEP", STEP_FOR[what]))
     (folder / "platform" / "two.feature").write_text(PROJECT_OTHER_FEATURE)
     if what.endswith("is known red"):
-        (folder / "KNOWN-RED.txt").write_text("features/one.feature:row x | made up | #1\n")
+        (folder / "KNOWN-RED.txt").write_text(
+            "features/one.feature:row x | behave features/one.feature:6, no seed | made up | #1\n"
+        )
 
 
 @when("its tests run in {requests:d} processes")
