--- a/features/steps/test_runner_steps.py
+++ b/features/steps/test_runner_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the run of the tests in several processes."""
+"""Steps for the parallel test runner, `.ci/tests.py`."""
 
 import importlib.util
 import json
@@ -24,12 +24,12 @@
     "raises": "it raises",
     "ends the process": "the process ends",
     "kills the process": "the process is killed",
-    "has no such step": "there is no such step",
+    "has an undefined step": "there is no such step",
     "skips itself": "it skips",
     "fails and is known red": "it fails",
     "passes and is known red": "it passes",
     "passes before a failing hook": "a later hook fails",
-    "can't be read": "it passes |\n      Nonsense that is no row",
+    "cannot be parsed": "it passes |\n      Nonsense that is no row",
 }
 PROJECT_STEPS = """
 import os
@@ -54,8 +54,6 @@
 def after_all(context):
     assert "hook" not in context.config.userdata, "made to fail"
 """
-
-
 PROJECT_FEATURE = """Feature: one
   Scenario Outline: row <row>
     When <step>
@@ -85,12 +83,12 @@
     return tests.Result(status=status, seconds=float(seconds))
 
 
-def judged(context: Any) -> Any:
-    known, errors = tests.known_red_of(context.known_red, context.scenarios)
-    verdict = tests.judge(context.outcomes, known)
+def summary_of(context: Any) -> Any:
+    known, errors = tests.parse_known_red(context.known_red, context.scenarios)
+    summary = tests.merge_outcomes(context.outcomes, known)
     for error in errors:
-        verdict.fail(f"KNOWN-RED.txt: {error}")
-    return verdict
+        summary.fail(f"KNOWN-RED.txt: {error}")
+    return summary
 
 
 @given("a test run of these scenarios")
@@ -110,38 +108,38 @@
         }
         for row in context.table
     ]
-    context.scenarios = tests.scenarios_of(features)
+    context.scenarios = tests.parse_scenarios(features)
     context.outcomes, context.known_red = [], ""
 
 
 @given("the weights {weights}")
 def given_weights(context: Any, weights: str) -> None:
-    context.units = tests.split(context.scenarios, json.loads(weights))
+    context.units = tests.split_into_units(context.scenarios, json.loads(weights))
 
 
-@given('known red is "{line}"')
+@given('KNOWN-RED.txt has the entry "{line}"')
 def given_known_red(context: Any, line: str) -> None:
     context.known_red = line
 
 
-@given('twice known red are "{first}" and "{second}"')
+@given('KNOWN-RED.txt has the entries "{first}" and "{second}"')
 def given_two_known_red(context: Any, first: str, second: str) -> None:
     context.known_red = f"{first}\n\n{second}\n"
 
 
-@when("the worker of {target} ends with {code:d} and leaves {left}")
-def when_worker_ends(context: Any, target: str, code: int, left: str) -> None:
+@when("the worker of {target} exits with code {code:d} and results {listed}")
+def when_worker_exits(context: Any, target: str, code: int, listed: str) -> None:
+    """`listed` has a `status seconds` for each scenario of the unit; `absent` leaves a result out."""
     unit = unit_of(context=context, target=target)
     results = None
-    if left != "no results":
-        given = [result_of(text=text) for text in left.split(", ")]
-        pairs = zip(unit.scenarios, given, strict=True)
+    if listed != "unreadable":
+        pairs = zip(unit.scenarios, [result_of(text=text) for text in listed.split(", ")], strict=True)
         results = {scenario.location: result for scenario, result in pairs if result.status != "absent"}
     context.outcomes.append(tests.Outcome(unit=unit, code=code, results=results))
 
 
-@when("it has also run {location}, which {status}")
-def when_also_run(context: Any, location: str, status: str) -> None:
+@when("it also ran {location} with status {status}")
+def when_also_ran(context: Any, location: str, status: str) -> None:
     context.outcomes[-1].results[location] = result_of(text=f"{status} 1")
 
 
@@ -155,7 +153,7 @@
     assert sorted(unit.target for unit in context.units if unit.serial) == targets.split(", "), context.units
 
 
-@then("every scenario is in one unit")
+@then("every scenario is in exactly one unit")
 def then_in_one_unit(context: Any) -> None:
     placed = [scenario.location for unit in context.units for scenario in unit.scenarios]
     assert sorted(placed) == sorted(scenario.location for scenario in context.scenarios), placed
@@ -164,20 +162,20 @@
 @then("the recorded weights are {weights}")
 def then_recorded(context: Any, weights: str) -> None:
     results = {location: result for outcome in context.outcomes for location, result in outcome.results.items()}
-    recorded = tests.weights_of(context.scenarios, results)
+    recorded = tests.measured_weights(context.scenarios, results)
     assert recorded == json.loads(weights), recorded
 
 
 @then('the test run ends with "{closing}" and exit code {code:d}')
 def then_ends(context: Any, closing: str, code: int) -> None:
-    verdict = judged(context=context)
-    assert (verdict.closing_line, verdict.exit_code) == (closing, code), verdict
+    summary = summary_of(context=context)
+    assert (summary.last_line, summary.exit_code) == (closing, code), summary
 
 
-@then("it says {lines}")
-def then_says(context: Any, lines: str) -> None:
-    said = judged(context=context).lines
-    assert said == ([] if lines == "nothing" else lines.split("; ")), said
+@then("the test run reports {lines}")
+def then_reports(context: Any, lines: str) -> None:
+    lines_found = summary_of(context=context).lines
+    assert lines_found == ([] if lines == "nothing" else lines.split("; ")), lines_found
 
 
 @then('the paths of behave.ini with "{text}" are {paths}')
@@ -205,10 +203,10 @@
         )
 
 
-@when("its tests run in {requests:d} processes")
-def when_project_runs(context: Any, requests: int) -> None:
+@when("its tests run in {jobs:d} processes")
+def when_project_runs(context: Any, jobs: int) -> None:
     context.ran = subprocess.run(
-        [sys.executable, str(context.project / ".ci" / "tests.py"), "--jobs", str(requests)],
+        [sys.executable, str(context.project / ".ci" / "tests.py"), "--jobs", str(jobs)],
         capture_output=True,
         text=True,
         check=False,
