--- a/.ci/trial_traces.py
+++ b/.ci/trial_traces.py
@@ -1,8 +1,8 @@
-"""Prints a digest of every counter's steps in nine trials: `python .ci/trial_traces.py`.
+"""Prints a digest of all counter updates in each of nine trials: `python .ci/trial_traces.py`.
 
-Trials run on virtual time with seeded randomness, so that the same sources give the same digests. A change that
-renames or rewords leaves them as they are. `--steps FOLDER` writes each step (time in us, counter, count) to a file
-per trial, for a diff of two checkouts. Trials are taken by their place in the tables, which survives a rename.
+Trials run on virtual time with seeded randomness, so a change that only renames or rewords keeps the digests.
+`--steps FOLDER` writes the updates (time in us, counter, change) to a file per trial, to compare two checkouts with
+diff. Trials are selected by index, which does not depend on their names.
 """
 
 import argparse
@@ -14,13 +14,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SEED = 1
-# places in the tables of trials: of the product's own system, and of the platform
+# indexes in the tables of trials of the product's own system and of the platform
 SYSTEM_TRIALS = (13, 48)
 PLATFORM_TRIALS = (2, 6, 50, 52, 53, 64, 93)
 
 
 def trace(task: tuple[str, int]) -> tuple[str, list[str], list[str]]:
-    """Plays one trial; returns its name, the steps of all counters, and what its checkers found wrong."""
+    """Runs one trial; returns its name, the counter updates, and the violations that its checkers found."""
     sys.path[:0] = [str(ROOT / "src")]
     from cinderstair.runtime.counters import Counters
 
@@ -54,10 +54,13 @@
 
 
 def main() -> int:
-    """Prints a line a trial: its name, the number of steps, their digest, and how many things were wrong."""
+    """Prints a line for each trial: its name, the number of counter updates, their digest, the number of violations.
+
+    Returns exit code 1 if a trial has no counter update.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--processes", type=int, default=4)
-    parser.add_argument("--steps", type=Path, help="folder for the steps themselves")
+    parser.add_argument("--steps", type=Path, help="folder for a file of counter updates per trial")
     options = parser.parse_args()
     tasks = [("system", place) for place in SYSTEM_TRIALS] + [("platform", place) for place in PLATFORM_TRIALS]
     empty = False
--- a/features/compatibility/outward_names.feature
+++ b/features/compatibility/outward_names.feature
@@ -1,14 +1,14 @@
-Feature: Names that leave a process are kept
-  Fields and words on the wire, keys of stored data and settings, flags, counters, HTTP paths and lease names are
-  collected from the sources and compared with data/outward_names.txt, which was written before the code was reworded.
-  New names may be added to the file; a listed name may not disappear from its package.
+Feature: External names are kept
+  Names in the wire protocols, keys of stored data and settings, flags, counters, HTTP paths and lease names are
+  collected from the sources and compared with data/outward_names.txt, which was recorded before identifiers were
+  renamed. New names may be added to the file; a listed name may not disappear from its package.
 
-  Scenario: Every listed name is still in the sources of its package
-    Then the sources hold every listed outward name
+  Scenario: Every listed name occurs in the sources of its package
+    Then the sources contain every listed external name
 
-  Scenario Outline: A name that is renamed in the sources is reported as lost
+  Scenario Outline: Renaming an external name is reported
     When "<before>" is renamed to "<after>" in the package "<package>"
-    Then only the outward names <names> are lost
+    Then exactly the external names <names> are missing
 
     Examples:
       | before      | after         | package   | names                                             |
--- a/features/steps/outward_name_steps.py
+++ b/features/steps/outward_name_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the list of names that leave a process."""
+"""Steps that compare the external names in the sources with the recorded list, `data/outward_names.txt`."""
 
 import importlib.util
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def load_collector() -> ModuleType:
-    """The module `.ci/outward_names.py`."""
+    """Imports `.ci/outward_names.py`."""
     spec = importlib.util.spec_from_file_location("ci_outward_names", ROOT / ".ci" / "outward_names.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -20,17 +20,17 @@
 
 
 def listed_names(*, collector: ModuleType) -> set[str]:
-    """The recorded names; an empty record proves nothing and fails."""
+    """Returns the recorded names; fails on an empty list, which would check nothing."""
     names = set(collector.NAMES.read_text(encoding="utf-8").splitlines())
     assert names, "no name is listed"
     return names
 
 
-@then("the sources hold every listed outward name")
-def then_held(context: Any) -> None:
+@then("the sources contain every listed external name")
+def then_all_found(context: Any) -> None:
     collector = load_collector()
-    lost = collector.lost(listed=listed_names(collector=collector), found=collector.collect())
-    assert not lost, "\n".join(lost)
+    missing = collector.missing_names(listed=listed_names(collector=collector), found=collector.collect())
+    assert not missing, "\n".join(missing)
 
 
 @when('"{before}" is renamed to "{after}" in the package "{package}"')
@@ -45,10 +45,12 @@
         replaced.append(path)
         return text.replace(f'"{before}"', f'"{after}"')
 
-    context.lost = collector.lost(listed=listed_names(collector=collector), found=collector.collect(read=read))
+    context.missing = collector.missing_names(
+        listed=listed_names(collector=collector), found=collector.collect(read=read)
+    )
     assert replaced, f"{before} is not in {package}"
 
 
-@then("only the outward names {names} are lost")
-def then_lost(context: Any, names: str) -> None:
-    assert context.lost == names.split(", "), context.lost
+@then("exactly the external names {names} are missing")
+def then_missing(context: Any, names: str) -> None:
+    assert context.missing == names.split(", "), context.missing
