--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -1,4 +1,7 @@
-"""Steps that run the program's commands and compare what they take, send and print with what was recorded."""
+"""Steps that compare the commands' arguments, requests, output and exit codes, and the settings, with recorded data.
+
+Commands run within the test process, against fakes of an HTTP proxy and of a controller.
+"""
 
 import asyncio
 import contextlib
@@ -28,14 +31,14 @@
 from cinderstair.simulation.fleet import free_ports
 
 REPOSITORY = Path(__file__).resolve().parents[2]
-LISTED = re.compile(r"^  (\S[\w -]*?)  +\S", re.MULTILINE)
+LISTED_COMMAND = re.compile(r"^  (\S[\w -]*?)  +\S", re.MULTILINE)
 OPTION = re.compile(r"^  +((?:-[\w|]+, )?--[\w-]+(?:=\w+)?)(?: .*?(\[default: .*\]))?.*$", re.MULTILINE)
 USAGE = re.compile(r"^Usage:\n  (.*)$", re.MULTILINE)
 ARGUMENTS = re.compile(r"^Arguments:\n((?:  .*\n)+)", re.MULTILINE)
 
 
-class Ran:
-    """How a command ended and what it printed."""
+class CommandResult:
+    """A command's exit code, standard output and standard error."""
 
     def __init__(self, *, code: int, out: str, err: str) -> None:
         self.code = code
@@ -43,8 +46,8 @@
         self.err = err
 
 
-def run_command(*, words: list[str]) -> Ran:
-    """Runs the program within this process."""
+def run_command(*, words: list[str]) -> CommandResult:
+    """Runs the program with these arguments within the test process."""
     out, err = io.TextIOWrapper(io.BytesIO()), io.StringIO()
     code = 0
     with (
@@ -57,20 +60,20 @@
         except SystemExit as end:
             code = int(end.code or 0)
     out.seek(0)
-    return Ran(code=code, out=out.read(), err=err.getvalue())
+    return CommandResult(code=code, out=out.read(), err=err.getvalue())
 
 
 # -- names, arguments and options --
 
 
 def command_names() -> list[str]:
-    """Every command that the program lists."""
+    """Returns the commands that the program lists, sorted."""
     listed = run_command(words=["list"]).out.partition("Available commands:")[2]
-    return sorted(LISTED.findall(listed))
+    return sorted(LISTED_COMMAND.findall(listed))
 
 
 def command_form(*, name: str) -> dict[str, Any]:
-    """A command's usage line, arguments and options, without the prose of its help."""
+    """Parses a command's help into usage line, arguments and options with defaults; leaves out descriptions."""
     text = run_command(words=[*name.split(), "--help"]).out
     arguments = ARGUMENTS.search(text)
     names = [] if arguments is None else [line.split()[0] for line in arguments[1].splitlines()]
@@ -82,12 +85,12 @@
     }
 
 
-@then("the frozen commands are listed")
+@then("the program lists the recorded commands")
 def then_names(context: Any) -> None:
     check_same_list(recorded=sorted(load(name="command_line/commands")), found=command_names())
 
 
-@then("each frozen command takes the recorded arguments and options")
+@then("each recorded command takes the recorded arguments and options")
 def then_forms(context: Any) -> None:
     recorded = load(name="command_line/commands")
     check_same(recorded=recorded, found={name: command_form(name=name) for name in recorded})
@@ -95,18 +98,18 @@
 
 # -- exit codes --
 
-KIND_AHEAD = re.compile(r"^(\w+): ")
+LEADING_ERROR_KIND = re.compile(r"^(\w+): ")
 
 
 def error_kind(*, text: str) -> str | None:
-    """The error kind that a message on standard error begins with; its prose is not recorded."""
-    ahead = KIND_AHEAD.match(text)
-    return ahead[1] if ahead is not None and ahead[1] in {kind.value for kind in ErrorCode} else None
+    """Returns the error kind with which a message on standard error begins, or None; the rest is not recorded."""
+    match = LEADING_ERROR_KIND.match(text)
+    return match[1] if match is not None and match[1] in {kind.value for kind in ErrorCode} else None
 
 
 @contextlib.contextmanager
-def files() -> Iterator[dict[str, str]]:
-    """Files for commands to read, by the word that stands for each."""
+def input_files() -> Iterator[dict[str, str]]:
+    """Creates the input files of commands; yields their paths by the placeholders of the recorded command lines."""
     with tempfile.TemporaryDirectory() as folder:
         texts = {"BROKEN": '{"version": 1}', "NOJSON": "{", "EMPTY": "", "MAP": '{"version": 1, "places": {}}'}
         texts["BADSETTINGS"] = 'name = "a"\n'
@@ -121,32 +124,32 @@
         yield paths
 
 
-def run_result(*, line: str) -> dict[str, Any]:
-    """A command's exit code, its standard output, and whether it said anything on standard error."""
-    with files() as paths:
-        ran = run_command(words=[paths.get(word, word) for word in line.split()])
-    return {"code": ran.code, "out": ran.out, "complains": bool(ran.err)}
+def local_command_result(*, line: str) -> dict[str, Any]:
+    """Runs a command that sends no request; returns its exit code, standard output and whether it wrote an error."""
+    with input_files() as paths:
+        result = run_command(words=[paths.get(word, word) for word in line.split()])
+    return {"code": result.code, "out": result.out, "complains": bool(result.err)}
 
 
-@then("the frozen command lines end and print as recorded")
+@then("the recorded command lines have the recorded exit codes and output")
 def then_ended(context: Any) -> None:
     recorded = load(name="command_line/runs")
-    check_same(recorded=recorded, found={line: run_result(line=line) for line in recorded})
+    check_same(recorded=recorded, found={line: local_command_result(line=line) for line in recorded})
 
 
-# -- commands that ask a front daemon --
+# -- commands that send a request to an HTTP proxy --
 
 
 @contextlib.contextmanager
-def front_daemon(*, status: int, body: str, requested: list[str]) -> Iterator[str]:
-    """An address whose HTTP server notes each request and gives one answer."""
+def fake_proxy(*, status: int, body: str, requests: list[str]) -> Iterator[str]:
+    """Serves the same HTTP response to all requests and appends them to `requests`; yields the address."""
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
         def _serve(self) -> None:
             sent = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-            requested.append(f"{self.command} {self.path} {sent.decode()}")
+            requests.append(f"{self.command} {self.path} {sent.decode()}")
             self.send_response(status)
             self.send_header("Content-Length", str(len(body)))
             self.end_headers()
@@ -168,76 +171,79 @@
         thread.join()
 
 
-def operator_result(*, line: str, status: int, body: str) -> dict[str, Any]:
-    """What a command asks a front daemon, and how it ends after the answer."""
-    requested: list[str] = []
-    with files() as paths, front_daemon(status=status, body=body, requested=requested) as address:
+def proxy_command_result(*, line: str, status: int, body: str) -> dict[str, Any]:
+    """Runs a command against a fake HTTP proxy; returns its requests, exit code, output and error kind."""
+    requests: list[str] = []
+    with input_files() as paths, fake_proxy(status=status, body=body, requests=requests) as address:
         words = [paths.get(word, word) for word in line.split()]
-        ran = run_command(words=[*words, "--at", address])
-    return {"asked": requested, "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
+        result = run_command(words=[*words, "--at", address])
+    return {"asked": requests, "code": result.code, "out": result.out, "error": error_kind(text=result.err)}
 
 
-@then("the frozen commands ask a front daemon and end as recorded")
+@then("the recorded commands to a proxy send the recorded requests and have the recorded results")
 def then_operated(context: Any) -> None:
     recorded = load(name="command_line/operators")
-    found = [operator_result(line=each["line"], status=each["status"], body=each["body"]) for each in recorded]
+    found = [proxy_command_result(line=each["line"], status=each["status"], body=each["body"]) for each in recorded]
     check_same_list(recorded=[each["result"] for each in recorded], found=found)
 
 
-# -- commands that ask a control daemon by records --
+# -- commands that send a record to a controller --
 
 
 @contextlib.contextmanager
-def control_daemon(*, answer: bytes, requested: list[str]) -> Iterator[str]:
-    """An address that notes each record and gives one answer."""
+def fake_controller(*, answer: bytes, requests: list[str]) -> Iterator[str]:
+    """Answers all records with the same bytes and appends them to `requests` in hexadecimal; yields the address."""
     port = free_ports(count=1)[0]
     loop = asyncio.new_event_loop()
-    wire = RecordTransport(counters=Counters())
+    transport = RecordTransport(counters=Counters())
 
     async def reply(body: bytes) -> bytes:
-        requested.append(body.hex())
+        requests.append(body.hex())
         return answer
 
-    loop.run_until_complete(wire.listen(address=f"127.0.0.1:{port}", handler=reply))
-    # why: a command runs a loop of its own and waits in it, so who answers needs another thread
+    loop.run_until_complete(transport.listen(address=f"127.0.0.1:{port}", handler=reply))
+    # a command blocks in an event loop of its own, so the fake runs in another thread
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
     try:
         yield f"127.0.0.1:{port}"
     finally:
-        asyncio.run_coroutine_threadsafe(wire.close(), loop).result()
+        asyncio.run_coroutine_threadsafe(transport.close(), loop).result()
         loop.call_soon_threadsafe(loop.stop)
         thread.join()
         loop.close()
 
 
-def control_result(*, line: str, answer: str) -> dict[str, Any]:
-    """What a command asks a control daemon, and how it ends after the answer; records are in hexadecimal."""
-    requested: list[str] = []
-    with files() as paths, control_daemon(answer=bytes.fromhex(answer), requested=requested) as address:
+def controller_command_result(*, line: str, answer: str) -> dict[str, Any]:
+    """Runs a command against a fake controller; returns its first record, exit code, output and error kind.
+
+    Records are in hexadecimal.
+    """
+    requests: list[str] = []
+    with input_files() as paths, fake_controller(answer=bytes.fromhex(answer), requests=requests) as address:
         words = [paths.get(word, word) for word in line.split()]
-        ran = run_command(words=[*words, "--at", address])
-    return {"asked": requested[:1], "code": ran.code, "out": ran.out, "error": error_kind(text=ran.err)}
+        result = run_command(words=[*words, "--at", address])
+    return {"asked": requests[:1], "code": result.code, "out": result.out, "error": error_kind(text=result.err)}
 
 
-def answer_record(*, kind: str, words: str, progress: tuple[int, int, int, str] | None = None) -> str:
-    """A control daemon's answer in hexadecimal: an error kind or none, words, and a map's progress."""
-    packer = Packer().text(value=kind).text(value=words)
+def encode_answer(*, kind: str, message: str, progress: tuple[int, int, int, str] | None = None) -> str:
+    """Encodes a controller's answer in hexadecimal: an error kind or an empty text, a message, a map's progress."""
+    packer = Packer().text(value=kind).text(value=message)
     if progress is not None:
-        phase, proposal, stands, reason = progress
-        packer.u8(value=phase).u64(value=proposal).u64(value=stands).text(value=reason)
+        phase, proposal, version_in_force, reason = progress
+        packer.u8(value=phase).u64(value=proposal).u64(value=version_in_force).text(value=reason)
     return packer.bytes().hex()
 
 
-@then("the frozen commands ask a control daemon and end as recorded")
+@then("the recorded commands to a controller send the recorded records and have the recorded results")
 def then_controlled(context: Any) -> None:
     recorded = load(name="command_line/control")
-    found = [control_result(line=each["line"], answer=each["answer"]) for each in recorded]
+    found = [controller_command_result(line=each["line"], answer=each["answer"]) for each in recorded]
     check_same_list(recorded=[each["result"] for each in recorded], found=found)
 
 
-def progress_words(*, phases: list[int]) -> dict[str, str]:
-    """What an operator reads of a map's change, by the number of its phase."""
+def progress_summaries(*, phases: list[int]) -> dict[str, str]:
+    """Returns the printed summaries of a shard map's progress, by the number of its phase."""
     votes = {Vote(number): number + 1 for number in range(4)}
     found = {}
     for number in phases:
@@ -246,10 +252,10 @@
     return found
 
 
-@then("the frozen words on a shard map's change are printed")
+@then("the progress of a shard map is printed as recorded")
 def then_progress(context: Any) -> None:
     recorded = load(name="command_line/shard_progress")
-    check_same(recorded=recorded, found=progress_words(phases=[int(number) for number in recorded]))
+    check_same(recorded=recorded, found=progress_summaries(phases=[int(number) for number in recorded]))
 
 
 # -- settings --
@@ -279,7 +285,7 @@
 
 
 def settings_of(*, text: str) -> Any:
-    """A settings file's text as the program reads it, and the file's path."""
+    """Reads the text of a settings file from a temporary file; returns the result and the file's path."""
     handle, path = tempfile.mkstemp(suffix=".toml")
     try:
         os.write(handle, text.encode())
@@ -290,21 +296,21 @@
 
 
 def settings_form(*, text: str) -> dict[str, Any] | str:
-    """Every setting by the file's own key, or why the file is refused."""
+    """Returns all settings by their keys in the file, or the error if the file is refused."""
     read, path = settings_of(text=text)
     if read.is_error():
         return f"{read.error.code.value}: {read.error.reason.replace(path, 'FILE')}"
     return {key: value(read.ok) for key, value in FIELDS.items()}
 
 
-@then("the frozen settings files of the program are read alike")
+@then("the recorded settings files of the program are read as recorded")
 def then_settings(context: Any) -> None:
     recorded = load(name="command_line/settings_files")
     check_same(recorded=recorded, found={text: settings_form(text=text) for text in recorded})
 
 
-def restarts(*, old: str, changes: list[str]) -> dict[str, bool]:
-    """For each changed line, whether the change needs a restart."""
+def needs_restart(*, old: str, changes: list[str]) -> dict[str, bool]:
+    """Returns for each changed line whether the change needs a restart."""
     before = settings_of(text=old)[0].ok
     found = {}
     for line in changes:
@@ -315,8 +321,8 @@
     return found
 
 
-@then("the frozen changes of settings need a restart or none, as recorded")
+@then("the recorded changes of settings need a restart as recorded")
 def then_restarts(context: Any) -> None:
     recorded = load(name="command_line/live_settings")
-    found = restarts(old=recorded["file"], changes=list(recorded["restarts"]))
+    found = needs_restart(old=recorded["file"], changes=list(recorded["restarts"]))
     check_same(recorded=recorded["restarts"], found=found)
