--- a/features/compatibility/http_interface.feature
+++ b/features/compatibility/http_interface.feature
@@ -1,48 +1,48 @@
-Feature: The product's HTTP interface stays as it was recorded
-  Statuses, headers and bodies were recorded once and must be sent again, byte for byte.
+Feature: Compatibility of the product's HTTP interface
+  Status codes, headers and bodies equal the recorded ones byte for byte; random and time-dependent parts are masked.
 
-  Scenario: Each error kind keeps its status, outcome, retry time and body
-    Then the frozen answer for each error kind is given again
+  Scenario: Each error kind keeps its status code, headers and body
+    Then each error kind has the recorded response
 
-  Scenario: Denials keep the names of their counters
-    Then the frozen counters of denials are counted again
+  Scenario: The counters of rejected requests keep their names
+    Then rejected requests are counted by the recorded counters
 
-  Scenario: A session's life is answered as before
-    Given the frozen system at work
-    Then the frozen requests of session are answered as recorded
+  Scenario: The requests of a session keep their responses
+    Given the recorded system is running
+    Then the recorded requests of session have the recorded responses
 
-  Scenario: Bad requests are answered as before
-    Given the frozen system at work
-    Then the frozen requests of bad_requests are answered as recorded
+  Scenario: Invalid requests keep their responses
+    Given the recorded system is running
+    Then the recorded requests of bad_requests have the recorded responses
 
-  Scenario: Operators, the platform and backends' heartbeats are answered as before
-    Given the frozen system at work
-    Then the frozen requests of operators are answered as recorded
+  Scenario: Requests of operators and the platform and backends' heartbeats keep their responses
+    Given the recorded system is running
+    Then the recorded requests of operators have the recorded responses
 
-  Scenario: A system without a configuration answers as before
-    Given the frozen system without a configuration
-    Then the frozen requests of unconfigured are answered as recorded
+  Scenario: A system without a configuration keeps its responses
+    Given the recorded system without a configuration
+    Then the recorded requests of unconfigured have the recorded responses
 
-  Scenario: Backends are sent the same requests as before
-    Given the frozen system at work
-    Then the frozen requests to backends are sent again meanwhile
+  Scenario: Requests to backends keep their form
+    Given the recorded system is running
+    Then the session and operator requests cause the recorded requests to backends
 
-  Scenario: A run leaves counters of the same names
-    Given the frozen system at work
-    Then the frozen counter names stand at its daemons after the requests of session
+  Scenario: Daemons in use have counters of the same names
+    Given the recorded system is running
+    Then after the requests of session its daemons have the recorded counters
 
-  Scenario: Traces keep their form
-    Given the frozen system at work
-    Then the frozen traces are written meanwhile
+  Scenario: Trace spans keep their form
+    Given the recorded system is running
+    Then the session requests cause the recorded trace spans
 
-  Scenario: Forwarded statements are counted under the same names
-    Then the frozen counters of forwarded statements are counted again
+  Scenario: The counters of forwarded statements keep their names
+    Then forwarded statements are counted by the recorded counters
 
-  Scenario: Counter names are not renamed
-    Then each frozen counter name still stands in the sources
+  Scenario: Counter names in the sources are not renamed
+    Then each recorded counter name occurs in the sources
 
-  Scenario: Records are counted under the same names
-    Then the frozen counters of records are counted again
+  Scenario: The counters of records keep their names
+    Then each message type is counted by the recorded counters
 
-  Scenario: An answer has the same form on a real connection
-    Then the frozen answer leaves a real socket as recorded
+  Scenario: A response on a real connection keeps its form
+    Then a response on a real socket has the recorded lines
