--- a/features/compatibility/platform_messages.feature
+++ b/features/compatibility/platform_messages.feature
@@ -1,47 +1,47 @@
-Feature: The platform's wire stays as it was recorded
-  What the adapter reads and writes at the platform's edges was recorded once and must be the same, byte for byte.
+Feature: Compatibility of the platform's interfaces
+  What the adapter reads and writes on the platform's interfaces equals what was recorded, byte for byte.
 
-  Scenario: Clients are told the same words for errors
-    Then the frozen error words are sent to clients
+  Scenario: Error kinds keep their error words for clients
+    Then each error kind has the recorded error word
 
   Scenario: Replies to clients keep their bytes
-    Then the frozen replies are written to clients byte for byte
+    Then replies to clients have the recorded bytes
 
-  Scenario: Positions keep their form
-    Then the frozen positions are read and written alike
+  Scenario: Positions keep their text form
+    Then the recorded positions are parsed and formatted as recorded
 
-  Scenario: Statements keep their form
-    Then the frozen texts of statements are read and sent on alike
+  Scenario: Statements keep their syntax
+    Then the recorded statements are parsed and sent to backends as recorded
 
-  Scenario: Lines are split in the same way
-    Then the frozen chunks make the recorded lines
+  Scenario: Lines are split at the same bytes
+    Then the recorded chunks are split into the recorded lines
 
-  Scenario: Conversations at the client's door go as before
-    Then the frozen conversations at the client's door go as recorded
+  Scenario: Conversations with clients keep their replies
+    Then the recorded conversations of clients have the recorded replies
 
-  Scenario: Questions to backends keep their bytes
-    Then the frozen questions are put to a backend byte for byte
+  Scenario: Requests to backends keep their bytes
+    Then requests to a backend have the recorded bytes
 
-  Scenario: Answers of backends are understood as before
-    Then the frozen answers of a backend are understood alike
+  Scenario: Replies of backends are parsed to the same values
+    Then the recorded replies of a backend are parsed as recorded
 
   Scenario: Commands to backends keep their bytes
-    Then the frozen commands are sent to a backend byte for byte
+    Then commands to a backend have the recorded bytes
 
-  Scenario: The control edge answers as before
-    Then the frozen requests to the control edge are answered as recorded
+  Scenario: The control API keeps its responses
+    Then the recorded requests to the control API have the recorded responses
 
-  Scenario: Operator documents are read as before
-    Then the frozen operator documents are read alike
+  Scenario: Operator documents are parsed to the same plans
+    Then the recorded operator documents are parsed as recorded
 
-  Scenario: The HTTP edge keeps the bytes of its answers
-    Then the frozen bytes of an answer leave the HTTP edge
+  Scenario: The HTTP server keeps the bytes of its responses
+    Then a response of the HTTP server has the recorded bytes
 
-  Scenario: The ready probe is answered as before
-    Then the frozen probes of readiness are answered as recorded
+  Scenario: The readiness probe keeps its responses
+    Then the recorded readiness probes have the recorded responses
 
   Scenario: The promotion call keeps its bytes
-    Then the frozen promotion call is sent byte for byte
+    Then the promotion call has the recorded bytes and results
 
-  Scenario: Settings files of the platform are read as before
-    Then the frozen settings files of the platform are read alike
+  Scenario: Settings files of the platform are read to the same settings
+    Then the recorded settings files of the platform are read as recorded
--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare the platform's wire, as the adapter reads and writes it, with what was recorded."""
+"""Steps that compare what the adapter reads and writes on the platform's interfaces with recorded data."""
 
 import json
 import os
@@ -35,7 +35,7 @@
 from cinderstair.runtime.position import Position
 
 STATE_LETTERS = {"I": State.idle, "T": State.open, "E": State.failed}
-STATEMENT_KINDS = {
+VERB_NAMES = {
     Verb.begin: "begin",
     Verb.begin_read: "begin for reading",
     Verb.commit: "commit",
@@ -47,7 +47,7 @@
     Verb.execute: "run a named statement",
     Verb.forget: "forget a named statement",
 }
-SORTS = {
+CONSISTENCY_NAMES = {
     Consistency.primary: "primary",
     Consistency.bounded: "bounded age",
     Consistency.session: "own writes",
@@ -56,12 +56,12 @@
 
 
 def as_bytes(*, text: str) -> bytes:
-    """JSON holds no bytes, so each byte is recorded as the letter of its number."""
+    """Decodes recorded bytes; JSON has no bytes, so each byte is recorded as the Latin-1 character of its value."""
     return text.encode("latin-1")
 
 
 def as_text(*, data: bytes) -> str:
-    """The recorded form of bytes."""
+    """Encodes bytes in the recorded form."""
     return data.decode("latin-1")
 
 
@@ -69,17 +69,17 @@
 
 
 def error_words() -> dict[str, str]:
-    """The word that a client is told for each error kind."""
+    """Returns the error word sent to clients, by error kind."""
     return {kind.value: as_text(data=error_word(code=kind)) for kind in ErrorCode}
 
 
-@then("the frozen error words are sent to clients")
+@then("each error kind has the recorded error word")
 def then_error_words(context: Any) -> None:
     check_same(recorded=load(name="platform/error_words"), found=error_words())
 
 
 def reply_bytes(*, outcome: dict[str, Any]) -> str:
-    """The bytes of one reply to a client."""
+    """Encodes a reply to a client, given its outcome in the recorded form."""
     state = STATE_LETTERS[outcome["state"]]
     position = Position(*outcome["position"]) if outcome["position"] else None
     if "kind" in outcome:
@@ -93,15 +93,15 @@
     return as_text(data=encode(reply))
 
 
-@then("the frozen replies are written to clients byte for byte")
+@then("replies to clients have the recorded bytes")
 def then_replies(context: Any) -> None:
     recorded = load(name="platform/replies")
     found = [reply_bytes(outcome=each["outcome"]) for each in recorded]
     check_same_list(recorded=[each["bytes"] for each in recorded], found=found)
 
 
-def positions(*, texts: list[str]) -> dict[str, Any]:
-    """What each text reads as, and how that is written again."""
+def parsed_positions(*, texts: list[str]) -> dict[str, Any]:
+    """Parses each text as a position; returns its numbers and the position formatted again."""
     found: dict[str, Any] = {}
     for text in texts:
         position = parse_position(text=as_bytes(text=text))
@@ -110,20 +110,20 @@
     return found
 
 
-@then("the frozen positions are read and written alike")
+@then("the recorded positions are parsed and formatted as recorded")
 def then_positions(context: Any) -> None:
     recorded = load(name="platform/positions")
-    check_same(recorded=recorded, found=positions(texts=list(recorded)))
+    check_same(recorded=recorded, found=parsed_positions(texts=list(recorded)))
 
 
 def statement_form(*, text: str) -> dict[str, Any] | str:
-    """What a client's text means, and what a backend is sent for it."""
+    """Parses a client's statement; returns its fields and the text for the backend, or the error message."""
     try:
         statement = read_statement(ident=b"id7", text=as_bytes(text=text))
     except ValueError as error:
         return str(error)
     return {
-        "kind": STATEMENT_KINDS[statement.verb],
+        "kind": VERB_NAMES[statement.verb],
         "ident": as_text(data=statement.ident),
         "name": as_text(data=statement.name),
         "content": as_text(data=statement.content),
@@ -132,19 +132,19 @@
     }
 
 
-@then("the frozen texts of statements are read and sent on alike")
+@then("the recorded statements are parsed and sent to backends as recorded")
 def then_statements(context: Any) -> None:
     recorded = load(name="platform/statements")
     check_same(recorded=recorded, found={text: statement_form(text=text) for text in recorded})
 
 
 def split_lines(*, chunks: list[str]) -> list[str]:
-    """The lines that chunks of bytes make."""
+    """Splits chunks of bytes into lines."""
     splitter = LineSplitter()
     return [as_text(data=line) for chunk in chunks for line in splitter.feed(as_bytes(text=chunk))]
 
 
-@then("the frozen chunks make the recorded lines")
+@then("the recorded chunks are split into the recorded lines")
 def then_lines(context: Any) -> None:
     recorded = load(name="platform/lines")
     found = [split_lines(chunks=each["chunks"]) for each in recorded]
@@ -152,24 +152,27 @@
 
 
 def conversation(*, context: Any, sends: list[str], configured: bool) -> list[dict[str, Any]]:
-    """What a client receives after each message that it sends."""
+    """Sends messages to a client connection; returns what the client has received after each of them.
+
+    If not `configured`, the proxy has no plan, and the test waits 2 s for each reply.
+    """
     context.stage = Stage(context=context)
     proxy = FakeProxy(stage=context.stage)
     if not configured:
         proxy.view.plan = None
-    counted: list[str] = []
-    connect(context=context, make=lambda: ClientConnection(proxy=proxy, connections=set(), count=counted.append))
+    counters: list[str] = []
+    connect(context=context, make=lambda: ClientConnection(proxy=proxy, connections=set(), count=counters.append))
     found = []
     for text in sends:
         data = as_bytes(text=text)
         context.stage.call(call=lambda data=data: context.transport.feed(data))
         context.stage.advance(for_us=ANSWER_US if configured else 2_000_000)
         received = as_text(data=context.transport.take())
-        found.append({"receives": received, "closed": context.transport.closing, "counted": list(counted)})
+        found.append({"receives": received, "closed": context.transport.closing, "counted": list(counters)})
     return found
 
 
-@then("the frozen conversations at the client's door go as recorded")
+@then("the recorded conversations of clients have the recorded replies")
 def then_conversations(context: Any) -> None:
     recorded = load(name="platform/client_door")
     found = [conversation(context=context, sends=each["sends"], configured=each["configured"]) for each in recorded]
@@ -179,8 +182,8 @@
 # -- backends --
 
 
-def ask_everything(*, link: BackendLink) -> None:
-    """Each question that a link can put to its backend."""
+def send_all_requests(*, link: BackendLink) -> None:
+    """Sends each kind of request that a link can send to its backend."""
     at = Position(3, 7)
     link.handshake(service="s1", name="srv-1")
     link.begin(read_only=False, at_least=None)
@@ -191,39 +194,39 @@
     link.set_value(name=b"a", value=b"b c")
     link.prepare(alias=b"p0", shape=b"q", writes=True)
     link.prepare(alias=b"p1", shape=b"r", writes=False)
-    ran = Statement(ident=b"id", verb=Verb.execute, name=b"mine", content=b"1 x")
-    link.send(statement=ran, at_least=at, alias=b"p0")
+    executed = Statement(ident=b"id", verb=Verb.execute, name=b"mine", content=b"1 x")
+    link.send(statement=executed, at_least=at, alias=b"p0")
     link.clear()
     link.rollback()
     link.ask_position()
 
 
-def backend_lines(*, context: Any) -> str:
-    """The bytes that a backend is sent."""
+def backend_request_bytes(*, context: Any) -> str:
+    """Returns the bytes of all kinds of requests to a backend."""
     context.stage = Stage(context=context)
     connect(context=context, make=BackendLink)
-    context.stage.call(call=lambda: ask_everything(link=context.protocol))
+    context.stage.call(call=lambda: send_all_requests(link=context.protocol))
     return as_text(data=context.transport.take())
 
 
-@then("the frozen questions are put to a backend byte for byte")
+@then("requests to a backend have the recorded bytes")
 def then_backend_lines(context: Any) -> None:
-    found = backend_lines(context=context).split("\r\n")
+    found = backend_request_bytes(context=context).split("\r\n")
     check_same_list(recorded=load(name="platform/backend_questions"), found=found)
 
 
 def read_reply(*, context: Any, answer: str) -> dict[str, Any]:
-    """How a backend's answer to a read is understood."""
+    """Sends a read and delivers the backend's answer; returns the parsed reply in the recorded form."""
     context.stage = Stage(context=context)
     connect(context=context, make=BackendLink)
-    requested: list[Any] = []
+    replies: list[Any] = []
     statement = read_statement(ident=b"id", text=b"FETCH 1")
-    context.stage.call(call=lambda: requested.append(context.protocol.send(statement=statement)))
+    context.stage.call(call=lambda: replies.append(context.protocol.send(statement=statement)))
     context.stage.call(call=lambda: context.transport.feed(as_bytes(text=answer)))
     context.stage.advance(for_us=1_000)
-    if not requested[0].done() or requested[0].exception() is not None:
+    if not replies[0].done() or replies[0].exception() is not None:
         return {"answered": False}
-    reply: Reply = requested[0].result()
+    reply: Reply = replies[0].result()
     return {
         "answered": True,
         "rows": [as_text(data=row) for row in reply.rows],
@@ -237,14 +240,14 @@
     }
 
 
-@then("the frozen answers of a backend are understood alike")
+@then("the recorded replies of a backend are parsed as recorded")
 def then_backend_answers(context: Any) -> None:
     recorded = load(name="platform/backend_answers")
     check_same(recorded=recorded, found={text: read_reply(context=context, answer=text) for text in recorded})
 
 
 def command_bytes(*, context: Any) -> dict[str, str]:
-    """What a backend is sent for each command, after which nothing answers."""
+    """Returns the bytes sent to a backend for each command; the backend does not reply."""
     found = {}
     for name in ("state", "pause", "step down"):
         stage = Stage(context=context)
@@ -261,39 +264,39 @@
     return found
 
 
-@then("the frozen commands are sent to a backend byte for byte")
+@then("commands to a backend have the recorded bytes")
 def then_commands(context: Any) -> None:
     check_same(recorded=load(name="platform/backend_commands"), found=command_bytes(context=context))
 
 
-# -- HTTP at the edges --
+# -- HTTP interfaces --
 
 
-def control_answer(*, context: Any, exchange: dict[str, Any]) -> dict[str, Any]:
-    """The control edge's answer to one request, with a controller in the recorded state."""
+def control_exchange(*, context: Any, exchange: dict[str, Any]) -> dict[str, Any]:
+    """Returns the control API's response to a request, and the heartbeats and departures it passed on."""
     stage = Stage(context=context)
     controller = FakeController()
     controller.in_touch = exchange.get("in_touch", True)
     if "kind" in exchange:
-        fault = Error(CinderstairError(code=ErrorCode(exchange["kind"]), reason="because"))
-        controller.submits = controller.document = fault
+        failure = Error(CinderstairError(code=ErrorCode(exchange["kind"]), reason="because"))
+        controller.submits = controller.document = failure
     elif "document" in exchange:
         controller.document = Ok(as_bytes(text=exchange["document"]))
-    closer = {"yard-b": "10.2.0.2:5001"}
-    api = ControlApi(controller=controller, closer_address=lambda site: closer.get(site, ""))  # type: ignore[arg-type]
+    closer_addresses = {"yard-b": "10.2.0.2:5001"}
+    api = ControlApi(controller=controller, closer_address=lambda site: closer_addresses.get(site, ""))  # type: ignore[arg-type]
     body = as_bytes(text=exchange.get("body", ""))
     request = HttpRequest(method=exchange["method"], target=exchange["target"], body=body)
     answer = stage.run(work=api.handle(request))
     return {
         "status": answer.status,
         "body": as_text(data=answer.body),
-        "heard": [heard_form(each=each) for each in controller.received],
+        "heard": [announcement_form(each=each) for each in controller.received],
         "departed": controller.departed,
     }
 
 
-def heard_form(*, each: Any) -> dict[str, Any]:
-    """What a heartbeat has told."""
+def announcement_form(*, each: Any) -> dict[str, Any]:
+    """Returns a heartbeat's announcement in the recorded form."""
     return {
         "server": each.name,
         "call_count": each.number,
@@ -306,17 +309,17 @@
     }
 
 
-@then("the frozen requests to the control edge are answered as recorded")
-def then_control(context: Any) -> None:
+@then("the recorded requests to the control API have the recorded responses")
+def then_control_api(context: Any) -> None:
     recorded = load(name="platform/control_edge")
-    found = [control_answer(context=context, exchange=each["request"]) for each in recorded]
+    found = [control_exchange(context=context, exchange=each["request"]) for each in recorded]
     check_same_list(recorded=[each["answer"] for each in recorded], found=found)
 
 
 def plan_form(*, plan: ServicePlan) -> dict[str, Any]:
-    """What an operator's document asks for."""
+    """Returns a service plan in the recorded form."""
     routes = {
-        name: [each.service, SORTS[each.consistency], each.time_limit_us, each.rank, each.max_age_us]
+        name: [each.service, CONSISTENCY_NAMES[each.consistency], each.time_limit_us, each.rank, each.max_age_us]
         for name, each in plan.routes.items()
     }
     services = {name: [each.link_cap, each.confirmations] for name, each in plan.services.items()}
@@ -330,19 +333,19 @@
 
 
 def document_form(*, text: str) -> dict[str, Any] | str:
-    """What a document reads as, or why it is refused."""
+    """Parses an operator's document; returns the plan, or the error if it is refused."""
     read = read_document(raw=text.encode())
     return plan_form(plan=read.ok) if read.is_ok() else f"{read.error.code.value}: {read.error.reason}"
 
 
-@then("the frozen operator documents are read alike")
+@then("the recorded operator documents are parsed as recorded")
 def then_documents(context: Any) -> None:
     recorded = load(name="platform/operator_documents")
     check_same(recorded=recorded, found={text: document_form(text=text) for text in recorded})
 
 
-def edge_bytes(*, context: Any) -> str:
-    """The bytes of an answer at an HTTP edge."""
+def http_server_response(*, context: Any) -> str:
+    """Returns the bytes of an HTTP server's response with status 409 to a PUT."""
     context.stage = Stage(context=context)
 
     async def handle(request: HttpRequest) -> HttpAnswer:
@@ -356,13 +359,15 @@
     return as_text(data=context.transport.take())
 
 
-@then("the frozen bytes of an answer leave the HTTP edge")
-def then_edge_bytes(context: Any) -> None:
-    check_same_list(recorded=load(name="platform/edge_answer"), found=edge_bytes(context=context).split("\r\n"))
+@then("a response of the HTTP server has the recorded bytes")
+def then_http_response(context: Any) -> None:
+    check_same_list(
+        recorded=load(name="platform/edge_answer"), found=http_server_response(context=context).split("\r\n")
+    )
 
 
-class ServingStreams:
-    """Keeps what is served at each address instead of listening there."""
+class RecordingStreams:
+    """Records the protocol served at each address instead of listening."""
 
     def __init__(self) -> None:
         self.served: dict[str, Any] = {}
@@ -371,15 +376,15 @@
         self.served[address] = protocol
 
 
-class QuietNet(NoNet):
-    """Listens, and never hears anything."""
+class ListeningNet(NoNet):
+    """A network on which listening succeeds and no record arrives."""
 
     async def listen(self, *, address: str, handler: Any) -> None:
         return None
 
 
 class ReadyProxy:
-    """A proxy that is ready and in touch."""
+    """A proxy that is ready and hears from controllers; also acts as its own view."""
 
     def __init__(self) -> None:
         self.ready = True
@@ -387,11 +392,11 @@
         self.controllers_silent_us = 0
 
 
-def probe_answers(*, context: Any, targets: list[str], ready: bool) -> dict[str, str]:
-    """The bytes that the ready probe is answered."""
+def probe_responses(*, context: Any, targets: list[str], ready: bool) -> dict[str, str]:
+    """Returns the bytes of the readiness probe's response, by target."""
     context.stage = Stage(context=context)
-    context.stage.ctx.net = QuietNet()
-    streams = ServingStreams()
+    context.stage.ctx.net = ListeningNet()
+    streams = RecordingStreams()
     machine = MachineSettings(name="b", site="yard-a", ip="10.1.0.7", seeds=("10.1.0.2:1",), ready="r:1", front="f:1")
     role = ProxyRole(context.stage.ctx, machine, streams)  # type: ignore[arg-type]
     context.stage.run(work=role.start())
@@ -407,16 +412,16 @@
     return found
 
 
-@then("the frozen probes of readiness are answered as recorded")
+@then("the recorded readiness probes have the recorded responses")
 def then_probe(context: Any) -> None:
     recorded = load(name="platform/ready_probe")
     for answer, ready in (("ready", True), ("not ready", False)):
         targets = list(recorded[answer])
-        check_same(recorded=recorded[answer], found=probe_answers(context=context, targets=targets, ready=ready))
+        check_same(recorded=recorded[answer], found=probe_responses(context=context, targets=targets, ready=ready))
 
 
-def promotion(*, context: Any, status: str) -> dict[str, str]:
-    """The promotion call as sent, and how its answer is taken."""
+def promotion_exchange(*, context: Any, status: str) -> dict[str, str]:
+    """Sends a promotion call; returns its bytes and its result for a status code or a connection failure."""
     stage = Stage(context=context, name="core-1")
     script = f"HTTP/1.1 {status} X\\r\\nContent-Length: 0\\r\\n\\r\\n" if status.isdigit() else status
     streams = MemoryStreams(script=[script])
@@ -427,17 +432,17 @@
     return {"sent": sent, "result": "done" if result.is_ok() else result.error.code.value}
 
 
-@then("the frozen promotion call is sent byte for byte")
+@then("the promotion call has the recorded bytes and results")
 def then_promotion(context: Any) -> None:
     recorded = load(name="platform/promotion_call")
-    check_same(recorded=recorded, found={each: promotion(context=context, status=each) for each in recorded})
+    check_same(recorded=recorded, found={each: promotion_exchange(context=context, status=each) for each in recorded})
 
 
 # -- settings --
 
 
 def machine_form(*, machine: MachineSettings) -> dict[str, Any]:
-    """What a settings file says, by the file's own keys; times are microseconds."""
+    """Returns the settings of a machine by the keys of the file; times are in microseconds."""
     return {
         "node": machine.name,
         "zone": machine.site,
@@ -463,7 +468,7 @@
 
 
 def settings_form(*, text: str) -> dict[str, Any] | str:
-    """What a platform's settings file reads as, or why it is refused."""
+    """Reads a platform settings file; returns its settings, or the reason if it is refused."""
     handle, path = tempfile.mkstemp(suffix=".toml")
     try:
         os.write(handle, text.encode())
@@ -474,7 +479,7 @@
     return machine_form(machine=read.ok) if read.is_ok() else read.error.reason.replace(path, "FILE")
 
 
-@then("the frozen settings files of the platform are read alike")
+@then("the recorded settings files of the platform are read as recorded")
 def then_settings(context: Any) -> None:
     recorded = load(name="platform/settings_files")
     check_same(recorded=recorded, found={text: settings_form(text=text) for text in recorded})
