--- a/features/compatibility/disk_format.feature
+++ b/features/compatibility/disk_format.feature
@@ -1,12 +1,11 @@
-Feature: Files of a register replica that an earlier version wrote
-  A replica that is upgraded finds on its disk what the version before wrote there, and has to go on from it. The files
-  in data/disk were written before the code's identifiers were renamed, and are never written again: a test that fails
-  on them has found a change of format.
+Feature: Compatibility of a register replica's files
+  An upgraded replica reads the files that the previous version wrote. The files in data/disk were recorded before
+  the code's identifiers were renamed, and are never written again: a failing scenario has found a change of format.
 
-  Scenario Outline: A frozen disk is read to the state listed beside it
-    Given the frozen disk "<example>"
-    When the frozen disk is opened
-    Then the state is that listed beside the frozen files
+  Scenario Outline: Recorded files are read to the recorded state: <example>
+    Given the recorded disk "<example>"
+    When the recorded disk is opened
+    Then the state equals the state recorded with the files
 
     Examples:
       | example      |
@@ -16,9 +15,9 @@
       | lost_slot    |
       | newer_format |
 
-  Scenario Outline: The same operations write a frozen disk again
-    Given the frozen disk "<example>"
-    Then the same operations write the frozen files, byte for byte
+  Scenario Outline: The same operations write the recorded files: <example>
+    Given the recorded disk "<example>"
+    Then the same operations write the recorded files, byte for byte
 
     Examples:
       | example      |
@@ -28,10 +27,10 @@
       | lost_slot    |
       | newer_format |
 
-  Scenario Outline: A frozen disk that was opened can be opened again
-    Given the frozen disk "<example>"
-    When the frozen disk is opened
-    Then the state is that of a store that was opened once more
+  Scenario Outline: A recorded disk can be opened twice: <example>
+    Given the recorded disk "<example>"
+    When the recorded disk is opened
+    Then opening the disk again yields the same state and the next serial number
 
     Examples:
       | example   |
@@ -39,28 +38,28 @@
       | torn_slot |
       | torn_log  |
 
-  Scenario: The complete example has every file and a promise without a value
-    Given the frozen disk "complete"
-    Then the frozen disk has both slots and both logs, none of them empty
-    When the frozen disk is opened
-    Then the frozen state has 7 registers, 1 of them with a promise alone
+  Scenario: The complete example has all files and a promise without a value
+    Given the recorded disk "complete"
+    Then the recorded disk has both slots and both logs, none of them empty
+    When the recorded disk is opened
+    Then the state has 7 registers, 1 of them with a promise and no value
 
-  Scenario: An entry that is cut short was never answered, and is left out
-    Given the frozen disk "torn_log"
-    When the frozen disk is opened
-    Then the frozen state has more than nothing cut from its log
-    And the frozen state has 6 registers, 0 of them with a promise alone
+  Scenario: A truncated last log entry was never acknowledged and is dropped
+    Given the recorded disk "torn_log"
+    When the recorded disk is opened
+    Then the recorded log had a truncated tail
+    And the state has 6 registers, 0 of them with a promise and no value
 
-  Scenario: A newer format is refused unchanged
-    Given the frozen disk "newer_format"
-    When the frozen disk is opened
-    Then the frozen disk is refused with the words "format 2", and not one byte is changed
+  Scenario: A disk with a slot in a newer format is refused and left unchanged
+    Given the recorded disk "newer_format"
+    When the recorded disk is opened
+    Then the recorded disk is refused with an error that contains "format 2", and no byte is changed
 
-  Scenario: A newer format in any one file is refused unchanged
-    Given the frozen disk "complete" with each of its files in turn marked as format 2
-    Then each of these frozen disks is refused with the words "format 2", and not one byte is changed
+  Scenario: A newer format in any single file is refused and the disk left unchanged
+    Given copies of the recorded disk "complete", each with another file marked as format 2
+    Then each copy is refused with an error that contains "format 2", and no byte is changed
 
-  Scenario: A disk that lost the slot in use is refused unchanged
-    Given the frozen disk "lost_slot"
-    When the frozen disk is opened
-    Then the frozen disk is refused with the words "damaged", and not one byte is changed
+  Scenario: A disk with the slot in use damaged is refused and left unchanged
+    Given the recorded disk "lost_slot"
+    When the recorded disk is opened
+    Then the recorded disk is refused with an error that contains "damaged", and no byte is changed
--- a/features/steps/disk_format_steps.py
+++ b/features/steps/disk_format_steps.py
@@ -1,7 +1,7 @@
-"""Steps that hold a register replica's files against those that an earlier version wrote.
+"""Steps that check a register replica's files against files that an earlier version wrote.
 
-The files lie under `features/compatibility/data/disk`, one folder an example, each under the name that it has in a
-data folder. The state that they stand for lies beside them as JSON.
+`features/compatibility/data/disk` has a folder for each example, with the files of a data folder and, in
+`state.json`, the state to which they are read.
 """
 
 import json
@@ -48,19 +48,19 @@
 
 
 def new_disk() -> SimDisk:
-    """An empty disk in memory."""
+    """Creates an empty disk in memory."""
     return SimDisk(rng=random.Random(DISK_SEED))
 
 
-def opened(*, disk: SimDisk) -> Store:
-    """The store on a disk that is not damaged."""
+def open_store(*, disk: SimDisk) -> Store:
+    """Opens the store on a disk; fails if it is refused."""
     result = Store(disk=disk).open()
     assert result.is_ok(), result
     return result.ok
 
 
 def roster(*, epoch: int) -> Roster:
-    """Three voters; the second epoch has another third one."""
+    """Returns a roster of three voters; epoch 2 replaces the third voter of epoch 1."""
     others = (OTHER_IDENTITIES[0], OTHER_IDENTITIES[epoch])
     voters = [Voter(ident=IDENTITY, name="replica-1", address="10.1.0.1:7100")]
     for number, ident in enumerate(others, start=2):
@@ -69,7 +69,7 @@
 
 
 def plan(*, version: int) -> ServicePlan:
-    """A configuration with two services; both its databases have limits of their own."""
+    """Returns a configuration with two services and two databases that differ in all limits."""
     routes = [
         DatabaseRoute(
             database="orders",
@@ -103,7 +103,7 @@
 
 
 def first_values() -> dict[str, bytes]:
-    """What the register holds under the first roster, by key."""
+    """Returns the values written under the roster of epoch 1, by register key."""
     assignment = ServicePrimary(term=1, primary="db-1", state=PrimaryState.settled, revision=1)
     return {
         ROSTER_KEY: roster(epoch=1).bytes(),
@@ -114,7 +114,7 @@
 
 
 def later_values() -> dict[str, bytes]:
-    """What is written under the second roster, by key."""
+    """Returns the values written under the roster of epoch 2, by register key."""
     assignment = ServicePrimary(
         term=2,
         primary="db-2",
@@ -145,7 +145,7 @@
 
 
 class Replica:
-    """A register replica's vote on a disk in memory; every operation is one record that it is asked."""
+    """A register replica's acceptor on a disk in memory; each operation sends it the corresponding records."""
 
     def __init__(self, *, context: Any, disk: SimDisk) -> None:
         self.stage = Stage(context=context)
@@ -156,55 +156,55 @@
         self.acceptor: Acceptor | None = None
 
     async def start(self) -> None:
-        """Opens the disk, as a process does when it starts; a blank disk gets its identity."""
-        store = opened(disk=self.disk)
+        """Opens the disk as a starting process does; writes the identity to an empty disk."""
+        store = open_store(disk=self.disk)
         fresh = store.state.ident == 0
         if fresh:
             store.state.ident = IDENTITY
             store.save(entries=[ident_entry(ident=IDENTITY)])
         self.acceptor = Acceptor(ctx=self.stage.ctx, store=store, fresh=fresh, halt=lambda reason: None)
 
-    def _head(self, *, key: str, ballot: Ballot) -> Packer:
+    def _encode_head(self, *, key: str, ballot: Ballot) -> Packer:
         packer = Packer().u32(value=self.epoch).text(value=key)
         ballot.write(packer=packer)
         return packer
 
     async def adopt(self, *, epoch: int) -> None:
-        """Tells it of a roster."""
+        """Makes the acceptor adopt the roster of an epoch."""
         assert self.acceptor is not None
         data = Packer().blob(value=roster(epoch=epoch).bytes()).bytes()
         await self.acceptor.adopt(Unpacker(data=data))
         self.epoch = epoch
 
     async def promise(self, *, key: str) -> Ballot:
-        """Has it promise the next ballot for a key."""
+        """Makes the acceptor promise the next ballot for a key."""
         assert self.acceptor is not None
         self.round += 1
         ballot = Ballot(self.round, PROPOSER)
-        data = self._head(key=key, ballot=ballot).bytes()
+        data = self._encode_head(key=key, ballot=ballot).bytes()
         answer = await self.acceptor.prepare(Unpacker(data=data))
         assert answer[0] == 0, answer
         return ballot
 
     async def write(self, *, key: str, value: bytes) -> None:
-        """Has it promise and accept a value."""
+        """Makes the acceptor promise and accept a value for a key."""
         assert self.acceptor is not None
         ballot = await self.promise(key=key)
-        data = self._head(key=key, ballot=ballot).blob(value=value).bytes()
+        data = self._encode_head(key=key, ballot=ballot).blob(value=value).bytes()
         answer = await self.acceptor.accept(Unpacker(data=data))
         assert answer[0] == 0, answer
 
 
-async def run_first_life(*, replica: Replica) -> None:
-    """Identity, the roster of epoch 1 and what is written under it."""
+async def run_first_start(*, replica: Replica) -> None:
+    """Writes the identity, the roster of epoch 1 and the values under it."""
     await replica.start()
     await replica.adopt(epoch=1)
     for key, value in first_values().items():
         await replica.write(key=key, value=value)
 
 
-async def run_second_life(*, replica: Replica) -> None:
-    """A restart, the roster of epoch 2, what is written under it, and a promise without a value."""
+async def run_restart(*, replica: Replica) -> None:
+    """Restarts the replica; writes the roster of epoch 2, the values under it, and a promise without a value."""
     await replica.start()
     await replica.write(key=ROSTER_KEY, value=roster(epoch=2).bytes())
     await replica.adopt(epoch=2)
@@ -214,45 +214,45 @@
 
 
 async def write_complete(*, replica: Replica) -> None:
-    """Two lives: both slots and both logs are there, and the first log is sealed."""
-    await run_first_life(replica=replica)
-    await run_second_life(replica=replica)
+    """Writes in two process lifetimes, so that both slots and both logs exist and the first log is sealed."""
+    await run_first_start(replica=replica)
+    await run_restart(replica=replica)
 
 
 async def write_torn_slot(*, replica: Replica) -> None:
-    """A third start loses power while it replaces the older slot."""
+    """Loses power in a third start, while the older slot is replaced."""
     await write_complete(replica=replica)
     replica.disk.tear_next = True
     try:
-        opened(disk=replica.disk)
+        open_store(disk=replica.disk)
     except OSError:
         return
     raise AssertionError("the slot was not torn")
 
 
 async def write_torn_log(*, replica: Replica) -> None:
-    """The last entry of the log is cut short, and was never answered."""
+    """Truncates the last entry of the log, as a power loss does before the entry is acknowledged."""
     await write_complete(replica=replica)
     name = newest_log(disk=replica.disk)
     replica.disk.files[name] = replica.disk.files[name][:-9]
 
 
 async def write_lost_slot(*, replica: Replica) -> None:
-    """The slot in use is damaged after the log of the one before it was sealed."""
+    """Damages the slot in use, after the log of the previous slot was sealed."""
     await write_complete(replica=replica)
     name = SLOTS[LOGS.index(newest_log(disk=replica.disk))]
     replica.disk.files[name] = replica.disk.files[name][:-1]
 
 
 async def write_newer_format(*, replica: Replica) -> None:
-    """One slot is in a format of which this version knows nothing."""
+    """Marks one slot as written in format 2, which this version does not support."""
     await write_complete(replica=replica)
     data = replica.disk.files[SLOTS[1]]
     replica.disk.files[SLOTS[1]] = data[:7] + b"2" + data[8:]
 
 
 def newest_log(*, disk: SimDisk) -> str:
-    """The log that follows the slot with the highest serial number."""
+    """Returns the name of the log of the slot with the highest serial number."""
     return max(LOGS, key=lambda name: disk.files[name][8:16])
 
 
@@ -265,120 +265,120 @@
 }
 
 
-def written(*, context: Any, example: str) -> dict[str, bytes]:
-    """The files that today's code writes for an example, by name."""
+def write_example(*, context: Any, example: str) -> dict[str, bytes]:
+    """Returns the files that the current code writes for an example, by name."""
     replica = Replica(context=context, disk=new_disk())
     replica.stage.run(work=EXAMPLES[example](replica=replica))
     return dict(replica.disk.files)
 
 
-def frozen_files(*, example: str) -> dict[str, bytes]:
-    """The files that lie in an example's folder, by name."""
+def recorded_files(*, example: str) -> dict[str, bytes]:
+    """Returns the recorded files of an example, by name."""
     folder = DATA / example
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.name != STATE_FILE}
 
 
-def state_of(*, held: DurableState, torn_bytes: int) -> dict[str, Any]:
-    """A replica's state in the plain form that is kept beside the files."""
+def state_form(*, state: DurableState, torn_bytes: int) -> dict[str, Any]:
+    """Returns a replica's state in the form of `state.json`."""
     cells = {
         key: {
             "promise": [f"{number:016x}" for number in (cell.promised.round, cell.promised.proposer)],
             "vote": [f"{number:016x}" for number in (cell.accepted.round, cell.accepted.proposer)],
             "content": cell.value.hex(),
         }
-        for key, cell in sorted(held.cells.items())
+        for key, cell in sorted(state.cells.items())
     }
     return {
-        "identity": f"{held.ident:016x}",
-        "membership": held.roster.hex(),
+        "identity": f"{state.ident:016x}",
+        "membership": state.roster.hex(),
         "registers": cells,
         "cut tail": torn_bytes,
     }
 
 
-def outcome_of(*, result: Result[Store, CinderstairError]) -> dict[str, Any]:
-    """What opening a disk came to, in the plain form that is kept beside the files."""
+def open_result_form(*, result: Result[Store, CinderstairError]) -> dict[str, Any]:
+    """Returns the result of opening a disk in the form of `state.json`: the state, or the error kind of a refusal."""
     if result.is_error():
         return {"refused": result.error.code.value}
-    return state_of(held=result.ok.state, torn_bytes=result.ok.torn_bytes)
+    return state_form(state=result.ok.state, torn_bytes=result.ok.torn_bytes)
 
 
-@given('the frozen disk "{example}"')
-def given_frozen_disk(context: Any, example: str) -> None:
+@given('the recorded disk "{example}"')
+def given_recorded_disk(context: Any, example: str) -> None:
     context.example = example
     context.disk = new_disk()
-    context.disk.files = frozen_files(example=example)
+    context.disk.files = recorded_files(example=example)
 
 
-@given('the frozen disk "{example}" with each of its files in turn marked as format {number:d}')
-def given_marked(context: Any, example: str, number: int) -> None:
-    context.marked = []
+@given('copies of the recorded disk "{example}", each with another file marked as format {number:d}')
+def given_format_marked(context: Any, example: str, number: int) -> None:
+    context.copies = []
     for name in FILES:
         disk = new_disk()
-        disk.files = frozen_files(example=example)
+        disk.files = recorded_files(example=example)
         data = disk.files[name]
         disk.files[name] = data[:6] + f"{number:02d}".encode() + data[8:]
-        context.marked.append(disk)
+        context.copies.append(disk)
 
 
-@when("the frozen disk is opened")
-def when_opened(context: Any) -> None:
+@when("the recorded disk is opened")
+def when_store_opened(context: Any) -> None:
     context.result = Store(disk=context.disk).open()
 
 
-@then("the frozen disk has both slots and both logs, none of them empty")
+@then("the recorded disk has both slots and both logs, none of them empty")
 def then_all_files(context: Any) -> None:
     assert set(context.disk.files) == {"slot-a", "slot-b", "log-a", "log-b"} == set(FILES), context.disk.files.keys()
     assert all(context.disk.files.values())
 
 
-@then("the state is that listed beside the frozen files")
-def then_listed(context: Any) -> None:
-    listed = json.loads((DATA / context.example / STATE_FILE).read_text())
-    found = outcome_of(result=context.result)
-    assert found == listed, (found, listed)
+@then("the state equals the state recorded with the files")
+def then_state_listed(context: Any) -> None:
+    expected = json.loads((DATA / context.example / STATE_FILE).read_text())
+    found = open_result_form(result=context.result)
+    assert found == expected, (found, expected)
 
 
-@then("the frozen state has {count:d} registers, {promised:d} of them with a promise alone")
+@then("the state has {count:d} registers, {promised:d} of them with a promise and no value")
 def then_counted(context: Any, count: int, promised: int) -> None:
     cells = context.result.ok.state.cells
     assert len(cells) == count, cells.keys()
     assert [key for key, cell in cells.items() if not cell.value] == [PROMISE_ONLY_KEY] * promised, cells
 
 
-@then("the frozen state has more than nothing cut from its log")
-def then_cut(context: Any) -> None:
+@then("the recorded log had a truncated tail")
+def then_log_truncated(context: Any) -> None:
     assert context.result.ok.torn_bytes > 0
 
 
-@then("the state is that of a store that was opened once more")
+@then("opening the disk again yields the same state and the next serial number")
 def then_opened_again(context: Any) -> None:
     first = context.result.ok
-    again = opened(disk=context.disk)
+    again = open_store(disk=context.disk)
     assert again.serial == first.serial + 1
-    assert state_of(held=again.state, torn_bytes=0) == state_of(held=first.state, torn_bytes=0)
+    assert state_form(state=again.state, torn_bytes=0) == state_form(state=first.state, torn_bytes=0)
 
 
-@then('the frozen disk is refused with the words "{words}", and not one byte is changed')
+@then('the recorded disk is refused with an error that contains "{words}", and no byte is changed')
 def then_refused(context: Any, words: str) -> None:
     assert context.result.is_error() and words in context.result.error.reason, context.result
-    assert context.disk.files == frozen_files(example=context.example)
+    assert context.disk.files == recorded_files(example=context.example)
 
 
-@then('each of these frozen disks is refused with the words "{words}", and not one byte is changed')
+@then('each copy is refused with an error that contains "{words}", and no byte is changed')
 def then_each_refused(context: Any, words: str) -> None:
-    assert len(context.marked) == len(FILES)
-    for disk in context.marked:
+    assert len(context.copies) == len(FILES)
+    for disk in context.copies:
         before = dict(disk.files)
         result = Store(disk=disk).open()
         assert result.is_error() and words in result.error.reason, result
         assert disk.files == before
 
 
-@then("the same operations write the frozen files, byte for byte")
+@then("the same operations write the recorded files, byte for byte")
 def then_same_bytes(context: Any) -> None:
-    found = written(context=context, example=context.example)
-    frozen = frozen_files(example=context.example)
-    assert found.keys() == frozen.keys(), (found.keys(), frozen.keys())
-    for name, data in frozen.items():
+    found = write_example(context=context, example=context.example)
+    recorded = recorded_files(example=context.example)
+    assert found.keys() == recorded.keys(), (found.keys(), recorded.keys())
+    for name, data in recorded.items():
         assert found[name] == data, f"{name}: {found[name].hex()} and not {data.hex()}"
