--- a/features/compatibility/record_format.feature
+++ b/features/compatibility/record_format.feature
@@ -1,19 +1,19 @@
-Feature: Records and register values that an earlier version wrote
-  Daemons of two versions speak with one another while a system is upgraded, and what is kept in the register outlives
-  every version. The bytes in data/record_format.json were written before the code's identifiers were renamed, and are
-  never written again: a test that fails on them has found a change of format.
-
-  Scenario: Everything with a type of its own is read and written as it was
-    Given the frozen record examples
-    Then there is one for every example that the tests make, 53 in all
-    And each frozen example is read as the value that it was made of
-    And each frozen example, read and written again, has the same bytes
-    And each value that the tests make is written as the frozen bytes
-
-  Scenario Outline: A handler answers frozen requests with the frozen answers
-    Given the frozen dialogue with a "<daemon>"
-    Then the frozen dialogue's requests are built with the same bytes, <count> in all
-    And today's handler answers the frozen requests with the same bytes
+Feature: Compatibility of records and register values
+  Daemons of two versions exchange records during an upgrade, and values in the register outlive every version. The
+  bytes in data/record_format.json were recorded before the code's identifiers were renamed, and are never written
+  again: a failing scenario has found a change of format.
+
+  Scenario: Values of all types are decoded from and encoded to the recorded bytes
+    Given the recorded examples
+    Then there is one for each example of the tests, 53 in all
+    And each recorded example is decoded to the value of its example
+    And each recorded example, decoded and encoded again, has the same bytes
+    And each example's value is encoded to the recorded bytes
+
+  Scenario Outline: Recorded requests get the recorded answers from a <daemon>
+    Given the recorded dialogue with a "<daemon>"
+    Then its requests are encoded to the recorded bytes, <count> in all
+    And the handler answers the recorded requests with the recorded bytes
 
     Examples:
       | daemon               | count |
@@ -24,9 +24,9 @@
       | front end that stops | 3     |
       | pooler               | 2     |
 
-  Scenario Outline: Clients send the frozen records
-    When the frozen conversation "<subject>" is held by real clients and real handlers
-    Then the records that were sent and their answers have the frozen bytes, <count> in all
+  Scenario Outline: Clients send the recorded records: <subject>
+    When the recorded conversation "<subject>" is repeated by real clients and handlers
+    Then the sent records and their answers have the recorded bytes, <count> in all
 
     Examples:
       | subject  | count |
@@ -34,25 +34,25 @@
       | control  | 11    |
       | sessions | 8     |
 
-  Scenario: Wire kinds keep their numbers, their versions and their names in counters
-    Then the wire kinds have the frozen numbers and the frozen names in counters
-    And each version of the records has the frozen kinds
+  Scenario: Message types keep their numbers, protocol versions and names in counters
+    Then the message types have the recorded numbers and names in counters
+    And each protocol version has the recorded message types
 
   Scenario: Error kinds keep their spelling
-    Then the error kinds are spelled as the frozen ones, 42 in all
+    Then the error kinds have the recorded spelling, 42 in all
 
-  Scenario: The register's keys and the names of leases stay
-    Then the register's keys are the frozen ones
-    And the names of leases are the frozen ones
+  Scenario: Register keys and lease names are kept
+    Then the register keys are the recorded ones
+    And the lease names are the recorded ones
 
-  Scenario: The fence of promotions goes on from the number that is kept
-    Then the next holder of the promotion duty counts the frozen fence up to the frozen next one
+  Scenario: The promotion fence continues from the stored number
+    Then the next holder of the promotion lease increments the recorded fence to the recorded next one
 
-  Scenario: Documents that operators wrote are still accepted
-    Then the frozen configuration document is accepted as version 1
-    And the frozen shard document is accepted as version 4
-    And the frozen service configuration of before digests were kept is read as version 9
+  Scenario: Operators' documents of an earlier version are accepted
+    Then the recorded configuration document is accepted as version 1
+    And the recorded shard map document is accepted as version 4
+    And the recorded service configuration without digests is decoded as version 9
 
-  Scenario: A record's frame and the mark of its version stay
-    Then the frozen frame is read from a connection, and written with the same bytes
-    And the frozen marks of a version and of a denial are read and written with the same bytes
+  Scenario: Record frames, version headers and version rejections keep their bytes
+    Then the recorded frame is read from a connection, and written with the same bytes
+    And the recorded version headers and version rejection are read and written with the same bytes
--- a/features/steps/record_format_conversations.py
+++ b/features/steps/record_format_conversations.py
@@ -1,4 +1,4 @@
-"""Real clients that speak with real handlers, each record kept with its answer."""
+"""Conversations of real clients with real handlers, recorded as pairs of record and answer."""
 
 from collections.abc import Callable
 
@@ -9,9 +9,9 @@
     EPOCH,
     OTHER_LEASES_US,
     DispatcherNet,
-    FrontEnd,
+    HttpProxy,
     control_dispatcher,
-    front_end,
+    http_proxy,
     replica_dispatcher,
 )
 from stage import Stage
@@ -35,14 +35,14 @@
 from cinderstair.runtime.context import Context
 from cinderstair.runtime.dispatcher import Dispatcher
 
-DARK_ADDRESS = "10.1.0.9:7100"
+UNREACHABLE_ADDRESS = "10.1.0.9:7100"
 SECOND_ADDRESS = "10.2.0.2:7200"
-PAUSE_US = 1_200_000
+TIMER_PAUSE_US = 1_200_000
 WAIT_US = 1_000_000
 
 
-async def use_register(*, register: Register, lease: Lease) -> None:
-    """Everything that a client of the register sends: a write, a read, vectors, a lease, a roster."""
+async def exercise_register(*, register: Register, lease: Lease) -> None:
+    """Sends all record types of a register client: a roster, a write, a read, two vectors and a lease."""
     one_voter = Roster(epoch=EPOCH, voters=roster(epoch=EPOCH).voters[:1])
     assert await register.send_roster(address=ADDRESS, roster=one_voter)
     await register.ctx.sleep(duration_us=OTHER_LEASES_US)
@@ -56,25 +56,25 @@
 
 
 def register_conversation(*, stage: Stage) -> list[tuple[bytes, bytes]]:
-    """All records between a client of the register and its only voter."""
+    """Returns the exchanges between a client of the register and the only voter."""
     client = stage.context(name="client", seed=3)
     net = DispatcherNet()
     client.net = net
     net.dispatchers[ADDRESS] = replica_dispatcher(stage=stage)
     register = Register(ctx=client, seeds=(ADDRESS,))
     lease = Lease(ctx=client, register=register, name="slots", contenders=lambda: 1)
-    stage.run(work=use_register(register=register, lease=lease))
-    return net.carried
+    stage.run(work=exercise_register(register=register, lease=lease))
+    return net.exchanges
 
 
 def add_member(*, membership: Membership, name: str, role: str, address: str) -> None:
-    """Makes a daemon known to another."""
+    """Adds a daemon to another daemon's membership."""
     membership.members[name] = Member(name=name, role=role, site="far", records=address, http="", incarnation=1)
     membership.state_since_us[name] = membership.ctx.now_us()
 
 
 class ControlClient:
-    """What a control daemon and a pooler ask of a control daemon. Needs a running loop."""
+    """The components of controllers and proxies that send records to a controller. Needs a running loop."""
 
     def __init__(self, *, ctx: Context) -> None:
         self.ctx = ctx
@@ -107,7 +107,10 @@
         )
 
     async def use(self) -> None:
-        """Probes, a backend's word, news, a pull by relay, a place, and what is known of poolers."""
+        """Sends probes, an announcement, a heartbeat query, a relay request, a proxy address and queries for proxies.
+
+        The last probe goes to an unreachable member, which makes the client ask the controller to probe it.
+        """
         add_member(membership=self.membership, name="replica-1", role="vault", address=ADDRESS)
         await self.membership.check(name="replica-1")
         assert await self.announcer.replicate(announcement=announcement(state=READY))
@@ -115,17 +118,17 @@
         assert self.heartbeat_table.latest(name="db-1") is not None
         await self.view.pull()
         self.view.controller = ADDRESS
-        await self.ctx.sleep(duration_us=PAUSE_US)
+        await self.ctx.sleep(duration_us=TIMER_PAUSE_US)
         self.address_announcer.on_timer()
         await self.ctx.sleep(duration_us=1)
         assert await self.census.gather(every_us=0)
         assert await self.census.gather_addresses(every_us=0)
-        add_member(membership=self.membership, name="replica-9", role="vault", address=DARK_ADDRESS)
+        add_member(membership=self.membership, name="replica-9", role="vault", address=UNREACHABLE_ADDRESS)
         await self.membership.check(name="replica-9")
 
 
 def control_conversation(*, stage: Stage) -> list[tuple[bytes, bytes]]:
-    """All records between a control daemon and what asks it."""
+    """Returns the exchanges between a controller and its clients."""
     dispatcher = control_dispatcher(stage=stage)
     ctx = stage.context(name="client", seed=3)
     net = DispatcherNet()
@@ -133,18 +136,18 @@
     net.dispatchers[ADDRESS] = dispatcher
     client = stage.call(call=lambda: ControlClient(ctx=ctx))
     stage.run(work=client.use())
-    return net.carried
+    return net.exchanges
 
 
-async def use_sessions(*, ctx: Context, first: FrontEnd, second: FrontEnd) -> None:
-    """A session is copied, vouched for, sought, offered to the other front end, and ended."""
+async def exercise_sessions(*, ctx: Context, first: HttpProxy, second: HttpProxy) -> None:
+    """Replicates a session, refreshes its replica, looks up a session, hands the session over, and closes it."""
     add_member(membership=first.membership, name="front-2", role="stall", address=SECOND_ADDRESS)
     await first.membership.check(name="front-2")
     await ctx.sleep(duration_us=1)
     held = first.sessions.add(database="orders")
     assert held is not None
     assert await first.session_replicator.keep(session=held, until_us=ctx.now_us() + WAIT_US)
-    await ctx.sleep(duration_us=PAUSE_US)
+    await ctx.sleep(duration_us=TIMER_PAUSE_US)
     await first.handover.find(handle=SessionToken("front-9.00ee", Tag(2, "00c0ffee")))
     second.ready.draining = True
     assert await first.handover.hand_all() == 1
@@ -153,17 +156,17 @@
 
 
 def session_conversation(*, stage: Stage) -> list[tuple[bytes, bytes]]:
-    """All records from one front end to another."""
+    """Returns the exchanges from one HTTP proxy to another."""
     ctx, other = stage.context(name="front-1", seed=3), stage.context(name="front-2", seed=4)
     net = DispatcherNet()
     ctx.net = net
     me = Member(name="front-1", role="stall", site="near", records=ADDRESS, http="", incarnation=1)
     peer = Member(name="front-2", role="stall", site="far", records=SECOND_ADDRESS, http="", incarnation=1)
-    first = stage.call(call=lambda: front_end(ctx=ctx, me=me))
-    second = stage.call(call=lambda: front_end(ctx=other, me=peer))
+    first = stage.call(call=lambda: http_proxy(ctx=ctx, me=me))
+    second = stage.call(call=lambda: http_proxy(ctx=other, me=peer))
     net.dispatchers[SECOND_ADDRESS] = second.dispatcher
-    stage.run(work=use_sessions(ctx=ctx, first=first, second=second))
-    return net.carried
+    stage.run(work=exercise_sessions(ctx=ctx, first=first, second=second))
+    return net.exchanges
 
 
 CONVERSATIONS: dict[str, Callable[..., list[tuple[bytes, bytes]]]] = {
--- a/features/steps/record_format_examples.py
+++ b/features/steps/record_format_examples.py
@@ -1,4 +1,4 @@
-"""Examples of everything that has a type of its own and is sent between daemons or kept in the register."""
+"""Example values of all types that are sent between daemons or stored in the register or on disk."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -53,29 +53,29 @@
 from cinderstair.runtime.position import Position
 from cinderstair.runtime.unpacker import Unpacker
 
-# a session's age is told, so its examples are written and read at one moment
+# records contain a session's age, so the examples are encoded and decoded at the same time
 NOW_US = 50_000_000
 SESSION_TAG = Tag(4, "0badcafe")
 
 
 @dataclass(frozen=True, kw_only=True)
 class Example:
-    """A value, and how the code writes and reads it."""
+    """A value with the functions that encode and decode it."""
 
     value: Any
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any]
 
 
-def packed(value: Any) -> bytes:
-    """What a type writes that is always part of a larger record."""
+def encode_part(value: Any) -> bytes:
+    """Encodes a value that is always part of a larger record."""
     packer = Packer()
     value.write(packer=packer)
     return packer.bytes()
 
 
-def whole(*, data: bytes, read: Callable[[Unpacker], Any], version: int = 1) -> Any:
-    """Reads a part of a record that is all there is."""
+def decode_all(*, data: bytes, read: Callable[[Unpacker], Any], version: int = 1) -> Any:
+    """Decodes such a part, and fails if bytes are left over."""
     unpacker = Unpacker(data=data, version=version)
     found = read(unpacker)
     unpacker.done()
@@ -220,7 +220,7 @@
     )
 
 
-def forward_question(*, step: ForwardStep, verb: Verb) -> ForwardRequest:
+def forward_request(*, step: ForwardStep, verb: Verb) -> ForwardRequest:
     return ForwardRequest(
         requester="pooler-2",
         step=step,
@@ -240,7 +240,7 @@
     )
 
 
-def forward_answer(*, outcome: Outcome, state: State, fault: ErrorCode | None) -> ForwardResponse:
+def forward_response(*, outcome: Outcome, state: State, fault: ErrorCode | None) -> ForwardResponse:
     reply = Reply(
         rows=[b"row-1", b"row-2"],
         stamp=b"stamp",
@@ -255,7 +255,7 @@
     return ForwardResponse(incarnation=0x55, now_us=998_000, outcome=outcome, reply=reply, unknown=(13,))
 
 
-def session(*, marked: bool = True) -> Session:
+def session(*, tagged: bool = True) -> Session:
     return Session(
         ident="pooler-1.00aa",
         database="orders",
@@ -263,14 +263,14 @@
         prepared={"find": "SELECT ?"},
         floor=77,
         used_us=NOW_US - 250_000,
-        tag=SESSION_TAG if marked else UNMARKED,
-        was=Tag(3, "00c0ffee") if marked else UNMARKED,
+        tag=SESSION_TAG if tagged else UNMARKED,
+        was=Tag(3, "00c0ffee") if tagged else UNMARKED,
     )
 
 
-def first_version_session(*, marked: bool) -> Session:
-    """What the first version carries of a session: neither its age nor its former state."""
-    found = session(marked=marked)
+def first_version_session(*, tagged: bool) -> Session:
+    """Returns the session as version 1 of the protocol carries it, without age and previous tag."""
+    found = session(tagged=tagged)
     found.used_us, found.was = NOW_US, UNMARKED
     return found
 
@@ -279,29 +279,31 @@
     return Example(
         value=value,
         encode=lambda each: each.write(packer=Packer(), version=version, now_us=NOW_US).bytes(),
-        decode=lambda data: whole(data=data, read=lambda u: read_session(unpacker=u, now_us=NOW_US), version=version),
+        decode=lambda data: decode_all(
+            data=data, read=lambda u: read_session(unpacker=u, now_us=NOW_US), version=version
+        ),
     )
 
 
 def disk_entry_example(*, value: DurableState, encode: Callable[[DurableState], bytes]) -> Example:
-    """One entry of a replica's log, read into an otherwise empty state."""
+    """Returns the example of a log entry of a replica, which is applied to an empty state."""
 
     def decode(data: bytes) -> DurableState:
-        held = DurableState()
-        assert not apply_entry(state=held, entry=data)
-        return held
+        state = DurableState()
+        assert not apply_entry(state=state, entry=data)
+        return state
 
     return Example(value=value, encode=encode, decode=decode)
 
 
 def bytes_example(*, value: Any, read: Callable[[bytes], Any]) -> Example:
-    """A type that writes a whole record or a whole value."""
+    """Returns the example of a type that encodes a whole record or register value."""
     return Example(value=value, encode=lambda each: each.bytes(), decode=read)
 
 
 def part_example(*, value: Any, read: Callable[[Unpacker], Any]) -> Example:
-    """A type that writes a part of a record."""
-    return Example(value=value, encode=packed, decode=lambda data: whole(data=data, read=read))
+    """Returns the example of a type that encodes part of a record."""
+    return Example(value=value, encode=encode_part, decode=lambda data: decode_all(data=data, read=read))
 
 
 def voter_example() -> Example:
@@ -313,11 +315,11 @@
     return Example(
         value=roster(epoch=1).voters[0],
         encode=encode,
-        decode=lambda data: whole(data=data, read=lambda u: read_voter(unpacker=u)),
+        decode=lambda data: decode_all(data=data, read=lambda u: read_voter(unpacker=u)),
     )
 
 
-def handle_example(*, value: SessionToken) -> Example:
+def token_example(*, value: SessionToken) -> Example:
     return Example(
         value=value,
         encode=lambda each: str(each).encode(),
@@ -335,7 +337,7 @@
     return found
 
 
-def lead_examples() -> dict[str, Example]:
+def primary_examples() -> dict[str, Example]:
     found = {}
     for name, state in {"settled": SETTLED, "closing": CLOSING, "moving": MOVING}.items():
         value = database_primary(state=state)
@@ -344,13 +346,15 @@
         )
     states = {"settled": PrimaryState.settled, "closing": PrimaryState.closing, "moving": PrimaryState.moving}
     for name, number in states.items():
-        word = service_primary(state=number)
-        found[f"service lead, {name}"] = bytes_example(value=word, read=lambda data: read_service_primary(data=data))
+        example_value = service_primary(state=number)
+        found[f"service lead, {name}"] = bytes_example(
+            value=example_value, read=lambda data: read_service_primary(data=data)
+        )
     return found
 
 
 def register_examples() -> dict[str, Example]:
-    """Every typed value that is kept in the register."""
+    """Returns an example of each type of register value."""
     proxy_ids = ProxyIds(names=(ProxyId(0, "pooler-1"), ProxyId(2, "pooler-3")))
     proxy_addresses = ProxyAddresses(
         addresses={
@@ -364,25 +368,25 @@
         "slot table": bytes_example(value=proxy_ids, read=lambda data: read_proxy_ids(data=data)),
         "place table": bytes_example(value=proxy_addresses, read=lambda data: read_proxy_addresses(data=data)),
         "window stages": bytes_example(value=window_states(), read=lambda data: read_window_states(data=data)),
-        **lead_examples(),
+        **primary_examples(),
         **shard_examples(),
     }
 
 
 def disk_examples() -> dict[str, Example]:
-    """The entries of a replica's log and slots."""
+    """Returns an example of each kind of entry in a replica's log and slots."""
     cell = Cell(promised=Ballot(9, 3), accepted=Ballot(8, 2), value=b"kept")
     voters = roster(epoch=2).bytes()
     return {
         "disk entry, one key": disk_entry_example(
             value=DurableState(cells={"plan": cell}),
-            encode=lambda held: b"".join(cell_entry(key=key, cell=each) for key, each in held.cells.items()),
+            encode=lambda state: b"".join(cell_entry(key=key, cell=each) for key, each in state.cells.items()),
         ),
         "disk entry, voter list": disk_entry_example(
-            value=DurableState(roster=voters), encode=lambda held: roster_entry(data=held.roster)
+            value=DurableState(roster=voters), encode=lambda state: roster_entry(data=state.roster)
         ),
         "disk entry, identity": disk_entry_example(
-            value=DurableState(ident=0x1122334455667788), encode=lambda held: ident_entry(ident=held.ident)
+            value=DurableState(ident=0x1122334455667788), encode=lambda state: ident_entry(ident=state.ident)
         ),
     }
 
@@ -399,8 +403,10 @@
         for name, standing in standings.items()
     }
     for name, state in {"ready": READY, "emptying": EMPTYING, "gone": GONE}.items():
-        word = announcement(state=state)
-        found[f"announcement, {name}"] = part_example(value=word, read=lambda u: read_announcement(unpacker=u))
+        example_value = announcement(state=state)
+        found[f"announcement, {name}"] = part_example(
+            value=example_value, read=lambda u: read_announcement(unpacker=u)
+        )
     for name, state in {"ready": READY, "emptying": EMPTYING, "starting": STARTING}.items():
         found[f"beat, {name}"] = part_example(value=heartbeat(state=state), read=lambda u: read_heartbeat(unpacker=u))
     return found
@@ -433,29 +439,29 @@
     }
     found = {}
     for name, (step, verb) in steps.items():
-        question = forward_question(step=step, verb=verb)
+        request = forward_request(step=step, verb=verb)
         found[f"forward question, {name}"] = bytes_example(
-            value=question, read=lambda data: whole(data=data, read=lambda u: read_forward_request(unpacker=u))
+            value=request, read=lambda data: decode_all(data=data, read=lambda u: read_forward_request(unpacker=u))
         )
-    answers = {
-        "answered": forward_answer(outcome=Outcome.answered, state=State.open, fault=None),
-        "not sent": forward_answer(outcome=Outcome.not_sent, state=State.idle, fault=ErrorCode.NO_BACKEND),
-        "lost": forward_answer(outcome=Outcome.lost, state=State.failed, fault=ErrorCode.OUTCOME_UNKNOWN),
+    responses = {
+        "answered": forward_response(outcome=Outcome.answered, state=State.open, fault=None),
+        "not sent": forward_response(outcome=Outcome.not_sent, state=State.idle, fault=ErrorCode.NO_BACKEND),
+        "lost": forward_response(outcome=Outcome.lost, state=State.failed, fault=ErrorCode.OUTCOME_UNKNOWN),
     }
-    for name, answer in answers.items():
+    for name, response in responses.items():
         found[f"forward answer, {name}"] = bytes_example(
-            value=answer, read=lambda data: read_forward_response(data=data)
+            value=response, read=lambda data: read_forward_response(data=data)
         )
     return found
 
 
 def session_examples() -> dict[str, Example]:
     return {
-        "session, version 1": session_example(value=first_version_session(marked=True), version=1),
-        "session without a tag, version 1": session_example(value=first_version_session(marked=False), version=1),
+        "session, version 1": session_example(value=first_version_session(tagged=True), version=1),
+        "session without a tag, version 1": session_example(value=first_version_session(tagged=False), version=1),
         "session, version 2": session_example(value=session(), version=2),
-        "session handle": handle_example(value=SessionToken("pooler-1.00aa", SESSION_TAG)),
-        "session handle without a tag": handle_example(value=SessionToken("pooler-1.00aa", UNMARKED)),
+        "session handle": token_example(value=SessionToken("pooler-1.00aa", SESSION_TAG)),
+        "session handle without a tag": token_example(value=SessionToken("pooler-1.00aa", UNMARKED)),
     }
 
 
@@ -464,7 +470,7 @@
 
 
 def all_examples() -> dict[str, Example]:
-    """Every example by the name under which it is frozen."""
+    """Returns all examples by their names in the recorded data."""
     return {
         "ballot": ballot_example(),
         "voter": voter_example(),
--- a/features/steps/record_format_handlers.py
+++ b/features/steps/record_format_handlers.py
@@ -1,4 +1,4 @@
-"""Real request handlers on a fixed seed, and the requests that are frozen together with their answers."""
+"""Real request handlers on a fixed seed, and the requests that are recorded with their answers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 from record_format_examples import (
     NOW_US,
     announcement,
-    forward_question,
-    packed,
+    encode_part,
+    forward_request,
     plan,
     relay_question,
     roster,
@@ -57,14 +57,14 @@
 SECOND_VERSION = 2
 EPOCH = 3
 LEASE_US = 1_500_000
-# leases that others granted before this replica got its vote have run out by then
+# leases that other replicas granted before this one became a voter have expired by then
 OTHER_LEASES_US = 2_100_000
-LOOK_US = 500_000
+RELAY_PAUSE_US = 500_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class Request:
-    """A record that a daemon is asked, in the version that it says, after a pause."""
+    """A record sent to a daemon after a pause; its header states the protocol version."""
 
     name: str
     data: bytes
@@ -72,31 +72,31 @@
 
 
 class DispatcherNet:
-    """Carries records to the desks that it knows, and keeps each with its answer."""
+    """A network that passes records to dispatchers by address and keeps all records with their answers."""
 
     def __init__(self) -> None:
         self.dispatchers: dict[str, Dispatcher] = {}
-        self.carried: list[tuple[bytes, bytes]] = []
+        self.exchanges: list[tuple[bytes, bytes]] = []
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         dispatcher = self.dispatchers.get(address)
         if dispatcher is None:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="nobody is there"))
+            return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no daemon at this address"))
         try:
             answer = await dispatcher.dispatch(body)
         except ValueError:
-            # why: a record that is refused is left without an answer
-            self.carried.append((body, b""))
+            # a rejected record gets no answer
+            self.exchanges.append((body, b""))
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason="no answer"))
-        self.carried.append((body, answer))
+        self.exchanges.append((body, answer))
         return Ok(answer)
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
-        """Desks are put in by hand."""
+        """Does nothing; tests add dispatchers themselves."""
 
 
 class ReachableBackends:
-    """A control of backends that reaches every one of them."""
+    """A backend control for which all backends are reachable replicas."""
 
     async def state(self, *, backend: Announcement, wait_us: int) -> Result[BackendState, CinderstairError]:
         return Ok(BackendState(is_primary=False, term=1, received=Position(1, 5), term_held=1))
@@ -107,7 +107,7 @@
 
 
 def disk_with_identity() -> SimDisk:
-    """A disk whose identity is that of the first voter."""
+    """Creates a disk with the identity of the first voter."""
     disk = SimDisk(rng=Random(1))
     store = Store(disk=disk).open().ok
     store.save(entries=[ident_entry(ident=roster(epoch=EPOCH).voters[0].ident)])
@@ -115,7 +115,7 @@
 
 
 def replica_dispatcher(*, stage: Stage) -> Dispatcher:
-    """A register replica that was restarted and knows no roster."""
+    """Starts a register replica that has an identity and no roster."""
     stage.ctx.disk = disk_with_identity()
     register_replica = RegisterReplica(ctx=stage.ctx, settings=settings(), halt=lambda reason: None)
     opened = stage.call(call=register_replica.open)
@@ -124,7 +124,7 @@
 
 
 def control_dispatcher(*, stage: Stage) -> Dispatcher:
-    """A control daemon that reaches every backend and no other daemon but itself."""
+    """Starts a controller that reaches all backends and no other daemon than itself."""
     net = DispatcherNet()
     stage.ctx.net = net
     stage.ctx.disk = disk_with_identity()
@@ -145,8 +145,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FrontEnd:
-    """What of a front end has to do with sessions; its view of the register is not asked for."""
+class HttpProxy:
+    """The session components of an HTTP proxy; they make no use of its view of the register."""
 
     dispatcher: Dispatcher
     membership: Membership
@@ -156,8 +156,8 @@
     handover: Handover
 
 
-def front_end(*, ctx: Context, me: Member) -> FrontEnd:
-    """A front end without sessions. Needs a running loop."""
+def http_proxy(*, ctx: Context, me: Member) -> HttpProxy:
+    """Creates an HTTP proxy without sessions. Needs a running loop."""
     dispatcher = Dispatcher(ctx=ctx)
     membership = Membership(ctx=ctx, dispatcher=dispatcher, me=me, seeds=())
     sessions = Sessions(ctx=ctx, idle_transaction_us=10_000_000, idle_session_us=86_400_000_000)
@@ -174,7 +174,7 @@
         session_replicas=replicas,
         session_replicator=session_replicator,
     )
-    return FrontEnd(
+    return HttpProxy(
         dispatcher=dispatcher,
         membership=membership,
         sessions=sessions,
@@ -185,23 +185,23 @@
 
 
 def session_dispatcher(*, stage: Stage, draining: bool = False) -> Dispatcher:
-    """A front end that holds one session."""
+    """Creates an HTTP proxy that holds one session."""
     me = Member(name="pooler-9", role="stall", site="near", records=ADDRESS, http="", incarnation=1)
-    built = stage.call(call=lambda: front_end(ctx=stage.ctx, me=me))
-    built.ready.draining = draining
+    proxy = stage.call(call=lambda: http_proxy(ctx=stage.ctx, me=me))
+    proxy.ready.draining = draining
     held = session()
     held.ident = "pooler-9.00bb"
-    built.sessions.open[held.ident] = held
-    return built.dispatcher
+    proxy.sessions.open[held.ident] = held
+    return proxy.dispatcher
 
 
 def draining_dispatcher(*, stage: Stage) -> Dispatcher:
-    """A front end that is about to stop."""
+    """Creates an HTTP proxy that holds one session and is draining."""
     return session_dispatcher(stage=stage, draining=True)
 
 
 def forward_server(*, stage: Stage) -> Dispatcher:
-    """A pooler that forwards statements and holds no link."""
+    """Creates a proxy that serves forwarded statements and has no links."""
     dispatcher = Dispatcher(ctx=stage.ctx)
     reported = ReportedView(stage=stage)
 
@@ -235,7 +235,7 @@
     return packer.bytes()
 
 
-def hello_request(*, voter: Voter) -> bytes:
+def join_request(*, voter: Voter) -> bytes:
     packer = Packer().u8(value=MessageType.JOIN_REQUEST)
     write_voter(packer=packer, voter=voter)
     return packer.bytes()
@@ -249,26 +249,28 @@
     return Packer().u8(value=MessageType.HANDSHAKE).u8(value=lowest).u8(value=highest).text(value="pooler-1").bytes()
 
 
-def second(data: bytes) -> bytes:
-    """A record in the second version."""
+def in_version_2(data: bytes) -> bytes:
+    """Adds the header of protocol version 2 to a record."""
     return add_version_header(version=SECOND_VERSION, body=data)
 
 
 def replica_requests() -> list[Request]:
-    """Every record that a register replica answers, in an order in which each kind of answer comes up."""
-    asker = Voter(ident=0, name="", address="")
+    """Returns all record types that a register replica answers, ordered so that each kind of answer occurs."""
+    client = Voter(ident=0, name="", address="")
     return [
-        Request(name="hello, no voters yet", data=hello_request(voter=roster(epoch=EPOCH).voters[1])),
+        Request(name="hello, no voters yet", data=join_request(voter=roster(epoch=EPOCH).voters[1])),
         Request(name="prepare, no vote", data=vote_request(kind=MessageType.PREPARE, key="plan", round=1, epoch=0)),
         Request(name="adopt", data=adopt_request(epoch=EPOCH)),
-        Request(name="adopt an older one, version 2", data=second(adopt_request(epoch=EPOCH - 1))),
+        Request(name="adopt an older one, version 2", data=in_version_2(adopt_request(epoch=EPOCH - 1))),
         Request(name="prepare", data=vote_request(kind=MessageType.PREPARE, key="plan", round=5)),
         Request(name="prepare, beaten", data=vote_request(kind=MessageType.PREPARE, key="plan", round=4)),
         Request(name="accept", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=5, value=plan().bytes())),
         Request(
             name="accept, beaten", data=vote_request(kind=MessageType.ACCEPT, key="plan", round=4, value=b"late")
         ),
-        Request(name="prepare, version 2", data=second(vote_request(kind=MessageType.PREPARE, key="plan", round=6))),
+        Request(
+            name="prepare, version 2", data=in_version_2(vote_request(kind=MessageType.PREPARE, key="plan", round=6))
+        ),
         Request(
             name="prepare, older voters",
             data=vote_request(kind=MessageType.PREPARE, key="plan", round=9, epoch=EPOCH - 1),
@@ -279,19 +281,19 @@
         ),
         Request(
             name="accept, version 2",
-            data=second(vote_request(kind=MessageType.ACCEPT, key="service/alpha", round=7, value=b"v")),
+            data=in_version_2(vote_request(kind=MessageType.ACCEPT, key="service/alpha", round=7, value=b"v")),
         ),
         Request(name="read", data=read_request(key="plan")),
         Request(name="read, nothing there", data=read_request(key="slots")),
-        Request(name="read, version 2", data=second(read_request(key="service/alpha"))),
+        Request(name="read, version 2", data=in_version_2(read_request(key="service/alpha"))),
         Request(name="vector, version 1", data=vector_request(version=1)),
-        Request(name="vector, version 2", data=second(vector_request(version=SECOND_VERSION))),
+        Request(name="vector, version 2", data=in_version_2(vector_request(version=SECOND_VERSION))),
         Request(name="lease, too early", data=lease_request(holder=8, length_us=LEASE_US)),
         Request(name="lease", data=lease_request(holder=8, length_us=LEASE_US), pause_us=OTHER_LEASES_US),
         Request(name="lease, held by another", data=lease_request(holder=9, length_us=LEASE_US)),
-        Request(name="lease, given back, version 2", data=second(lease_request(holder=8, length_us=0))),
-        Request(name="hello", data=hello_request(voter=roster(epoch=EPOCH).voters[2])),
-        Request(name="hello of an asker, version 2", data=second(hello_request(voter=asker))),
+        Request(name="lease, given back, version 2", data=in_version_2(lease_request(holder=8, length_us=0))),
+        Request(name="hello", data=join_request(voter=roster(epoch=EPOCH).voters[2])),
+        Request(name="hello of an asker, version 2", data=in_version_2(join_request(voter=client))),
         Request(name="parley", data=handshake_request(lowest=1, highest=2)),
         Request(name="parley, nothing in common", data=handshake_request(lowest=8, highest=9)),
         Request(
@@ -308,7 +310,7 @@
     return packer.bytes()
 
 
-def news_request(*, known: tuple[tuple[int, int], ...]) -> bytes:
+def heartbeats_request(*, known: tuple[tuple[int, int], ...]) -> bytes:
     packer = Packer().u8(value=MessageType.HEARTBEATS)
     return packer.many(values=known, each=lambda p, e: p.u64(value=e[0]).u64(value=e[1])).bytes()
 
@@ -322,34 +324,34 @@
 
 
 def relay_request(*, vote: Vote) -> bytes:
-    return bytes([MessageType.RELAY]) + packed(relay_question(vote=vote))
+    return bytes([MessageType.RELAY]) + encode_part(relay_question(vote=vote))
 
 
 def control_requests() -> list[Request]:
-    """Every record that a control daemon answers beside a replica's."""
-    word = bytes([MessageType.ANNOUNCE]) + packed(announcement(state=READY))
-    bare = {"booths": MessageType.PROXIES, "places": MessageType.PROXY_ADDRESSES}
+    """Returns all record types that a controller answers in addition to those of a replica."""
+    announce = bytes([MessageType.ANNOUNCE]) + encode_part(announcement(state=READY))
+    empty_requests = {"booths": MessageType.PROXIES, "places": MessageType.PROXY_ADDRESSES}
     return [
         Request(name="probe", data=probe_request()),
-        Request(name="probe, version 2", data=second(probe_request())),
+        Request(name="probe, version 2", data=in_version_2(probe_request())),
         Request(name="probe for", data=text_request(kind=MessageType.PROBE_FOR, texts=(ADDRESS,))),
-        Request(name="news, none yet", data=news_request(known=())),
-        Request(name="announce", data=second(word)),
-        Request(name="news", data=news_request(known=((0x99, 5),))),
-        Request(name="opinion", data=second(text_request(kind=MessageType.OPINION, texts=("db-1",)))),
-        Request(name="suspect", data=second(text_request(kind=MessageType.SUSPECT, texts=("db-1",)))),
-        Request(name="relay, brief", data=second(relay_request(vote=Vote.silent)), pause_us=LOOK_US),
-        Request(name="relay, whole", data=second(relay_request(vote=Vote.agrees))),
+        Request(name="news, none yet", data=heartbeats_request(known=())),
+        Request(name="announce", data=in_version_2(announce)),
+        Request(name="news", data=heartbeats_request(known=((0x99, 5),))),
+        Request(name="opinion", data=in_version_2(text_request(kind=MessageType.OPINION, texts=("db-1",)))),
+        Request(name="suspect", data=in_version_2(text_request(kind=MessageType.SUSPECT, texts=("db-1",)))),
+        Request(name="relay, brief", data=in_version_2(relay_request(vote=Vote.silent)), pause_us=RELAY_PAUSE_US),
+        Request(name="relay, whole", data=in_version_2(relay_request(vote=Vote.agrees))),
         Request(
             name="place",
             data=text_request(kind=MessageType.ANNOUNCE_ADDRESS, texts=("pooler-1", "near", "10.2.0.1:7200")),
         ),
-        *(Request(name=name, data=second(bytes([kind]))) for name, kind in bare.items()),
+        *(Request(name=name, data=in_version_2(bytes([kind]))) for name, kind in empty_requests.items()),
     ]
 
 
 def operator_requests() -> list[Request]:
-    """What an operator's tool asks; the answers hold words for people."""
+    """Returns the records of operators' tools; their answers contain a message for people."""
     unreadable = b"no document"
     return [
         Request(name="status", data=bytes([MessageType.CONTROLLER])),
@@ -361,7 +363,7 @@
         ),
         Request(name="shards abandon", data=Packer().u8(value=MessageType.SHARDS_ABANDON).u64(value=2).bytes()),
         Request(name="shards progress", data=bytes([MessageType.SHARDS_PROGRESS])),
-        Request(name="shards progress, version 2", data=second(bytes([MessageType.SHARDS_PROGRESS]))),
+        Request(name="shards progress, version 2", data=in_version_2(bytes([MessageType.SHARDS_PROGRESS]))),
     ]
 
 
@@ -371,19 +373,19 @@
     return sent.write(packer=head, version=version, now_us=NOW_US).bytes()
 
 
-def replica_request(*, ident: str, number: int) -> bytes:
+def session_replica_request(*, ident: str, number: int) -> bytes:
     head = Packer().u8(value=MessageType.REPLICA).u64(value=0x31).u64(value=number)
-    return second(session_record(head=head, version=SECOND_VERSION, ident=ident))
+    return in_version_2(session_record(head=head, version=SECOND_VERSION, ident=ident))
 
 
 def touch_request() -> bytes:
     named = [("pooler-1.00aa", 4), ("pooler-1.00cc", 1)]
     packer = Packer().u8(value=MessageType.TOUCH).u64(value=0x31).u64(value=9)
-    return second(packer.many(values=named, each=lambda p, e: p.text(value=e[0]).u64(value=e[1])).bytes())
+    return in_version_2(packer.many(values=named, each=lambda p, e: p.text(value=e[0]).u64(value=e[1])).bytes())
 
 
 def seek_requests(*, ident: str) -> list[Request]:
-    """The same question in both versions: the first has the handle in one text."""
+    """Returns the same request in both protocol versions; version 1 has the whole session token in one text."""
     held = session()
     held.ident = ident
     first_version = text_request(kind=MessageType.SEEK, texts=(held.handle,))
@@ -392,7 +394,7 @@
     )
     return [
         Request(name=f"seek {ident}, version 1", data=first_version),
-        Request(name=f"seek {ident}, version 2", data=second(packer.bytes())),
+        Request(name=f"seek {ident}, version 2", data=in_version_2(packer.bytes())),
     ]
 
 
@@ -401,21 +403,21 @@
     later = session_record(head=Packer().u8(value=MessageType.HANDOVER), version=SECOND_VERSION, ident=ident)
     return [
         Request(name=f"handover {ident}, version 1", data=first_version),
-        Request(name=f"handover {ident}, version 2", data=second(later)),
+        Request(name=f"handover {ident}, version 2", data=in_version_2(later)),
     ]
 
 
 def session_requests() -> list[Request]:
-    """Every record about sessions, each answer at least once."""
+    """Returns all record types about sessions, such that each kind of answer occurs."""
     forget = Packer().u8(value=MessageType.FORGET).u64(value=0x31).text(value="pooler-1.00aa").u64(value=4).bytes()
     return [
-        Request(name="copy", data=replica_request(ident="pooler-1.00aa", number=1)),
-        Request(name="copy, alive here", data=replica_request(ident="pooler-9.00bb", number=2)),
+        Request(name="copy", data=session_replica_request(ident="pooler-1.00aa", number=1)),
+        Request(name="copy, alive here", data=session_replica_request(ident="pooler-9.00bb", number=2)),
         Request(name="touch", data=touch_request()),
         *seek_requests(ident="pooler-1.00aa"),
         *seek_requests(ident="pooler-9.00bb"),
         *handover_requests(ident="pooler-9.00bb"),
-        Request(name="forget", data=second(forget)),
+        Request(name="forget", data=in_version_2(forget)),
         *seek_requests(ident="pooler-1.00dd"),
     ]
 
@@ -428,7 +430,8 @@
     steps = {"hello": ForwardStep.hello, "single, another life": ForwardStep.single}
     return [
         Request(
-            name=name, data=second(bytes([MessageType.FORWARD]) + forward_question(step=step, verb=Verb.read).bytes())
+            name=name,
+            data=in_version_2(bytes([MessageType.FORWARD]) + forward_request(step=step, verb=Verb.read).bytes()),
         )
         for name, step in steps.items()
     ]
@@ -436,25 +439,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Dialogue:
-    """A handler, and what it is asked in turn. `worded`: its answers hold words for people as their second text."""
+    """A handler and the requests sent to it in order.
+
+    `has_message`: the second text of its answers is a message for people, which is not compared.
+    """
 
     make: Callable[..., Dispatcher]
     requests: Callable[[], list[Request]]
-    worded: bool = False
+    has_message: bool = False
 
 
 DIALOGUES = {
     "register replica": Dialogue(make=replica_dispatcher, requests=replica_requests),
     "control daemon": Dialogue(make=control_dispatcher, requests=control_requests),
-    "operator": Dialogue(make=control_dispatcher, requests=operator_requests, worded=True),
+    "operator": Dialogue(make=control_dispatcher, requests=operator_requests, has_message=True),
     "front end": Dialogue(make=session_dispatcher, requests=session_requests),
     "front end that stops": Dialogue(make=draining_dispatcher, requests=draining_requests),
     "pooler": Dialogue(make=forward_server, requests=forward_requests),
 }
 
 
-def without_words(*, answer: bytes) -> bytes:
-    """An operator's answer without the words for people, which may be put otherwise."""
+def without_message(*, answer: bytes) -> bytes:
+    """Removes the message from an answer to an operator, as its wording may change."""
     version, body = (answer[:1], answer[1:]) if answer[0] & 0x80 else (b"", answer)
     unpacker = Unpacker(data=body)
     kind = unpacker.text()
@@ -462,12 +468,12 @@
     return version + Packer().text(value=kind).bytes() + body[unpacker.offset :]
 
 
-def answers(*, stage: Stage, dialogue: Dialogue, requested: list[bytes]) -> list[bytes]:
-    """What the handler answers to these records, one after the other."""
+def handler_answers(*, stage: Stage, dialogue: Dialogue, request_data: list[bytes]) -> list[bytes]:
+    """Sends records to a new handler, with the pauses of the dialogue's requests; returns the answers."""
     dispatcher = dialogue.make(stage=stage)
     found = []
-    for data, request in zip(requested, dialogue.requests(), strict=True):
+    for data, request in zip(request_data, dialogue.requests(), strict=True):
         stage.advance(for_us=request.pause_us)
         answer = stage.run(work=dispatcher.dispatch(data))
-        found.append(without_words(answer=answer) if dialogue.worded else answer)
+        found.append(without_message(answer=answer) if dialogue.has_message else answer)
     return found
