--- a/features/environment.py
+++ b/features/environment.py
@@ -21,9 +21,9 @@
     for fleet in context.fleets:
         context.loop.run_until_complete(fleet.end())
     if context.loop is not None:
-        left = asyncio.all_tasks(context.loop)
-        for task in left:
+        tasks = asyncio.all_tasks(context.loop)
+        for task in tasks:
             task.cancel()
-        context.loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        context.loop.run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
         context.loop.close()
         asyncio.set_event_loop(None)
--- a/features/steps/stage.py
+++ b/features/steps/stage.py
@@ -31,11 +31,11 @@
 SITE = "kingston"
 NOT_RUN_ERRORS = ("BUSY", "UNNAMED", "LAGGING", "READONLY")
 RETRIABLE_ERRORS = ("FAILED", "TIMEOUT")
-ANSWER_US = 1_000
+REPLY_DELAY_US = 1_000
 
 
 class Stage:
-    """An event loop on virtual time and the context of one daemon; the network reaches nobody, and there is no disk.
+    """An event loop on virtual time and the context of one daemon, which has neither a disk nor reachable peers.
 
     Registers itself in `context.worlds`, so that the after_scenario hook closes it. Exceptions that reach the loop's
     exception handler are collected in `crashes`.
@@ -65,6 +65,7 @@
 
     @property
     def now_us(self) -> int:
+        """The virtual time."""
         return round(self.loop.virtual * 1_000_000)
 
     @property
@@ -84,17 +85,19 @@
         return self.run(work=work())
 
     def advance(self, *, for_us: int) -> None:
+        """Runs the loop until virtual time has advanced this far."""
         self.run(work=asyncio.sleep(for_us / 1_000_000))
 
     def close(self) -> None:
-        left = asyncio.all_tasks(self.loop)
-        for task in left:
+        """Cancels all tasks and closes the loop."""
+        tasks = asyncio.all_tasks(self.loop)
+        for task in tasks:
             task.cancel()
 
-        async def ended() -> None:
-            await asyncio.gather(*left, return_exceptions=True)
+        async def cancel_tasks() -> None:
+            await asyncio.gather(*tasks, return_exceptions=True)
 
-        self.run(work=ended())
+        self.run(work=cancel_tasks())
         self.loop.close()
 
 
@@ -148,6 +151,7 @@
         self.lose(error=None)
 
     def lose(self, *, error: Exception | None) -> None:
+        """Ends the connection; the protocol learns of it in the next iteration of the loop."""
         if not self.closing:
             self.closing = True
             asyncio.get_running_loop().call_soon(self.protocol.connection_lost, error)
@@ -251,6 +255,7 @@
         self.backend.log.append(text)
 
     def lose(self) -> None:
+        """Loses the link: requests without a reply fail, and `on_lost` is called."""
         if self.open:
             self.open = False
             self._fail()
@@ -263,6 +268,7 @@
                 future.set_exception(ConnectionResetError("lost"))
 
     def close(self) -> None:
+        """Closes the link from the proxy's side; requests without a reply fail and `on_lost` is not called."""
         if self.open:
             self._append_log("close")
         self.open = False
@@ -279,7 +285,7 @@
             return future
         script = self.backend.script if script is None else script
         word = script.popleft() if script else "ok"
-        wait_us = ANSWER_US
+        wait_us = REPLY_DELAY_US
         if word.startswith("slow"):
             wait_us, word = int(word.split()[1]) * 1_000, "ok"
         if word == "lose":
@@ -350,7 +356,7 @@
         found = self.backends[backend.name]
         found.dialled += 1
         word = found.dial_script.popleft() if found.dial_script else "ok"
-        await asyncio.sleep(int(word.split()[1]) / 1_000 if word.startswith("slow") else ANSWER_US / 1_000_000)
+        await asyncio.sleep(int(word.split()[1]) / 1_000 if word.startswith("slow") else REPLY_DELAY_US / 1_000_000)
         kinds = {"full": ErrorCode.OVERLOADED, "refused": ErrorCode.WIRE_UNSENT, "unsure": ErrorCode.WIRE_UNSURE}
         if word in kinds:
             return Error(CinderstairError(code=kinds[word], reason=word))
@@ -360,6 +366,7 @@
 def announcement(
     *, name: str, service: str = "s", state: str = READY, is_primary: bool = False, number: int = 1, site: str = SITE
 ) -> Announcement:
+    """Creates a backend's announcement; its address is made of its name."""
     return Announcement(
         name=name, number=number, service=service, address=f"{name}:1", site=site, state=state, is_primary=is_primary
     )
@@ -374,6 +381,7 @@
     services: tuple[str, ...] = ("s",),
     idle_transaction_limit_us: int = 0,
 ) -> ServicePlan:
+    """Creates a configuration whose services all have the same limits."""
     return ServicePlan(
         version=version,
         routes={route.database: route for route in routes},
@@ -385,6 +393,7 @@
 def route(
     *, consistency: Consistency = Consistency.primary, limit_ms: int = 800, age_ms: int = 1_000, database: str = "db"
 ) -> DatabaseRoute:
+    """Creates the route of a database to the service `s`."""
     return DatabaseRoute(
         database=database,
         service="s",
@@ -406,9 +415,9 @@
         self.number = 1
         self.in_touch = True
         self.view = RelayedView(ctx=stage.ctx, site=SITE, seeds=tuple)
-        self.listener: asyncio.Task[None] = stage.call(call=lambda: stage.ctx.spawn(work=self._listen()))
+        self.listener: asyncio.Task[None] = stage.call(call=lambda: stage.ctx.spawn(work=self._refresh()))
 
-    async def _listen(self) -> None:
+    async def _refresh(self) -> None:
         while True:
             if self.in_touch:
                 self.view.as_of_us = self.stage.now_us
@@ -433,12 +442,12 @@
             backends=tuple(RelayedBackend(announcement=each, silent=silent) for each in backends),
         )
 
-        def take() -> None:
+        def apply() -> None:
             self.view._take(answer=answer)
             self.view.as_of_us = self.stage.now_us
             self.view._wake()
 
-        self.stage.call(call=take)
+        self.stage.call(call=apply)
 
     def assign_primary(
         self,
@@ -450,13 +459,16 @@
         fence: str = "0.0",
         ready_in_us: int = 500_000,
     ) -> None:
+        """Delivers a primary assignment; `fence` is a position as text."""
         at = position(text=fence)
         assert at is not None
         assignment = ServicePrimary(term=term, primary=primary, state=state, fence=at, ready_in_us=ready_in_us)
         self.tell(values={service_primary_key(service=service): assignment.bytes()})
 
     def plan(self, *, plan: ServicePlan) -> None:
+        """Delivers a configuration."""
         self.tell(values={PLAN_KEY: plan.bytes()})
 
     def proxy_ids(self, *, names: tuple[str, ...]) -> None:
+        """Delivers the table of proxy ids, numbered from 0 in this order."""
         self.tell(values={PROXY_IDS_KEY: ProxyIds(names=tuple(ProxyId(*each) for each in enumerate(names))).bytes()})
