--- a/.ci/trial_traces.py
+++ b/.ci/trial_traces.py
@@ -15,8 +15,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 SEED = 1
 # indexes in the tables of trials of the product's own system and of the platform
-SYSTEM_TRIALS = (13, 48)
-PLATFORM_TRIALS = (2, 6, 50, 52, 53, 64, 93)
+SYSTEM_TRIAL_INDEXES = (13, 48)
+PLATFORM_TRIAL_INDEXES = (2, 6, 50, 52, 53, 64, 93)
 
 
 def trace(task: tuple[str, int]) -> tuple[str, list[str], list[str]]:
@@ -39,16 +39,16 @@
         gauge(self, name=name, value=value)
 
     Counters.add, Counters.gauge = traced_add, traced_gauge  # type: ignore[method-assign]
-    kind, place = task
+    kind, index = task
     if kind == "system":
         from cinderstair.simulation.trials import TRIALS, run_trial
 
-        name = list(TRIALS)[place]
+        name = list(TRIALS)[index]
         wrong = run_trial(name=name, seed=SEED).wrong
     else:
         from cinderstair.simulation.platformsim import platform_trials
 
-        name = list(platform_trials.TRIALS)[place]
+        name = list(platform_trials.TRIALS)[index]
         wrong = platform_trials.run_trial(name=name, seed=SEED).wrong
     return name, steps, wrong
 
@@ -62,7 +62,9 @@
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--steps", type=Path, help="folder for a file of counter updates per trial")
     options = parser.parse_args()
-    tasks = [("system", place) for place in SYSTEM_TRIALS] + [("platform", place) for place in PLATFORM_TRIALS]
+    tasks = [("system", index) for index in SYSTEM_TRIAL_INDEXES] + [
+        ("platform", index) for index in PLATFORM_TRIAL_INDEXES
+    ]
     empty = False
     with multiprocessing.Pool(options.processes, maxtasksperchild=1) as pool:
         for number, (name, steps, wrong) in enumerate(pool.imap(trace, tasks)):
--- a/features/compatibility/http_interface.feature
+++ b/features/compatibility/http_interface.feature
@@ -8,31 +8,31 @@
     Then rejected requests are counted by the recorded counters
 
   Scenario: The requests of a session keep their responses
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then the recorded requests of session have the recorded responses
 
   Scenario: Invalid requests keep their responses
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then the recorded requests of bad_requests have the recorded responses
 
   Scenario: Requests of operators and the platform and backends' heartbeats keep their responses
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then the recorded requests of operators have the recorded responses
 
   Scenario: A system without a configuration keeps its responses
-    Given the recorded system without a configuration
+    Given the system used for the recording has no configuration
     Then the recorded requests of unconfigured have the recorded responses
 
   Scenario: Requests to backends keep their form
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then the session and operator requests cause the recorded requests to backends
 
   Scenario: Daemons in use have counters of the same names
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then after the requests of session its daemons have the recorded counters
 
   Scenario: Trace spans keep their form
-    Given the recorded system is running
+    Given the system used for the recording is running
     Then the session requests cause the recorded trace spans
 
   Scenario: The counters of forwarded statements keep their names
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -158,12 +158,12 @@
     return world
 
 
-@given("the recorded system is running")
+@given("the system used for the recording is running")
 def given_system(context: Any) -> None:
     start_world(context=context)
 
 
-@given("the recorded system without a configuration")
+@given("the system used for the recording has no configuration")
 def given_unconfigured(context: Any) -> None:
     world = new_world(context=context, seed=SEED)
     world.start_all()
