--- a/features/environment.py
+++ b/features/environment.py
@@ -1,11 +1,11 @@
-"""Behave's hooks: every scenario clears away the worlds and fleets that it made."""
+"""Behave hooks that close the worlds, fleets and event loop of a scenario after it."""
 
 import asyncio
 import sys
 from pathlib import Path
 from typing import Any
 
-# why: the adapter lies beside the product and is no part of its package
+# the steps import the adapter, which is not part of the product's package
 sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
 
 
@@ -21,9 +21,9 @@
     for fleet in context.fleets:
         context.loop.run_until_complete(fleet.end())
     if context.loop is not None:
-        left = asyncio.all_tasks(context.loop)
-        for task in left:
+        tasks = asyncio.all_tasks(context.loop)
+        for task in tasks:
             task.cancel()
-        context.loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        context.loop.run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
         context.loop.close()
         asyncio.set_event_loop(None)
