--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -8,7 +8,7 @@
 
 from cinderstair.membership.member import Standing
 from cinderstair.simulation.sim_net import SimNet
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 
 
 def removed(*, context: Any, but: str) -> list[str]:
@@ -108,7 +108,7 @@
 @when("{count:d} records of random bytes are sent to stall-0 and vault-0")
 def when_random_records(context: Any, count: int) -> None:
     world, rng = context.world, random.Random(6)
-    net = SimNet(wires=world.wires, boot=Boot(name="stranger"))
+    net = SimNet(network=world.network, process=SimProcess(name="stranger"))
     context.answers = []
     for number in range(count):
         kind = rng.choice([1, 2, 3, 4, 5, 6, 7, 20, 21, 30, 99])
--- a/src/cinderstair/simulation/failover_trials.py
+++ b/src/cinderstair/simulation/failover_trials.py
@@ -136,11 +136,11 @@
 def promotion_lost(*, trial: Trial) -> None:
     """The platform promotes, and its answer is lost, again and again."""
     world, name = trial.world, trial.primary
-    world.wires.lose_answers["platform"] = 0.8
+    world.network.lose_answers["platform"] = 0.8
     trial.fault()
     world.kill(name=name)
     trial.go(for_us=SETTLE_US)
-    world.wires.lose_answers.clear()
+    world.network.lose_answers.clear()
     world.start(name=name)
     trial.go(for_us=5_000_000)
 
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -31,7 +31,7 @@
 
 
 def await_end(*, world: World, name: str) -> None:
-    world.await_that(test=lambda: world.boots[name].dead, within_us=20_000_000, what=f"{name} has stopped")
+    world.await_that(test=lambda: world.processes[name].dead, within_us=20_000_000, what=f"{name} has stopped")
 
 
 def await_ready(*, world: World, name: str) -> None:
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -204,7 +204,7 @@
         for at_us, database, backend, _ in platform.promotions:
             if database in firsts:
                 moves.append((at_us - skew_us, database))
-                old = self.world.wires.arrivals[firsts[database]] if firsts[database] != backend else []
+                old = self.world.network.arrivals[firsts[database]] if firsts[database] != backend else []
                 self.verdict.chances["old primaries asked after a promotion"] += sum(
                     0 < arrival.at_us - at_us + skew_us < 5_000_000 and arrival.path == "/run" for arrival in old
                 )
@@ -283,10 +283,10 @@
     def _quiet(self) -> None:
         """For every backend, how long after its own last word, or its word of emptying, it was still asked."""
         for name in self.world.backend_names():
-            words = self.world.wires.words[name]
+            words = self.world.network.words[name]
             at = -1
             emptying_us = 0
-            for arrival in self.world.wires.arrivals[name]:
+            for arrival in self.world.network.arrivals[name]:
                 while at + 1 < len(words) and words[at + 1].at_us <= arrival.at_us:
                     at += 1
                     emptying = words[at].state == "emptying"
@@ -303,7 +303,7 @@
     def _silences(self) -> None:
         """Counts the backends that could be asked and should not be: silent or emptying, and not dead."""
         for name in self.world.backend_names():
-            words = self.world.wires.words[name]
+            words = self.world.network.words[name]
             kills_us = [
                 from_us for who, from_us, until_us in self.world.strikes if who == name and from_us == until_us
             ]
