--- a/features/simulation/platformsim/platformfaults.feature
+++ b/features/simulation/platformsim/platformfaults.feature
@@ -1,49 +1,49 @@
-Feature: The checkers of the simulated platform can fail
-  A fault is switched into the code under test; the checker of the rule that it breaks must see it.
+Feature: Checkers of the simulated platform detect seeded bugs
+  A bug is patched into the code under test; the checker of the rule that it breaks must report a breach.
 
-  Scenario Outline: <fault> is seen in <trial>
-    When the platform trial <trial> is played with seed <seed> and the fault <fault>
-    Then the rule <rule> was seen broken: "<words>"
+  Scenario Outline: Rule <rule> detects <fault> in <trial>
+    When platform trial <trial> runs with seed <seed> and the seeded bug <fault>
+    Then rule <rule> reports a breach with "<words>"
 
     Examples:
-      | fault              | trial                     | seed | rule    | words                             |
-      | answer_to_nothing  | calm_day                  | 1    | WIRE    | is told b'READY I -'              |
-      | other_text         | calm_day                  | 1    | UNASKED | and ran                           |
-      | commit_for_leavers | calm_day                  | 1    | UNASKED | of nobody's                       |
-      | other_service      | calm_day                  | 1    | ROUTE   | ran on                            |
-      | rows_kept          | calm_day                  | 1    | MIXED   | was told                          |
-      | any_values         | calm_day                  | 1    | PINNED  | values                            |
-      | shared_links       | calm_day                  | 1    | PINNED  | transaction                       |
-      | write_again        | answers_lost              | 1    | TWICE   | stands in                         |
-      | promise_unknown    | answers_lost              | 1    | REFUSED | and is kept                       |
-      | view_forever       | proxy_cut_off_unconfirmed | 1    | ONE     | by old primary                    |
-      | no_guard           | replicas_lag                | 2    | STALE   | recent_enough read                |
-      | own_forgotten      | replicas_lag                | 1    | STALE   | self_hosted read                  |
-      | pooled_for_new     | replicas_lag                | 2    | STALE   | recent_enough read                |
-      | worst_replica         | primary_crash_replica_deaf   | 1    | LOST    | leads without                     |
-      | drop_at_stop       | proxies_stopped            | 1    | LOST    | closed on                         |
-      | deaf_to_emptying   | release_replicas            | 1    | DRAIN   | after it said it leaves           |
-      | first_plan_forever | configurations            | 1    | CONFIG  | was acknowledged                  |
-      | plan_back_and_forth | configurations           | 1    | CONFIG  | was seen there                    |
-      | take_anything      | configurations            | 1    | CONFIG  | something invalid got 200         |
-      | older_again        | configurations            | 1    | CONFIG  | is read back,                     |
-      | altered_read_back  | calm_day                  | 1    | CONFIG  | read back otherwise than sent     |
-      | disks_forget       | all_killed                | 1    | RECOVER | served after the closing fault    |
+      | fault                            | trial                                 | seed | rule    | words                                     |
+      | unsolicited_answer               | calm_day                              | 1    | WIRE    | received b'READY I -'                     |
+      | altered_text                     | calm_day                              | 1    | UNASKED | but a backend got                         |
+      | rollback_commits                 | calm_day                              | 1    | UNASKED | without a client's id                     |
+      | wrong_service                    | calm_day                              | 1    | ROUTE   | was executed by                           |
+      | rows_duplicated                  | calm_day                              | 1    | MIXED   | received stamp                            |
+      | session_values_not_replayed      | calm_day                              | 1    | PINNED  | values                                    |
+      | links_shared                     | calm_day                              | 1    | PINNED  | transaction                               |
+      | unknown_write_retried            | answers_lost                          | 1    | TWICE   | is committed in entries                   |
+      | unknown_outcome_reported_aborted | answers_lost                          | 1    | REFUSED | but is committed                          |
+      | view_never_expires               | proxy_partitioned_unconfirmed_commits | 1    | ONE     | by replaced primary                       |
+      | reads_unguarded                  | replicas_lag                          | 2    | STALE   | recent_enough read                        |
+      | own_commits_ignored              | replicas_lag                          | 1    | STALE   | self_hosted read                          |
+      | old_samples_taken_as_new         | replicas_lag                          | 2    | STALE   | recent_enough read                        |
+      | least_current_replica_promoted   | primary_crash_replication_interrupted | 1    | LOST    | was promoted without acknowledged commit  |
+      | drain_drops_connections          | proxies_stopped                       | 1    | LOST    | closed the connection during              |
+      | drain_ignored                    | release_replicas                      | 1    | DRAIN   | after its draining was acknowledged       |
+      | plan_never_updated               | configurations                        | 1    | CONFIG  | was acknowledged                          |
+      | plan_alternates                  | configurations                        | 1    | CONFIG  | was observed there                        |
+      | invalid_plan_acknowledged        | configurations                        | 1    | CONFIG  | an invalid configuration got status 200   |
+      | older_plan_accepted              | configurations                        | 1    | CONFIG  | is read back,                             |
+      | altered_read_back                | calm_day                              | 1    | CONFIG  | is read back with other content than sent |
+      | disk_reads_empty                 | all_killed                            | 1    | RECOVER | operations served after the final restart |
 
-    Examples: what daemons of control answer
-      | fault                 | trial            | seed | rule   | words                              |
-      | any_content_confirmed | orders_race      | 1    | CONFIG | two contents are confirmed         |
-      | same_order_refused    | orders_race      | 1    | CONFIG | was confirmed, and is refused      |
-      | serves_alone          | cut_off_for_long | 1    | CONFIG | is cut off, and answers 200        |
-      | confirms_alone        | cut_off_for_long | 4    | DRAIN  | after it said it leaves            |
+    Examples: answers of controllers
+      | fault                      | trial                      | seed | rule   | words                                                      |
+      | conflicting_plan_confirmed | configurations_conflicting | 1    | CONFIG | two contents are confirmed                                 |
+      | repeated_plan_refused      | configurations_conflicting | 1    | CONFIG | was confirmed earlier, but is refused                      |
+      | read_without_majority      | controller_partitioned     | 1    | CONFIG | is partitioned from the majority, but answers GET with 200 |
+      | confirmed_without_majority | controller_partitioned     | 4    | DRAIN  | after its draining was acknowledged                        |
 
-    Examples: statements passed on between proxies
-      | fault               | trial                  | seed | rule    | words                      |
-      | forwards_unchecked  | few_links_frozen       | 7    | LATE    | after its client's answer  |
-      | forwards_promised   | few_links_answers_lost | 2    | TWICE   | stands in                  |
-      | forwards_any_values | few_links_calm         | 1    | PINNED  | values                     |
-      | links_at_once       | few_links_ids_change   | 2    | CAP     | proxies hold 4 of 9         |
+    Examples: statements forwarded between proxies
+      | fault                         | trial                  | seed | rule   | words                     |
+      | forwards_unchecked            | few_links_frozen       | 7    | LATE   | after its client's answer |
+      | lost_forwards_reported_unsent | few_links_answers_lost | 2    | TWICE  | is committed in entries   |
+      | forward_values_not_replayed   | few_links_calm         | 1    | PINNED | values                    |
+      | link_limits_raised_at_once    | few_links_ids_change   | 2    | CAP    | proxies hold 4 of 9       |
 
-  Scenario: A run in which a checker had no chance has failed
-    When the platform trial calm_day is played with seed 1 and no clients
-    Then the rule STALE had no chance, and the run has failed
+  Scenario: A run in which a rule was never checked fails
+    When platform trial calm_day runs with seed 1 and no clients
+    Then the run fails because rule STALE was never checked
--- a/features/simulation/platformsim/shards.feature
+++ b/features/simulation/platformsim/shards.feature
@@ -1,91 +1,91 @@
 Feature: The shard map changes under traffic
-  Writes keep to their usual place until enough proxies have agreed, then all move together. No write lands twice or
-  nowhere, reads stay as fresh as ever, and a proxy that has not heard or does not agree holds the old map.
+  Writes go to the old service until enough proxies have agreed, then all switch together. No write is lost or doubled,
+  reads stay as fresh as routed, and a proxy that is partitioned or does not agree keeps the old map.
 
-  Scenario Outline: No rule is broken in <trial>
-    When the platform trial <trial> is played with seeds <first> to <last>
-    Then no rule of the platform was broken, and each had its chances
-    And at least <share> in a hundred operations were served
+  Scenario Outline: All rules hold in <trial>
+    When platform trial <trial> runs with seeds <first> to <last>
+    Then no rule reports a breach, and each was checked
+    And at least <share> percent of the operations are served
 
-    Examples: a match afternoon and a month-end rush
-      | trial             | share | first | last |
-      | shards_in_a_match | 98    | 1     | 1    |
-      | shards_in_a_rush  | 96    | 1     | 2    |
+    Examples: short operations, or mostly transactions
+      | trial                   | share | first | last |
+      | shards_short_operations | 98    | 1     | 1    |
+      | shards_transactions     | 96    | 1     | 2    |
 
-    Examples: not all proxies hear, or agree
-      | trial                  | share | first | last |
-      | shards_proxy_deaf      | 85    | 1     | 2    |
-      | shards_proxy_frozen    | 90    | 1     | 2    |
-      | shards_proxy_disagrees | 90    | 1     | 2    |
-      | shards_too_few         | 99    | 1     | 1    |
+    Examples: some proxies are partitioned, frozen, or do not agree
+      | trial                    | share | first | last |
+      | shards_proxy_partitioned | 85    | 1     | 2    |
+      | shards_proxy_frozen      | 90    | 1     | 2    |
+      | shards_proxy_disagrees   | 90    | 1     | 2    |
+      | shards_too_few_agree     | 99    | 1     | 1    |
 
-    Examples: something fails meanwhile
-      | trial                | share | first | last |
-      | shards_not_brought   | 90    | 1     | 1    |
-      | shards_holder_killed | 93    | 1     | 2    |
-      | shards_two_operators | 95    | 1     | 1    |
-      | shards_with_a_crash  | 90    | 1     | 2    |
-      | shards_slow_handover | 97    | 9     | 12   |
+    Examples: a fault during the change
+      | trial                      | share | first | last |
+      | shards_handover_stuck      | 90    | 1     | 1    |
+      | shards_lease_holder_killed | 93    | 1     | 2    |
+      | shards_two_operators       | 95    | 1     | 1    |
+      | shards_primary_crash       | 90    | 1     | 2    |
+      | shards_slow_handover       | 97    | 9     | 12   |
 
-    Examples: what left in time must not arrive out of time
-      | trial                        | share | first | last |
-      | shards_commit_held_up        | 98    | 1     | 1    |
-      | shards_commit_held_up_deaf   | 98    | 3     | 3    |
-      | shards_commit_held_up_frozen | 98    | 1     | 1    |
-      | shards_commit_held_up_killed | 98    | 1     | 1    |
-      | shards_long_transaction      | 65    | 2     | 3    |
+    Examples: writes sent before the closing phase must not be committed after it
+      | trial                             | share | first | last |
+      | shards_commit_delayed             | 98    | 1     | 1    |
+      | shards_commit_delayed_partitioned | 98    | 3     | 3    |
+      | shards_commit_delayed_frozen      | 98    | 1     | 1    |
+      | shards_commit_delayed_killed      | 98    | 1     | 1    |
+      | shards_long_transaction           | 65    | 2     | 3    |
 
-    Examples: a match afternoon and a month-end rush, and everything that can happen in the middle
-      | trial                                    | share | first | last |
-      | shards_proxy_killed_in_a_match           | 97    | 1     | 1    |
-      | shards_proxy_killed_in_a_rush            | 97    | 2     | 2    |
-      | shards_proxy_cut_one_way_in_a_match      | 92    | 1     | 1    |
-      | shards_proxy_cut_one_way_in_a_rush       | 82    | 2     | 2    |
-      | shards_proxy_late_in_a_match             | 97    | 1     | 1    |
-      | shards_proxy_late_in_a_rush              | 95    | 2     | 2    |
-      | shards_proxy_old_in_a_match              | 92    | 1     | 1    |
-      | shards_proxy_old_in_a_rush               | 82    | 2     | 2    |
-      | shards_register_replica_lost_in_a_match             | 97    | 1     | 1    |
-      | shards_register_replica_lost_in_a_rush              | 95    | 2     | 2    |
-      | shards_register_replica_restarted_in_a_match        | 97    | 1     | 1    |
-      | shards_register_replica_restarted_in_a_rush         | 95    | 2     | 2    |
-      | shards_holder_killed_proposed_in_a_match | 97    | 1     | 1    |
-      | shards_holder_killed_proposed_in_a_rush  | 97    | 2     | 2    |
-      | shards_holder_killed_closing_in_a_match  | 97    | 1     | 1    |
-      | shards_holder_killed_closing_in_a_rush   | 95    | 2     | 2    |
-      | shards_holder_killed_steady_in_a_match   | 97    | 1     | 1    |
-      | shards_holder_killed_steady_in_a_rush    | 95    | 2     | 2    |
-      | shards_second_begun_in_a_match           | 97    | 1     | 1    |
-      | shards_second_begun_in_a_rush            | 97    | 2     | 2    |
-      | shards_abandoned_proposed_in_a_match     | 97    | 1     | 1    |
-      | shards_abandoned_proposed_in_a_rush      | 97    | 2     | 2    |
-      | shards_abandoned_closing_in_a_match      | 97    | 1     | 1    |
-      | shards_abandoned_closing_in_a_rush       | 97    | 2     | 2    |
-      | shards_new_place_crash_in_a_match        | 96    | 1     | 1    |
-      | shards_new_place_crash_in_a_rush         | 95    | 2     | 2    |
+    Examples: a fault during the change, with short operations or mostly transactions
+      | trial                                                | share | first | last |
+      | shards_proxy_killed_short_operations                 | 97    | 1     | 1    |
+      | shards_proxy_killed_transactions                     | 97    | 2     | 2    |
+      | shards_proxy_partitioned_one_way_short_operations    | 92    | 1     | 1    |
+      | shards_proxy_partitioned_one_way_transactions        | 82    | 2     | 2    |
+      | shards_proxy_slow_network_short_operations           | 97    | 1     | 1    |
+      | shards_proxy_slow_network_transactions               | 95    | 2     | 2    |
+      | shards_proxy_incompatible_short_operations           | 92    | 1     | 1    |
+      | shards_proxy_incompatible_transactions               | 82    | 2     | 2    |
+      | shards_register_replica_lost_short_operations        | 97    | 1     | 1    |
+      | shards_register_replica_lost_transactions            | 95    | 2     | 2    |
+      | shards_register_replica_restarted_short_operations   | 97    | 1     | 1    |
+      | shards_register_replica_restarted_transactions       | 95    | 2     | 2    |
+      | shards_lease_holder_killed_proposed_short_operations | 97    | 1     | 1    |
+      | shards_lease_holder_killed_proposed_transactions     | 97    | 2     | 2    |
+      | shards_lease_holder_killed_closing_short_operations  | 97    | 1     | 1    |
+      | shards_lease_holder_killed_closing_transactions      | 95    | 2     | 2    |
+      | shards_lease_holder_killed_steady_short_operations   | 97    | 1     | 1    |
+      | shards_lease_holder_killed_steady_transactions       | 95    | 2     | 2    |
+      | shards_second_proposal_short_operations              | 97    | 1     | 1    |
+      | shards_second_proposal_transactions                  | 97    | 2     | 2    |
+      | shards_abandoned_proposed_short_operations           | 97    | 1     | 1    |
+      | shards_abandoned_proposed_transactions               | 97    | 2     | 2    |
+      | shards_abandoned_closing_short_operations            | 97    | 1     | 1    |
+      | shards_abandoned_closing_transactions                | 97    | 2     | 2    |
+      | shards_target_crash_short_operations                 | 96    | 1     | 1    |
+      | shards_target_crash_transactions                     | 95    | 2     | 2    |
 
-  Scenario Outline: <fault> is seen in <trial>
-    When the platform trial <trial> is played with seed <seed> and the fault <fault>
-    Then the rule <rule> was seen broken: "<words>"
+  Scenario Outline: Rule <rule> detects <fault> in <trial>
+    When platform trial <trial> runs with seed <seed> and the seeded bug <fault>
+    Then rule <rule> reports a breach with "<words>"
 
     Examples:
-      | fault               | trial             | seed | rule  | words           |
-      | old_map_writes_on   | shards_in_a_rush  | 1    | SHARD | has left it     |
-      | moves_unclosed      | shards_in_a_rush  | 1    | SHARD | has left it     |
-      | unanswered_forgotten | shards_commit_held_up_deaf | 3 | SHARD | after it has left |
-      | untold_ends         | shards_long_transaction | 2 | SHARD | has left it     |
-      | samples_from_before | shards_in_a_rush  | 1    | SHARD | lacks           |
-      | brought_twice       | shards_in_a_rush  | 1    | SHARD | stands 4 times  |
+      | fault                          | trial                             | seed | rule  | words                |
+      | old_map_writes_continue        | shards_transactions               | 1    | SHARD | was handed over      |
+      | map_switched_without_closing   | shards_transactions               | 1    | SHARD | was handed over      |
+      | in_flight_writes_ignored       | shards_commit_delayed_partitioned | 3    | SHARD | after its handover   |
+      | lapsed_proxy_ends_transactions | shards_long_transaction           | 2    | SHARD | was handed over      |
+      | samples_from_before_handover   | shards_transactions               | 1    | SHARD | lacks                |
+      | handover_copied_twice          | shards_transactions               | 1    | SHARD | is committed 4 times |
 
-  Scenario: An operator plans a map, begins it, follows it, and may not lose a database by the next one
-    When a simulated platform serves, and an operator plans the map of version 4
-    Then what it would do is told, and how long writes would wait, and nothing has changed
-    And a map that names an unknown place or database is refused with its line, planned and begun alike
-    When the operator begins it and follows it to its end
-    Then the proxies hold the map of version 4, and writes waited for no longer than was foretold
-    And a map that is silent on a database that has moved is refused
-    And nothing is there to give up any more
+  Scenario: An operator dry-runs, proposes and follows a map, and a map that omits a moved database is refused
+    When an operator of a serving simulated platform makes a dry run of map version 4
+    Then the dry run lists the moves and the expected write pause, and changes nothing
+    And a map with an unknown service or database is refused with its line, by dry run and proposal alike
+    When the operator proposes the map and polls its progress until it is complete
+    Then the proxies apply map version 4, and writes waited no longer than the dry run expected
+    And a map that omits a moved database is refused
+    And abandoning the completed change is refused
 
-  Scenario: An operator sees what a controller knows
-    When a simulated platform serves, and the map of version 4 is put to its proxies
-    Then a controller tells of the register replicas, services, backends, proxies, duties and the map of version 4
+  Scenario: A controller's status lists the whole platform
+    When map version 4 is applied on a serving simulated platform
+    Then a controller's status lists register replicas, services, backends, proxies, leases and map version 4
--- a/src/cinderstair/simulation/platformsim/attempt.py
+++ b/src/cinderstair/simulation/platformsim/attempt.py
@@ -1,4 +1,4 @@
-"""One try of one operation."""
+"""One attempt of a client's operation, which is a statement or a transaction."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,10 @@
 
 @dataclass(eq=False, kw_only=True)
 class Attempt:
-    """`place` is the backend connection that ran the transaction's first statement."""
+    """`first_connection` is the backend connection that ran the transaction's first statement.
+
+    `promises` are error codes which say that nothing was executed; `outcome` is the code that ended the attempt.
+    """
 
     client: str
     session: int
@@ -19,4 +22,4 @@
     outcome: str = ""
     commit_sent: bool = False
     commit_requested: bool = False
-    place: object | None = None
+    first_connection: object | None = None
--- a/src/cinderstair/simulation/platformsim/checker.py
+++ b/src/cinderstair/simulation/platformsim/checker.py
@@ -1,22 +1,25 @@
-"""One rule, and whoever watches it."""
+"""The base of all checkers: one rule, how often it was checked, and its breaches."""
 
 
 class Checker:
-    """Counts its chances to see a breach; where there were none, it has shown nothing."""
+    """`checks` counts how often the rule could have been broken: with none, a run without breaches proves nothing."""
 
     rule = ""
 
     def __init__(self) -> None:
-        self.chances = 0
+        self.checks = 0
         self.breaches: list[str] = []
 
-    def chance(self) -> None:
-        self.chances += 1
+    def count_check(self) -> None:
+        """Counts a check whose breach, if any, is reported by `breach`."""
+        self.checks += 1
 
-    def breach(self, *, what: str) -> None:
-        self.breaches.append(f"{self.rule}: {what}")
+    def breach(self, *, description: str) -> None:
+        """Records a breach under the rule's name."""
+        self.breaches.append(f"{self.rule}: {description}")
 
-    def judge(self, *, fine: bool, what: str) -> None:
-        self.chances += 1
-        if not fine:
-            self.breach(what=what)
+    def check(self, *, holds: bool, description: str) -> None:
+        """Counts a check, and records a breach unless `holds`."""
+        self.checks += 1
+        if not holds:
+            self.breach(description=description)
--- a/src/cinderstair/simulation/platformsim/client_wire.py
+++ b/src/cinderstair/simulation/platformsim/client_protocol.py
@@ -1,22 +1,25 @@
-"""A client's side of the wire."""
+"""A client's side of the wire protocol."""
 
 import asyncio
 from typing import Any
 
-from .answer import ClientAnswer
-from .referee import Referee
+from .client_answer import ClientAnswer
+from .oracle import Oracle
 
 CODES = frozenset(
     b"BUSY ABORTED LAGGING READONLY WRONGHOST FULL UNKNOWN TIMEOUT FAILED UNNAMED NODB GARBLED NOKEY TOOLONG".split()
 )
 
 
-class ClientWire(asyncio.Protocol):
-    """One question at a time. Whatever comes while nothing is asked ends the session."""
+class ClientProtocol(asyncio.Protocol):
+    """One request at a time; anything received without a request closes the connection.
 
-    def __init__(self, *, client: str, referee: Referee) -> None:
+    `waiting` resolves to the answer, or fails with ConnectionResetError. Protocol errors break the WIRE rule.
+    """
+
+    def __init__(self, *, client: str, oracle: Oracle) -> None:
         self.client = client
-        self.referee = referee
+        self.oracle = oracle
         self.transport: Any = None
         self.rest = b""
         self.waiting: asyncio.Future[ClientAnswer] | None = None
@@ -41,39 +44,40 @@
         for line in lines:
             self._line(line)
 
-    def _wrong(self, line: bytes) -> None:
-        self.referee.wire.breach(what=f"{self.client} is told {line[:80]!r}")
+    def _breach(self, line: bytes) -> None:
+        self.oracle.wire.breach(description=f"{self.client} received {line[:80]!r}")
         self.close()
 
     def _line(self, line: bytes) -> None:
         word, _, rest = line.partition(b" ")
         if self.waiting is None or self.waiting.done():
             if word != b"ERROR" and not self.ended:
-                self._wrong(line)
+                self._breach(line)
             self.close()
             return
         answer = self.answer
-        if word == b"ROW" and not answer.over and not self.handshake:
+        if word == b"ROW" and not answer.finished and not self.handshake:
             answer.rows.append(rest)
-        elif word == b"DONE" and rest and not answer.over and not self.handshake:
-            answer.stamp, answer.over = rest, True
-        elif word == b"ERROR" and not answer.over:
+        elif word == b"DONE" and rest and not answer.finished and not self.handshake:
+            answer.stamp, answer.finished = rest, True
+        elif word == b"ERROR" and not answer.finished:
             code = rest.partition(b" ")[0]
             if code not in CODES:
-                self._wrong(line)
-            answer.code, answer.over = code.decode(), True
+                self._breach(line)
+            answer.code, answer.finished = code.decode(), True
             if self.handshake:
                 self.waiting.set_result(answer)
-        elif word == b"READY" and (answer.over or self.handshake):
+        elif word == b"READY" and (answer.finished or self.handshake):
             answer.state, _, answer.position = rest.partition(b" ")
             if answer.state not in (b"I", b"T", b"E") or not answer.position:
-                self._wrong(line)
-            self.referee.wire.chance()
+                self._breach(line)
+            self.oracle.wire.count_check()
             self.waiting.set_result(answer)
         else:
-            self._wrong(line)
+            self._breach(line)
 
     def request(self, *, line: bytes, handshake: bool = False) -> asyncio.Future[ClientAnswer]:
+        """Sends a line; a handshake's answer is a READY or ERROR alone."""
         self.waiting = asyncio.get_running_loop().create_future()
         self.answer, self.handshake = ClientAnswer(), handshake
         if self.open:
@@ -83,6 +87,7 @@
         return self.waiting
 
     def close(self, *, farewell: bool = False) -> None:
+        """Closes the connection, with `farewell` after a BYE."""
         if self.transport is not None and not self.ended:
             if farewell:
                 self.transport.write(b"BYE\r\n")
--- a/src/cinderstair/simulation/platformsim/client_statement.py
+++ b/src/cinderstair/simulation/platformsim/client_statement.py
@@ -1,4 +1,4 @@
-"""One statement as a client sent it: what every backend that sees it is measured by."""
+"""A statement as its client sent it, the reference for what backends execute."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -9,11 +9,12 @@
 
 @dataclass(eq=False, kw_only=True)
 class ClientStatement:
-    """Kinds: read, write, begin, begin_read, commit, undo.
+    """`kind` is one of read, write, begin, begin_read, commit, undo.
 
-    `first_us` is when the first byte of it, or of its transaction, left. `values` are the session values that were
-    acknowledged by then; `shape` is what the client prepared, where it runs a name. `answered_us` is when it was
-    answered, or None while it was not.
+    `first_us` is when the first byte of it, or of its transaction, was sent. `values` are the session values that
+    were acknowledged by then; `shape` is the prepared statement, where it runs one, and `rest` its arguments.
+    `autocommit` is False inside a transaction. `answered_us` is when it was answered, or None. `stamps` holds the
+    rows of each result by the backend's stamp.
     """
 
     ident: bytes
@@ -22,7 +23,7 @@
     attempt: "Attempt"
     sent_us: int
     first_us: int
-    alone: bool
+    autocommit: bool
     proxy: str
     values: dict[bytes, bytes] = field(default_factory=dict)
     shape: tuple[bytes, bool] | None = None
--- a/src/cinderstair/simulation/platformsim/config_checker.py
+++ b/src/cinderstair/simulation/platformsim/config_checker.py
@@ -1,4 +1,4 @@
-"""Configurations come into force in time, never go back, and are read back as they were sent."""
+"""CONFIG: configurations take effect in time, are never reverted, and are read back as they were sent."""
 
 import json
 from typing import Any
@@ -7,7 +7,11 @@
 
 
 class ConfigChecker(Checker):
-    """Every look at whether a database is there is held against the versions that allow what was seen."""
+    """Compares observed routes with the versions that explain them.
+
+    State: the bodies and databases sent by version, the body confirmed for each version, when each version was first
+    sent and acknowledged (us), and by proxy incarnation the oldest version that explains each observation.
+    """
 
     rule = "CONFIG"
 
@@ -25,7 +29,7 @@
         self.applied = 0
 
     def sent(self, *, body: bytes, now_us: int) -> None:
-        """A valid configuration leaves an operator."""
+        """An operator sends a valid configuration."""
         document: dict[str, Any] = json.loads(body)
         version = int(document["revision"])
         self.bodies.setdefault(version, set()).add(body)
@@ -34,63 +38,76 @@
         self.sent_us.setdefault(version, now_us)
 
     def acked(self, *, body: bytes, now_us: int) -> None:
-        """A valid configuration is confirmed: one content under one number, and that for good."""
+        """A valid configuration is confirmed; a version must never be confirmed with two contents."""
         version = int(json.loads(body)["revision"])
         self.acked_us.setdefault(version, now_us)
-        self.judge(
-            fine=self.confirmed.setdefault(version, body) == body, what=f"two contents are confirmed under {version}"
+        self.check(
+            holds=self.confirmed.setdefault(version, body) == body,
+            description=f"two contents are confirmed for version {version}",
         )
 
     def refused(self, *, body: bytes, status: int, valid: bool) -> None:
-        self.judge(fine=not valid or status not in (400, 413, 422), what=f"a valid one got {status}: {body[:60]!r}")
+        """A configuration is refused; a valid one must not be called invalid, nor refused once confirmed."""
+        self.check(
+            holds=not valid or status not in (400, 413, 422),
+            description=f"a valid configuration got status {status}: {body[:60]!r}",
+        )
         version = int(json.loads(body)["revision"])
-        self.judge(
-            fine=self.confirmed.get(version) != body, what=f"{version} was confirmed, and is refused with {status}"
+        self.check(
+            holds=self.confirmed.get(version) != body,
+            description=f"version {version} was confirmed earlier, but is refused with status {status}",
         )
 
-    def served_alone(self, *, what: str) -> None:
-        """A daemon that is in touch with no majority answered as if it were."""
-        self.breach(what=what)
+    def served_without_quorum(self, *, description: str) -> None:
+        """A controller that reaches no majority answered as if it did."""
+        self.breach(description=description)
 
     def invalid(self, *, body: bytes, status: int) -> None:
-        """A clear answer to something invalid."""
-        self.judge(fine=not 200 <= status < 300, what=f"something invalid got {status}: {body[:80]!r}")
+        """A final answer to an invalid configuration, which must be an error."""
+        self.check(
+            holds=not 200 <= status < 300, description=f"an invalid configuration got status {status}: {body[:80]!r}"
+        )
 
-    def looked(
-        self, *, proxy: str, life: int, database: str, there: bool, sent_us: int, now_us: int, in_touch: bool
+    def observed(
+        self, *, proxy: str, incarnation: int, database: str, present: bool, sent_us: int, now_us: int, stable: bool
     ) -> None:
-        """A proxy treated a database as there, or as not there."""
+        """A proxy accepted a handshake for a database (`present`), or refused it as unknown."""
         allows = [
             version
             for version, contents in self.databases.items()
-            if any((database in names) == there for names in contents) and self.sent_us[version] <= now_us
+            if any((database in names) == present for names in contents) and self.sent_us[version] <= now_us
         ]
         acked = [version for version, at_us in self.acked_us.items() if at_us + self.apply_us <= sent_us]
         newest = max(acked, default=0)
-        words = f"{proxy} takes {database} as {'there' if there else 'not there'}"
-        if newest and in_touch:
+        words = f"{proxy} takes {database} as {'present' if present else 'absent'}"
+        if newest and stable:
             self.applied += 1
-            self.judge(
-                fine=any(version >= newest for version in allows),
-                what=f"{words} {(sent_us - self.acked_us[newest]) // 1_000} ms after {newest} was acknowledged",
+            self.check(
+                holds=any(version >= newest for version in allows),
+                description=f"{words} {(sent_us - self.acked_us[newest]) // 1_000} ms "
+                f"after version {newest} was acknowledged",
             )
-        floors = self.floors.setdefault((proxy, life), [])
+        floors = self.floors.setdefault((proxy, incarnation), [])
         floor = max((version for at_us, version in floors if at_us + self.step_back_us < sent_us), default=0)
-        self.judge(fine=not allows or max(allows) >= floor, what=f"{words} after {floor} was seen there")
+        self.check(
+            holds=not allows or max(allows) >= floor, description=f"{words} after version {floor} was observed there"
+        )
         if allows:
             floors.append((now_us, min(allows)))
 
     def read_back(self, *, body: bytes | None) -> None:
-        """At the day's end."""
+        """The configuration read back at the end of the trial; None where no controller answered."""
         if body is None:
-            self.judge(fine=False, what="nothing is read back")
+            self.check(holds=False, description="no configuration could be read back")
             return
         try:
             version = int(json.loads(body)["revision"])
         except (ValueError, KeyError, TypeError):
-            self.judge(fine=False, what=f"read back is {body[:80]!r}")
+            self.check(holds=False, description=f"the configuration read back is invalid: {body[:80]!r}")
             return
         newest = max(self.acked_us, default=0)
-        self.judge(fine=version >= newest, what=f"{version} is read back, {newest} was acknowledged")
+        self.check(
+            holds=version >= newest, description=f"version {version} is read back, version {newest} was acknowledged"
+        )
         sent = {self.confirmed[version]} if version in self.confirmed else self.bodies.get(version, set())
-        self.judge(fine=body in sent, what=f"{version} is read back otherwise than sent")
+        self.check(holds=body in sent, description=f"version {version} is read back with other content than sent")
--- a/src/cinderstair/simulation/platformsim/config_trials.py
+++ b/src/cinderstair/simulation/platformsim/config_trials.py
@@ -1,14 +1,14 @@
-"""Trials of configurations: in a race, in quick succession, older again, and invalid."""
+"""Trials of configurations: concurrent, in quick succession, outdated, and invalid."""
 
 import json
 from typing import Any
 
-from .failover_trials import BACK_MS
+from .failover_trials import RECOVERY_MS
 from .platform_world import PlatformWorld
 
 
-def spoiled(*, world: PlatformWorld, body: bytes) -> bytes:
-    """Something invalid that looks like a configuration of a high version."""
+def corrupted(*, world: PlatformWorld, body: bytes) -> bytes:
+    """An invalid configuration made from a valid one, in one of seven ways."""
     document: dict[str, Any] = json.loads(body)
     routes = document["routes"]
     route = world.rng.choice(routes)
@@ -31,7 +31,7 @@
 
 
 def configurations(world: PlatformWorld) -> None:
-    """Routes come and go; two operators send at once; older ones arrive once more; some are invalid."""
+    """Routes are added and removed by two operators at once; outdated and invalid configurations arrive too."""
     versions = iter(range(7, 1_000, 6))
     extra: set[str] = set()
     world.prober.databases.extend(["extra-0", "extra-1", "extra-2"])
@@ -48,24 +48,24 @@
             if world.rng.random() < 0.5:
                 world.put(body=body)
         if world.rng.random() < 0.6:
-            world.put(body=spoiled(world=world, body=world.configuration(version=5_000)), valid=False)
+            world.put(body=corrupted(world=world, body=world.configuration(version=5_000)), valid=False)
         if world.rng.random() < 0.6:
             world.put(body=world.rng.choice(bodies))
         world.advance(for_ms=world.rng.choice((50, 400, 3_400)))
-    # why: the oldest of all arrives once more, when everything else has been answered
+    # the oldest configuration is sent once more after all others were answered
     world.advance(for_ms=1_000)
     world.put(body=bodies[0])
     world.advance(for_ms=3_500)
 
 
 def configurations_under_kills(world: PlatformWorld) -> None:
-    """As routes come and go, controllers are killed right after they have acknowledged something."""
+    """Controllers are killed right after a configuration was acknowledged."""
     world.prober.databases.extend(["extra-0", "extra-1"])
     extra: set[str] = set()
     for version in (11, 12, 20):
         extra ^= {world.rng.choice(("extra-0", "extra-1"))}
         task = world.put(body=world.configuration(version=version, extra=tuple(sorted(extra))))
-        world.await_that(test=task.done, within_ms=BACK_MS, what=f"version {version} is answered")
-        world.kill(name=world.rng.choice(world.controllers), again_us=world.rng.choice((300_000, 1_500_000)))
+        world.await_that(test=task.done, within_ms=RECOVERY_MS, description=f"version {version} is answered")
+        world.kill(name=world.rng.choice(world.controllers), restart_us=world.rng.choice((300_000, 1_500_000)))
         world.advance(for_ms=world.rng.choice((100, 3_000)))
     world.advance(for_ms=5_000)
--- a/src/cinderstair/simulation/platformsim/control_trials.py
+++ b/src/cinderstair/simulation/platformsim/control_trials.py
@@ -1,8 +1,8 @@
-"""Trials of what daemons of control answer: cut off, to two operators at once, and to orders sent again."""
+"""Trials of controllers' answers: while partitioned, to concurrent operators, and to repeated configurations."""
 
 import asyncio
 
-from .machine_trials import back
+from .machine_trials import await_serving
 from .platform_world import PlatformWorld
 
 CUT_MS = 20_000
@@ -13,24 +13,24 @@
 
 
 def answered(*, world: PlatformWorld, tasks: list[asyncio.Task[int]]) -> None:
-    """Waits until all these orders have their clear answers, or were given up."""
+    """Waits until the operator has finished sending all these configurations."""
     until_us = world.now_us + ANSWERED_MS * 1_000
     while not all(task.done() for task in tasks):
-        assert world.now_us < until_us, "orders are under way for ever"
+        assert world.now_us < until_us, f"configurations have no answer after {ANSWERED_MS} ms"
         world.advance(for_ms=50)
 
 
-def cut_off_for_long(world: PlatformWorld) -> None:
-    """A daemon of control is cut off from the others for twenty seconds; operators and backends still reach it.
+def controller_partitioned(world: PlatformWorld) -> None:
+    """A controller is partitioned from the others for 20 s, while operators and backends still reach it.
 
-    Backends that leave report there first. Proxies are restarted meanwhile, and know it as their first seed.
+    A draining backend reports there first, and proxies that restart have it as their first seed.
     """
     world.advance(for_ms=1_000)
-    alone = world.rng.choice(world.controllers)
-    address = world.address(name=alone, door="control")
-    world.cut_off_controller(name=alone, both=world.rng.random() < 0.7)
-    world.controls.remove(address)
-    world.controls.insert(0, address)
+    partitioned = world.rng.choice(world.controllers)
+    address = world.address(name=partitioned, port="control")
+    world.cut_off_controller(name=partitioned, both=world.rng.random() < 0.7)
+    world.controller_addresses.remove(address)
+    world.controller_addresses.insert(0, address)
     for sender in world.senders.values():
         sender.heartbeat_to = address
     leaver = world.rng.choice([world.primary(), *world.replicas()])
@@ -40,10 +40,15 @@
         body = world.configuration(version=version, extra=(f"extra-{version}",))
         status, found = world.run(work=world.operator.once(address=address, method="GET"))
         if status in CLEAR:
-            world.referee.config.served_alone(what=f"{alone} is cut off, and answers {status} with {found[:40]!r}")
+            world.oracle.config.served_without_quorum(
+                description=f"{partitioned} is partitioned from the majority, "
+                f"but answers GET with {status}: {found[:40]!r}"
+            )
         status, _ = world.run(work=world.operator.once(address=address, method="PUT", body=body))
         if status in CLEAR:
-            world.referee.config.served_alone(what=f"{alone} is cut off, and answers an order with {status}")
+            world.oracle.config.served_without_quorum(
+                description=f"{partitioned} is partitioned from the majority, but answers PUT with {status}"
+            )
         if turn == 4:
             world.release(backend=leaver)
         if turn in (8, 20):
@@ -53,12 +58,12 @@
             version += 1
         world.advance(for_ms=ASK_EVERY_MS)
     world.heal()
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=CAUGHT_UP_MS)
 
 
-def orders_race(world: PlatformWorld) -> None:
-    """Pairs of orders under one number, to different daemons, with lost answers; each is sent again and again."""
+def configurations_conflicting(world: PlatformWorld) -> None:
+    """Two configurations of one version are sent at once, with lost answers and retries: one may be confirmed."""
     world.operator.lost_answers = 0.5
     bodies: list[bytes] = []
     for version in range(10, 22, 3):
@@ -69,21 +74,21 @@
         tasks = [world.put(body=body) for body in pair]
         if world.rng.random() < 0.5:
             world.advance(for_ms=world.rng.randrange(400))
-            world.kill(name=world.rng.choice(world.controllers), again_us=300_000)
+            world.kill(name=world.rng.choice(world.controllers), restart_us=300_000)
         answered(world=world, tasks=tasks)
         if all(200 <= task.result() < 300 for task in tasks):
-            world.referee.config.breach(what=f"both orders under {version} are confirmed")
+            world.oracle.config.breach(description=f"both configurations of version {version} are confirmed")
         world.advance(for_ms=world.rng.choice((100, 2_500)))
-    # why: long after they were overtaken each comes once more, to each daemon
+    # each is sent again long after newer versions were confirmed
     tasks = [world.put(body=body) for body in bodies for _ in range(2)]
     answered(world=world, tasks=tasks)
     world.operator.lost_answers = 0.0
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=CAUGHT_UP_MS)
 
 
-def orders_at_once(world: PlatformWorld) -> None:
-    """Eight orders are under way at once, as a daemon of control is lost after an acknowledgement."""
+def configurations_concurrent(world: PlatformWorld) -> None:
+    """A controller is lost after the first acknowledgement of eight concurrent configurations."""
     version = 20
     for _ in range(3):
         tasks: list[asyncio.Task[int]] = []
@@ -98,5 +103,5 @@
         answered(world=world, tasks=tasks)
         version += 30
         world.advance(for_ms=4_000)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=CAUGHT_UP_MS)
--- a/src/cinderstair/simulation/platformsim/drain_checker.py
+++ b/src/cinderstair/simulation/platformsim/drain_checker.py
@@ -1,10 +1,10 @@
-"""Backends that said they are leaving get nothing new after their time."""
+"""DRAIN: a draining backend receives no new work once its drain time is over."""
 
 from .checker import Checker
 
 
 class DrainChecker(Checker):
-    """`acked_us` says when a leaving backend's word was first acknowledged."""
+    """`acked_us` is when a backend's draining was first acknowledged, `gone_us` when it ended, by backend."""
 
     rule = "DRAIN"
 
@@ -15,15 +15,19 @@
         self.gone_us: dict[str, int] = {}
 
     def left(self, *, backend: str, now_us: int) -> None:
+        """A controller acknowledged that a backend drains or is deregistered."""
         self.acked_us.setdefault(backend, now_us)
 
-    def received(self, *, backend: str, now_us: int, others: list[str], in_touch: bool, what: str) -> None:
-        """A single statement, or a transaction's first, reaches a backend; `others` are of its service."""
+    def received(self, *, backend: str, now_us: int, others: list[str], stable: bool, description: str) -> None:
+        """A single statement, or a transaction's first, reaches a backend; `others` are its service's backends."""
         since_us = self.acked_us.get(backend)
-        if since_us is not None and now_us > since_us + self.drain_us and in_touch:
-            self.breach(what=f"{what} reached {backend} {(now_us - since_us) // 1_000} ms after it said it leaves")
-        # why: what goes elsewhere while a leaving backend still takes connections might have gone to it
+        if since_us is not None and now_us > since_us + self.drain_us and stable:
+            self.breach(
+                description=f"{description} reached {backend} {(now_us - since_us) // 1_000} ms "
+                "after its draining was acknowledged"
+            )
+        # a statement sent elsewhere while a drained backend still accepts connections could have gone to it
         late = (self.acked_us[name] + self.drain_us for name in others if name in self.acked_us)
         ends = (self.gone_us.get(name, 1 << 62) for name in others if name in self.acked_us)
         if any(start < now_us < end for start, end in zip(late, ends, strict=True)):
-            self.chance()
+            self.count_check()
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into what is passed on between proxies."""
+"""Seeded bugs in the forwarding of statements between proxies."""
 
 from typing import Any
 from unittest.mock import patch
@@ -15,7 +15,7 @@
 
 
 def forwards_unchecked() -> Patches:
-    """A holder sends whatever comes, however old, and whoever leads."""
+    """A link holder executes every forwarded statement, however old, and whichever backend is primary."""
 
     def anyway(self: Any, *, request: Any) -> Any:
         pool = self.router.pools.get(request.backend)
@@ -24,8 +24,8 @@
     return [patch.object(ForwardServer, "may_send", anyway)]
 
 
-def forwards_promised() -> Patches:
-    """A holder that does not know what became of a statement says that it was not sent."""
+def lost_forwards_reported_unsent() -> Patches:
+    """A link holder reports a statement with an unknown outcome as not sent."""
     single = ForwardServer._single_now
 
     async def promised(self: Any, *, request: Any) -> Any:
@@ -37,11 +37,11 @@
     return [patch.object(ForwardServer, "_single_now", promised)]
 
 
-def forwards_any_values() -> Patches:
-    """A holder's link is not brought up to the values of the session that it serves."""
+def forward_values_not_replayed() -> Patches:
+    """A link holder serves forwarded statements without setting the session's values on its link."""
     return [patch.object(forward_server, "replay_values", lambda *, link, values: None)]
 
 
-def links_at_once() -> Patches:
-    """What is dealt anew is taken at once, while others may still hold it."""
+def link_limits_raised_at_once() -> Patches:
+    """A raised link limit is used at once, while other proxies may still hold those links."""
     return [patch.object(link_limits, "LIMIT_INCREASE_DELAY_US", 0)]
--- a/src/cinderstair/simulation/platformsim/http_caller.py
+++ b/src/cinderstair/simulation/platformsim/http_caller.py
@@ -1,4 +1,4 @@
-"""One HTTP request of a stand-in, on a connection of its own."""
+"""An HTTP client for stand-ins: one request per connection."""
 
 import asyncio
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 class HttpCaller(asyncio.Protocol):
-    """Reads one answer; None where there is none, or none that can be read."""
+    """Reads one response with a Content-Length; `answer` is None if the connection ends or it is invalid."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -52,7 +52,7 @@
     headers: dict[str, str] | None = None,
     wait_us: int = 1_000_000,
 ) -> tuple[int, dict[str, str], bytes] | None:
-    """Status, headers and body; None after a failure or silence."""
+    """Status, headers and body; None if connecting fails, or without a valid response within `wait_us`."""
     until = asyncio.get_running_loop().time() + wait_us / 1_000_000
     opened = await streams.connect(address=address, protocol=HttpCaller, wait_us=wait_us)
     if opened.is_error():
--- a/src/cinderstair/simulation/platformsim/http_listener.py
+++ b/src/cinderstair/simulation/platformsim/http_listener.py
@@ -1,17 +1,17 @@
-"""The platform's side of one HTTP connection."""
+"""A small HTTP server for stand-ins."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any
 
-ClientAnswer = Callable[[int, bytes], None]
-SessionToken = Callable[[str, str, dict[str, str], bytes, ClientAnswer], None]
+Respond = Callable[[int, bytes], None]
+RequestHandler = Callable[[str, str, dict[str, str], bytes, Respond], None]
 
 
 class HttpListener(asyncio.Protocol):
-    """Reads requests with a stated length and hands each on with a way to answer it."""
+    """Reads requests with a Content-Length; `handle` gets each with a function that sends its response."""
 
-    def __init__(self, *, handle: SessionToken) -> None:
+    def __init__(self, *, handle: RequestHandler) -> None:
         self.handle = handle
         self.data = b""
         self.transport: Any = None
--- a/src/cinderstair/simulation/platformsim/late_checker.py
+++ b/src/cinderstair/simulation/platformsim/late_checker.py
@@ -1,4 +1,4 @@
-"""Nothing is written for a client that was told long ago how it ended."""
+"""LATE: no write reaches a backend long after its client received the outcome."""
 
 from .checker import Checker
 from .client_statement import ClientStatement
@@ -7,7 +7,10 @@
 
 
 class LateChecker(Checker):
-    """Only where nothing was cut lately, for what a cut holds up comes when it is over, whoever sent it."""
+    """Not checked shortly after a network partition: bytes held up by it arrive when it heals.
+
+    `cut_us` is when the last partition healed, or far in the future during one.
+    """
 
     rule = "LATE"
 
@@ -19,8 +22,8 @@
         if statement.kind not in ("write", "commit") or now_us - self.cut_us < 5 * LATE_US:
             return
         late_us = 0 if statement.answered_us is None else now_us - statement.answered_us
-        self.judge(
-            fine=late_us <= LATE_US,
-            what=f"{statement.kind} {statement.ident!r} reached {backend} {late_us // 1_000} ms "
+        self.check(
+            holds=late_us <= LATE_US,
+            description=f"{statement.kind} {statement.ident!r} reached {backend} {late_us // 1_000} ms "
             "after its client's answer",
         )
--- a/src/cinderstair/simulation/platformsim/listener.py
+++ b/src/cinderstair/simulation/platformsim/listener.py
@@ -1,4 +1,4 @@
-"""Who takes connections at an address."""
+"""A listening socket of a simulated machine."""
 
 import contextvars
 from collections.abc import Callable
@@ -10,6 +10,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Listener:
+    """`process` is None for stand-ins; accepted connections run their `protocol` in `context`."""
+
     host: str
     process: SimProcess | None
     context: contextvars.Context
--- a/src/cinderstair/simulation/platformsim/lost_checker.py
+++ b/src/cinderstair/simulation/platformsim/lost_checker.py
@@ -1,11 +1,11 @@
-"""What was acknowledged is not lost, and answers are not dropped at a planned stop."""
+"""LOST: no acknowledged commit is lost, and no answer is dropped at a planned stop."""
 
 from .checker import Checker
 from .log_entry import LogEntry
 
 
 class LostChecker(Checker):
-    """Commits at promotions, and answers."""
+    """Counts the promotions and the answers that were checked."""
 
     rule = "LOST"
 
@@ -14,19 +14,27 @@
         self.promotions = 0
         self.answers = 0
 
-    def promoted(self, *, backend: str, lost: list[LogEntry], chances: int) -> None:
-        """Called when a backend takes the lead; an acknowledgement that is still on its way counts too."""
+    def promoted(self, *, backend: str, lost: list[LogEntry], checks: int) -> None:
+        """A backend became primary; `lost` are the commits that its log lacks.
+
+        An acknowledgement that is still on its way to the client is checked when it arrives, see `acked`.
+        """
         self.promotions += 1
-        self.chances += chances
+        self.checks += checks
         for entry in lost:
             if entry.acked_us is not None:
-                self.breach(what=f"{backend} leads without {entry.term}.{entry.number}, acknowledged")
+                self.breach(
+                    description=f"{backend} was promoted without acknowledged commit {entry.term}.{entry.number}"
+                )
 
     def acked(self, *, entry: LogEntry) -> None:
         """An acknowledgement reaches a client."""
-        if entry.cut and not entry.late:
-            self.breach(what=f"{entry.term}.{entry.number} is acknowledged and was cut back")
+        if entry.truncated and not entry.by_old_primary:
+            self.breach(
+                description=f"commit {entry.term}.{entry.number} is acknowledged after a promotion truncated it"
+            )
 
-    def answered(self, *, whole: bool, what: str) -> None:
+    def answered(self, *, whole: bool, description: str) -> None:
+        """A request at a time of a planned stop got its whole answer, or none."""
         self.answers += 1
-        self.judge(fine=whole, what=what)
+        self.check(holds=whole, description=description)
--- a/src/cinderstair/simulation/platformsim/machine_trials.py
+++ b/src/cinderstair/simulation/platformsim/machine_trials.py
@@ -1,36 +1,38 @@
-"""Trials in which machines of the system, or what lies between them, are troubled."""
+"""Trials in which proxies, controllers, or the connections between machines fail."""
 
-from .failover_trials import BACK_MS
+from .failover_trials import RECOVERY_MS
 from .platform_world import PlatformWorld
 
 
-def back(*, world: PlatformWorld) -> None:
-    world.await_that(test=world.serves, within_ms=BACK_MS, what="every proxy serves")
+def await_serving(*, world: PlatformWorld) -> None:
+    """Waits until every proxy is ready and knows all primaries."""
+    world.await_that(test=world.serves, within_ms=RECOVERY_MS, description="every proxy serves")
 
 
 def controller_killed(world: PlatformWorld) -> None:
+    """Controllers are killed one after the other, and restart."""
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.controllers, len(world.controllers)):
-        world.kill(name=name, again_us=world.rng.choice((300_000, 2_000_000)))
+        world.kill(name=name, restart_us=world.rng.choice((300_000, 2_000_000)))
         world.advance(for_ms=2_800)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_000)
 
 
-def backends_unheard(world: PlatformWorld) -> None:
-    """All controllers begin anew while no beat reaches them; proxies reach backends as before."""
+def heartbeats_lost(world: PlatformWorld) -> None:
+    """All controllers restart while no heartbeat reaches them; proxies reach backends as before."""
     world.advance(for_ms=800)
     world.cut(ones=list(world.backends), others=world.controllers)
     for name in world.controllers:
-        world.kill(name=name, again_us=300_000)
+        world.kill(name=name, restart_us=300_000)
     world.advance(for_ms=4_000)
     world.heal()
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=2_000)
 
 
 def controller_wiped(world: PlatformWorld) -> None:
-    """A machine with a disk loses power and its disk, and starts again at its old address."""
+    """A controller loses power and its disk, restarts at its address, and then another one loses power."""
     world.advance(for_ms=800)
     name = world.rng.choice(world.controllers)
     world.power_off(name=name, wipe=True)
@@ -41,126 +43,131 @@
     world.power_off(name=other)
     world.advance(for_ms=1_500)
     world.power_on(name=other)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_500)
 
 
-def newest_on_one(world: PlatformWorld) -> None:
-    """All controllers lose power, and one its disk, which held the newest configuration beside one other's."""
+def newest_configuration_disk_lost(world: PlatformWorld) -> None:
+    """All controllers lose power, and one of the two that hold the newest configuration loses its disk."""
     world.advance(for_ms=1_500)
     wiped, other, behind = world.rng.sample(world.controllers, 3)
     world.cut(ones=[behind], others=[wiped, other])
     task = world.put(body=world.configuration(version=9, extra=("late",)))
-    world.await_that(test=task.done, within_ms=8_000, what="a configuration is acknowledged")
+    world.await_that(test=task.done, within_ms=8_000, description="a configuration is acknowledged")
     for name in world.controllers:
         world.power_off(name=name, wipe=name == wiped)
     world.heal()
     world.advance(for_ms=1_600)
     for name in world.controllers:
         world.power_on(name=name)
-    world.await_that(test=world.serves, within_ms=650, what="every proxy serves")
+    world.await_that(test=world.serves, within_ms=650, description="every proxy serves")
     world.advance(for_ms=3_000)
 
 
 def proxies_killed(world: PlatformWorld) -> None:
+    """Two proxies are killed one after the other, and restart."""
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.proxies, 2):
         world.kill(name=name)
         world.advance(for_ms=2_500)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_500)
 
 
 def proxies_frozen(world: PlatformWorld) -> None:
+    """Two proxies are frozen one after the other."""
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.proxies, 2):
         world.freeze(name=name)
         world.advance(for_ms=world.rng.randrange(300, 4_000))
         world.thaw(name=name)
         world.advance(for_ms=1_500)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_000)
 
 
-def proxy_alone(world: PlatformWorld) -> None:
-    """A proxy reaches clients and backends, but no controller, for far longer than what it knows may count."""
+def proxy_partitioned_beyond_lease(world: PlatformWorld) -> None:
+    """A proxy reaches clients and backends, but no controller, for much longer than its view is valid."""
     world.advance(for_ms=1_000)
     world.cut(ones=[world.rng.choice(world.proxies)], others=world.controllers)
     world.advance(for_ms=20_000)
     world.heal()
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=2_000)
 
 
-def proxy_frozen_in_move(world: PlatformWorld) -> None:
-    """A proxy stands still while a lead moves, and goes on where it was."""
+def proxy_frozen_during_failover(world: PlatformWorld) -> None:
+    """A proxy is frozen during a failover, and thaws with an outdated view."""
     world.advance(for_ms=1_000)
     name = world.rng.choice(world.proxies)
     old = world.primary()
-    world.crash(backend=old, again_us=500_000)
+    world.crash(backend=old, restart_us=500_000)
     if world.rng.random() < 0.5:
         world.advance(for_ms=world.rng.randrange(1_000))
     world.freeze(name=name)
     world.advance(for_ms=world.rng.randrange(1_500, 5_000))
     world.thaw(name=name)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=3_000)
 
 
 def proxies_stopped(world: PlatformWorld) -> None:
-    """SIGTERM to one proxy after another, with much under way at each."""
+    """Proxies are stopped with SIGTERM one after the other, with many requests in flight."""
     for backend in world.backends.values():
         backend.slow = 30
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.proxies, 2):
         world.stop(name=name)
         world.advance(for_ms=6_600)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_000)
 
 
 def controllers_stopped(world: PlatformWorld) -> None:
+    """Controllers are stopped with SIGTERM one after the other."""
     world.advance(for_ms=1_000)
     for name in world.controllers[:2]:
         world.stop(name=name)
         world.advance(for_ms=4_500)
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_000)
 
 
-def closing(*, world: PlatformWorld, dark: bool) -> None:
-    """A configuration is acknowledged, and right after it everything ends at once."""
+def crash_after_acknowledgement(*, world: PlatformWorld, power_loss: bool) -> None:
+    """All machines fail right after a configuration was acknowledged, and restart."""
     world.advance(for_ms=2_500)
     task = world.put(body=world.configuration(version=9, extra=("late",)))
-    world.await_that(test=task.done, within_ms=8_000, what="a configuration is acknowledged")
+    world.await_that(test=task.done, within_ms=8_000, description="a configuration is acknowledged")
     machines = [*world.controllers, *world.proxies]
     for name in machines:
-        if dark:
+        if power_loss:
             world.power_off(name=name)
         else:
-            world.kill(name=name, again_us=world.rng.randrange(300_000, 900_000))
-    if dark:
+            world.kill(name=name, restart_us=world.rng.randrange(300_000, 900_000))
+    if power_loss:
         world.advance(for_ms=world.rng.randrange(500, 3_000))
         for name in machines:
             world.power_on(name=name)
     else:
         world.advance(for_ms=1_000)
-    world.referee.recover.back_us = world.now_us
+    world.oracle.recover.back_us = world.now_us
     world.advance(for_ms=8_500)
 
 
 def all_killed(world: PlatformWorld) -> None:
-    closing(world=world, dark=False)
+    """All processes are killed at once."""
+    crash_after_acknowledgement(world=world, power_loss=False)
 
 
 def all_powered_off(world: PlatformWorld) -> None:
-    closing(world=world, dark=True)
+    """All machines lose power at once."""
+    crash_after_acknowledgement(world=world, power_loss=True)
 
 
 def answers_lost(world: PlatformWorld) -> None:
-    """Backends run what they are asked, and now and then the answer is lost."""
+    """Backends execute statements, but some answers are lost."""
     for backend in world.backends.values():
-        world.note(name=backend.name, for_us=7_000_000)
+        world.begin_disruption(name=backend.name, for_us=7_000_000)
     world.advance(for_ms=500)
     world.primary().lose_share = 0.08
     world.primary(service="ledger1").lose_share = 0.03
@@ -171,7 +178,7 @@
 
 
 def backends_slow(world: PlatformWorld) -> None:
-    """A primary and a copy take many times as long, and some reads fail."""
+    """A primary and a replica of another service are slow, and some reads fail."""
     world.advance(for_ms=500)
     world.primary().slow = 25
     replica = world.rng.choice(world.replicas(service="ledger1"))
@@ -179,28 +186,29 @@
     world.advance(for_ms=6_000)
     for backend in world.backends.values():
         backend.slow, backend.fail_share = 1, 0.0
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=1_500)
 
 
 def connections_refused(world: PlatformWorld) -> None:
-    """Two proxies can't open connections to a primary and to a copy, which are there for the others."""
+    """Two proxies' connections to a primary and a replica are refused, while the other proxies connect."""
     world.advance(for_ms=800)
     primary, replica = world.primary(), world.rng.choice(world.replicas(service="ledger1"))
     for proxy in world.rng.sample(world.proxies, 2):
-        world.note(name=proxy, for_us=4_000_000)
+        world.begin_disruption(name=proxy, for_us=4_000_000)
         world.fabric.refusing |= {(proxy, primary.name), (proxy, replica.name)}
         world.fabric.reset(host=proxy)
     world.advance(for_ms=4_000)
     world.fabric.refusing.clear()
     world.advance(for_ms=2_500)
-    back(world=world)
+    await_serving(world=world)
 
 
 def connections_reset(world: PlatformWorld) -> None:
+    """All connections of random machines are reset."""
     world.advance(for_ms=800)
     for _ in range(8):
         world.reset(name=world.rng.choice([*world.proxies, *world.controllers, *world.backends]))
         world.advance(for_ms=world.rng.randrange(200, 1_200))
-    back(world=world)
+    await_serving(world=world)
     world.advance(for_ms=800)
--- a/src/cinderstair/simulation/platformsim/mixed_trials.py
+++ b/src/cinderstair/simulation/platformsim/mixed_trials.py
@@ -1,8 +1,8 @@
-"""Several troubles at once, drawn by the seed."""
+"""A trial with several random faults at once."""
 
 from collections.abc import Callable
 
-from .failover_trials import BACK_MS
+from .failover_trials import RECOVERY_MS
 from .platform_world import PlatformWorld
 
 InjectedFault = Callable[[PlatformWorld], Callable[[], None] | None]
@@ -10,12 +10,14 @@
 
 def _crash(world: PlatformWorld) -> None:
     backend = world.rng.choice([each for each in world.backends.values() if each.up] or [world.primary()])
-    if backend.up and not backend.emptying:
-        world.crash(backend=backend, dark=world.rng.random() < 0.4, again_us=world.rng.randrange(500_000, 5_000_000))
+    if backend.up and not backend.draining:
+        world.crash(
+            backend=backend, power_loss=world.rng.random() < 0.4, restart_us=world.rng.randrange(500_000, 5_000_000)
+        )
 
 
 def _release(world: PlatformWorld) -> None:
-    ready = [each for each in world.backends.values() if each.up and not each.emptying]
+    ready = [each for each in world.backends.values() if each.up and not each.draining]
     if ready:
         world.release(backend=world.rng.choice(ready))
 
@@ -23,7 +25,7 @@
 def _kill(world: PlatformWorld) -> None:
     alive = [name for name, process in world.processes.items() if not process.dead]
     if alive:
-        world.kill(name=world.rng.choice(alive), again_us=world.rng.randrange(300_000, 2_500_000))
+        world.kill(name=world.rng.choice(alive), restart_us=world.rng.randrange(300_000, 2_500_000))
 
 
 def _freeze(world: PlatformWorld) -> Callable[[], None]:
@@ -31,23 +33,23 @@
     process = world.processes[name]
     world.freeze(name=name)
 
-    def over() -> None:
+    def undo() -> None:
         if world.processes[name] is process and not process.dead:
             world.thaw(name=name)
         else:
-            world.past(name=name)
+            world.end_disruption(name=name)
 
-    return over
+    return undo
 
 
-def _deafen(world: PlatformWorld) -> Callable[[], None]:
+def _interrupt_replication(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
-    backend.deaf, backend.lag_us = world.rng.random() < 0.6, world.rng.randrange(2_000_000)
+    backend.replication_interrupted, backend.lag_us = world.rng.random() < 0.6, world.rng.randrange(2_000_000)
 
-    def over() -> None:
-        backend.deaf, backend.lag_us = False, 0
+    def undo() -> None:
+        backend.replication_interrupted, backend.lag_us = False, 0
 
-    return over
+    return undo
 
 
 def _cut(world: PlatformWorld) -> Callable[[], None]:
@@ -65,32 +67,32 @@
 def _lose(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
     backend.lose_share = 0.1
-    world.note(name=backend.name, for_us=None)
+    world.begin_disruption(name=backend.name, for_us=None)
 
-    def over() -> None:
+    def undo() -> None:
         backend.lose_share = 0.0
-        world.past(name=backend.name)
+        world.end_disruption(name=backend.name)
 
-    return over
+    return undo
 
 
 def _platform(world: PlatformWorld) -> Callable[[], None]:
     world.platform.mode = world.rng.choice(("slow", "down"))
 
-    def over() -> None:
+    def undo() -> None:
         world.platform.mode = "up"
 
-    return over
+    return undo
 
 
 def _slow(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
     backend.slow = world.rng.choice((10, 40))
 
-    def over() -> None:
+    def undo() -> None:
         backend.slow = 1
 
-    return over
+    return undo
 
 
 INJECTED_FAULTS: tuple[InjectedFault, ...] = (
@@ -99,7 +101,7 @@
     _release,
     _kill,
     _freeze,
-    _deafen,
+    _interrupt_replication,
     _cut,
     _reset,
     _lose,
@@ -108,22 +110,22 @@
 )
 
 
-def mixed(world: PlatformWorld) -> None:
-    """Up to three troubles at a time, and configurations among them; in the end everything is well again."""
-    overs: list[Callable[[], None]] = []
+def mixed_faults(world: PlatformWorld) -> None:
+    """In six rounds up to three random faults each, some undone later, with configurations in between."""
+    undos: list[Callable[[], None]] = []
     for number in range(6):
         for injected_fault in world.rng.sample(INJECTED_FAULTS, world.rng.choice((1, 2, 2, 3))):
-            over = injected_fault(world)
-            if over is not None:
-                overs.append(over)
+            undo = injected_fault(world)
+            if undo is not None:
+                undos.append(undo)
         if world.rng.random() < 0.4:
             world.put(body=world.configuration(version=10 + 5 * number, give_up_ms=world.rng.randrange(700, 1_100)))
         world.advance(for_ms=world.rng.choice((100, 400, 900, 1_500, 2_500)))
-        while overs and world.rng.random() < 0.6:
-            overs.pop(world.rng.randrange(len(overs)))()
-    for over in overs:
-        over()
+        while undos and world.rng.random() < 0.6:
+            undos.pop(world.rng.randrange(len(undos)))()
+    for undo in undos:
+        undo()
     world.heal()
     world.advance(for_ms=5_000)
-    world.await_that(test=world.serves, within_ms=2 * BACK_MS, what="everything is well again")
+    world.await_that(test=world.serves, within_ms=2 * RECOVERY_MS, description="every proxy serves")
     world.advance(for_ms=1_500)
--- a/src/cinderstair/simulation/platformsim/one_checker.py
+++ b/src/cinderstair/simulation/platformsim/one_checker.py
@@ -1,16 +1,18 @@
-"""Only one leads: an old primary acknowledges nothing after a promotion has taken effect."""
+"""ONE: one primary per service, so a replaced primary acknowledges nothing once a promotion took effect."""
 
 from .checker import Checker
 from .log_entry import LogEntry
 
 
 class OneChecker(Checker):
-    """`chances` are writes that reach an old primary of a service, or commits acknowledged after a promotion."""
+    """`checks` counts commits acknowledged by a replaced primary, or after any promotion of the service."""
 
     rule = "ONE"
 
     def acked(self, *, entry: LogEntry, client: str, promoted: bool) -> None:
-        if promoted or entry.late:
-            self.judge(
-                fine=not entry.late, what=f"{client}: {entry.term}.{entry.number} by old primary {entry.backend}"
+        if promoted or entry.by_old_primary:
+            self.check(
+                holds=not entry.by_old_primary,
+                description=f"{client}: commit {entry.term}.{entry.number} is acknowledged "
+                f"by replaced primary {entry.backend}",
             )
--- a/src/cinderstair/simulation/platformsim/referee.py
+++ b/src/cinderstair/simulation/platformsim/oracle.py
@@ -1,4 +1,4 @@
-"""Sees everything that clients, backends and operators see, and holds it against the rules."""
+"""The trials' oracle: receives all events of clients, backends and operators, and passes them to the checkers."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 from .wire_checker import WireChecker
 
 if TYPE_CHECKING:
-    from .backend_door import BackendDoor
+    from .backend_protocol import BackendProtocol
     from .stand_in_backend import StandInBackend
     from .stand_in_service import StandInService
 
@@ -34,11 +34,15 @@
 PROMISES = frozenset(["BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"])
 
 
-class Referee:
-    """`in_touch` tells whether a machine is untroubled, and has been for a while."""
+class Oracle:
+    """Owns one checker for each rule, and the statements and commits by id.
 
-    def __init__(self, *, in_touch: Callable[[str], bool], drain_us: int = DRAIN_US) -> None:
-        self.in_touch = in_touch
+    `stable` tells whether a machine has been undisrupted for a while. `reached_backend` holds the ids of statements
+    that a backend received; `answers` counts error codes that clients received.
+    """
+
+    def __init__(self, *, stable: Callable[[str], bool], drain_us: int = DRAIN_US) -> None:
+        self.stable = stable
         self.wire = WireChecker()
         self.unasked = UnaskedChecker()
         self.route = RouteChecker()
@@ -55,47 +59,50 @@
         self.cap = CapChecker()
         self.late = LateChecker()
         self.recover = RecoverChecker(recovery_us=RECOVERY_US)
-        self.statement: dict[bytes, ClientStatement] = {}
+        self.statements: dict[bytes, ClientStatement] = {}
         self.entries_by_commit: dict[bytes, LogEntry] = {}
-        self.handed: set[bytes] = set()
-        self.misled = 0
-        self.full = 0
+        self.reached_backend: set[bytes] = set()
+        self.wrong_host_refusals = 0
+        self.full_refusals = 0
         self.proxies = 0
         self.answers: Counter[str] = Counter()
 
     @property
     def checkers(self) -> list[Checker]:
+        """In the order of the fields."""
         return [each for each in vars(self).values() if isinstance(each, Checker)]
 
     # -- at backends --
 
-    def arrived(self, *, ident: bytes, text: bytes, guarded: bool, door: "BackendDoor") -> ClientStatement | None:
-        """A statement under a client's id reaches a backend."""
-        statement = self.statement.get(ident)
+    def arrived(
+        self, *, ident: bytes, text: bytes, guarded: bool, connection: "BackendProtocol"
+    ) -> ClientStatement | None:
+        """A statement with a client's id reaches a backend; None where no client sent that id."""
+        statement = self.statements.get(ident)
         if not self.unasked.known(statement=statement, ident=ident, text=text) or statement is None:
             return None
         self.unasked.text(statement=statement, text=text)
-        self.wire.judge(
-            fine=statement.kind in ("read", "write", "commit") and (not guarded or statement.kind == "read"),
-            what=f"{statement.kind} {text[:60]!r} reaches a backend{' with a guard' if guarded else ''}",
+        self.wire.check(
+            holds=statement.kind in ("read", "write", "commit") and (not guarded or statement.kind == "read"),
+            description=f"{statement.kind} {text[:60]!r} reaches a backend{' with a guard' if guarded else ''}",
         )
-        self.handed.add(ident)
-        backend = door.backend
+        self.reached_backend.add(ident)
+        backend = connection.backend
         self.late.arrived(statement=statement, now_us=backend.now_us, backend=backend.name)
-        if statement.alone or statement.attempt.place is None:
+        if statement.autocommit or statement.attempt.first_connection is None:
             self.drain.received(
                 backend=backend.name,
                 now_us=backend.now_us,
                 others=list(backend.service.backends),
-                in_touch=self.in_touch(door.far_end),
-                what=f"{statement.ident!r} of {statement.sent_us} from {door.far_end}",
+                stable=self.stable(connection.peer_host),
+                description=f"{statement.ident!r} of {statement.sent_us} from {connection.peer_host}",
             )
         return statement
 
-    def ran(self, *, statement: ClientStatement, door: "BackendDoor") -> None:
-        """A backend runs it."""
-        backend = door.backend
-        self.pinned.ran(statement=statement, door=door)
+    def ran(self, *, statement: ClientStatement, connection: "BackendProtocol") -> None:
+        """A backend executes a client's statement."""
+        backend = connection.backend
+        self.pinned.ran(statement=statement, connection=connection)
         self.route.ran(statement=statement, service=backend.service.name)
         if statement.kind == "read":
             self.stale.ran(statement=statement, backend=backend)
@@ -105,60 +112,65 @@
             self.unasked.commits(statement=statement)
 
     def committed(self, *, entry: LogEntry, backend: "StandInBackend") -> None:
-        """A backend appends to its log."""
+        """A backend appends a commit to its log."""
         for statement in entry.writes:
             self.entries_by_commit[statement.ident] = entry
         self.shard.committed(entry=entry)
 
     def promoted(self, *, backend: "StandInBackend", lost: list[LogEntry]) -> None:
+        """A promotion took effect; `lost` are commits that the new primary lacks."""
         service = backend.service
         if service.waits_for:
-            self.lost.promoted(backend=backend.name, lost=lost, chances=len(service.acked))
+            self.lost.promoted(backend=backend.name, lost=lost, checks=len(service.acked))
 
     # -- at clients --
 
     def client_sent(self, *, statement: ClientStatement) -> None:
-        self.statement[statement.ident] = statement
+        self.statements[statement.ident] = statement
 
     def acknowledged(
         self, *, writes: list[ClientStatement], services: dict[str, "StandInService"], now_us: int
     ) -> None:
-        """A client is told that its writes are committed."""
+        """A client receives the acknowledgement of its writes."""
         entry = self.entries_by_commit.get(writes[0].ident)
         if entry is None:
-            self.lost.breach(what=f"{writes[0].ident!r} is acknowledged and stands in no log")
+            self.lost.breach(description=f"{writes[0].ident!r} is acknowledged, but no backend committed it")
             return
-        # why: a shard map may have moved the database, so its place is where the commit stands
+        # a shard map may have moved the database, so the service is taken from the commit
         service = services[entry.service]
         if entry.acked_us is None:
             entry.acked_us = now_us
             self.shard.acknowledged(writes=writes, entry=entry, now_us=now_us)
             service.acked.append((now_us, entry))
         attempt = writes[0].attempt
-        self.stale.own.setdefault(attempt.session, []).append(entry)
+        self.stale.own_commits.setdefault(attempt.session, []).append(entry)
         self.one.acked(entry=entry, client=attempt.client, promoted=service.term > 1)
         if service.waits_for:
             self.lost.acked(entry=entry)
 
     def client_rejected(self, *, attempt: Attempt, code: str) -> None:
-        """A client is given an error."""
+        """A client receives an error code."""
         self.answers[code] += 1
         if code in PROMISES:
             attempt.promises.append(code)
             if any(statement.kind == "write" for statement in attempt.statements):
-                self.refused.chance()
+                self.refused.count_check()
 
     # -- at the end --
 
     def end(self, *, services: list["StandInService"]) -> None:
+        """Runs the checks that need the whole trial."""
         for service in services:
-            log = [] if service.last is None else service.last.log
+            log = [] if service.last_primary is None else service.last_primary.log
             self.twice.effects(entries=log)
             self.refused.effects(entries=log)
             stands = set(map(id, log))
             for _, entry in service.acked:
                 if service.waits_for and id(entry) not in stands:
-                    self.lost.breach(what=f"{entry.term}.{entry.number} of {service.name} is not in the last log")
+                    self.lost.breach(
+                        description=f"commit {entry.term}.{entry.number} of {service.name} was acknowledged, "
+                        "but is not in the last primary's log"
+                    )
         self.stale.end()
         self.shard.end(services={service.name: service for service in services})
         self.recover.end()
@@ -168,5 +180,5 @@
         return [breach for each in self.checkers for breach in each.breaches]
 
     @property
-    def chances(self) -> Counter[str]:
-        return Counter({each.rule: each.chances for each in self.checkers})
+    def checks(self) -> Counter[str]:
+        return Counter({each.rule: each.checks for each in self.checkers})
--- a/src/cinderstair/simulation/platformsim/pinned_checker.py
+++ b/src/cinderstair/simulation/platformsim/pinned_checker.py
@@ -1,4 +1,4 @@
-"""Statements run inside their own transaction, with their own session's values and names."""
+"""PINNED: statements run in their own transaction, with their session's values and prepared statements."""
 
 from typing import TYPE_CHECKING
 
@@ -6,31 +6,48 @@
 from .client_statement import ClientStatement
 
 if TYPE_CHECKING:
-    from .backend_door import BackendDoor
+    from .backend_protocol import BackendProtocol
 
 
 class PinnedChecker(Checker):
+    """Compares a backend connection's state with the session of the client whose statement runs on it."""
+
     rule = "PINNED"
 
-    def ran(self, *, statement: ClientStatement, door: "BackendDoor") -> None:
-        where = f"{statement.attempt.client} {statement.ident!r} at {door.backend.name}"
+    def ran(self, *, statement: ClientStatement, connection: "BackendProtocol") -> None:
+        """A backend executes a client's statement; the first of a transaction binds it to the connection."""
+        where = f"{statement.attempt.client} {statement.ident!r} at {connection.backend.name}"
         attempt = statement.attempt
-        if statement.alone:
-            self.judge(fine=door.state == b"I", what=f"{where}: a single statement inside a transaction")
+        if statement.autocommit:
+            self.check(
+                holds=connection.state == b"I", description=f"{where}: a single statement ran inside a transaction"
+            )
         else:
-            self.judge(fine=door.state == b"T", what=f"{where}: outside its transaction")
-            if attempt.place is None:
-                self.judge(fine=door.owner is None, what=f"{where}: inside another's transaction")
-                attempt.place, door.owner = door, attempt
+            self.check(holds=connection.state == b"T", description=f"{where}: ran outside its transaction")
+            if attempt.first_connection is None:
+                self.check(
+                    holds=connection.owner is None,
+                    description=f"{where}: began inside the transaction of another attempt",
+                )
+                attempt.first_connection, connection.owner = connection, attempt
             else:
-                fine = attempt.place is door and door.owner is attempt
-                self.judge(fine=fine, what=f"{where}: not where its transaction began")
-        self.judge(
-            fine=door.values == statement.values, what=f"{where}: values {door.values}, not {statement.values}"
+                holds = attempt.first_connection is connection and connection.owner is attempt
+                self.check(
+                    holds=holds, description=f"{where}: ran on another connection than its transaction began on"
+                )
+        self.check(
+            holds=connection.values == statement.values,
+            description=f"{where}: values are {connection.values}, expected {statement.values}",
         )
         if statement.shape is not None:
-            shape = door.prepared.get(door.alias)
-            self.judge(fine=shape == statement.shape, what=f"{where}: runs {shape}, prepared {statement.shape}")
+            shape = connection.prepared.get(connection.alias)
+            self.check(
+                holds=shape == statement.shape,
+                description=f"{where}: runs prepared statement {shape}, expected {statement.shape}",
+            )
 
     def unnamed(self, *, client: str, name: bytes) -> None:
-        self.breach(what=f"{client}: {name!r} is unknown although its preparing was acknowledged")
+        """A client was told that a prepared statement of its session is unknown."""
+        self.breach(
+            description=f"{client}: prepared statement {name!r} is unknown, although its preparation was acknowledged"
+        )
--- a/src/cinderstair/simulation/platformsim/platform_client.py
+++ b/src/cinderstair/simulation/platformsim/platform_client.py
@@ -1,14 +1,14 @@
-"""A client of the platform, with long sessions or short ones."""
+"""A client of the platform, with long or short sessions."""
 
 import asyncio
 import random
 from collections.abc import Callable
 
-from .answer import ClientAnswer
 from .attempt import Attempt
+from .client_answer import ClientAnswer
+from .client_protocol import ClientProtocol
 from .client_statement import ClientStatement
-from .client_wire import ClientWire
-from .referee import PROMISES, Referee
+from .oracle import PROMISES, Oracle
 from .sim_streams import SimStreams
 from .stand_in_platform import StandInPlatform
 from .stand_in_service import StandInService
@@ -18,12 +18,16 @@
 HANDSHAKE_US = 2_000_000
 TRIES = 3
 IDENTS = 1 << 62
-LEFT, UNOPENED, CUT, SILENT, DONE = "left", "unopened", "cut", "silent", "done"
+ABANDONED, UNOPENED, DISCONNECTED, SILENT, DONE = "left", "unopened", "cut", "silent", "done"
 Step = tuple[str, bytes, int]
 
 
 class PlatformClient:
-    """Operates one database. Whatever it sends is known to the referee before it leaves."""
+    """Runs random operations on one database; each statement is reported to the oracle before it is sent.
+
+    Session state: `values` set and `shapes` prepared, both acknowledged. `attempted` and `served` count operations.
+    `answered` and `dropped` report each answer, and each connection that closed without one.
+    """
 
     def __init__(
         self,
@@ -35,10 +39,10 @@
         fabric: StreamFabric,
         streams: SimStreams,
         platform: StandInPlatform,
-        referee: Referee,
+        oracle: Oracle,
         rng: random.Random,
         think_us: int,
-        long: bool,
+        long_sessions: bool,
         write_share: float,
         transaction_share: float,
         pauses_us: tuple[int, ...],
@@ -52,23 +56,23 @@
         self.fabric = fabric
         self.streams = streams
         self.platform = platform
-        self.referee = referee
+        self.oracle = oracle
         self.rng = rng
         self.think_us = think_us
-        self.long = long
+        self.long_sessions = long_sessions
         self.write_share = write_share
         self.transaction_share = transaction_share
         self.pauses_us = pauses_us
         self.answered = answered
         self.dropped = dropped
         self.stopped = False
-        self.wire: ClientWire | None = None
+        self.connection: ClientProtocol | None = None
         self.proxy = ""
         self.sessions = 0
         self.session = 0
         self.values: dict[bytes, bytes] = {}
         self.shapes: dict[bytes, tuple[bytes, bool]] = {}
-        self.owed = 0
+        self.attempted = 0
         self.served = 0
         self.waits_us: list[int] = []
 
@@ -77,33 +81,34 @@
         return self.fabric.now_us
 
     async def run(self) -> None:
+        """Operates until `stopped`."""
         await asyncio.sleep(self.rng.randrange(self.think_us) / 1_000_000)
         while not self.stopped:
             await self._operate()
-            if not self.long or self.rng.random() < 0.02:
-                self._hang_up()
+            if not self.long_sessions or self.rng.random() < 0.02:
+                self._disconnect()
             await asyncio.sleep(self.rng.randrange(self.think_us // 2, self.think_us * 3 // 2) / 1_000_000)
-        self._hang_up()
+        self._disconnect()
 
-    def _hang_up(self) -> None:
-        if self.wire is not None:
-            self.wire.close(farewell=True)
-        self.wire = None
+    def _disconnect(self) -> None:
+        if self.connection is not None:
+            self.connection.close(farewell=True)
+        self.connection = None
 
-    # -- what it does --
+    # -- operations --
 
     def _statement(self, *, writes: bool) -> Step:
-        """A read or write, at times under a prepared name."""
-        thing = b"k%d" % self.rng.randrange(40)
+        """A read or write, sometimes as a prepared statement."""
+        key = b"k%d" % self.rng.randrange(40)
         if writes:
-            thing += b" %x" % self.rng.getrandbits(32)
+            key += b" %x" % self.rng.getrandbits(32)
         names = sorted(name for name, (_, changes) in self.shapes.items() if changes == writes)
         if names and self.rng.random() < 0.4:
-            return "write" if writes else "read", b"RUN " + self.rng.choice(names) + b" " + thing, 0
-        return "write" if writes else "read", (b"PUT " if writes else b"FETCH ") + thing, 0
+            return "write" if writes else "read", b"RUN " + self.rng.choice(names) + b" " + key, 0
+        return "write" if writes else "read", (b"PUT " if writes else b"FETCH ") + key, 0
 
-    def _draw(self) -> list[Step]:
-        """The steps of an operation, each with the pause before it."""
+    def _draw_steps(self) -> list[Step]:
+        """The steps of an operation: kind, text, and the pause before it in us."""
         writes = self.rng.random() < self.write_share
         if self.rng.random() >= self.transaction_share:
             return [self._statement(writes=writes)]
@@ -112,10 +117,10 @@
         for number in range(count):
             kind, text, _ = self._statement(writes=writes and (number == 0 or self.rng.random() < 0.5))
             steps.append((kind, text, self.rng.choice(self.pauses_us)))
-        fate = self.rng.random()
-        if fate < 0.03:
+        draw = self.rng.random()
+        if draw < 0.03:
             steps.append(("leave", b"", 30_000))
-        elif fate < 0.13:
+        elif draw < 0.13:
             steps.append(("undo", b"UNDO", 10_000))
         else:
             steps.append(("commit", b"COMMIT", self.rng.choice((0, 20_000))))
@@ -123,12 +128,12 @@
 
     async def _operate(self) -> None:
         began_us = self.now_us
-        # why: pauses of the client's own do not count against its deadline
+        # `_attempt` extends the deadline by the client's own pauses
         until_us = began_us + DEADLINE_US
-        if self.wire is not None and self.wire.open and not await self._dress():
-            self._hang_up()
-        steps = self._draw()
-        self.owed += 1
+        if self.connection is not None and self.connection.open and not await self._change_session_state():
+            self._disconnect()
+        steps = self._draw_steps()
+        self.attempted += 1
         served = False
         for number in range(TRIES):
             attempt = Attempt(
@@ -139,21 +144,22 @@
                 read_only=not any(kind in ("write", "begin") for kind, *_ in steps),
             )
             attempt.outcome = await self._attempt(attempt=attempt, steps=steps, until_us=until_us)
-            if attempt.outcome == LEFT:
-                self.owed -= 1
+            if attempt.outcome == ABANDONED:
+                self.attempted -= 1
                 return
             served = attempt.outcome == DONE
             wait_us = self.rng.randrange(40_000, 120_000) << number
-            if served or not self._again(attempt=attempt) or self.now_us + wait_us >= until_us:
+            if served or not self._may_retry(attempt=attempt) or self.now_us + wait_us >= until_us:
                 break
             await asyncio.sleep(wait_us / 1_000_000)
         self.served += served
         self.waits_us.append(self.now_us - began_us)
         if any(kind in ("write", "begin") for kind, *_ in steps):
-            self.referee.shard.waited(database=self.database, began_us=began_us, ended_us=self.now_us)
-        self.referee.recover.operated(began_us=began_us, served=served)
+            self.oracle.shard.waited(database=self.database, began_us=began_us, ended_us=self.now_us)
+        self.oracle.recover.operated(began_us=began_us, served=served)
 
-    def _again(self, *, attempt: Attempt) -> bool:
+    def _may_retry(self, *, attempt: Attempt) -> bool:
+        """Whether a retry can't execute a write twice."""
         if attempt.promises or attempt.outcome in PROMISES:
             return True
         if attempt.outcome == "FAILED":
@@ -163,42 +169,42 @@
     # -- sessions --
 
     async def _open(self, *, until_us: int) -> bool:
-        """A session, with its values and names; False where none came to be."""
+        """Opens a session, with values and prepared statements; False after a failure."""
         self.sessions += 1
         self.proxy = self.platform.assign(client=self.name, zone=self.zone, number=self.sessions)
         opened = await self.streams.connect(
-            address=self.platform.fronts[self.proxy],
-            protocol=lambda: ClientWire(client=self.name, referee=self.referee),
+            address=self.platform.proxy_addresses[self.proxy],
+            protocol=lambda: ClientProtocol(client=self.name, oracle=self.oracle),
             wait_us=min(HANDSHAKE_US, max(1, until_us - self.now_us)),
         )
         if opened.is_error():
             return False
-        self.wire = opened.ok
+        self.connection = opened.ok
         self.session = self.rng.getrandbits(60)
         self.values, self.shapes = {}, {}
         line = b"GREET " + self.database.encode() + b" " + self.name.encode()
         answer = await self._answer(line=line, until_us=self.now_us + HANDSHAKE_US, handshake=True)
         if answer is None or answer.code or answer.state != b"I":
             if answer is not None and answer.code:
-                self.referee.answers[f"greet {answer.code}"] += 1
-            self._hang_up()
+                self.oracle.answers[f"greet {answer.code}"] += 1
+            self._disconnect()
             return False
-        for number in range(self.rng.randrange(1, 3) if self.long else self.rng.randrange(2)):
+        for number in range(self.rng.randrange(1, 3) if self.long_sessions else self.rng.randrange(2)):
             if not await self._set(name=b"v%d" % number):
                 return False
-        for number in range(self.rng.randrange(1, 4) if self.long else 0):
+        for number in range(self.rng.randrange(1, 4) if self.long_sessions else 0):
             if not await self._name(name=b"s%d" % number):
                 return False
         return True
 
-    async def _dress(self) -> bool:
-        """Now and then a long session changes what it keeps."""
-        fate = self.rng.random()
-        if fate < 0.04:
+    async def _change_session_state(self) -> bool:
+        """Sometimes sets a value, or prepares or forgets a statement; False after a failure."""
+        draw = self.rng.random()
+        if draw < 0.04:
             return await self._set(name=b"v%d" % self.rng.randrange(3))
-        if fate < 0.07:
+        if draw < 0.07:
             return await self._name(name=b"s%d" % self.rng.randrange(3))
-        if fate < 0.08 and self.shapes:
+        if draw < 0.08 and self.shapes:
             name = self.rng.choice(sorted(self.shapes))
             answer = await self._plain(text=b"FORGET " + name)
             if answer is not None and not answer.code:
@@ -214,7 +220,7 @@
         value = b"%x" % self.rng.randrange(1 << 16)
         answer = await self._plain(text=b"SET " + name + b" " + value)
         if answer is None or answer.code or answer.state != b"I":
-            self._hang_up()
+            self._disconnect()
             return False
         self.values = {**self.values, name: value}
         return True
@@ -224,31 +230,31 @@
         shape = b"q%d" % self.rng.randrange(6)
         answer = await self._plain(text=b"NAME " + name + (b" PUT " if writes else b" FETCH ") + shape)
         if answer is None or answer.code or answer.state != b"I":
-            self._hang_up()
+            self._disconnect()
             return False
         self.shapes = {**self.shapes, name: (shape, writes)}
         return True
 
     async def _answer(self, *, line: bytes, until_us: int, handshake: bool = False) -> ClientAnswer | None:
-        """None after silence or a cut, after which the session is closed."""
-        wire, requested_us = self.wire, self.now_us
-        assert wire is not None
+        """None after a timeout or the end of the connection, which is closed then."""
+        connection, requested_us = self.connection, self.now_us
+        assert connection is not None
         try:
             async with asyncio.timeout(max(0.001, (until_us - requested_us) / 1_000_000)):
-                answer = await wire.request(line=line, handshake=handshake)
+                answer = await connection.request(line=line, handshake=handshake)
             self.answered(self.proxy, requested_us, line[:40].decode())
             return answer
         except TimeoutError:
-            wire.close()
+            connection.close()
             return None
         except ConnectionError:
             self.dropped(self.proxy, requested_us, line[:40].decode())
             return None
 
-    # -- one try --
+    # -- attempts --
 
     async def _attempt(self, *, attempt: Attempt, steps: list[Step], until_us: int) -> str:
-        if self.wire is None or not self.wire.open:
+        if self.connection is None or not self.connection.open:
             if not await self._open(until_us=until_us):
                 return UNOPENED
         attempt.session = self.session
@@ -258,7 +264,7 @@
             for kind, text, _ in steps
             if text.startswith(b"RUN")
         ):
-            # why: a new session has other names, and what ran under an old one is now sent in full
+            # a new session has other prepared statements, so the operation is sent in full
             steps[:] = [self._in_full(step=step) for step in steps]
         first_us = 0
         for kind, text, pause_us in steps:
@@ -266,9 +272,9 @@
                 await asyncio.sleep(pause_us / 1_000_000)
                 until_us += pause_us
             if kind == "leave":
-                assert self.wire is not None
-                self.wire.close(farewell=self.rng.random() < 0.5)
-                return LEFT
+                assert self.connection is not None
+                self.connection.close(farewell=self.rng.random() < 0.5)
+                return ABANDONED
             first_us = first_us or self.now_us
             outcome = await self._send(attempt=attempt, kind=kind, text=text, first_us=first_us, until_us=until_us)
             if outcome != DONE:
@@ -292,42 +298,44 @@
             attempt=attempt,
             sent_us=self.now_us,
             first_us=first_us,
-            alone=not attempt.in_transaction,
+            autocommit=not attempt.in_transaction,
             proxy=self.proxy,
             values=self.values,
             shape=self.shapes[text.split(b" ")[1]] if runs else None,
             rest=text.split(b" ", 2)[2] if runs else b"",
         )
-        self.referee.client_sent(statement=statement)
+        self.oracle.client_sent(statement=statement)
         attempt.statements.append(statement)
         attempt.commit_requested |= kind == "commit"
-        attempt.commit_sent |= kind == "commit" or (kind == "write" and statement.alone)
+        attempt.commit_sent |= kind == "commit" or (kind == "write" and statement.autocommit)
         answer = await self._answer(line=b"ASK " + ident + b" " + text, until_us=until_us)
         if answer is None:
-            return CUT if self.wire is not None and self.wire.ended else SILENT
+            return DISCONNECTED if self.connection is not None and self.connection.ended else SILENT
         statement.answered_us = self.now_us
         if answer.code:
             return await self._failed(attempt=attempt, statement=statement, answer=answer)
         if kind in ("read", "write", "commit"):
-            self.referee.mixed.succeeded(statement=statement, stamp=answer.stamp, rows=tuple(answer.rows))
-        if kind == "commit" or (kind == "write" and statement.alone):
+            self.oracle.mixed.succeeded(statement=statement, stamp=answer.stamp, rows=tuple(answer.rows))
+        if kind == "commit" or (kind == "write" and statement.autocommit):
             writes = [each for each in attempt.statements if each.kind == "write"]
             if writes:
-                self.referee.acknowledged(writes=writes, services=self.services, now_us=self.now_us)
-        ends = statement.alone or kind in ("commit", "undo")
+                self.oracle.acknowledged(writes=writes, services=self.services, now_us=self.now_us)
+        ends = statement.autocommit or kind in ("commit", "undo")
         if answer.state != (b"I" if ends else b"T"):
-            self.referee.wire.breach(what=f"{self.name}: {kind} leaves {answer.state!r}")
-            self._hang_up()
+            self.oracle.wire.breach(description=f"{self.name}: {kind} leaves {answer.state!r}")
+            self._disconnect()
         return DONE
 
     async def _failed(self, *, attempt: Attempt, statement: ClientStatement, answer: ClientAnswer) -> str:
-        self.referee.client_rejected(attempt=attempt, code=answer.code)
+        self.oracle.client_rejected(attempt=attempt, code=answer.code)
         if answer.code == "UNNAMED" and statement.shape is not None:
-            self.referee.pinned.unnamed(client=self.name, name=statement.text.split(b" ")[1])
+            self.oracle.pinned.unnamed(client=self.name, name=statement.text.split(b" ")[1])
         if answer.code == "GARBLED" and answer.state != b"E":
-            self.referee.wire.breach(what=f"{self.name}: {statement.text[:60]!r} is GARBLED in {answer.state!r}")
+            self.oracle.wire.breach(
+                description=f"{self.name}: {statement.text[:60]!r} is GARBLED in {answer.state!r}"
+            )
         if answer.state != b"I":
             undone = await self._plain(text=b"UNDO")
             if undone is None or undone.code or undone.state != b"I":
-                self._hang_up()
+                self._disconnect()
         return answer.code
--- a/src/cinderstair/simulation/platformsim/platform_wires.py
+++ b/src/cinderstair/simulation/platformsim/platform_network.py
@@ -1,4 +1,4 @@
-"""The simulated network of records, with machines that have gone dark."""
+"""The simulated network for records, with machines that lost power."""
 
 import random
 
@@ -8,13 +8,13 @@
 FAST_US, SLOW_US = 300, 5_000
 
 
-class PlatformWires(SimulatedNetwork):
-    """A dark machine neither says nor hears anything, and nobody is told so."""
+class PlatformNetwork(SimulatedNetwork):
+    """Drops everything from and to an unreachable machine silently, without resets."""
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         super().__init__(loop=loop, rng=rng)
         self.fast_us, self.slow_us = FAST_US, SLOW_US
-        self.dark: set[str] = set()
+        self.unreachable: set[str] = set()
 
     def passes(self, *, source: str, target: str) -> bool:
-        return (source, target) not in self.cuts and source not in self.dark and target not in self.dark
+        return (source, target) not in self.cuts and source not in self.unreachable and target not in self.unreachable
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -1,4 +1,4 @@
-"""A simulated platform in which the real roles run: the same seed is the same run."""
+"""A simulated platform around the real proxies and controllers; the same seed gives the same run."""
 
 import asyncio
 import json
@@ -15,9 +15,9 @@
 from ..virtual_loop import SimProcess, VirtualLoop
 from .disruption import Disruption
 from .heartbeat_sender import HeartbeatSender
+from .oracle import APPLY_US, DRAIN_US, Oracle
 from .platform_client import PlatformClient
-from .platform_wires import PlatformWires
-from .referee import APPLY_US, DRAIN_US, Referee
+from .platform_network import PlatformNetwork
 from .route_prober import RouteProber
 from .sim_streams import SimStreams
 from .stand_in_backend import StandInBackend
@@ -29,19 +29,23 @@
 
 REGIONS = {"north-1": "north", "north-2": "north", "south-1": "south"}
 ZONES = tuple(REGIONS)
-QUIET_US = 3_000_000
+SETTLE_US = 3_000_000
 GRACE_US = 5_000_000
-AGAIN_US = 600_000
+RESTART_DELAY_US = 600_000
 CATCH_UP_US = 4_000_000
 TIMER_PERIOD_S = 0.1
-SLACK_US = 200_000
+REPLY_SLACK_US = 200_000
 PAUSES_US = (0, 0, 20_000, 60_000, 150_000)
 PORTS = {"front": 9001, "ready": 9002, "control": 9003, "records": 9100, "backend": 9200, "platform": 9300}
 SORTS = (("primary", 0), ("recent_enough", 1_200), ("self_hosted", 2_000))
 
 
 class PlatformWorld:
-    """Machines are started, killed, frozen, stopped, cut off and left without power by name."""
+    """Owns the loop, the network, all machines and stand-ins, and injects faults into machines by name.
+
+    `disruptions` lists the faults injected so far, which excuse failures at that time; `errors` and `halted` hold
+    unhandled exceptions and processes that ended by themselves, which fail the trial.
+    """
 
     def __init__(
         self,
@@ -60,8 +64,8 @@
     ) -> None:
         self.seed = seed
         self.loop = VirtualLoop()
-        self.loop.set_exception_handler(self._wrong)
-        self.network = PlatformWires(loop=self.loop, rng=self.rng_for(name="wires"))
+        self.loop.set_exception_handler(self._on_error)
+        self.network = PlatformNetwork(loop=self.loop, rng=self.rng_for(name="wires"))
         self.fabric = StreamFabric(loop=self.loop, network=self.network, rng=self.rng_for(name="fabric"))
         self.fabric.region_us = self.network.slow_us = region_us
         self.rng = self.rng_for(name="world")
@@ -75,7 +79,7 @@
         self.roles: dict[str, Any] = {}
         self.contexts: dict[str, Context] = {}
         self.disks: dict[str, SimDisk] = {}
-        self.lives: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.first_run = True
         self.addresses: dict[str, str] = {}
         self.zones: dict[str, str] = {}
@@ -84,53 +88,53 @@
         self.clients: list[PlatformClient] = []
         self.expected: set[str] = set()
         self.replaced = 0
-        # controllers that are cut off from a majority which has settled without them
+        # controllers partitioned from a majority that is stable without them
         self.minority: set[str] = set()
-        # how long after each loss in a row all voters were there again
-        self.entered_us: list[int] = []
-        self.referee = Referee(in_touch=lambda name: self.in_touch(name=name), drain_us=drain_us)
-        self.referee.proxies = len(self.proxies)
+        # how long after each loss all voters were running again
+        self.voters_restored_us: list[int] = []
+        self.oracle = Oracle(stable=lambda name: self.stable(name=name), drain_us=drain_us)
+        self.oracle.proxies = len(self.proxies)
         for number, name in enumerate([*self.controllers, *self.proxies]):
-            self._place(name=name, zone=ZONES[number % len(ZONES)])
+            self._add_host(name=name, zone=ZONES[number % len(ZONES)])
         for name in ("platform", "operator", "prober"):
-            self._place(name=name, zone=ZONES[0])
+            self._add_host(name=name, zone=ZONES[0])
         self.services: dict[str, StandInService] = {}
         self.backends: dict[str, StandInBackend] = {}
         for number in range(services):
             service = StandInService(
                 name=f"ledger{number}", waits_for=waits_for, max_links=max_links, promote_us=promote_us
             )
-            service.on_promoted.append(lambda backend, lost: self.referee.promoted(backend=backend, lost=lost))
+            service.on_promoted.append(lambda backend, lost: self.oracle.promoted(backend=backend, lost=lost))
             self.services[service.name] = service
             for index in range(backends):
                 self._backend(service=service, index=index, is_primary=index == 0)
-        self.handover = StandInHandover(services=self.services, referee=self.referee)
-        self.controls = [self.address(name=name, door="control") for name in self.controllers]
+        self.handover = StandInHandover(services=self.services, oracle=self.oracle)
+        self.controller_addresses = [self.address(name=name, port="control") for name in self.controllers]
         self.platform = StandInPlatform(
             fabric=self.fabric,
             streams=self.streams(name="platform"),
-            address=self.address(name="platform", door="platform"),
+            address=self.address(name="platform", port="platform"),
             services=self.services,
-            referee=self.referee,
+            oracle=self.oracle,
             rng=self.rng_for(name="platform"),
-            fronts={name: self.address(name=name, door="front") for name in self.proxies},
-            ready={name: self.address(name=name, door="ready") for name in self.proxies},
+            proxy_addresses={name: self.address(name=name, port="front") for name in self.proxies},
+            ready={name: self.address(name=name, port="ready") for name in self.proxies},
             zones=self.zones,
         )
         self.operator = StandInOperator(
             fabric=self.fabric,
             streams=self.streams(name="operator"),
-            controls=self.controls,
-            referee=self.referee,
+            controller_addresses=self.controller_addresses,
+            oracle=self.oracle,
             rng=self.rng_for(name="operator"),
         )
         self.prober = RouteProber(
             fabric=self.fabric,
             streams=self.streams(name="prober"),
             platform=self.platform,
-            referee=self.referee,
+            oracle=self.oracle,
             rng=self.rng_for(name="prober"),
-            lives=lambda name: self.lives[name],
+            incarnations=lambda name: self.incarnations[name],
             databases=[],
         )
         self.databases: dict[str, str] = {}
@@ -139,9 +143,10 @@
                 self.databases[f"{service_name}-{sort.partition('_')[0]}"] = service_name
 
     def rng_for(self, *, name: str) -> random.Random:
+        """A generator of its own for each use, so that one more draw in one place changes no other."""
         return random.Random(f"platform/{self.seed}/{name}")
 
-    def _wrong(self, loop: Any, context: dict[str, Any]) -> None:
+    def _on_error(self, loop: Any, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None:
             self.errors.append(f"{context.get('message')}: {error!r}")
@@ -150,15 +155,16 @@
     def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
-    # -- places --
+    # -- addresses --
 
-    def _place(self, *, name: str, zone: str, ip: str = "") -> None:
+    def _add_host(self, *, name: str, zone: str, ip: str = "") -> None:
         ip = ip or f"10.{ZONES.index(zone) + 1}.{len(self.zones) // 200}.{len(self.zones) % 200 + 10}"
         self.addresses[name], self.zones[name] = ip, zone
-        self.fabric.place(host=name, ip=ip, zone=zone, region=REGIONS[zone])
+        self.fabric.add_host(host=name, ip=ip, zone=zone, region=REGIONS[zone])
 
-    def address(self, *, name: str, door: str) -> str:
-        return f"{self.addresses[name]}:{PORTS[door]}"
+    def address(self, *, name: str, port: str) -> str:
+        """A machine's address; `port` is a key of PORTS."""
+        return f"{self.addresses[name]}:{PORTS[port]}"
 
     def streams(self, *, name: str, process: SimProcess | None = None) -> SimStreams:
         return SimStreams(fabric=self.fabric, host=name, process=process)
@@ -169,39 +175,39 @@
         self.replaced += old is not None
         name = f"{service.name}-b{index}" + (f"r{self.replaced}" if old is not None else "")
         zone = ZONES[index % len(ZONES)] if old is None else old.zone
-        self._place(name=name, zone=zone, ip="" if old is None else self.addresses[old.name])
+        self._add_host(name=name, zone=zone, ip="" if old is None else self.addresses[old.name])
         backend = StandInBackend(
             name=name,
             service=service,
-            address=self.address(name=name, door="backend"),
+            address=self.address(name=name, port="backend"),
             zone=zone,
             fabric=self.fabric,
-            referee=self.referee,
+            oracle=self.oracle,
             rng=self.rng_for(name=name),
             is_primary=is_primary,
-            # why: a primary's log passes to whoever comes to its address; a copy takes its own along
+            # a primary's log is kept for the backend that replaces it; a replica's replacement starts empty
             log=old.log if old is not None and old.is_primary else None,
         )
         if old is not None:
             backend.term = old.term
         service.backends[name] = self.backends[name] = backend
         if is_primary:
-            service.last = backend
+            service.last_primary = backend
         return backend
 
-    # -- machines of the system --
+    # -- proxies and controllers --
 
     def _context(self, *, name: str, process: SimProcess) -> Context:
-        life = self.lives[name]
-        # why: no two machines' steady clocks agree, nor do one machine's before and after a restart
-        skew_us = self.rng_for(name=f"skew/{name}/{life}").randrange(10**12)
+        incarnation = self.incarnations[name]
+        # steady clocks differ between machines, and on one machine before and after a restart
+        skew_us = self.rng_for(name=f"skew/{name}/{incarnation}").randrange(10**12)
         log = logging.getLogger(f"platform.{name}")
         log.setLevel(self.log_level)
         disk = self.disks.setdefault(name, SimDisk(rng=self.rng_for(name=f"disk/{name}")))
         return Context(
             name=name,
             site=self.zones[name],
-            rng=self.rng_for(name=f"luck/{name}/{life}"),
+            rng=self.rng_for(name=f"luck/{name}/{incarnation}"),
             clock=lambda: self.now_us + skew_us,
             wall=lambda: self.now_us,
             net=SimNet(network=self.network, process=process),
@@ -211,7 +217,7 @@
         )
 
     def machine(self, *, name: str) -> Any:
-        """What the settings file of a machine says now."""
+        """The current content of a machine's settings file."""
         from adapter.settings_file import MachineSettings
 
         proxy = name in self.proxies
@@ -219,30 +225,30 @@
             name=name,
             site=self.zones[name],
             ip=self.addresses[name],
-            seeds=tuple(self.controls[:3]),
+            seeds=tuple(self.controller_addresses[:3]),
             regions=REGIONS,
             spare_port=PORTS["records"],
             folder="" if proxy else "data",
-            front=self.address(name=name, door="front") if proxy else "",
-            ready=self.address(name=name, door="ready") if proxy else "",
-            control="" if proxy else self.address(name=name, door="control"),
-            provider=self.address(name="platform", door="platform"),
+            front=self.address(name=name, port="front") if proxy else "",
+            ready=self.address(name=name, port="ready") if proxy else "",
+            control="" if proxy else self.address(name=name, port="control"),
+            provider=self.address(name="platform", port="platform"),
             first_run=self.first_run and not proxy,
             losses=1,
             beat_every_us=1_000_000,
             grace_us=GRACE_US,
             catch_up_us=CATCH_UP_US,
-            drain_us=self.referee.drain.drain_us,
+            drain_us=self.oracle.drain.drain_us,
         )
 
     def start(self, *, name: str) -> None:
-        """One run of a machine's process."""
+        """Starts a new incarnation of a machine's process, with power restored."""
         from adapter.controller_role import ControllerRole
         from adapter.proxy_role import ProxyRole
 
-        self.network.dark.discard(name)
+        self.network.unreachable.discard(name)
         process = SimProcess(name=name)
-        self.lives[name] = self.lives.get(name, 0) + 1
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
         ctx = self._context(name=name, process=process)
         self.processes[name], self.contexts[name] = process, ctx
         make = ProxyRole if name in self.proxies else ControllerRole
@@ -264,18 +270,18 @@
         self.halted[name] = reason
         self.kill(name=name)
 
-    def _end(self, *, name: str, dark: bool) -> None:
+    def _end(self, *, name: str, power_loss: bool) -> None:
         process = self.processes[name]
         self.loop.kill(process=process)
         self.network.close_all(process=process)
-        self.fabric.end_of(host=name, silently=dark)
+        self.fabric.end_host(host=name, silently=power_loss)
         self.roles.pop(name, None)
 
-    def kill(self, *, name: str, again_us: int = AGAIN_US) -> None:
-        """The process ends at once; the platform starts it again after a while."""
-        self.note(name=name, for_us=again_us)
-        self._end(name=name, dark=False)
-        self.fabric.call(self._start_later(name=name, wait_us=again_us))
+    def kill(self, *, name: str, restart_us: int = RESTART_DELAY_US) -> None:
+        """The process is killed; the platform restarts it after `restart_us`."""
+        self.begin_disruption(name=name, for_us=restart_us)
+        self._end(name=name, power_loss=False)
+        self.fabric.call(self._start_later(name=name, wait_us=restart_us))
 
     async def _start_later(self, *, name: str, wait_us: int) -> None:
         await asyncio.sleep(wait_us / 1_000_000)
@@ -283,80 +289,84 @@
             self.start(name=name)
 
     def power_off(self, *, name: str, wipe: bool = False) -> None:
-        """The machine goes dark, and may lose its disk."""
-        self.note(name=name, for_us=None)
-        self.network.dark.add(name)
-        self._end(name=name, dark=True)
+        """The machine loses power, so that its peers get no reset; with `wipe` it loses its disk too."""
+        self.begin_disruption(name=name, for_us=None)
+        self.network.unreachable.add(name)
+        self._end(name=name, power_loss=True)
         if wipe:
             self.disks[name].wipe()
 
     def power_on(self, *, name: str) -> None:
-        self.past(name=name)
-        # why: a machine that is gone for good meanwhile has no power to come back to
+        """The machine's power returns, and its process starts."""
+        self.end_disruption(name=name)
+        # the machine may have been removed in the meantime
         if name in self.controllers or name in self.proxies:
             self.start(name=name)
 
     def add_controller(self, *, name: str, zone: str) -> None:
-        """A new machine of control with an empty disk, at an address of its own."""
-        self._place(name=name, zone=zone)
+        """Adds a controller with an empty disk and a new address."""
+        self._add_host(name=name, zone=zone)
         self.controllers.append(name)
-        self.note(name=name, for_us=CATCH_UP_US)
+        self.begin_disruption(name=name, for_us=CATCH_UP_US)
         self.start(name=name)
-        self.controls.append(self.address(name=name, door="control"))
+        self.controller_addresses.append(self.address(name=name, port="control"))
 
     def remove_controller(self, *, name: str) -> None:
-        """A machine of control is gone for good, without a word; one that left by plan has said it."""
+        """Removes a controller for good; it loses power unless a planned end came first."""
         if name not in self.controllers:
             return
         if name in self.roles:
             self.power_off(name=name)
-        self.past(name=name)
+        self.end_disruption(name=name)
         self.controllers.remove(name)
-        self.controls.remove(self.address(name=name, door="control"))
+        self.controller_addresses.remove(self.address(name=name, port="control"))
 
     def leave_for_good(self, *, name: str) -> asyncio.Task[Any]:
-        """A planned end without a new start; done once the process has ended, or was ended."""
-        self.note(name=name, for_us=GRACE_US, planned=True)
-        return self.fabric.call(self._drained(name=name, dark=True))
+        """A planned end without a restart; the task is done once the process has exited or was killed."""
+        self.begin_disruption(name=name, for_us=GRACE_US, planned=True)
+        return self.fabric.call(self._drained(name=name, power_loss=True))
 
     def freeze(self, *, name: str) -> None:
-        self.note(name=name, for_us=None)
+        """The process stands still, as on SIGSTOP, until `thaw`."""
+        self.begin_disruption(name=name, for_us=None)
         self.loop.freeze(process=self.processes[name])
 
     def thaw(self, *, name: str) -> None:
-        self.past(name=name)
+        self.end_disruption(name=name)
         self.loop.thaw(process=self.processes[name])
 
-    def stop(self, *, name: str, again_us: int = 1_500_000) -> None:
-        """A planned stop and start: SIGTERM, an orderly end or SIGKILL, and a new start."""
-        self.note(name=name, for_us=GRACE_US + again_us, planned=True)
+    def stop(self, *, name: str, restart_us: int = 1_500_000) -> None:
+        """A planned restart: SIGTERM, drain, SIGKILL after the grace period, and a start after `restart_us`."""
+        self.begin_disruption(name=name, for_us=GRACE_US + restart_us, planned=True)
 
         async def ends() -> None:
-            if await self._drained(name=name, dark=False):
-                await self._start_later(name=name, wait_us=again_us)
+            if await self._drained(name=name, power_loss=False):
+                await self._start_later(name=name, wait_us=restart_us)
 
         self.fabric.call(ends())
 
-    async def _drained(self, *, name: str, dark: bool) -> bool:
-        """SIGTERM, then an orderly end or SIGKILL; False where the process ended otherwise meanwhile."""
+    async def _drained(self, *, name: str, power_loss: bool) -> bool:
+        """SIGTERM, drain, SIGKILL after the grace period; False where the process ended otherwise in the meantime."""
         process, role = self.processes[name], self.roles[name]
         task = self.network.run_at(process=process, work=role.drain())
         await asyncio.wait([task], timeout=GRACE_US / 1_000_000)
         if self.processes[name] is not process or process.dead:
             return False
-        self._end(name=name, dark=dark)
+        self._end(name=name, power_loss=power_loss)
         return True
 
     def reset(self, *, name: str) -> None:
-        self.note(name=name, for_us=0)
+        """Resets all connections of a machine."""
+        self.begin_disruption(name=name, for_us=0)
         self.fabric.reset(host=name)
 
     def cut(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
+        """Partitions `ones` from `others`, with `both` False only in the direction from `ones` to `others`."""
         for name in [*ones, *others]:
             if name in self.processes:
-                self.note(name=name, for_us=None)
-        # why: far ahead, until the cut is healed
-        self.referee.late.cut_us = 1 << 62
+                self.begin_disruption(name=name, for_us=None)
+        # far in the future until the partition heals
+        self.oracle.late.cut_us = 1 << 62
         for one in ones:
             for other in others:
                 self.network.cuts.add((one, other))
@@ -364,76 +374,81 @@
                     self.network.cuts.add((other, one))
 
     def cut_off_controller(self, *, name: str, both: bool = True) -> None:
-        """Cuts one controller off from the others, which are a majority and settle without it."""
+        """Partitions one controller from the others, which are a majority and continue without it."""
         others = [other for other in self.controllers if other != name]
         self.cut(ones=[name], others=others, both=both)
         for other in others:
-            self.past(name=other)
+            self.end_disruption(name=other)
         self.minority.add(name)
 
     def heal(self) -> None:
-        # why: they are joined again, which unsettles all for a while
+        """Ends all network partitions; the machines count as unstable for a while after it."""
         self.minority.clear()
         for name in self.processes:
-            self.past(name=name)
+            self.end_disruption(name=name)
         self.network.cuts.clear()
-        self.referee.late.cut_us = self.now_us
+        self.oracle.late.cut_us = self.now_us
 
-    # -- in touch --
+    # -- disruptions --
 
-    def note(self, *, name: str, for_us: int | None, planned: bool = False) -> None:
+    def begin_disruption(self, *, name: str, for_us: int | None, planned: bool = False) -> None:
+        """Records a fault of a machine; with `for_us` None it lasts until `end_disruption`."""
         until_us = None if for_us is None else self.now_us + for_us
         self.disruptions.append(Disruption(scope=name, from_us=self.now_us, until_us=until_us, planned=planned))
 
-    def past(self, *, name: str) -> None:
+    def end_disruption(self, *, name: str) -> None:
         for each in self.disruptions:
             if each.scope == name and each.until_us is None:
                 each.until_us = self.now_us
 
-    def in_touch(self, *, name: str) -> bool:
-        """Whether a machine of ours was untroubled for a while, and all controllers with it."""
+    def stable(self, *, name: str) -> bool:
+        """Whether neither the machine nor a controller of the majority was disrupted during the last SETTLE_US."""
         now_us = self.now_us
         return not any(
-            each.touches(from_us=now_us - QUIET_US, until_us=now_us)
+            each.touches(from_us=now_us - SETTLE_US, until_us=now_us)
             for each in self.disruptions
             if each.scope == name or (each.scope in self.controllers and each.scope not in self.minority)
         )
 
-    def _excused(self, *, requested_us: int) -> bool:
-        """Whether anything unplanned befell anybody at about that time."""
+    def _unplanned_disruption(self, *, requested_us: int) -> bool:
+        """Whether any machine was disrupted without a plan since shortly before the request."""
         return any(
-            not each.planned and each.touches(from_us=requested_us - QUIET_US, until_us=self.now_us)
+            not each.planned and each.touches(from_us=requested_us - SETTLE_US, until_us=self.now_us)
             for each in self.disruptions
         )
 
-    def answered(self, proxy: str, requested_us: int, what: str) -> None:
-        """A client got its answer; it counts where a planned stop might have cost it."""
+    def answered(self, proxy: str, requested_us: int, description: str) -> None:
+        """A client got its answer; counted where a planned stop could have dropped it."""
         planned = any(
             each.planned and each.touches(from_us=requested_us, until_us=self.now_us) for each in self.disruptions
         )
-        if planned and not self._excused(requested_us=requested_us):
-            self.referee.lost.answered(whole=True, what=what)
+        if planned and not self._unplanned_disruption(requested_us=requested_us):
+            self.oracle.lost.answered(whole=True, description=description)
 
-    def dropped(self, proxy: str, requested_us: int, what: str) -> None:
+    def dropped(self, proxy: str, requested_us: int, description: str) -> None:
         """A connection closed while a client waited for an answer."""
         now_us = self.now_us
-        excused = self._excused(requested_us=requested_us)
-        ident = what.split(" ")[1].encode() if what.startswith("ASK") else b""
-        if excused or (now_us - requested_us <= SLACK_US and ident not in self.referee.handed):
+        excused = self._unplanned_disruption(requested_us=requested_us)
+        ident = description.split(" ")[1].encode() if description.startswith("ASK") else b""
+        if excused or (now_us - requested_us <= REPLY_SLACK_US and ident not in self.oracle.reached_backend):
             return
-        self.referee.lost.answered(whole=False, what=f"{proxy} closed on {what} of {requested_us} at {now_us}")
+        self.oracle.lost.answered(
+            whole=False,
+            description=f"{proxy} closed the connection during {description}, sent at {requested_us} us, "
+            f"closed at {now_us} us",
+        )
 
     # -- backends --
 
-    def heartbeat(self, *, backend: StandInBackend) -> None:
+    def start_backend(self, *, backend: StandInBackend) -> None:
         """Starts a backend and its heartbeats."""
         backend.start()
         sender = HeartbeatSender(
             backend=backend,
             streams=self.streams(name=backend.name),
-            controls=self.controls,
-            referee=self.referee,
-            rng=self.rng_for(name=f"beat/{backend.name}/{backend.life}"),
+            controller_addresses=self.controller_addresses,
+            oracle=self.oracle,
+            rng=self.rng_for(name=f"beat/{backend.name}/{backend.incarnation}"),
         )
         old = self.senders.get(backend.name)
         sender.count = 0 if old is None else old.count + 100
@@ -441,39 +456,42 @@
         self.fabric.call(sender.run())
 
     def primary(self, *, service: str = "ledger0") -> StandInBackend:
-        """Whoever leads, or led last."""
-        found = self.services[service].last
+        """The service's primary, or its last one while it has none."""
+        found = self.services[service].last_primary
         assert found is not None
         return found
 
     def replicas(self, *, service: str = "ledger0") -> list[StandInBackend]:
-        primary = self.services[service].last
+        """The service's running backends but the primary."""
+        primary = self.services[service].last_primary
         return [each for each in self.services[service].backends.values() if each is not primary and each.up]
 
-    def crash(self, *, backend: StandInBackend, dark: bool = False, again_us: int | None = 3_000_000) -> None:
-        self.note(name=backend.name, for_us=0)
-        backend.crash(dark=dark)
-        if again_us is not None:
-            self.fabric.call(self._return_later(backend=backend, wait_us=again_us))
+    def crash(self, *, backend: StandInBackend, power_loss: bool = False, restart_us: int | None = 3_000_000) -> None:
+        self.begin_disruption(name=backend.name, for_us=0)
+        backend.crash(power_loss=power_loss)
+        if restart_us is not None:
+            self.fabric.call(self._return_later(backend=backend, wait_us=restart_us))
 
     async def _return_later(self, *, backend: StandInBackend, wait_us: int) -> None:
         await asyncio.sleep(wait_us / 1_000_000)
-        backend.light()
+        backend.restore_power()
         if not backend.up:
-            self.heartbeat(backend=backend)
+            self.start_backend(backend=backend)
 
-    def release(self, *, backend: StandInBackend, again_us: int = 800_000, deregister_first: bool = False) -> None:
-        """A planned end, and a new backend at its address, which gets the log of a primary."""
+    def release(self, *, backend: StandInBackend, restart_us: int = 800_000, deregister_first: bool = False) -> None:
+        """Drains and ends a backend, and starts a new one at its address, which takes over a primary's log."""
 
         async def replaced() -> None:
-            await self.senders[backend.name].leave(deregister_first=deregister_first)
-            await asyncio.sleep(again_us / 1_000_000)
+            await self.senders[backend.name].drain_and_exit(deregister_first=deregister_first)
+            await asyncio.sleep(restart_us / 1_000_000)
             service = backend.service
             del service.backends[backend.name]
             index = int(backend.name.partition("-b")[2].partition("r")[0])
-            # why: where nobody took its place, whoever gets the log of a primary leads with it
+            # a primary that was not replaced in time is succeeded by the backend that takes over its log
             is_primary = backend.is_primary and backend.term == service.term
-            self.heartbeat(backend=self._backend(service=service, index=index, is_primary=is_primary, old=backend))
+            self.start_backend(
+                backend=self._backend(service=service, index=index, is_primary=is_primary, old=backend)
+            )
 
         self.fabric.call(replaced())
 
@@ -482,7 +500,7 @@
     def configuration(
         self, *, version: int, extra: tuple[str, ...] = (), without: tuple[str, ...] = (), give_up_ms: int = 900
     ) -> bytes:
-        """As an operator writes it; `extra` databases lead to the first service."""
+        """A configuration as an operator sends it; `extra` databases are routed to the first service."""
         routes: list[dict[str, Any]] = []
         services = list(self.services)
         names = {**self.databases, **dict.fromkeys(extra, services[0])}
@@ -502,8 +520,8 @@
                 "tries": 2,
             }
             routes.append(route | ({"max_age_ms": age_ms} if age_ms else {}))
-            self.referee.route.allow(database=database, service=service)
-            self.referee.stale.sorts[database] = (sort, age_ms * 1_000)
+            self.oracle.route.allow(database=database, service=service)
+            self.oracle.stale.sorts[database] = (sort, age_ms * 1_000)
         listed = [
             {
                 "name": each.name,
@@ -529,11 +547,11 @@
     def advance(self, *, for_ms: int) -> None:
         self.run(work=asyncio.sleep(for_ms / 1_000))
 
-    def await_that(self, *, test: Callable[[], bool], within_ms: int, what: str) -> None:
+    def await_that(self, *, test: Callable[[], bool], within_ms: int, description: str) -> None:
         until_us = self.now_us + within_ms * 1_000
         while not test():
             if self.now_us > until_us:
-                raise AssertionError(f"seed {self.seed}: not within {within_ms} ms: {what}")
+                raise AssertionError(f"seed {self.seed}: timed out after {within_ms} ms, waiting until {description}")
             self.advance(for_ms=50)
 
     async def _on_timer(self) -> None:
@@ -543,7 +561,7 @@
             await asyncio.sleep(TIMER_PERIOD_S)
 
     def serves(self) -> bool:
-        """Whether every proxy is ready and knows who leads everything."""
+        """Whether every proxy is ready and knows the primary of every service."""
         proxies = [self.roles[name].proxy for name in self.proxies if name in self.roles]
         return len(proxies) == len(self.proxies) and all(
             proxy.ready and all(proxy.router.confirmed_primary(service=service).is_ok() for service in self.services)
@@ -551,15 +569,15 @@
         )
 
     def begin(self) -> None:
-        """From nothing to a platform that serves."""
+        """Starts all machines and backends, and waits until every proxy serves."""
         for name in [*self.controllers, *self.proxies]:
             self.start(name=name)
         self.fabric.call(self._on_timer())
         self.platform.start()
         for backend in list(self.backends.values()):
-            self.heartbeat(backend=backend)
+            self.start_backend(backend=backend)
         self.put(body=self.configuration(version=3))
-        self.await_that(test=self.serves, within_ms=25_000, what="every proxy serves")
+        self.await_that(test=self.serves, within_ms=25_000, description="every proxy serves")
         self.first_run = False
         self.advance(for_ms=1_200)
 
@@ -572,12 +590,12 @@
         transaction_share: float = 0.3,
         pauses_us: tuple[int, ...] = PAUSES_US,
     ) -> None:
-        """Two thirds of them with long sessions."""
+        """Starts clients, two thirds of them with long sessions, and the prober."""
         names = sorted(self.databases)
         for number in range(count):
             name = f"client-{number}"
-            self._place(name=name, zone=ZONES[number % len(ZONES)])
-            # why: no two shares of clients and databases go in step, so every zone uses every database
+            self._add_host(name=name, zone=ZONES[number % len(ZONES)])
+            # offset by one in each round over the databases, so that every zone uses every database
             database = names[(number + number // len(names)) % len(names)]
             reads_only = database.endswith("-recent")
             client = PlatformClient(
@@ -588,10 +606,10 @@
                 fabric=self.fabric,
                 streams=self.streams(name=name),
                 platform=self.platform,
-                referee=self.referee,
+                oracle=self.oracle,
                 rng=self.rng_for(name=name),
                 think_us=think_us,
-                long=number // len(ZONES) % 3 != 2,
+                long_sessions=number // len(ZONES) % 3 != 2,
                 write_share=0.0 if reads_only else write_share,
                 transaction_share=transaction_share,
                 pauses_us=pauses_us,
@@ -608,20 +626,20 @@
         return sum(client.served for client in self.clients)
 
     @property
-    def owed(self) -> int:
-        return sum(client.owed for client in self.clients)
+    def attempted(self) -> int:
+        return sum(client.attempted for client in self.clients)
 
     def end(self) -> None:
-        """The clients come to an end, and the operator reads back."""
+        """Stops the clients, reads the configuration back, and runs the checks at the end of a trial."""
         for client in self.clients:
             client.stopped = True
         self.prober.stopped = True
         self.advance(for_ms=2_000)
-        self.referee.config.read_back(body=self.run(work=self.operator.read_back(for_us=APPLY_US)))
-        self.referee.end(services=list(self.services.values()))
+        self.oracle.config.read_back(body=self.run(work=self.operator.read_back(for_us=APPLY_US)))
+        self.oracle.end(services=list(self.services.values()))
         for ctx in self.contexts.values():
             if ctx.counters.counts["internal.crashes"]:
-                self.errors.append(f"{ctx.name} crashed {ctx.counters.counts['internal.crashes']} times inside")
+                self.errors.append(f"{ctx.name} had {ctx.counters.counts['internal.crashes']} internal crashes")
 
     def close(self) -> None:
         for process in self.processes.values():
--- a/src/cinderstair/simulation/platformsim/refused_checker.py
+++ b/src/cinderstair/simulation/platformsim/refused_checker.py
@@ -1,4 +1,4 @@
-"""What was promised not to be kept is not kept."""
+"""REFUSED: a write that was refused as certainly not executed is not committed."""
 
 from collections.abc import Iterable
 
@@ -7,12 +7,16 @@
 
 
 class RefusedChecker(Checker):
-    """`chances` are tries with a write sent that were given such a promise."""
+    """`checks` counts attempts with a write that received such an error code."""
 
     rule = "REFUSED"
 
     def effects(self, *, entries: Iterable[LogEntry]) -> None:
+        """Checks all commits of a service's last log."""
         for entry in entries:
             for statement in entry.writes:
                 if statement.attempt.promises:
-                    self.breach(what=f"{statement.ident!r} was promised {statement.attempt.promises} and is kept")
+                    self.breach(
+                        description=f"{statement.ident!r} was refused with {statement.attempt.promises}, "
+                        "but is committed"
+                    )
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the code under test, or into a stand-in, to see that each checker sees."""
+"""Bugs patched into the code under test or a stand-in, to show that each checker detects its breach."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -24,21 +24,21 @@
 from ...runtime.errors import ErrorCode
 from ..sim_disk import SimDisk
 from . import forward_bugs, shard_bugs
-from .repository import see_adapter
+from .repository import add_adapter_to_path
 
 Patches = list[Any]
 
 
-def answer_to_nothing() -> Patches:
-    """Each answer to a client is followed by another."""
+def unsolicited_answer() -> Patches:
+    """Each answer to a client is followed by one that it did not request."""
     from adapter import client_connection
 
     encode = client_connection.encode
     return [patch.object(client_connection, "encode", lambda reply: encode(reply) + b"READY I -\r\n")]
 
 
-def other_text() -> Patches:
-    """Backends are sent another text than the client's."""
+def altered_text() -> Patches:
+    """Proxies alter the text of statements."""
     from adapter import backend_link
 
     text_for = backend_link.text_for
@@ -49,15 +49,15 @@
     return [patch.object(backend_link, "text_for", other)]
 
 
-def commit_for_leavers() -> Patches:
-    """What is to be rolled back is committed."""
+def rollback_commits() -> Patches:
+    """Transactions that should be rolled back are committed."""
     from adapter.backend_link import BackendLink
 
     return [patch.object(BackendLink, "rollback", lambda self: self._ask(b"ASK - COMMIT"))]
 
 
-def other_service() -> Patches:
-    """A database's statements go to another service now and then."""
+def wrong_service() -> Patches:
+    """A fifth of a database's sessions are routed to a random service."""
     route = Session.route
 
     def wrong(self: Any) -> Any:
@@ -70,8 +70,8 @@
     return [patch.object(Session, "route", wrong)]
 
 
-def rows_kept() -> Patches:
-    """An answer's rows are given twice."""
+def rows_duplicated() -> Patches:
+    """An answer's rows are sent twice."""
     from adapter import client_connection
 
     encode = client_connection.encode
@@ -83,13 +83,13 @@
     return [patch.object(client_connection, "encode", doubled)]
 
 
-def any_values() -> Patches:
-    """A link is not brought up to a session's values."""
+def session_values_not_replayed() -> Patches:
+    """A link serves a session without the session's values being set on it."""
     return [patch.object(Session, "_replay_values", lambda self, *, link: None)]
 
 
-def shared_links() -> Patches:
-    """A link that serves one session is given to others as well."""
+def links_shared() -> Patches:
+    """A link that one session uses is given to others as well."""
 
     def pick(self: Any, *, values: Any) -> Any:
         links = [link for link, _ in self.borrowed.values() if link.open] or [link for link in self.idle if link.open]
@@ -98,8 +98,8 @@
     return [patch.object(LinkPool, "_pick", pick)]
 
 
-def write_again() -> Patches:
-    """A write whose outcome nobody knows is sent once more."""
+def unknown_write_retried() -> Patches:
+    """A write with an unknown outcome is sent once more."""
     write = Session._write
 
     async def twice(self: Any, **named: Any) -> Any:
@@ -109,21 +109,21 @@
     return [patch.object(Session, "_write", twice)]
 
 
-def promise_unknown() -> Patches:
-    """Where nobody knows the outcome, the client is promised that nothing is kept."""
+def unknown_outcome_reported_aborted() -> Patches:
+    """A write with an unknown outcome is reported to the client as ABORTED."""
     from adapter import error_words
 
     mild = MappingProxyType({**error_words.WORD_BY_CODE, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
     return [patch.object(error_words, "WORD_BY_CODE", mild)]
 
 
-def view_forever() -> Patches:
-    """What a proxy knows of leads counts for ever."""
+def view_never_expires() -> Patches:
+    """A proxy's view of primaries never expires."""
     return [patch.object(RelayedView, "current", property(lambda self: True))]
 
 
-def no_guard() -> Patches:
-    """Copies are read from whatever their logs have."""
+def reads_unguarded() -> Patches:
+    """Replicas are read without the position that their log must have reached."""
     from adapter.backend_link import BackendLink
 
     send, begin = BackendLink.send, BackendLink.begin
@@ -137,8 +137,8 @@
     return [patch.object(BackendLink, "send", unguarded), patch.object(BackendLink, "begin", begin_unguarded)]
 
 
-def pooled_for_new() -> Patches:
-    """What another proxy has seen is given again and again, and taken for seen when the controller's answer came."""
+def old_samples_taken_as_new() -> Patches:
+    """Position samples of other proxies are repeated, and count as taken when the controller's answer arrived."""
     newer_than = PositionSamples.newer_than
 
     def again(self: Any, *, wanted: Any, same_source: bool) -> Any:
@@ -150,8 +150,8 @@
     ]
 
 
-def own_forgotten() -> Patches:
-    """A session's own commits are not asked for."""
+def own_commits_ignored() -> Patches:
+    """Reads don't require the session's own commits."""
     required_position = Router.required_position
 
     def without(self: Any, *, route: Any, arrived_us: int, own_position: Any) -> Any:
@@ -160,8 +160,8 @@
     return [patch.object(Router, "required_position", without)]
 
 
-def worst_replica() -> Patches:
-    """The copy that has received least is put in a primary's place."""
+def least_current_replica_promoted() -> Patches:
+    """The replica with the shortest log is promoted."""
     fence = ReplicaFencing.fence
 
     async def least(self: Any, **named: Any) -> Any:
@@ -175,20 +175,20 @@
     return [patch.object(ReplicaFencing, "fence", least)]
 
 
-def drop_at_stop() -> Patches:
-    """A planned stop closes every connection, whatever is under way on it."""
+def drain_drops_connections() -> Patches:
+    """A planned stop closes every connection, including those with requests in flight."""
     from adapter.client_connection import ClientConnection
 
     return [patch.object(ClientConnection, "idle", property(lambda self: True))]
 
 
-def deaf_to_emptying() -> Patches:
-    """A backend that says it is leaving gets as much as before."""
+def drain_ignored() -> Patches:
+    """Proxies send a draining backend as much work as before."""
     return [patch.object(Router, "_follow_backend_state", lambda self, *, name, is_primary: None)]
 
 
-def first_plan_forever() -> Patches:
-    """A proxy stays with the first configuration that it heard of."""
+def plan_never_updated() -> Patches:
+    """A proxy keeps the first configuration that it received."""
     apply = RelayedView._apply
 
     def once(self: Any, *, key: str, value: bytes) -> None:
@@ -198,8 +198,8 @@
     return [patch.object(RelayedView, "_apply", once)]
 
 
-def plan_back_and_forth() -> Patches:
-    """A proxy falls back now and then to the configuration before."""
+def plan_alternates() -> Patches:
+    """A proxy switches between its last two configurations at random."""
     from cinderstair.pooler.proxy import Proxy
 
     tend = Proxy._on_timer
@@ -215,8 +215,8 @@
     return [patch.object(Proxy, "_on_timer", back)]
 
 
-def take_anything() -> Patches:
-    """A configuration that is no valid one is acknowledged."""
+def invalid_plan_acknowledged() -> Patches:
+    """An invalid configuration is acknowledged."""
     from adapter.control_api import DONE, ControlApi
 
     put = ControlApi._put_settings
@@ -228,8 +228,8 @@
     return [patch.object(ControlApi, "_put_settings", took)]
 
 
-def older_again() -> Patches:
-    """An older configuration takes the place of a newer one."""
+def older_plan_accepted() -> Patches:
+    """An older configuration replaces a newer one."""
     read = plan_store.read_service_plan
 
     def as_of_nothing(*, data: bytes) -> Any:
@@ -238,28 +238,28 @@
     return [patch.object(plan_store, "read_service_plan", as_of_nothing)]
 
 
-def any_content_confirmed() -> Patches:
-    """An order is acknowledged whose number stands for another content."""
+def conflicting_plan_confirmed() -> Patches:
+    """A configuration is acknowledged although its version was confirmed with another content."""
     return [patch.object(ServicePlan, "digest_of", lambda self, *, version: None)]
 
 
-def same_order_refused() -> Patches:
-    """An order that was taken is refused when it is sent again."""
+def repeated_plan_refused() -> Patches:
+    """A confirmed configuration is refused when it is sent again."""
     return [patch.object(ServicePlan, "digest_of", lambda self, *, version: b"another")]
 
 
-def confirms_alone() -> Patches:
-    """A daemon acknowledges what backends say of their leaving by its own memory."""
+def confirmed_without_majority() -> Patches:
+    """A controller acknowledges a backend's draining without replicating it to a majority."""
 
-    async def alone(self: Any, *, announcement: Any) -> bool:
+    async def confirm_locally(self: Any, *, announcement: Any) -> bool:
         self.heartbeat_table.receive(heartbeat=announcement)
         return True
 
-    return [patch.object(Announcer, "replicate", alone)]
+    return [patch.object(Announcer, "replicate", confirm_locally)]
 
 
-def serves_alone() -> Patches:
-    """A daemon gives out the configuration that it knows, without asking a majority."""
+def read_without_majority() -> Patches:
+    """A controller returns the configuration that it knows, without reading from a majority."""
 
     async def known(self: Any) -> Any:
         return Ok(read_service_plan(data=self.view.known[PLAN_KEY].value).document)
@@ -268,7 +268,7 @@
 
 
 def altered_read_back() -> Patches:
-    """What is read back says the same in other bytes."""
+    """The configuration read back has the same meaning, but other bytes."""
     fetch = PlanStore.fetch
 
     async def other(self: Any) -> Any:
@@ -278,58 +278,58 @@
     return [patch.object(PlanStore, "fetch", other)]
 
 
-def disks_forget() -> Patches:
-    """Nothing that was written is there when it is read."""
+def disk_reads_empty() -> Patches:
+    """Reads from the disk find no file."""
     return [patch.object(SimDisk, "read", lambda self, *, name: None)]
 
 
 FAULTS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
-        answer_to_nothing,
-        other_text,
-        commit_for_leavers,
-        other_service,
-        rows_kept,
-        any_values,
-        shared_links,
-        write_again,
-        promise_unknown,
-        view_forever,
-        no_guard,
-        own_forgotten,
-        pooled_for_new,
-        worst_replica,
-        drop_at_stop,
-        deaf_to_emptying,
-        first_plan_forever,
-        plan_back_and_forth,
-        take_anything,
-        older_again,
+        unsolicited_answer,
+        altered_text,
+        rollback_commits,
+        wrong_service,
+        rows_duplicated,
+        session_values_not_replayed,
+        links_shared,
+        unknown_write_retried,
+        unknown_outcome_reported_aborted,
+        view_never_expires,
+        reads_unguarded,
+        own_commits_ignored,
+        old_samples_taken_as_new,
+        least_current_replica_promoted,
+        drain_drops_connections,
+        drain_ignored,
+        plan_never_updated,
+        plan_alternates,
+        invalid_plan_acknowledged,
+        older_plan_accepted,
         altered_read_back,
-        any_content_confirmed,
-        same_order_refused,
-        confirms_alone,
-        serves_alone,
-        disks_forget,
+        conflicting_plan_confirmed,
+        repeated_plan_refused,
+        confirmed_without_majority,
+        read_without_majority,
+        disk_reads_empty,
         forward_bugs.forwards_unchecked,
-        forward_bugs.forwards_promised,
-        forward_bugs.forwards_any_values,
-        forward_bugs.links_at_once,
-        shard_bugs.old_map_writes_on,
-        shard_bugs.moves_unclosed,
-        shard_bugs.samples_from_before,
-        shard_bugs.brought_twice,
-        shard_bugs.unanswered_forgotten,
-        shard_bugs.untold_ends,
+        forward_bugs.lost_forwards_reported_unsent,
+        forward_bugs.forward_values_not_replayed,
+        forward_bugs.link_limits_raised_at_once,
+        shard_bugs.old_map_writes_continue,
+        shard_bugs.map_switched_without_closing,
+        shard_bugs.samples_from_before_handover,
+        shard_bugs.handover_copied_twice,
+        shard_bugs.in_flight_writes_ignored,
+        shard_bugs.lapsed_proxy_ends_transactions,
     )
 }
 
 
 @contextmanager
 def switched_in(*, name: str) -> Iterator[None]:
-    """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
-    see_adapter()
+    """Runs its body with one seeded bug; an empty name patches nothing."""
+    add_adapter_to_path()
     with ExitStack() as stack:
         for each in FAULTS[name]() if name else []:
             stack.enter_context(each)
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -1,4 +1,4 @@
-"""Faults of the shard map's change."""
+"""Seeded bugs in the change of the shard map."""
 
 from typing import Any
 from unittest.mock import patch
@@ -9,8 +9,8 @@
 from .stand_in_handover import StandInHandover
 
 
-def old_map_writes_on() -> list[Any]:
-    """A proxy that has taken no new map goes on writing at the old place, as if nothing had changed."""
+def old_map_writes_continue() -> list[Any]:
+    """A proxy ignores the change, and goes on writing at the old service."""
 
     def update(self: Any) -> None:
         return None
@@ -23,8 +23,8 @@
     ]
 
 
-def moves_unclosed() -> list[Any]:
-    """The map changes while proxies still write at the old place: nothing is closed, nobody is outwaited."""
+def map_switched_without_closing() -> list[Any]:
+    """The map switches without a closing phase, while proxies still write at the old service."""
 
     async def move(self: Any, *, state: Any, proxies: Any) -> None:
         if await self._handover_complete(state=state):
@@ -37,8 +37,8 @@
     ]
 
 
-def unanswered_forgotten() -> list[Any]:
-    """What has left and is not answered is waited for by no more than a route's time limit, and its link kept."""
+def in_flight_writes_ignored() -> list[Any]:
+    """Unanswered writes are ignored: closing waits only as long as a route's timeout, and links stay open."""
     return [
         patch.object(InFlightWrites, "may_take_effect", lambda self, *, database, within_us: False),
         patch.object(InFlightWrites, "abandon", lambda self, *, databases, older_than_us: None),
@@ -46,31 +46,31 @@
     ]
 
 
-def untold_ends() -> list[Any]:
-    """A proxy ends what it has begun, however long it has been out of touch."""
+def lapsed_proxy_ends_transactions() -> list[Any]:
+    """A proxy with a lapsed view still ends transactions that it has begun."""
     return [patch.object(Shards, "may_end", lambda self, *, database, since_us: True)]
 
 
-def samples_from_before() -> list[Any]:
-    """Reads at the new place rest on samples from before the data was brought there."""
+def samples_from_before_handover() -> list[Any]:
+    """The handover completes without copying data, so reads rely on samples from before it."""
 
     async def complete(self: Any, *, database: str, source: str, target: str) -> bool:
-        self.referee.shard.moved_us.setdefault(database, self.services[target].primary.now_us)
+        self.oracle.shard.handed_over_us.setdefault(database, self.services[target].primary.now_us)
         return True
 
     return [patch.object(StandInHandover, "complete", complete)]
 
 
-def brought_twice() -> list[Any]:
-    """What was brought over is brought once more."""
+def handover_copied_twice() -> list[Any]:
+    """The handover copies the same writes twice."""
     whole = StandInHandover.complete
 
     async def complete(self: Any, *, database: str, source: str, target: str) -> bool:
         done = await whole(self, database=database, source=source, target=target)
-        shard, new = self.referee.shard, self.services[target].primary
-        again = [entry for (name, _), entry in shard.brought.items() if name == target]
+        shard, new = self.oracle.shard, self.services[target].primary
+        again = [entry for (name, _), entry in shard.copied.items() if name == target]
         if done and new is not None and again:
-            new.commit(writes=(), done=lambda entry: None).brought = again[0].brought
+            new.commit(writes=(), done=lambda entry: None).copied = again[0].copied
         return done
 
     return [patch.object(StandInHandover, "complete", complete)]
--- a/src/cinderstair/simulation/platformsim/shard_checker.py
+++ b/src/cinderstair/simulation/platformsim/shard_checker.py
@@ -1,4 +1,4 @@
-"""While a database's place moves no write lands twice or nowhere, and reads stay as fresh as ever."""
+"""SHARD: while a shard map moves a database, no write is lost or doubled, and reads stay as fresh as routed."""
 
 from bisect import bisect_left
 from typing import TYPE_CHECKING
@@ -11,22 +11,27 @@
     from .stand_in_backend import StandInBackend
     from .stand_in_service import StandInService
 
-LOOK_BACK = 64
+LOOKBACK_ENTRIES = 64
 
 
 class ShardChecker(Checker):
-    """Watches the databases that a shard map moves; `moved_us` is when all of one was at its new place."""
+    """Watches the databases that a shard map moves.
+
+    State by database: `moves` has its old and new service, `handed_over_us` when its data was complete at the new
+    one, `acked` its acknowledged writes in order. `copied` has the log entry that copied a write to a service;
+    `waits_us` are the begin and end of operations that write.
+    """
 
     rule = "SHARD"
 
     def __init__(self) -> None:
         super().__init__()
         self.moves: dict[str, tuple[str, str]] = {}
-        self.moved_us: dict[str, int] = {}
-        self.brought: dict[tuple[str, bytes], LogEntry] = {}
+        self.handed_over_us: dict[str, int] = {}
+        self.copied: dict[tuple[str, bytes], LogEntry] = {}
         self.acked: dict[str, list[tuple[int, bytes, LogEntry]]] = {}
-        self.own: dict[int, list[tuple[int, bytes, LogEntry]]] = {}
-        self.at_target = 0
+        self.own_commits: dict[int, list[tuple[int, bytes, LogEntry]]] = {}
+        self.writes_at_target = 0
         self.watched_us = 0
         self.waits_us: list[tuple[int, int]] = []
 
@@ -35,19 +40,19 @@
         self.moves[database] = (source, target)
 
     def withdrawn(self) -> None:
-        """The change was given up, so whatever was brought is nowhere's truth, and the old place goes on."""
-        self.moved_us.clear()
+        """The proposal was abandoned, so the databases stay at their old service, whatever was copied."""
+        self.handed_over_us.clear()
 
     def waited(self, *, database: str, began_us: int, ended_us: int) -> None:
-        """An operation that writes, over with all its tries."""
+        """An operation that writes is over, with all its retries."""
         if database in self.moves and ended_us >= self.watched_us:
             self.waits_us.append((began_us, ended_us))
 
     def figures(self) -> dict[str, int]:
-        """How long writes of moving databases took that were under way between the proposal and a second past it."""
+        """Durations in ms of writes to moving databases begun until a second after the last handover."""
         if not self.moves:
             return {}
-        until_us = max(self.moved_us.values(), default=1 << 62) + 1_000_000
+        until_us = max(self.handed_over_us.values(), default=1 << 62) + 1_000_000
         took_us = sorted(ended - began for began, ended in self.waits_us if began <= until_us)
         if not took_us:
             return {}
@@ -57,67 +62,75 @@
     def _held(self, *, ident: bytes, entry: LogEntry, backend: "StandInBackend") -> bool:
         if entry.service == backend.service.name:
             return backend.holds(entry=entry)
-        other = self.brought.get((backend.service.name, ident))
+        other = self.copied.get((backend.service.name, ident))
         return other is not None and backend.holds(entry=other)
 
     def acknowledged(self, *, writes: list[ClientStatement], entry: LogEntry, now_us: int) -> None:
         database = writes[0].attempt.database
         acked = [(now_us, statement.ident, entry) for statement in writes]
         self.acked.setdefault(database, []).extend(acked)
-        self.own.setdefault(writes[0].attempt.session, []).extend(acked)
+        self.own_commits.setdefault(writes[0].attempt.session, []).extend(acked)
         if database not in self.moves:
             return
         source, target = self.moves[database]
-        self.at_target += entry.service == target
-        # why: what is committed at the old place after all of it was brought over is nowhere
-        moved_us = self.moved_us.get(database)
-        late = moved_us is not None and entry.service == source and entry.at_us > moved_us
-        self.judge(fine=not late, what=f"{writes[0].ident!r} lands at {source} after {database} has left it")
+        self.writes_at_target += entry.service == target
+        # a commit at the old service after the handover was not copied to the new one, and is lost
+        handed_over_us = self.handed_over_us.get(database)
+        late = handed_over_us is not None and entry.service == source and entry.at_us > handed_over_us
+        self.check(
+            holds=not late,
+            description=f"{writes[0].ident!r} is acknowledged at {source} after {database} was handed over",
+        )
 
     def committed(self, *, entry: LogEntry) -> None:
-        """Whatever a backend appends, whether or not its client is ever told."""
+        """A backend appends a commit, whether or not it is ever acknowledged."""
         for statement in entry.writes:
             database = statement.attempt.database
-            if database not in self.moves or entry.late:
+            if database not in self.moves or entry.by_old_primary:
                 continue
-            moved_us = self.moved_us.get(database)
-            # why: where the old place takes anything after the new one has begun, two places take writes in one epoch
-            fine = moved_us is None or entry.service != self.moves[database][0] or entry.at_us <= moved_us
-            self.judge(
-                fine=fine, what=f"{statement.ident!r} of {database} lands at {entry.service} after it has left"
+            handed_over_us = self.handed_over_us.get(database)
+            # a commit at the old service after the handover means that two services accept writes at once
+            holds = (
+                handed_over_us is None or entry.service != self.moves[database][0] or entry.at_us <= handed_over_us
+            )
+            self.check(
+                holds=holds,
+                description=f"{statement.ident!r} of {database} is committed at {entry.service} after its handover",
             )
 
     def ran(self, *, statement: ClientStatement, backend: "StandInBackend", sort: str, age_us: int) -> None:
-        """A read of a database that moves, or has moved."""
+        """A backend executes a read of a database that moves or has moved."""
         database = statement.attempt.database
         if database not in self.moves:
             return
         before_us = statement.first_us - (0 if sort == "primary" else age_us)
         acked = self.acked.get(database, [])
         end = bisect_left(acked, before_us, key=lambda each: each[0])
-        wanted = acked[max(0, end - LOOK_BACK) : end]
+        wanted = acked[max(0, end - LOOKBACK_ENTRIES) : end]
         if sort == "self_hosted":
-            own = self.own.get(statement.attempt.session, [])
+            own = self.own_commits.get(statement.attempt.session, [])
             wanted = wanted + [each for each in own if each[0] < statement.first_us]
         missing = [
             ident
             for _, ident, entry in wanted
-            if not entry.cut and not self._held(ident=ident, entry=entry, backend=backend)
+            if not entry.truncated and not self._held(ident=ident, entry=entry, backend=backend)
         ]
-        what = f"{sort} read {statement.ident!r} of {database} on {backend.name} lacks {missing[-3:]}"
-        self.judge(fine=not missing, what=what)
+        description = f"{sort} read {statement.ident!r} of {database} on {backend.name} lacks {missing[-3:]}"
+        self.check(holds=not missing, description=description)
 
     def end(self, *, services: dict[str, "StandInService"]) -> None:
-        """Every acknowledged write stands once, where the database is now."""
+        """Every acknowledged write must be committed exactly once at the database's current service."""
         for database, (source, target) in self.moves.items():
-            name = target if database in self.moved_us else source
-            last = services[name].last
-            log = [] if last is None else last.log
+            name = target if database in self.handed_over_us else source
+            last_primary = services[name].last_primary
+            log = [] if last_primary is None else last_primary.log
             times: dict[bytes, int] = {}
             for entry in log:
-                for statement in (*entry.writes, *entry.brought):
+                for statement in (*entry.writes, *entry.copied):
                     times[statement.ident] = times.get(statement.ident, 0) + 1
             for _, ident, entry in self.acked.get(database, []):
                 count = times.get(ident, 0)
-                if not entry.cut:
-                    self.judge(fine=count == 1, what=f"{ident!r} of {database} stands {count} times at {name}")
+                if not entry.truncated:
+                    self.check(
+                        holds=count == 1, description=f"{ident!r} of {database} is committed {count} times at {name}"
+                    )
