--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -11,133 +11,143 @@
 from ...runtime.errors import ErrorCode
 from .platform_world import PlatformWorld
 
-MOVING = ("ledger0-self", "ledger0-primary")
+MOVED_DATABASES = ("ledger0-self", "ledger0-primary")
 TARGET = "ledger1"
 MOVED_MS = 6_000
 
 
 def propose(*, world: PlatformWorld, version: int = 1, percent: int = 51, at: int = 0) -> str:
-    """Puts a map to the proxies by one controller; an empty text where it was taken."""
-    for database in MOVING:
-        world.referee.shard.watch(database=database, source="ledger0", target=TARGET, now_us=world.now_us)
-        world.referee.route.allow(database=database, service=TARGET)
-    wanted = ShardMap(version=version, placements=dict.fromkeys(MOVING, TARGET), agree_percent=percent)
+    """Proposes a map through the controller with index `at`; returns the error code, empty if it was accepted."""
+    for database in MOVED_DATABASES:
+        world.oracle.shard.watch(database=database, source="ledger0", target=TARGET, now_us=world.now_us)
+        world.oracle.route.allow(database=database, service=TARGET)
+    wanted = ShardMap(version=version, placements=dict.fromkeys(MOVED_DATABASES, TARGET), agree_percent=percent)
     coordinator = world.roles[world.controllers[at]].controller.shards
     result = world.run(work=coordinator.propose(wanted=wanted))
     return "" if result.is_ok() else str(result.error.code.value)
 
 
-def held(*, world: PlatformWorld, name: str) -> int:
-    """The version of the map that a proxy acts on."""
+def applied_version(*, world: PlatformWorld, name: str) -> int:
+    """The version of the map that a proxy applies."""
     return int(world.roles[name].proxy.router.shards.applied.current.version)
 
 
-def all_hold(*, world: PlatformWorld, version: int, names: list[str] | None = None) -> bool:
-    return all(held(world=world, name=name) == version for name in names or world.proxies if name in world.roles)
+def all_applied(*, world: PlatformWorld, version: int, names: list[str] | None = None) -> bool:
+    return all(
+        applied_version(world=world, name=name) == version for name in names or world.proxies if name in world.roles
+    )
 
 
-def moved(*, world: PlatformWorld, version: int = 1, within_ms: int = MOVED_MS) -> None:
+def await_map(*, world: PlatformWorld, version: int = 1, within_ms: int = MOVED_MS) -> None:
     world.await_that(
-        test=lambda: all_hold(world=world, version=version),
+        test=lambda: all_applied(world=world, version=version),
         within_ms=within_ms,
-        what=f"all proxies hold map {version}",
+        description=f"all proxies apply map {version}",
     )
 
 
-def shards_in_a_match(world: PlatformWorld) -> None:
-    """An afternoon's traffic: many short sessions, tables refreshed all the while."""
+def shards_short_operations(world: PlatformWorld) -> None:
+    """The map changes under many short operations."""
     world.advance(for_ms=2_000)
     assert not propose(world=world)
-    moved(world=world)
+    await_map(world=world)
     world.advance(for_ms=5_000)
-    assert world.referee.shard.at_target, "nothing was written at the new place"
+    assert world.oracle.shard.writes_at_target, f"no write was acknowledged at {TARGET}"
 
 
-def shards_in_a_rush(world: PlatformWorld) -> None:
-    """A month's end: claims and approvals, mostly in transactions."""
+def shards_transactions(world: PlatformWorld) -> None:
+    """The map changes under traffic that is mostly transactions."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
-    moved(world=world)
+    await_map(world=world)
     world.advance(for_ms=4_000)
-    assert world.referee.shard.at_target, "nothing was written at the new place"
+    assert world.oracle.shard.writes_at_target, f"no write was acknowledged at {TARGET}"
 
 
-def shards_proxy_deaf(world: PlatformWorld) -> None:
-    """A proxy that hears no controller while the map changes; it holds the old one, and may not write."""
+def shards_proxy_partitioned(world: PlatformWorld) -> None:
+    """A proxy reaches no controller while the map changes: it keeps the old map, and must not write."""
     world.advance(for_ms=1_000)
-    deaf = world.proxies[0]
-    world.cut(ones=[deaf], others=world.controllers)
+    partitioned = world.proxies[0]
+    world.cut(ones=[partitioned], others=world.controllers)
     world.advance(for_ms=world.rng.randrange(0, 800))
     assert not propose(world=world)
-    others = [name for name in world.proxies if name != deaf]
+    others = [name for name in world.proxies if name != partitioned]
     world.await_that(
-        test=lambda: all_hold(world=world, version=1, names=others), within_ms=12_000, what="the others hold map 1"
+        test=lambda: all_applied(world=world, version=1, names=others),
+        within_ms=12_000,
+        description="the other proxies apply map 1",
     )
-    assert held(world=world, name=deaf) == 0, "a proxy that has not heard moved"
+    assert applied_version(world=world, name=partitioned) == 0, "a partitioned proxy applied the new map"
     world.advance(for_ms=1_500)
     world.heal()
-    moved(world=world, within_ms=10_000)
+    await_map(world=world, within_ms=10_000)
     world.advance(for_ms=1_500)
 
 
 def shards_proxy_frozen(world: PlatformWorld) -> None:
-    """A proxy stands still across the change and wakes with statements in its hands."""
+    """A proxy is frozen during the change, and thaws with statements in flight."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
     world.advance(for_ms=world.rng.randrange(0, 900))
     world.freeze(name=world.proxies[1])
     world.advance(for_ms=world.rng.randrange(3_000, 5_000))
     world.thaw(name=world.proxies[1])
-    moved(world=world, within_ms=10_000)
+    await_map(world=world, within_ms=10_000)
     world.advance(for_ms=1_500)
 
 
 def shards_proxy_disagrees(world: PlatformWorld) -> None:
-    """One proxy does not agree; the others move, it holds the old map, and moves once it agrees."""
+    """One proxy does not agree: the others apply the map, and it follows once it agrees."""
     world.advance(for_ms=1_000)
     other = world.roles[world.proxies[2]].proxy.router.shards
     fits, other._applicable = other._applicable, lambda *, state: False
     assert not propose(world=world)
     names = [name for name in world.proxies if name != world.proxies[2]]
     world.await_that(
-        test=lambda: all_hold(world=world, version=1, names=names), within_ms=MOVED_MS, what="the others hold map 1"
+        test=lambda: all_applied(world=world, version=1, names=names),
+        within_ms=MOVED_MS,
+        description="the other proxies apply map 1",
     )
     world.advance(for_ms=2_000)
-    assert held(world=world, name=world.proxies[2]) == 0, "a proxy that disagrees moved"
+    assert applied_version(world=world, name=world.proxies[2]) == 0, "a proxy that does not agree applied the new map"
     other._applicable = fits
-    moved(world=world)
+    await_map(world=world)
     world.advance(for_ms=1_000)
 
 
-def shards_too_few(world: PlatformWorld) -> None:
-    """All must agree and one does not: nobody moves, and writes go on where they were."""
+def shards_too_few_agree(world: PlatformWorld) -> None:
+    """All proxies must agree and one does not: the old map stays, and writes go on."""
     world.advance(for_ms=1_000)
     other = world.roles[world.proxies[2]].proxy.router.shards
     other._applicable = lambda *, state: False
     assert not propose(world=world, percent=100)
     world.advance(for_ms=6_000)
-    assert all_hold(world=world, version=0), "a map was taken that not enough agreed on"
+    assert all_applied(world=world, version=0), "a map was applied although too few proxies agreed"
     assert propose(world=world, version=2) == "versionTaken"
 
 
-def shards_not_brought(world: PlatformWorld) -> None:
-    """The data never comes to the new place: the old map stands again, and writes with it."""
+def shards_handover_stuck(world: PlatformWorld) -> None:
+    """The handover never completes: the change is rolled back, and writes go on at the old service."""
     world.advance(for_ms=1_000)
     world.handover.stuck = True
     assert not propose(world=world)
     coordinator = world.roles[world.controllers[0]].controller.shards
     world.await_that(
-        test=lambda: coordinator.state.phase == ShardPhase.closing, within_ms=4_000, what="the map closes"
+        test=lambda: coordinator.state.phase == ShardPhase.closing,
+        within_ms=4_000,
+        description="the change is in its closing phase",
     )
     world.await_that(
-        test=lambda: coordinator.state.phase == ShardPhase.steady, within_ms=15_000, what="the map goes back"
+        test=lambda: coordinator.state.phase == ShardPhase.steady,
+        within_ms=15_000,
+        description="the change is rolled back",
     )
-    assert all_hold(world=world, version=0)
+    assert all_applied(world=world, version=0)
     world.advance(for_ms=3_000)
 
 
-def shards_holder_killed(world: PlatformWorld) -> None:
-    """Whoever brings the map in dies in the middle of it; another goes on."""
+def shards_lease_holder_killed(world: PlatformWorld) -> None:
+    """The controller that holds the shard map lease is killed during a change; another one continues."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
     world.advance(for_ms=world.rng.randrange(100, 1_200))
@@ -145,44 +155,44 @@
         if name in world.roles and world.roles[name].controller.shards.lease.held:
             world.kill(name=name)
             break
-    moved(world=world, within_ms=20_000)
+    await_map(world=world, within_ms=20_000)
     world.advance(for_ms=2_000)
 
 
 def shards_two_operators(world: PlatformWorld) -> None:
-    """Two maps at once: one is on its way, the other is told so; older ones are refused later."""
+    """A second map is refused during a change, the same map is accepted again, and an older one refused later."""
     world.advance(for_ms=1_000)
     first = propose(world=world, version=5)
     assert not first and propose(world=world, version=6, at=1) == "versionTaken"
-    assert not propose(world=world, version=5, at=2), "the same map again is no other map"
-    moved(world=world, version=5)
+    assert not propose(world=world, version=5, at=2), "the map under way was refused when proposed again"
+    await_map(world=world, version=5)
     assert propose(world=world, version=4) == "versionOld"
     world.advance(for_ms=2_000)
 
 
-def shards_with_a_crash(world: PlatformWorld) -> None:
-    """The old place's primary crashes while the map changes."""
+def shards_primary_crash(world: PlatformWorld) -> None:
+    """The primary of the old or the new service crashes while the map changes."""
     world.advance(for_ms=1_000)
     assert not propose(world=world)
     world.advance(for_ms=world.rng.randrange(0, 1_500))
-    world.crash(backend=world.primary(service=world.rng.choice(("ledger0", TARGET))), again_us=3_000_000)
+    world.crash(backend=world.primary(service=world.rng.choice(("ledger0", TARGET))), restart_us=3_000_000)
     world.advance(for_ms=6_000)
-    world.await_that(test=world.serves, within_ms=20_000, what="the service is back")
+    world.await_that(test=world.serves, within_ms=20_000, description="every proxy serves")
     world.advance(for_ms=3_000)
 
 
 def shards_slow_handover(world: PlatformWorld) -> None:
-    """Whoever brings the data takes its time to answer, so that another may hold the duty by then."""
+    """The handover answers slowly, so that another controller may hold the lease by then."""
     world.advance(for_ms=500)
-    world.handover.takes_us = world.rng.randrange(50_000, 150_000)
+    world.handover.duration_us = world.rng.randrange(50_000, 150_000)
     assert not propose(world=world)
-    moved(world=world)
+    await_map(world=world)
     world.advance(for_ms=2_500)
-    assert all_hold(world=world, version=1), "a map that was taken over went back by itself"
+    assert all_applied(world=world, version=1), "a map in force was rolled back"
 
 
 def coordinator_of(*, world: PlatformWorld) -> ShardMapCoordinator:
-    """The shard map coordinator of a controller that runs; its view tells how far the change has come."""
+    """The shard map coordinator of the first running controller; its view holds the change's phase."""
     coordinator: ShardMapCoordinator = world.roles[
         next(name for name in world.controllers if name in world.roles)
     ].controller.shards
@@ -190,33 +200,34 @@
 
 
 def await_phase(*, world: PlatformWorld, phase: ShardPhase) -> None:
-    """Until some controller knows of this phase of the change, or that it is over."""
+    """Waits until some controller knows of this phase of a change."""
 
-    def come() -> bool:
+    def reached() -> bool:
         states = [world.roles[name].controller.shards.state for name in world.controllers if name in world.roles]
         return any(state.phase == phase and state.proposal for state in states)
 
-    world.await_that(test=come, within_ms=6_000, what=f"the map is {phase.name}")
+    world.await_that(test=reached, within_ms=6_000, description=f"the change is in phase {phase.name}")
 
 
-def holder(*, world: PlatformWorld) -> str:
+def coordinator_holder(*, world: PlatformWorld) -> str:
+    """The controller that holds the shard map lease, or the first running one."""
     names = [name for name in world.controllers if name in world.roles]
     return next((name for name in names if world.roles[name].controller.shards.lease.held), names[0])
 
 
 def shards_proxy_killed(world: PlatformWorld) -> None:
-    """A proxy is killed in the middle, in whatever phase, and starts again from nothing."""
+    """A proxy is killed in the proposed or closing phase, and restarts without state."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=world.rng.choice((ShardPhase.proposed, ShardPhase.closing)))
     world.advance(for_ms=world.rng.randrange(0, 300))
-    world.kill(name=world.proxies[0], again_us=world.rng.choice((100_000, 600_000, 2_500_000)))
-    moved(world=world, within_ms=14_000)
+    world.kill(name=world.proxies[0], restart_us=world.rng.choice((100_000, 600_000, 2_500_000)))
+    await_map(world=world, within_ms=14_000)
     world.advance(for_ms=1_500)
 
 
-def shards_proxy_cut_one_way(world: PlatformWorld) -> None:
-    """What a proxy asks reaches the controllers and no answer comes back, or it hears of nothing it asked for."""
+def shards_proxy_partitioned_one_way(world: PlatformWorld) -> None:
+    """A proxy is partitioned from the controllers in one direction: its requests are lost, or all answers."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=world.rng.choice((ShardPhase.proposed, ShardPhase.closing)))
@@ -224,59 +235,65 @@
     if world.rng.random() < 0.5:
         ones, others = others, ones
     world.cut(ones=ones, others=others, both=False)
-    world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=12_000, what="all is brought over")
+    world.await_that(
+        test=lambda: bool(world.oracle.shard.handed_over_us),
+        within_ms=12_000,
+        description="a database is handed over",
+    )
     world.advance(for_ms=1_000)
     world.heal()
-    moved(world=world, within_ms=10_000)
+    await_map(world=world, within_ms=10_000)
     world.advance(for_ms=1_000)
 
 
-def shards_proxy_late(world: PlatformWorld) -> None:
-    """All that a proxy sends and hears is late by as much as a question may be."""
+def shards_proxy_slow_network(world: PlatformWorld) -> None:
+    """A proxy's network is nearly as slow as the request timeout allows."""
     world.advance(for_ms=500)
-    world.note(name=world.proxies[0], for_us=None)
+    world.begin_disruption(name=world.proxies[0], for_us=None)
     world.network.lags_us[world.proxies[0]] = world.rng.randrange(100_000, 180_000)
     assert not propose(world=world)
-    moved(world=world, within_ms=14_000)
+    await_map(world=world, within_ms=14_000)
     world.advance(for_ms=1_000)
 
 
-def shards_proxy_old(world: PlatformWorld) -> None:
-    """A proxy that can't read the word, as of an older version or for a broken map: it holds the old one."""
+def shards_proxy_incompatible(world: PlatformWorld) -> None:
+    """A proxy can't read the new state, like one of an older version: it keeps the old map."""
     world.advance(for_ms=500)
     old = world.proxies[1]
     view = world.roles[old].proxy.view
-    world.note(name=old, for_us=None)
+    world.begin_disruption(name=old, for_us=None)
 
     def apply(*, key: str, value: bytes) -> None:
         if key == SHARDS_KEY:
-            raise ValueError("a word of another version")
+            raise ValueError("a shard state of another version")
         RelayedView._apply(view, key=key, value=value)
 
     with patch.object(view, "_apply", apply):
         assert not propose(world=world)
         others = [name for name in world.proxies if name != old]
         world.await_that(
-            test=lambda: all_hold(world=world, version=1, names=others), within_ms=14_000, what="the others move"
+            test=lambda: all_applied(world=world, version=1, names=others),
+            within_ms=14_000,
+            description="the other proxies apply map 1",
         )
         world.advance(for_ms=1_500)
-        assert held(world=world, name=old) == 0, "a proxy that could not read the map moved"
-    moved(world=world, within_ms=6_000)
+        assert applied_version(world=world, name=old) == 0, "a proxy that could not read the map applied it"
+    await_map(world=world, within_ms=6_000)
     world.advance(for_ms=1_000)
 
 
 def shards_register_replica_lost(world: PlatformWorld) -> None:
-    """One register replica of three is gone with its disk while the map closes."""
+    """One register replica of three is lost with its disk in the closing phase."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=ShardPhase.closing)
     world.power_off(name=world.rng.choice(world.controllers), wipe=True)
-    moved(world=world, within_ms=20_000)
+    await_map(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
 def shards_register_replica_restarted(world: PlatformWorld) -> None:
-    """One register replica ends while the map closes, and comes back with its disk."""
+    """One register replica loses power in the closing phase, and returns with its disk."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=ShardPhase.closing)
@@ -284,56 +301,59 @@
     world.power_off(name=name)
     world.advance(for_ms=world.rng.randrange(50, 1_500))
     world.power_on(name=name)
-    moved(world=world, within_ms=20_000)
+    await_map(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
-def holder_killed_in(*, world: PlatformWorld, phase: ShardPhase) -> None:
+def kill_holder_during(*, world: PlatformWorld, phase: ShardPhase) -> None:
+    """Kills the shard map lease's holder in this phase; another controller must complete the change."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=phase)
     world.advance(for_ms=world.rng.randrange(0, 200))
-    world.kill(name=holder(world=world))
-    moved(world=world, within_ms=20_000)
+    world.kill(name=coordinator_holder(world=world))
+    await_map(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
-def shards_holder_killed_proposed(world: PlatformWorld) -> None:
-    """The duty's holder dies while proxies are asked."""
-    holder_killed_in(world=world, phase=ShardPhase.proposed)
+def shards_lease_holder_killed_proposed(world: PlatformWorld) -> None:
+    """The lease holder is killed while proxies are asked to agree."""
+    kill_holder_during(world=world, phase=ShardPhase.proposed)
 
 
-def shards_holder_killed_closing(world: PlatformWorld) -> None:
-    """The duty's holder dies while nobody writes."""
-    holder_killed_in(world=world, phase=ShardPhase.closing)
+def shards_lease_holder_killed_closing(world: PlatformWorld) -> None:
+    """The lease holder is killed while writes are paused."""
+    kill_holder_during(world=world, phase=ShardPhase.closing)
 
 
-def shards_holder_killed_steady(world: PlatformWorld) -> None:
-    """The duty's holder dies with its last step, of which few have heard."""
+def shards_lease_holder_killed_steady(world: PlatformWorld) -> None:
+    """The lease holder is killed with its last step, which only some machines know of."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=ShardPhase.closing)
-    world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=9_000, what="all is brought over")
-    world.kill(name=holder(world=world))
-    moved(world=world, within_ms=20_000)
+    world.await_that(
+        test=lambda: bool(world.oracle.shard.handed_over_us), within_ms=9_000, description="a database is handed over"
+    )
+    world.kill(name=coordinator_holder(world=world))
+    await_map(world=world, within_ms=20_000)
     world.advance(for_ms=1_500)
 
 
-def shards_second_begun(world: PlatformWorld) -> None:
-    """A second change is begun in each phase of the first, and once more when that is over."""
+def shards_second_proposal(world: PlatformWorld) -> None:
+    """A second map is refused in each phase of a change, and accepted once that is complete."""
     world.advance(for_ms=500)
     assert not propose(world=world, version=3)
     for phase in (ShardPhase.proposed, ShardPhase.closing):
         await_phase(world=world, phase=phase)
         assert propose(world=world, version=8, at=1) == "versionTaken"
-    moved(world=world, version=3)
-    assert not propose(world=world, version=8, at=2), "the first is over, and a second may begin"
-    moved(world=world, version=8)
+    await_map(world=world, version=3)
+    assert not propose(world=world, version=8, at=2), "a second map was refused after the first change was complete"
+    await_map(world=world, version=8)
     world.advance(for_ms=1_000)
 
 
-def abandoned_in(*, world: PlatformWorld, phase: ShardPhase) -> None:
-    """Given up, then put again as the very same map, which moves."""
+def abandon_during(*, world: PlatformWorld, phase: ShardPhase) -> None:
+    """An operator abandons a change in this phase, then proposes the same map again, which must complete."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     await_phase(world=world, phase=phase)
@@ -341,46 +361,48 @@
     coordinator = coordinator_of(world=world)
     result = world.run(work=coordinator.abandon(version=1))
     if result.is_error():
-        # why: it may have been taken over just before, and then nobody can give it up any more
+        # a change that was completed just before can't be abandoned
         assert phase == ShardPhase.closing and result.error.code == ErrorCode.VERSION_OLD, result.error
-        moved(world=world)
+        await_map(world=world)
         return
-    world.referee.shard.withdrawn()
-    assert all_hold(world=world, version=0), "a map that was given up was taken over"
+    world.oracle.shard.withdrawn()
+    assert all_applied(world=world, version=0), "an abandoned map was applied"
     world.advance(for_ms=world.rng.randrange(0, 600))
     assert not propose(world=world, at=1)
-    moved(world=world, within_ms=14_000)
+    await_map(world=world, within_ms=14_000)
     assert world.run(work=coordinator.abandon(version=1)).error.code == ErrorCode.VERSION_OLD
     world.advance(for_ms=1_000)
 
 
 def shards_abandoned_proposed(world: PlatformWorld) -> None:
-    """An operator gives a change up while proxies are asked."""
-    abandoned_in(world=world, phase=ShardPhase.proposed)
+    """A change is abandoned while proxies are asked to agree."""
+    abandon_during(world=world, phase=ShardPhase.proposed)
 
 
 def shards_abandoned_closing(world: PlatformWorld) -> None:
-    """An operator gives a change up while nobody writes."""
-    abandoned_in(world=world, phase=ShardPhase.closing)
+    """A change is abandoned while writes are paused."""
+    abandon_during(world=world, phase=ShardPhase.closing)
 
 
-def shards_new_place_crash(world: PlatformWorld) -> None:
-    """The new place's primary crashes when it holds everything, right before the proxies may write there."""
+def shards_target_crash(world: PlatformWorld) -> None:
+    """The new service's primary crashes after the handover, right before proxies may write there."""
     world.advance(for_ms=500)
     assert not propose(world=world)
     world.await_that(
-        test=lambda: len(world.referee.shard.moved_us) == len(MOVING), within_ms=9_000, what="all is brought over"
+        test=lambda: len(world.oracle.shard.handed_over_us) == len(MOVED_DATABASES),
+        within_ms=9_000,
+        description="a database is handed over",
     )
-    world.crash(backend=world.primary(service=TARGET), again_us=3_000_000)
+    world.crash(backend=world.primary(service=TARGET), restart_us=3_000_000)
     world.advance(for_ms=4_000)
-    world.await_that(test=world.serves, within_ms=20_000, what="the service is back")
-    moved(world=world, within_ms=10_000)
+    world.await_that(test=world.serves, within_ms=20_000, description="every proxy serves")
+    await_map(world=world, within_ms=10_000)
     world.advance(for_ms=1_500)
 
 
-def lies_held_up(*, world: PlatformWorld, proxy: str, backend: str) -> bool:
-    """Whether a write or commit of a database that moves lies unsent, or unheard, on the way to a backend."""
-    referee = world.referee
+def write_in_transit(*, world: PlatformWorld, proxy: str, backend: str) -> bool:
+    """Whether a write or commit of a moving database is unacknowledged on the way from a proxy to a backend."""
+    oracle = world.oracle
     lines = [
         line.split(b" ")
         for end in world.fabric.ends.get(proxy, {})
@@ -389,112 +411,123 @@
         for line in segment.data.split(b"\r\n")
         if line.startswith(b"ASK ")
     ]
-    statement = [referee.statement.get(fields[1]) for fields in lines]
+    statement = [oracle.statements.get(fields[1]) for fields in lines]
     return any(
         each is not None
-        and each.attempt.database in referee.shard.moves
-        and (each.kind == "commit" or (each.kind == "write" and each.alone))
+        and each.attempt.database in oracle.shard.moves
+        and (each.kind == "commit" or (each.kind == "write" and each.autocommit))
         for each in statement
     )
 
 
-def await_held_up(*, world: PlatformWorld, proxy: str, backend: str) -> None:
+def await_write_in_transit(*, world: PlatformWorld, proxy: str, backend: str) -> None:
     world.await_that(
-        test=lambda: lies_held_up(world=world, proxy=proxy, backend=backend),
+        test=lambda: write_in_transit(world=world, proxy=proxy, backend=backend),
         within_ms=1_000,
-        what="a write lies held up",
+        description=f"a write from {proxy} to {backend} is in transit",
     )
 
 
-def held_up(
-    *, world: PlatformWorld, also_deaf: bool = False, then: Callable[[str], None] = lambda name: None
+def delay_last_write(
+    *, world: PlatformWorld, also_partitioned: bool = False, then: Callable[[str], None] = lambda name: None
 ) -> None:
-    """What one proxy sends to the old place just before it closes lies in a cut until after the switch."""
+    """A partition holds a proxy's last writes to the old service up until after the handover.
+
+    With `also_partitioned` the proxy is partitioned from the controllers first, and its view has nearly lapsed.
+    """
     world.advance(for_ms=1_000)
     proxy, old = world.proxies[0], world.primary(service="ledger0").name
     coordinators = [world.roles[name].controller.shards for name in world.controllers]
     assert not propose(world=world)
     with ExitStack() as stack:
-        # why: what is to lie held up must leave right before the closing, so the closing waits for it
+        # the closing phase waits for the writes, so they are sent right before it
         for coordinator in coordinators:
             stack.enter_context(patch.object(coordinator, "_count_agreement", AsyncMock()))
         world.advance(for_ms=2_300)
-        if not also_deaf:
+        if not also_partitioned:
             world.cut(ones=[proxy], others=[old])
-            await_held_up(world=world, proxy=proxy, backend=old)
-    if also_deaf:
+            await_write_in_transit(world=world, proxy=proxy, backend=old)
+    if also_partitioned:
         world.cut(ones=[proxy], others=world.controllers)
         view = world.roles[proxy].proxy.view
         lapses_us = LEASE_US - world.rng.randrange(150_000, 250_000)
         world.await_that(
             test=lambda: view.ctx.now_us() >= view.as_of_us + lapses_us,
             within_ms=2_000,
-            what="its view nearly lapses",
+            description=f"the view of {proxy} nearly lapses",
         )
         world.cut(ones=[proxy], others=[old])
-        await_held_up(world=world, proxy=proxy, backend=old)
+        await_write_in_transit(world=world, proxy=proxy, backend=old)
     world.await_that(
-        test=lambda: coordinators[0].state.phase == ShardPhase.closing, within_ms=4_000, what="it closes"
+        test=lambda: coordinators[0].state.phase == ShardPhase.closing,
+        within_ms=4_000,
+        description="the change is in its closing phase",
     )
     then(proxy)
-    world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=9_000, what="all is brought over")
+    world.await_that(
+        test=lambda: bool(world.oracle.shard.handed_over_us), within_ms=9_000, description="a database is handed over"
+    )
     world.advance(for_ms=world.rng.randrange(50, 400))
     world.heal()
     world.advance(for_ms=3_000)
 
 
-def shards_commit_held_up(world: PlatformWorld) -> None:
-    """A proxy in touch whose way to the old place is cut, and only that."""
-    held_up(world=world)
-    moved(world=world)
+def shards_commit_delayed(world: PlatformWorld) -> None:
+    """A proxy is partitioned from the old service's primary alone."""
+    delay_last_write(world=world)
+    await_map(world=world)
 
 
-def shards_commit_held_up_deaf(world: PlatformWorld) -> None:
-    """The same at a proxy that hears of no closing, and whose clients wait for long."""
+def shards_commit_delayed_partitioned(world: PlatformWorld) -> None:
+    """The same at a proxy that also reaches no controller, with clients that wait for 2.4 s."""
     world.put(body=world.configuration(version=9, give_up_ms=2_400))
     world.advance(for_ms=1_500)
-    held_up(world=world, also_deaf=True)
-    moved(world=world)
+    delay_last_write(world=world, also_partitioned=True)
+    await_map(world=world)
 
 
 def shards_long_transaction(world: PlatformWorld) -> None:
-    """A proxy that hears of nothing, with transactions that began long before the change and end after it."""
+    """A proxy reaches no controller, and has transactions that begin before the change and end after it."""
     world.advance(for_ms=2_000)
-    deaf = world.proxies[0]
-    world.cut(ones=[deaf], others=world.controllers)
+    partitioned = world.proxies[0]
+    world.cut(ones=[partitioned], others=world.controllers)
     world.advance(for_ms=world.rng.randrange(0, 300))
     assert not propose(world=world)
-    world.await_that(test=lambda: bool(world.referee.shard.moved_us), within_ms=15_000, what="all is brought over")
+    world.await_that(
+        test=lambda: bool(world.oracle.shard.handed_over_us),
+        within_ms=15_000,
+        description="a database is handed over",
+    )
     world.advance(for_ms=3_000)
     world.heal()
-    moved(world=world, within_ms=10_000)
+    await_map(world=world, within_ms=10_000)
 
 
-def shards_commit_held_up_frozen(world: PlatformWorld) -> None:
-    """The same at a proxy that then stands still, so that only its machine can give the bytes up."""
-    held_up(world=world, then=lambda name: world.freeze(name=name))
+def shards_commit_delayed_frozen(world: PlatformWorld) -> None:
+    """The same at a proxy that is then frozen, so that only its kernel can drop the bytes (TCP_USER_TIMEOUT)."""
+    delay_last_write(world=world, then=lambda name: world.freeze(name=name))
     world.thaw(name=world.proxies[0])
-    moved(world=world, within_ms=10_000)
+    await_map(world=world, within_ms=10_000)
 
 
-def shards_commit_held_up_killed(world: PlatformWorld) -> None:
-    """The same at a proxy that is then killed, so that its machine alone is left to send them."""
-    held_up(world=world, then=lambda name: world.kill(name=name))
-    moved(world=world, within_ms=10_000)
+def shards_commit_delayed_killed(world: PlatformWorld) -> None:
+    """The same at a proxy that is then killed, so that only its kernel could still send the bytes."""
+    delay_last_write(world=world, then=lambda name: world.kill(name=name))
+    await_map(world=world, within_ms=10_000)
 
 
-SHAPED = (
+WORKLOAD_TRIALS = (
     shards_proxy_killed,
-    shards_proxy_cut_one_way,
-    shards_proxy_late,
-    shards_proxy_old,
+    shards_proxy_partitioned_one_way,
+    shards_proxy_slow_network,
+    shards_proxy_incompatible,
     shards_register_replica_lost,
     shards_register_replica_restarted,
-    shards_holder_killed_proposed,
-    shards_holder_killed_closing,
-    shards_holder_killed_steady,
-    shards_second_begun,
+    shards_lease_holder_killed_proposed,
+    shards_lease_holder_killed_closing,
+    shards_lease_holder_killed_steady,
+    shards_second_proposal,
     shards_abandoned_proposed,
     shards_abandoned_closing,
-    shards_new_place_crash,
+    shards_target_crash,
 )
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -1,4 +1,4 @@
-"""The platform's streams in memory, for one run of one machine."""
+"""The adapter's stream interface on the simulated network, for one incarnation of a machine."""
 
 import asyncio
 import contextvars
@@ -14,7 +14,7 @@
 
 
 class SimStreams:
-    """Does what the adapter may ask of a network; every callback runs on the machine it belongs to."""
+    """Connects and listens; callbacks run in the context of their machine's process, so they stop when it dies."""
 
     def __init__(self, *, fabric: StreamFabric, host: str, process: SimProcess | None) -> None:
         self.fabric = fabric
@@ -27,7 +27,7 @@
     async def connect(
         self, *, address: str, protocol: Callable[[], Any], wait_us: int
     ) -> Result[Any, CinderstairError]:
-        opened = self.fabric.dial(host=self.host, process=self.process, context=self.context, address=address)
+        opened = self.fabric.connect(host=self.host, process=self.process, context=self.context, address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 end = await opened
@@ -47,4 +47,4 @@
         self.fabric.listen(address=address, listener=listener)
 
     async def stop_listening(self) -> None:
-        self.fabric.deafen(host=self.host, process=self.process)
+        self.fabric.close_listeners(host=self.host, process=self.process)
--- a/src/cinderstair/simulation/platformsim/sim_transport.py
+++ b/src/cinderstair/simulation/platformsim/sim_transport.py
@@ -1,4 +1,4 @@
-"""One end of a simulated connection, as asyncio's protocols see it."""
+"""One end of a simulated TCP connection, as an asyncio transport."""
 
 import asyncio
 import contextvars
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from .stream_fabric import StreamFabric
 
-RESEND_S, RESEND_MOST_S = 0.2, 2.0
-ORPHAN_S = 20.0
+RESEND_S, MAX_RESEND_S = 0.2, 2.0
+ORPHAN_TIMEOUT_S = 20.0
 WINDOW = 64 * 1024
 LOW_WATER = 16 * 1024
 
 
 class Segment(NamedTuple):
-    """Bytes on their way; an end or a reset travels behind the bytes that were written before it."""
+    """Bytes in flight; an end or a reset follows the bytes that were written before it."""
 
     due: float
     data: bytes
@@ -27,7 +27,11 @@
 
 
 class SimTransport(asyncio.Transport):
-    """Bytes arrive in order, after the pair's delay. What a cut holds up is sent again, as TCP does."""
+    """Bytes arrive in order, after the delay between the hosts; during a partition they are retransmitted as by TCP.
+
+    State: unsent segments in `outbox`, unread bytes in `inbox`. `closing` is set by the local close, `gone` once the
+    protocol was told. `user_timeout_s` bounds how long bytes stay unacknowledged (TCP_USER_TIMEOUT).
+    """
 
     def __init__(
         self, *, fabric: "StreamFabric", host: str, process: SimProcess | None, context: contextvars.Context
@@ -46,7 +50,7 @@
         self.pumping: asyncio.TimerHandle | None = None
         self.resend_s = RESEND_S
         self.stalled_since: float | None = None
-        self.patience_s: float | None = None
+        self.user_timeout_s: float | None = None
         self.resets_at_end = False
         self.inbox: list[bytes] = []
         self.in_bytes = 0
@@ -59,7 +63,7 @@
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "socket":
-            return SimSocket(set_patience=self._set_patience, set_linger=self._set_linger)
+            return SimSocket(set_user_timeout=self._set_user_timeout, set_linger=self._set_linger)
         return default
 
     def is_closing(self) -> bool:
@@ -80,7 +84,7 @@
             self.abort()
             return
         self.closing = True
-        # why: an end with bytes that were never read is a reset to the other side
+        # as in TCP, closing with unread bytes resets the connection
         self._send(data=b"", ends=not self.inbox, resets=bool(self.inbox))
         self.fabric.loop.call_soon(self._lost, None, context=self.context)
 
@@ -88,7 +92,7 @@
         if self.gone:
             return
         self.closing = True
-        # why: asyncio drops only what it holds itself; what the machine has taken over is dropped by a reset alone
+        # asyncio drops only its own buffer; bytes already given to the kernel are dropped by a reset alone
         if self.process is None or self.resets_at_end:
             self._drop()
         self._send(data=b"", resets=True)
@@ -107,21 +111,21 @@
     def get_write_buffer_size(self) -> int:
         return self.out_bytes
 
-    # -- beneath --
+    # -- network side --
 
     def attach(self, *, protocol: Any) -> None:
-        """Gives the connection to its protocol; what came in before waits for it."""
+        """Starts the protocol, which then gets the bytes that arrived before."""
         self.protocol = protocol
         protocol.connection_made(self)
         if self.gone:
-            # why: asyncio tells of a connection that was reset while it was being opened as of any other
+            # asyncio reports a connection that was reset while being opened like any other
             self.protocol = None
             self.fabric.loop.call_soon(protocol.connection_lost, ConnectionResetError(), context=self.context)
             return
         self._read_soon()
 
-    def _set_patience(self, patience_s: float) -> None:
-        self.patience_s = patience_s
+    def _set_user_timeout(self, user_timeout_s: float) -> None:
+        self.user_timeout_s = user_timeout_s
 
     def _set_linger(self, resets: bool) -> None:
         self.resets_at_end = resets
@@ -134,21 +138,21 @@
         if self.gone:
             return
         self.gone = self.closing = True
-        self.fabric.forget(end=self)
+        self.fabric.unregister(end=self)
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
             protocol.connection_lost(error)
 
-    def lose(self, *, error: Exception | None) -> None:
-        """The connection is at an end, by word of the other side or for want of any word."""
+    def fail(self, *, error: Exception | None) -> None:
+        """The connection is lost, by a reset from the peer or a timeout."""
         if self.gone:
             return
         self.closing = True
         self._drop()
         self.fabric.loop.call_soon(self._lost, error, context=self.context)
 
-    def perish(self, *, silently: bool) -> None:
-        """The process is no more; unless power went with it, its system resets the connection."""
+    def terminate(self, *, silently: bool) -> None:
+        """The process is dead; its kernel resets the connection unless power is lost (`silently`)."""
         if self.resets_at_end:
             self._drop()
         if not silently and not (self.closing and not self.outbox):
@@ -157,7 +161,7 @@
             self._drop()
         self.closing = self.gone = True
         self.protocol = None
-        self.fabric.forget(end=self)
+        self.fabric.unregister(end=self)
 
     def _send(self, *, data: bytes, ends: bool = False, resets: bool = False) -> None:
         now = self.fabric.loop.time()
@@ -178,19 +182,19 @@
         if not self.outbox:
             return
         if not self.fabric.passes(source=self.host, target=self.peer.host):
-            self._hold_up(now=now)
+            self._retransmit_later(now=now)
             return
         self.resend_s, self.stalled_since = RESEND_S, None
         peer = self.peer
         while self.outbox and self.outbox[0].due <= now:
             if peer.in_bytes > WINDOW and not peer.gone:
-                # why: a reader that does not read holds its writer up
+                # flow control: the peer's receive window is full
                 self._pump_at(when=now + 0.05)
                 return
             segment = self.outbox.popleft()
             self.out_bytes -= len(segment.data)
             if segment.resets:
-                peer.lose(error=ConnectionResetError("reset by the other side"))
+                peer.fail(error=ConnectionResetError("reset by peer"))
             elif segment.data and peer.closing:
                 self.fabric.later(call=self._reset_back, source=peer.host, target=self.host)
             else:
@@ -203,24 +207,29 @@
             self._pump_at(when=max(now, self.outbox[0].due))
 
     def _reset_back(self) -> None:
-        self.lose(error=ConnectionResetError("nobody there any more"))
+        self.fail(error=ConnectionResetError("the peer is closed"))
 
-    def _hold_up(self, *, now: float) -> None:
+    def _retransmit_later(self, *, now: float) -> None:
         if self.stalled_since is None:
             self.stalled_since = now
         waited_s = now - self.stalled_since
-        if self.patience_s is not None and waited_s >= self.patience_s and not self.gone:
-            self.lose(error=TimeoutError("no word from the other side"))
+        if self.user_timeout_s is not None and waited_s >= self.user_timeout_s and not self.gone:
+            self.fail(error=TimeoutError(f"unacknowledged for {waited_s:.1f} s"))
             return
-        # why: a reset is sent once; whoever misses it learns when next it sends something
-        if self.outbox[0].resets or (self.gone and waited_s > ORPHAN_S):
+        # a reset is sent once; a peer that misses it is reset when it sends next
+        if self.outbox[0].resets or (self.gone and waited_s > ORPHAN_TIMEOUT_S):
             self._drop()
             return
-        wait_s = self.resend_s if self.patience_s is None else min(self.resend_s, self.patience_s - waited_s + 0.001)
-        self.resend_s = min(self.resend_s * 2, RESEND_MOST_S)
+        wait_s = (
+            self.resend_s
+            if self.user_timeout_s is None
+            else min(self.resend_s, self.user_timeout_s - waited_s + 0.001)
+        )
+        self.resend_s = min(self.resend_s * 2, MAX_RESEND_S)
         self._pump_at(when=now + max(0.001, wait_s))
 
     def arrive(self, *, data: bytes, ends: bool) -> None:
+        """Bytes or the end of the stream arrive from the peer."""
         if self.closing:
             return
         if data:
@@ -245,8 +254,8 @@
             try:
                 self.protocol.data_received(data)
             except Exception:
-                # why: as asyncio does, an error that a protocol lets out ends its connection
-                self.lose(error=None)
+                # as in asyncio, an exception from a protocol ends its connection
+                self.fail(error=None)
                 raise
         if self.in_ended and not self.inbox and not self.closing and not self.paused:
             self.in_ended = False
--- a/src/cinderstair/simulation/platformsim/slots.py
+++ b/src/cinderstair/simulation/platformsim/slots.py
@@ -1,50 +1,50 @@
-"""A backend's room for work."""
+"""A backend's concurrency limit."""
 
 from collections import deque
 from collections.abc import Callable
 
 from ..virtual_loop import VirtualLoop
 
-MOST_WAITING = 24
+MAX_WAITING = 24
 
 
 class Slots:
-    """So many at a time; some more wait their turn, and the rest are told that it is busy."""
+    """Runs up to `count` statements at once; MAX_WAITING more wait, and the rest are refused as busy."""
 
     def __init__(self, *, loop: VirtualLoop, count: int) -> None:
         self.loop = loop
         self.count = count
         self.busy = 0
         self.waiting: deque[tuple[float, Callable[[], None]]] = deque()
-        self.life = 0
+        self.incarnation = 0
 
     def take(self, *, cost_s: float, then: Callable[[], None]) -> bool:
-        """False where there is no room; otherwise `then` is called once a slot was held for that long."""
+        """False if the queue is full; otherwise `then` is called once a slot was held for `cost_s`."""
         if self.busy < self.count:
-            self._hold(cost_s=cost_s, then=then)
+            self._run(cost_s=cost_s, then=then)
             return True
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING:
             return False
         self.waiting.append((cost_s, then))
         return True
 
-    def _hold(self, *, cost_s: float, then: Callable[[], None]) -> None:
+    def _run(self, *, cost_s: float, then: Callable[[], None]) -> None:
         self.busy += 1
-        life = self.life
+        incarnation = self.incarnation
 
         def done() -> None:
-            if life != self.life:
+            if incarnation != self.incarnation:
                 return
             self.busy -= 1
             if self.waiting:
                 next_s, next_then = self.waiting.popleft()
-                self._hold(cost_s=next_s, then=next_then)
+                self._run(cost_s=next_s, then=next_then)
             then()
 
         self.loop.call_later(cost_s, done)
 
     def clear(self) -> None:
-        """The backend has ended, and with it all that it was doing."""
-        self.life += 1
+        """Drops all work when the backend ends."""
+        self.incarnation += 1
         self.busy = 0
         self.waiting.clear()
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -1,27 +1,27 @@
-"""A stand-in for a database server of the platform: a log, copies that follow, terms, and the wire's door."""
+"""A stand-in for the platform's database server: a replicated log, terms, fencing, and the wire protocol."""
 
 import contextvars
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .backend_door import BackendDoor
+from .backend_protocol import BackendProtocol
 from .client_statement import ClientStatement
 from .listener import Listener
 from .log_entry import LogEntry
-from .referee import Referee
+from .oracle import Oracle
 from .slots import Slots
 from .stand_in_service import StandInService
 from .stream_fabric import StreamFabric
 
-CUT_BACK_US = 300_000
-GIVE_WAY_US = 1_000_000
-DARK_US = 3_000_000
+TRUNCATE_US = 300_000
+STEP_DOWN_DELAY_US = 1_000_000
+UNREACHABLE_TIMEOUT_US = 3_000_000
 
 
 @dataclass(kw_only=True)
 class Costs:
-    """How long a backend takes, in microseconds."""
+    """Processing times, in microseconds."""
 
     work_us: int = 3_000
     link_us: int = 10_000
@@ -29,7 +29,13 @@
 
 
 class StandInBackend:
-    """Everything it runs is told to the referee first."""
+    """Reports everything that it executes to the oracle first.
+
+    State: role and term, `log` (received) and `applied` (its length visible to reads), fencing (`paused`,
+    `term_held`), commits `pending` confirmation, and open connections. `incarnation` rises at each start and crash,
+    `primary_incarnation` with each change of role. Injected faults: `replication_interrupted` (receives no log),
+    `lag_us`, `slow` (a factor), `lose_share` (of answers), `fail_share` (of reads).
+    """
 
     def __init__(
         self,
@@ -39,7 +45,7 @@
         address: str,
         zone: str,
         fabric: StreamFabric,
-        referee: Referee,
+        oracle: Oracle,
         rng: random.Random,
         is_primary: bool,
         log: list[LogEntry] | None = None,
@@ -50,7 +56,7 @@
         self.address = address
         self.zone = zone
         self.fabric = fabric
-        self.referee = referee
+        self.oracle = oracle
         self.rng = rng
         self.costs = Costs()
         self.is_primary = is_primary
@@ -58,76 +64,83 @@
         self.term_held = 0
         self.paused = False
         self.up = False
-        self.deaf = False
+        self.replication_interrupted = False
         self.lag_us = 0
         self.slow = 1
         self.lose_share = 0.0
         self.fail_share = 0.0
         self.log = [] if log is None else log
         self.applied = len(self.log)
-        self.lead_life = 0
+        self.primary_incarnation = 0
         self.busy_until_us = 0
         self.newer_since_us: int | None = None
         self.pending: list[tuple[LogEntry, Callable[[LogEntry], None]]] = []
-        self.doors: dict[BackendDoor, None] = {}
+        self.connections: dict[BackendProtocol, None] = {}
         self.slots = Slots(loop=fabric.loop, count=slots)
         self.stamped = 0
-        self.emptying = False
+        self.draining = False
         self.on_change: Callable[[], None] = lambda: None
-        self.life = 0
+        self.incarnation = 0
 
     @property
     def now_us(self) -> int:
         return self.fabric.now_us
 
-    # -- life --
+    # -- start and end --
 
     def start(self) -> None:
+        """Starts or restarts with its log, and listens."""
         self.up = True
-        self.life += 1
+        self.incarnation += 1
         self.term_held, self.paused = 0, False
-        # why: one that crashed comes back with its log, and as a copy where another was promoted meanwhile
+        # a crashed primary comes back as a replica if another was promoted in the meantime
         if self.is_primary and self.term < self.service.term:
             self.is_primary = False
-            self.lead_life += 1
+            self.primary_incarnation += 1
         self.applied = len(self.log)
         listener = Listener(
-            host=self.name, process=None, context=contextvars.Context(), protocol=lambda: BackendDoor(backend=self)
+            host=self.name,
+            process=None,
+            context=contextvars.Context(),
+            protocol=lambda: BackendProtocol(backend=self),
         )
         self.fabric.listen(address=self.address, listener=listener)
 
-    def crash(self, *, dark: bool = False) -> None:
-        """Silently where power goes; what it was doing comes to nothing."""
+    def crash(self, *, power_loss: bool = False) -> None:
+        """Ends at once; unanswered work is dropped. On power loss its peers get no reset."""
         self.up = False
-        self.life += 1
+        self.incarnation += 1
         self.pending.clear()
         self.slots.clear()
-        self.fabric.end_of(host=self.name, silently=dark)
-        self.doors.clear()
-        if dark:
-            self.fabric.network.dark.add(self.name)
+        self.fabric.end_host(host=self.name, silently=power_loss)
+        self.connections.clear()
+        if power_loss:
+            self.fabric.network.unreachable.add(self.name)
 
-    def light(self) -> None:
-        self.fabric.network.dark.discard(self.name)
+    def restore_power(self) -> None:
+        """Makes the machine reachable again."""
+        self.fabric.network.unreachable.discard(self.name)
 
     # -- the log --
 
     @property
     def received(self) -> tuple[int, int]:
+        """Term and number of the last received entry."""
         return (self.log[-1].term, len(self.log)) if self.log else (1, 0)
 
     @property
     def position(self) -> tuple[int, int]:
+        """Term and number of the last applied entry."""
         return (self.log[self.applied - 1].term, self.applied) if self.applied else (1, 0)
 
     def position_text(self) -> bytes:
         return b"%d.%d" % self.position
 
     def holds(self, *, entry: LogEntry) -> bool:
-        """Whether the log holds it, applied."""
+        """Whether the entry is in the log and applied."""
         return entry.number <= self.applied and self.log[entry.number - 1] is entry
 
-    def in_reach(self, *, other: "StandInBackend") -> bool:
+    def reachable(self, *, other: "StandInBackend") -> bool:
         return self.up and other.up and self.fabric.reaches(one=self.name, other=other.name)
 
     @property
@@ -135,11 +148,12 @@
         return self.now_us < self.busy_until_us
 
     def stamp(self) -> bytes:
+        """A text that identifies one result."""
         self.stamped += 1
         return b"%s.%x.%x" % (self.name.encode(), self.stamped, self.rng.getrandbits(32))
 
     def commit(self, *, writes: tuple[ClientStatement, ...], done: Callable[[LogEntry], None]) -> LogEntry:
-        """Appends; the answer waits for the copies that have to confirm."""
+        """Appends an entry; `done` is called once enough replicas have confirmed it."""
         entry = LogEntry(
             term=self.term,
             number=len(self.log) + 1,
@@ -148,13 +162,13 @@
             service=self.service.name,
             at_us=self.now_us,
         )
-        # why: a primary that was replaced does not know it, and what it still commits leads nowhere
+        # a replaced primary doesn't know about it yet; its commits will be truncated
         if self.term < self.service.term:
-            entry.late = entry.cut = True
+            entry.by_old_primary = entry.truncated = True
         self.log.append(entry)
         self.applied = len(self.log)
         self.service.entries.append(entry)
-        self.referee.committed(entry=entry, backend=self)
+        self.oracle.committed(entry=entry, backend=self)
         if not self.service.waits_for:
             done(entry)
         else:
@@ -169,30 +183,38 @@
 
         def arrive() -> None:
             if self.up and self.is_primary and self.term == term:
-                replica.receive(leader=self, upto=upto)
+                replica.receive(upstream=self, upto=upto)
 
         self.fabric.later(call=arrive, source=self.name, target=replica.name)
 
-    def receive(self, *, leader: "StandInBackend", upto: int) -> None:
-        if not self.up or self.is_primary or self.paused or self.deaf or leader.term < self.service.term:
+    def receive(self, *, upstream: "StandInBackend", upto: int) -> None:
+        if (
+            not self.up
+            or self.is_primary
+            or self.paused
+            or self.replication_interrupted
+            or upstream.term < self.service.term
+        ):
             return
-        if self.term < leader.term:
-            self._align(leader=leader)
+        if self.term < upstream.term:
+            self._truncate_to(upstream=upstream)
         if upto > len(self.log):
-            self.log.extend(leader.log[len(self.log) : upto])
-            life, at = self.life, len(self.log)
+            self.log.extend(upstream.log[len(self.log) : upto])
+            incarnation, at = self.incarnation, len(self.log)
             delay_us = self.costs.apply_us + self.lag_us + self.rng.randrange(self.costs.apply_us)
-            self.fabric.loop.call_later(delay_us / 1_000_000, self._apply, at, life, context=contextvars.Context())
+            self.fabric.loop.call_later(
+                delay_us / 1_000_000, self._apply, at, incarnation, context=contextvars.Context()
+            )
         has = len(self.log)
 
         def confirm() -> None:
-            if leader.up:
-                leader.confirmed(replica=self.name, upto=has)
+            if upstream.up:
+                upstream.confirmed(replica=self.name, upto=has)
 
-        self.fabric.later(call=confirm, source=self.name, target=leader.name)
+        self.fabric.later(call=confirm, source=self.name, target=upstream.name)
 
-    def _apply(self, upto: int, life: int) -> None:
-        if life == self.life and self.up:
+    def _apply(self, upto: int, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.up:
             self.applied = max(self.applied, min(upto, len(self.log)))
 
     def confirmed(self, *, replica: str, upto: int) -> None:
@@ -208,54 +230,62 @@
                 left.append((entry, done))
         self.pending = left
 
-    def _align(self, *, leader: "StandInBackend") -> None:
-        """Cuts back what the new primary does not have."""
-        same = min(len(self.log), len(leader.log))
-        while same and self.log[same - 1] is not leader.log[same - 1]:
+    def _truncate_to(self, *, upstream: "StandInBackend") -> None:
+        """Truncates the entries that the new primary lacks."""
+        same = min(len(self.log), len(upstream.log))
+        while same and self.log[same - 1] is not upstream.log[same - 1]:
             same -= 1
         if same < len(self.log):
             del self.log[same:]
             self.applied = min(self.applied, same)
-            self.busy_until_us = self.now_us + CUT_BACK_US
-        self.term = leader.term
+            self.busy_until_us = self.now_us + TRUNCATE_US
+        self.term = upstream.term
 
-    # -- who leads --
+    # -- roles --
 
     def become_primary(self, *, term: int) -> None:
+        """Takes effect of a promotion; all received entries count as applied."""
         self.is_primary, self.term = True, term
-        self.lead_life += 1
+        self.primary_incarnation += 1
         self.applied = len(self.log)
         self.newer_since_us = None
         self.on_change()
 
-    def give_way(self) -> None:
-        """From primary to copy; whoever waits for a confirmation gets none."""
+    def step_down(self) -> None:
+        """Becomes a replica; connections that wait for the confirmation of a commit are aborted."""
         if not self.is_primary:
             return
         self.is_primary = False
-        self.lead_life += 1
+        self.primary_incarnation += 1
         pending, self.pending = self.pending, []
-        for door in [door for door in self.doors if any(entry is door.committing for entry, _ in pending)]:
-            door.break_off()
+        for connection in [
+            connection
+            for connection in self.connections
+            if any(entry is connection.committing for entry, _ in pending)
+        ]:
+            connection.abort()
         self.on_change()
 
     def on_timer(self) -> None:
-        for door in list(self.doors):
-            door.check(dark_us=DARK_US)
+        """Drops dead connections, steps down for a newer primary, and catches up from the primary."""
+        for connection in list(self.connections):
+            connection.drop_if_unreachable(timeout_us=UNREACHABLE_TIMEOUT_US)
         if self.is_primary and self.term < self.service.term:
             newer = self.service.primary
-            if newer is not None and self.in_reach(other=newer):
+            if newer is not None and self.reachable(other=newer):
                 since_us = self.newer_since_us = self.newer_since_us or self.now_us
-                if self.now_us - since_us >= GIVE_WAY_US:
-                    self.give_way()
+                if self.now_us - since_us >= STEP_DOWN_DELAY_US:
+                    self.step_down()
             else:
                 self.newer_since_us = None
         if not self.is_primary:
-            leader = self.service.leader_for(backend=self)
-            if leader is not None and (self.term < leader.term or len(self.log) < len(leader.log) or leader.pending):
-                leader._ship(replica=self)
+            upstream = self.service.replication_source(backend=self)
+            if upstream is not None and (
+                self.term < upstream.term or len(self.log) < len(upstream.log) or upstream.pending
+            ):
+                upstream._ship(replica=self)
 
     def state_row(self) -> bytes:
         role = b"primary" if self.is_primary else b"copy"
         fields = (role, b"%d" % self.term, b"%d.%d" % self.received, b"%d" % self.term_held)
-        return b" ".join((*fields, b"%d %d %d" % (self.lag_us // 1_000, self.slots.busy, len(self.doors))))
+        return b" ".join((*fields, b"%d %d %d" % (self.lag_us // 1_000, self.slots.busy, len(self.connections))))
--- a/src/cinderstair/simulation/platformsim/stand_in_platform.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_platform.py
@@ -1,4 +1,4 @@
-"""The platform: it promotes, asks proxies whether they are ready, and hands connections out."""
+"""A stand-in for the platform: promotes backends, polls proxies' readiness, and assigns client connections."""
 
 import asyncio
 import contextvars
@@ -7,20 +7,23 @@
 import random
 
 from .http_caller import http_call
-from .http_listener import ClientAnswer, HttpListener
+from .http_listener import HttpListener, Respond
 from .listener import Listener
-from .referee import Referee
+from .oracle import Oracle
 from .sim_streams import SimStreams
 from .stand_in_service import StandInService
 from .stream_fabric import StreamFabric
 
 POLL_US = 1_000_000
 MISSES = 2
-MOST_A_SECOND = 20
+MAX_PROMOTIONS_PER_SECOND = 20
 
 
 class StandInPlatform:
-    """`ready` and `fronts` are the proxies' addresses by name. `modes`: up, slow, down."""
+    """`ready` and `proxy_addresses` are the proxies' addresses by name; `mode` is up, slow or down.
+
+    `misses` counts failed readiness polls in a row; `calls` lists promotions: time, service, backend, status.
+    """
 
     def __init__(
         self,
@@ -29,9 +32,9 @@
         streams: SimStreams,
         address: str,
         services: dict[str, StandInService],
-        referee: Referee,
+        oracle: Oracle,
         rng: random.Random,
-        fronts: dict[str, str],
+        proxy_addresses: dict[str, str],
         ready: dict[str, str],
         zones: dict[str, str],
     ) -> None:
@@ -39,17 +42,18 @@
         self.streams = streams
         self.address = address
         self.services = services
-        self.referee = referee
+        self.oracle = oracle
         self.rng = rng
-        self.fronts = fronts
+        self.proxy_addresses = proxy_addresses
         self.ready = ready
         self.zones = zones
-        self.misses = dict.fromkeys(fronts, MISSES)
+        self.misses = dict.fromkeys(proxy_addresses, MISSES)
         self.mode = "up"
         self.calls: list[tuple[int, str, str, int]] = []
         self.fences: list[int] = []
 
     def start(self) -> None:
+        """Listens for promotions, and starts polling the proxies."""
         listener = Listener(
             host="platform",
             process=None,
@@ -57,27 +61,27 @@
             protocol=lambda: HttpListener(handle=self._handle),
         )
         self.fabric.listen(address=self.address, listener=listener)
-        for name in self.fronts:
+        for name in self.proxy_addresses:
             self.fabric.call(self._poll(name=name))
 
     # -- promotions --
 
-    def _handle(self, method: str, path: str, headers: dict[str, str], body: bytes, answer: ClientAnswer) -> None:
+    def _handle(self, method: str, path: str, headers: dict[str, str], body: bytes, answer: Respond) -> None:
         if self.mode == "down":
             answer(503, b"")
             return
         if (method, path) != ("POST", "/promotion"):
-            self.referee.wire.breach(what=f"the platform is asked {method} {path}")
+            self.oracle.wire.breach(description=f"the platform received an unknown request: {method} {path}")
             answer(404, b"")
             return
         now_us = self.fabric.now_us
         value = json.loads(body)
         if not headers.get("x-duty-holder") or not headers.get("x-fence-number", "").isdigit():
-            self.referee.wire.breach(what=f"a promotion without holder or fence: {headers}")
+            self.oracle.wire.breach(description=f"a promotion lacks its holder or fence header: {headers}")
             answer(400, b"")
             return
         self.fences.append(int(headers["x-fence-number"]))
-        if sum(now_us - at_us < 1_000_000 for at_us, *_ in self.calls) >= MOST_A_SECOND:
+        if sum(now_us - at_us < 1_000_000 for at_us, *_ in self.calls) >= MAX_PROMOTIONS_PER_SECOND:
             status = 429
         else:
             status = self._promote(service=str(value["target"]), name=str(value["server_id"]))
@@ -94,11 +98,15 @@
             return 409
         if backend.is_primary and backend.term == found.term:
             return 200
-        life = backend.life
+        incarnation = backend.incarnation
 
         def take() -> None:
-            if backend.up and backend.life == life and not (backend.is_primary and backend.term == found.term):
-                found.take_lead(backend=backend, now_us=self.fabric.now_us)
+            if (
+                backend.up
+                and backend.incarnation == incarnation
+                and not (backend.is_primary and backend.term == found.term)
+            ):
+                found.promote(backend=backend, now_us=self.fabric.now_us)
 
         self.fabric.loop.call_later(found.promote_us / 1_000_000, take)
         return 200
@@ -114,15 +122,20 @@
             self.misses[name] = 0 if answer is not None and answer[0] == 200 else self.misses[name] + 1
             await asyncio.sleep(max(0.0, began + POLL_US / 1_000_000 - self.fabric.loop.time()))
 
-    def is_in(self, *, name: str) -> bool:
+    def is_ready(self, *, name: str) -> bool:
+        """Whether the proxy counts as ready."""
         return self.misses[name] < MISSES
 
     def assign(self, *, client: str, zone: str, number: int) -> str:
-        """The proxy that a client's next connection goes to."""
-        own = sorted(name for name in self.fronts if self.zones[name] == zone)
-        ready = [name for name in own if self.is_in(name=name)]
+        """The proxy for a client's next connection: a ready one in its zone, unless most there are not ready."""
+        own = sorted(name for name in self.proxy_addresses if self.zones[name] == zone)
+        ready = [name for name in own if self.is_ready(name=name)]
         names = own if ready and 2 * len(ready) < len(own) else ready
         if not names:
-            names = [name for name in sorted(self.fronts) if self.is_in(name=name)] or own or sorted(self.fronts)
+            names = (
+                [name for name in sorted(self.proxy_addresses) if self.is_ready(name=name)]
+                or own
+                or sorted(self.proxy_addresses)
+            )
         location = int.from_bytes(hashlib.sha256(f"{client}/{number}".encode()).digest()[:4], "big")
         return names[location % len(names)]
--- a/src/cinderstair/simulation/platformsim/stream_fabric.py
+++ b/src/cinderstair/simulation/platformsim/stream_fabric.py
@@ -1,4 +1,4 @@
-"""What lies between all machines for streams of bytes: delays, cuts, resets, and machines that are gone."""
+"""The simulated TCP network between all machines: delays, partitions, resets, and machines that died."""
 
 import asyncio
 import contextvars
@@ -8,17 +8,20 @@
 
 from ..virtual_loop import SimProcess, VirtualLoop
 from .listener import Listener
-from .platform_wires import PlatformWires
+from .platform_network import PlatformNetwork
 from .sim_transport import SimTransport
 
-SYN_AGAIN_S = 1.0
+SYN_RETRY_S = 1.0
 NEAR_US, ZONE_US, REGION_US = 250, 900, 5_000
 
 
 class StreamFabric:
-    """Hosts are known by name; addresses lead to hosts, also when nobody listens there."""
+    """Owns hosts by IP address, listeners by address, and open connection ends by host.
 
-    def __init__(self, *, loop: VirtualLoop, network: PlatformWires, rng: random.Random) -> None:
+    `refusing` holds pairs of hosts between which connections are refused; `connects` counts connection attempts.
+    """
+
+    def __init__(self, *, loop: VirtualLoop, network: PlatformNetwork, rng: random.Random) -> None:
         self.loop = loop
         self.network = network
         self.rng = rng
@@ -29,14 +32,14 @@
         self.listeners: dict[str, Listener] = {}
         self.ends: dict[str, dict[SimTransport, None]] = {}
         self.refusing: set[tuple[str, str]] = set()
-        self.dialled = 0
+        self.connects = 0
         self.region_us = REGION_US
 
     @property
     def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
-    def place(self, *, host: str, ip: str, zone: str, region: str) -> None:
+    def add_host(self, *, host: str, ip: str, zone: str, region: str) -> None:
         self.hosts[ip] = host
         self.zones[host], self.regions[host] = zone, region
 
@@ -47,10 +50,11 @@
         return self.network.passes(source=source, target=target)
 
     def reaches(self, *, one: str, other: str) -> bool:
-        """Both ways."""
+        """Whether packets pass in both directions."""
         return self.passes(source=one, target=other) and self.passes(source=other, target=one)
 
     def delay_s(self, *, source: str, target: str) -> float:
+        """A random one-way delay, by whether the hosts share a zone or region."""
         base_us = NEAR_US
         if self.regions.get(source) != self.regions.get(target):
             base_us = self.region_us
@@ -60,7 +64,7 @@
         return (base_us + self.rng.randrange(base_us // 2) + lag_us) / 1_000_000
 
     def later(self, *, call: Callable[[], None], source: str, target: str) -> None:
-        """Something that crosses the network once, or is lost in a cut."""
+        """Delivers a packet after the delay, unless it is lost in a partition."""
 
         def arrive() -> None:
             if self.passes(source=source, target=target):
@@ -71,21 +75,21 @@
 
     # -- connections --
 
-    def _enter(self, *, end: SimTransport) -> None:
+    def _register(self, *, end: SimTransport) -> None:
         self.ends.setdefault(end.host, {})[end] = None
 
-    def forget(self, *, end: SimTransport) -> None:
+    def unregister(self, *, end: SimTransport) -> None:
         self.ends.get(end.host, {}).pop(end, None)
 
-    def dial(
+    def connect(
         self, *, host: str, process: SimProcess | None, context: contextvars.Context, address: str
     ) -> asyncio.Future[SimTransport]:
-        """The end of a connection that was opened; for ever pending where nothing answers."""
+        """The local end of a new connection; fails if refused, and stays pending while nothing answers."""
         opened: asyncio.Future[SimTransport] = self.loop.create_future()
         target = self.host_at(address=address)
-        self.dialled += 1
+        self.connects += 1
 
-        def knock(wait_s: float) -> None:
+        def send_syn(wait_s: float) -> None:
             if opened.done():
                 return
 
@@ -93,7 +97,7 @@
                 if opened.done():
                     return
                 if not self.passes(source=host, target=target):
-                    self.loop.call_later(wait_s, knock, wait_s * 2, context=self.context)
+                    self.loop.call_later(wait_s, send_syn, wait_s * 2, context=self.context)
                     return
                 listener = self.listeners.get(address)
                 if listener is None or (host, target) in self.refusing:
@@ -108,7 +112,7 @@
             if not opened.done():
                 opened.set_exception(ConnectionRefusedError(address))
 
-        knock(SYN_AGAIN_S)
+        send_syn(SYN_RETRY_S)
         return opened
 
     def _open(
@@ -123,8 +127,8 @@
         near = SimTransport(fabric=self, host=host, process=process, context=context)
         far = SimTransport(fabric=self, host=listener.host, process=listener.process, context=listener.context)
         near.peer, far.peer = far, near
-        self._enter(end=near)
-        self._enter(end=far)
+        self._register(end=near)
+        self._register(end=far)
 
         def accept() -> None:
             far.attach(protocol=listener.protocol())
@@ -142,29 +146,29 @@
 
     # -- machines --
 
-    def deafen(self, *, host: str, process: SimProcess | None) -> None:
-        """Nobody listens any more at what this run of a machine listened at."""
+    def close_listeners(self, *, host: str, process: SimProcess | None) -> None:
+        """Removes the listeners of a host, with `process` those of that process alone."""
         self.listeners = {
             address: each
             for address, each in self.listeners.items()
             if not (each.host == host and (process is None or each.process is process))
         }
 
-    def end_of(self, *, host: str, silently: bool = False) -> None:
-        """Every process of a machine ends; silently where power goes too."""
-        self.deafen(host=host, process=None)
+    def end_host(self, *, host: str, silently: bool = False) -> None:
+        """All processes of a host die; silently (without resets) on power loss."""
+        self.close_listeners(host=host, process=None)
         for end in list(self.ends.get(host, {})):
-            end.perish(silently=silently)
+            end.terminate(silently=silently)
 
     def reset(self, *, host: str) -> None:
-        """All connections of a machine are reset, towards both sides."""
+        """Resets all connections of a host, at both ends."""
         for end in list(self.ends.get(host, {})):
-            end.peer.lose(error=ConnectionResetError("reset on the way"))
-            end.lose(error=ConnectionResetError("reset on the way"))
+            end.peer.fail(error=ConnectionResetError("reset by the network"))
+            end.fail(error=ConnectionResetError("reset by the network"))
 
     def listen(self, *, address: str, listener: Listener) -> None:
         self.listeners[address] = listener
 
     def call(self, work: Any) -> asyncio.Task[Any]:
-        """Runs work that belongs to no machine of ours."""
+        """Runs a coroutine outside of all processes under test."""
         return self.loop.create_task(work, context=contextvars.Context())
--- a/src/cinderstair/simulation/platformsim/twice_checker.py
+++ b/src/cinderstair/simulation/platformsim/twice_checker.py
@@ -1,4 +1,4 @@
-"""No write takes effect twice for one try."""
+"""TWICE: no write takes effect twice in one attempt."""
 
 from collections.abc import Iterable
 
@@ -7,13 +7,18 @@
 
 
 class TwiceChecker(Checker):
+    """Looks for statement ids that are committed in two entries."""
+
     rule = "TWICE"
 
     def effects(self, *, entries: Iterable[LogEntry]) -> None:
-        """Over all commits that stand."""
+        """Checks all commits of a service's last log."""
         seen: dict[bytes, LogEntry] = {}
         for entry in entries:
             for statement in entry.writes:
                 other = seen.setdefault(statement.ident, entry)
-                fine = other is entry
-                self.judge(fine=fine, what=f"{statement.ident!r} stands in {entry.number} and in {other.number}")
+                holds = other is entry
+                self.check(
+                    holds=holds,
+                    description=f"{statement.ident!r} is committed in entries {other.number} and {entry.number}",
+                )
--- a/src/cinderstair/simulation/platformsim/unasked_checker.py
+++ b/src/cinderstair/simulation/platformsim/unasked_checker.py
@@ -1,29 +1,36 @@
-"""Nothing runs that no client asked for."""
+"""UNASKED: backends execute only what a client sent, with its text."""
 
 from .checker import Checker
 from .client_statement import ClientStatement
 
 
 class UnaskedChecker(Checker):
-    """Ids that no client sent, changed texts, and transactions committed without being asked."""
+    """Finds statement ids that no client sent, altered texts, and commits that no client requested."""
 
     rule = "UNASKED"
 
     def known(self, *, statement: ClientStatement | None, ident: bytes, text: bytes) -> bool:
-        self.judge(fine=statement is not None, what=f"{ident!r} {text[:60]!r} was sent by no client")
+        self.check(
+            holds=statement is not None, description=f"statement {ident!r} {text[:60]!r} was sent by no client"
+        )
         return statement is not None
 
     def text(self, *, statement: ClientStatement, text: bytes) -> None:
+        """The text must be the client's; the name of a prepared statement may differ."""
         if statement.shape is not None:
             word, _, rest = text.partition(b" ")
             _, _, content = rest.partition(b" ")
-            fine = word == b"RUN" and content == statement.rest
+            holds = word == b"RUN" and content == statement.rest
         else:
-            fine = text == statement.text
-        self.judge(fine=fine, what=f"{statement.ident!r} asked {statement.text[:60]!r} and ran {text[:60]!r}")
+            holds = text == statement.text
+        self.check(
+            holds=holds,
+            description=f"{statement.ident!r} is {statement.text[:60]!r}, but a backend got {text[:60]!r}",
+        )
 
     def commits(self, *, statement: ClientStatement) -> None:
-        self.judge(
-            fine=statement.attempt.commit_requested,
-            what=f"{statement.ident!r} commits what its client did not commit",
+        """A backend commits a transaction; its client must have requested it."""
+        self.check(
+            holds=statement.attempt.commit_requested,
+            description=f"{statement.ident!r} commits a transaction whose client requested no commit",
         )
--- a/src/cinderstair/simulation/platformsim/wire_checker.py
+++ b/src/cinderstair/simulation/platformsim/wire_checker.py
@@ -1,9 +1,9 @@
-"""What the pages of the wire allow."""
+"""WIRE: messages follow the wire protocol."""
 
 from .checker import Checker
 
 
 class WireChecker(Checker):
-    """A message that the wire does not allow, towards a backend or towards a client."""
+    """Breaches are messages to a backend or a client that the protocol doesn't allow."""
 
     rule = "WIRE"
