--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -1,4 +1,4 @@
-"""Steps for trials on the simulated platform, and for the faults that prove their checkers."""
+"""Steps for trials on the simulated platform, and for the seeded bugs that its checkers must detect."""
 
 import json
 import random
@@ -23,6 +23,7 @@
 
 
 def play(*, context: Any, trial: str, first: int, last: int, fault: str) -> None:
+    """Runs a trial with each seed; an empty `fault` patches no bug in."""
     context.trial, context.results = trial, []
     for seed in range(first, last + 1):
         with switched_in(name=fault):
@@ -30,6 +31,7 @@
 
 
 def wrong(*, context: Any) -> list[str]:
+    """The failures of all runs, with their seeds."""
     return [f"seed {seed}: {line}" for seed, result in context.results for line in result.wrong]
 
 
@@ -110,7 +112,7 @@
 
 
 def requested(*, context: Any, at: int, handler: str, body: bytes) -> tuple[str, str]:
-    """A controller's kind and words to an operator's question."""
+    """A controller's answer to an operator's request: error kind, empty on success, and text."""
     controller = context.world.roles[context.world.controllers[at]].controller
     answer = Unpacker(
         data=context.world.run(work=getattr(controller.shard_map_handler, handler)(Unpacker(data=body)))
@@ -118,7 +120,8 @@
     return answer.text(), answer.text()
 
 
-def document(*, version: int, places: dict[str, str]) -> bytes:
+def shard_map_document(*, version: int, places: dict[str, str]) -> bytes:
+    """A shard map as an operator sends it; `places` maps databases to services."""
     return Packer().blob(value=json.dumps({"version": version, "places": places}, indent=1).encode()).bytes()
 
 
@@ -128,8 +131,8 @@
     context.world = PlatformWorld(seed=1)
     context.worlds.append(context.world)
     context.world.begin()
-    context.document = document(version=version, places=dict.fromkeys(MOVED_DATABASES, TARGET))
-    context.planned = requested(context=context, at=0, handler="_on_dry_run", body=context.document)
+    context.shard_map_document = shard_map_document(version=version, places=dict.fromkeys(MOVED_DATABASES, TARGET))
+    context.planned = requested(context=context, at=0, handler="_on_dry_run", body=context.shard_map_document)
 
 
 @then("the dry run lists the moves and the expected write pause, and changes nothing")
@@ -149,7 +152,7 @@
 
 @then("a map with an unknown service or database is refused with its line, by dry run and proposal alike")
 def then_unknown_refused(context: Any) -> None:
-    body = document(version=4, places={MOVED_DATABASES[0]: "nobody", "nowhere": TARGET})
+    body = shard_map_document(version=4, places={MOVED_DATABASES[0]: "nobody", "nowhere": TARGET})
     for handler in ("_on_dry_run", "_on_shard_map"):
         kind, words = requested(context=context, at=1, handler=handler, body=body)
         assert kind == "brokenConfiguration", (kind, words)
@@ -160,7 +163,7 @@
 
 @when("the operator proposes the map and polls its progress until it is complete")
 def when_proposes(context: Any) -> None:
-    assert requested(context=context, at=2, handler="_on_shard_map", body=context.document) == (
+    assert requested(context=context, at=2, handler="_on_shard_map", body=context.shard_map_document) == (
         "",
         "put to the proxies",
     )
@@ -189,7 +192,7 @@
 
 @then("a map that omits a moved database is refused")
 def then_omission_refused(context: Any) -> None:
-    body = document(version=5, places={MOVED_DATABASES[0]: TARGET})
+    body = shard_map_document(version=5, places={MOVED_DATABASES[0]: TARGET})
     kind, words = requested(context=context, at=0, handler="_on_shard_map", body=body)
     assert kind == "brokenConfiguration" and f"'{MOVED_DATABASES[1]}' is lost" in words, (kind, words)
 
@@ -316,6 +319,7 @@
 
 
 def watching_standbys(*, world: PlatformWorld) -> list[str]:
+    """The controllers without a vote that watch the voters for a vacancy."""
     register_replicas = {name: world.roles[name].controller.register_replica for name in world.controllers}
     return [
         name
--- a/src/cinderstair/simulation/platformsim/attempt.py
+++ b/src/cinderstair/simulation/platformsim/attempt.py
@@ -9,7 +9,8 @@
 class Attempt:
     """`first_connection` is the backend connection that ran the transaction's first statement.
 
-    `promises` are error codes which say that nothing was executed; `outcome` is the code that ended the attempt.
+    `not_executed_codes` are received error codes which say that nothing was executed; `outcome` is the code that ends
+    the attempt.
     """
 
     client: str
@@ -18,7 +19,7 @@
     in_transaction: bool
     read_only: bool
     statements: list[ClientStatement] = field(default_factory=list)
-    promises: list[str] = field(default_factory=list)
+    not_executed_codes: list[str] = field(default_factory=list)
     outcome: str = ""
     commit_sent: bool = False
     commit_requested: bool = False
--- a/src/cinderstair/simulation/platformsim/backend_protocol.py
+++ b/src/cinderstair/simulation/platformsim/backend_protocol.py
@@ -181,7 +181,7 @@
 
         if self.backend.busy:
             return False
-        return self.backend.slots.take(cost_s=cost_us * self.backend.slow / 1_000_000, then=run)
+        return self.backend.slots.submit(cost_s=cost_us * self.backend.slowdown / 1_000_000, then=run)
 
     # -- statements that proxies send for themselves --
 
@@ -281,7 +281,7 @@
         statement = oracle.arrived(ident=ident, text=behind, guarded=behind is not text, connection=self)
         own = backend.name.encode()
         if statement is None:
-            self._error(b"GARBLED nobody asked", fails=True)
+            self._error(b"GARBLED unknown statement id", fails=True)
             return
         if self.state == b"E" and statement.kind != "commit":
             self._error(b"GARBLED the transaction has failed")
@@ -307,12 +307,12 @@
 
     def _lose_answer(self) -> bool:
         """Whether this answer is lost: by a reset, a truncated answer, or silence."""
-        if self.backend.rng.random() >= self.backend.lose_share:
+        if self.backend.rng.random() >= self.backend.lost_answer_share:
             return False
-        way = self.backend.rng.randrange(3)
-        if way == 0:
+        variant = self.backend.rng.randrange(3)
+        if variant == 0:
             self.abort()
-        elif way == 1:
+        elif variant == 1:
             self._send(b"ROW " + b"x" * 5)
             self._close()
         else:
@@ -329,7 +329,7 @@
     def _read(self, statement: ClientStatement) -> None:
         backend = self.backend
         backend.oracle.ran(statement=statement, connection=self)
-        if backend.rng.random() < backend.fail_share:
+        if backend.rng.random() < backend.failed_read_share:
             self._error(b"FAILED " + backend.name.encode(), fails=True)
             return
         count = 1 + backend.rng.randrange(2)
--- a/src/cinderstair/simulation/platformsim/config_checker.py
+++ b/src/cinderstair/simulation/platformsim/config_checker.py
@@ -79,18 +79,19 @@
         ]
         acked = [version for version, at_us in self.acked_us.items() if at_us + self.apply_us <= sent_us]
         newest = max(acked, default=0)
-        words = f"{proxy} takes {database} as {'present' if present else 'absent'}"
+        observation = f"{proxy} treats {database} as {'present' if present else 'absent'}"
         if newest and stable:
             self.applied += 1
             self.check(
                 holds=any(version >= newest for version in allows),
-                description=f"{words} {(sent_us - self.acked_us[newest]) // 1_000} ms "
+                description=f"{observation} {(sent_us - self.acked_us[newest]) // 1_000} ms "
                 f"after version {newest} was acknowledged",
             )
         floors = self.floors.setdefault((proxy, incarnation), [])
         floor = max((version for at_us, version in floors if at_us + self.step_back_us < sent_us), default=0)
         self.check(
-            holds=not allows or max(allows) >= floor, description=f"{words} after version {floor} was observed there"
+            holds=not allows or max(allows) >= floor,
+            description=f"{observation} after version {floor} was observed there",
         )
         if allows:
             floors.append((now_us, min(allows)))
--- a/src/cinderstair/simulation/platformsim/config_trials.py
+++ b/src/cinderstair/simulation/platformsim/config_trials.py
@@ -12,18 +12,18 @@
     document: dict[str, Any] = json.loads(body)
     routes = document["routes"]
     route = world.rng.choice(routes)
-    way = world.rng.randrange(7)
-    if way == 0:
+    variant = world.rng.randrange(7)
+    if variant == 0:
         return body[: world.rng.randrange(1, len(body))]
-    if way == 1:
+    if variant == 1:
         route["target"] = "nobody"
-    elif way == 2:
+    elif variant == 2:
         routes.append(dict(route, name="again"))
-    elif way == 3:
+    elif variant == 3:
         route["give_up_ms"] = 0
-    elif way == 4:
+    elif variant == 4:
         document["revision"] = "many"
-    elif way == 5:
+    elif variant == 5:
         del document["services"]
     else:
         route["sort"] = "whatever"
--- a/src/cinderstair/simulation/platformsim/control_fault_mix.py
+++ b/src/cinderstair/simulation/platformsim/control_fault_mix.py
@@ -7,7 +7,7 @@
 
 TRIAL_MS = 30_000
 STEP_MS = 100
-MAX_CUT_MS = 20_000
+MAX_PARTITION_MS = 20_000
 MAX_BURST = 8
 DRAWS = 14
 Action = Callable[[], None]
@@ -53,14 +53,17 @@
     # -- losses of a controller --
 
     def kill(self) -> None:
+        """A controller's process is killed, and restarts."""
         down_ms = self.rng.randrange(100, 3_000)
         self._reserve_loss(ms=down_ms)
         self.world.kill(name=self._controller(), restart_us=down_ms * 1_000)
 
     def power(self) -> None:
+        """A controller loses power for a while."""
         self._lose_power(wipe=False)
 
     def wipe(self) -> None:
+        """A controller loses power and its disk, and returns empty."""
         self._lose_power(wipe=True)
 
     def _lose_power(self, *, wipe: bool) -> None:
@@ -70,18 +73,21 @@
         self._at(in_ms=down_ms, call=lambda: self.world.power_on(name=name))
 
     def freeze(self) -> None:
+        """A controller's process is frozen for a while."""
         name, for_ms = self._controller(), self.rng.randrange(300, 5_000)
         self._reserve_loss(ms=for_ms)
         self.world.freeze(name=name)
         self._at(in_ms=for_ms, call=lambda: self.world.thaw(name=name))
 
-    def cut(self) -> None:
-        name, for_ms = self._controller(), self.rng.randrange(500, MAX_CUT_MS)
+    def partition(self) -> None:
+        """A controller is partitioned from the others, in one direction or both."""
+        name, for_ms = self._controller(), self.rng.randrange(500, MAX_PARTITION_MS)
         self._reserve_loss(ms=for_ms)
-        self.world.cut_off_controller(name=name, both=self.rng.random() < 0.6)
+        self.world.partition_controller(name=name, both=self.rng.random() < 0.6)
         self._at(in_ms=for_ms, call=self.world.heal)
 
     def slow_disk(self) -> None:
+        """A controller's disk operations hang for a while."""
         name, for_ms = self._controller(), self.rng.randrange(500, 4_000)
         self._reserve_loss(ms=for_ms)
         disk = self.world.disks[name]
@@ -110,8 +116,8 @@
 
         def leave() -> None:
             if name in world.roles and name in world.controllers:
-                gone = world.leave_for_good(name=name)
-                gone.add_done_callback(lambda _: world.remove_controller(name=name))
+                ended = world.decommission(name=name)
+                ended.add_done_callback(lambda _: world.remove_controller(name=name))
 
         self._at(in_ms=wait_ms, call=leave)
 
@@ -120,6 +126,7 @@
         self.world.add_controller(name=f"guildhall-n{self.replacements}", zone=zone)
 
     def stop(self) -> None:
+        """A planned restart of a controller."""
         self._reserve_loss(ms=6_500)
         self.world.stop(name=self._controller())
 
@@ -133,29 +140,35 @@
     # -- other events, at any time --
 
     def configure(self) -> None:
+        """An operator sends a new configuration."""
         self.version += self.rng.randrange(1, 4)
         body = self.world.configuration(version=self.version, extra=(f"extra-{self.version}",))
         self.bodies.append(body)
         self.world.put(body=body)
 
     def configure_burst(self) -> None:
+        """Several new configurations at once."""
         for _ in range(self.rng.randrange(2, MAX_BURST)):
             self.configure()
 
     def configure_conflicting(self) -> None:
+        """Two configurations of one version at once."""
         self.configure()
         other = self.world.configuration(version=self.version, extra=(f"extra-{self.version}-other",))
         self.bodies.append(other)
         self.world.put(body=other)
 
     def resend_configuration(self) -> None:
+        """An earlier configuration is sent again."""
         if self.bodies:
             self.world.put(body=self.rng.choice(self.bodies))
 
     def proxy(self) -> None:
+        """A proxy is killed, and restarts."""
         self.world.kill(name=self.rng.choice(self.world.proxies), restart_us=self.rng.randrange(100_000, 2_000_000))
 
     def reset(self) -> None:
+        """All connections of a controller or proxy are reset."""
         self.world.reset(name=self.rng.choice([*self.world.controllers, *self.world.proxies]))
 
     def shuffle_seeds(self) -> None:
@@ -163,9 +176,10 @@
         world = self.world
         self.rng.shuffle(world.controller_addresses)
         for name, role in world.roles.items():
-            role.apply_settings(machine=world.machine(name=name))
+            role.apply_settings(machine=world.machine_settings(name=name))
 
     def crash(self) -> None:
+        """A backend crashes or loses power, and restarts."""
         ready = [each for each in self.world.backends.values() if each.up and not each.draining]
         if ready:
             restart_us = self.rng.randrange(500_000, 5_000_000)
@@ -174,6 +188,7 @@
             )
 
     def release(self) -> None:
+        """A backend is drained and replaced."""
         ready = [each for each in self.world.backends.values() if each.up and not each.draining]
         # a service keeps no backend if all drain at once, so one is released only while the others run
         apart = [each for each in ready if all(o.up and not o.draining for o in each.service.backends.values())]
@@ -188,8 +203,8 @@
             self.wipe,
             self.wipe,
             self.freeze,
-            self.cut,
-            self.cut,
+            self.partition,
+            self.partition,
             self.slow_disk,
             self.replace,
             self.replace,
@@ -261,5 +276,5 @@
     world.advance(for_ms=world.rng.randrange(500, 2_000))
     for name in machines:
         world.power_on(name=name)
-    world.oracle.recover.back_us = world.now_us
+    world.oracle.recover.restarted_us = world.now_us
     world.advance(for_ms=9_000)
--- a/src/cinderstair/simulation/platformsim/control_trials.py
+++ b/src/cinderstair/simulation/platformsim/control_trials.py
@@ -5,7 +5,7 @@
 from .machine_trials import await_serving
 from .platform_world import PlatformWorld
 
-CUT_MS = 20_000
+PARTITION_MS = 20_000
 ASK_EVERY_MS = 400
 ANSWERED_MS = 30_000
 CAUGHT_UP_MS = 3_000
@@ -28,32 +28,32 @@
     world.advance(for_ms=1_000)
     partitioned = world.rng.choice(world.controllers)
     address = world.address(name=partitioned, port="control")
-    world.cut_off_controller(name=partitioned, both=world.rng.random() < 0.7)
+    world.partition_controller(name=partitioned, both=world.rng.random() < 0.7)
     world.controller_addresses.remove(address)
     world.controller_addresses.insert(0, address)
     for sender in world.senders.values():
         sender.heartbeat_to = address
-    leaver = world.rng.choice([world.primary(), *world.replicas()])
+    draining = world.rng.choice([world.primary(), *world.replicas()])
     world.advance(for_ms=2_500)
     version = 10
-    for turn in range(CUT_MS // ASK_EVERY_MS):
+    for iteration in range(PARTITION_MS // ASK_EVERY_MS):
         body = world.configuration(version=version, extra=(f"extra-{version}",))
-        status, found = world.run(work=world.operator.once(address=address, method="GET"))
+        status, found = world.run(work=world.operator.call_once(address=address, method="GET"))
         if status in CLEAR:
             world.oracle.config.served_without_quorum(
                 description=f"{partitioned} is partitioned from the majority, "
                 f"but answers GET with {status}: {found[:40]!r}"
             )
-        status, _ = world.run(work=world.operator.once(address=address, method="PUT", body=body))
+        status, _ = world.run(work=world.operator.call_once(address=address, method="PUT", body=body))
         if status in CLEAR:
             world.oracle.config.served_without_quorum(
                 description=f"{partitioned} is partitioned from the majority, but answers PUT with {status}"
             )
-        if turn == 4:
-            world.release(backend=leaver)
-        if turn in (8, 20):
+        if iteration == 4:
+            world.release(backend=draining)
+        if iteration in (8, 20):
             world.kill(name=world.rng.choice(world.proxies))
-        if turn % 10 == 5:
+        if iteration % 10 == 5:
             world.put(body=body)
             version += 1
         world.advance(for_ms=ASK_EVERY_MS)
--- a/src/cinderstair/simulation/platformsim/controller_loss_trials.py
+++ b/src/cinderstair/simulation/platformsim/controller_loss_trials.py
@@ -45,7 +45,7 @@
     world.power_on(name=name)
 
 
-def lose(world: PlatformWorld, name: str) -> None:
+def replace(world: PlatformWorld, name: str) -> None:
     """A controller is lost for good, and an empty one replaces it at another address."""
     zone = world.zones[name]
     world.remove_controller(name=name)
@@ -53,27 +53,27 @@
     world.add_controller(name=f"{name}x", zone=zone)
 
 
-def leave(world: PlatformWorld, name: str) -> None:
+def replace_planned(world: PlatformWorld, name: str) -> None:
     """A new controller is added, then the old one leaves as planned."""
     zone = world.zones[name]
     world.add_controller(name=f"{name}y", zone=zone)
     world.advance(for_ms=CATCH_UP_US // 1_000)
-    gone = world.leave_for_good(name=name)
-    world.await_that(test=gone.done, within_ms=8_000, description=f"{name} has ended")
+    ended = world.decommission(name=name)
+    world.await_that(test=ended.done, within_ms=8_000, description=f"{name} has ended")
     if any(voter.name == name for voter in newest_roster(world=world).voters):
         raise AssertionError(f"{name} has ended, but is still a voter")
     world.remove_controller(name=name)
 
 
-def cut_off(world: PlatformWorld, name: str) -> None:
+def partition(world: PlatformWorld, name: str) -> None:
     """A controller is partitioned from the others for up to 8 s."""
     others = [other for other in world.controllers if other != name]
-    world.cut(ones=[name], others=others)
+    world.partition(ones=[name], others=others)
     world.advance(for_ms=world.rng.randrange(500, 8_000))
     world.heal()
 
 
-def in_succession(*, world: PlatformWorld, losses: list[Loss]) -> None:
+def lose_in_succession(*, world: PlatformWorld, losses: list[Loss]) -> None:
     """Each loss takes the controller with the oldest disk, CATCH_UP_US after the one before."""
     world.advance(for_ms=800)
     version = 10
@@ -100,27 +100,27 @@
 
 def replaced_then_wiped(world: PlatformWorld) -> None:
     """One controller is replaced, the next loses its disk."""
-    in_succession(world=world, losses=[lose, wipe])
+    lose_in_succession(world=world, losses=[replace, wipe])
 
 
 def replaced_three_times(world: PlatformWorld) -> None:
     """Three controllers are replaced, the first as planned."""
-    in_succession(world=world, losses=[leave, lose, lose])
+    lose_in_succession(world=world, losses=[replace_planned, replace, replace])
 
 
 def wiped_three_times(world: PlatformWorld) -> None:
     """Three controllers lose their disks."""
-    in_succession(world=world, losses=[wipe, wipe, wipe])
+    lose_in_succession(world=world, losses=[wipe, wipe, wipe])
 
 
 def partitioned_then_lost(world: PlatformWorld) -> None:
     """A standby replaces a partitioned voter, which returns; then two other controllers are lost."""
     world.add_controller(name="guildhall-9", zone=world.zones["guildhall-0"])
     world.advance(for_ms=CATCH_UP_US // 1_000)
-    in_succession(world=world, losses=[cut_off, wipe, lose])
+    lose_in_succession(world=world, losses=[partition, wipe, replace])
 
 
 def random_losses(world: PlatformWorld) -> None:
     """Four random losses."""
-    ways = [lose, leave, wipe, cut_off]
-    in_succession(world=world, losses=[world.rng.choice(ways) for _ in range(4)])
+    losses = [replace, replace_planned, wipe, partition]
+    lose_in_succession(world=world, losses=[world.rng.choice(losses) for _ in range(4)])
--- a/src/cinderstair/simulation/platformsim/drain_checker.py
+++ b/src/cinderstair/simulation/platformsim/drain_checker.py
@@ -4,7 +4,7 @@
 
 
 class DrainChecker(Checker):
-    """`acked_us` is when a backend's draining was first acknowledged, `gone_us` when it ended, by backend."""
+    """`acked_us` is when a backend's draining was first acknowledged, `ended_us` when it ended, by backend."""
 
     rule = "DRAIN"
 
@@ -12,9 +12,9 @@
         super().__init__()
         self.drain_us = drain_us
         self.acked_us: dict[str, int] = {}
-        self.gone_us: dict[str, int] = {}
+        self.ended_us: dict[str, int] = {}
 
-    def left(self, *, backend: str, now_us: int) -> None:
+    def drain_acknowledged(self, *, backend: str, now_us: int) -> None:
         """A controller acknowledged that a backend drains or is deregistered."""
         self.acked_us.setdefault(backend, now_us)
 
@@ -26,8 +26,8 @@
                 description=f"{description} reached {backend} {(now_us - since_us) // 1_000} ms "
                 "after its draining was acknowledged"
             )
-        # a statement sent elsewhere while a drained backend still accepts connections could have gone to it
+        # a statement sent elsewhere while a drained backend still accepts connections could have reached it
         late = (self.acked_us[name] + self.drain_us for name in others if name in self.acked_us)
-        ends = (self.gone_us.get(name, 1 << 62) for name in others if name in self.acked_us)
+        ends = (self.ended_us.get(name, 1 << 62) for name in others if name in self.acked_us)
         if any(start < now_us < end for start, end in zip(late, ends, strict=True)):
             self.count_check()
--- a/src/cinderstair/simulation/platformsim/failover_trials.py
+++ b/src/cinderstair/simulation/platformsim/failover_trials.py
@@ -6,7 +6,7 @@
 from .platform_world import PlatformWorld
 
 RECOVERY_MS = 20_000
-MAX_CUTS = 3
+MAX_PARTITIONS = 3
 
 
 def await_failover(*, world: PlatformWorld, old: str, service: str = "ledger0", within_ms: int = RECOVERY_MS) -> None:
@@ -259,13 +259,13 @@
     """A proxy reaches backends and clients, but no controller, during a failover."""
     world.advance(for_ms=1_000)
     proxy = world.rng.choice(world.proxies)
-    world.cut(ones=[proxy], others=world.controllers)
+    world.partition(ones=[proxy], others=world.controllers)
     world.advance(for_ms=world.rng.randrange(0, 1_500))
     old = world.primary()
     if world.rng.random() < 0.5:
         world.release(backend=old)
     else:
-        world.cut(ones=[old.name], others=[*world.controllers, *(b for b in world.proxies if b != proxy)])
+        world.partition(ones=[old.name], others=[*world.controllers, *(b for b in world.proxies if b != proxy)])
     world.await_that(
         test=lambda: world.primary() is not old, within_ms=RECOVERY_MS, description="another backend is primary"
     )
@@ -280,9 +280,9 @@
     world.advance(for_ms=1_000)
     proxy = world.rng.choice(world.proxies)
     old = world.primary()
-    world.cut(ones=[proxy], others=world.controllers)
-    world.cut(ones=[old.name], others=[*world.controllers, *(name for name in world.proxies if name != proxy)])
-    world.cut(ones=[old.name], others=[each.name for each in world.replicas()])
+    world.partition(ones=[proxy], others=world.controllers)
+    world.partition(ones=[old.name], others=[*world.controllers, *(name for name in world.proxies if name != proxy)])
+    world.partition(ones=[old.name], others=[each.name for each in world.replicas()])
     world.await_that(
         test=lambda: world.primary() is not old, within_ms=RECOVERY_MS, description="another backend is primary"
     )
@@ -296,13 +296,13 @@
     """A primary is partitioned from its replicas, the controllers, or its replicas and some proxies."""
     world.advance(for_ms=1_200)
     old = world.primary()
-    way = world.rng.randrange(3)
-    if way == 0:
-        world.cut(ones=[old.name], others=[each.name for each in world.replicas()])
-    elif way == 1:
-        world.cut(ones=[old.name], others=world.controllers)
+    variant = world.rng.randrange(3)
+    if variant == 0:
+        world.partition(ones=[old.name], others=[each.name for each in world.replicas()])
+    elif variant == 1:
+        world.partition(ones=[old.name], others=world.controllers)
     else:
-        world.cut(ones=[old.name], others=[*world.proxies[:2], *(each.name for each in world.replicas())])
+        world.partition(ones=[old.name], others=[*world.proxies[:2], *(each.name for each in world.replicas())])
     world.advance(for_ms=7_000)
     world.heal()
     world.await_that(test=world.serves, within_ms=RECOVERY_MS, description="every proxy serves")
@@ -352,8 +352,8 @@
     """Some proxies can't reach a primary that all others reach: no failover, and all is served by detours."""
     world.advance(for_ms=1_500)
     old, promotions = world.primary(), len(world.platform.calls)
-    cut = world.rng.sample(world.proxies, len(world.proxies) // 2)
-    world.cut(ones=[old.name, world.primary(service="ledger1").name], others=cut)
+    partitioned = world.rng.sample(world.proxies, len(world.proxies) // 2)
+    world.partition(ones=[old.name, world.primary(service="ledger1").name], others=partitioned)
     # requests sent before the partition is detected fail
     world.advance(for_ms=2_500)
     served, attempted = world.served, world.attempted
@@ -366,7 +366,7 @@
         # kill the proxy that a detour leads through, so that another one must be found
         detours = {
             detour.peer_proxy.name
-            for name in cut
+            for name in partitioned
             for detour in world.roles[name].proxy.router.detours.detours.values()
         }
         assert detours, "no proxy uses a detour"
@@ -383,14 +383,14 @@
 def silent_primary_other_links_probed(world: PlatformWorld) -> None:
     """Proxies with little traffic are partitioned from all primaries: one timeout makes them probe the others."""
     world.advance(for_ms=6_000)
-    cut, primaries = world.proxies[1:], [world.primary(service=name).name for name in world.services]
+    partitioned, primaries = world.proxies[1:], [world.primary(service=name).name for name in world.services]
     # a partition shows it only if a proxy has an idle link to one primary when another times out
-    for _ in range(MAX_CUTS):
-        world.cut(ones=primaries, others=cut)
+    for _ in range(MAX_PARTITIONS):
+        world.partition(ones=primaries, others=partitioned)
         world.advance(for_ms=8_000)
         world.heal()
         world.advance(for_ms=4_000)
-        doubted = sum(world.contexts[name].counters.counts["links.doubted"] for name in cut)
+        doubted = sum(world.contexts[name].counters.counts["links.doubted"] for name in partitioned)
         if doubted:
             break
     assert doubted, "no proxy probed its links to other primaries when one timed out"
@@ -400,7 +400,7 @@
     """A primary that some proxies reach by detours crashes: no commit is lost or doubled."""
     world.advance(for_ms=1_500)
     old = world.primary()
-    world.cut(ones=[old.name], others=world.rng.sample(world.proxies, len(world.proxies) // 2))
+    world.partition(ones=[old.name], others=world.rng.sample(world.proxies, len(world.proxies) // 2))
     world.advance(for_ms=world.rng.randrange(1_500, 4_000))
     world.crash(backend=old, power_loss=world.rng.random() < 0.5, restart_us=5_000_000)
     await_failover(world=world, old=old.name)
--- a/src/cinderstair/simulation/platformsim/few_links_trials.py
+++ b/src/cinderstair/simulation/platformsim/few_links_trials.py
@@ -55,7 +55,7 @@
 def few_links_stopped(world: PlatformWorld) -> None:
     """Proxies are stopped with SIGTERM one after the other, with own and forwarded requests in flight."""
     for backend in world.backends.values():
-        backend.slow = 8
+        backend.slowdown = 8
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.proxies, 3):
         world.stop(name=name)
@@ -68,7 +68,7 @@
     """A primary crashes while a proxy is partitioned from the other proxies."""
     world.advance(for_ms=1_500)
     name = world.rng.choice(world.proxies)
-    world.cut(ones=[name], others=[each for each in world.proxies if each != name])
+    world.partition(ones=[name], others=[each for each in world.proxies if each != name])
     world.advance(for_ms=1_000)
     old = world.primary()
     world.crash(backend=old, restart_us=world.rng.choice((700_000, 5_000_000)))
@@ -106,7 +106,7 @@
     )
     world.freeze(name=name)
     world.advance(for_ms=world.rng.randrange(300))
-    world.cut(ones=[old.name], others=world.controllers)
+    world.partition(ones=[old.name], others=world.controllers)
     moving = world.now_us
     world.await_that(
         test=lambda: world.primary().name != old.name or world.now_us - moving > 6_000_000,
--- a/src/cinderstair/simulation/platformsim/forward_bugs.py
+++ b/src/cinderstair/simulation/platformsim/forward_bugs.py
@@ -17,24 +17,24 @@
 def forwards_unchecked() -> Patches:
     """A link holder executes every forwarded statement, however old, and whichever backend is primary."""
 
-    def anyway(self: Any, *, request: Any) -> Any:
+    def unchecked(self: Any, *, request: Any) -> Any:
         pool = self.router.pools.get(request.backend)
         return Ok(pool) if pool is not None else Error(CinderstairError(code=ErrorCode.NO_BACKEND, reason="unknown"))
 
-    return [patch.object(ForwardServer, "may_send", anyway)]
+    return [patch.object(ForwardServer, "may_send", unchecked)]
 
 
 def lost_forwards_reported_unsent() -> Patches:
     """A link holder reports a statement with an unknown outcome as not sent."""
     single = ForwardServer._single_now
 
-    async def promised(self: Any, *, request: Any) -> Any:
+    async def reported_unsent(self: Any, *, request: Any) -> Any:
         result = await single(self, request=request)
         if result.outcome == Outcome.lost:
             return refused(fault=CinderstairError(code=ErrorCode.OVERLOADED, reason=""))
         return result
 
-    return [patch.object(ForwardServer, "_single_now", promised)]
+    return [patch.object(ForwardServer, "_single_now", reported_unsent)]
 
 
 def forward_values_not_replayed() -> Patches:
--- a/src/cinderstair/simulation/platformsim/heartbeat_sender.py
+++ b/src/cinderstair/simulation/platformsim/heartbeat_sender.py
@@ -80,14 +80,15 @@
         return False
 
     def _follow_redirect(self, body: bytes) -> None:
+        """Remembers the controller that an answer names for the next heartbeats."""
         try:
             value = json.loads(body or b"{}")
         except ValueError:
             self.oracle.wire.breach(description=f"a heartbeat is answered with {body[:60]!r}")
             return
-        place = value.get("beat_to") if isinstance(value, dict) else None
-        if isinstance(place, str) and place:
-            self.heartbeat_to = place
+        redirect = value.get("beat_to") if isinstance(value, dict) else None
+        if isinstance(redirect, str) and redirect:
+            self.heartbeat_to = redirect
 
     async def run(self) -> None:
         """Runs until this incarnation of the backend ends."""
@@ -98,7 +99,7 @@
             if not self.silent and await self._call(method="PUT", body=self.body()):
                 self.acknowledged_count += 1
                 if leaving:
-                    self.oracle.drain.left(backend=self.backend.name, now_us=self.backend.now_us)
+                    self.oracle.drain.drain_acknowledged(backend=self.backend.name, now_us=self.backend.now_us)
             wait_us = HEARTBEAT_US - self.rng.randrange(HEARTBEAT_US // 10)
             try:
                 async with asyncio.timeout(wait_us / 1_000_000):
@@ -129,9 +130,9 @@
         if backend.up:
             if not deregister_first:
                 await self._call(method="DELETE", body=b"")
-            drain.gone_us[backend.name] = backend.now_us
+            drain.ended_us[backend.name] = backend.now_us
             backend.crash()
 
     async def _deregister(self) -> None:
         if await self._call(method="DELETE", body=b""):
-            self.oracle.drain.left(backend=self.backend.name, now_us=self.backend.now_us)
+            self.oracle.drain.drain_acknowledged(backend=self.backend.name, now_us=self.backend.now_us)
--- a/src/cinderstair/simulation/platformsim/late_checker.py
+++ b/src/cinderstair/simulation/platformsim/late_checker.py
@@ -9,17 +9,18 @@
 class LateChecker(Checker):
     """Not checked shortly after a network partition: bytes held up by it arrive when it heals.
 
-    `cut_us` is when the last partition healed, or far in the future during one.
+    `partition_end_us` is when the last partition healed, or far in the future during one.
     """
 
     rule = "LATE"
 
     def __init__(self) -> None:
         super().__init__()
-        self.cut_us = -10_000_000
+        self.partition_end_us = -10_000_000
 
     def arrived(self, *, statement: ClientStatement, now_us: int, backend: str) -> None:
-        if statement.kind not in ("write", "commit") or now_us - self.cut_us < 5 * LATE_US:
+        """A statement reaches a backend."""
+        if statement.kind not in ("write", "commit") or now_us - self.partition_end_us < 5 * LATE_US:
             return
         late_us = 0 if statement.answered_us is None else now_us - statement.answered_us
         self.check(
--- a/src/cinderstair/simulation/platformsim/lost_checker.py
+++ b/src/cinderstair/simulation/platformsim/lost_checker.py
@@ -34,7 +34,7 @@
                 description=f"commit {entry.term}.{entry.number} is acknowledged after a promotion truncated it"
             )
 
-    def answered(self, *, whole: bool, description: str) -> None:
+    def answered(self, *, complete: bool, description: str) -> None:
         """A request at a time of a planned stop got its whole answer, or none."""
         self.answers += 1
-        self.check(holds=whole, description=description)
+        self.check(holds=complete, description=description)
--- a/src/cinderstair/simulation/platformsim/machine_trials.py
+++ b/src/cinderstair/simulation/platformsim/machine_trials.py
@@ -22,7 +22,7 @@
 def heartbeats_lost(world: PlatformWorld) -> None:
     """All controllers restart while no heartbeat reaches them; proxies reach backends as before."""
     world.advance(for_ms=800)
-    world.cut(ones=list(world.backends), others=world.controllers)
+    world.partition(ones=list(world.backends), others=world.controllers)
     for name in world.controllers:
         world.kill(name=name, restart_us=300_000)
     world.advance(for_ms=4_000)
@@ -51,7 +51,7 @@
     """All controllers lose power, and one of the two that hold the newest configuration loses its disk."""
     world.advance(for_ms=1_500)
     wiped, other, behind = world.rng.sample(world.controllers, 3)
-    world.cut(ones=[behind], others=[wiped, other])
+    world.partition(ones=[behind], others=[wiped, other])
     task = world.put(body=world.configuration(version=9, extra=("late",)))
     world.await_that(test=task.done, within_ms=8_000, description="a configuration is acknowledged")
     for name in world.controllers:
@@ -89,7 +89,7 @@
 def proxy_partitioned_beyond_lease(world: PlatformWorld) -> None:
     """A proxy reaches clients and backends, but no controller, for much longer than its view is valid."""
     world.advance(for_ms=1_000)
-    world.cut(ones=[world.rng.choice(world.proxies)], others=world.controllers)
+    world.partition(ones=[world.rng.choice(world.proxies)], others=world.controllers)
     world.advance(for_ms=20_000)
     world.heal()
     await_serving(world=world)
@@ -114,7 +114,7 @@
 def proxies_stopped(world: PlatformWorld) -> None:
     """Proxies are stopped with SIGTERM one after the other, with many requests in flight."""
     for backend in world.backends.values():
-        backend.slow = 30
+        backend.slowdown = 30
     world.advance(for_ms=1_000)
     for name in world.rng.sample(world.proxies, 2):
         world.stop(name=name)
@@ -150,7 +150,7 @@
             world.power_on(name=name)
     else:
         world.advance(for_ms=1_000)
-    world.oracle.recover.back_us = world.now_us
+    world.oracle.recover.restarted_us = world.now_us
     world.advance(for_ms=8_500)
 
 
@@ -169,23 +169,23 @@
     for backend in world.backends.values():
         world.begin_disruption(name=backend.name, for_us=7_000_000)
     world.advance(for_ms=500)
-    world.primary().lose_share = 0.08
-    world.primary(service="ledger1").lose_share = 0.03
+    world.primary().lost_answer_share = 0.08
+    world.primary(service="ledger1").lost_answer_share = 0.03
     world.advance(for_ms=6_000)
     for backend in world.backends.values():
-        backend.lose_share = 0.0
+        backend.lost_answer_share = 0.0
     world.advance(for_ms=2_000)
 
 
 def backends_slow(world: PlatformWorld) -> None:
     """A primary and a replica of another service are slow, and some reads fail."""
     world.advance(for_ms=500)
-    world.primary().slow = 25
+    world.primary().slowdown = 25
     replica = world.rng.choice(world.replicas(service="ledger1"))
-    replica.slow, replica.fail_share = 60, 0.2
+    replica.slowdown, replica.failed_read_share = 60, 0.2
     world.advance(for_ms=6_000)
     for backend in world.backends.values():
-        backend.slow, backend.fail_share = 1, 0.0
+        backend.slowdown, backend.failed_read_share = 1, 0.0
     await_serving(world=world)
     world.advance(for_ms=1_500)
 
--- a/src/cinderstair/simulation/platformsim/mixed_trials.py
+++ b/src/cinderstair/simulation/platformsim/mixed_trials.py
@@ -52,11 +52,11 @@
     return undo
 
 
-def _cut(world: PlatformWorld) -> Callable[[], None]:
+def _partition(world: PlatformWorld) -> Callable[[], None]:
     places = [*world.proxies, *world.controllers, *(name for name, each in world.backends.items() if each.up)]
     ones = world.rng.sample(places, 1)
     others = world.rng.sample([name for name in places if name not in ones], len(places) // 2)
-    world.cut(ones=ones, others=others, both=world.rng.random() < 0.7)
+    world.partition(ones=ones, others=others, both=world.rng.random() < 0.7)
     return world.heal
 
 
@@ -66,11 +66,11 @@
 
 def _lose(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
-    backend.lose_share = 0.1
+    backend.lost_answer_share = 0.1
     world.begin_disruption(name=backend.name, for_us=None)
 
     def undo() -> None:
-        backend.lose_share = 0.0
+        backend.lost_answer_share = 0.0
         world.end_disruption(name=backend.name)
 
     return undo
@@ -87,10 +87,10 @@
 
 def _slow(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
-    backend.slow = world.rng.choice((10, 40))
+    backend.slowdown = world.rng.choice((10, 40))
 
     def undo() -> None:
-        backend.slow = 1
+        backend.slowdown = 1
 
     return undo
 
@@ -102,7 +102,7 @@
     _kill,
     _freeze,
     _interrupt_replication,
-    _cut,
+    _partition,
     _reset,
     _lose,
     _platform,
--- a/src/cinderstair/simulation/platformsim/one_checker.py
+++ b/src/cinderstair/simulation/platformsim/one_checker.py
@@ -10,6 +10,7 @@
     rule = "ONE"
 
     def acked(self, *, entry: LogEntry, client: str, promoted: bool) -> None:
+        """An acknowledgement reaches a client; `promoted` if the service had a promotion before."""
         if promoted or entry.by_old_primary:
             self.check(
                 holds=not entry.by_old_primary,
--- a/src/cinderstair/simulation/platformsim/oracle.py
+++ b/src/cinderstair/simulation/platformsim/oracle.py
@@ -31,7 +31,7 @@
     from .stand_in_service import StandInService
 
 APPLY_US, STEP_BACK_US, DRAIN_US, RECOVERY_US = 3_000_000, 250_000, 6_000_000, 6_000_000
-PROMISES = frozenset(["BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"])
+NOT_EXECUTED_CODES = frozenset(["BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"])
 
 
 class Oracle:
@@ -79,9 +79,9 @@
     ) -> ClientStatement | None:
         """A statement with a client's id reaches a backend; None where no client sent that id."""
         statement = self.statements.get(ident)
-        if not self.unasked.known(statement=statement, ident=ident, text=text) or statement is None:
+        if not self.unasked.check_id(statement=statement, ident=ident, text=text) or statement is None:
             return None
-        self.unasked.text(statement=statement, text=text)
+        self.unasked.check_text(statement=statement, text=text)
         self.wire.check(
             holds=statement.kind in ("read", "write", "commit") and (not guarded or statement.kind == "read"),
             description=f"{statement.kind} {text[:60]!r} reaches a backend{' with a guard' if guarded else ''}",
@@ -109,7 +109,7 @@
             sort, age_us = self.stale.sorts[statement.attempt.database]
             self.shard.ran(statement=statement, backend=backend, sort=sort, age_us=age_us)
         if statement.kind == "commit":
-            self.unasked.commits(statement=statement)
+            self.unasked.check_commit(statement=statement)
 
     def committed(self, *, entry: LogEntry, backend: "StandInBackend") -> None:
         """A backend appends a commit to its log."""
@@ -151,8 +151,8 @@
     def client_rejected(self, *, attempt: Attempt, code: str) -> None:
         """A client receives an error code."""
         self.answers[code] += 1
-        if code in PROMISES:
-            attempt.promises.append(code)
+        if code in NOT_EXECUTED_CODES:
+            attempt.not_executed_codes.append(code)
             if any(statement.kind == "write" for statement in attempt.statements):
                 self.refused.count_check()
 
@@ -164,9 +164,9 @@
             log = [] if service.last_primary is None else service.last_primary.log
             self.twice.effects(entries=log)
             self.refused.effects(entries=log)
-            stands = set(map(id, log))
+            last_log = set(map(id, log))
             for _, entry in service.acked:
-                if service.waits_for and id(entry) not in stands:
+                if service.waits_for and id(entry) not in last_log:
                     self.lost.breach(
                         description=f"commit {entry.term}.{entry.number} of {service.name} was acknowledged, "
                         "but is not in the last primary's log"
--- a/src/cinderstair/simulation/platformsim/platform_client.py
+++ b/src/cinderstair/simulation/platformsim/platform_client.py
@@ -8,7 +8,7 @@
 from .client_answer import ClientAnswer
 from .client_protocol import ClientProtocol
 from .client_statement import ClientStatement
-from .oracle import PROMISES, Oracle
+from .oracle import NOT_EXECUTED_CODES, Oracle
 from .sim_streams import SimStreams
 from .stand_in_platform import StandInPlatform
 from .stand_in_service import StandInService
@@ -16,9 +16,9 @@
 
 DEADLINE_US = 2_500_000
 HANDSHAKE_US = 2_000_000
-TRIES = 3
-IDENTS = 1 << 62
-ABANDONED, UNOPENED, DISCONNECTED, SILENT, DONE = "left", "unopened", "cut", "silent", "done"
+MAX_ATTEMPTS = 3
+MAX_STATEMENT_ID = 1 << 62
+ABANDONED, UNOPENED, DISCONNECTED, SILENT, DONE = "abandoned", "unopened", "disconnected", "silent", "done"
 Step = tuple[str, bytes, int]
 
 
@@ -135,7 +135,7 @@
         steps = self._draw_steps()
         self.attempted += 1
         served = False
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             attempt = Attempt(
                 client=self.name,
                 session=self.session,
@@ -160,7 +160,7 @@
 
     def _may_retry(self, *, attempt: Attempt) -> bool:
         """Whether a retry can't execute a write twice."""
-        if attempt.promises or attempt.outcome in PROMISES:
+        if attempt.not_executed_codes or attempt.outcome in NOT_EXECUTED_CODES:
             return True
         if attempt.outcome == "FAILED":
             return attempt.read_only
@@ -213,7 +213,7 @@
         return True
 
     async def _plain(self, *, text: bytes) -> ClientAnswer | None:
-        ident = b"%016x" % self.rng.randrange(IDENTS)
+        ident = b"%016x" % self.rng.randrange(MAX_STATEMENT_ID)
         return await self._answer(line=b"ASK " + ident + b" " + text, until_us=self.now_us + HANDSHAKE_US)
 
     async def _set(self, *, name: bytes) -> bool:
@@ -289,7 +289,7 @@
         return kind, (b"PUT " if kind == "write" else b"FETCH ") + rest, pause_us
 
     async def _send(self, *, attempt: Attempt, kind: str, text: bytes, first_us: int, until_us: int) -> str:
-        ident = b"%016x" % self.rng.randrange(IDENTS)
+        ident = b"%016x" % self.rng.randrange(MAX_STATEMENT_ID)
         runs = text.startswith(b"RUN")
         statement = ClientStatement(
             ident=ident,
--- a/src/cinderstair/simulation/platformsim/platform_trials.py
+++ b/src/cinderstair/simulation/platformsim/platform_trials.py
@@ -220,6 +220,7 @@
 
 
 def run_trial(*, name: str, seed: int, log_level: int = 50, clients: int | None = None) -> PlatformTrialResult:
+    """Runs a trial of TRIALS; `clients` overrides its number of clients. A failed wait or assert ends it early."""
     add_adapter_to_path()
     trial = TRIALS[name]
     world = PlatformWorld(
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -216,7 +216,7 @@
             counters=Counters(),
         )
 
-    def machine(self, *, name: str) -> Any:
+    def machine_settings(self, *, name: str) -> Any:
         """The current content of a machine's settings file."""
         from adapter.settings_file import MachineSettings
 
@@ -252,7 +252,7 @@
         ctx = self._context(name=name, process=process)
         self.processes[name], self.contexts[name] = process, ctx
         make = ProxyRole if name in self.proxies else ControllerRole
-        machine = self.machine(name=name)
+        machine = self.machine_settings(name=name)
         streams = self.streams(name=name, process=process)
 
         async def run() -> None:
@@ -321,7 +321,7 @@
         self.controllers.remove(name)
         self.controller_addresses.remove(self.address(name=name, port="control"))
 
-    def leave_for_good(self, *, name: str) -> asyncio.Task[Any]:
+    def decommission(self, *, name: str) -> asyncio.Task[Any]:
         """A planned end without a restart; the task is done once the process has exited or was killed."""
         self.begin_disruption(name=name, for_us=GRACE_US, planned=True)
         return self.fabric.call(self._drained(name=name, power_loss=True))
@@ -332,6 +332,7 @@
         self.loop.freeze(process=self.processes[name])
 
     def thaw(self, *, name: str) -> None:
+        """A frozen process continues, as on SIGCONT."""
         self.end_disruption(name=name)
         self.loop.thaw(process=self.processes[name])
 
@@ -360,23 +361,23 @@
         self.begin_disruption(name=name, for_us=0)
         self.fabric.reset(host=name)
 
-    def cut(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
+    def partition(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
         """Partitions `ones` from `others`, with `both` False only in the direction from `ones` to `others`."""
         for name in [*ones, *others]:
             if name in self.processes:
                 self.begin_disruption(name=name, for_us=None)
         # far in the future until the partition heals
-        self.oracle.late.cut_us = 1 << 62
+        self.oracle.late.partition_end_us = 1 << 62
         for one in ones:
             for other in others:
                 self.network.cuts.add((one, other))
                 if both:
                     self.network.cuts.add((other, one))
 
-    def cut_off_controller(self, *, name: str, both: bool = True) -> None:
+    def partition_controller(self, *, name: str, both: bool = True) -> None:
         """Partitions one controller from the others, which are a majority and continue without it."""
         others = [other for other in self.controllers if other != name]
-        self.cut(ones=[name], others=others, both=both)
+        self.partition(ones=[name], others=others, both=both)
         for other in others:
             self.end_disruption(name=other)
         self.minority.add(name)
@@ -387,7 +388,7 @@
         for name in self.processes:
             self.end_disruption(name=name)
         self.network.cuts.clear()
-        self.oracle.late.cut_us = self.now_us
+        self.oracle.late.partition_end_us = self.now_us
 
     # -- disruptions --
 
@@ -397,6 +398,7 @@
         self.disruptions.append(Disruption(scope=name, from_us=self.now_us, until_us=until_us, planned=planned))
 
     def end_disruption(self, *, name: str) -> None:
+        """Ends the machine's open disruptions."""
         for each in self.disruptions:
             if each.scope == name and each.until_us is None:
                 each.until_us = self.now_us
@@ -423,7 +425,7 @@
             each.planned and each.touches(from_us=requested_us, until_us=self.now_us) for each in self.disruptions
         )
         if planned and not self._unplanned_disruption(requested_us=requested_us):
-            self.oracle.lost.answered(whole=True, description=description)
+            self.oracle.lost.answered(complete=True, description=description)
 
     def dropped(self, proxy: str, requested_us: int, description: str) -> None:
         """A connection closed while a client waited for an answer."""
@@ -433,7 +435,7 @@
         if excused or (now_us - requested_us <= REPLY_SLACK_US and ident not in self.oracle.reached_backend):
             return
         self.oracle.lost.answered(
-            whole=False,
+            complete=False,
             description=f"{proxy} closed the connection during {description}, sent at {requested_us} us, "
             f"closed at {now_us} us",
         )
@@ -537,17 +539,21 @@
         return json.dumps({"revision": version, "routes": routes, "services": listed, "limits": limits}).encode()
 
     def put(self, *, body: bytes, valid: bool = True) -> asyncio.Task[int]:
+        """Starts sending a configuration; the task's result is the final status, 0 if all attempts failed."""
         return self.fabric.call(self.operator.put(body=body, valid=valid))
 
     # -- running --
 
     def run(self, *, work: Coroutine[Any, Any, Any]) -> Any:
+        """Runs the simulation until the coroutine is done, and returns its result."""
         return self.loop.run_until_complete(work)
 
     def advance(self, *, for_ms: int) -> None:
+        """Runs the simulation for this virtual time."""
         self.run(work=asyncio.sleep(for_ms / 1_000))
 
     def await_that(self, *, test: Callable[[], bool], within_ms: int, description: str) -> None:
+        """Advances the time until `test` holds; AssertionError with `description` on a timeout."""
         until_us = self.now_us + within_ms * 1_000
         while not test():
             if self.now_us > until_us:
@@ -642,6 +648,7 @@
                 self.errors.append(f"{ctx.name} had {ctx.counters.counts['internal.crashes']} internal crashes")
 
     def close(self) -> None:
+        """Drops all processes and closes the loop."""
         for process in self.processes.values():
             process.dead = True
         self.loop.ended = True
--- a/src/cinderstair/simulation/platformsim/refused_checker.py
+++ b/src/cinderstair/simulation/platformsim/refused_checker.py
@@ -15,8 +15,8 @@
         """Checks all commits of a service's last log."""
         for entry in entries:
             for statement in entry.writes:
-                if statement.attempt.promises:
+                if statement.attempt.not_executed_codes:
                     self.breach(
-                        description=f"{statement.ident!r} was refused with {statement.attempt.promises}, "
+                        description=f"{statement.ident!r} was refused with {statement.attempt.not_executed_codes}, "
                         "but is committed"
                     )
--- a/src/cinderstair/simulation/platformsim/seeded_bugs.py
+++ b/src/cinderstair/simulation/platformsim/seeded_bugs.py
@@ -43,10 +43,10 @@
 
     text_for = backend_link.text_for
 
-    def other(*, statement: Any, alias: bytes) -> bytes:
+    def altered(*, statement: Any, alias: bytes) -> bytes:
         return text_for(statement=statement, alias=alias) + b"1"
 
-    return [patch.object(backend_link, "text_for", other)]
+    return [patch.object(backend_link, "text_for", altered)]
 
 
 def rollback_commits() -> Patches:
@@ -113,8 +113,8 @@
     """A write with an unknown outcome is reported to the client as ABORTED."""
     from adapter import error_words
 
-    mild = MappingProxyType({**error_words.WORD_BY_CODE, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
-    return [patch.object(error_words, "WORD_BY_CODE", mild)]
+    patched_words = MappingProxyType({**error_words.WORD_BY_CODE, ErrorCode.OUTCOME_UNKNOWN: b"ABORTED"})
+    return [patch.object(error_words, "WORD_BY_CODE", patched_words)]
 
 
 def view_never_expires() -> Patches:
@@ -141,11 +141,11 @@
     """Position samples of other proxies are repeated, and count as taken when the controller's answer arrived."""
     newer_than = PositionSamples.newer_than
 
-    def again(self: Any, *, wanted: Any, same_source: bool) -> Any:
+    def repeated(self: Any, *, wanted: Any, same_source: bool) -> Any:
         return newer_than(self, wanted=wanted, same_source=False)
 
     return [
-        patch.object(PositionSamples, "newer_than", again),
+        patch.object(PositionSamples, "newer_than", repeated),
         patch.object(SamplePool, "_at_us", lambda self, *, requested_us, age_us: self.ctx.now_us()),
     ]
 
@@ -202,10 +202,10 @@
     """A proxy switches between its last two configurations at random."""
     from cinderstair.pooler.proxy import Proxy
 
-    tend = Proxy._on_timer
+    on_timer = Proxy._on_timer
 
     def back(self: Any) -> None:
-        tend(self)
+        on_timer(self)
         older = self.__dict__.setdefault("older", [])
         if self.view.plan is not None and self.view.plan not in older:
             older.append(self.view.plan)
@@ -261,21 +261,21 @@
 def read_without_majority() -> Patches:
     """A controller returns the configuration that it knows, without reading from a majority."""
 
-    async def known(self: Any) -> Any:
+    async def from_view(self: Any) -> Any:
         return Ok(read_service_plan(data=self.view.known[PLAN_KEY].value).document)
 
-    return [patch.object(PlanStore, "fetch", known)]
+    return [patch.object(PlanStore, "fetch", from_view)]
 
 
 def altered_read_back() -> Patches:
     """The configuration read back has the same meaning, but other bytes."""
     fetch = PlanStore.fetch
 
-    async def other(self: Any) -> Any:
+    async def altered(self: Any) -> Any:
         found = await fetch(self)
         return Ok(json.dumps(json.loads(found.ok), indent=1).encode()) if found.is_ok() else found
 
-    return [patch.object(PlanStore, "fetch", other)]
+    return [patch.object(PlanStore, "fetch", altered)]
 
 
 def disk_reads_empty() -> Patches:
--- a/src/cinderstair/simulation/platformsim/shard_bugs.py
+++ b/src/cinderstair/simulation/platformsim/shard_bugs.py
@@ -68,9 +68,9 @@
     async def complete(self: Any, *, database: str, source: str, target: str) -> bool:
         done = await whole(self, database=database, source=source, target=target)
         shard, new = self.oracle.shard, self.services[target].primary
-        again = [entry for (name, _), entry in shard.copied.items() if name == target]
-        if done and new is not None and again:
-            new.commit(writes=(), done=lambda entry: None).copied = again[0].copied
+        repeated = [entry for (name, _), entry in shard.copied.items() if name == target]
+        if done and new is not None and repeated:
+            new.commit(writes=(), done=lambda entry: None).copied = repeated[0].copied
         return done
 
     return [patch.object(StandInHandover, "complete", complete)]
--- a/src/cinderstair/simulation/platformsim/shard_checker.py
+++ b/src/cinderstair/simulation/platformsim/shard_checker.py
@@ -36,6 +36,7 @@
         self.waits_us: list[tuple[int, int]] = []
 
     def watch(self, *, database: str, source: str, target: str, now_us: int) -> None:
+        """A map that moves the database is proposed."""
         self.watched_us = self.watched_us or now_us
         self.moves[database] = (source, target)
 
@@ -66,6 +67,7 @@
         return other is not None and backend.holds(entry=other)
 
     def acknowledged(self, *, writes: list[ClientStatement], entry: LogEntry, now_us: int) -> None:
+        """A client receives the acknowledgement of its writes."""
         database = writes[0].attempt.database
         acked = [(now_us, statement.ident, entry) for statement in writes]
         self.acked.setdefault(database, []).extend(acked)
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -68,7 +68,7 @@
     """A proxy reaches no controller while the map changes: it keeps the old map, and must not write."""
     world.advance(for_ms=1_000)
     partitioned = world.proxies[0]
-    world.cut(ones=[partitioned], others=world.controllers)
+    world.partition(ones=[partitioned], others=world.controllers)
     world.advance(for_ms=world.rng.randrange(0, 800))
     assert not propose(world=world)
     others = [name for name in world.proxies if name != partitioned]
@@ -100,7 +100,7 @@
     """One proxy does not agree: the others apply the map, and it follows once it agrees."""
     world.advance(for_ms=1_000)
     other = world.roles[world.proxies[2]].proxy.router.shards
-    fits, other._applicable = other._applicable, lambda *, state: False
+    applicable, other._applicable = other._applicable, lambda *, state: False
     assert not propose(world=world)
     names = [name for name in world.proxies if name != world.proxies[2]]
     world.await_that(
@@ -110,7 +110,7 @@
     )
     world.advance(for_ms=2_000)
     assert applied_version(world=world, name=world.proxies[2]) == 0, "a proxy that does not agree applied the new map"
-    other._applicable = fits
+    other._applicable = applicable
     await_map(world=world)
     world.advance(for_ms=1_000)
 
@@ -234,7 +234,7 @@
     ones, others = [world.proxies[0]], world.controllers
     if world.rng.random() < 0.5:
         ones, others = others, ones
-    world.cut(ones=ones, others=others, both=False)
+    world.partition(ones=ones, others=others, both=False)
     world.await_that(
         test=lambda: bool(world.oracle.shard.handed_over_us),
         within_ms=12_000,
@@ -445,10 +445,10 @@
             stack.enter_context(patch.object(coordinator, "_count_agreement", AsyncMock()))
         world.advance(for_ms=2_300)
         if not also_partitioned:
-            world.cut(ones=[proxy], others=[old])
+            world.partition(ones=[proxy], others=[old])
             await_write_in_transit(world=world, proxy=proxy, backend=old)
     if also_partitioned:
-        world.cut(ones=[proxy], others=world.controllers)
+        world.partition(ones=[proxy], others=world.controllers)
         view = world.roles[proxy].proxy.view
         lapses_us = LEASE_US - world.rng.randrange(150_000, 250_000)
         world.await_that(
@@ -456,7 +456,7 @@
             within_ms=2_000,
             description=f"the view of {proxy} nearly lapses",
         )
-        world.cut(ones=[proxy], others=[old])
+        world.partition(ones=[proxy], others=[old])
         await_write_in_transit(world=world, proxy=proxy, backend=old)
     world.await_that(
         test=lambda: coordinators[0].state.phase == ShardPhase.closing,
@@ -490,7 +490,7 @@
     """A proxy reaches no controller, and has transactions that begin before the change and end after it."""
     world.advance(for_ms=2_000)
     partitioned = world.proxies[0]
-    world.cut(ones=[partitioned], others=world.controllers)
+    world.partition(ones=[partitioned], others=world.controllers)
     world.advance(for_ms=world.rng.randrange(0, 300))
     assert not propose(world=world)
     world.await_that(
--- a/src/cinderstair/simulation/platformsim/sim_transport.py
+++ b/src/cinderstair/simulation/platformsim/sim_transport.py
@@ -29,8 +29,8 @@
 class SimTransport(asyncio.Transport):
     """Bytes arrive in order, after the delay between the hosts; during a partition they are retransmitted as by TCP.
 
-    State: unsent segments in `outbox`, unread bytes in `inbox`. `closing` is set by the local close, `gone` once the
-    protocol was told. `user_timeout_s` bounds how long bytes stay unacknowledged (TCP_USER_TIMEOUT).
+    State: unsent segments in `outbox`, unread bytes in `inbox`. `closing` is set by the local close, `closed`
+    once the protocol knows. `user_timeout_s` bounds how long bytes stay unacknowledged (TCP_USER_TIMEOUT).
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.peer: SimTransport = self
         self.protocol: Any = None
         self.closing = False
-        self.gone = False
+        self.closed = False
         self.outbox: deque[Segment] = deque()
         self.out_bytes = 0
         self.pumping: asyncio.TimerHandle | None = None
@@ -89,7 +89,7 @@
         self.fabric.loop.call_soon(self._lost, None, context=self.context)
 
     def abort(self) -> None:
-        if self.gone:
+        if self.closed:
             return
         self.closing = True
         # asyncio drops only its own buffer; bytes already given to the kernel are dropped by a reset alone
@@ -117,7 +117,7 @@
         """Starts the protocol, which then gets the bytes that arrived before."""
         self.protocol = protocol
         protocol.connection_made(self)
-        if self.gone:
+        if self.closed:
             # asyncio reports a connection that was reset while being opened like any other
             self.protocol = None
             self.fabric.loop.call_soon(protocol.connection_lost, ConnectionResetError(), context=self.context)
@@ -135,9 +135,9 @@
         self.out_bytes = 0
 
     def _lost(self, error: Exception | None) -> None:
-        if self.gone:
+        if self.closed:
             return
-        self.gone = self.closing = True
+        self.closed = self.closing = True
         self.fabric.unregister(end=self)
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
@@ -145,7 +145,7 @@
 
     def fail(self, *, error: Exception | None) -> None:
         """The connection is lost, by a reset from the peer or a timeout."""
-        if self.gone:
+        if self.closed:
             return
         self.closing = True
         self._drop()
@@ -159,7 +159,7 @@
             self._send(data=b"", resets=True)
         elif silently:
             self._drop()
-        self.closing = self.gone = True
+        self.closing = self.closed = True
         self.protocol = None
         self.fabric.unregister(end=self)
 
@@ -187,7 +187,7 @@
         self.resend_s, self.stalled_since = RESEND_S, None
         peer = self.peer
         while self.outbox and self.outbox[0].due <= now:
-            if peer.in_bytes > WINDOW and not peer.gone:
+            if peer.in_bytes > WINDOW and not peer.closed:
                 # flow control: the peer's receive window is full
                 self._pump_at(when=now + 0.05)
                 return
@@ -213,11 +213,11 @@
         if self.stalled_since is None:
             self.stalled_since = now
         waited_s = now - self.stalled_since
-        if self.user_timeout_s is not None and waited_s >= self.user_timeout_s and not self.gone:
+        if self.user_timeout_s is not None and waited_s >= self.user_timeout_s and not self.closed:
             self.fail(error=TimeoutError(f"unacknowledged for {waited_s:.1f} s"))
             return
         # a reset is sent once; a peer that misses it is reset when it sends next
-        if self.outbox[0].resets or (self.gone and waited_s > ORPHAN_TIMEOUT_S):
+        if self.outbox[0].resets or (self.closed and waited_s > ORPHAN_TIMEOUT_S):
             self._drop()
             return
         wait_s = (
--- a/src/cinderstair/simulation/platformsim/slots.py
+++ b/src/cinderstair/simulation/platformsim/slots.py
@@ -18,7 +18,7 @@
         self.waiting: deque[tuple[float, Callable[[], None]]] = deque()
         self.incarnation = 0
 
-    def take(self, *, cost_s: float, then: Callable[[], None]) -> bool:
+    def submit(self, *, cost_s: float, then: Callable[[], None]) -> bool:
         """False if the queue is full; otherwise `then` is called once a slot was held for `cost_s`."""
         if self.busy < self.count:
             self._run(cost_s=cost_s, then=then)
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -34,7 +34,7 @@
     State: role and term, `log` (received) and `applied` (its length visible to reads), fencing (`paused`,
     `term_held`), commits `pending` confirmation, and open connections. `incarnation` rises at each start and crash,
     `primary_incarnation` with each change of role. Injected faults: `replication_interrupted` (receives no log),
-    `lag_us`, `slow` (a factor), `lose_share` (of answers), `fail_share` (of reads).
+    `lag_us`, `slowdown` (a factor), `lost_answer_share`, `failed_read_share`.
     """
 
     def __init__(
@@ -66,9 +66,9 @@
         self.up = False
         self.replication_interrupted = False
         self.lag_us = 0
-        self.slow = 1
-        self.lose_share = 0.0
-        self.fail_share = 0.0
+        self.slowdown = 1
+        self.lost_answer_share = 0.0
+        self.failed_read_share = 0.0
         self.log = [] if log is None else log
         self.applied = len(self.log)
         self.primary_incarnation = 0
--- a/src/cinderstair/simulation/platformsim/stand_in_operator.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_operator.py
@@ -9,9 +9,9 @@
 from .stream_fabric import StreamFabric
 
 PATH = "/cinderstair/settings"
-FINAL = (400, 409, 412, 413, 422)
-RETRYABLE = (408, 429)
-TRIES = 40
+FINAL_STATUSES = (400, 409, 412, 413, 422)
+RETRYABLE_STATUSES = (408, 429)
+MAX_ATTEMPTS = 40
 
 
 class StandInOperator:
@@ -43,7 +43,7 @@
             address = answer[1].get("location", "").removeprefix("http://").partition("/")[0]
         return None
 
-    async def once(self, *, address: str, method: str, body: bytes = b"") -> tuple[int, bytes]:
+    async def call_once(self, *, address: str, method: str, body: bytes = b"") -> tuple[int, bytes]:
         """A single call's status and body; status 0 after a failure."""
         answer = await self._call(address=address, method=method, body=body)
         return (0, b"") if answer is None else answer
@@ -54,7 +54,7 @@
         if valid:
             self.oracle.config.sent(body=body, now_us=began_us)
         pause_s, bad = 0.1, 0
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._call(address=self.rng.choice(self.controller_addresses), method="PUT", body=body)
             if valid and self.rng.random() < self.lost_answers:
                 # a lost answer makes the operator send the same configuration again
@@ -67,8 +67,8 @@
                 else:
                     self.oracle.config.invalid(body=body, status=status)
                 return status
-            bad += 400 <= status < 500 and status not in RETRYABLE
-            if status in FINAL or bad >= 3:
+            bad += 400 <= status < 500 and status not in RETRYABLE_STATUSES
+            if status in FINAL_STATUSES or bad >= 3:
                 if valid:
                     self.oracle.config.refused(body=body, status=status, valid=True)
                 else:
--- a/src/cinderstair/simulation/platformsim/stand_in_platform.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_platform.py
@@ -15,7 +15,7 @@
 from .stream_fabric import StreamFabric
 
 POLL_US = 1_000_000
-MISSES = 2
+MAX_MISSES = 2
 MAX_PROMOTIONS_PER_SECOND = 20
 
 
@@ -47,7 +47,7 @@
         self.proxy_addresses = proxy_addresses
         self.ready = ready
         self.zones = zones
-        self.misses = dict.fromkeys(proxy_addresses, MISSES)
+        self.misses = dict.fromkeys(proxy_addresses, MAX_MISSES)
         self.mode = "up"
         self.calls: list[tuple[int, str, str, int]] = []
         self.fences: list[int] = []
@@ -124,7 +124,7 @@
 
     def is_ready(self, *, name: str) -> bool:
         """Whether the proxy counts as ready."""
-        return self.misses[name] < MISSES
+        return self.misses[name] < MAX_MISSES
 
     def assign(self, *, client: str, zone: str, number: int) -> str:
         """The proxy for a client's next connection: a ready one in its zone, unless most there are not ready."""
--- a/src/cinderstair/simulation/platformsim/stream_fabric.py
+++ b/src/cinderstair/simulation/platformsim/stream_fabric.py
@@ -136,7 +136,7 @@
         def answer() -> None:
             if opened.done():
                 near.abort()
-            elif near.gone or near.closing:
+            elif near.closed or near.closing:
                 opened.set_exception(ConnectionResetError())
             else:
                 opened.set_result(near)
--- a/src/cinderstair/simulation/platformsim/unasked_checker.py
+++ b/src/cinderstair/simulation/platformsim/unasked_checker.py
@@ -9,13 +9,14 @@
 
     rule = "UNASKED"
 
-    def known(self, *, statement: ClientStatement | None, ident: bytes, text: bytes) -> bool:
+    def check_id(self, *, statement: ClientStatement | None, ident: bytes, text: bytes) -> bool:
+        """The id must be that of a statement which a client sent; False if not."""
         self.check(
             holds=statement is not None, description=f"statement {ident!r} {text[:60]!r} was sent by no client"
         )
         return statement is not None
 
-    def text(self, *, statement: ClientStatement, text: bytes) -> None:
+    def check_text(self, *, statement: ClientStatement, text: bytes) -> None:
         """The text must be the client's; the name of a prepared statement may differ."""
         if statement.shape is not None:
             word, _, rest = text.partition(b" ")
@@ -28,7 +29,7 @@
             description=f"{statement.ident!r} is {statement.text[:60]!r}, but a backend got {text[:60]!r}",
         )
 
-    def commits(self, *, statement: ClientStatement) -> None:
+    def check_commit(self, *, statement: ClientStatement) -> None:
         """A backend commits a transaction; its client must have requested it."""
         self.check(
             holds=statement.attempt.commit_requested,
