--- a/src/cinderstair/simulation/platformsim/mixed_trials.py
+++ b/src/cinderstair/simulation/platformsim/mixed_trials.py
@@ -9,6 +9,7 @@
 
 
 def _crash(world: PlatformWorld) -> None:
+    """A backend crashes or loses power, and restarts."""
     backend = world.rng.choice([each for each in world.backends.values() if each.up] or [world.primary()])
     if backend.up and not backend.draining:
         world.crash(
@@ -17,18 +18,21 @@
 
 
 def _release(world: PlatformWorld) -> None:
+    """A backend is drained and replaced."""
     ready = [each for each in world.backends.values() if each.up and not each.draining]
     if ready:
         world.release(backend=world.rng.choice(ready))
 
 
 def _kill(world: PlatformWorld) -> None:
+    """A proxy or controller is killed, and restarts."""
     alive = [name for name, process in world.processes.items() if not process.dead]
     if alive:
         world.kill(name=world.rng.choice(alive), restart_us=world.rng.randrange(300_000, 2_500_000))
 
 
 def _freeze(world: PlatformWorld) -> Callable[[], None]:
+    """A proxy or controller is frozen until undone."""
     name = world.rng.choice(sorted(world.processes))
     process = world.processes[name]
     world.freeze(name=name)
@@ -43,6 +47,7 @@
 
 
 def _interrupt_replication(world: PlatformWorld) -> Callable[[], None]:
+    """A backend applies its log with a lag, and mostly receives none."""
     backend = world.rng.choice(list(world.backends.values()))
     backend.replication_interrupted, backend.lag_us = world.rng.random() < 0.6, world.rng.randrange(2_000_000)
 
@@ -53,18 +58,21 @@
 
 
 def _partition(world: PlatformWorld) -> Callable[[], None]:
-    places = [*world.proxies, *world.controllers, *(name for name, each in world.backends.items() if each.up)]
-    ones = world.rng.sample(places, 1)
-    others = world.rng.sample([name for name in places if name not in ones], len(places) // 2)
+    """A machine is partitioned from half of the others, in one direction or both."""
+    machines = [*world.proxies, *world.controllers, *(name for name, each in world.backends.items() if each.up)]
+    ones = world.rng.sample(machines, 1)
+    others = world.rng.sample([name for name in machines if name not in ones], len(machines) // 2)
     world.partition(ones=ones, others=others, both=world.rng.random() < 0.7)
     return world.heal
 
 
 def _reset(world: PlatformWorld) -> None:
+    """All connections of a machine are reset."""
     world.reset(name=world.rng.choice([*world.processes, *world.backends]))
 
 
-def _lose(world: PlatformWorld) -> Callable[[], None]:
+def _lose_answers(world: PlatformWorld) -> Callable[[], None]:
+    """A backend loses a tenth of its answers."""
     backend = world.rng.choice(list(world.backends.values()))
     backend.lost_answer_share = 0.1
     world.begin_disruption(name=backend.name, for_us=None)
@@ -76,7 +84,8 @@
     return undo
 
 
-def _platform(world: PlatformWorld) -> Callable[[], None]:
+def _disturb_platform(world: PlatformWorld) -> Callable[[], None]:
+    """The platform's promotion call is slow or fails."""
     world.platform.mode = world.rng.choice(("slow", "down"))
 
     def undo() -> None:
@@ -85,7 +94,7 @@
     return undo
 
 
-def _slow(world: PlatformWorld) -> Callable[[], None]:
+def _slow_backend(world: PlatformWorld) -> Callable[[], None]:
     backend = world.rng.choice(list(world.backends.values()))
     backend.slowdown = world.rng.choice((10, 40))
 
@@ -104,9 +113,9 @@
     _interrupt_replication,
     _partition,
     _reset,
-    _lose,
-    _platform,
-    _slow,
+    _lose_answers,
+    _disturb_platform,
+    _slow_backend,
 )
 
 
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -37,7 +37,7 @@
 REPLY_SLACK_US = 200_000
 PAUSES_US = (0, 0, 20_000, 60_000, 150_000)
 PORTS = {"front": 9001, "ready": 9002, "control": 9003, "records": 9100, "backend": 9200, "platform": 9300}
-SORTS = (("primary", 0), ("recent_enough", 1_200), ("self_hosted", 2_000))
+ROUTE_SORTS = (("primary", 0), ("recent_enough", 1_200), ("self_hosted", 2_000))
 
 
 class PlatformWorld:
@@ -139,7 +139,7 @@
         )
         self.databases: dict[str, str] = {}
         for service_name in self.services:
-            for sort, _ in SORTS:
+            for sort, _ in ROUTE_SORTS:
                 self.databases[f"{service_name}-{sort.partition('_')[0]}"] = service_name
 
     def rng_for(self, *, name: str) -> random.Random:
@@ -509,7 +509,7 @@
         for number, (database, service) in enumerate(names.items()):
             if database in without:
                 continue
-            sort, age_ms = SORTS[number % len(SORTS)] if database in self.databases else SORTS[0]
+            sort, age_ms = ROUTE_SORTS[number % len(ROUTE_SORTS)] if database in self.databases else ROUTE_SORTS[0]
             route = {
                 "name": f"r{number}",
                 "host_name": database,
--- a/src/cinderstair/simulation/platformsim/shard_growth.py
+++ b/src/cinderstair/simulation/platformsim/shard_growth.py
@@ -36,6 +36,7 @@
 
 
 def measure(*, proxies: int, seed: int = 1) -> Growth:
+    """Runs one shard map change with this number of proxies."""
     began_s = time.process_time()
     world = PlatformWorld(seed=seed, proxies=proxies)
     try:
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -411,16 +411,17 @@
         for line in segment.data.split(b"\r\n")
         if line.startswith(b"ASK ")
     ]
-    statement = [oracle.statements.get(fields[1]) for fields in lines]
+    statements = [oracle.statements.get(fields[1]) for fields in lines]
     return any(
         each is not None
         and each.attempt.database in oracle.shard.moves
         and (each.kind == "commit" or (each.kind == "write" and each.autocommit))
-        for each in statement
+        for each in statements
     )
 
 
 def await_write_in_transit(*, world: PlatformWorld, proxy: str, backend: str) -> None:
+    """Waits for up to a second until a write is in transit."""
     world.await_that(
         test=lambda: write_in_transit(world=world, proxy=proxy, backend=backend),
         within_ms=1_000,
@@ -440,7 +441,7 @@
     coordinators = [world.roles[name].controller.shards for name in world.controllers]
     assert not propose(world=world)
     with ExitStack() as stack:
-        # the closing phase waits for the writes, so they are sent right before it
+        # hold the closing phase back, so that the delayed writes are sent right before it
         for coordinator in coordinators:
             stack.enter_context(patch.object(coordinator, "_count_agreement", AsyncMock()))
         world.advance(for_ms=2_300)
--- a/src/cinderstair/simulation/platformsim/slots.py
+++ b/src/cinderstair/simulation/platformsim/slots.py
@@ -8,8 +8,11 @@
 MAX_WAITING = 24
 
 
-class Slots:
-    """Runs up to `count` statements at once; MAX_WAITING more wait, and the rest are refused as busy."""
+class WorkSlots:
+    """Runs up to `count` statements at once; MAX_WAITING more wait, and the rest are refused as busy.
+
+    `incarnation` rises when the backend ends, so that callbacks of work begun before it do nothing.
+    """
 
     def __init__(self, *, loop: VirtualLoop, count: int) -> None:
         self.loop = loop
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -10,7 +10,7 @@
 from .listener import Listener
 from .log_entry import LogEntry
 from .oracle import Oracle
-from .slots import Slots
+from .slots import WorkSlots
 from .stand_in_service import StandInService
 from .stream_fabric import StreamFabric
 
@@ -76,7 +76,7 @@
         self.newer_since_us: int | None = None
         self.pending: list[tuple[LogEntry, Callable[[LogEntry], None]]] = []
         self.connections: dict[BackendProtocol, None] = {}
-        self.slots = Slots(loop=fabric.loop, count=slots)
+        self.slots = WorkSlots(loop=fabric.loop, count=slots)
         self.stamped = 0
         self.draining = False
         self.on_change: Callable[[], None] = lambda: None
