--- a/src/cinderstair/simulation/platformsim/attempt.py
+++ b/src/cinderstair/simulation/platformsim/attempt.py
@@ -1,4 +1,4 @@
-"""One try of one operation."""
+"""One attempt of a client's operation, which is a statement or a transaction."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,11 @@
 
 @dataclass(eq=False, kw_only=True)
 class Attempt:
-    """`place` is the backend connection that ran the transaction's first statement."""
+    """`first_connection` is the backend connection that ran the transaction's first statement.
+
+    `not_executed_codes` are received error codes which say that nothing was executed; `outcome` is the code that ends
+    the attempt.
+    """
 
     client: str
     session: int
@@ -15,8 +19,8 @@
     in_transaction: bool
     read_only: bool
     statements: list[ClientStatement] = field(default_factory=list)
-    promises: list[str] = field(default_factory=list)
+    not_executed_codes: list[str] = field(default_factory=list)
     outcome: str = ""
     commit_sent: bool = False
     commit_requested: bool = False
-    place: object | None = None
+    first_connection: object | None = None
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -1,4 +1,4 @@
-"""The platform's streams in memory, for one run of one machine."""
+"""The adapter's stream interface on the simulated network, for one incarnation of a machine."""
 
 import asyncio
 import contextvars
@@ -8,26 +8,26 @@
 from expression import Error, Ok, Result
 
 from ...runtime.errors import CinderstairError, ErrorCode
-from ..virtual_loop import BOOT, Boot
+from ..virtual_loop import CURRENT_PROCESS, SimProcess
 from .listener import Listener
 from .stream_fabric import StreamFabric
 
 
 class SimStreams:
-    """Does what the adapter may ask of a network; every callback runs on the machine it belongs to."""
+    """Connects and listens; callbacks run in the context of their machine's process, so they stop when it dies."""
 
-    def __init__(self, *, fabric: StreamFabric, host: str, boot: Boot | None) -> None:
+    def __init__(self, *, fabric: StreamFabric, host: str, process: SimProcess | None) -> None:
         self.fabric = fabric
         self.host = host
-        self.boot = boot
+        self.process = process
         self.context = contextvars.Context()
-        if boot is not None:
-            self.context.run(BOOT.set, boot)
+        if process is not None:
+            self.context.run(CURRENT_PROCESS.set, process)
 
     async def connect(
         self, *, address: str, protocol: Callable[[], Any], wait_us: int
     ) -> Result[Any, CinderstairError]:
-        opened = self.fabric.dial(host=self.host, boot=self.boot, context=self.context, address=address)
+        opened = self.fabric.connect(host=self.host, process=self.process, context=self.context, address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 end = await opened
@@ -43,8 +43,8 @@
         return Ok(made)
 
     async def serve(self, *, address: str, protocol: Callable[[], Any]) -> None:
-        listener = Listener(host=self.host, boot=self.boot, context=self.context, protocol=protocol)
+        listener = Listener(host=self.host, process=self.process, context=self.context, protocol=protocol)
         self.fabric.listen(address=address, listener=listener)
 
     async def stop_listening(self) -> None:
-        self.fabric.deafen(host=self.host, boot=self.boot)
+        self.fabric.close_listeners(host=self.host, process=self.process)
