--- a/features/steps/capacity_steps.py
+++ b/features/steps/capacity_steps.py
@@ -13,17 +13,17 @@
 from cinderstair.pooler.statement import Statement, Verb
 from cinderstair.runtime.no_disk import NoDisk
 from cinderstair.simulation.capacity.child import metered_context
-from cinderstair.simulation.capacity.fit import least_squares, plainest
-from cinderstair.simulation.capacity.hollow_link import HollowLink, hollow_dialer
-from cinderstair.simulation.capacity.made_up import whole_answer
+from cinderstair.simulation.capacity.fit import fit_significant_terms, least_squares
+from cinderstair.simulation.capacity.percentiles import percentiles_of
+from cinderstair.simulation.capacity.projection import Projection
 from cinderstair.simulation.capacity.reading import Reading, read_reading
-from cinderstair.simulation.capacity.reckoning import Reckoning
 from cinderstair.simulation.capacity.results import Results
 from cinderstair.simulation.capacity.run import Run
-from cinderstair.simulation.capacity.sample import gathered, read_sample
-from cinderstair.simulation.capacity.spread import spread_of
+from cinderstair.simulation.capacity.sample import aggregate, read_sample
 from cinderstair.simulation.capacity.step import Step, read_step
-from cinderstair.simulation.capacity.users_size import UsersSize
+from cinderstair.simulation.capacity.stub_link import StubLink, stub_dialer
+from cinderstair.simulation.capacity.synthetic_state import full_answer
+from cinderstair.simulation.capacity.target_size import TargetSize
 
 SECOND = 1_000_000
 
@@ -74,7 +74,7 @@
 
 @when("the plainest of {terms} is fitted")
 def when_plainest(context: Any, terms: str) -> None:
-    context.fit = plainest(steps=context.steps, values=context.values, terms=terms.split(", "))
+    context.fit = fit_significant_terms(steps=context.steps, values=context.values, terms=terms.split(", "))
 
 
 @when("{terms} are fitted")
@@ -121,8 +121,8 @@
 @then("what it says at {proxies:d} proxies and {databases:d} databases is within {count:d} spreads of {truth:g}")
 def then_says(context: Any, proxies: int, databases: int, count: int, truth: float) -> None:
     step = Step(controllers=5, proxies=proxies, databases=databases)
-    gap, spread = abs(context.fit.at(step=step) - truth), context.fit.spread(step=step)
-    assert gap <= count * spread < truth, (gap, spread)
+    gap, standard_error = abs(context.fit.predict(step=step) - truth), context.fit.standard_error(step=step)
+    assert gap <= count * standard_error < truth, (gap, standard_error)
 
 
 @then("a fit of {terms} is refused")
@@ -142,8 +142,8 @@
     after = [
         reading(at_s=at + seconds, bytes_in=count, cpu_us=cpu_ms * 1_000, rss_bytes=31_000_000) for at in (100, 200)
     ]
-    return gathered(
-        step=context.step, phase=phase, role="booth", things=10, events=events, before=before, after=after
+    return aggregate(
+        step=context.step, phase=phase, role="booth", instances=10, events=events, before=before, after=after
     )
 
 
@@ -164,13 +164,13 @@
 def then_idle(context: Any, count: int, cpu_us: int) -> None:
     found = context.idle.rate(name="bytes_in"), context.idle.rate(name="cpu_us")
     assert found == (count, cpu_us), found
-    assert context.idle.added.rss_bytes == 62_000_000, context.idle.added
+    assert context.idle.delta.rss_bytes == 62_000_000, context.idle.delta
 
 
 @then("an event gives each proxy {count:d} bytes and {cpu_us:d} microseconds")
 def then_event(context: Any, count: int, cpu_us: int) -> None:
     sample, idle = context.sample, context.idle
-    found = sample.each(name="bytes_in", idle=idle), sample.each(name="cpu_us", idle=idle)
+    found = sample.per_event(name="bytes_in", idle=idle), sample.per_event(name="cpu_us", idle=idle)
     assert found == (count, cpu_us), found
 
 
@@ -205,7 +205,7 @@
     before, after = [reading(at_s=1), reading(at_s=1)], [reading(at_s=2)]
     for early, late in ((before, after), ([], [])):
         try:
-            gathered(step=step, phase="idle", role="booth", things=10, events=0, before=early, after=late)
+            aggregate(step=step, phase="idle", role="booth", instances=10, events=0, before=early, after=late)
         except ValueError as error:
             assert "before and after" in str(error), error
             continue
@@ -215,7 +215,9 @@
 # -- a made-up run --
 
 
-def made_up_line(*, step: Step, phase: str, events: int, bytes_each: int, busy: float = 0.1) -> dict[str, Any]:
+def synthetic_sample_line(
+    *, step: Step, phase: str, events: int, bytes_each: int, busy: float = 0.1
+) -> dict[str, Any]:
     seconds = 10
     before, after = (
         reading(at_s=0),
@@ -226,21 +228,25 @@
             cpu_us=int(busy * seconds * SECOND),
         ),
     )
-    return gathered(
-        step=step, phase=phase, role="booth", things=step.proxies, events=events, before=[before], after=[after]
+    return aggregate(
+        step=step, phase=phase, role="booth", instances=step.proxies, events=events, before=[before], after=[after]
     ).value()
 
 
 @given("a run of made-up samples in which a proxy idles at {count:d} bytes a second")
 def given_run(context: Any, count: int) -> None:
     context.steps = [Step(controllers=5, proxies=n, databases=d) for n, d in ((10, 3), (10, 30), (30, 10), (100, 30))]
-    context.lines = [made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count) for step in context.steps]
+    context.lines = [
+        synthetic_sample_line(step=step, phase="idle", events=0, bytes_each=10 * count) for step in context.steps
+    ]
 
 
 @given("one more step whose proxies were busy for {parts:d} in a hundred and carried {count:d} bytes a second")
 def given_busy(context: Any, parts: int, count: int) -> None:
     step = Step(controllers=5, proxies=300, databases=100)
-    context.lines.append(made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count, busy=parts / 100))
+    context.lines.append(
+        synthetic_sample_line(step=step, phase="idle", events=0, bytes_each=10 * count, busy=parts / 100)
+    )
 
 
 @given(
@@ -251,7 +257,7 @@
     step = Step(controllers=5, proxies=10, databases=1000)
     context.lines += [
         {"kind": "load"},
-        made_up_line(step=step, phase="idle", events=0, bytes_each=10 * count),
+        synthetic_sample_line(step=step, phase="idle", events=0, bytes_each=10 * count),
         {"kind": "time", **step.value(), "what": "whole", "quiet": quiet, "beats": {"sent": 100, "late": late}},
     ]
 
@@ -262,14 +268,16 @@
     for step, idle in zip(context.steps, context.lines, strict=True):
         # why: two of them in ten seconds, over the 400 bytes a second that are there anyway
         bytes_each = 4_000 + 2 * count * step.databases
-        lines += [idle, made_up_line(step=step, phase="configuration", events=2, bytes_each=bytes_each)]
+        lines += [idle, synthetic_sample_line(step=step, phase="configuration", events=2, bytes_each=bytes_each)]
     context.lines = lines
 
 
 @given("a configuration there takes {count:d} bytes")
 def given_there(context: Any, count: int) -> None:
     step = Step(controllers=5, proxies=300, databases=100)
-    context.lines.append(made_up_line(step=step, phase="configuration", events=2, bytes_each=100 + 2 * count))
+    context.lines.append(
+        synthetic_sample_line(step=step, phase="configuration", events=2, bytes_each=100 + 2 * count)
+    )
 
 
 @then("the bytes of a configuration are fitted to {count:d} for each database from {points:d} points")
@@ -286,26 +294,26 @@
 
 @when("the users' size is reckoned")
 def when_reckoned(context: Any) -> None:
-    reckoning = Reckoning(results=Results(lines=context.lines), size=UsersSize())
-    context.rows = {(row.role, row.what): row for row in reckoning.rows}
+    projection = Projection(results=Results(lines=context.lines), size=TargetSize())
+    context.rows = {(row.role, row.what): row for row in projection.rows}
 
 
 @then("a proxy's idle bytes are {count:d} a second and held")
 def then_row_held(context: Any, count: int) -> None:
     row = context.rows["booth", "bytes, idle"]
-    assert math.isclose(row.reckoned, count) and row.factor < 1 and row.verdict.startswith("held"), row
+    assert math.isclose(row.projected, count) and row.factor < 1 and row.verdict.startswith("held"), row
 
 
 @then("its bytes for configurations are {count:d} a second and broken by {factor:g}")
 def then_row_broken(context: Any, count: int, factor: float) -> None:
     row = context.rows["booth", "bytes for configurations"]
-    assert math.isclose(row.reckoned, count, rel_tol=1e-3), row
+    assert math.isclose(row.projected, count, rel_tol=1e-3), row
     assert row.verdict == f"broken x{factor}", row.verdict
 
 
 @then("there is no row that a slope is lacking for")
 def then_rows(context: Any) -> None:
-    assert not any(math.isnan(row.reckoned) for row in context.rows.values()), context.rows
+    assert not any(math.isnan(row.projected) for row in context.rows.values()), context.rows
     assert ("guildhall", "processor, idle") not in context.rows
     assert ("booth", "bytes, all") not in context.rows
 
@@ -313,24 +321,26 @@
 # -- times, steps, bounds --
 
 
-@then("times of 1 to 100 spread to a median of {median:d}, a p99 of {p99:d} and a most of {most:d}")
-def then_spread(context: Any, median: int, p99: int, most: int) -> None:
+@then("times of 1 to 100 spread to a median of {median:d}, a p99 of {p99:d} and a most of {maximum:d}")
+def then_percentiles(context: Any, median: int, p99: int, maximum: int) -> None:
     times = [float(each) for each in range(1, 101)]
     random.Random(1).shuffle(times)
-    found = spread_of(times=times)
-    assert (found.median, found.p99, found.most, found.count, found.missing) == (median, p99, most, 100, 0), found
+    found = percentiles_of(times=times)
+    assert (found.median, found.p99, found.maximum, found.count, found.missing) == (median, p99, maximum, 100, 0), (
+        found
+    )
 
 
 @then("with {count:d} that never saw it the spread says so")
 def then_missing(context: Any, count: int) -> None:
-    found = spread_of(times=[1.0, 2.0], missing=count)
-    assert found.missing == count and found.count == 2 and found.most == 2.0, found
+    found = percentiles_of(times=[1.0, 2.0], missing=count)
+    assert found.missing == count and found.count == 2 and found.maximum == 2.0, found
 
 
 @then("no times at all are no figures")
 def then_nothing(context: Any) -> None:
-    found = spread_of(times=[], missing=2)
-    assert found.count == 0 and math.isnan(found.median) and math.isnan(found.most), found
+    found = percentiles_of(times=[], missing=2)
+    assert found.count == 0 and math.isnan(found.median) and math.isnan(found.maximum), found
 
 
 @then("the step {text} is {meaning}")
@@ -348,9 +358,9 @@
         steps=(),
         seconds=seconds,
         cores=cores,
-        most_bytes=1 << 40,
+        max_bytes=1 << 40,
         seed=1,
-        say=lambda text: None,
+        log_progress=lambda text: None,
         record=lambda value: None,
     )
 
@@ -363,20 +373,20 @@
 
 @then("a step of {proxies:d} proxies and {databases:d} databases may begin")
 def then_may(context: Any, proxies: int, databases: int) -> None:
-    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
+    why = context.bounds.skip_reason(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert not why, why
 
 
 @then('a step of {proxies:d} proxies and {databases:d} databases may not, since "{reason}"')
 def then_may_not(context: Any, proxies: int, databases: int, reason: str) -> None:
-    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
+    why = context.bounds.skip_reason(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert why == reason, why
 
 
 @then('with {seconds:d} s left a step of {proxies:d} proxies and {databases:d} databases may not, since "{reason}"')
 def then_late(context: Any, seconds: int, proxies: int, databases: int, reason: str) -> None:
-    context.bounds.until = time.monotonic() + seconds
-    why = context.bounds.unfit(step=Step(controllers=5, proxies=proxies, databases=databases))
+    context.bounds.deadline = time.monotonic() + seconds
+    why = context.bounds.skip_reason(step=Step(controllers=5, proxies=proxies, databases=databases))
     assert why == reason, why
 
 
@@ -387,8 +397,8 @@
 def given_proxy(context: Any, databases: int) -> None:
     async def made() -> Proxy:
         ctx = metered_context(name="booth-0000", site="e1", disk=NoDisk(), seed=1)
-        proxy = Proxy(ctx=ctx, site="e1", seeds=tuple, dialer=hollow_dialer, distance=lambda site: 0)
-        proxy.view._take(answer=whole_answer(proxies=2, databases=databases, controllers=3))
+        proxy = Proxy(ctx=ctx, site="e1", seeds=tuple, dialer=stub_dialer, distance=lambda site: 0)
+        proxy.view._take(answer=full_answer(proxies=2, databases=databases, controllers=3))
         return proxy
 
     context.proxy = run(context=context, work=made())
@@ -411,5 +421,5 @@
 def then_answers(context: Any) -> None:
     assert [reply.fault for reply in context.replies] == [None] * 6, context.replies
     links = [link for pool in context.proxy.router.pools.values() for link in pool.idle]
-    assert links and all(isinstance(link, HollowLink) for link in links), links
+    assert links and all(isinstance(link, StubLink) for link in links), links
     context.proxy.stop()
--- a/src/cinderstair/simulation/capacity/__main__.py
+++ b/src/cinderstair/simulation/capacity/__main__.py
@@ -44,7 +44,7 @@
     return made
 
 
-def say(text: str) -> None:
+def log_progress(text: str) -> None:
     print(f"{time.strftime('%H:%M:%S')} {text}", file=sys.stderr, flush=True)
 
 
@@ -65,17 +65,17 @@
             steps=steps,
             seconds=options.seconds,
             cores=options.cores,
-            most_bytes=int(options.memory_gb * GB),
+            max_bytes=int(options.memory_gb * GB),
             seed=options.seed,
-            say=say,
+            log_progress=log_progress,
             record=record,
         )
         if not options.no_alone:
             with tempfile.TemporaryDirectory(prefix="cinderstair-capacity-") as folder:
-                await run.alone(folder=Path(folder))
+                await run.microbenchmarks(folder=Path(folder))
         if not options.no_wires:
-            await run.wired()
-        record({"kind": "end", "left_s": round(run.left_s, 1)})
+            await run.measure_steps()
+        record({"kind": "end", "left_s": round(run.remaining_s, 1)})
 
 
 def main() -> int:
@@ -88,7 +88,7 @@
         try:
             asyncio.run(measured(options=options, out=sources[0]))
         except (KeyboardInterrupt, asyncio.CancelledError):
-            say("stopped before its end")
+            log_progress("stopped before its end")
             return STOPPED
     lines = [json.loads(line) for source in sources for line in source.read_text().splitlines()]
     print(report(lines=lines))
--- a/src/cinderstair/simulation/capacity/child.py
+++ b/src/cinderstair/simulation/capacity/child.py
@@ -17,7 +17,7 @@
 from .reading import Reading
 
 PLATFORM = Path(__file__).resolve().parents[4] / "platform"
-MOST_LINE = 64 * 1024 * 1024
+MAX_LINE_BYTES = 64 * 1024 * 1024
 
 
 def now_us() -> int:
@@ -76,11 +76,11 @@
 class Child:
     """A command is a line of JSON with `do`; the method of that name gives the answer, in one line."""
 
-    async def begin(self) -> None: ...
+    async def start(self) -> None: ...
 
-    async def end(self) -> None: ...
+    async def stop(self) -> None: ...
 
-    async def obey(self, *, command: dict[str, Any]) -> dict[str, Any]:
+    async def dispatch(self, *, command: dict[str, Any]) -> dict[str, Any]:
         method = getattr(self, f"do_{command.pop('do')}")
         result: dict[str, Any] = await method(**command)
         return result
@@ -88,12 +88,12 @@
     async def run(self) -> None:
         logging.basicConfig(level=logging.WARNING, format="%(levelname)s %(name)s %(message)s", stream=sys.stderr)
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(limit=MOST_LINE)
+        reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        await self.begin()
+        await self.start()
         # why: a parent that is gone closes the pipe, and so nothing outlives it
         while line := await reader.readline():
-            answer = await self.obey(command=json.loads(line))
+            answer = await self.dispatch(command=json.loads(line))
             sys.stdout.write(json.dumps(answer) + "\n")
             sys.stdout.flush()
-        await self.end()
+        await self.stop()
--- a/src/cinderstair/simulation/capacity/part.py
+++ b/src/cinderstair/simulation/capacity/child_process.py
@@ -9,11 +9,11 @@
 
 from .reading import Reading, read_reading
 
-MOST_LINE = 64 * 1024 * 1024
-END_S = 5.0
+MAX_LINE_BYTES = 64 * 1024 * 1024
+STOP_TIMEOUT_S = 5.0
 
 
-class Part:
+class ChildProcess:
     """Starts, asks and ends one child; only what was started here is ever ended here."""
 
     def __init__(self, *, role: str, name: str, options: dict[str, Any], folder: Path) -> None:
@@ -22,7 +22,7 @@
         self.options = options
         self.log = folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
 
     async def start(self) -> None:
         with self.log.open("ab") as log:
@@ -35,7 +35,7 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
-                limit=MOST_LINE,
+                limit=MAX_LINE_BYTES,
                 env={**os.environ, "PYTHONHASHSEED": "0"},
             )
 
@@ -49,7 +49,7 @@
         if process is None or process.stdin is None or process.stdout is None:
             raise RuntimeError(f"{self.name} was not started")
         try:
-            async with self.turn, asyncio.timeout(wait_s):
+            async with self.lock, asyncio.timeout(wait_s):
                 process.stdin.write(json.dumps({"do": do, **options}).encode() + b"\n")
                 await process.stdin.drain()
                 line = await process.stdout.readline()
@@ -58,11 +58,11 @@
         except ConnectionError:
             line = b""
         if not line:
-            raise RuntimeError(f"{self.name} has ended: {self.last_words()}")
+            raise RuntimeError(f"{self.name} has ended: {self.log_tail()}")
         answer: dict[str, Any] = json.loads(line)
         return answer
 
-    def last_words(self) -> str:
+    def log_tail(self) -> str:
         return self.log.read_text(errors="replace")[-600:] if self.log.exists() else ""
 
     async def reading(self) -> Reading:
@@ -74,14 +74,14 @@
             self.process.kill()
             await self.process.wait()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         process = self.process
         if process is None or process.returncode is not None:
             return
         if process.stdin is not None:
             process.stdin.close()
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             await self.kill()
--- a/src/cinderstair/simulation/capacity/children.py
+++ b/src/cinderstair/simulation/capacity/children.py
@@ -9,7 +9,7 @@
 from .child import Child
 
 
-def made(*, role: str, options: dict[str, Any]) -> Child:
+def create_child(*, role: str, options: dict[str, Any]) -> Child:
     # why: each child loads only what its role needs, since its memory is what is measured
     if role == "guildhall":
         from .controller_child import ControllerChild
@@ -24,14 +24,14 @@
 
         return HeartbeatChild(options=options)
     if role == "alone":
-        from .alone_child import AloneChild
+        from .microbenchmark_child import MicrobenchmarkChild
 
-        return AloneChild(options=options)
+        return MicrobenchmarkChild(options=options)
     raise ValueError(f"no such role: {role}")
 
 
 async def main() -> None:
-    await made(role=sys.argv[1], options=json.loads(sys.argv[2])).run()
+    await create_child(role=sys.argv[1], options=json.loads(sys.argv[2])).run()
 
 
 if __name__ == "__main__":
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -5,9 +5,9 @@
 
 from ...runtime.real_disk import RealDisk
 from .child import Child, metered_context, reading_of, use_adapter
-from .hollow_control import HollowControl
 from .metered_protocol import MeteredProtocol
 from .naming import REGIONS
+from .stub_control import StubControl
 
 
 class ControllerChild(Child):
@@ -43,23 +43,23 @@
         self.role = ControllerRole(self.ctx, machine, MeteredStreams(), self._halt)
         controller = self.role.controller
         # why: on one loopback address each has ports of its own, which the platform's settings have no words for
-        controller.settings = _placed(settings=controller.settings, options=options)
+        controller.settings = _with_loopback_addresses(settings=controller.settings, options=options)
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
         controller.register_replica.register.own = controller.settings.records
-        hollow = HollowControl(assignment=lambda service: controller.service_failover.primaries.get(service))
-        controller.control = controller.promoter = hollow
+        stub = StubControl(assignment=lambda service: controller.service_failover.primaries.get(service))
+        controller.control = controller.promoter = stub
         self.controller = controller
         self.net = self.ctx.net
 
-    def _count(self, came: int, went: int) -> None:
-        self.http[0] += came
-        self.http[1] += went
+    def _count(self, received: int, sent: int) -> None:
+        self.http[0] += received
+        self.http[1] += sent
 
     def _halt(self, reason: str) -> None:
         raise SystemExit(reason)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         Path(self.ctx.disk.folder).mkdir(parents=True, exist_ok=True)  # type: ignore[attr-defined]
         started = await self.role.start()
         if started.is_error():
@@ -87,7 +87,7 @@
         }
 
 
-def _placed(*, settings: Any, options: dict[str, Any]) -> Any:
+def _with_loopback_addresses(*, settings: Any, options: dict[str, Any]) -> Any:
     from dataclasses import replace
 
     return replace(
--- a/src/cinderstair/simulation/capacity/fit.py
+++ b/src/cinderstair/simulation/capacity/fit.py
@@ -34,9 +34,9 @@
     }
 )
 # why: below it a coefficient may as well be nothing; three standard errors are seldom passed by chance
-CLEAR = 3.0
-TINY = 1e-12
-ROUNDS = 6
+SIGNIFICANT_T = 3.0
+MIN_PIVOT = 1e-12
+REWEIGHTING_ROUNDS = 6
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -48,32 +48,32 @@
     residual: float = 0.0
     points: int = 0
     # the largest relative difference between a point and the line
-    worst: float = 0.0
+    max_residual: float = 0.0
     covariance: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def at(self, *, step: Step) -> float:
+    def predict(self, *, step: Step) -> float:
         return sum(value * TERMS[name](step) for name, value in self.coefficients.items())
 
-    def spread(self, *, step: Step) -> float:
+    def standard_error(self, *, step: Step) -> float:
         """The standard error of what it says at a step; nan where it is not known."""
         if not self.covariance:
             return math.nan
         square = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
         return math.sqrt(max(0.0, square))
 
-    def clear(self, *, term: str) -> bool:
+    def is_significant(self, *, term: str) -> bool:
         """Whether the growth with this term is told from none."""
         error = self.errors.get(term, math.nan)
-        return not math.isnan(error) and abs(self.coefficients[term]) > CLEAR * error
+        return not math.isnan(error) and abs(self.coefficients[term]) > SIGNIFICANT_T * error
 
 
-def solved(*, matrix: list[list[float]], columns: list[list[float]]) -> list[list[float]]:
+def solve_linear_system(*, matrix: list[list[float]], columns: list[list[float]]) -> list[list[float]]:
     """Gauss with the largest pivot, for several right sides; ValueError where the terms can't be told apart."""
     size = len(matrix)
     rows = [[*matrix[i], *(column[i] for column in columns)] for i in range(size)]
     for i in range(size):
         pivot = max(range(i, size), key=lambda r: abs(rows[r][i]))
-        if abs(rows[pivot][i]) < TINY:
+        if abs(rows[pivot][i]) < MIN_PIVOT:
             raise ValueError("the points can't tell the terms apart")
         rows[i], rows[pivot] = rows[pivot], rows[i]
         rows[i] = [value / rows[i][i] for value in rows[i]]
@@ -89,15 +89,17 @@
         raise ValueError(f"{len(values)} points for {len(terms)} terms")
     middle = statistics.median(abs(value) for value in values) or 1.0
     sizes = [max(abs(value), middle / 2) for value in values]
-    fit = _weighted(steps=steps, values=values, terms=terms, sizes=sizes)
-    for _ in range(ROUNDS):
+    fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
+    for _ in range(REWEIGHTING_ROUNDS):
         # why: by the line's own size, since a point that came out small by chance must not count for the most
-        sizes = [max(abs(fit.at(step=step)), middle / 100) for step in steps]
-        fit = _weighted(steps=steps, values=values, terms=terms, sizes=sizes)
+        sizes = [max(abs(fit.predict(step=step)), middle / 100) for step in steps]
+        fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     return fit
 
 
-def _weighted(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str], sizes: Sequence[float]) -> Fit:
+def _weighted_least_squares(
+    *, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str], sizes: Sequence[float]
+) -> Fit:
     weights = [1 / size for size in sizes]
     table = [[TERMS[name](step) * w for name in terms] for step, w in zip(steps, weights, strict=True)]
     # why: terms run from 1 to millions, and columns of one size keep the elimination exact
@@ -108,7 +110,7 @@
     square = [[sum(row[i] * row[j] for row in table) for j in range(size)] for i in range(size)]
     right = [sum(row[i] * y for row, y in zip(table, goal, strict=True)) for i in range(size)]
     unit = [[float(i == j) for i in range(size)] for j in range(size)]
-    first, *inverse = solved(matrix=square, columns=[right, *unit])
+    first, *inverse = solve_linear_system(matrix=square, columns=[right, *unit])
     gaps = [y - sum(a * b for a, b in zip(row, first, strict=True)) for row, y in zip(table, goal, strict=True)]
     spare = len(values) - size
     variance = sum(gap**2 for gap in gaps) / spare if spare else math.nan
@@ -118,7 +120,7 @@
         errors=dict(zip(terms, errors, strict=True)),
         residual=math.sqrt(variance) if spare else math.nan,
         points=len(values),
-        worst=max(abs(gap) for gap in gaps),
+        max_residual=max(abs(gap) for gap in gaps),
         covariance={
             (a, b): inverse[j][i] * variance / scales[i] / scales[j]
             for i, a in enumerate(terms)
@@ -128,20 +130,22 @@
     )
 
 
-def plainest(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
+def fit_significant_terms(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
     """The fit with only those terms whose growth is told from none; what was dropped does not show at all."""
     left = list(terms)
     while True:
         fit = least_squares(steps=steps, values=values, terms=left)
         # why: nothing costs less the more there is of it; a slope that falls is of work that was shed or put off
-        unclear = [name for name in left if not fit.clear(term=name) or (name != "1" and fit.coefficients[name] < 0)]
+        unclear = [
+            name for name in left if not fit.is_significant(term=name) or (name != "1" and fit.coefficients[name] < 0)
+        ]
         if not unclear or len(left) == 1:
             return fit
         # why: one at a time, since what one term leaves over may be what makes another one clear
-        left.remove(min(unclear, key=lambda name: _strength(fit=fit, name=name)))
+        left.remove(min(unclear, key=lambda name: _t_statistic(fit=fit, name=name)))
 
 
-def _strength(*, fit: Fit, name: str) -> float:
+def _t_statistic(*, fit: Fit, name: str) -> float:
     error = fit.errors[name]
     if name != "1" and fit.coefficients[name] < 0:
         return -1.0
--- a/src/cinderstair/simulation/capacity/heartbeat_child.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_child.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from .child import Child, now_us, reading_of
-from .heartbeat_line import HeartbeatLine
+from .heartbeat_connection import HeartbeatConnection
 from .naming import REPLICAS, backend_name, service_name, zone_of
 
 # how many requests one controller is asked at a time
-LINES = 6
-AGAIN_S = 0.2
+CONNECTIONS_PER_CONTROLLER = 6
+RECONNECT_DELAY_S = 0.2
 
 
 class HeartbeatChild(Child):
@@ -25,25 +25,25 @@
         self.late = 0
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def begin(self) -> None:
-        places: dict[int, list[tuple[int, str]]] = {}
-        lines = len(self.controls) * LINES
+    async def start(self) -> None:
+        backends_of: dict[int, list[tuple[int, str]]] = {}
+        connections = len(self.controls) * CONNECTIONS_PER_CONTROLLER
         for database in range(self.databases):
             for number, replica in enumerate(REPLICAS):
-                places.setdefault((database * 3 + number) % lines, []).append((database, replica))
-        for line, backends in places.items():
-            self.tasks.append(asyncio.create_task(self._heartbeat(line=line, backends=backends)))
+                backends_of.setdefault((database * 3 + number) % connections, []).append((database, replica))
+        for index, backends in backends_of.items():
+            self.tasks.append(asyncio.create_task(self._heartbeat(index=index, backends=backends)))
 
-    async def _heartbeat(self, *, line: int, backends: list[tuple[int, str]]) -> None:
+    async def _heartbeat(self, *, index: int, backends: list[tuple[int, str]]) -> None:
         """Every backend of this line once in each round, evenly spread over it."""
-        pace_us = self.every_us // len(backends)
-        due_us = now_us() + pace_us * line // (len(self.controls) * LINES)
-        at = line % len(self.controls)
-        wire: HeartbeatLine | None = None
+        interval_us = self.every_us // len(backends)
+        due_us = now_us() + interval_us * index // (len(self.controls) * CONNECTIONS_PER_CONTROLLER)
+        target = index % len(self.controls)
+        connection: HeartbeatConnection | None = None
         turn = 0
         while True:
             await asyncio.sleep(max(0, due_us - now_us()) / 1_000_000)
-            due_us += pace_us
+            due_us += interval_us
             # why: a line that fell behind goes on at its pace; to catch up would be a membership of its own making
             if due_us < now_us():
                 self.late += 1
@@ -51,21 +51,23 @@
             database, replica = backends[turn % len(backends)]
             turn += 1
             try:
-                if wire is None or wire.transport is None:
-                    host, _, port = self.controls[at].rpartition(":")
+                if connection is None or connection.transport is None:
+                    host, _, port = self.controls[target].rpartition(":")
                     loop = asyncio.get_running_loop()
-                    _, wire = await loop.create_connection(HeartbeatLine, host, int(port))
+                    _, connection = await loop.create_connection(HeartbeatConnection, host, int(port))
                 name, body = self._body(database=database, replica=replica)
                 async with asyncio.timeout(2):
-                    status = await wire.put(host=self.controls[at], path=f"/cinderstair/servers/{name}", body=body)
+                    status = await connection.put(
+                        host=self.controls[target], path=f"/cinderstair/servers/{name}", body=body
+                    )
                 self.sent += 1
                 self.failed += status != 200
             except (OSError, TimeoutError):
                 self.failed += 1
-                wire = None
+                connection = None
                 # why: a controller that is gone is left for the next one, as a backend does
-                at = (at + 1) % len(self.controls)
-                await asyncio.sleep(AGAIN_S)
+                target = (target + 1) % len(self.controls)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
     def _body(self, *, database: int, replica: str) -> tuple[str, bytes]:
         name = backend_name(service=database, replica=replica)
@@ -91,6 +93,6 @@
     async def do_status(self) -> dict[str, Any]:
         return {"sent": self.sent, "failed": self.failed, "late": self.late}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for task in self.tasks:
             task.cancel()
--- a/src/cinderstair/simulation/capacity/hollow_proxy.py
+++ b/src/cinderstair/simulation/capacity/instrumented_proxy.py
@@ -9,27 +9,27 @@
 from ...pooler.proxy import Proxy
 from ...runtime.no_disk import NoDisk
 from .child import metered_context, now_us
-from .hollow_link import hollow_dialer
 from .naming import REGIONS
+from .stub_link import stub_dialer
 
 
-class HollowProxy:
+class InstrumentedProxy:
     def __init__(
-        self, *, name: str, site: str, seeds: tuple[str, ...], seed: int, watched: Callable[[], str]
+        self, *, name: str, site: str, seeds: tuple[str, ...], seed: int, watched_name: Callable[[], str]
     ) -> None:
         self.ctx = metered_context(name=name, site=site, disk=NoDisk(), seed=seed)
         self.name = name
-        self.watched = watched
+        self.watched_name = watched_name
         self.marks: dict[str, int] = {}
-        self.began_us = now_us()
-        self.oldest_us = 0
+        self.started_us = now_us()
+        self.max_view_age_us = 0
 
         def distance(other: str) -> int:
             if other == site:
                 return 0
             return 1 if REGIONS.get(other) == REGIONS.get(site) else 3
 
-        self.proxy = Proxy(ctx=self.ctx, site=site, seeds=lambda: seeds, dialer=hollow_dialer, distance=distance)
+        self.proxy = Proxy(ctx=self.ctx, site=site, seeds=lambda: seeds, dialer=stub_dialer, distance=distance)
         # why: the router listens first, so what is marked here has been reckoned with already
         self.proxy.view.changes.subscribe(self._changed)
 
@@ -44,13 +44,17 @@
         elif key.startswith(PREFIX):
             service = key.removeprefix(PREFIX)
             self._mark(key=f"lead {service} {view.primaries[service].term}")
-        elif key == PROXY_IDS_KEY and self.watched() and view.proxy_ids.id_of(name=self.watched()) is not None:
-            self._mark(key=f"slot {self.watched()}")
+        elif (
+            key == PROXY_IDS_KEY
+            and self.watched_name()
+            and view.proxy_ids.id_of(name=self.watched_name()) is not None
+        ):
+            self._mark(key=f"slot {self.watched_name()}")
 
     def _mark(self, *, key: str) -> None:
         self.marks.setdefault(key, now_us())
 
-    def knows(self, *, databases: int) -> bool:
+    def has_full_view(self, *, databases: int) -> bool:
         """Whether it has all that it needs to serve."""
         view = self.proxy.view
         return (
@@ -60,9 +64,9 @@
             and view.proxy_ids.id_of(name=self.name) is not None
         )
 
-    def look(self) -> None:
+    def record_view_age(self) -> None:
         """Takes note of how old the view has come to be."""
-        self.oldest_us = max(self.oldest_us, now_us() - self.proxy.view.as_of_us)
+        self.max_view_age_us = max(self.max_view_age_us, now_us() - self.proxy.view.as_of_us)
 
     async def start(self) -> None:
         await self.proxy.start()
--- a/src/cinderstair/simulation/capacity/memory_transport.py
+++ b/src/cinderstair/simulation/capacity/memory_transport.py
@@ -7,8 +7,8 @@
 class MemoryTransport:
     """Keeps the last answer."""
 
-    def __init__(self, *, door: Any) -> None:
-        self.door = door
+    def __init__(self, *, protocol: Any) -> None:
+        self.protocol = protocol
         self.last = b""
         self.answered: asyncio.Future[None] | None = None
 
@@ -19,7 +19,7 @@
 
     async def ask(self, line: bytes) -> None:
         self.answered = asyncio.get_running_loop().create_future()
-        self.door.data_received(line)
+        self.protocol.data_received(line)
         await self.answered
 
     def is_closing(self) -> bool:
--- a/src/cinderstair/simulation/capacity/metered_net.py
+++ b/src/cinderstair/simulation/capacity/metered_net.py
@@ -16,26 +16,26 @@
         super().__init__(counters=counters)
         self.records_in = self.records_out = self.bytes_in = self.bytes_out = 0
 
-    def _sent(self, *, body: bytes) -> None:
+    def _count_sent(self, *, body: bytes) -> None:
         self.records_out += 1
         self.bytes_out += len(body) + FRAME_HEADER.size
 
-    def _came(self, *, body: bytes) -> None:
+    def _count_received(self, *, body: bytes) -> None:
         self.records_in += 1
         self.bytes_in += len(body) + FRAME_HEADER.size
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
-        self._sent(body=body)
+        self._count_sent(body=body)
         result = await super().request(address=address, body=body, wait_us=wait_us)
         if result.is_ok():
-            self._came(body=result.ok)
+            self._count_received(body=result.ok)
         return result
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
         async def metered(body: bytes) -> bytes:
-            self._came(body=body)
+            self._count_received(body=body)
             response = await handler(body)
-            self._sent(body=response)
+            self._count_sent(body=response)
             return response
 
         await super().listen(address=address, handler=metered)
--- a/src/cinderstair/simulation/capacity/alone_child.py
+++ b/src/cinderstair/simulation/capacity/microbenchmark_child.py
@@ -27,13 +27,13 @@
 from ...runtime.packer import Packer
 from ...runtime.unpacker import Unpacker
 from .child import Child, metered_context, rss_bytes, use_adapter
-from .hollow_link import hollow_dialer
-from .made_up import BALLOT, announcements_of, assignment_value, plan_of, slots_of, whole_answer
 from .memory_transport import MemoryTransport
 from .naming import proxy_name
+from .stub_link import stub_dialer
+from .synthetic_state import BALLOT, announcements_of, assignment_value, full_answer, plan_of, proxy_ids_of
 
-LEAST_S = 0.15
-MOST_TURNS = 200
+MIN_CPU_S = 0.15
+MAX_ITERATIONS = 200
 DISTANCES = {"e1": 0, "e2": 1, "e3": 1}
 
 
@@ -41,17 +41,17 @@
     return DISTANCES.get(site, 3)
 
 
-def cost_us(work: Callable[[], Any]) -> float:
+def cpu_cost_us(work: Callable[[], Any]) -> float:
     """Processor time of one turn, over enough of them to be told from the clock's grain."""
     gc.collect()
-    began, turns = time.process_time(), 0
-    while turns < MOST_TURNS and time.process_time() - began < LEAST_S:
+    began, iterations = time.process_time(), 0
+    while iterations < MAX_ITERATIONS and time.process_time() - began < MIN_CPU_S:
         work()
-        turns += 1
-    return (time.process_time() - began) / turns * 1_000_000
+        iterations += 1
+    return (time.process_time() - began) / iterations * 1_000_000
 
 
-class AloneChild(Child):
+class MicrobenchmarkChild(Child):
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.options = options
         self.number = 0
@@ -64,9 +64,9 @@
         """A router whose view holds everything, put there at once rather than value by value."""
         ctx = self._context(name=proxy_name(number=min(1, proxies - 1)))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
-        router = Router(ctx=ctx, view=view, dialer=hollow_dialer, distance=distance)
+        router = Router(ctx=ctx, view=view, dialer=stub_dialer, distance=distance)
         view.plan = plan_of(version=1, databases=databases)
-        view.proxy_ids = slots_of(proxies=proxies)
+        view.proxy_ids = proxy_ids_of(proxies=proxies)
         for each in announcements_of(databases=databases):
             view.backends[each.name] = RelayedBackend(announcement=each, silent=False)
         for database in range(databases):
@@ -84,34 +84,34 @@
         began = time.process_time()
         router.rebuild_pools()
         first_us = (time.process_time() - began) * 1_000_000
-        reckon_us = cost_us(router.rebuild_pools)
+        rebuild_us = cpu_cost_us(router.rebuild_pools)
         router.on_timer()
         # why: links that tending asks for are opened in later turns of the loop, and tended ones cost less
         for _ in range(3):
             await asyncio.sleep(0.01)
             router.on_timer()
         await asyncio.sleep(0.05)
-        tend_us = cost_us(router.on_timer)
+        timer_us = cpu_cost_us(router.on_timer)
         await asyncio.sleep(0)
         gc.collect()
-        held = rss_bytes() - before
+        held_bytes = rss_bytes() - before
         links = sum(pool.open for pool in router.pools.values())
         most = max((pool.limit for pool in router.pools.values()), default=0)
         return {
             "first_us": first_us,
-            "reckon_us": reckon_us,
-            "tend_us": tend_us,
-            "held_bytes": held,
+            "reckon_us": rebuild_us,
+            "tend_us": timer_us,
+            "held_bytes": held_bytes,
             "links": links,
             "most_links": most,
         }
 
     async def do_whole(self, *, proxies: int, databases: int) -> dict[str, Any]:
         """What it costs a proxy to take everything in, value by value, as it does when it begins."""
-        answer = whole_answer(proxies=proxies, databases=databases, controllers=21)
+        answer = full_answer(proxies=proxies, databases=databases, controllers=21)
         ctx = self._context(name=proxy_name(number=0))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
-        Router(ctx=ctx, view=view, dialer=hollow_dialer, distance=distance)
+        Router(ctx=ctx, view=view, dialer=stub_dialer, distance=distance)
         data = answer.bytes()
         began = time.process_time()
         view._take(answer=answer)
@@ -149,7 +149,7 @@
                 source=number % sources + 1, version=number + 1, heartbeat=each, observed_at_us=now_us
             )
             heartbeat_table.merge(received=heard)
-        for entry in whole_answer(proxies=proxies, databases=databases, controllers=1).values:
+        for entry in full_answer(proxies=proxies, databases=databases, controllers=1).values:
             view.known[entry.key] = VersionedValue(ballot=entry.ballot, value=entry.value)
         relay.refresh()
         gc.collect()
@@ -159,32 +159,32 @@
             question = RelayQuestion(proxy="booth-0001", site="e1", source=source, revision=revision)
             return await relay.answer(Unpacker(data=question.write(packer=Packer()).bytes()))
 
-        whole = await answered(0, 0)
-        nothing = await answered(relay.source, relay.revision)
+        full = await answered(0, 0)
+        unchanged = await answered(relay.source, relay.revision)
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
         news_answer = await heartbeat_table.answer(Unpacker(data=asked))
         return {
             "held_bytes": held_bytes,
-            "look_us": cost_us(relay.refresh),
-            "whole_us": await self._cost_us(lambda: answered(0, 0)),
-            "whole_bytes": len(whole),
-            "nothing_us": await self._cost_us(lambda: answered(relay.source, relay.revision)),
-            "nothing_bytes": len(nothing),
+            "look_us": cpu_cost_us(relay.refresh),
+            "whole_us": await self._async_cpu_cost_us(lambda: answered(0, 0)),
+            "whole_bytes": len(full),
+            "nothing_us": await self._async_cpu_cost_us(lambda: answered(relay.source, relay.revision)),
+            "nothing_bytes": len(unchanged),
             "vector_bytes": len(vector.bytes()),
-            "news_vector_us": cost_us(heartbeat_table.version_vector),
+            "news_vector_us": cpu_cost_us(heartbeat_table.version_vector),
             "news_entry_bytes": len(news_answer) / max(1, len(announcements)),
-            "news_answer_us": await self._cost_us(lambda: heartbeat_table.answer(Unpacker(data=asked))),
+            "news_answer_us": await self._async_cpu_cost_us(lambda: heartbeat_table.answer(Unpacker(data=asked))),
         }
 
-    async def _cost_us(self, work: Callable[[], Awaitable[Any]]) -> float:
+    async def _async_cpu_cost_us(self, work: Callable[[], Awaitable[Any]]) -> float:
         gc.collect()
-        began, turns = time.process_time(), 0
-        while turns < MOST_TURNS and time.process_time() - began < LEAST_S:
+        began, iterations = time.process_time(), 0
+        while iterations < MAX_ITERATIONS and time.process_time() - began < MIN_CPU_S:
             await work()
-            turns += 1
-        return (time.process_time() - began) / turns * 1_000_000
+            iterations += 1
+        return (time.process_time() - began) / iterations * 1_000_000
 
     # -- the data plane --
 
@@ -193,17 +193,17 @@
             ctx=self._context(name=proxy_name(number=0)),
             site="e1",
             seeds=tuple,
-            dialer=hollow_dialer,
+            dialer=stub_dialer,
             distance=distance,
         )
-        proxy.view._take(answer=whole_answer(proxies=2, databases=databases, controllers=3))
+        proxy.view._take(answer=full_answer(proxies=2, databases=databases, controllers=3))
         return proxy
 
     async def do_statements(self, *, databases: int, sessions: int, rounds: int) -> dict[str, Any]:
         """Processor time of a statement: sessions side by side over links in memory."""
         proxy = self._proxy(databases=databases)
         ctx, view = proxy.ctx, proxy.view
-        opened = [proxy.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
+        sessions_open = [proxy.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
         read = Statement(ident=b"1", verb=Verb.read, text=b"FETCH price ticker=ACME")
         write = Statement(ident=b"2", verb=Verb.write, text=b"PUT price ticker=ACME value=10.49")
         shape = Statement(ident=b"3", verb=Verb.prepare, name=b"q", content=b"price ticker=?")
@@ -216,7 +216,7 @@
             "transaction": [begin, read, write, commit],
         }
         found: dict[str, Any] = {}
-        for session in opened:
+        for session in sessions_open:
             await session.run(statement=shape)
         refused = 0
         for name, statements in kinds.items():
@@ -230,11 +230,11 @@
                         bad += (await session.run(statement=statement)).fault is not None
                 return bad
 
-            await asyncio.gather(*(client(session) for session in opened))
+            await asyncio.gather(*(client(session) for session in sessions_open))
             began = time.process_time()
-            refused += sum(await asyncio.gather(*(client(session) for session in opened)))
+            refused += sum(await asyncio.gather(*(client(session) for session in sessions_open)))
             spent = time.process_time() - began
-            found[f"{name}_us"] = spent / (len(opened) * rounds * len(statements)) * 1_000_000
+            found[f"{name}_us"] = spent / (len(sessions_open) * rounds * len(statements)) * 1_000_000
         found["refused"] = refused
         proxy.stop()
         return found
@@ -251,8 +251,8 @@
             shape = b"price ticker=? day=?"
             await session.run(statement=Statement(ident=b"2", verb=Verb.prepare, name=b"q%d" % number, content=shape))
         gc.collect()
-        held = rss_bytes() - before
-        return {"session_bytes": held / count, "tend_us": cost_us(proxy._on_timer) / count}
+        held_bytes = rss_bytes() - before
+        return {"session_bytes": held_bytes / count, "tend_us": cpu_cost_us(proxy._on_timer) / count}
 
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
         """The adapter's door with a session behind it, over a transport in memory."""
@@ -265,15 +265,15 @@
         gc.collect()
         before = rss_bytes()
         for number in range(sessions):
-            door = ClientConnection(proxy=proxy, connections=connections, count=lambda name: None)
-            transport = MemoryTransport(door=door)
+            connection = ClientConnection(proxy=proxy, connections=connections, count=lambda name: None)
+            transport = MemoryTransport(protocol=connection)
             transports.append(transport)
-            door.connection_made(transport)
-            door.data_received(b"GREET ledger-%04d.pool.example app\r\n" % (number % 3))
+            connection.connection_made(transport)
+            connection.data_received(b"GREET ledger-%04d.pool.example app\r\n" % (number % 3))
             await asyncio.sleep(0)
         gc.collect()
-        held = rss_bytes() - before
-        found: dict[str, Any] = {"connection_bytes": held / sessions}
+        held_bytes = rss_bytes() - before
+        found: dict[str, Any] = {"connection_bytes": held_bytes / sessions}
         membership = transports[:50]
         for name, text in (("read", b"FETCH price ticker=ACME"), ("write", b"PUT price ticker=ACME value=10.49")):
             began = time.process_time()
--- a/src/cinderstair/simulation/capacity/plot.py
+++ b/src/cinderstair/simulation/capacity/plot.py
@@ -34,7 +34,7 @@
         if fit is None:
             continue
         # why: with several terms a line over one of them would mislead; measured against fitted shows all
-        fitted = [fit.at(step=step) for step in steps]
+        fitted = [fit.predict(step=step) for step in steps]
         axis.loglog(fitted, values, "o")
         axis.loglog([min(fitted), max(fitted)], [min(fitted), max(fitted)], "-")
         for step, x, y in zip(steps, fitted, values, strict=True):
--- a/src/cinderstair/simulation/capacity/row.py
+++ b/src/cinderstair/simulation/capacity/projection_row.py
@@ -5,21 +5,21 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Row:
+class ProjectionRow:
     """`source` says which measured slopes it was reckoned from. A limit of nan is none that anybody set."""
 
     role: str
     what: str
-    reckoned: float
+    projected: float
     unit: str
     limit: float = math.nan
     source: str = ""
-    spread: float = math.nan
+    standard_error: float = math.nan
 
     @property
     def factor(self) -> float:
         """Over 1: today's design breaks it by so much."""
-        return self.reckoned / self.limit
+        return self.projected / self.limit
 
     @property
     def verdict(self) -> str:
@@ -31,6 +31,6 @@
 
     def line(self) -> str:
         limit = "-" if math.isnan(self.limit) else f"{self.limit:,.4g}"
-        spread = "" if math.isnan(self.spread) else f" ± {self.spread:,.2g}"
-        reckoned = f"{self.reckoned:,.4g}{spread} {self.unit}".rstrip()
-        return f"| {self.role} | {self.what} | {self.source} | {reckoned} | {limit} | {self.verdict} |"
+        standard_error = "" if math.isnan(self.standard_error) else f" ± {self.standard_error:,.2g}"
+        projected = f"{self.projected:,.4g}{standard_error} {self.unit}".rstrip()
+        return f"| {self.role} | {self.what} | {self.source} | {projected} | {limit} | {self.verdict} |"
--- a/src/cinderstair/simulation/capacity/proxy_child.py
+++ b/src/cinderstair/simulation/capacity/proxy_child.py
@@ -5,54 +5,54 @@
 
 from ...pooler.relayed_view import LEASE_US
 from .child import Child, now_us, reading_of
-from .hollow_proxy import HollowProxy
+from .instrumented_proxy import InstrumentedProxy
 from .reading import Reading
 
-LOOK_EVERY_S = 0.05
+VIEW_AGE_INTERVAL_S = 0.05
 
 
 class ProxyChild(Child):
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.seeds = tuple(options["seeds"])
         self.seed = options["seed"]
-        self.proxies: dict[str, HollowProxy] = {}
-        self.gone: list[Any] = []
-        self.watched = ""
-        self.looking: asyncio.Task[None] | None = None
+        self.proxies: dict[str, InstrumentedProxy] = {}
+        self.closed_nets: list[Any] = []
+        self.watched_name = ""
+        self.view_age_task: asyncio.Task[None] | None = None
         self.opened = 0
 
     async def do_open(self, *, proxies: list[list[str]]) -> dict[str, Any]:
         for name, site in proxies:
             self.opened += 1
-            made = HollowProxy(
+            proxy = InstrumentedProxy(
                 name=name,
                 site=site,
                 seeds=self.seeds,
                 seed=self.seed + self.opened,
-                watched=lambda: self.watched,
+                watched_name=lambda: self.watched_name,
             )
-            self.proxies[name] = made
-            await made.start()
+            self.proxies[name] = proxy
+            await proxy.start()
             await asyncio.sleep(0)
         return {"open": len(self.proxies)}
 
     async def do_close(self, *, names: list[str]) -> dict[str, Any]:
         for name in names:
             proxy = self.proxies.pop(name)
-            self.gone.append(proxy.net)
+            self.closed_nets.append(proxy.net)
             await proxy.stop()
         return {"open": len(self.proxies)}
 
     async def do_read(self) -> dict[str, Any]:
         nets = [proxy.net for proxy in self.proxies.values()]
-        reading: Reading = reading_of(nets=[*nets, *self.gone])
+        reading: Reading = reading_of(nets=[*nets, *self.closed_nets])
         return reading.value()
 
     async def do_status(self, *, databases: int) -> dict[str, Any]:
         proxies = self.proxies.values()
         return {
             "open": len(proxies),
-            "knowing": sum(proxy.knows(databases=databases) for proxy in proxies),
+            "knowing": sum(proxy.has_full_view(databases=databases) for proxy in proxies),
             "crashes": sum(proxy.ctx.counters.counts["internal.crashes"] for proxy in proxies),
             "current": sum(proxy.proxy.view.current for proxy in proxies),
         }
@@ -61,29 +61,29 @@
         return {name: proxy.marks.get(key, 0) for name, proxy in self.proxies.items()}
 
     async def do_began(self, *, names: list[str]) -> dict[str, Any]:
-        return {name: self.proxies[name].began_us for name in names if name in self.proxies}
+        return {name: self.proxies[name].started_us for name in names if name in self.proxies}
 
     async def do_watch(self, *, name: str) -> dict[str, Any]:
-        self.watched = name
+        self.watched_name = name
         return {}
 
-    async def _look(self) -> None:
+    async def _sample_view_ages(self) -> None:
         while True:
             for proxy in self.proxies.values():
-                proxy.look()
-            await asyncio.sleep(LOOK_EVERY_S)
+                proxy.record_view_age()
+            await asyncio.sleep(VIEW_AGE_INTERVAL_S)
 
     async def do_look(self, *, on: bool) -> dict[str, Any]:
         """Begins to look how old the views come to be, or stops and tells."""
-        if on and self.looking is None:
+        if on and self.view_age_task is None:
             for proxy in self.proxies.values():
-                proxy.oldest_us = 0
-            self.looking = asyncio.create_task(self._look())
-        elif not on and self.looking is not None:
-            self.looking.cancel()
-            self.looking = None
+                proxy.max_view_age_us = 0
+            self.view_age_task = asyncio.create_task(self._sample_view_ages())
+        elif not on and self.view_age_task is not None:
+            self.view_age_task.cancel()
+            self.view_age_task = None
         return {
-            "oldest_us": {name: proxy.oldest_us for name, proxy in self.proxies.items()},
+            "oldest_us": {name: proxy.max_view_age_us for name, proxy in self.proxies.items()},
             "lease_us": LEASE_US,
             "asked": {name: proxy.proxy.view.controller for name, proxy in self.proxies.items()},
             "at_us": now_us(),
--- a/src/cinderstair/simulation/capacity/results.py
+++ b/src/cinderstair/simulation/capacity/results.py
@@ -4,13 +4,13 @@
 from collections.abc import Sequence
 from typing import Any
 
-from .fit import Fit, plainest
+from .fit import Fit, fit_significant_terms
 from .sample import Sample, read_sample
 from .slopes import SLOPES
 from .step import Step
 
 # what single turns are fitted to: kind, quantity, unit, terms
-TURNS: Sequence[tuple[str, str, str, tuple[str, ...]]] = (
+MICROBENCHMARK_FITS: Sequence[tuple[str, str, str, tuple[str, ...]]] = (
     ("booth", "reckon_us", "us", ("1", "D", "DD", "N", "ND")),
     ("booth", "tend_us", "us", ("1", "D")),
     ("booth", "held_bytes", "B", ("1", "D", "N")),
@@ -28,7 +28,7 @@
 )
 
 # what takes seconds is fitted too: what, figure, terms
-SPANS: Sequence[tuple[str, str, tuple[str, ...]]] = (
+DURATION_FITS: Sequence[tuple[str, str, tuple[str, ...]]] = (
     ("leads of all databases", "seconds", ("1", "D", "DD")),
     ("configuration accepted", "median", ("1", "D", "DD")),
     ("configuration known", "p99", ("1", "N", "D")),
@@ -40,30 +40,30 @@
 
 
 # why: a hundredth of late heartbeats is the machine's own unrest; more is a system that sheds what it can't carry
-MOST_LATE = 0.01
+MAX_LATE_RATIO = 0.01
 
 
-def kept_up(*, lines: Sequence[dict[str, Any]]) -> list[Sample]:
+def unsaturated_samples(*, lines: Sequence[dict[str, Any]]) -> list[Sample]:
     """The samples of those steps that carried all they were given; shed work would bend every slope."""
     kept: list[Sample] = []
     step: list[Sample] = []
-    sheds = False
+    overloaded = False
     for line in [*lines, {"kind": "load"}]:
         if line["kind"] == "load":
-            kept += [] if sheds else step
-            step, sheds = [], False
+            kept += [] if overloaded else step
+            step, overloaded = [], False
         elif line["kind"] == "sample":
             step.append(read_sample(value=line))
         elif line["kind"] == "time" and line["what"] == "whole":
-            sheds = line["quiet"] > 0 or line["beats"]["late"] > MOST_LATE * max(1, line["beats"]["sent"])
+            overloaded = line["quiet"] > 0 or line["beats"]["late"] > MAX_LATE_RATIO * max(1, line["beats"]["sent"])
     return kept
 
 
 class Results:
     def __init__(self, *, lines: Sequence[dict[str, Any]]) -> None:
         self.lines = lines
-        self.samples: list[Sample] = kept_up(lines=lines)
-        self.alone = [line for line in lines if line["kind"] == "alone"]
+        self.samples: list[Sample] = unsaturated_samples(lines=lines)
+        self.microbenchmarks = [line for line in lines if line["kind"] == "alone"]
         self.times = [line for line in lines if line["kind"] == "time"]
         self.slopes: dict[str, Fit] = {}
         self.units: dict[str, str] = {}
@@ -71,19 +71,19 @@
             fit = slope.fit(samples=self.samples)
             if fit is not None:
                 self.slopes[slope.name], self.units[slope.name] = fit, slope.unit
-        for what, quantity, unit, terms in TURNS:
-            turn = self._turn(what=what, quantity=quantity, terms=terms)
+        for what, quantity, unit, terms in MICROBENCHMARK_FITS:
+            turn = self._fit_microbenchmark(what=what, quantity=quantity, terms=terms)
             if turn is not None:
                 name = f"{what} turn {quantity}"
                 self.slopes[name], self.units[name] = turn, unit
-        for what, figure, terms in SPANS:
-            told = [line for line in self.time(what=what) if not math.isnan(line.get(figure, math.nan))]
-            span = self._fit(lines=told, quantity=figure, terms=terms)
+        for what, figure, terms in DURATION_FITS:
+            timed = [line for line in self.time(what=what) if not math.isnan(line.get(figure, math.nan))]
+            span = self._fit(lines=timed, quantity=figure, terms=terms)
             if span is not None:
                 self.slopes[f"{what}, {figure}"], self.units[f"{what}, {figure}"] = span, "s"
 
-    def _turn(self, *, what: str, quantity: str, terms: tuple[str, ...]) -> Fit | None:
-        found = [{"guildhalls": 1, "voters": 0, **line} for line in self.alone if line["what"] == what]
+    def _fit_microbenchmark(self, *, what: str, quantity: str, terms: tuple[str, ...]) -> Fit | None:
+        found = [{"guildhalls": 1, "voters": 0, **line} for line in self.microbenchmarks if line["what"] == what]
         return self._fit(lines=found, quantity=quantity, terms=terms)
 
     def _fit(self, *, lines: list[dict[str, Any]], quantity: str, terms: tuple[str, ...]) -> Fit | None:
@@ -94,15 +94,15 @@
             left.pop()
         while left:
             try:
-                return plainest(steps=steps, values=values, terms=left)
+                return fit_significant_terms(steps=steps, values=values, terms=left)
             except ValueError:
                 # why: a short run may not tell all terms apart; the plainer ones come first
                 left.pop()
         return None
 
-    def direct(self, *, what: str, quantity: str, **size: int) -> float | None:
+    def measured(self, *, what: str, quantity: str, **size: int) -> float | None:
         """A single turn as it was measured at this very size; None where it was not."""
-        for line in self.alone:
+        for line in self.microbenchmarks:
             if line["what"] == what and all(line.get(name) == value for name, value in size.items()):
                 return float(line[quantity])
         return None
--- a/src/cinderstair/simulation/capacity/run.py
+++ b/src/cinderstair/simulation/capacity/run.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from .measurement import Measurement, OverAllowance, Record, Say
-from .part import Part
+from .child_process import ChildProcess
+from .measurement import Measurement, OverBudget, ProgressLog, Record
 from .step import Step
 
 # what a step takes from its first process to its last, as far as it isn't slowed down
@@ -19,7 +19,7 @@
     "5:10:10 5:30:10 5:100:10 5:300:10 5:10:3 5:10:30 5:10:100 5:100:30 3:30:30 7:30:30 7:30:30:5 5:0:300 "
     "5:0:1000 5:600:3 5:3:300 5:1000:3"
 )
-ALONE: dict[str, Sequence[dict[str, Any]]] = {
+MICROBENCHMARKS: dict[str, Sequence[dict[str, Any]]] = {
     "booth": [
         {"booths": proxies, "databases": databases}
         for proxies, databases in (
@@ -90,81 +90,81 @@
         steps: Sequence[Step],
         seconds: float,
         cores: float,
-        most_bytes: int,
+        max_bytes: int,
         seed: int,
-        say: Say,
+        log_progress: ProgressLog,
         record: Record,
     ) -> None:
         self.steps = steps
-        self.until = time.monotonic() + seconds
+        self.deadline = time.monotonic() + seconds
         self.cores = cores
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self.seed = seed
-        self.say = say
+        self.log_progress = log_progress
         self.record = record
-        self.over: list[Step] = []
+        self.over_budget: list[Step] = []
         # what one idle proxy was seen to take
         self.proxy_cores: list[tuple[Step, float]] = []
 
     @property
-    def left_s(self) -> float:
-        return self.until - time.monotonic()
+    def remaining_s(self) -> float:
+        return self.deadline - time.monotonic()
 
-    async def alone(self, *, folder: Path) -> None:
+    async def microbenchmarks(self, *, folder: Path) -> None:
         """Each kind in a process of its own, so that no figure of memory holds another one's leavings."""
-        for kind, sizes in ALONE.items():
+        for kind, sizes in MICROBENCHMARKS.items():
             for size in sizes:
-                part = Part(role="alone", name=f"alone-{kind}", options={}, folder=folder)
+                child = ChildProcess(role="alone", name=f"alone-{kind}", options={}, folder=folder)
                 try:
-                    await part.start()
-                    found = await part.ask(do=kind, wait_s=max(1.0, min(90.0, self.left_s)), **size)
+                    await child.start()
+                    found = await child.ask(do=kind, wait_s=max(1.0, min(90.0, self.remaining_s)), **size)
                     self.record({"kind": "alone", "what": kind, **size, **found})
-                    self.say(f"alone: {kind} {size}")
+                    self.log_progress(f"alone: {kind} {size}")
                 except RuntimeError as error:
-                    self.say(f"alone: {kind} {size}: {error}")
+                    self.log_progress(f"alone: {kind} {size}: {error}")
                     self.record({"kind": "unmeasured", "what": kind, **size, "why": str(error)})
-                    await part.kill()
+                    await child.kill()
                 finally:
-                    await part.end()
+                    await child.stop()
 
-    def unfit(self, *, step: Step) -> str:
-        if self.left_s < STEP_S:
-            return f"{self.left_s:.0f} s are left"
+    def skip_reason(self, *, step: Step) -> str:
+        if self.remaining_s < STEP_S:
+            return f"{self.remaining_s:.0f} s are left"
         each = [cores for other, cores in self.proxy_cores if other.databases <= step.databases]
         if each and min(each) * step.proxies > self.cores:
             return f"its proxies alone would idle at {min(each) * step.proxies:.1f} cores"
-        for other in self.over:
+        for other in self.over_budget:
             if step.proxies >= other.proxies and step.databases >= other.databases:
                 return f"{other} took too much already"
         return ""
 
-    async def wired(self) -> None:
+    async def measure_steps(self) -> None:
         for number, step in enumerate(self.steps):
-            why = self.unfit(step=step)
+            why = self.skip_reason(step=step)
             if not why:
-                self.say(f"{step} begins, {self.left_s:.0f} s left")
+                self.log_progress(f"{step} begins, {self.remaining_s:.0f} s left")
                 self.record({"kind": "load", **step.value(), "load": list(os.getloadavg())})
                 measurement = Measurement(
                     step=step,
                     seed=self.seed + number,
                     cores=self.cores,
-                    most_bytes=self.most_bytes,
-                    say=self.say,
+                    max_bytes=self.max_bytes,
+                    log_progress=self.log_progress,
                     record=self.record,
                 )
                 try:
-                    async with asyncio.timeout(self.left_s):
+                    async with asyncio.timeout(self.remaining_s):
                         await measurement.run()
                     idle = measurement.idle.get("booth")
                     if idle is not None:
                         self.proxy_cores.append((step, idle.rate(name="cpu_us") / 1_000_000))
-                except OverAllowance as error:
-                    self.over.append(step)
+                except OverBudget as error:
+                    self.over_budget.append(step)
                     why = f"over the allowance: {error}"
                 except TimeoutError:
                     why = "the time was up"
                 except RuntimeError as error:
                     why = str(error)
             if why:
-                self.say(f"{step} not measured to its end: {why}")
+                self.log_progress(f"{step} not measured to its end: {why}")
                 self.record({"kind": "unmeasured", **step.value(), "why": why})
--- a/src/cinderstair/simulation/capacity/sample.py
+++ b/src/cinderstair/simulation/capacity/sample.py
@@ -8,7 +8,7 @@
 from .step import Step
 
 # why: a process that is busier than this answers late, and what it sheds or repeats bends every slope
-BUSY = 0.7
+SATURATED_UTILIZATION = 0.7
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -22,27 +22,27 @@
     phase: str
     role: str
     processes: int
-    things: int
+    instances: int
     events: int
     seconds: float
-    busiest: float
-    added: Reading
+    max_utilization: float
+    delta: Reading
 
     @property
     def saturated(self) -> bool:
-        return self.busiest > BUSY
+        return self.max_utilization > SATURATED_UTILIZATION
 
     def rate(self, *, name: str) -> float:
         """A second, for one thing."""
-        if not self.things or self.seconds <= 0:
+        if not self.instances or self.seconds <= 0:
             raise ValueError("nothing was measured")
-        return float(getattr(self.added, name)) / self.seconds / self.things
+        return float(getattr(self.delta, name)) / self.seconds / self.instances
 
-    def each(self, *, name: str, idle: "Sample") -> float:
+    def per_event(self, *, name: str, idle: "Sample") -> float:
         """What one event added for one thing, over what it spends anyway."""
-        if not self.events or idle.step != self.step or idle.role != self.role or not self.things:
+        if not self.events or idle.step != self.step or idle.role != self.role or not self.instances:
             raise ValueError("no events, or another step's idle phase")
-        spent = float(getattr(self.added, name)) / self.things
+        spent = float(getattr(self.delta, name)) / self.instances
         return (spent - idle.rate(name=name) * self.seconds) / self.events
 
     def value(self) -> dict[str, Any]:
@@ -52,20 +52,20 @@
             "phase": self.phase,
             "role": self.role,
             "processes": self.processes,
-            "things": self.things,
+            "things": self.instances,
             "events": self.events,
             "seconds": round(self.seconds, 3),
-            "busiest": round(self.busiest, 3),
-            **self.added.value(),
+            "busiest": round(self.max_utilization, 3),
+            **self.delta.value(),
         }
 
 
-def gathered(
+def aggregate(
     *,
     step: Step,
     phase: str,
     role: str,
-    things: int,
+    instances: int,
     events: int,
     before: Sequence[Reading],
     after: Sequence[Reading],
@@ -82,11 +82,11 @@
         phase=phase,
         role=role,
         processes=len(parts),
-        things=things,
+        instances=instances,
         events=events,
         seconds=seconds,
-        busiest=max(part.cpu_us / max(1, part.at_us) for part in parts),
-        added=total,
+        max_utilization=max(part.cpu_us / max(1, part.at_us) for part in parts),
+        delta=total,
     )
 
 
@@ -98,9 +98,9 @@
         phase=value["phase"],
         role=value["role"],
         processes=value["processes"],
-        things=value["things"],
+        instances=value["things"],
         events=value["events"],
         seconds=value["seconds"],
-        busiest=value["busiest"],
-        added=Reading(**{name: value[name] for name in names}),
+        max_utilization=value["busiest"],
+        delta=Reading(**{name: value[name] for name in names}),
     )
--- a/src/cinderstair/simulation/capacity/slope.py
+++ b/src/cinderstair/simulation/capacity/slope.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from .fit import TERMS, Fit, plainest
+from .fit import TERMS, Fit, fit_significant_terms
 from .sample import Sample
 from .step import Step
 
@@ -21,7 +21,7 @@
     terms: tuple[str, ...]
     value: Value
     # memory is of a process, so proxies that share one are counted by the process
-    shared: bool = False
+    per_process: bool = False
 
     def points(self, *, samples: Sequence[Sample]) -> tuple[list[Step], list[float]]:
         """Only of processes that kept up: one that is too busy sheds work, and bends the slope."""
@@ -29,7 +29,7 @@
         steps: list[Step] = []
         values: list[float] = []
         for sample in samples:
-            if sample.role != self.role or not sample.things:
+            if sample.role != self.role or not sample.instances:
                 continue
             # why: each step tells how it idles before it tells of events, and a step may be run more than once
             if sample.phase == "idle":
@@ -39,10 +39,10 @@
             if idle is None or idle.step != sample.step or idle.saturated:
                 continue
             step = sample.step
-            if self.shared:
+            if self.per_process:
                 step = Step(
                     controllers=step.controllers,
-                    proxies=round(sample.things / sample.processes),
+                    proxies=round(sample.instances / sample.processes),
                     databases=step.databases,
                     voters=step.voting,
                 )
@@ -60,7 +60,7 @@
             terms.pop()
         while terms:
             try:
-                return plainest(steps=steps, values=values, terms=terms)
+                return fit_significant_terms(steps=steps, values=values, terms=terms)
             except ValueError:
                 # why: a short run may not tell all terms apart; the plainer ones come first
                 terms.pop()
--- a/src/cinderstair/simulation/capacity/slopes.py
+++ b/src/cinderstair/simulation/capacity/slopes.py
@@ -13,36 +13,36 @@
     return lambda sample, idle: sum(sample.rate(name=name) for name in names)
 
 
-def each(*names: str) -> Value:
+def per_event(*names: str) -> Value:
     """Of one event, for one of the role's things."""
 
     def value(sample: Sample, idle: Sample | None) -> float:
         if idle is None:
             raise ValueError("nothing is known of this step at rest")
-        return sum(sample.each(name=name, idle=idle) for name in names)
+        return sum(sample.per_event(name=name, idle=idle) for name in names)
 
     return value
 
 
-def carried(sample: Sample, idle: Sample | None) -> float:
+def excess_bytes(sample: Sample, idle: Sample | None) -> float:
     """Bytes of one event for one thing, over what as many records carry at rest."""
     if idle is None or not sample.events:
         raise ValueError("nothing is known of this step at rest")
     # why: a loop that is busy with the event asks less often meanwhile, and time would then take off too much
-    records = sum(getattr(idle.added, name) for name in RECORDS)
-    usual = sum(getattr(idle.added, name) for name in BYTES) / max(1, records)
-    found = sum(getattr(sample.added, name) for name in BYTES)
-    over = found - usual * sum(getattr(sample.added, name) for name in RECORDS)
-    return over / sample.things / sample.events
+    records = sum(getattr(idle.delta, name) for name in RECORDS)
+    usual = sum(getattr(idle.delta, name) for name in BYTES) / max(1, records)
+    found = sum(getattr(sample.delta, name) for name in BYTES)
+    over = found - usual * sum(getattr(sample.delta, name) for name in RECORDS)
+    return over / sample.instances / sample.events
 
 
-def one(*names: str) -> Value:
+def per_event_of_role(*names: str) -> Value:
     """Of one event, for the whole role: where an event concerns one proxy alone."""
-    return lambda sample, idle: each(*names)(sample, idle) * sample.things
+    return lambda sample, idle: per_event(*names)(sample, idle) * sample.instances
 
 
-def process_bytes(sample: Sample, idle: Sample | None) -> float:
-    return sample.added.rss_bytes / sample.processes
+def rss_per_process(sample: Sample, idle: Sample | None) -> float:
+    return sample.delta.rss_bytes / sample.processes
 
 
 HTTP = ("http_in", "http_out")
@@ -67,8 +67,8 @@
         phase="idle",
         unit="B",
         terms=("1", "N", "ND"),
-        value=process_bytes,
-        shared=True,
+        value=rss_per_process,
+        per_process=True,
     ),
     Slope(
         name="controller idle records",
@@ -101,7 +101,7 @@
         phase="idle",
         unit="us/s",
         terms=("1", "D", "N/G", "ND/G"),
-        value=lambda sample, idle: sample.busiest * 1_000_000,
+        value=lambda sample, idle: sample.max_utilization * 1_000_000,
     ),
     Slope(
         name="controller memory",
@@ -109,7 +109,7 @@
         phase="idle",
         unit="B",
         terms=("1", "D", "N/G"),
-        value=process_bytes,
+        value=rss_per_process,
     ),
     Slope(
         name="proxy bytes a configuration",
@@ -117,7 +117,7 @@
         phase="configuration",
         unit="B",
         terms=("1", "D"),
-        value=carried,
+        value=excess_bytes,
     ),
     Slope(
         name="proxy processor a configuration",
@@ -125,7 +125,7 @@
         phase="configuration",
         unit="us",
         terms=("1", "D", "DD", "N"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller bytes a configuration",
@@ -133,7 +133,7 @@
         phase="configuration",
         unit="B",
         terms=("1", "VD", "ND/G"),
-        value=each(*BYTES),
+        value=per_event(*BYTES),
     ),
     Slope(
         name="controller processor a configuration",
@@ -141,7 +141,7 @@
         phase="configuration",
         unit="us",
         terms=("1", "VD", "ND/G"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller syncs a configuration",
@@ -149,16 +149,16 @@
         phase="configuration",
         unit="",
         terms=("1", "D"),
-        value=each("syncs"),
+        value=per_event("syncs"),
     ),
-    Slope(name="proxy bytes a primary", role=PROXY, phase="primary", unit="B", terms=("1",), value=carried),
+    Slope(name="proxy bytes a primary", role=PROXY, phase="primary", unit="B", terms=("1",), value=excess_bytes),
     Slope(
         name="proxy processor a primary",
         role=PROXY,
         phase="primary",
         unit="us",
         terms=("1", "D", "DD", "N"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller syncs a primary",
@@ -166,7 +166,7 @@
         phase="primary",
         unit="",
         terms=("1", "D"),
-        value=each("syncs"),
+        value=per_event("syncs"),
     ),
     Slope(
         name="proxy bytes a new proxy",
@@ -174,7 +174,7 @@
         phase="replacement",
         unit="B",
         terms=("1", "N", "GD/N"),
-        value=carried,
+        value=excess_bytes,
     ),
     Slope(
         name="proxy bytes a restart",
@@ -182,7 +182,7 @@
         phase="restart",
         unit="B",
         terms=("1", "GD", "GN"),
-        value=one(*BYTES),
+        value=per_event_of_role(*BYTES),
     ),
     Slope(
         name="proxy processor a restart",
@@ -190,7 +190,7 @@
         phase="restart",
         unit="us",
         terms=("1", "D"),
-        value=one("cpu_us"),
+        value=per_event_of_role("cpu_us"),
     ),
     Slope(
         name="controllers' processor a restart",
@@ -198,6 +198,6 @@
         phase="restart",
         unit="us",
         terms=("1", "GD", "GN"),
-        value=one("cpu_us"),
+        value=per_event_of_role("cpu_us"),
     ),
 )
--- a/src/cinderstair/simulation/capacity/hollow_control.py
+++ b/src/cinderstair/simulation/capacity/stub_control.py
@@ -11,7 +11,7 @@
 from ...runtime.position import Position
 
 
-class HollowControl:
+class StubControl:
     """Whoever the register names leads; before it names anybody, the backend that says so in its heartbeats."""
 
     def __init__(self, *, assignment: Callable[[str], ServicePrimary | None]) -> None:
--- a/src/cinderstair/simulation/capacity/hollow_link.py
+++ b/src/cinderstair/simulation/capacity/stub_link.py
@@ -15,7 +15,7 @@
 ROW = b"1 Bolt 10.49"
 
 
-class HollowLink:
+class StubLink:
     """Keeps the state that a backend would be in, so that the session sees what it expects."""
 
     __slots__ = ("committed", "ended", "on_lost", "prepared", "state", "term", "values")
@@ -87,6 +87,6 @@
         future.set_result(reply)
 
 
-async def hollow_dialer(*, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
+async def stub_dialer(*, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
     """Opens nothing."""
-    return Ok(HollowLink())
+    return Ok(StubLink())
--- a/src/cinderstair/simulation/capacity/made_up.py
+++ b/src/cinderstair/simulation/capacity/synthetic_state.py
@@ -32,7 +32,7 @@
     )
 
 
-def slots_of(*, proxies: int) -> ProxyIds:
+def proxy_ids_of(*, proxies: int) -> ProxyIds:
     return ProxyIds(names=tuple(ProxyId(number, proxy_name(number=number)) for number in range(proxies)))
 
 
@@ -66,12 +66,12 @@
     )
 
 
-def whole_answer(*, proxies: int, databases: int, controllers: int) -> RelayAnswer:
+def full_answer(*, proxies: int, databases: int, controllers: int) -> RelayAnswer:
     """All that a proxy is told when it begins, in the order in which a controller may give it."""
     plan = RelayedValue(
         key=PLAN_KEY, ballot=BALLOT, value=plan_of(version=1, databases=databases).bytes(with_document=False)
     )
-    slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=slots_of(proxies=proxies).bytes())
+    slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=proxy_ids_of(proxies=proxies).bytes())
     assignments = [assignment_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
--- a/src/cinderstair/simulation/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -12,19 +12,19 @@
 from ...runtime.no_disk import NoDisk
 from ..fleet import free_ports
 from .child import metered_context
-from .heartbeat_line import HeartbeatLine
+from .child_process import ChildProcess
+from .heartbeat_connection import HeartbeatConnection
 from .naming import operator_document, proxy_name, zone_of
-from .part import Part
 from .reading import Reading
 from .step import Step
 
-HEARTBEAT_EVERY_US = 1_200_000
+HEARTBEAT_INTERVAL_US = 1_200_000
 POLL_S = 0.05
-MOST_HOSTS = 12
-PROXIES_A_HOST = 40
+MAX_HOSTS = 12
+PROXIES_PER_HOST = 40
 
 
-class Unsettled(Exception):
+class NotSettled(Exception):
     """The step did not come to rest in its time; what it says is a finding of its own."""
 
 
@@ -32,7 +32,7 @@
     """How many processes share the proxies."""
     if not step.proxies:
         return 0
-    return max(min(2, step.proxies), min(MOST_HOSTS, step.proxies // PROXIES_A_HOST))
+    return max(min(2, step.proxies), min(MAX_HOSTS, step.proxies // PROXIES_PER_HOST))
 
 
 class System:
@@ -41,94 +41,98 @@
         self.seed = seed
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-capacity-"))
         ports = free_ports(count=2 * step.controllers)
-        self.records = [f"127.0.0.1:{port}" for port in ports[: step.controllers]]
-        self.controls = [f"127.0.0.1:{port}" for port in ports[step.controllers :]]
+        self.record_addresses = [f"127.0.0.1:{port}" for port in ports[: step.controllers]]
+        self.control_addresses = [f"127.0.0.1:{port}" for port in ports[step.controllers :]]
         self.controllers = [self._controller(number=n, first_run=True) for n in range(step.controllers)]
         self.hosts = [
-            Part(
+            ChildProcess(
                 role="booths",
                 name=f"host-{n}",
-                options={"seeds": self.records, "seed": seed * 1_000_000 + n * 10_000},
+                options={"seeds": self.record_addresses, "seed": seed * 1_000_000 + n * 10_000},
                 folder=self.folder,
             )
             for n in range(hosts_for(step=step))
         ]
-        heartbeats = {"controls": self.controls, "every_us": HEARTBEAT_EVERY_US, "databases": step.databases}
-        self.heartbeats = Part(role="beats", name="beats", options=heartbeats, folder=self.folder)
+        heartbeats = {
+            "controls": self.control_addresses,
+            "every_us": HEARTBEAT_INTERVAL_US,
+            "databases": step.databases,
+        }
+        self.heartbeats = ChildProcess(role="beats", name="beats", options=heartbeats, folder=self.folder)
         self.ctx = metered_context(name="driver", site="e1", disk=NoDisk(), seed=seed)
-        self.register = Register(ctx=self.ctx, seeds=tuple(self.records))
+        self.register = Register(ctx=self.ctx, seeds=tuple(self.record_addresses))
         self.revision = 0
-        self.places: dict[str, Part] = {}
+        self.host_of_proxy: dict[str, ChildProcess] = {}
 
-    def _controller(self, *, number: int, first_run: bool) -> Part:
+    def _controller(self, *, number: int, first_run: bool) -> ChildProcess:
         options = {
             "name": f"guildhall-{number}",
             "site": zone_of(number=number),
-            "records": self.records[number],
-            "control": self.controls[number],
-            "seeds": self.records,
+            "records": self.record_addresses[number],
+            "control": self.control_addresses[number],
+            "seeds": self.record_addresses,
             "voters": self.step.voting,
             "folder": str(self.folder / f"guildhall-{number}"),
             "first_run": first_run,
-            "beat_every_us": HEARTBEAT_EVERY_US,
+            "beat_every_us": HEARTBEAT_INTERVAL_US,
             "seed": self.seed * 100 + number + 1,
         }
-        return Part(role="guildhall", name=f"guildhall-{number}", options=options, folder=self.folder)
+        return ChildProcess(role="guildhall", name=f"guildhall-{number}", options=options, folder=self.folder)
 
     @property
-    def parts(self) -> list[Part]:
+    def processes(self) -> list[ChildProcess]:
         return [*self.controllers, *self.hosts, self.heartbeats]
 
-    def running(self, *, role: str) -> list[Part]:
-        return [part for part in self.parts if part.role == role and part.running]
+    def running(self, *, role: str) -> list[ChildProcess]:
+        return [process for process in self.processes if process.role == role and process.running]
 
-    async def until(self, *, test: Callable[[], Awaitable[str]], within_s: float, what: str) -> float:
+    async def wait_until(self, *, test: Callable[[], Awaitable[str]], within_s: float, what: str) -> float:
         """Waits until the test has nothing to say against it; the seconds that took."""
         began = time.monotonic()
         while said := await test():
             if time.monotonic() - began > within_s:
-                raise Unsettled(f"{what} not within {within_s:.0f} s: {said}")
+                raise NotSettled(f"{what} not within {within_s:.0f} s: {said}")
             await asyncio.sleep(POLL_S)
         return time.monotonic() - began
 
     # -- the beginning --
 
-    async def found(self) -> float:
-        await asyncio.gather(*(part.start() for part in self.controllers))
+    async def start_controllers(self) -> float:
+        await asyncio.gather(*(process.start() for process in self.controllers))
 
-        async def lacking() -> str:
+        async def pending() -> str:
             states = await self.states()
             late = [state for state in states if state["voters"] != self.step.voting]
             return f"{len(late)} of {len(states)} without a roster" if late else ""
 
-        return await self.until(test=lacking, within_s=30, what="a roster")
+        return await self.wait_until(test=pending, within_s=30, what="a roster")
 
     async def states(self) -> list[dict[str, Any]]:
-        return list(await asyncio.gather(*(part.ask(do="status") for part in self.running(role="guildhall"))))
+        return list(await asyncio.gather(*(process.ask(do="status") for process in self.running(role="guildhall"))))
 
     async def configure(self) -> tuple[int, int]:
         """Puts the next revision over HTTP; the moments of the asking and of the answer."""
         self.revision += 1
         body = operator_document(revision=self.revision, databases=self.step.databases)
-        address = self.controls[0]
+        address = self.control_addresses[0]
         host, _, port = address.rpartition(":")
-        _, line = await asyncio.get_running_loop().create_connection(HeartbeatLine, host, int(port))
+        _, connection = await asyncio.get_running_loop().create_connection(HeartbeatConnection, host, int(port))
         began_us = self.ctx.now_us()
         try:
             async with asyncio.timeout(20):
-                status = await line.put(host=address, path="/cinderstair/settings", body=body)
+                status = await connection.put(host=address, path="/cinderstair/settings", body=body)
         finally:
-            if line.transport is not None:
-                line.transport.close()
+            if connection.transport is not None:
+                connection.transport.close()
         if status != 200:
-            raise Unsettled(f"revision {self.revision} was answered {status}")
+            raise NotSettled(f"revision {self.revision} was answered {status}")
         return began_us, self.ctx.now_us()
 
-    async def lead_all(self, *, within_s: float) -> float:
+    async def start_backends(self, *, within_s: float) -> float:
         """Backends begin to beat, and the holder of the duty finds out who leads."""
         await self.heartbeats.start()
 
-        async def lacking() -> str:
+        async def pending() -> str:
             states = await self.states()
             least = min((state["leads"] for state in states), default=0)
             current = sum(state["current"] for state in states)
@@ -136,22 +140,24 @@
             known = least >= self.step.databases and heard >= self.step.backends and current == len(states)
             return "" if known else f"{least} leads and {heard} backends known everywhere, {current} views current"
 
-        return await self.until(test=lacking, within_s=within_s, what="leads")
+        return await self.wait_until(test=pending, within_s=within_s, what="leads")
 
     async def open_proxies(self, *, within_s: float) -> float:
         if not self.hosts:
             return 0.0
-        await asyncio.gather(*(part.start() for part in self.hosts))
+        await asyncio.gather(*(process.start() for process in self.hosts))
         names = [(proxy_name(number=n), zone_of(number=n)) for n in range(self.step.proxies)]
         lists = [names[n :: len(self.hosts)] for n in range(len(self.hosts))]
         for host, own in zip(self.hosts, lists, strict=True):
-            self.places |= {name: host for name, _ in own}
+            self.host_of_proxy |= {name: host for name, _ in own}
         await asyncio.gather(
             *(host.ask(do="open", proxies=own, wait_s=120) for host, own in zip(self.hosts, lists, strict=True))
         )
-        return await self.until(test=self.unknowing, within_s=within_s, what="proxies that know everything")
+        return await self.wait_until(
+            test=self.proxies_not_ready, within_s=within_s, what="proxies that know everything"
+        )
 
-    async def unknowing(self) -> str:
+    async def proxies_not_ready(self) -> str:
         asks = [host.ask(do="status", databases=self.step.databases, wait_s=120) for host in self.hosts]
         states = await asyncio.gather(*asks)
         knowing = sum(min(state["knowing"], state["current"]) for state in states)
@@ -160,9 +166,9 @@
     # -- looking --
 
     async def readings(self) -> dict[str, Reading]:
-        parts = [part for part in self.parts if part.running]
-        taken = await asyncio.gather(*(part.reading() for part in parts))
-        return {part.name: reading for part, reading in zip(parts, taken, strict=True)}
+        processes = [process for process in self.processes if process.running]
+        taken = await asyncio.gather(*(process.reading() for process in processes))
+        return {process.name: reading for process, reading in zip(processes, taken, strict=True)}
 
     async def marks(self, *, key: str) -> dict[str, int]:
         found: dict[str, int] = {}
@@ -172,14 +178,14 @@
 
     # -- the end --
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Whatever happened: no process and no folder is left."""
         try:
-            await asyncio.gather(*(part.end() for part in self.parts), return_exceptions=True)
+            await asyncio.gather(*(process.stop() for process in self.processes), return_exceptions=True)
             await self.ctx.net.close()
             self.ctx.close()
         finally:
-            for part in self.parts:
-                if part.running and part.process is not None:
-                    part.process.kill()
+            for process in self.processes:
+                if process.running and process.process is not None:
+                    process.process.kill()
             shutil.rmtree(self.folder, ignore_errors=True)
