--- a/src/cinderstair/simulation/capacity/fit.py
+++ b/src/cinderstair/simulation/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Least squares over a few terms, with the standard error of each coefficient."""
+"""Weighted linear least squares over a few terms of a step's size, with standard errors."""
 
 import math
 import statistics
@@ -9,6 +9,7 @@
 from .step import Step
 
 Term = Callable[[Step], float]
+# N proxies, D databases, G controllers, V voting controllers, M the others of a majority.
 TERMS: Mapping[str, Term] = MappingProxyType(
     {
         "1": lambda step: 1.0,
@@ -24,16 +25,16 @@
         "GD": lambda step: float(step.controllers * step.databases),
         "GN": lambda step: float(step.controllers * step.proxies),
         "GD/N": lambda step: step.controllers * step.databases / max(1, step.proxies),
-        # what every vote carries, and what is asked of the others of a majority
+        # version vectors: in every vote, and in reads from the other voters of a majority
         "VD": lambda step: float(step.voting * step.databases),
         "MD": lambda step: float(step.voting // 2 * step.databases),
-        # what the other controllers hear of backends
+        # heartbeats that a controller gets from other controllers instead of from backends
         "RD": lambda step: (step.controllers - 1) / step.controllers * step.databases,
-        # controllers without a vote read every key again and again, and those with one answer them
+        # non-voting controllers read every key periodically, and the voters answer them
         "X": lambda step: (step.controllers - step.voting) * step.databases / step.controllers,
     }
 )
-# why: below it a coefficient may as well be nothing; three standard errors are seldom passed by chance
+# A coefficient counts as nonzero above this many standard errors, which noise alone rarely exceeds.
 SIGNIFICANT_T = 3.0
 MIN_PIVOT = 1e-12
 REWEIGHTING_ROUNDS = 6
@@ -41,40 +42,45 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fit:
-    """Coefficients by term. `error` is the standard error; without spare points it is not known (nan)."""
+    """Coefficients and their standard errors by term.
+
+    Without residual degrees of freedom (as many points as terms) the standard errors are nan and there is no
+    covariance. `residual` is the relative residual standard error, `max_relative_residual` the largest relative
+    difference between a point and the fit.
+    """
 
     coefficients: dict[str, float]
     errors: dict[str, float] = field(default_factory=dict)
     residual: float = 0.0
     points: int = 0
-    # the largest relative difference between a point and the line
     max_residual: float = 0.0
     covariance: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def predict(self, *, step: Step) -> float:
+        """Returns the fitted value at a step of any size."""
         return sum(value * TERMS[name](step) for name, value in self.coefficients.items())
 
     def standard_error(self, *, step: Step) -> float:
-        """The standard error of what it says at a step; nan where it is not known."""
+        """Returns the standard error of the prediction at a step, or nan where it is unknown."""
         if not self.covariance:
             return math.nan
         square = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
         return math.sqrt(max(0.0, square))
 
     def is_significant(self, *, term: str) -> bool:
-        """Whether the growth with this term is told from none."""
+        """Tells whether the coefficient differs from zero by more than SIGNIFICANT_T standard errors."""
         error = self.errors.get(term, math.nan)
         return not math.isnan(error) and abs(self.coefficients[term]) > SIGNIFICANT_T * error
 
 
 def solve_linear_system(*, matrix: list[list[float]], columns: list[list[float]]) -> list[list[float]]:
-    """Gauss with the largest pivot, for several right sides; ValueError where the terms can't be told apart."""
+    """Gauss-Jordan elimination with partial pivoting for several right sides; ValueError for a singular matrix."""
     size = len(matrix)
     rows = [[*matrix[i], *(column[i] for column in columns)] for i in range(size)]
     for i in range(size):
         pivot = max(range(i, size), key=lambda r: abs(rows[r][i]))
         if abs(rows[pivot][i]) < MIN_PIVOT:
-            raise ValueError("the points can't tell the terms apart")
+            raise ValueError("singular matrix: the terms are collinear at these points")
         rows[i], rows[pivot] = rows[pivot], rows[i]
         rows[i] = [value / rows[i][i] for value in rows[i]]
         for r in range(size):
@@ -84,14 +90,19 @@
 
 
 def least_squares(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
-    """Each point counts by its distance relative to the line, so that large steps don't drown the others."""
+    """Minimizes relative residuals by iterative reweighting, so that large steps don't dominate the fit.
+
+    ValueError where there are fewer points than terms or the terms are collinear.
+    """
     if len(steps) != len(values) or len(steps) < len(terms):
-        raise ValueError(f"{len(values)} points for {len(terms)} terms")
+        raise ValueError(
+            f"{len(values)} values at {len(steps)} steps are too few for {len(terms)} terms, or don't match"
+        )
     middle = statistics.median(abs(value) for value in values) or 1.0
     sizes = [max(abs(value), middle / 2) for value in values]
     fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     for _ in range(REWEIGHTING_ROUNDS):
-        # why: by the line's own size, since a point that came out small by chance must not count for the most
+        # Weights come from fitted values: a measured value that is small by chance would get too much weight.
         sizes = [max(abs(fit.predict(step=step)), middle / 100) for step in steps]
         fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     return fit
@@ -102,7 +113,7 @@
 ) -> Fit:
     weights = [1 / size for size in sizes]
     table = [[TERMS[name](step) * w for name in terms] for step, w in zip(steps, weights, strict=True)]
-    # why: terms run from 1 to millions, and columns of one size keep the elimination exact
+    # Terms range from 1 to millions; columns of unit length keep the elimination numerically stable.
     scales = [math.sqrt(sum(row[j] ** 2 for row in table)) or 1.0 for j in range(len(terms))]
     table = [[value / scale for value, scale in zip(row, scales, strict=True)] for row in table]
     goal = [value * w for value, w in zip(values, weights, strict=True)]
@@ -131,21 +142,25 @@
 
 
 def fit_significant_terms(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
-    """The fit with only those terms whose growth is told from none; what was dropped does not show at all."""
+    """Backward elimination: drops terms without a significant, positive coefficient until none is left to drop.
+
+    The last term stays in any case. ValueError as for `least_squares`.
+    """
     left = list(terms)
     while True:
         fit = least_squares(steps=steps, values=values, terms=left)
-        # why: nothing costs less the more there is of it; a slope that falls is of work that was shed or put off
+        # No cost falls as the system grows; a negative slope comes from work that was shed or delayed.
         unclear = [
             name for name in left if not fit.is_significant(term=name) or (name != "1" and fit.coefficients[name] < 0)
         ]
         if not unclear or len(left) == 1:
             return fit
-        # why: one at a time, since what one term leaves over may be what makes another one clear
+        # One term at a time: removing one can make another significant.
         left.remove(min(unclear, key=lambda name: _t_statistic(fit=fit, name=name)))
 
 
 def _t_statistic(*, fit: Fit, name: str) -> float:
+    """Ranks terms for elimination: negative slopes first, then the smallest |coefficient| / standard error."""
     error = fit.errors[name]
     if name != "1" and fit.coefficients[name] < 0:
         return -1.0
--- a/src/cinderstair/simulation/capacity/measurement.py
+++ b/src/cinderstair/simulation/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""One step, from its first process to its last: idle, and by what happens to it."""
+"""Runs one load step: starts its processes, then samples the idle phase and a phase for each kind of event."""
 
 import asyncio
 import time
@@ -17,9 +17,11 @@
 from .step import Step
 from .system import NotSettled, System
 
+# Pause between the start of the proxies and the idle phase.
 SETTLE_S = 1.5
 IDLE_S = 5.0
 EVENTS_PER_PHASE = 3
+# Observation time after a controller was killed, without and with the promotion lease.
 CONTROLLER_LOST_S, HOLDER_LOST_S = 3.0, 7.0
 HOLDER_MAX_PROXIES = 10
 EVENT_INTERVAL_S = 1.0
@@ -29,19 +31,26 @@
 WRITES_MAX_PROXIES, WRITES_MAX_DATABASES = 10, 10
 ProgressLog = Callable[[str], None]
 Record = Callable[[dict[str, Any]], None]
+# Role of the child processes -> role in the results.
 ROLE_LABELS = {"guildhall": "guildhall", "booths": "booth", "beats": "backend"}
 
 
 def overwrite_with(*, value: bytes) -> Decide:
-    """A decision for one value, whatever stands there."""
+    """Returns a decision that replaces any current value of a key with this one."""
     return lambda _: Ok(value)
 
 
 class OverBudget(Exception):
-    """The step takes more of the machine than the tool may use."""
+    """The idle step exceeds the CPU or memory budget of the run."""
 
 
 class Measurement:
+    """Measures one step. `cores` and `max_bytes` limit what all its processes may use when idle.
+
+    Results go to `record` as JSON objects. A step that doesn't settle is recorded as "unsettled"; an idle step over
+    its limits raises OverBudget, and a child process that fails raises RuntimeError.
+    """
+
     def __init__(
         self, *, step: Step, seed: int, cores: float, max_bytes: int, log_progress: ProgressLog, record: Record
     ) -> None:
@@ -61,6 +70,7 @@
     def _record_samples(
         self, *, phase: str, events: int, before: dict[str, Reading], after: dict[str, Reading]
     ) -> None:
+        """Records one sample per role, of the processes that ran through the whole phase."""
         for role, label in ROLE_LABELS.items():
             names = [process.name for process in self.system.running(role=role) if process.name in before]
             if not names:
@@ -82,6 +92,7 @@
         self.record({"kind": "time", **self.step.value(), "what": what, **values})
 
     async def run(self) -> None:
+        """Runs all phases that suit the step's size, then stops its processes."""
         system = self.system
         try:
             self._record_time(what="founded", seconds=round(await system.start_controllers(), 3))
@@ -100,8 +111,7 @@
                     name="restart", act=lambda: self._restart_proxies(count=restarted), events=restarted
                 )
                 await self._phase(name="replacement", act=self._add_new_proxy, events=1)
-            # why: proxies are told of every key, so with many of them it is not the register replicas that would
-            # be measured
+            # Every write is relayed to every proxy: with many proxies this would measure the relay, not the register.
             if self.step.proxies <= WRITES_MAX_PROXIES and self.step.databases <= WRITES_MAX_DATABASES:
                 await self._phase(name="writes alone", act=lambda: self._register_writes(at_once=1), events=0)
                 await self._phase(
@@ -125,6 +135,7 @@
         self._record_time(what=what, seconds=(done_us - began_us) / 1_000_000)
 
     async def _idle(self) -> None:
+        """Samples the step without events; raises OverBudget where it exceeds the limits of the run."""
         system = self.system
         before = await system.readings()
         await asyncio.sleep(IDLE_S)
@@ -148,16 +159,17 @@
             raise OverBudget(f"{sum(spent.values()):.2f} cores, {memory / 1e6:.0f} MB")
 
     async def _phase(self, *, name: str, act: Callable[[], Any], events: int) -> None:
+        """Samples all processes around an action that causes this number of events."""
         before = await self.system.readings()
         began = time.monotonic()
         await act()
-        # why: what an event sets going ends some turns after it is known
+        # Work that an event triggers continues after the event itself is known.
         await asyncio.sleep(max(0.5, 1.5 - (time.monotonic() - began)))
         after = await self.system.readings()
         self._record_samples(phase=name, events=events, before=before, after=after)
 
     async def _wait_until_marked(self, *, keys: list[str], began_us: list[int], what: str) -> None:
-        """Waits until every proxy has marked every key, and tells how long after the acknowledgement it did."""
+        """Waits until every proxy has seen every key; records the delays since the acknowledgements, in seconds."""
         if not self.step.proxies:
             return
         until = time.monotonic() + PROPAGATION_TIMEOUT_S
@@ -175,9 +187,10 @@
         ]
         self._record_time(what=what, **percentiles_of(times=times, missing=missing).value())
 
-    # -- what happens --
+    # -- events --
 
     async def _change_configurations(self) -> None:
+        """Submits configurations; records how long each takes to be accepted and to reach every proxy."""
         done: list[int] = []
         took: list[float] = []
         first = self.system.revision + 1
@@ -191,6 +204,7 @@
         await self._wait_until_marked(keys=keys, began_us=done, what="configuration known")
 
     async def _change_primaries(self) -> None:
+        """Changes primary assignments; records how long each takes to reach every proxy."""
         done: list[int] = []
         keys: list[str] = []
         for number in range(EVENTS_PER_PHASE):
@@ -202,12 +216,12 @@
         await self._wait_until_marked(keys=keys, began_us=done, what="primary known")
 
     async def _write_primary(self, *, database: int) -> tuple[int, int]:
-        """Writes another primary into the register, by the register's own client."""
+        """Assigns the next replica as primary, directly in the register; returns the term and when it was written."""
         register = self.system.register
         key = service_primary_key(service=service_name(number=database))
         found = await register.read(key=key)
         if found.is_error() or not found.ok.value:
-            raise NotSettled(f"{key}: not read")
+            raise NotSettled(f"register key {key!r} could not be read or is empty")
         old = read_service_primary(data=found.ok.value)
         names = [backend_name(service=database, replica=replica) for replica in REPLICAS]
         primary = names[(names.index(old.primary) + 1) % len(names)]
@@ -215,11 +229,11 @@
         await self.system.heartbeats.ask(do="lead", database=database, name=primary)
         written = await register.change(key=key, decide=overwrite_with(value=assignment.bytes()))
         if written.is_error():
-            raise NotSettled(f"{key}: {written.error.reason}")
+            raise NotSettled(f"register key {key!r} was not written: {written.error.reason}")
         return assignment.term, self.system.ctx.now_us()
 
     async def _restart_proxies(self, *, count: int) -> None:
-        """Proxies end without a word and begin anew under their names."""
+        """Closes proxies without notice and reopens them by name; records the time until they have a configuration."""
         names = [proxy_name(number=n * self.step.proxies // count) for n in range(count)]
         for name in names:
             host = self.system.host_of_proxy[name]
@@ -230,7 +244,7 @@
         for host in self.system.hosts:
             began |= await host.ask(do="began", names=names)
         until = time.monotonic() + PROPAGATION_TIMEOUT_S
-        # why: the first thing a proxy marks is the first configuration that it takes in
+        # A restarted proxy marks a configuration as soon as it has applied its first one.
         key = f"plan {self.system.revision}"
         while time.monotonic() < until:
             marks = await self.system.marks(key=key)
@@ -241,7 +255,7 @@
         self._record_time(what="restarted proxy", **percentiles_of(times=times, missing=count - len(times)).value())
 
     async def _add_new_proxy(self) -> None:
-        """A proxy that nobody has seen begins, and all others learn its number."""
+        """Opens a proxy with a new name; records how long the others take to learn its proxy id."""
         name = "booth-new"
         for host in self.system.hosts:
             await host.ask(do="watch", name=name)
@@ -251,7 +265,7 @@
         await self._wait_until_marked(keys=[f"slot {name}"], began_us=[began_us], what="new proxy known")
 
     async def _register_writes(self, *, at_once: int) -> None:
-        """As many changes as the register replicas bear, each of a key of its own."""
+        """Measures register throughput (writes/s) and latency with `at_once` writers, each with a key of its own."""
         until = time.monotonic() + WRITE_PHASE_S
         times: list[float] = []
         failed = 0
@@ -285,7 +299,10 @@
         )
 
     async def _kill_controller(self, *, holder: bool) -> None:
-        """A controller ends without a word: the one that promotes backends, or another that many proxies ask."""
+        """Kills a controller and records the highest age of the proxies' views, in seconds.
+
+        With `holder` it is the holder of the promotion lease, otherwise the other controller that most proxies poll.
+        """
         system = self.system
         parts = system.running(role="guildhall")
         states = [await process.ask(do="status") for process in parts]
@@ -300,7 +317,7 @@
         )
         concerned = controllers_asked.count(victim.options["records"])
         await victim.kill()
-        # why: a duty is taken over when its lease has run out, and what the next holder does then is looked at too
+        # The promotion lease must expire first; the work of the next holder is observed too.
         await asyncio.sleep(HOLDER_LOST_S if holder else CONTROLLER_LOST_S)
         oldest: list[float] = []
         lapsed = left = 0
@@ -308,9 +325,7 @@
             answer = await host.ask(do="look", on=False)
             oldest += [age / 1_000_000 for age in answer["oldest_us"].values()]
             lapsed += sum(age >= answer["lease_us"] for age in answer["oldest_us"].values())
-            left += sum(
-                controllers_asked == victim.options["records"] for controllers_asked in answer["asked"].values()
-            )
+            left += sum(controller == victim.options["records"] for controller in answer["asked"].values())
         self._record_time(
             what=f"oldest view after {'the holder' if holder else 'a controller'} is lost",
             concerned=concerned,
@@ -320,12 +335,10 @@
         )
 
     async def _report_crashes(self) -> None:
-        """What broke inside the children while they were measured."""
+        """Records exceptions that the child processes caught and counted during the measurement."""
         for process in [*self.system.running(role="guildhall"), *self.system.running(role="booths")]:
             options = {"databases": self.step.databases} if process.role == "booths" else {}
             state = await process.ask(do="status", **options)
             if state["crashes"]:
                 self.log_progress(f"{self.step}: {process.name}: {state['crashes']} crashes: {process.log_tail()}")
-                self._record_time(
-                    what="crashes", process=process.name, count=state["crashes"], words=process.log_tail()
-                )
+                self._record_time(what="crashes", part=process.name, count=state["crashes"], words=process.log_tail())
--- a/src/cinderstair/simulation/capacity/naming.py
+++ b/src/cinderstair/simulation/capacity/naming.py
@@ -1,8 +1,8 @@
-"""How hollow things are called, and where they stand."""
+"""Names and zones of emulated proxies, services and backends, and the configuration document for them."""
 
 import json
 
-# three regions with seven zones between them
+# Seven zones in three regions; the first letter of a zone is its region.
 ZONES = ("e1", "e2", "e3", "w1", "w2", "s1", "s2")
 REGIONS = {zone: zone[0] for zone in ZONES}
 REPLICAS = "abc"
@@ -10,6 +10,7 @@
 
 
 def zone_of(*, number: int) -> str:
+    """Distributes instances over the zones by their numbers."""
     return ZONES[number % len(ZONES)]
 
 
@@ -26,7 +27,7 @@
 
 
 def operator_document(*, revision: int, databases: int) -> bytes:
-    """A configuration as an operator sends it: a route and a service for each database."""
+    """Returns a configuration document as operators submit it, with a route and a service for each database."""
     routes = [
         {
             "name": f"route-{number:04}",
--- a/src/cinderstair/simulation/capacity/percentiles.py
+++ b/src/cinderstair/simulation/capacity/percentiles.py
@@ -1,4 +1,4 @@
-"""How times are spread over many observers."""
+"""Percentiles of the times at which many observers saw an event."""
 
 import math
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Percentiles:
-    """`missing` never saw it while they were waited for; they are in no other figure."""
+    """In the unit of the times. `missing` counts observers that timed out; they are in no other figure."""
 
     count: int
     missing: int
@@ -16,7 +16,7 @@
     maximum: float
 
     def value(self) -> dict[str, float | int]:
-        """Without the figures that nobody gave."""
+        """Returns the JSON object; without any times it has only the counts."""
         if not self.count:
             return {"count": 0, "missing": self.missing}
         return {
@@ -29,7 +29,7 @@
 
 
 def percentiles_of(*, times: Sequence[float], missing: int = 0) -> Percentiles:
-    """By the nearest rank, so that each figure is one that was seen."""
+    """Computes percentiles by nearest rank, so that each is a measured time; nan without any times."""
     if not times:
         return Percentiles(count=0, missing=missing, median=math.nan, p99=math.nan, maximum=math.nan)
     ordered = sorted(times)
--- a/src/cinderstair/simulation/capacity/plot.py
+++ b/src/cinderstair/simulation/capacity/plot.py
@@ -1,4 +1,4 @@
-"""A picture of the slopes, where matplotlib is installed."""
+"""Plots measured against fitted values, if matplotlib is installed."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -17,11 +17,11 @@
 
 
 def plot(*, lines: Sequence[dict[str, Any]], path: str) -> str:
-    """Empty where the picture was drawn, else why it was not."""
+    """Writes the plot to a file; returns an error message, or an empty string if it was written."""
     try:
         import matplotlib
     except ImportError:
-        return "no picture: matplotlib is not installed (pip install 'cinderstair[capacity]')"
+        return "no plot: matplotlib is not installed (pip install 'cinderstair[capacity]')"
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
@@ -33,7 +33,7 @@
         steps, values = slope.points(samples=results.samples)
         if fit is None:
             continue
-        # why: with several terms a line over one of them would mislead; measured against fitted shows all
+        # A fit of several terms is no line over any one of them, so values are plotted against the fitted ones.
         fitted = [fit.predict(step=step) for step in steps]
         axis.loglog(fitted, values, "o")
         axis.loglog([min(fitted), max(fitted)], [min(fitted), max(fitted)], "-")
--- a/src/cinderstair/simulation/capacity/projection.py
+++ b/src/cinderstair/simulation/capacity/projection.py
@@ -1,4 +1,4 @@
-"""What each role would take at the users' size, from the slopes of a run."""
+"""Extrapolates the slopes of a run to the target size, for each role."""
 
 import math
 from collections.abc import Callable
@@ -9,16 +9,16 @@
 from .step import Step
 from .target_size import TargetSize
 
-# of the product: how often a proxy tends, a controller looks over the news, a view and a proxy ask
+# Rates of the product, per second: proxy timer, refresh of a controller's relay, polls by each proxy.
 PROXY_TIMER_HZ, RELAY_REFRESH_HZ, PROXY_POLL_HZ = 5.0, 10.0, 4.0
-# a planned change of primary is written as closing, moving and settled, and two backends then say another role
+# A planned change of primary writes the states closing, moving and settled, and two backends report a new role.
 WRITES_PER_PRIMARY_CHANGE, HEARTBEATS_PER_PRIMARY_CHANGE = 3, 2
 PROXY_LEASE_S, PULL_WAIT_S = 1.2, 0.45
 US_PER_S = 1_000_000.0
 
 
 class Projection:
-    """Rows whose slopes a run did not give are left out, and never guessed."""
+    """Rows of projected values against limits. Rows whose slopes the run lacks are left out."""
 
     def __init__(self, *, results: Results, size: TargetSize) -> None:
         self.results = results
@@ -31,18 +31,18 @@
             part()
         self._data_plane()
 
-    # -- what the rows are made of --
+    # -- values and rows --
 
     def slope(self, name: str) -> Fit | None:
         return self.results.slopes.get(name)
 
     def predict(self, name: str) -> float:
-        """A slope at the users' size; nan where the run did not give it."""
+        """Returns a slope at the target size, or nan where the run lacks it."""
         fit = self.slope(name)
         return math.nan if fit is None else fit.predict(step=self.step)
 
     def microbenchmark(self, what: str, quantity: str) -> float:
-        """A single turn as measured at the users' size, else as its slope says."""
+        """Returns a microbenchmark measured at the target size, otherwise extrapolated from its slope."""
         proxies, databases = self.size.proxies, self.size.databases
         direct = self.results.measured(what=what, quantity=quantity, proxies=proxies, databases=databases)
         return self.predict(f"{what} turn {quantity}") if direct is None else direct
@@ -73,7 +73,7 @@
     def _add_fitted_row(
         self, role: str, what: str, name: str, unit: str, *, scale: float = 1.0, limit: float = math.nan
     ) -> float:
-        """A row that rests on one slope; what was reckoned, or nan."""
+        """Adds a row from a single slope; returns the projected value, or nan where the run lacks the slope."""
         fit = self.slope(name)
         if fit is None:
             return math.nan
@@ -98,7 +98,7 @@
 
     def _proxy_bytes(self) -> None:
         size = self.size
-        # why: the users' day says how many are restarted or replaced; the dear case is that all are replaced
+        # The users give one number for restarts and replacements; replacements cost more, so all count as such.
         parts = (
             ("bytes, idle", "proxy idle bytes", 1.0),
             ("bytes for configurations", "proxy bytes a configuration", size.configurations_per_s),
@@ -123,13 +123,11 @@
             + size.restarts_per_s * 2
         )
         limit = size.max_cpu_share
-        self._add_row("booth", "processor, asking", base, "of a core", limit=limit, source="proxy idle processor")
-        self._add_row(
-            "booth", "processor, tending", timer_share, "of a core", limit=limit, source="proxy turn tend_us"
-        )
+        self._add_row("booth", "processor, polling", base, "of a core", limit=limit, source="proxy idle processor")
+        self._add_row("booth", "processor, timer", timer_share, "of a core", limit=limit, source="proxy turn tend_us")
         self._add_row(
             "booth",
-            "processor, reckoning",
+            "processor, pool rebuilds",
             rebuild_s * changes,
             "of a core",
             limit=limit,
@@ -138,7 +136,7 @@
         self._add_row("booth", "processor, all", base + timer_share + rebuild_s * changes, "of a core", limit=limit)
         self._add_row(
             "booth",
-            "one reckoning, its loop stands still",
+            "one pool rebuild, event loop blocked",
             rebuild_s,
             "s",
             limit=PROXY_LEASE_S,
@@ -161,14 +159,14 @@
         self._add_row(
             "booth", "links it keeps open", self.microbenchmark("booth", "links"), "", source="proxy turn links"
         )
-        self._add_row("backend", "links to one primary", float(size.proxies), "", source="one a proxy at the least")
+        self._add_row("backend", "links to one primary", float(size.proxies), "", source="at least one per proxy")
 
     def _proxy_start(self) -> None:
         size = self.size
         take_s = self.predict("whole turn take_us") / US_PER_S
         self._add_row(
             "booth",
-            "start: taking everything in",
+            "start: applying the full answer",
             take_s,
             "s",
             limit=size.max_configuration_s,
@@ -183,14 +181,14 @@
         size = self.size
         self._add_fitted_row("guildhall", "records, idle", "controller idle records", "/s")
         self._add_fitted_row("guildhall", "bytes of records, idle", "controller idle bytes", "B/s")
-        self._add_fitted_row("guildhall", "bytes of beats", "controller idle http", "B/s")
+        self._add_fitted_row("guildhall", "bytes of heartbeats", "controller idle http", "B/s")
         name = "controller bytes a configuration"
         self._add_fitted_row("guildhall", "bytes for configurations", name, "B/s", scale=size.configurations_per_s)
         for term, label in (
-            ("RD", "heartbeats that others heard"),
-            ("MD", "vectors"),
-            ("X", "controllers without a vote that read every key"),
-            ("N/G", "proxies that ask"),
+            ("RD", "heartbeats from other controllers"),
+            ("MD", "version vectors"),
+            ("X", "reads of every key by non-voting controllers"),
+            ("N/G", "polls by proxies"),
         ):
             fit = self.slope("controller idle bytes")
             part = math.nan if fit is None else fit.coefficients.get(term, math.nan) * TERMS[term](self.step)
@@ -198,9 +196,11 @@
             self._add_row(
                 "guildhall", f"of the idle: {label}", part, "B/s", source=term, standard_error=standard_error
             )
-        # why: told whole once to each asker in each life of a register replica; from then on only what came since
+        # A register replica sends its full vector once to each client; later answers carry only the changes.
         vector = self.microbenchmark("guildhall", "vector_bytes")
-        self._add_row("guildhall", "a whole vector, at a start", vector, "B", source="controller turn vector_bytes")
+        self._add_row(
+            "guildhall", "a full version vector, at a start", vector, "B", source="controller turn vector_bytes"
+        )
 
     def _controller_processor(self) -> None:
         size = self.size
@@ -211,9 +211,7 @@
         self._add_fitted_row("guildhall", "processor of the busiest, idle", name, "cores", scale=scale, limit=1.0)
         refresh_share = self.microbenchmark("guildhall", "look_us") * RELAY_REFRESH_HZ / US_PER_S
         source = "controller turn look_us"
-        self._add_row(
-            "guildhall", "of these: looking over the news", refresh_share, "cores", limit=1.0, source=source
-        )
+        self._add_row("guildhall", "of these: relay refresh", refresh_share, "cores", limit=1.0, source=source)
         poll_share = (
             self.microbenchmark("guildhall", "nothing_us")
             * PROXY_POLL_HZ
@@ -222,17 +220,17 @@
             / US_PER_S
         )
         source = "controller turn nothing_us"
-        self._add_row("guildhall", "of these: proxies that ask", poll_share, "cores", limit=1.0, source=source)
+        self._add_row("guildhall", "of these: polls by proxies", poll_share, "cores", limit=1.0, source=source)
         self._add_fitted_row("guildhall", "memory", "controller memory", "B")
 
     def _controller_restarts(self) -> None:
-        """Proxies that begin together ask every controller for everything."""
+        """Proxies that start together request full answers from every controller."""
         size = self.size
         full_answer_s = self.microbenchmark("guildhall", "whole_us") / US_PER_S
         zone = size.proxies / size.zones
         self._add_row(
             "guildhall",
-            "a zone's proxies begin: queue of whole answers",
+            "a zone's proxies start: queue of full answers",
             full_answer_s * zone,
             "s",
             limit=PULL_WAIT_S,
@@ -241,7 +239,7 @@
         lost = full_answer_s * size.proxies / size.controllers / (size.controllers - 1)
         self._add_row(
             "guildhall",
-            "a controller lost: queue of whole answers",
+            "a controller lost: queue of full answers",
             lost,
             "s",
             limit=PULL_WAIT_S,
@@ -258,22 +256,24 @@
             self._add_row("register", "changes", writes, "/s", limit=rate, source="writes by 32")
             self._add_row(
                 "register",
-                "the duty of promotions changes hands: every lead is written",
+                "promotion lease moves: every primary assignment is written",
                 size.databases / rate,
                 "s",
                 limit=size.max_primary_s,
                 source="writes by 32",
             )
 
-        self._add_fitted_row("register", "first leads of all databases", "leads of all databases, seconds", "s")
+        self._add_fitted_row(
+            "register", "first primary assignments of all databases", "leads of all databases, seconds", "s"
+        )
         holder = "oldest view after the holder is lost, max"
-        self._add_fitted_row("booth", "oldest view after the holder is lost", holder, "s", limit=PROXY_LEASE_S)
+        self._add_fitted_row("booth", "oldest view after the lease holder is lost", holder, "s", limit=PROXY_LEASE_S)
         accepted = "configuration accepted, median"
         self._add_fitted_row(
             "guildhall", "configuration accepted (median)", accepted, "s", limit=size.max_configuration_s
         )
         known = self.predict("configuration known, p99")
-        # why: the steps have too few databases for the loop to stand still, and at this size it does
+        # A pool rebuild blocks the event loop at the target size only, so its time is added to the measured delay.
         rebuild_s = self.microbenchmark("booth", "reckon_us") / US_PER_S
         limit = size.max_configuration_s
         source = "configuration known, p99, and proxy turn reckon_us"
@@ -289,7 +289,7 @@
         connection_us = self._first_value("door", "door_read_us")
         self._add_row(
             "booth",
-            "statements: session alone",
+            "statements: session only",
             read_us * statements / US_PER_S,
             "cores",
             limit=1.0,
@@ -297,7 +297,7 @@
         )
         self._add_row(
             "booth",
-            "statements: door and session",
+            "statements: client connection and session",
             connection_us * statements / US_PER_S,
             "cores",
             limit=1.0,
@@ -312,7 +312,7 @@
         )
         self._add_row(
             "booth",
-            "memory of doors with sessions",
+            "memory of client connections with sessions",
             self._first_value("door", "connection_bytes") * sessions,
             "B",
             source="connection_bytes",
@@ -320,7 +320,7 @@
         timer_share = self._first_value("sessions", "tend_us") * sessions * PROXY_TIMER_HZ / US_PER_S
         self._add_row(
             "booth",
-            "sessions at rest looked at",
+            "scan of idle sessions",
             timer_share,
             "of a core",
             limit=size.max_cpu_share,
--- a/src/cinderstair/simulation/capacity/report.py
+++ b/src/cinderstair/simulation/capacity/report.py
@@ -1,4 +1,4 @@
-"""Slopes, times and the reckoning as text."""
+"""Formats slopes, times and the projection as Markdown tables."""
 
 import math
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 def formula(*, fit: Fit) -> str:
-    """Each coefficient with its standard error."""
+    """Formats each coefficient with its standard error and term."""
     parts = []
     for name, value in fit.coefficients.items():
         error = fit.errors.get(name, math.nan)
@@ -22,6 +22,7 @@
 
 
 def report(*, lines: Sequence[dict[str, Any]]) -> str:
+    """Formats the report on the JSON lines of one or more runs."""
     results = Results(lines=lines)
     out = ["## Slopes", "", "| Slope | Fit | Unit | Points | Worst point |", "| --- | --- | --- | --- | --- |"]
     for name, fit in results.slopes.items():
--- a/src/cinderstair/simulation/capacity/results.py
+++ b/src/cinderstair/simulation/capacity/results.py
@@ -1,4 +1,4 @@
-"""The lines of a run, sorted, and the slopes through them."""
+"""The results of a run by kind, and the slopes fitted to them."""
 
 import math
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 from .slopes import SLOPES
 from .step import Step
 
-# what single turns are fitted to: kind, quantity, unit, terms
+# Fits of microbenchmarks: kind, quantity, unit, terms.
 MICROBENCHMARK_FITS: Sequence[tuple[str, str, str, tuple[str, ...]]] = (
     ("booth", "reckon_us", "us", ("1", "D", "DD", "N", "ND")),
     ("booth", "tend_us", "us", ("1", "D")),
@@ -27,7 +27,7 @@
     ("guildhall", "held_bytes", "B", ("1", "D")),
 )
 
-# what takes seconds is fitted too: what, figure, terms
+# Fits of durations in seconds: what, figure, terms.
 DURATION_FITS: Sequence[tuple[str, str, tuple[str, ...]]] = (
     ("leads of all databases", "seconds", ("1", "D", "DD")),
     ("configuration accepted", "median", ("1", "D", "DD")),
@@ -39,12 +39,12 @@
 )
 
 
-# why: a hundredth of late heartbeats is the machine's own unrest; more is a system that sheds what it can't carry
+# Scheduling jitter of the machine delays up to this share of heartbeats; above it the system sheds load.
 MAX_LATE_RATIO = 0.01
 
 
 def unsaturated_samples(*, lines: Sequence[dict[str, Any]]) -> list[Sample]:
-    """The samples of those steps that carried all they were given; shed work would bend every slope."""
+    """Returns the samples of steps without silent backends or late heartbeats; shed load would distort the slopes."""
     kept: list[Sample] = []
     step: list[Sample] = []
     overloaded = False
@@ -60,6 +60,8 @@
 
 
 class Results:
+    """Samples, microbenchmarks, times and fits from the JSON lines of one or more runs."""
+
     def __init__(self, *, lines: Sequence[dict[str, Any]]) -> None:
         self.lines = lines
         self.samples: list[Sample] = unsaturated_samples(lines=lines)
@@ -96,16 +98,17 @@
             try:
                 return fit_significant_terms(steps=steps, values=values, terms=left)
             except ValueError:
-                # why: a short run may not tell all terms apart; the plainer ones come first
+                # Terms are collinear in short runs; the simpler terms come first and stay.
                 left.pop()
         return None
 
     def measured(self, *, what: str, quantity: str, **size: int) -> float | None:
-        """A single turn as it was measured at this very size; None where it was not."""
+        """Returns a microbenchmark's result that was measured at exactly this size, or None."""
         for line in self.microbenchmarks:
             if line["what"] == what and all(line.get(name) == value for name, value in size.items()):
                 return float(line[quantity])
         return None
 
     def time(self, *, what: str) -> list[dict[str, Any]]:
+        """Returns the lines of one kind of duration."""
         return [line for line in self.times if line["what"] == what]
--- a/src/cinderstair/simulation/capacity/sample.py
+++ b/src/cinderstair/simulation/capacity/sample.py
@@ -1,4 +1,4 @@
-"""What one role's processes spent and carried in one phase of one step."""
+"""Resources that the processes of one role used in one phase of a step."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,15 +7,17 @@
 from .reading import Reading
 from .step import Step
 
-# why: a process that is busier than this answers late, and what it sheds or repeats bends every slope
+# CPU share of one core above which a process answers late and sheds or repeats work, which distorts slopes.
 SATURATED_UTILIZATION = 0.7
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """Sums over the processes of a role. `things` is how many proxies, controllers or backends they stand for.
+    """Sums over the processes of a role, between the start and the end of a phase.
 
-    `events` is how often what the phase is named for happened; a phase without events is idle.
+    `instances` is the number of proxies, controllers or backends that the processes run or emulate, `events` how
+    often the event of the phase happened (0 when idle), `seconds` the mean duration, and `max_utilization` the CPU
+    share of the busiest process.
     """
 
     step: Step
@@ -30,22 +32,24 @@
 
     @property
     def saturated(self) -> bool:
+        """Tells whether any of the processes was too busy for its figures to count."""
         return self.max_utilization > SATURATED_UTILIZATION
 
     def rate(self, *, name: str) -> float:
-        """A second, for one thing."""
+        """Returns a counter per second and instance."""
         if not self.instances or self.seconds <= 0:
-            raise ValueError("nothing was measured")
+            raise ValueError("the sample has no instances or no duration")
         return float(getattr(self.delta, name)) / self.seconds / self.instances
 
     def per_event(self, *, name: str, idle: "Sample") -> float:
-        """What one event added for one thing, over what it spends anyway."""
+        """Returns a counter per event and instance, above the rate of the idle sample."""
         if not self.events or idle.step != self.step or idle.role != self.role or not self.instances:
-            raise ValueError("no events, or another step's idle phase")
+            raise ValueError("the sample has no events, or the idle sample is of another step or role")
         spent = float(getattr(self.delta, name)) / self.instances
         return (spent - idle.rate(name=name) * self.seconds) / self.events
 
     def value(self) -> dict[str, Any]:
+        """Returns the JSON object that `read_sample` reads."""
         return {
             "kind": "sample",
             **self.step.value(),
@@ -70,9 +74,9 @@
     before: Sequence[Reading],
     after: Sequence[Reading],
 ) -> Sample:
-    """The sum over one role's processes, each read before and after the phase."""
+    """Sums up the processes of one role, each with a reading before and after the phase; else ValueError."""
     if not before or len(before) != len(after):
-        raise ValueError("every process is read before and after")
+        raise ValueError("every process needs a reading before and after the phase")
     parts = [late.since(before=early) for early, late in zip(before, after, strict=True)]
     names = [name for name in vars(parts[0]) if name != "at_us"]
     seconds = sum(part.at_us for part in parts) / len(parts) / 1_000_000
@@ -91,7 +95,7 @@
 
 
 def read_sample(*, value: dict[str, Any]) -> Sample:
-    """From a line of the results; raises KeyError where a field is missing."""
+    """Reads a sample from a line of the results; KeyError where a field is missing."""
     names = Reading.__dataclass_fields__
     return Sample(
         step=Step(**{name: value[name] for name in Step.__dataclass_fields__}),
--- a/src/cinderstair/simulation/capacity/slope.py
+++ b/src/cinderstair/simulation/capacity/slope.py
@@ -1,4 +1,4 @@
-"""Which quantity of which role is fitted to which terms."""
+"""One quantity of one role, and the terms to which it is fitted."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Slope:
-    """`value` is given the phase's sample and the idle one of the same step and role."""
+    """`value` computes the quantity from the phase's sample and the idle sample of the same step and role.
+
+    With `per_process`, N is the number of proxies in each process, as memory can be measured per process only.
+    """
 
     name: str
     role: str
@@ -20,18 +23,17 @@
     unit: str
     terms: tuple[str, ...]
     value: Value
-    # memory is of a process, so proxies that share one are counted by the process
     per_process: bool = False
 
     def points(self, *, samples: Sequence[Sample]) -> tuple[list[Step], list[float]]:
-        """Only of processes that kept up: one that is too busy sheds work, and bends the slope."""
+        """Returns steps and values, without those of saturated processes, which shed work and distort the slope."""
         idle: Sample | None = None
         steps: list[Step] = []
         values: list[float] = []
         for sample in samples:
             if sample.role != self.role or not sample.instances:
                 continue
-            # why: each step tells how it idles before it tells of events, and a step may be run more than once
+            # The idle sample precedes the event samples of its step, and a step may be run more than once.
             if sample.phase == "idle":
                 idle = sample
             if sample.phase != self.phase or sample.saturated:
@@ -51,7 +53,7 @@
         return steps, values
 
     def fit(self, *, samples: Sequence[Sample]) -> Fit | None:
-        """None where there are too few points for any fit."""
+        """Fits the significant terms; None where there are too few points for any fit."""
         steps, values = self.points(samples=samples)
         terms = [
             term for term in self.terms if len({_column(term=term, step=step) for step in steps}) > 1 or term == "1"
@@ -62,7 +64,7 @@
             try:
                 return fit_significant_terms(steps=steps, values=values, terms=terms)
             except ValueError:
-                # why: a short run may not tell all terms apart; the plainer ones come first
+                # Terms are collinear in short runs; the simpler terms come first and stay.
                 terms.pop()
         return None
 
--- a/src/cinderstair/simulation/capacity/slopes.py
+++ b/src/cinderstair/simulation/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""All slopes that are fitted to a run."""
+"""The slopes that are fitted to the samples of a run."""
 
 from collections.abc import Sequence
 
@@ -10,25 +10,26 @@
 
 
 def rate(*names: str) -> Value:
+    """The sum of these counters per second and instance."""
     return lambda sample, idle: sum(sample.rate(name=name) for name in names)
 
 
 def per_event(*names: str) -> Value:
-    """Of one event, for one of the role's things."""
+    """The sum of these counters per event and instance, above the idle rate."""
 
     def value(sample: Sample, idle: Sample | None) -> float:
         if idle is None:
-            raise ValueError("nothing is known of this step at rest")
+            raise ValueError("the step has no idle sample")
         return sum(sample.per_event(name=name, idle=idle) for name in names)
 
     return value
 
 
 def excess_bytes(sample: Sample, idle: Sample | None) -> float:
-    """Bytes of one event for one thing, over what as many records carry at rest."""
+    """Bytes per event and instance, above what the same number of records carries when idle."""
     if idle is None or not sample.events:
-        raise ValueError("nothing is known of this step at rest")
-    # why: a loop that is busy with the event asks less often meanwhile, and time would then take off too much
+        raise ValueError("the step has no idle sample, or the phase no events")
+    # Idle bytes are subtracted per record, not per second: a proxy that is busy with the event polls less often.
     records = sum(getattr(idle.delta, name) for name in RECORDS)
     usual = sum(getattr(idle.delta, name) for name in BYTES) / max(1, records)
     found = sum(getattr(sample.delta, name) for name in BYTES)
@@ -37,11 +38,12 @@
 
 
 def per_event_of_role(*names: str) -> Value:
-    """Of one event, for the whole role: where an event concerns one proxy alone."""
+    """The sum of these counters per event over the whole role, for events that concern a single proxy."""
     return lambda sample, idle: per_event(*names)(sample, idle) * sample.instances
 
 
 def rss_per_process(sample: Sample, idle: Sample | None) -> float:
+    """Resident memory per process, in bytes."""
     return sample.delta.rss_bytes / sample.processes
 
 
--- a/src/cinderstair/simulation/capacity/target_size.py
+++ b/src/cinderstair/simulation/capacity/target_size.py
@@ -1,4 +1,4 @@
-"""The size that the users expect within two years, and the limits that they set for it."""
+"""The size of the system that users expect within two years, and their limits for it."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TargetSize:
+    """Numbers of instances, load, and limits: shares of a core, bytes, bytes per second and seconds."""
+
     proxies: int = 2_000
     databases: int = 3_500
-    # the machines that are set aside for control
+    # machines dedicated to controllers
     controllers: int = 21
     voters: int = 5
     zones: int = 7
@@ -21,7 +23,7 @@
     primaries_per_database_per_day: int = 2
     restarts_per_day: int = 970
     heartbeat_interval_s: float = 1.2
-    # what control may take of one daemon
+    # limits for the control plane within one proxy
     max_cpu_share: float = 0.026
     max_bytes: int = 64_000_000
     max_bytes_s: int = 17_000
@@ -30,6 +32,7 @@
 
     @property
     def step(self) -> Step:
+        """The size as a step, to evaluate fits at."""
         return Step(controllers=self.controllers, proxies=self.proxies, databases=self.databases, voters=self.voters)
 
     @property
