--- a/features/simulation/capacity/capacity.feature
+++ b/features/simulation/capacity/capacity.feature
@@ -115,8 +115,8 @@
     Given a run that may use 3 cores and has 100 s left
     When a proxy of a step with 10 proxies and 10 databases was seen to idle at 0.01 cores
     Then a step of 200 proxies and 10 databases may begin
-    And a step of 400 proxies and 10 databases may not, since "its proxies alone would idle at 4.0 cores"
-    And with 20 s left a step of 10 proxies and 3 databases may not, since "20 s are left"
+    And a step of 400 proxies and 10 databases may not, since "its idle proxies would use 4.0 cores"
+    And with 20 s left a step of 10 proxies and 3 databases may not, since "only 20 s are left"
 
   Scenario: A hollow link answers as a backend would and opens nothing
     Given a made-up proxy before 3 databases
--- a/src/cinderstair/simulation/capacity/__init__.py
+++ b/src/cinderstair/simulation/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: hollow proxies and databases before real controllers, and the slopes of what each role costs."""
+"""Capacity tool: measures what each role costs, fits slopes to it and extrapolates them to a target size."""
--- a/src/cinderstair/simulation/capacity/__main__.py
+++ b/src/cinderstair/simulation/capacity/__main__.py
@@ -1,7 +1,7 @@
-"""Measures what each role costs by the numbers of proxies and databases: hollow ones before real controllers.
+"""Measures what each role costs by the numbers of proxies and databases, with real controllers and stub backends.
 
-Starts processes on loopback, takes a few minutes, stops by itself and leaves nothing behind. Progress goes to
-standard error, results as lines of JSON to --out, and what follows from them to standard output.
+Starts processes on loopback, takes a few minutes, and stops its processes and deletes their files at the end.
+Progress goes to standard error, results go to --out as lines of JSON, and the report to standard output.
 """
 
 import argparse
@@ -24,23 +24,23 @@
 
 def parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(prog="python -m cinderstair.simulation.capacity", description=__doc__)
-    made.add_argument("--out", default="", help="where the results go, a line of JSON each")
+    made.add_argument("--out", default="", help="file for the results, a line of JSON each")
     made.add_argument(
         "--steps",
         default=STEPS,
-        help="controllers:proxies:databases[:voters], with spaces between (default: %(default)s)",
+        help="controllers:proxies:databases[:voters], separated by spaces (default: %(default)s)",
     )
-    made.add_argument("--seconds", type=float, default=540, help="the whole run ends after these (%(default)s)")
-    made.add_argument("--cores", type=float, default=3, help="steps that idle above so many end early (%(default)s)")
-    made.add_argument("--memory-gb", type=float, default=10, help="and those above so much memory (%(default)s)")
+    made.add_argument("--seconds", type=float, default=540, help="time limit of the run (%(default)s)")
+    made.add_argument("--cores", type=float, default=3, help="stop steps that use more when idle (%(default)s)")
+    made.add_argument("--memory-gb", type=float, default=10, help="stop steps that use more memory (%(default)s)")
     made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--commit", default="", help="the sources' commit, where they are no checkout")
-    made.add_argument("--no-alone", action="store_true", help="no single turns, the wires alone")
-    made.add_argument("--no-wires", action="store_true", help="single turns alone")
+    made.add_argument("--commit", default="", help="commit of the sources, if they are not a git checkout")
+    made.add_argument("--no-alone", action="store_true", help="skip the microbenchmarks")
+    made.add_argument("--no-wires", action="store_true", help="run the microbenchmarks only")
     made.add_argument(
-        "--from", dest="sources", nargs="*", default=[], help="measure nothing; report on these results"
+        "--from", dest="sources", nargs="*", default=[], help="report on these results without measuring"
     )
-    made.add_argument("--plot", default="", help="a picture of the slopes; needs matplotlib (extra 'capacity')")
+    made.add_argument("--plot", default="", help="file for a plot of the slopes; needs matplotlib (extra 'capacity')")
     return made
 
 
@@ -52,7 +52,7 @@
     steps = [read_step(text=text) for text in options.steps.split()]
     task = asyncio.current_task()
     assert task is not None
-    # why: whoever ends the tool must not be left with its processes and folders
+    # SIGTERM cancels the run, so that its processes and folders are removed.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     with out.open("w") as file:
 
@@ -81,14 +81,14 @@
 def main() -> int:
     options = parser().parse_args()
     if not options.sources and not options.out:
-        print("--out names no file for the results", file=sys.stderr)
+        print("--out is required: the file for the results", file=sys.stderr)
         return 2
     sources = [Path(each) for each in options.sources or [options.out]]
     if not options.sources:
         try:
             asyncio.run(measured(options=options, out=sources[0]))
         except (KeyboardInterrupt, asyncio.CancelledError):
-            log_progress("stopped before its end")
+            log_progress("interrupted")
             return STOPPED
     lines = [json.loads(line) for source in sources for line in source.read_text().splitlines()]
     print(report(lines=lines))
--- a/src/cinderstair/simulation/capacity/child.py
+++ b/src/cinderstair/simulation/capacity/child.py
@@ -1,4 +1,4 @@
-"""One process of the tool: it does what it is told on its standard input, and ends when that ends."""
+"""Base of the child processes: runs commands from standard input until it is closed."""
 
 import asyncio
 import json
@@ -21,29 +21,36 @@
 
 
 def now_us() -> int:
-    """One clock for all processes of this machine."""
+    """Returns the monotonic clock, which all processes of a machine share."""
     return time.monotonic_ns() // 1_000
 
 
 def rss_bytes() -> int:
-    """Resident memory of this process as the system counts it."""
+    """Returns the resident memory of this process, as the kernel counts it."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 def cpu_us() -> int:
+    """Returns the CPU time that this process has used."""
     return time.process_time_ns() // 1_000
 
 
 def use_adapter() -> None:
-    """Puts the platform's adapter on the path; the root folder stays off it, for the standard module's sake."""
+    """Adds the adapter's folder to the import path.
+
+    The project root is not added: its folder `platform` would shadow the standard module.
+    """
     if not PLATFORM.is_dir():
-        raise FileNotFoundError(f"{PLATFORM}: the tool runs from a checkout, which has the adapter beside src")
+        raise FileNotFoundError(
+            f"{PLATFORM}: not found; run the tool from a checkout, which has the adapter beside src"
+        )
     if str(PLATFORM) not in sys.path:
         sys.path.insert(0, str(PLATFORM))
 
 
 def metered_context(*, name: str, site: str, disk: Disk, seed: int) -> Context:
+    """Returns a daemon's context with real clocks and a network that counts its traffic."""
     counters = Counters()
     return Context(
         name=name,
@@ -59,6 +66,7 @@
 
 
 def reading_of(*, nets: list[MeteredNet], http: tuple[int, int] = (0, 0), syncs: int = 0) -> Reading:
+    """Reads this process's counters, with the traffic of all its networks."""
     return Reading(
         at_us=now_us(),
         cpu_us=cpu_us(),
@@ -74,24 +82,31 @@
 
 
 class Child:
-    """A command is a line of JSON with `do`; the method of that name gives the answer, in one line."""
+    """Reads commands as lines of JSON and answers each with a line of JSON.
+
+    The field `do` of a command selects the method do_<name>, the other fields are its arguments.
+    """
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Runs before the first command."""
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Runs after the last command."""
 
     async def dispatch(self, *, command: dict[str, Any]) -> dict[str, Any]:
+        """Runs one command and returns its answer."""
         method = getattr(self, f"do_{command.pop('do')}")
         result: dict[str, Any] = await method(**command)
         return result
 
     async def run(self) -> None:
+        """Serves commands until standard input is closed."""
         logging.basicConfig(level=logging.WARNING, format="%(levelname)s %(name)s %(message)s", stream=sys.stderr)
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         await self.start()
-        # why: a parent that is gone closes the pipe, and so nothing outlives it
+        # The pipe closes when the parent ends, so that no child outlives it.
         while line := await reader.readline():
             answer = await self.dispatch(command=json.loads(line))
             sys.stdout.write(json.dumps(answer) + "\n")
--- a/src/cinderstair/simulation/capacity/child_process.py
+++ b/src/cinderstair/simulation/capacity/child_process.py
@@ -1,4 +1,4 @@
-"""A child process, as its parent sees it."""
+"""The parent's handle of a child process."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 class ChildProcess:
-    """Starts, asks and ends one child; only what was started here is ever ended here."""
+    """Starts one child process, sends it commands and stops it. Its standard error goes to a log file."""
 
     def __init__(self, *, role: str, name: str, options: dict[str, Any], folder: Path) -> None:
         self.role = role
@@ -44,7 +44,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def ask(self, *, do: str, wait_s: float = 60.0, **options: Any) -> dict[str, Any]:
-        """RuntimeError where it has ended or does not answer in time."""
+        """Sends a command and returns the answer; RuntimeError if the child has ended or doesn't answer in time."""
         process = self.process
         if process is None or process.stdin is None or process.stdout is None:
             raise RuntimeError(f"{self.name} was not started")
@@ -54,7 +54,7 @@
                 await process.stdin.drain()
                 line = await process.stdout.readline()
         except TimeoutError as error:
-            raise RuntimeError(f"{self.name} does not answer to {do}") from error
+            raise RuntimeError(f"{self.name} did not answer {do!r} within {wait_s:.0f} s") from error
         except ConnectionError:
             line = b""
         if not line:
@@ -63,18 +63,21 @@
         return answer
 
     def log_tail(self) -> str:
+        """Returns the end of the child's log."""
         return self.log.read_text(errors="replace")[-600:] if self.log.exists() else ""
 
     async def reading(self) -> Reading:
+        """Reads the child's resource counters."""
         return read_reading(value=await self.ask(do="read"))
 
     async def kill(self) -> None:
-        """At once, as a machine that fails."""
+        """Kills the child without notice, as when a machine fails."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     async def stop(self) -> None:
+        """Closes the child's standard input, which ends it; kills it after STOP_TIMEOUT_S."""
         process = self.process
         if process is None or process.returncode is not None:
             return
--- a/src/cinderstair/simulation/capacity/children.py
+++ b/src/cinderstair/simulation/capacity/children.py
@@ -1,4 +1,4 @@
-"""The tool's child processes: `python -m cinderstair.simulation.capacity.children ROLE OPTIONS`."""
+"""Entry point of the child processes: `python -m cinderstair.simulation.capacity.children ROLE OPTIONS`."""
 
 import asyncio
 import json
@@ -10,7 +10,8 @@
 
 
 def create_child(*, role: str, options: dict[str, Any]) -> Child:
-    # why: each child loads only what its role needs, since its memory is what is measured
+    """Returns the child of a role; ValueError for an unknown role."""
+    # Modules are imported by role, since a child's memory is measured.
     if role == "guildhall":
         from .controller_child import ControllerChild
 
@@ -27,7 +28,7 @@
         from .microbenchmark_child import MicrobenchmarkChild
 
         return MicrobenchmarkChild(options=options)
-    raise ValueError(f"no such role: {role}")
+    raise ValueError(f"unknown role {role!r}")
 
 
 async def main() -> None:
@@ -35,6 +36,6 @@
 
 
 if __name__ == "__main__":
-    # why: a Ctrl-C reaches the whole group; the parent ends its children in order
+    # Ctrl-C reaches the whole process group; the parent stops its children in order.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     asyncio.run(main())
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -1,4 +1,4 @@
-"""A real controller in a process of its own, before backends that are not there."""
+"""A real controller in a process of its own, with stub backends."""
 
 from pathlib import Path
 from typing import Any
@@ -11,6 +11,8 @@
 
 
 class ControllerChild(Child):
+    """Runs the platform's controller role and counts the bytes of its HTTP connections."""
+
     def __init__(self, *, options: dict[str, Any]) -> None:
         use_adapter()
         from adapter.controller_role import ControllerRole
@@ -42,7 +44,7 @@
         )
         self.role = ControllerRole(self.ctx, machine, MeteredStreams(), self._halt)
         controller = self.role.controller
-        # why: on one loopback address each has ports of its own, which the platform's settings have no words for
+        # Controllers share a loopback address and differ in ports, which the platform's settings can't express.
         controller.settings = _with_loopback_addresses(settings=controller.settings, options=options)
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
--- a/src/cinderstair/simulation/capacity/heartbeat_child.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_child.py
@@ -1,4 +1,4 @@
-"""Hollow databases: three backends each, which beat over HTTP and are nothing else."""
+"""Load generator for heartbeats: sends those of three backends per database over HTTP."""
 
 import asyncio
 import json
@@ -8,12 +8,14 @@
 from .heartbeat_connection import HeartbeatConnection
 from .naming import REPLICAS, backend_name, service_name, zone_of
 
-# how many requests one controller is asked at a time
+# Each connection has at most one request in flight.
 CONNECTIONS_PER_CONTROLLER = 6
 RECONNECT_DELAY_S = 0.2
 
 
 class HeartbeatChild(Child):
+    """Sends one heartbeat of every backend in each interval, over a fixed number of connections."""
+
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.controls: list[str] = options["controls"]
         self.every_us: int = options["every_us"]
@@ -35,7 +37,7 @@
             self.tasks.append(asyncio.create_task(self._heartbeat(index=index, backends=backends)))
 
     async def _heartbeat(self, *, index: int, backends: list[tuple[int, str]]) -> None:
-        """Every backend of this line once in each round, evenly spread over it."""
+        """Sends a heartbeat of each of these backends once per interval, evenly distributed over the interval."""
         interval_us = self.every_us // len(backends)
         due_us = now_us() + interval_us * index // (len(self.controls) * CONNECTIONS_PER_CONTROLLER)
         target = index % len(self.controls)
@@ -44,7 +46,7 @@
         while True:
             await asyncio.sleep(max(0, due_us - now_us()) / 1_000_000)
             due_us += interval_us
-            # why: a line that fell behind goes on at its pace; to catch up would be a membership of its own making
+            # A late heartbeat shifts the later ones; catching up would send a burst that real backends don't send.
             if due_us < now_us():
                 self.late += 1
                 due_us = now_us()
@@ -65,7 +67,7 @@
             except (OSError, TimeoutError):
                 self.failed += 1
                 connection = None
-                # why: a controller that is gone is left for the next one, as a backend does
+                # Backends also change to the next controller when one fails.
                 target = (target + 1) % len(self.controls)
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
--- a/src/cinderstair/simulation/capacity/heartbeat_connection.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_connection.py
@@ -1,10 +1,10 @@
-"""One lasting connection over which hollow backends beat, one request after the other."""
+"""A persistent HTTP connection to a controller, with one request in flight."""
 
 import asyncio
 
 
 class HeartbeatConnection(asyncio.Protocol):
-    """Knows only as much of HTTP as a control edge's short answers need."""
+    """A minimal HTTP client: PUT requests, and responses with a Content-Length or without a body."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -34,12 +34,12 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.status is not None and not self.status.done():
-            self.status.set_exception(ConnectionResetError("the line is lost"))
+            self.status.set_exception(ConnectionResetError("connection lost"))
 
     async def put(self, *, host: str, path: str, body: bytes) -> int:
-        """The status; ConnectionError where the line is lost."""
+        """Sends a request and returns the status code; ConnectionError if the connection is lost."""
         if self.transport is None:
-            raise ConnectionResetError("no line")
+            raise ConnectionResetError("not connected")
         self.status = asyncio.get_running_loop().create_future()
         head = f"PUT {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n"
         self.transport.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
--- a/src/cinderstair/simulation/capacity/instrumented_proxy.py
+++ b/src/cinderstair/simulation/capacity/instrumented_proxy.py
@@ -1,4 +1,4 @@
-"""A real proxy without clients and without links, and the moments at which it knew things."""
+"""A real proxy with stub links and no clients, which records when it learns of changes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,6 +14,11 @@
 
 
 class InstrumentedProxy:
+    """`marks` has the time in microseconds at which each configuration, primary and watched proxy id was first seen.
+
+    `max_view_age_us` is the highest age of the view that `record_view_age` has observed.
+    """
+
     def __init__(
         self, *, name: str, site: str, seeds: tuple[str, ...], seed: int, watched_name: Callable[[], str]
     ) -> None:
@@ -30,7 +35,7 @@
             return 1 if REGIONS.get(other) == REGIONS.get(site) else 3
 
         self.proxy = Proxy(ctx=self.ctx, site=site, seeds=lambda: seeds, dialer=stub_dialer, distance=distance)
-        # why: the router listens first, so what is marked here has been reckoned with already
+        # The router subscribed first, so it has applied a change before it is marked here.
         self.proxy.view.changes.subscribe(self._changed)
 
     @property
@@ -55,7 +60,7 @@
         self.marks.setdefault(key, now_us())
 
     def has_full_view(self, *, databases: int) -> bool:
-        """Whether it has all that it needs to serve."""
+        """Tells whether the view has all that the proxy needs to serve."""
         view = self.proxy.view
         return (
             view.plan is not None
@@ -65,7 +70,7 @@
         )
 
     def record_view_age(self) -> None:
-        """Takes note of how old the view has come to be."""
+        """Updates the highest observed age of the view."""
         self.max_view_age_us = max(self.max_view_age_us, now_us() - self.proxy.view.as_of_us)
 
     async def start(self) -> None:
@@ -73,7 +78,7 @@
 
     async def stop(self) -> None:
         self.proxy.stop()
-        # why: ticks of reactivex outlive the proxy that asked for them, and without a plan they do nothing
+        # Timers of reactivex outlive the proxy; without a plan they do nothing.
         self.proxy.view.plan = None
         self.proxy.router.pools.clear()
         await self.ctx.net.close()
--- a/src/cinderstair/simulation/capacity/measurement.py
+++ b/src/cinderstair/simulation/capacity/measurement.py
@@ -141,22 +141,24 @@
         await asyncio.sleep(IDLE_S)
         after = await system.readings()
         self._record_samples(phase="idle", events=0, before=before, after=after)
-        spent = {name: (after[name].cpu_us - before[name].cpu_us) / 1_000_000 / IDLE_S for name in after}
+        cores_used = {name: (after[name].cpu_us - before[name].cpu_us) / 1_000_000 / IDLE_S for name in after}
         memory = sum(reading.rss_bytes for reading in after.values())
         states = await system.states()
         heartbeats = await system.heartbeats.ask(do="status")
         quiet = max(state["quiet"] for state in states)
         self._record_time(
             what="whole",
-            cores=round(sum(spent.values()), 3),
+            cores=round(sum(cores_used.values()), 3),
             memory=memory,
             processes=len(after),
             heartbeats=heartbeats,
             quiet=quiet,
         )
-        self.log_progress(f"{self.step}: idle {sum(spent.values()):.2f} cores, {memory / 1e6:.0f} MB, quiet {quiet}")
-        if sum(spent.values()) > self.cores or memory > self.max_bytes:
-            raise OverBudget(f"{sum(spent.values()):.2f} cores, {memory / 1e6:.0f} MB")
+        self.log_progress(
+            f"{self.step}: idle {sum(cores_used.values()):.2f} cores, {memory / 1e6:.0f} MB, quiet {quiet}"
+        )
+        if sum(cores_used.values()) > self.cores or memory > self.max_bytes:
+            raise OverBudget(f"{sum(cores_used.values()):.2f} cores, {memory / 1e6:.0f} MB")
 
     async def _phase(self, *, name: str, act: Callable[[], Any], events: int) -> None:
         """Samples all processes around an action that causes this number of events."""
@@ -233,7 +235,7 @@
         return assignment.term, self.system.ctx.now_us()
 
     async def _restart_proxies(self, *, count: int) -> None:
-        """Closes proxies without notice and reopens them by name; records the time until they have a configuration."""
+        """Closes proxies without notice and reopens them; records the time until they have a configuration."""
         names = [proxy_name(number=n * self.step.proxies // count) for n in range(count)]
         for name in names:
             host = self.system.host_of_proxy[name]
@@ -304,33 +306,33 @@
         With `holder` it is the holder of the promotion lease, otherwise the other controller that most proxies poll.
         """
         system = self.system
-        parts = system.running(role="guildhall")
-        states = [await process.ask(do="status") for process in parts]
-        holding = [process for process, state in zip(parts, states, strict=True) if state["holds"]]
-        others = [process for process in parts if process not in holding]
+        controllers = system.running(role="guildhall")
+        states = [await process.ask(do="status") for process in controllers]
+        holding = [process for process, state in zip(controllers, states, strict=True) if state["holds"]]
+        others = [process for process in controllers if process not in holding]
         controllers_asked = [
             name for host in system.hosts for name in (await host.ask(do="look", on=True))["asked"].values()
         ]
         candidates = holding if holder and holding else others
-        victim: ChildProcess = max(
+        target: ChildProcess = max(
             candidates, key=lambda process: controllers_asked.count(process.options["records"])
         )
-        concerned = controllers_asked.count(victim.options["records"])
-        await victim.kill()
+        concerned = controllers_asked.count(target.options["records"])
+        await target.kill()
         # The promotion lease must expire first; the work of the next holder is observed too.
         await asyncio.sleep(HOLDER_LOST_S if holder else CONTROLLER_LOST_S)
         oldest: list[float] = []
-        lapsed = left = 0
+        lapsed = still_polling = 0
         for host in system.hosts:
             answer = await host.ask(do="look", on=False)
             oldest += [age / 1_000_000 for age in answer["oldest_us"].values()]
             lapsed += sum(age >= answer["lease_us"] for age in answer["oldest_us"].values())
-            left += sum(controller == victim.options["records"] for controller in answer["asked"].values())
+            still_polling += sum(controller == target.options["records"] for controller in answer["asked"].values())
         self._record_time(
             what=f"oldest view after {'the holder' if holder else 'a controller'} is lost",
             concerned=concerned,
             lapsed=lapsed,
-            still_there=left,
+            still_there=still_polling,
             **percentiles_of(times=oldest).value(),
         )
 
--- a/src/cinderstair/simulation/capacity/memory_transport.py
+++ b/src/cinderstair/simulation/capacity/memory_transport.py
@@ -1,11 +1,11 @@
-"""A connection in memory, for the adapter's door."""
+"""An in-memory transport for the adapter's client connection."""
 
 import asyncio
 from typing import Any
 
 
 class MemoryTransport:
-    """Keeps the last answer."""
+    """Passes requests to a protocol and keeps its last response."""
 
     def __init__(self, *, protocol: Any) -> None:
         self.protocol = protocol
@@ -18,6 +18,7 @@
             self.answered.set_result(None)
 
     async def ask(self, line: bytes) -> None:
+        """Sends a request and waits for the response."""
         self.answered = asyncio.get_running_loop().create_future()
         self.protocol.data_received(line)
         await self.answered
--- a/src/cinderstair/simulation/capacity/metered_net.py
+++ b/src/cinderstair/simulation/capacity/metered_net.py
@@ -1,4 +1,4 @@
-"""A lean daemon's network that counts what goes through it."""
+"""A network for records that counts its traffic."""
 
 from expression import Result
 
@@ -10,7 +10,7 @@
 
 
 class MeteredNet(RecordNet):
-    """Records that are never answered count as sent alone."""
+    """Counts records and their bytes with frame headers. An unanswered request counts as sent only."""
 
     def __init__(self, *, counters: Counters) -> None:
         super().__init__(counters=counters)
--- a/src/cinderstair/simulation/capacity/metered_protocol.py
+++ b/src/cinderstair/simulation/capacity/metered_protocol.py
@@ -8,7 +8,7 @@
 
 
 class MeteredTransport:
-    """Passes everything on; only writes are looked at."""
+    """Counts written bytes and passes everything else on."""
 
     def __init__(self, *, transport: Any, count: Count) -> None:
         self.transport = transport
@@ -23,6 +23,8 @@
 
 
 class MeteredProtocol(asyncio.Protocol):
+    """Wraps a protocol; calls `count` with the numbers of received and written bytes."""
+
     def __init__(self, *, inner: Any, count: Count) -> None:
         self.inner = inner
         self.count = count
--- a/src/cinderstair/simulation/capacity/microbenchmark_child.py
+++ b/src/cinderstair/simulation/capacity/microbenchmark_child.py
@@ -1,4 +1,4 @@
-"""One proxy, or one controller's relay, alone in a process: what single turns of its work cost at any size."""
+"""Microbenchmarks of single operations of a proxy and of a controller's relay, without network, at any size."""
 
 import asyncio
 import gc
@@ -32,17 +32,19 @@
 from .stub_link import stub_dialer
 from .synthetic_state import BALLOT, announcements_of, assignment_value, full_answer, plan_of, proxy_ids_of
 
+# An operation is repeated until either is reached.
 MIN_CPU_S = 0.15
 MAX_ITERATIONS = 200
 DISTANCES = {"e1": 0, "e2": 1, "e3": 1}
 
 
 def distance(site: str) -> int:
+    """Distance of a zone from zone e1, where the benchmarked proxies are."""
     return DISTANCES.get(site, 3)
 
 
 def cpu_cost_us(work: Callable[[], Any]) -> float:
-    """Processor time of one turn, over enough of them to be told from the clock's grain."""
+    """Returns the mean CPU time of an operation, repeated often enough for the resolution of the clock."""
     gc.collect()
     began, iterations = time.process_time(), 0
     while iterations < MAX_ITERATIONS and time.process_time() - began < MIN_CPU_S:
@@ -52,6 +54,8 @@
 
 
 class MicrobenchmarkChild(Child):
+    """Runs one benchmark per command. Times are CPU times in microseconds, memory is resident memory in bytes."""
+
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.options = options
         self.number = 0
@@ -61,7 +65,7 @@
         return metered_context(name=name, site="e1", disk=NoDisk(), seed=self.number)
 
     def _router(self, *, proxies: int, databases: int) -> Router:
-        """A router whose view holds everything, put there at once rather than value by value."""
+        """Returns a router with a complete view, filled directly instead of by a relay's answer."""
         ctx = self._context(name=proxy_name(number=min(1, proxies - 1)))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
         router = Router(ctx=ctx, view=view, dialer=stub_dialer, distance=distance)
@@ -77,7 +81,7 @@
         return router
 
     async def do_booth(self, *, proxies: int, databases: int) -> dict[str, Any]:
-        """One turn of each thing that a proxy does, and the memory of all that it holds."""
+        """Measures a proxy's first and later pool rebuilds, its timer, and the memory of its view and pools."""
         gc.collect()
         before = rss_bytes()
         router = self._router(proxies=proxies, databases=databases)
@@ -86,7 +90,7 @@
         first_us = (time.process_time() - began) * 1_000_000
         rebuild_us = cpu_cost_us(router.rebuild_pools)
         router.on_timer()
-        # why: links that tending asks for are opened in later turns of the loop, and tended ones cost less
+        # Links that the timer requests open in later iterations of the event loop; with them the timer costs less.
         for _ in range(3):
             await asyncio.sleep(0.01)
             router.on_timer()
@@ -107,7 +111,7 @@
         }
 
     async def do_whole(self, *, proxies: int, databases: int) -> dict[str, Any]:
-        """What it costs a proxy to take everything in, value by value, as it does when it begins."""
+        """Measures how long a starting proxy takes to apply the full answer of a relay, and the answer's size."""
         answer = full_answer(proxies=proxies, databases=databases, controllers=21)
         ctx = self._context(name=proxy_name(number=0))
         view = RelayedView(ctx=ctx, site="e1", seeds=tuple)
@@ -118,7 +122,7 @@
         return {"take_us": (time.process_time() - began) * 1_000_000, "answer_bytes": len(data)}
 
     async def do_guildhall(self, *, proxies: int, databases: int, sources: int) -> dict[str, Any]:
-        """One turn of each thing that a controller does for proxies, backends and its like."""
+        """Measures what a controller does for proxies, backends and other controllers, and sizes of its answers."""
         gc.collect()
         before = rss_bytes()
         ctx = self._context(name="guildhall-0")
@@ -155,30 +159,31 @@
         gc.collect()
         held_bytes = rss_bytes() - before
 
-        async def answered(source: int, revision: int) -> bytes:
+        async def answer_to(source: int, revision: int) -> bytes:
             question = RelayQuestion(proxy="booth-0001", site="e1", source=source, revision=revision)
             return await relay.answer(Unpacker(data=question.write(packer=Packer()).bytes()))
 
-        full = await answered(0, 0)
-        unchanged = await answered(relay.source, relay.revision)
+        full = await answer_to(0, 0)
+        unchanged = await answer_to(relay.source, relay.revision)
         vector = Packer().u8(value=0)
         vector.many(values=list(view.known), each=lambda p, key: BALLOT.write(packer=p.text(value=key)))
         asked = Packer().many(values=[], each=lambda p, e: None).bytes()
-        news_answer = await heartbeat_table.answer(Unpacker(data=asked))
+        heartbeat_answer = await heartbeat_table.answer(Unpacker(data=asked))
         return {
             "held_bytes": held_bytes,
             "look_us": cpu_cost_us(relay.refresh),
-            "whole_us": await self._async_cpu_cost_us(lambda: answered(0, 0)),
+            "whole_us": await self._async_cpu_cost_us(lambda: answer_to(0, 0)),
             "whole_bytes": len(full),
-            "nothing_us": await self._async_cpu_cost_us(lambda: answered(relay.source, relay.revision)),
+            "nothing_us": await self._async_cpu_cost_us(lambda: answer_to(relay.source, relay.revision)),
             "nothing_bytes": len(unchanged),
             "vector_bytes": len(vector.bytes()),
             "news_vector_us": cpu_cost_us(heartbeat_table.version_vector),
-            "news_entry_bytes": len(news_answer) / max(1, len(announcements)),
+            "news_entry_bytes": len(heartbeat_answer) / max(1, len(announcements)),
             "news_answer_us": await self._async_cpu_cost_us(lambda: heartbeat_table.answer(Unpacker(data=asked))),
         }
 
     async def _async_cpu_cost_us(self, work: Callable[[], Awaitable[Any]]) -> float:
+        """Does the same as `cpu_cost_us` for a coroutine."""
         gc.collect()
         began, iterations = time.process_time(), 0
         while iterations < MAX_ITERATIONS and time.process_time() - began < MIN_CPU_S:
@@ -200,10 +205,10 @@
         return proxy
 
     async def do_statements(self, *, databases: int, sessions: int, rounds: int) -> dict[str, Any]:
-        """Processor time of a statement: sessions side by side over links in memory."""
+        """Measures the CPU time per statement of each kind, in concurrent sessions over stub links."""
         proxy = self._proxy(databases=databases)
         ctx, view = proxy.ctx, proxy.view
-        sessions_open = [proxy.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
+        open_sessions = [proxy.open(database=f"ledger-{n % databases:04}.pool.example") for n in range(sessions)]
         read = Statement(ident=b"1", verb=Verb.read, text=b"FETCH price ticker=ACME")
         write = Statement(ident=b"2", verb=Verb.write, text=b"PUT price ticker=ACME value=10.49")
         shape = Statement(ident=b"3", verb=Verb.prepare, name=b"q", content=b"price ticker=?")
@@ -216,7 +221,7 @@
             "transaction": [begin, read, write, commit],
         }
         found: dict[str, Any] = {}
-        for session in sessions_open:
+        for session in open_sessions:
             await session.run(statement=shape)
         refused = 0
         for name, statements in kinds.items():
@@ -224,23 +229,23 @@
             async def client(session: Session, each: list[Statement] = statements) -> int:
                 bad = 0
                 for _ in range(rounds):
-                    # why: nobody pulls here, and the view must stay as current as it would be
+                    # Nothing refreshes this view, so it is marked current by hand.
                     view.as_of_us = ctx.now_us()
                     for statement in each:
                         bad += (await session.run(statement=statement)).fault is not None
                 return bad
 
-            await asyncio.gather(*(client(session) for session in sessions_open))
+            await asyncio.gather(*(client(session) for session in open_sessions))
             began = time.process_time()
-            refused += sum(await asyncio.gather(*(client(session) for session in sessions_open)))
-            spent = time.process_time() - began
-            found[f"{name}_us"] = spent / (len(sessions_open) * rounds * len(statements)) * 1_000_000
+            refused += sum(await asyncio.gather(*(client(session) for session in open_sessions)))
+            cpu_s = time.process_time() - began
+            found[f"{name}_us"] = cpu_s / (len(open_sessions) * rounds * len(statements)) * 1_000_000
         found["refused"] = refused
         proxy.stop()
         return found
 
     async def do_sessions(self, *, count: int) -> dict[str, Any]:
-        """Memory of a session at rest, and what it costs to look whether it rests too long."""
+        """Measures the memory of an idle session and the cost per session of the idle timeout check."""
         proxy = self._proxy(databases=3)
         gc.collect()
         before = rss_bytes()
@@ -255,7 +260,7 @@
         return {"session_bytes": held_bytes / count, "tend_us": cpu_cost_us(proxy._on_timer) / count}
 
     async def do_door(self, *, rounds: int, sessions: int) -> dict[str, Any]:
-        """The adapter's door with a session behind it, over a transport in memory."""
+        """Measures statements through the adapter's client connection and a session, over in-memory transports."""
         use_adapter()
         from adapter.client_connection import ClientConnection
 
@@ -274,15 +279,15 @@
         gc.collect()
         held_bytes = rss_bytes() - before
         found: dict[str, Any] = {"connection_bytes": held_bytes / sessions}
-        membership = transports[:50]
+        clients = transports[:50]
         for name, text in (("read", b"FETCH price ticker=ACME"), ("write", b"PUT price ticker=ACME value=10.49")):
             began = time.process_time()
             for number in range(rounds):
                 proxy.view.as_of_us = proxy.ctx.now_us()
                 await asyncio.gather(
-                    *(each.ask(b"ASK %d-%d %s\r\n" % (number, at, text)) for at, each in enumerate(membership))
+                    *(each.ask(b"ASK %d-%d %s\r\n" % (number, at, text)) for at, each in enumerate(clients))
                 )
-            found[f"door_{name}_us"] = (time.process_time() - began) / rounds / len(membership) * 1_000_000
+            found[f"door_{name}_us"] = (time.process_time() - began) / rounds / len(clients) * 1_000_000
         found["garbled"] = sum(b"ERROR" in each.last for each in transports)
         proxy.stop()
         return found
--- a/src/cinderstair/simulation/capacity/proxy_child.py
+++ b/src/cinderstair/simulation/capacity/proxy_child.py
@@ -1,4 +1,4 @@
-"""Several hollow proxies that share a process."""
+"""Several instrumented proxies in one process."""
 
 import asyncio
 from typing import Any
@@ -12,6 +12,8 @@
 
 
 class ProxyChild(Child):
+    """Opens and closes proxies on command, and reports their marks and the ages of their views."""
+
     def __init__(self, *, options: dict[str, Any]) -> None:
         self.seeds = tuple(options["seeds"])
         self.seed = options["seed"]
@@ -74,7 +76,7 @@
             await asyncio.sleep(VIEW_AGE_INTERVAL_S)
 
     async def do_look(self, *, on: bool) -> dict[str, Any]:
-        """Begins to look how old the views come to be, or stops and tells."""
+        """Starts or stops sampling the ages of the views; returns the highest ages so far."""
         if on and self.view_age_task is None:
             for proxy in self.proxies.values():
                 proxy.max_view_age_us = 0
--- a/src/cinderstair/simulation/capacity/run.py
+++ b/src/cinderstair/simulation/capacity/run.py
@@ -1,4 +1,4 @@
-"""A whole run: first single turns at any size, then real wires step by step, within its bounds."""
+"""A whole run: microbenchmarks, then load steps over real connections, within time and resource limits."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 from .measurement import Measurement, OverBudget, ProgressLog, Record
 from .step import Step
 
-# what a step takes from its first process to its last, as far as it isn't slowed down
+# Duration of a step on a machine that isn't overloaded.
 STEP_S = 40.0
 STEPS = (
     "5:10:10 5:30:10 5:100:10 5:300:10 5:10:3 5:10:30 5:10:100 5:100:30 3:30:30 7:30:30 7:30:30:5 5:0:300 "
@@ -66,7 +66,7 @@
 
 
 def origin(*, commit: str) -> dict[str, Any]:
-    """Where the figures come from."""
+    """Returns the record that identifies the sources and the machine."""
     here = Path(__file__).resolve().parent
 
     def git(*words: str) -> str:
@@ -84,6 +84,8 @@
 
 
 class Run:
+    """Runs microbenchmarks and steps. Steps must not use more than `cores` and `max_bytes` when idle."""
+
     def __init__(
         self,
         *,
@@ -103,7 +105,7 @@
         self.log_progress = log_progress
         self.record = record
         self.over_budget: list[Step] = []
-        # what one idle proxy was seen to take
+        # Measured steps with the cores that one idle proxy used.
         self.proxy_cores: list[tuple[Step, float]] = []
 
     @property
@@ -111,7 +113,7 @@
         return self.deadline - time.monotonic()
 
     async def microbenchmarks(self, *, folder: Path) -> None:
-        """Each kind in a process of its own, so that no figure of memory holds another one's leavings."""
+        """Runs each in a process of its own, so that memory left over by one doesn't count for another."""
         for kind, sizes in MICROBENCHMARKS.items():
             for size in sizes:
                 child = ChildProcess(role="alone", name=f"alone-{kind}", options={}, folder=folder)
@@ -119,30 +121,32 @@
                     await child.start()
                     found = await child.ask(do=kind, wait_s=max(1.0, min(90.0, self.remaining_s)), **size)
                     self.record({"kind": "alone", "what": kind, **size, **found})
-                    self.log_progress(f"alone: {kind} {size}")
+                    self.log_progress(f"microbenchmark {kind} {size}: done")
                 except RuntimeError as error:
-                    self.log_progress(f"alone: {kind} {size}: {error}")
+                    self.log_progress(f"microbenchmark {kind} {size} failed: {error}")
                     self.record({"kind": "unmeasured", "what": kind, **size, "why": str(error)})
                     await child.kill()
                 finally:
                     await child.stop()
 
     def skip_reason(self, *, step: Step) -> str:
+        """Says why a step would exceed the limits of the run; empty if it may run."""
         if self.remaining_s < STEP_S:
-            return f"{self.remaining_s:.0f} s are left"
+            return f"only {self.remaining_s:.0f} s are left"
         each = [cores for other, cores in self.proxy_cores if other.databases <= step.databases]
         if each and min(each) * step.proxies > self.cores:
-            return f"its proxies alone would idle at {min(each) * step.proxies:.1f} cores"
+            return f"its idle proxies would use {min(each) * step.proxies:.1f} cores"
         for other in self.over_budget:
             if step.proxies >= other.proxies and step.databases >= other.databases:
-                return f"{other} took too much already"
+                return f"{other}, which is no larger, was over the budget"
         return ""
 
     async def measure_steps(self) -> None:
+        """Measures the steps in order; records those that were skipped or failed as "unmeasured"."""
         for number, step in enumerate(self.steps):
             why = self.skip_reason(step=step)
             if not why:
-                self.log_progress(f"{step} begins, {self.remaining_s:.0f} s left")
+                self.log_progress(f"{step}: started, {self.remaining_s:.0f} s left")
                 self.record({"kind": "load", **step.value(), "load": list(os.getloadavg())})
                 measurement = Measurement(
                     step=step,
@@ -160,11 +164,11 @@
                         self.proxy_cores.append((step, idle.rate(name="cpu_us") / 1_000_000))
                 except OverBudget as error:
                     self.over_budget.append(step)
-                    why = f"over the allowance: {error}"
+                    why = f"over budget: {error}"
                 except TimeoutError:
-                    why = "the time was up"
+                    why = "the run's time limit was reached"
                 except RuntimeError as error:
                     why = str(error)
             if why:
-                self.log_progress(f"{step} not measured to its end: {why}")
+                self.log_progress(f"{step}: not measured completely: {why}")
                 self.record({"kind": "unmeasured", **step.value(), "why": why})
--- a/src/cinderstair/simulation/capacity/stub_control.py
+++ b/src/cinderstair/simulation/capacity/stub_control.py
@@ -1,4 +1,4 @@
-"""Backends that are not there, as the holder of the duty of promotions sees them."""
+"""A stub of the control interface of backends, for the holder of the promotion lease."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class StubControl:
-    """Whoever the register names leads; before it names anybody, the backend that says so in its heartbeats."""
+    """Reports the assigned primary as primary; without an assignment, the backend whose heartbeats say so."""
 
     def __init__(self, *, assignment: Callable[[str], ServicePrimary | None]) -> None:
         self.assignment = assignment
--- a/src/cinderstair/simulation/capacity/stub_link.py
+++ b/src/cinderstair/simulation/capacity/stub_link.py
@@ -1,4 +1,4 @@
-"""A link to a backend that is not there: it opens nothing and answers at once, in memory."""
+"""A stub of a link to a backend: opens no connection and answers from memory."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class StubLink:
-    """Keeps the state that a backend would be in, so that the session sees what it expects."""
+    """Tracks transaction state, position, values and prepared statements as a backend would."""
 
     __slots__ = ("committed", "ended", "on_lost", "prepared", "state", "term", "values")
 
@@ -45,7 +45,7 @@
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Reply] = loop.create_future()
         reply = Reply(rows=rows, stamp=b"1", state=self.state, position=Position(self.term, self.committed))
-        # why: a real answer comes in a later turn of the loop, and whoever waits must really wait
+        # A real reply arrives in a later iteration of the event loop, so callers must suspend here too.
         loop.call_soon(settle, future, reply)
         return future
 
@@ -83,10 +83,11 @@
 
 
 def settle(future: asyncio.Future[Reply], reply: Reply) -> None:
+    """Completes a future unless its waiter has cancelled it."""
     if not future.done():
         future.set_result(reply)
 
 
 async def stub_dialer(*, backend: Announcement, wait_us: int) -> Result[Link, CinderstairError]:
-    """Opens nothing."""
+    """Returns a stub link for any backend."""
     return Ok(StubLink())
--- a/src/cinderstair/simulation/capacity/synthetic_state.py
+++ b/src/cinderstair/simulation/capacity/synthetic_state.py
@@ -1,4 +1,4 @@
-"""Views of any size, made up in memory: what a proxy and a controller would hold."""
+"""Synthetic state of any size, as a proxy and a controller would hold it."""
 
 from ...config.service_plan import PLAN_KEY, Consistency, DatabaseRoute, Service, ServicePlan
 from ...consensus.ballot import Ballot
@@ -12,6 +12,7 @@
 
 
 def plan_of(*, version: int, databases: int) -> ServicePlan:
+    """Returns a plan with a route and a service for each database."""
     routes = [
         DatabaseRoute(
             database=f"ledger-{number:04}.pool.example",
@@ -33,15 +34,18 @@
 
 
 def proxy_ids_of(*, proxies: int) -> ProxyIds:
+    """Numbers the proxies in the order of their names."""
     return ProxyIds(names=tuple(ProxyId(number, proxy_name(number=number)) for number in range(proxies)))
 
 
 def assignment_of(*, database: int, term: int = 1) -> ServicePrimary:
+    """Assigns a database's first replica as primary."""
     primary = backend_name(service=database, replica=REPLICAS[0])
     return ServicePrimary(term=term, primary=primary, state=PrimaryState.settled)
 
 
 def announcements_of(*, databases: int) -> list[Announcement]:
+    """Returns the announcements of all backends; the first of each database is primary."""
     return [
         Announcement(
             name=backend_name(service=database, replica=replica),
@@ -59,6 +63,7 @@
 
 
 def assignment_value(*, database: int, term: int = 1) -> RelayedValue:
+    """Returns the primary assignment of a database as a relay sends it."""
     return RelayedValue(
         key=service_primary_key(service=service_name(number=database)),
         ballot=Ballot(BALLOT.round + term, BALLOT.proposer),
@@ -67,18 +72,18 @@
 
 
 def full_answer(*, proxies: int, databases: int, controllers: int) -> RelayAnswer:
-    """All that a proxy is told when it begins, in the order in which a controller may give it."""
+    """Returns the full answer of a relay to a starting proxy, in an order that a controller may use."""
     plan = RelayedValue(
         key=PLAN_KEY, ballot=BALLOT, value=plan_of(version=1, databases=databases).bytes(with_document=False)
     )
-    slots = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=proxy_ids_of(proxies=proxies).bytes())
+    proxy_ids = RelayedValue(key=PROXY_IDS_KEY, ballot=BALLOT, value=proxy_ids_of(proxies=proxies).bytes())
     assignments = [assignment_value(database=database) for database in range(databases)]
     return RelayAnswer(
         source=1,
         revision=1,
         age_us=0,
         full=True,
-        values=(plan, *assignments, slots),
+        values=(plan, *assignments, proxy_ids),
         backends=tuple(
             RelayedBackend(announcement=each, silent=False) for each in announcements_of(databases=databases)
         ),
--- a/src/cinderstair/simulation/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -1,4 +1,4 @@
-"""All child processes of one step, in a folder of their own."""
+"""The child processes of one load step, in a temporary folder."""
 
 import asyncio
 import shutil
@@ -25,17 +25,22 @@
 
 
 class NotSettled(Exception):
-    """The step did not come to rest in its time; what it says is a finding of its own."""
+    """The step did not reach an expected state in time; the message is recorded as a result."""
 
 
 def hosts_for(*, step: Step) -> int:
-    """How many processes share the proxies."""
+    """Returns the number of processes among which the proxies are distributed."""
     if not step.proxies:
         return 0
     return max(min(2, step.proxies), min(MAX_HOSTS, step.proxies // PROXIES_PER_HOST))
 
 
 class System:
+    """Starts controllers, backends and proxies in this order, queries them, and stops them.
+
+    `hosts` are the processes that run proxies. Waiting methods return seconds and raise NotSettled on a timeout.
+    """
+
     def __init__(self, *, step: Step, seed: int) -> None:
         self.step = step
         self.seed = seed
@@ -87,31 +92,32 @@
         return [process for process in self.processes if process.role == role and process.running]
 
     async def wait_until(self, *, test: Callable[[], Awaitable[str]], within_s: float, what: str) -> float:
-        """Waits until the test has nothing to say against it; the seconds that took."""
+        """Waits until the test returns no obstacle (an empty string); returns the time it took, in seconds."""
         began = time.monotonic()
-        while said := await test():
+        while obstacle := await test():
             if time.monotonic() - began > within_s:
-                raise NotSettled(f"{what} not within {within_s:.0f} s: {said}")
+                raise NotSettled(f"waited {within_s:.0f} s for {what}: {obstacle}")
             await asyncio.sleep(POLL_S)
         return time.monotonic() - began
 
-    # -- the beginning --
+    # -- start --
 
     async def start_controllers(self) -> float:
+        """Starts the controllers and waits until all know a roster with all voters."""
         await asyncio.gather(*(process.start() for process in self.controllers))
 
-        async def pending() -> str:
+        async def missing() -> str:
             states = await self.states()
             late = [state for state in states if state["voters"] != self.step.voting]
             return f"{len(late)} of {len(states)} without a roster" if late else ""
 
-        return await self.wait_until(test=pending, within_s=30, what="a roster")
+        return await self.wait_until(test=missing, within_s=30, what="a roster")
 
     async def states(self) -> list[dict[str, Any]]:
         return list(await asyncio.gather(*(process.ask(do="status") for process in self.running(role="guildhall"))))
 
     async def configure(self) -> tuple[int, int]:
-        """Puts the next revision over HTTP; the moments of the asking and of the answer."""
+        """Submits the next configuration over HTTP; returns when it was sent and accepted, in microseconds."""
         self.revision += 1
         body = operator_document(revision=self.revision, databases=self.step.databases)
         address = self.control_addresses[0]
@@ -125,24 +131,29 @@
             if connection.transport is not None:
                 connection.transport.close()
         if status != 200:
-            raise NotSettled(f"revision {self.revision} was answered {status}")
+            raise NotSettled(f"configuration revision {self.revision} was refused with status {status}")
         return began_us, self.ctx.now_us()
 
     async def start_backends(self, *, within_s: float) -> float:
-        """Backends begin to beat, and the holder of the duty finds out who leads."""
+        """Starts the heartbeats and waits until every controller knows all backends and primaries."""
         await self.heartbeats.start()
 
-        async def pending() -> str:
+        async def missing() -> str:
             states = await self.states()
             least = min((state["leads"] for state in states), default=0)
             current = sum(state["current"] for state in states)
             heard = min((state["backends"] for state in states), default=0)
             known = least >= self.step.databases and heard >= self.step.backends and current == len(states)
-            return "" if known else f"{least} leads and {heard} backends known everywhere, {current} views current"
+            return (
+                ""
+                if known
+                else f"all controllers know {least} primaries and {heard} backends, {current} views are current"
+            )
 
-        return await self.wait_until(test=pending, within_s=within_s, what="leads")
+        return await self.wait_until(test=missing, within_s=within_s, what="primaries")
 
     async def open_proxies(self, *, within_s: float) -> float:
+        """Starts the proxies and waits until all have a complete and current view."""
         if not self.hosts:
             return 0.0
         await asyncio.gather(*(process.start() for process in self.hosts))
@@ -154,32 +165,35 @@
             *(host.ask(do="open", proxies=own, wait_s=120) for host, own in zip(self.hosts, lists, strict=True))
         )
         return await self.wait_until(
-            test=self.proxies_not_ready, within_s=within_s, what="proxies that know everything"
+            test=self.proxies_not_ready, within_s=within_s, what="complete views of all proxies"
         )
 
     async def proxies_not_ready(self) -> str:
+        """Says how many proxies are ready, unless all are."""
         asks = [host.ask(do="status", databases=self.step.databases, wait_s=120) for host in self.hosts]
         states = await asyncio.gather(*asks)
         knowing = sum(min(state["knowing"], state["current"]) for state in states)
-        return "" if knowing >= self.step.proxies else f"{knowing} of {self.step.proxies}"
+        return "" if knowing >= self.step.proxies else f"{knowing} of {self.step.proxies} ready"
 
-    # -- looking --
+    # -- queries --
 
     async def readings(self) -> dict[str, Reading]:
+        """Reads the counters of all running processes, by process name."""
         processes = [process for process in self.processes if process.running]
         taken = await asyncio.gather(*(process.reading() for process in processes))
         return {process.name: reading for process, reading in zip(processes, taken, strict=True)}
 
     async def marks(self, *, key: str) -> dict[str, int]:
+        """Returns when each proxy saw a key, in microseconds, or 0 if it has not."""
         found: dict[str, int] = {}
         for answer in await asyncio.gather(*(host.ask(do="marks", key=key) for host in self.hosts)):
             found |= answer
         return found
 
-    # -- the end --
+    # -- stop --
 
     async def stop(self) -> None:
-        """Whatever happened: no process and no folder is left."""
+        """Stops all processes and deletes the folder, also after a failure."""
         try:
             await asyncio.gather(*(process.stop() for process in self.processes), return_exceptions=True)
             await self.ctx.net.close()
