--- a/features/simulation/capacity/capacity.feature
+++ b/features/simulation/capacity/capacity.feature
@@ -1,19 +1,19 @@
-Feature: What the system costs at a size that no machine here can hold is reckoned from slopes
+Feature: Resource costs at sizes that can't be run are extrapolated from fitted slopes
 
-  Scenario: Exact points give their own slopes back
+  Scenario: A fit to exact values returns their coefficients
     Given steps of 10, 30, 100 and 300 proxies with 3, 10 and 30 databases each
-    And a cost of 500 and 2 more for each database
-    When the plainest of 1, N, D is fitted
-    Then the fit holds 1 at 500 and D at 2, and nothing else
+    And a cost of 500 and 2 more per database
+    When the significant terms of 1, N, D are fitted
+    Then the only coefficients are 1 = 500 and D = 2
     And every standard error is below 0.001
 
-  Scenario Outline: Noise is in the spread, and what shows no growth is dropped
+  Scenario Outline: With noisy values, errors cover the noise and insignificant terms are dropped
     Given steps of 10, 30, 100 and 300 proxies with 3, 10 and 30 databases each
-    And a cost of 500 and 2 more for each database
-    And noise of 3 in a hundred from seed <seed>
-    When the plainest of 1, D, ND is fitted
-    Then the fit holds 1 and D within 4 standard errors of 500 and 2
-    And what it says at 2000 proxies and 3500 databases is within 4 spreads of 7500
+    And a cost of 500 and 2 more per database
+    And noise of 3 percent from seed <seed>
+    When the significant terms of 1, D, ND are fitted
+    Then the only coefficients are 1 and D, within 4 standard errors of 500 and 2
+    And the prediction for 2000 proxies and 3500 databases is within 4 standard errors of 7500
 
     Examples:
       | seed |
@@ -21,89 +21,89 @@
       | 2    |
       | 3    |
 
-  Scenario: What grows with proxies times databases is told from either alone
+  Scenario: Growth with proxies times databases is not attributed to either of them
     Given steps of 10, 30, 100 and 300 proxies with 3, 10 and 30 databases each
-    And a cost of 40 and 0.5 more for each proxy and database
-    When the plainest of 1, N, D, ND is fitted
-    Then the fit holds 1 at 40 and ND at 0.5, and nothing else
+    And a cost of 40 and 0.5 more per proxy and database
+    When the significant terms of 1, N, D, ND are fitted
+    Then the only coefficients are 1 = 40 and ND = 0.5
 
-  Scenario: Terms that the points can't tell apart are refused
+  Scenario: A fit of terms that are collinear at the steps is refused
     Given steps of 10, 30 and 100 proxies with 3 databases each
-    And a cost of 500 and 2 more for each database
+    And a cost of 500 and 2 more per database
     Then a fit of 1, D is refused
 
-  Scenario: A term with a single line of points has no spread
+  Scenario: A fit with as many steps as terms has no standard errors
     Given steps of 10 and 30 proxies with 3 databases each
-    And a cost of 7 and 3 more for each proxy
-    When 1, N are fitted
-    Then the fit holds 1 at 7 and N at 3, and nothing else
-    And no standard error is known
+    And a cost of 7 and 3 more per proxy
+    When all terms of 1, N are fitted
+    Then the only coefficients are 1 = 7 and N = 3
+    And the standard errors are unknown
 
-  Scenario: A step that came out too high counts no more for being large
+  Scenario: An outlier gets no more weight for being the largest step
     Given steps of 10 proxies with 3, 10, 30, 100 and 1000 databases each
-    And a cost of 0 and 2 more for each database
-    And the largest step costs half as much again
-    When D are fitted
-    Then the fit holds D between 2.1 and 2.4
+    And a cost of 0 and 2 more per database
+    And the cost at the largest step is 50 percent higher
+    When all terms of D are fitted
+    Then the coefficient of D is between 2.1 and 2.4
 
-  Scenario: What seems to cost less the more there is of it is not taken for a slope
+  Scenario: A term with a negative coefficient is dropped
     Given steps of 10, 30, 100 and 300 proxies with 3, 10 and 30 databases each
-    And a cost of 500 and -0.1 more for each proxy
-    When the plainest of 1, N is fitted
-    Then the fit holds 1 alone
-
-  Scenario: Readings add up to a sample, and an event's share is what is over the idle
-    Given two proxy processes of 5 proxies each that idle 10 s with 2000 bytes and 40 ms each
-    And a phase of 4 s with 2 events in which each takes 4800 bytes and 36 ms
-    Then an idle proxy takes 40 bytes and 800 microseconds a second
-    And an event gives each proxy 400 bytes and 2000 microseconds
-    And the sample comes back from its line as it was
-
-  Scenario: A reading that goes back, or lacks a field, is refused
-    Then a reading before the one it is taken from is refused
-    And a reading without its bytes is refused
-    And a phase that lacks a process's second reading is refused
-
-  Scenario: A process that was too busy bends no slope
-    Given a run of made-up samples in which a proxy idles at 400 bytes a second
-    And one more step whose proxies were busy for 95 in a hundred and carried 10 bytes a second
-    Then the proxies' idle bytes are fitted to 400 from 4 points
-
-  Scenario: What happens to a process that was too busy at rest already bends no slope either
-    Given a run of made-up samples in which a proxy idles at 400 bytes a second
-    And a configuration takes 100 bytes for each database at each proxy
-    And one more step whose proxies were busy for 95 in a hundred and carried 10 bytes a second
-    And a configuration there takes 9 bytes
-    Then the bytes of a configuration are fitted to 100 for each database from 4 points
-
-  Scenario Outline: A step that sheds work bends no slope
-    Given a run of made-up samples in which a proxy idles at 400 bytes a second
-    And one more step that idles at 90 bytes a second with <quiet> backends quiet and <late> of 100 beats late
-    Then the proxies' idle bytes are fitted to 400 from 4 points
+    And a cost of 500 and -0.1 more per proxy
+    When the significant terms of 1, N are fitted
+    Then the only term left is 1
+
+  Scenario: A sample sums up readings, and the cost of an event excludes the idle cost
+    Given two processes of 5 proxies, each with 2000 bytes and 40 ms of CPU time in 10 s of idling
+    And a phase of 4 s with 2 events, in which each uses 4800 bytes and 36 ms of CPU time
+    Then an idle proxy uses 40 bytes and 800 microseconds per second
+    And an event costs each proxy 400 bytes and 2000 microseconds
+    And the sample written as JSON is read back unchanged
+
+  Scenario: Readings that are out of order, incomplete or missing are refused
+    Then subtracting a later reading from an earlier one is refused
+    And a reading without a byte counter is refused
+    And a phase without a second reading of each process is refused
+
+  Scenario: Idle samples of saturated processes are left out of a fit
+    Given a run of synthetic samples in which an idle proxy uses 400 bytes per second
+    And another step whose idle proxies use 95 percent of a core and 10 bytes per second
+    Then the idle bytes of a proxy are fitted as a constant 400 from 4 points
+
+  Scenario: Event samples of processes that were saturated when idle are left out of a fit
+    Given a run of synthetic samples in which an idle proxy uses 400 bytes per second
+    And a configuration costs each proxy 100 bytes per database
+    And another step whose idle proxies use 95 percent of a core and 10 bytes per second
+    And a configuration costs each proxy of that step 9 bytes
+    Then the bytes per configuration are fitted as 100 per database from 4 points
+
+  Scenario Outline: Steps with silent backends or late heartbeats are left out of a fit
+    Given a run of synthetic samples in which an idle proxy uses 400 bytes per second
+    And another step whose idle proxies use 90 bytes per second, with <quiet> silent backends and <late> of 100 heartbeats late
+    Then the idle bytes of a proxy are fitted as a constant 400 from 4 points
 
     Examples:
       | quiet | late |
       | 1     | 0    |
       | 0     | 2    |
 
-  Scenario: Times are ranked by what was seen, and who never saw it is counted apart
-    Then times of 1 to 100 spread to a median of 50, a p99 of 99 and a most of 100
-    And with 3 that never saw it the spread says so
-    And no times at all are no figures
+  Scenario: Percentiles are measured times, and observers without a time are counted separately
+    Then the times 1 to 100 have a median of 50, a p99 of 99 and a maximum of 100
+    And 3 observers without a time are counted as missing
+    And without any times the percentiles are undefined
 
-  Scenario: The reckoning holds measured slopes against the users' limits
-    Given a run of made-up samples in which a proxy idles at 400 bytes a second
-    And a configuration takes 100 bytes for each database at each proxy
-    When the users' size is reckoned
-    Then a proxy's idle bytes are 400 a second and held
-    And its bytes for configurations are 44560 a second and broken by 2.6
-    And there is no row that a slope is lacking for
+  Scenario: The projection compares fitted slopes with the limits at the target size
+    Given a run of synthetic samples in which an idle proxy uses 400 bytes per second
+    And a configuration costs each proxy 100 bytes per database
+    When the costs at the target size are projected
+    Then an idle proxy uses 400 bytes per second, within the limit
+    And configurations cost a proxy 44560 bytes per second, 2.6 times the limit
+    And there are no rows for slopes that the run lacks
 
-  Scenario Outline: Steps are read from text
-    Then the step <text> is <meaning>
+  Scenario Outline: A load step is parsed from text, or refused
+    Then the step text <text> gives <result>
 
     Examples:
-      | text      | meaning                      |
+      | text      | result                       |
       | 5:10:30   | G=5 voters=5 N=10 D=30       |
       | 7:0:300:5 | G=7 voters=5 N=0 D=300       |
       | 4:10:30   | refused                      |
@@ -111,14 +111,14 @@
       | 5:10:0    | refused                      |
       | 3:10:10:5 | refused                      |
 
-  Scenario: Steps that would ask too much of the machine are not begun
-    Given a run that may use 3 cores and has 100 s left
-    When a proxy of a step with 10 proxies and 10 databases was seen to idle at 0.01 cores
-    Then a step of 200 proxies and 10 databases may begin
-    And a step of 400 proxies and 10 databases may not, since "its idle proxies would use 4.0 cores"
-    And with 20 s left a step of 10 proxies and 3 databases may not, since "only 20 s are left"
+  Scenario: Steps that would exceed the CPU budget or the time limit are skipped
+    Given a run with a budget of 3 cores and 100 s left
+    When an idle proxy used 0.01 cores in a step of 10 proxies and 10 databases
+    Then a step of 200 proxies and 10 databases is allowed
+    And a step of 400 proxies and 10 databases is skipped: "its idle proxies would use 4.0 cores"
+    And with 20 s left a step of 10 proxies and 3 databases is skipped: "only 20 s are left"
 
-  Scenario: A hollow link answers as a backend would and opens nothing
-    Given a made-up proxy before 3 databases
+  Scenario: Stub links answer every statement of a session
+    Given a proxy with stub links to 3 databases
     When a session reads, writes and runs a transaction
-    Then every answer is without fault and the links are hollow ones
+    Then no reply has a fault and all links are stubs
