--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -68,11 +68,13 @@
             raise SystemExit(started.error.reason)
 
     async def do_read(self) -> dict[str, Any]:
+        """Returns the resource counters of the process."""
         syncs = self.ctx.counters.counts["vault.syncs"]
         net: Any = self.net
         return reading_of(nets=[net], http=(self.http[0], self.http[1]), syncs=syncs).value()
 
     async def do_status(self) -> dict[str, Any]:
+        """Returns what the controller knows. `holds`: it has the promotion lease; `quiet`: silent backends."""
         controller = self.controller
         roster = controller.register_replica.roster
         return {
--- a/src/cinderstair/simulation/capacity/fit.py
+++ b/src/cinderstair/simulation/capacity/fit.py
@@ -9,7 +9,7 @@
 from .step import Step
 
 Term = Callable[[Step], float]
-# N proxies, D databases, G controllers, V voting controllers, M the others of a majority.
+# Terms by name: N proxies, D databases, G controllers, V voting controllers; products and quotients of these.
 TERMS: Mapping[str, Term] = MappingProxyType(
     {
         "1": lambda step: 1.0,
@@ -45,7 +45,7 @@
     """Coefficients and their standard errors by term.
 
     Without residual degrees of freedom (as many points as terms) the standard errors are nan and there is no
-    covariance. `residual` is the relative residual standard error, `max_relative_residual` the largest relative
+    covariance. `residual` is the relative residual standard error, `max_residual` the largest relative
     difference between a point and the fit.
     """
 
@@ -64,8 +64,8 @@
         """Returns the standard error of the prediction at a step, or nan where it is unknown."""
         if not self.covariance:
             return math.nan
-        square = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
-        return math.sqrt(max(0.0, square))
+        variance = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
+        return math.sqrt(max(0.0, variance))
 
     def is_significant(self, *, term: str) -> bool:
         """Tells whether the coefficient differs from zero by more than SIGNIFICANT_T standard errors."""
@@ -98,12 +98,12 @@
         raise ValueError(
             f"{len(values)} values at {len(steps)} steps are too few for {len(terms)} terms, or don't match"
         )
-    middle = statistics.median(abs(value) for value in values) or 1.0
-    sizes = [max(abs(value), middle / 2) for value in values]
+    median = statistics.median(abs(value) for value in values) or 1.0
+    sizes = [max(abs(value), median / 2) for value in values]
     fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     for _ in range(REWEIGHTING_ROUNDS):
         # Weights come from fitted values: a measured value that is small by chance would get too much weight.
-        sizes = [max(abs(fit.predict(step=step)), middle / 100) for step in steps]
+        sizes = [max(abs(fit.predict(step=step)), median / 100) for step in steps]
         fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     return fit
 
@@ -111,32 +111,38 @@
 def _weighted_least_squares(
     *, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str], sizes: Sequence[float]
 ) -> Fit:
+    """Solves the normal equations; each point has the weight 1 / size."""
     weights = [1 / size for size in sizes]
     table = [[TERMS[name](step) * w for name in terms] for step, w in zip(steps, weights, strict=True)]
     # Terms range from 1 to millions; columns of unit length keep the elimination numerically stable.
     scales = [math.sqrt(sum(row[j] ** 2 for row in table)) or 1.0 for j in range(len(terms))]
     table = [[value / scale for value, scale in zip(row, scales, strict=True)] for row in table]
-    goal = [value * w for value, w in zip(values, weights, strict=True)]
+    targets = [value * w for value, w in zip(values, weights, strict=True)]
     size = len(terms)
-    square = [[sum(row[i] * row[j] for row in table) for j in range(size)] for i in range(size)]
-    right = [sum(row[i] * y for row, y in zip(table, goal, strict=True)) for i in range(size)]
-    unit = [[float(i == j) for i in range(size)] for j in range(size)]
-    first, *inverse = solve_linear_system(matrix=square, columns=[right, *unit])
-    gaps = [y - sum(a * b for a, b in zip(row, first, strict=True)) for row, y in zip(table, goal, strict=True)]
-    spare = len(values) - size
-    variance = sum(gap**2 for gap in gaps) / spare if spare else math.nan
-    errors = [math.sqrt(max(0.0, inverse[j][j]) * variance) / scales[j] if spare else math.nan for j in range(size)]
+    normal_matrix = [[sum(row[i] * row[j] for row in table) for j in range(size)] for i in range(size)]
+    right_side = [sum(row[i] * y for row, y in zip(table, targets, strict=True)) for i in range(size)]
+    identity = [[float(i == j) for i in range(size)] for j in range(size)]
+    solution, *inverse = solve_linear_system(matrix=normal_matrix, columns=[right_side, *identity])
+    residuals = [
+        y - sum(a * b for a, b in zip(row, solution, strict=True)) for row, y in zip(table, targets, strict=True)
+    ]
+    degrees_of_freedom = len(values) - size
+    variance = sum(deviation**2 for deviation in residuals) / degrees_of_freedom if degrees_of_freedom else math.nan
+    errors = [
+        math.sqrt(max(0.0, inverse[j][j]) * variance) / scales[j] if degrees_of_freedom else math.nan
+        for j in range(size)
+    ]
     return Fit(
-        coefficients={name: first[j] / scales[j] for j, name in enumerate(terms)},
+        coefficients={name: solution[j] / scales[j] for j, name in enumerate(terms)},
         errors=dict(zip(terms, errors, strict=True)),
-        residual=math.sqrt(variance) if spare else math.nan,
+        residual=math.sqrt(variance) if degrees_of_freedom else math.nan,
         points=len(values),
-        max_residual=max(abs(gap) for gap in gaps),
+        max_residual=max(abs(deviation) for deviation in residuals),
         covariance={
             (a, b): inverse[j][i] * variance / scales[i] / scales[j]
             for i, a in enumerate(terms)
             for j, b in enumerate(terms)
-            if spare
+            if degrees_of_freedom
         },
     )
 
@@ -146,17 +152,19 @@
 
     The last term stays in any case. ValueError as for `least_squares`.
     """
-    left = list(terms)
+    remaining = list(terms)
     while True:
-        fit = least_squares(steps=steps, values=values, terms=left)
+        fit = least_squares(steps=steps, values=values, terms=remaining)
         # No cost falls as the system grows; a negative slope comes from work that was shed or delayed.
-        unclear = [
-            name for name in left if not fit.is_significant(term=name) or (name != "1" and fit.coefficients[name] < 0)
+        insignificant = [
+            name
+            for name in remaining
+            if not fit.is_significant(term=name) or (name != "1" and fit.coefficients[name] < 0)
         ]
-        if not unclear or len(left) == 1:
+        if not insignificant or len(remaining) == 1:
             return fit
         # One term at a time: removing one can make another significant.
-        left.remove(min(unclear, key=lambda name: _t_statistic(fit=fit, name=name)))
+        remaining.remove(min(insignificant, key=lambda name: _t_statistic(fit=fit, name=name)))
 
 
 def _t_statistic(*, fit: Fit, name: str) -> float:
--- a/src/cinderstair/simulation/capacity/heartbeat_child.py
+++ b/src/cinderstair/simulation/capacity/heartbeat_child.py
@@ -86,13 +86,16 @@
         return name, json.dumps(value).encode()
 
     async def do_lead(self, *, database: int, name: str) -> dict[str, Any]:
+        """Makes a backend report itself primary of a database."""
         self.primaries[database] = name
         return {}
 
     async def do_read(self) -> dict[str, Any]:
+        """Returns the resource counters of the process."""
         return reading_of(nets=[]).value()
 
     async def do_status(self) -> dict[str, Any]:
+        """Counts the heartbeats that were sent, failed, and fell behind schedule."""
         return {"sent": self.sent, "failed": self.failed, "late": self.late}
 
     async def stop(self) -> None:
--- a/src/cinderstair/simulation/capacity/projection.py
+++ b/src/cinderstair/simulation/capacity/projection.py
@@ -25,15 +25,21 @@
         self.size = size
         self.step: Step = size.step
         self.rows: list[ProjectionRow] = []
-        for part in (self._proxy_bytes, self._proxy_processor, self._proxy_memory, self._proxy_start):
-            part()
-        for part in (self._controller_traffic, self._controller_processor, self._controller_restarts, self._register):
-            part()
+        for add_rows in (self._proxy_bytes, self._proxy_processor, self._proxy_memory, self._proxy_start):
+            add_rows()
+        for add_rows in (
+            self._controller_traffic,
+            self._controller_processor,
+            self._controller_restarts,
+            self._register,
+        ):
+            add_rows()
         self._data_plane()
 
     # -- values and rows --
 
     def slope(self, name: str) -> Fit | None:
+        """Returns a fit by name, or None where the run lacks it."""
         return self.results.slopes.get(name)
 
     def predict(self, name: str) -> float:
@@ -44,8 +50,8 @@
     def microbenchmark(self, what: str, quantity: str) -> float:
         """Returns a microbenchmark measured at the target size, otherwise extrapolated from its slope."""
         proxies, databases = self.size.proxies, self.size.databases
-        direct = self.results.measured(what=what, quantity=quantity, proxies=proxies, databases=databases)
-        return self.predict(f"{what} turn {quantity}") if direct is None else direct
+        value = self.results.measured(what=what, quantity=quantity, proxies=proxies, databases=databases)
+        return self.predict(f"{what} turn {quantity}") if value is None else value
 
     def _add_row(
         self,
@@ -163,11 +169,11 @@
 
     def _proxy_start(self) -> None:
         size = self.size
-        take_s = self.predict("whole turn take_us") / US_PER_S
+        apply_s = self.predict("whole turn take_us") / US_PER_S
         self._add_row(
             "booth",
             "start: applying the full answer",
-            take_s,
+            apply_s,
             "s",
             limit=size.max_configuration_s,
             source="whole turn take_us",
@@ -191,12 +197,12 @@
             ("N/G", "polls by proxies"),
         ):
             fit = self.slope("controller idle bytes")
-            part = math.nan if fit is None else fit.coefficients.get(term, math.nan) * TERMS[term](self.step)
+            traffic = math.nan if fit is None else fit.coefficients.get(term, math.nan) * TERMS[term](self.step)
             standard_error = math.nan if fit is None else fit.errors.get(term, math.nan) * TERMS[term](self.step)
             self._add_row(
-                "guildhall", f"of the idle: {label}", part, "B/s", source=term, standard_error=standard_error
+                "guildhall", f"of the idle: {label}", traffic, "B/s", source=term, standard_error=standard_error
             )
-        # A register replica sends its full vector once to each client; later answers carry only the changes.
+        # A register replica sends its full vector once per incarnation to each client, then only the changes.
         vector = self.microbenchmark("guildhall", "vector_bytes")
         self._add_row(
             "guildhall", "a full version vector, at a start", vector, "B", source="controller turn vector_bytes"
--- a/src/cinderstair/simulation/capacity/proxy_child.py
+++ b/src/cinderstair/simulation/capacity/proxy_child.py
@@ -24,6 +24,7 @@
         self.opened = 0
 
     async def do_open(self, *, proxies: list[list[str]]) -> dict[str, Any]:
+        """Opens proxies, each given by name and zone."""
         for name, site in proxies:
             self.opened += 1
             proxy = InstrumentedProxy(
@@ -39,6 +40,7 @@
         return {"open": len(self.proxies)}
 
     async def do_close(self, *, names: list[str]) -> dict[str, Any]:
+        """Closes proxies; their traffic still counts in later readings."""
         for name in names:
             proxy = self.proxies.pop(name)
             self.closed_nets.append(proxy.net)
@@ -46,11 +48,13 @@
         return {"open": len(self.proxies)}
 
     async def do_read(self) -> dict[str, Any]:
+        """Returns the resource counters of the process."""
         nets = [proxy.net for proxy in self.proxies.values()]
         reading: Reading = reading_of(nets=[*nets, *self.closed_nets])
         return reading.value()
 
     async def do_status(self, *, databases: int) -> dict[str, Any]:
+        """Counts the proxies that are open, have a complete view (`knowing`) and have a current one."""
         proxies = self.proxies.values()
         return {
             "open": len(proxies),
@@ -60,12 +64,15 @@
         }
 
     async def do_marks(self, *, key: str) -> dict[str, Any]:
+        """Returns when each proxy first saw a key, in microseconds, or 0."""
         return {name: proxy.marks.get(key, 0) for name, proxy in self.proxies.items()}
 
     async def do_began(self, *, names: list[str]) -> dict[str, Any]:
+        """Returns when these proxies were opened, in microseconds."""
         return {name: self.proxies[name].started_us for name in names if name in self.proxies}
 
     async def do_watch(self, *, name: str) -> dict[str, Any]:
+        """Makes the proxies mark when they learn the id of the named proxy."""
         self.watched_name = name
         return {}
 
--- a/src/cinderstair/simulation/capacity/report.py
+++ b/src/cinderstair/simulation/capacity/report.py
@@ -13,12 +13,12 @@
 
 def formula(*, fit: Fit) -> str:
     """Formats each coefficient with its standard error and term."""
-    parts = []
+    formatted = []
     for name, value in fit.coefficients.items():
         error = fit.errors.get(name, math.nan)
         standard_error = "" if math.isnan(error) else f" ± {error:.1g}"
-        parts.append(f"({value:.4g}{standard_error})" + ("" if name == "1" else f" {name}"))
-    return " + ".join(parts)
+        formatted.append(f"({value:.4g}{standard_error})" + ("" if name == "1" else f" {name}"))
+    return " + ".join(formatted)
 
 
 def report(*, lines: Sequence[dict[str, Any]]) -> str:
--- a/src/cinderstair/simulation/capacity/results.py
+++ b/src/cinderstair/simulation/capacity/results.py
@@ -44,7 +44,10 @@
 
 
 def unsaturated_samples(*, lines: Sequence[dict[str, Any]]) -> list[Sample]:
-    """Returns the samples of steps without silent backends or late heartbeats; shed load would distort the slopes."""
+    """Returns the samples of steps in which no backend was silent and at most MAX_LATE_RATIO of heartbeats were late.
+
+    The other steps shed load, which would distort the slopes.
+    """
     kept: list[Sample] = []
     step: list[Sample] = []
     overloaded = False
@@ -74,15 +77,15 @@
             if fit is not None:
                 self.slopes[slope.name], self.units[slope.name] = fit, slope.unit
         for what, quantity, unit, terms in MICROBENCHMARK_FITS:
-            turn = self._fit_microbenchmark(what=what, quantity=quantity, terms=terms)
-            if turn is not None:
+            fit = self._fit_microbenchmark(what=what, quantity=quantity, terms=terms)
+            if fit is not None:
                 name = f"{what} turn {quantity}"
-                self.slopes[name], self.units[name] = turn, unit
+                self.slopes[name], self.units[name] = fit, unit
         for what, figure, terms in DURATION_FITS:
             timed = [line for line in self.time(what=what) if not math.isnan(line.get(figure, math.nan))]
-            span = self._fit(lines=timed, quantity=figure, terms=terms)
-            if span is not None:
-                self.slopes[f"{what}, {figure}"], self.units[f"{what}, {figure}"] = span, "s"
+            fit = self._fit(lines=timed, quantity=figure, terms=terms)
+            if fit is not None:
+                self.slopes[f"{what}, {figure}"], self.units[f"{what}, {figure}"] = fit, "s"
 
     def _fit_microbenchmark(self, *, what: str, quantity: str, terms: tuple[str, ...]) -> Fit | None:
         found = [{"guildhalls": 1, "voters": 0, **line} for line in self.microbenchmarks if line["what"] == what]
@@ -91,15 +94,15 @@
     def _fit(self, *, lines: list[dict[str, Any]], quantity: str, terms: tuple[str, ...]) -> Fit | None:
         steps = [Step(**{name: line[name] for name in Step.__dataclass_fields__}) for line in lines]
         values = [float(line[quantity]) for line in lines]
-        left = list(terms)
-        while left and len(steps) <= len(left):
-            left.pop()
-        while left:
+        remaining = list(terms)
+        while remaining and len(steps) <= len(remaining):
+            remaining.pop()
+        while remaining:
             try:
-                return fit_significant_terms(steps=steps, values=values, terms=left)
+                return fit_significant_terms(steps=steps, values=values, terms=remaining)
             except ValueError:
                 # Terms are collinear in short runs; the simpler terms come first and stay.
-                left.pop()
+                remaining.pop()
         return None
 
     def measured(self, *, what: str, quantity: str, **size: int) -> float | None:
--- a/src/cinderstair/simulation/capacity/sample.py
+++ b/src/cinderstair/simulation/capacity/sample.py
@@ -77,19 +77,22 @@
     """Sums up the processes of one role, each with a reading before and after the phase; else ValueError."""
     if not before or len(before) != len(after):
         raise ValueError("every process needs a reading before and after the phase")
-    parts = [late.since(before=early) for early, late in zip(before, after, strict=True)]
-    names = [name for name in vars(parts[0]) if name != "at_us"]
-    seconds = sum(part.at_us for part in parts) / len(parts) / 1_000_000
-    total = Reading(at_us=int(seconds * 1_000_000), **{n: sum(getattr(part, n) for part in parts) for n in names})
+    differences = [late.since(before=early) for early, late in zip(before, after, strict=True)]
+    names = [name for name in vars(differences[0]) if name != "at_us"]
+    seconds = sum(difference.at_us for difference in differences) / len(differences) / 1_000_000
+    total = Reading(
+        at_us=int(seconds * 1_000_000),
+        **{n: sum(getattr(difference, n) for difference in differences) for n in names},
+    )
     return Sample(
         step=step,
         phase=phase,
         role=role,
-        processes=len(parts),
+        processes=len(differences),
         instances=instances,
         events=events,
         seconds=seconds,
-        max_utilization=max(part.cpu_us / max(1, part.at_us) for part in parts),
+        max_utilization=max(difference.cpu_us / max(1, difference.at_us) for difference in differences),
         delta=total,
     )
 
--- a/src/cinderstair/simulation/capacity/slope.py
+++ b/src/cinderstair/simulation/capacity/slope.py
@@ -56,7 +56,9 @@
         """Fits the significant terms; None where there are too few points for any fit."""
         steps, values = self.points(samples=samples)
         terms = [
-            term for term in self.terms if len({_column(term=term, step=step) for step in steps}) > 1 or term == "1"
+            term
+            for term in self.terms
+            if len({_term_value(term=term, step=step) for step in steps}) > 1 or term == "1"
         ]
         while terms and len(steps) <= len(terms):
             terms.pop()
@@ -69,5 +71,5 @@
         return None
 
 
-def _column(*, term: str, step: Step) -> float:
+def _term_value(*, term: str, step: Step) -> float:
     return TERMS[term](step)
--- a/src/cinderstair/simulation/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -114,6 +114,7 @@
         return await self.wait_until(test=missing, within_s=30, what="a roster")
 
     async def states(self) -> list[dict[str, Any]]:
+        """Returns the status of every running controller."""
         return list(await asyncio.gather(*(process.ask(do="status") for process in self.running(role="guildhall"))))
 
     async def configure(self) -> tuple[int, int]:
