--- a/src/cinderstair/simulation/capacity/__main__.py
+++ b/src/cinderstair/simulation/capacity/__main__.py
@@ -23,25 +23,31 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="python -m cinderstair.simulation.capacity", description=__doc__)
-    made.add_argument("--out", default="", help="file for the results, a line of JSON each")
-    made.add_argument(
+    command_line = argparse.ArgumentParser(prog="python -m cinderstair.simulation.capacity", description=__doc__)
+    command_line.add_argument("--out", default="", help="file for the results, a line of JSON each")
+    command_line.add_argument(
         "--steps",
         default=STEPS,
         help="controllers:proxies:databases[:voters], separated by spaces (default: %(default)s)",
     )
-    made.add_argument("--seconds", type=float, default=540, help="time limit of the run (%(default)s)")
-    made.add_argument("--cores", type=float, default=3, help="stop steps that use more when idle (%(default)s)")
-    made.add_argument("--memory-gb", type=float, default=10, help="stop steps that use more memory (%(default)s)")
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--commit", default="", help="commit of the sources, if they are not a git checkout")
-    made.add_argument("--no-alone", action="store_true", help="skip the microbenchmarks")
-    made.add_argument("--no-wires", action="store_true", help="run the microbenchmarks only")
-    made.add_argument(
+    command_line.add_argument("--seconds", type=float, default=540, help="time limit of the run (%(default)s)")
+    command_line.add_argument(
+        "--cores", type=float, default=3, help="stop steps that use more when idle (%(default)s)"
+    )
+    command_line.add_argument(
+        "--memory-gb", type=float, default=10, help="stop steps that use more memory (%(default)s)"
+    )
+    command_line.add_argument("--seed", type=int, default=1)
+    command_line.add_argument("--commit", default="", help="commit of the sources, if they are not a git checkout")
+    command_line.add_argument("--no-alone", action="store_true", help="skip the microbenchmarks")
+    command_line.add_argument("--no-wires", action="store_true", help="run the microbenchmarks only")
+    command_line.add_argument(
         "--from", dest="sources", nargs="*", default=[], help="report on these results without measuring"
     )
-    made.add_argument("--plot", default="", help="file for a plot of the slopes; needs matplotlib (extra 'capacity')")
-    return made
+    command_line.add_argument(
+        "--plot", default="", help="file for a plot of the slopes; needs matplotlib (extra 'capacity')"
+    )
+    return command_line
 
 
 def log_progress(text: str) -> None:
--- a/src/cinderstair/simulation/capacity/microbenchmark_child.py
+++ b/src/cinderstair/simulation/capacity/microbenchmark_child.py
@@ -149,10 +149,10 @@
         now_us = ctx.now_us()
         announcements = announcements_of(databases=databases)
         for number, each in enumerate(announcements):
-            heard = ReceivedHeartbeat(
+            received = ReceivedHeartbeat(
                 source=number % sources + 1, version=number + 1, heartbeat=each, observed_at_us=now_us
             )
-            heartbeat_table.merge(received=heard)
+            heartbeat_table.merge(received=received)
         for entry in full_answer(proxies=proxies, databases=databases, controllers=1).values:
             view.known[entry.key] = VersionedValue(ballot=entry.ballot, value=entry.value)
         relay.refresh()
--- a/src/cinderstair/simulation/capacity/system.py
+++ b/src/cinderstair/simulation/capacity/system.py
@@ -141,15 +141,16 @@
 
         async def missing() -> str:
             states = await self.states()
-            least = min((state["leads"] for state in states), default=0)
+            min_primaries = min((state["leads"] for state in states), default=0)
             current = sum(state["current"] for state in states)
-            heard = min((state["backends"] for state in states), default=0)
-            known = least >= self.step.databases and heard >= self.step.backends and current == len(states)
-            return (
-                ""
-                if known
-                else f"all controllers know {least} primaries and {heard} backends, {current} views are current"
+            min_backends = min((state["backends"] for state in states), default=0)
+            known = (
+                min_primaries >= self.step.databases and min_backends >= self.step.backends and current == len(states)
             )
+            if known:
+                return ""
+            found = f"{min_primaries} primaries and {min_backends} backends"
+            return f"all controllers know {found}, {current} views are current"
 
         return await self.wait_until(test=missing, within_s=within_s, what="primaries")
 
@@ -173,8 +174,8 @@
         """Says how many proxies are ready, unless all are."""
         asks = [host.ask(do="status", databases=self.step.databases, wait_s=120) for host in self.hosts]
         states = await asyncio.gather(*asks)
-        knowing = sum(min(state["knowing"], state["current"]) for state in states)
-        return "" if knowing >= self.step.proxies else f"{knowing} of {self.step.proxies} ready"
+        ready = sum(min(state["knowing"], state["current"]) for state in states)
+        return "" if ready >= self.step.proxies else f"{ready} of {self.step.proxies} ready"
 
     # -- queries --
 
