--- a/src/cinderstair/simulation/capacity/children.py
+++ b/src/cinderstair/simulation/capacity/children.py
@@ -1,4 +1,4 @@
-"""The tool's child processes: `python -m cinderstair.simulation.capacity.children ROLE OPTIONS`."""
+"""Entry point of the child processes: `python -m cinderstair.simulation.capacity.children ROLE OPTIONS`."""
 
 import asyncio
 import json
@@ -9,8 +9,9 @@
 from .child import Child
 
 
-def made(*, role: str, options: dict[str, Any]) -> Child:
-    # why: each child loads only what its role needs, since its memory is what is measured
+def create_child(*, role: str, options: dict[str, Any]) -> Child:
+    """Returns the child of a role; ValueError for an unknown role."""
+    # Modules are imported by role, since a child's memory is measured.
     if role == "guildhall":
         from .controller_child import ControllerChild
 
@@ -24,17 +25,17 @@
 
         return HeartbeatChild(options=options)
     if role == "alone":
-        from .alone_child import AloneChild
+        from .microbenchmark_child import MicrobenchmarkChild
 
-        return AloneChild(options=options)
-    raise ValueError(f"no such role: {role}")
+        return MicrobenchmarkChild(options=options)
+    raise ValueError(f"unknown role {role!r}")
 
 
 async def main() -> None:
-    await made(role=sys.argv[1], options=json.loads(sys.argv[2])).run()
+    await create_child(role=sys.argv[1], options=json.loads(sys.argv[2])).run()
 
 
 if __name__ == "__main__":
-    # why: a Ctrl-C reaches the whole group; the parent ends its children in order
+    # Ctrl-C reaches the whole process group; the parent stops its children in order.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     asyncio.run(main())
--- a/src/cinderstair/simulation/capacity/controller_child.py
+++ b/src/cinderstair/simulation/capacity/controller_child.py
@@ -1,16 +1,18 @@
-"""A real controller in a process of its own, before backends that are not there."""
+"""A real controller in a process of its own, with stub backends."""
 
 from pathlib import Path
 from typing import Any
 
 from ...runtime.real_disk import RealDisk
 from .child import Child, metered_context, reading_of, use_adapter
-from .hollow_control import HollowControl
 from .metered_protocol import MeteredProtocol
 from .naming import REGIONS
+from .stub_control import StubControl
 
 
 class ControllerChild(Child):
+    """Runs the platform's controller role and counts the bytes of its HTTP connections."""
+
     def __init__(self, *, options: dict[str, Any]) -> None:
         use_adapter()
         from adapter.controller_role import ControllerRole
@@ -42,35 +44,37 @@
         )
         self.role = ControllerRole(self.ctx, machine, MeteredStreams(), self._halt)
         controller = self.role.controller
-        # why: on one loopback address each has ports of its own, which the platform's settings have no words for
-        controller.settings = _placed(settings=controller.settings, options=options)
+        # Controllers share a loopback address and differ in ports, which the platform's settings can't express.
+        controller.settings = _with_loopback_addresses(settings=controller.settings, options=options)
         controller.register_replica.settings = controller.settings
         controller.register_replica.register.seeds = controller.settings.seeds
         controller.register_replica.register.own = controller.settings.records
-        hollow = HollowControl(assignment=lambda service: controller.service_failover.primaries.get(service))
-        controller.control = controller.promoter = hollow
+        stub = StubControl(assignment=lambda service: controller.service_failover.primaries.get(service))
+        controller.control = controller.promoter = stub
         self.controller = controller
         self.net = self.ctx.net
 
-    def _count(self, came: int, went: int) -> None:
-        self.http[0] += came
-        self.http[1] += went
+    def _count(self, received: int, sent: int) -> None:
+        self.http[0] += received
+        self.http[1] += sent
 
     def _halt(self, reason: str) -> None:
         raise SystemExit(reason)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         Path(self.ctx.disk.folder).mkdir(parents=True, exist_ok=True)  # type: ignore[attr-defined]
         started = await self.role.start()
         if started.is_error():
             raise SystemExit(started.error.reason)
 
     async def do_read(self) -> dict[str, Any]:
+        """Returns the resource counters of the process."""
         syncs = self.ctx.counters.counts["vault.syncs"]
         net: Any = self.net
         return reading_of(nets=[net], http=(self.http[0], self.http[1]), syncs=syncs).value()
 
     async def do_status(self) -> dict[str, Any]:
+        """Returns what the controller knows. `holds`: it has the promotion lease; `quiet`: silent backends."""
         controller = self.controller
         roster = controller.register_replica.roster
         return {
@@ -87,7 +91,7 @@
         }
 
 
-def _placed(*, settings: Any, options: dict[str, Any]) -> Any:
+def _with_loopback_addresses(*, settings: Any, options: dict[str, Any]) -> Any:
     from dataclasses import replace
 
     return replace(
--- a/src/cinderstair/simulation/capacity/fit.py
+++ b/src/cinderstair/simulation/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Least squares over a few terms, with the standard error of each coefficient."""
+"""Weighted linear least squares over a few terms of a step's size, with standard errors."""
 
 import math
 import statistics
@@ -9,6 +9,7 @@
 from .step import Step
 
 Term = Callable[[Step], float]
+# Terms by name: N proxies, D databases, G controllers, V voting controllers; products and quotients of these.
 TERMS: Mapping[str, Term] = MappingProxyType(
     {
         "1": lambda step: 1.0,
@@ -24,57 +25,62 @@
         "GD": lambda step: float(step.controllers * step.databases),
         "GN": lambda step: float(step.controllers * step.proxies),
         "GD/N": lambda step: step.controllers * step.databases / max(1, step.proxies),
-        # what every vote carries, and what is asked of the others of a majority
+        # version vectors: in every vote, and in reads from the other voters of a majority
         "VD": lambda step: float(step.voting * step.databases),
         "MD": lambda step: float(step.voting // 2 * step.databases),
-        # what the other controllers hear of backends
+        # heartbeats that a controller gets from other controllers instead of from backends
         "RD": lambda step: (step.controllers - 1) / step.controllers * step.databases,
-        # controllers without a vote read every key again and again, and those with one answer them
+        # non-voting controllers read every key periodically, and the voters answer them
         "X": lambda step: (step.controllers - step.voting) * step.databases / step.controllers,
     }
 )
-# why: below it a coefficient may as well be nothing; three standard errors are seldom passed by chance
-CLEAR = 3.0
-TINY = 1e-12
-ROUNDS = 6
+# A coefficient counts as nonzero above this many standard errors, which noise alone rarely exceeds.
+SIGNIFICANT_T = 3.0
+MIN_PIVOT = 1e-12
+REWEIGHTING_ROUNDS = 6
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fit:
-    """Coefficients by term. `error` is the standard error; without spare points it is not known (nan)."""
+    """Coefficients and their standard errors by term.
+
+    Without residual degrees of freedom (as many points as terms) the standard errors are nan and there is no
+    covariance. `residual` is the relative residual standard error, `max_residual` the largest relative
+    difference between a point and the fit.
+    """
 
     coefficients: dict[str, float]
     errors: dict[str, float] = field(default_factory=dict)
     residual: float = 0.0
     points: int = 0
-    # the largest relative difference between a point and the line
-    worst: float = 0.0
+    max_residual: float = 0.0
     covariance: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def at(self, *, step: Step) -> float:
+    def predict(self, *, step: Step) -> float:
+        """Returns the fitted value at a step of any size."""
         return sum(value * TERMS[name](step) for name, value in self.coefficients.items())
 
-    def spread(self, *, step: Step) -> float:
-        """The standard error of what it says at a step; nan where it is not known."""
+    def standard_error(self, *, step: Step) -> float:
+        """Returns the standard error of the prediction at a step, or nan where it is unknown."""
         if not self.covariance:
             return math.nan
-        square = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
-        return math.sqrt(max(0.0, square))
+        variance = sum(value * TERMS[a](step) * TERMS[b](step) for (a, b), value in self.covariance.items())
+        return math.sqrt(max(0.0, variance))
 
-    def clear(self, *, term: str) -> bool:
-        """Whether the growth with this term is told from none."""
+    def is_significant(self, *, term: str) -> bool:
+        """Tells whether the coefficient differs from zero by more than SIGNIFICANT_T standard errors."""
         error = self.errors.get(term, math.nan)
-        return not math.isnan(error) and abs(self.coefficients[term]) > CLEAR * error
+        return not math.isnan(error) and abs(self.coefficients[term]) > SIGNIFICANT_T * error
 
 
-def solved(*, matrix: list[list[float]], columns: list[list[float]]) -> list[list[float]]:
-    """Gauss with the largest pivot, for several right sides; ValueError where the terms can't be told apart."""
+def solve_linear_system(*, matrix: list[list[float]], columns: list[list[float]]) -> list[list[float]]:
+    """Gauss-Jordan elimination with partial pivoting for several right sides; ValueError for a singular matrix."""
     size = len(matrix)
     rows = [[*matrix[i], *(column[i] for column in columns)] for i in range(size)]
     for i in range(size):
         pivot = max(range(i, size), key=lambda r: abs(rows[r][i]))
-        if abs(rows[pivot][i]) < TINY:
-            raise ValueError("the points can't tell the terms apart")
+        if abs(rows[pivot][i]) < MIN_PIVOT:
+            raise ValueError("singular matrix: the terms are collinear at these points")
         rows[i], rows[pivot] = rows[pivot], rows[i]
         rows[i] = [value / rows[i][i] for value in rows[i]]
         for r in range(size):
@@ -84,64 +90,85 @@
 
 
 def least_squares(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
-    """Each point counts by its distance relative to the line, so that large steps don't drown the others."""
+    """Minimizes relative residuals by iterative reweighting, so that large steps don't dominate the fit.
+
+    ValueError where there are fewer points than terms or the terms are collinear.
+    """
     if len(steps) != len(values) or len(steps) < len(terms):
-        raise ValueError(f"{len(values)} points for {len(terms)} terms")
-    middle = statistics.median(abs(value) for value in values) or 1.0
-    sizes = [max(abs(value), middle / 2) for value in values]
-    fit = _weighted(steps=steps, values=values, terms=terms, sizes=sizes)
-    for _ in range(ROUNDS):
-        # why: by the line's own size, since a point that came out small by chance must not count for the most
-        sizes = [max(abs(fit.at(step=step)), middle / 100) for step in steps]
-        fit = _weighted(steps=steps, values=values, terms=terms, sizes=sizes)
+        raise ValueError(
+            f"{len(values)} values at {len(steps)} steps are too few for {len(terms)} terms, or don't match"
+        )
+    median = statistics.median(abs(value) for value in values) or 1.0
+    sizes = [max(abs(value), median / 2) for value in values]
+    fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
+    for _ in range(REWEIGHTING_ROUNDS):
+        # Weights come from fitted values: a measured value that is small by chance would get too much weight.
+        sizes = [max(abs(fit.predict(step=step)), median / 100) for step in steps]
+        fit = _weighted_least_squares(steps=steps, values=values, terms=terms, sizes=sizes)
     return fit
 
 
-def _weighted(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str], sizes: Sequence[float]) -> Fit:
+def _weighted_least_squares(
+    *, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str], sizes: Sequence[float]
+) -> Fit:
+    """Solves the normal equations; each point has the weight 1 / size."""
     weights = [1 / size for size in sizes]
     table = [[TERMS[name](step) * w for name in terms] for step, w in zip(steps, weights, strict=True)]
-    # why: terms run from 1 to millions, and columns of one size keep the elimination exact
+    # Terms range from 1 to millions; columns of unit length keep the elimination numerically stable.
     scales = [math.sqrt(sum(row[j] ** 2 for row in table)) or 1.0 for j in range(len(terms))]
     table = [[value / scale for value, scale in zip(row, scales, strict=True)] for row in table]
-    goal = [value * w for value, w in zip(values, weights, strict=True)]
+    targets = [value * w for value, w in zip(values, weights, strict=True)]
     size = len(terms)
-    square = [[sum(row[i] * row[j] for row in table) for j in range(size)] for i in range(size)]
-    right = [sum(row[i] * y for row, y in zip(table, goal, strict=True)) for i in range(size)]
-    unit = [[float(i == j) for i in range(size)] for j in range(size)]
-    first, *inverse = solved(matrix=square, columns=[right, *unit])
-    gaps = [y - sum(a * b for a, b in zip(row, first, strict=True)) for row, y in zip(table, goal, strict=True)]
-    spare = len(values) - size
-    variance = sum(gap**2 for gap in gaps) / spare if spare else math.nan
-    errors = [math.sqrt(max(0.0, inverse[j][j]) * variance) / scales[j] if spare else math.nan for j in range(size)]
+    normal_matrix = [[sum(row[i] * row[j] for row in table) for j in range(size)] for i in range(size)]
+    right_side = [sum(row[i] * y for row, y in zip(table, targets, strict=True)) for i in range(size)]
+    identity = [[float(i == j) for i in range(size)] for j in range(size)]
+    solution, *inverse = solve_linear_system(matrix=normal_matrix, columns=[right_side, *identity])
+    residuals = [
+        y - sum(a * b for a, b in zip(row, solution, strict=True)) for row, y in zip(table, targets, strict=True)
+    ]
+    degrees_of_freedom = len(values) - size
+    variance = sum(deviation**2 for deviation in residuals) / degrees_of_freedom if degrees_of_freedom else math.nan
+    errors = [
+        math.sqrt(max(0.0, inverse[j][j]) * variance) / scales[j] if degrees_of_freedom else math.nan
+        for j in range(size)
+    ]
     return Fit(
-        coefficients={name: first[j] / scales[j] for j, name in enumerate(terms)},
+        coefficients={name: solution[j] / scales[j] for j, name in enumerate(terms)},
         errors=dict(zip(terms, errors, strict=True)),
-        residual=math.sqrt(variance) if spare else math.nan,
+        residual=math.sqrt(variance) if degrees_of_freedom else math.nan,
         points=len(values),
-        worst=max(abs(gap) for gap in gaps),
+        max_residual=max(abs(deviation) for deviation in residuals),
         covariance={
             (a, b): inverse[j][i] * variance / scales[i] / scales[j]
             for i, a in enumerate(terms)
             for j, b in enumerate(terms)
-            if spare
+            if degrees_of_freedom
         },
     )
 
 
-def plainest(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
-    """The fit with only those terms whose growth is told from none; what was dropped does not show at all."""
-    left = list(terms)
+def fit_significant_terms(*, steps: Sequence[Step], values: Sequence[float], terms: Sequence[str]) -> Fit:
+    """Backward elimination: drops terms without a significant, positive coefficient until none is left to drop.
+
+    The last term stays in any case. ValueError as for `least_squares`.
+    """
+    remaining = list(terms)
     while True:
-        fit = least_squares(steps=steps, values=values, terms=left)
-        # why: nothing costs less the more there is of it; a slope that falls is of work that was shed or put off
-        unclear = [name for name in left if not fit.clear(term=name) or (name != "1" and fit.coefficients[name] < 0)]
-        if not unclear or len(left) == 1:
+        fit = least_squares(steps=steps, values=values, terms=remaining)
+        # No cost falls as the system grows; a negative slope comes from work that was shed or delayed.
+        insignificant = [
+            name
+            for name in remaining
+            if not fit.is_significant(term=name) or (name != "1" and fit.coefficients[name] < 0)
+        ]
+        if not insignificant or len(remaining) == 1:
             return fit
-        # why: one at a time, since what one term leaves over may be what makes another one clear
-        left.remove(min(unclear, key=lambda name: _strength(fit=fit, name=name)))
+        # One term at a time: removing one can make another significant.
+        remaining.remove(min(insignificant, key=lambda name: _t_statistic(fit=fit, name=name)))
 
 
-def _strength(*, fit: Fit, name: str) -> float:
+def _t_statistic(*, fit: Fit, name: str) -> float:
+    """Ranks terms for elimination: negative slopes first, then the smallest |coefficient| / standard error."""
     error = fit.errors[name]
     if name != "1" and fit.coefficients[name] < 0:
         return -1.0
--- a/src/cinderstair/simulation/capacity/slopes.py
+++ b/src/cinderstair/simulation/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""All slopes that are fitted to a run."""
+"""The slopes that are fitted to the samples of a run."""
 
 from collections.abc import Sequence
 
@@ -10,39 +10,41 @@
 
 
 def rate(*names: str) -> Value:
+    """The sum of these counters per second and instance."""
     return lambda sample, idle: sum(sample.rate(name=name) for name in names)
 
 
-def each(*names: str) -> Value:
-    """Of one event, for one of the role's things."""
+def per_event(*names: str) -> Value:
+    """The sum of these counters per event and instance, above the idle rate."""
 
     def value(sample: Sample, idle: Sample | None) -> float:
         if idle is None:
-            raise ValueError("nothing is known of this step at rest")
-        return sum(sample.each(name=name, idle=idle) for name in names)
+            raise ValueError("the step has no idle sample")
+        return sum(sample.per_event(name=name, idle=idle) for name in names)
 
     return value
 
 
-def carried(sample: Sample, idle: Sample | None) -> float:
-    """Bytes of one event for one thing, over what as many records carry at rest."""
+def excess_bytes(sample: Sample, idle: Sample | None) -> float:
+    """Bytes per event and instance, above what the same number of records carries when idle."""
     if idle is None or not sample.events:
-        raise ValueError("nothing is known of this step at rest")
-    # why: a loop that is busy with the event asks less often meanwhile, and time would then take off too much
-    records = sum(getattr(idle.added, name) for name in RECORDS)
-    usual = sum(getattr(idle.added, name) for name in BYTES) / max(1, records)
-    found = sum(getattr(sample.added, name) for name in BYTES)
-    over = found - usual * sum(getattr(sample.added, name) for name in RECORDS)
-    return over / sample.things / sample.events
+        raise ValueError("the step has no idle sample, or the phase no events")
+    # Idle bytes are subtracted per record, not per second: a proxy that is busy with the event polls less often.
+    records = sum(getattr(idle.delta, name) for name in RECORDS)
+    usual = sum(getattr(idle.delta, name) for name in BYTES) / max(1, records)
+    found = sum(getattr(sample.delta, name) for name in BYTES)
+    over = found - usual * sum(getattr(sample.delta, name) for name in RECORDS)
+    return over / sample.instances / sample.events
 
 
-def one(*names: str) -> Value:
-    """Of one event, for the whole role: where an event concerns one proxy alone."""
-    return lambda sample, idle: each(*names)(sample, idle) * sample.things
+def per_event_of_role(*names: str) -> Value:
+    """The sum of these counters per event over the whole role, for events that concern a single proxy."""
+    return lambda sample, idle: per_event(*names)(sample, idle) * sample.instances
 
 
-def process_bytes(sample: Sample, idle: Sample | None) -> float:
-    return sample.added.rss_bytes / sample.processes
+def rss_per_process(sample: Sample, idle: Sample | None) -> float:
+    """Resident memory per process, in bytes."""
+    return sample.delta.rss_bytes / sample.processes
 
 
 HTTP = ("http_in", "http_out")
@@ -67,8 +69,8 @@
         phase="idle",
         unit="B",
         terms=("1", "N", "ND"),
-        value=process_bytes,
-        shared=True,
+        value=rss_per_process,
+        per_process=True,
     ),
     Slope(
         name="controller idle records",
@@ -101,7 +103,7 @@
         phase="idle",
         unit="us/s",
         terms=("1", "D", "N/G", "ND/G"),
-        value=lambda sample, idle: sample.busiest * 1_000_000,
+        value=lambda sample, idle: sample.max_utilization * 1_000_000,
     ),
     Slope(
         name="controller memory",
@@ -109,7 +111,7 @@
         phase="idle",
         unit="B",
         terms=("1", "D", "N/G"),
-        value=process_bytes,
+        value=rss_per_process,
     ),
     Slope(
         name="proxy bytes a configuration",
@@ -117,7 +119,7 @@
         phase="configuration",
         unit="B",
         terms=("1", "D"),
-        value=carried,
+        value=excess_bytes,
     ),
     Slope(
         name="proxy processor a configuration",
@@ -125,7 +127,7 @@
         phase="configuration",
         unit="us",
         terms=("1", "D", "DD", "N"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller bytes a configuration",
@@ -133,7 +135,7 @@
         phase="configuration",
         unit="B",
         terms=("1", "VD", "ND/G"),
-        value=each(*BYTES),
+        value=per_event(*BYTES),
     ),
     Slope(
         name="controller processor a configuration",
@@ -141,7 +143,7 @@
         phase="configuration",
         unit="us",
         terms=("1", "VD", "ND/G"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller syncs a configuration",
@@ -149,16 +151,16 @@
         phase="configuration",
         unit="",
         terms=("1", "D"),
-        value=each("syncs"),
+        value=per_event("syncs"),
     ),
-    Slope(name="proxy bytes a primary", role=PROXY, phase="primary", unit="B", terms=("1",), value=carried),
+    Slope(name="proxy bytes a primary", role=PROXY, phase="primary", unit="B", terms=("1",), value=excess_bytes),
     Slope(
         name="proxy processor a primary",
         role=PROXY,
         phase="primary",
         unit="us",
         terms=("1", "D", "DD", "N"),
-        value=each("cpu_us"),
+        value=per_event("cpu_us"),
     ),
     Slope(
         name="controller syncs a primary",
@@ -166,7 +168,7 @@
         phase="primary",
         unit="",
         terms=("1", "D"),
-        value=each("syncs"),
+        value=per_event("syncs"),
     ),
     Slope(
         name="proxy bytes a new proxy",
@@ -174,7 +176,7 @@
         phase="replacement",
         unit="B",
         terms=("1", "N", "GD/N"),
-        value=carried,
+        value=excess_bytes,
     ),
     Slope(
         name="proxy bytes a restart",
@@ -182,7 +184,7 @@
         phase="restart",
         unit="B",
         terms=("1", "GD", "GN"),
-        value=one(*BYTES),
+        value=per_event_of_role(*BYTES),
     ),
     Slope(
         name="proxy processor a restart",
@@ -190,7 +192,7 @@
         phase="restart",
         unit="us",
         terms=("1", "D"),
-        value=one("cpu_us"),
+        value=per_event_of_role("cpu_us"),
     ),
     Slope(
         name="controllers' processor a restart",
@@ -198,6 +200,6 @@
         phase="restart",
         unit="us",
         terms=("1", "GD", "GN"),
-        value=one("cpu_us"),
+        value=per_event_of_role("cpu_us"),
     ),
 )
