--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -111,7 +111,7 @@
     assignment = world.http_proxy(name="stall-0").view.primaries["db0"]
     context.name = assignment.in_sync[0]
     backend = world.backend(name=context.name)
-    backend.beating = False
+    backend.heartbeats_enabled = False
     heartbeats = [backend.heartbeat() for _ in range(count)]
     heartbeats[-1]["state"] = "emptying"
     # why: from an earlier run of it, numbered higher, and still older than all that came since
--- a/features/steps/http_interface_steps.py
+++ b/features/steps/http_interface_steps.py
@@ -29,7 +29,7 @@
 from cinderstair.runtime.unpacker import Unpacker
 from cinderstair.simulation.fleet import free_ports
 from cinderstair.simulation.sim_net import SimNet
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 from cinderstair.simulation.world import World
 
 SOURCES = Path(__file__).resolve().parents[2]
@@ -102,7 +102,7 @@
 
 async def exchange(*, world: World, name: str, method: str, path: str, body: bytes) -> HttpResponse:
     """One request on a connection of its own."""
-    net = SimNet(wires=world.wires, boot=Boot(name="operator"))
+    net = SimNet(network=world.network, process=SimProcess(name="operator"))
     connection = (await net.dial(address=world.http(name=name), wait_us=500_000)).ok
     request = HttpRequest(method=method, path=path, body=body)
     result = await connection.send_request(request=request, wait_us=ANSWER_WAIT_US)
@@ -183,7 +183,7 @@
             body = NUMBER.sub(r"\1N", request.body.decode())
             sent.add(f"{request.method} {request.path} {body}")
 
-    world.wires.arrived = note  # type: ignore[method-assign]
+    world.network.arrived = note  # type: ignore[method-assign]
     replayed(world=world, requests=requests)
     return sorted(sent)
 
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -9,7 +9,7 @@
 
 from cinderstair.runtime.http_request import HttpRequest
 from cinderstair.simulation.sim_net import SimNet
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 from cinderstair.simulation.world import World
 
 
@@ -176,7 +176,7 @@
 
 @then("a new session is denied at once with notCurrent, a Retry-After and where else to go")
 def then_elsewhere(context: Any) -> None:
-    net = SimNet(wires=context.world.wires, boot=Boot(name="client"))
+    net = SimNet(network=context.world.network, process=SimProcess(name="client"))
     body = json.dumps({"database": "db0", "timeLeftUs": 5_000_000}).encode()
     began_us = context.world.now_us
 
@@ -240,7 +240,7 @@
 @then("no backend was given more than {cap:d} channels")
 def then_capped(context: Any, cap: int) -> None:
     for name in context.world.backend_names():
-        assert context.world.backend(name=name).most_lines <= cap
+        assert context.world.backend(name=name).peak_connections <= cap
 
 
 @when('a configuration with the language "{language}" is in force')
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -8,7 +8,7 @@
 
 from cinderstair.membership.member import Standing
 from cinderstair.simulation.sim_net import SimNet
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 
 
 def removed(*, context: Any, but: str) -> list[str]:
@@ -18,7 +18,7 @@
         f"{name} lists {member.name} as dead"
         for name in (*world.http_proxy_names, *world.register_replica_names)
         if world.up(name=name)
-        for member in world.things[name].membership.members.values()
+        for member in world.roles[name].membership.members.values()
         if member.standing == Standing.dead and member.name != but
     ]
 
@@ -26,7 +26,7 @@
 def removed_everywhere(*, context: Any, name: str) -> bool:
     world = context.world
     return all(
-        world.things[each].membership.standing(name=name) in (Standing.dead, None)
+        world.roles[each].membership.standing(name=name) in (Standing.dead, None)
         for each in (*world.http_proxy_names, *world.register_replica_names)
         if each != name
     )
@@ -39,7 +39,7 @@
     # the scenario starts once every daemon knows all others
     world.await_that(
         test=lambda: all(
-            len(world.things[n].membership.alive()) == http_proxies + register_replicas - 1
+            len(world.roles[n].membership.alive()) == http_proxies + register_replicas - 1
             for n in (*world.http_proxy_names, *world.register_replica_names)
         ),
         within_us=20_000_000,
@@ -90,7 +90,7 @@
     world = context.world
     others = [each for each in (*world.http_proxy_names, *world.register_replica_names) if each != name]
     world.await_that(
-        test=lambda: all(world.things[each].membership.standing(name=name) == Standing.alive for each in others),
+        test=lambda: all(world.roles[each].membership.standing(name=name) == Standing.alive for each in others),
         within_us=seconds * 1_000_000,
         what=f"{name} is alive",
     )
@@ -108,7 +108,7 @@
 @when("{count:d} records of random bytes are sent to stall-0 and vault-0")
 def when_random_records(context: Any, count: int) -> None:
     world, rng = context.world, random.Random(6)
-    net = SimNet(wires=world.wires, boot=Boot(name="stranger"))
+    net = SimNet(network=world.network, process=SimProcess(name="stranger"))
     context.answers = []
     for number in range(count):
         kind = rng.choice([1, 2, 3, 4, 5, 6, 7, 20, 21, 30, 99])
@@ -133,7 +133,7 @@
 @when("{name} is frozen for {seconds:d} seconds and resumed")
 def when_frozen(context: Any, name: str, seconds: int) -> None:
     world = context.world
-    context.before = world.things[name].membership.me.incarnation
+    context.before = world.roles[name].membership.me.incarnation
     world.freeze(name=name)
     world.advance(for_us=seconds * 1_000_000)
     assert removed_everywhere(context=context, name=name)
--- a/features/steps/peer_client_steps.py
+++ b/features/steps/peer_client_steps.py
@@ -12,7 +12,7 @@
 from cinderstair.runtime.packer import Packer
 from cinderstair.runtime.protocol_versions import VERSION_FLAG, ProtocolVersions
 from cinderstair.runtime.unpacker import Unpacker
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 
 ADDRESS = "10.9.9.9:7100"
 
@@ -25,7 +25,7 @@
 def new_context(*, context: Any, name: str, versions: str) -> Any:
     context.world.versions_by_address[name] = protocol_versions(text=versions)
     context.world.addresses.setdefault(name, name)
-    return context.world._context(name=name, boot=Boot(name=name))
+    return context.world._context(name=name, process=SimProcess(name=name))
 
 
 def open_dispatcher(*, context: Any, name: str, versions: str) -> Dispatcher:
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -235,7 +235,7 @@
     see_adapter()
     context.world = world = PlatformWorld(seed=1)
     context.worlds.append(world)
-    world.wires.dark.add("guildhall-2")
+    world.network.dark.add("guildhall-2")
     context.absent = [world.controllers.pop(2)]
     world.begin()
     world.advance(for_ms=3_000)
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -16,7 +16,7 @@
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.message_types import MessageType
 from cinderstair.runtime.protocol_versions import split_version_header
-from cinderstair.simulation.virtual_loop import Boot
+from cinderstair.simulation.virtual_loop import SimProcess
 
 
 @given("5 register replicas and {count:d} proposers, with seed {seed:d}")
@@ -28,16 +28,16 @@
         test=lambda: all(
             world.register_replica(name=n).roster is not None
             for n in world.register_replica_names
-            if n in world.things
+            if n in world.roles
         )
-        and len(world.things) == 5,
+        and len(world.roles) == 5,
         within_us=20_000_000,
         what="a roster",
     )
     seeds = world.settings(name="vault-0").seeds
-    context.boots = [Boot(name=f"proposer-{number}") for number in range(count)]
+    context.processes = [SimProcess(name=f"proposer-{number}") for number in range(count)]
     context.registers = [
-        Register(ctx=world._context(name=boot.name, boot=boot), seeds=seeds) for boot in context.boots
+        Register(ctx=world._context(name=process.name, process=process), seeds=seeds) for process in context.processes
     ]
 
 
@@ -81,8 +81,8 @@
     world = context.world
     context.logs = [[] for _ in context.registers]
     tasks = [
-        world.wires.run_at(boot=boot, work=add_all(register=register, times=25, log=log))
-        for boot, register, log in zip(context.boots, context.registers, context.logs, strict=True)
+        world.network.run_at(process=process, work=add_all(register=register, times=25, log=log))
+        for process, register, log in zip(context.processes, context.registers, context.logs, strict=True)
     ]
     while not all(task.done() for task in tasks):
         inject_fault(world=world, what=what)
@@ -141,11 +141,11 @@
 def when_all_request(context: Any) -> None:
     world = context.world
     leases = [Lease(ctx=register.ctx, register=register, name="lease") for register in context.registers]
-    for boot, register, lease in zip(context.boots, context.registers, leases, strict=True):
+    for process, register, lease in zip(context.processes, context.registers, leases, strict=True):
         world.run(work=register.find_roster())
-        world.wires.run_at(boot=boot, work=keep_acquiring(lease=lease))
+        world.network.run_at(process=process, work=keep_acquiring(lease=lease))
     context.held = []
-    frozen: Boot | None = None
+    frozen: SimProcess | None = None
     for step in range(600):
         world.advance(for_us=100_000)
         context.held.append(sum(lease.held for lease in leases))
@@ -154,12 +154,12 @@
             world.kill(name=name)
             world.start(name=name)
         if step % 100 == 60:
-            holders = [boot for boot, lease in zip(context.boots, leases, strict=True) if lease.held]
+            holders = [process for process, lease in zip(context.processes, leases, strict=True) if lease.held]
             if frozen is not None:
-                world.loop.thaw(boot=frozen)
+                world.loop.thaw(process=frozen)
             frozen = holders[0] if holders else None
             if frozen is not None:
-                world.loop.freeze(boot=frozen)
+                world.loop.freeze(process=frozen)
 
 
 @then("the lease never has two holders, and is held at least half of the time")
@@ -324,8 +324,9 @@
     changer.change_roster = once
     enters = Voter(ident=77, name="vault-9", address="10.0.0.99:7100")
     voter_replacement = VoterReplacement(ctx=changer.ctx, register=changer)
-    world.wires.run_at(
-        boot=context.boots[2], work=voter_replacement.replace_voter(leaves="vault-1", enters=enters, max_voters=5)
+    world.network.run_at(
+        process=context.processes[2],
+        work=voter_replacement.replace_voter(leaves="vault-1", enters=enters, max_voters=5),
     )
     world.advance(for_us=1_000_000)
     world.run(work=contender.find_roster())
--- a/src/cinderstair/simulation/backend_trials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -6,9 +6,9 @@
 
 def answers_lost(*, trial: Trial) -> None:
     """The primary runs jobs whose answers never arrive."""
-    trial.world.wires.lose_answers[trial.primary] = 0.1
+    trial.world.network.lose_answers[trial.primary] = 0.1
     trial.go(for_us=8_000_000)
-    trial.world.wires.lose_answers.clear()
+    trial.world.network.lose_answers.clear()
     trial.go(for_us=3_000_000)
 
 
@@ -16,9 +16,9 @@
     """Backends run jobs, and some of their answers, and of their words on their positions, can't be read."""
     world = trial.world
     for name in world.backend_names():
-        world.wires.garble_answers[name] = 0.04
+        world.network.garble_answers[name] = 0.04
     trial.go(for_us=8_000_000)
-    world.wires.garble_answers.clear()
+    world.network.garble_answers.clear()
     trial.fault()
     trial.go(for_us=14_000_000)
 
@@ -63,7 +63,7 @@
     for each in frozen:
         world.freeze(name=each)
     trial.go(for_us=2_500_000)
-    world.backend(name=name).beating = False
+    world.backend(name=name).heartbeats_enabled = False
     trial.go(for_us=5_500_000)
     for each in frozen:
         world.thaw(name=each)
--- a/src/cinderstair/simulation/day.py
+++ b/src/cinderstair/simulation/day.py
@@ -124,11 +124,11 @@
     )
     day = Day(trial=trial)
     world = day.world
-    world.things["platform"].promotion_us = usual.promotion_us
+    world.roles["platform"].promotion_us = usual.promotion_us
     for database in world.databases:
         day.used |= set(world.listed[database])
     # why: one machine is slow from morning to night
-    world.wires.lags_us[random.Random(f"slow/{seed}").choice(world.http_proxy_names)] = 15_000
+    world.network.lags_us[random.Random(f"slow/{seed}").choice(world.http_proxy_names)] = 15_000
     return day
 
 
--- a/src/cinderstair/simulation/failover_trials.py
+++ b/src/cinderstair/simulation/failover_trials.py
@@ -44,7 +44,7 @@
     near = next(n for n in world.http_proxy_names if n != trial.holder)
     others = [n for n in world.addresses if n not in (name, near)]
     holder, replica = trial.holder, trial.in_sync[0]
-    world.things["platform"].promotion_us = 100_000
+    world.roles["platform"].promotion_us = 100_000
     for each in world.http_proxy_names:
         # why: the longer all views last, the longer the cut HTTP proxy goes on reading by its old one
         world.http_proxy(name=each).view.lease_us = 2_500_000
@@ -136,11 +136,11 @@
 def promotion_lost(*, trial: Trial) -> None:
     """The platform promotes, and its answer is lost, again and again."""
     world, name = trial.world, trial.primary
-    world.wires.lose_answers["platform"] = 0.8
+    world.network.lose_answers["platform"] = 0.8
     trial.fault()
     world.kill(name=name)
     trial.go(for_us=SETTLE_US)
-    world.wires.lose_answers.clear()
+    world.network.lose_answers.clear()
     world.start(name=name)
     trial.go(for_us=5_000_000)
 
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -31,12 +31,12 @@
 
 
 def await_end(*, world: World, name: str) -> None:
-    world.await_that(test=lambda: world.boots[name].dead, within_us=20_000_000, what=f"{name} has stopped")
+    world.await_that(test=lambda: world.processes[name].dead, within_us=20_000_000, what=f"{name} has stopped")
 
 
 def await_ready(*, world: World, name: str) -> None:
     def ready() -> bool:
-        return name in world.things and world.http_proxy(name=name).ready.unready() is None
+        return name in world.roles and world.http_proxy(name=name).ready.unready() is None
 
     world.await_that(test=ready, within_us=20_000_000, what=f"{name} is ready")
 
@@ -149,7 +149,7 @@
     world = trial.world
     for name in world.backend_names():
         world.backend(name=name).cap = 10_000
-        world.backend(name=name).most_lines = 0
+        world.backend(name=name).peak_connections = 0
     for name in world.http_proxy_names:
         world.http_proxy(name=name).proxy_id_reclaimer.grace_us = 2_000_000
     name = world.rng.choice([n for n in world.http_proxy_names if n != trial.holder])
@@ -172,7 +172,7 @@
     world.start(name=name)
     trial.go(for_us=8_000_000)
     for each in world.backend_names():
-        found = world.backend(name=each).most_lines
+        found = world.backend(name=each).peak_connections
         trial.verdict.count(name="channels at once", value=found)
         if found > world.cap:
             trial.verdict.wrong.append(f"{each} had {found} channels at once, cap {world.cap}")
--- a/src/cinderstair/simulation/injected_faults.py
+++ b/src/cinderstair/simulation/injected_faults.py
@@ -101,13 +101,13 @@
 
 def answers_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     name = day.trial.primary_of(database=rng.choice(list(day.world.databases)))
-    day.world.wires.lose_answers[name] = 0.1
-    return lambda: day.world.wires.lose_answers.__setitem__(name, 0.0)
+    day.world.network.lose_answers[name] = 0.1
+    return lambda: day.world.network.lose_answers.__setitem__(name, 0.0)
 
 
 def promotions_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    day.world.wires.lose_answers["platform"] = 0.7
-    return lambda: day.world.wires.lose_answers.__setitem__("platform", 0.0)
+    day.world.network.lose_answers["platform"] = 0.7
+    return lambda: day.world.network.lose_answers.__setitem__("platform", 0.0)
 
 
 # ---- HTTP proxies and clients
@@ -152,7 +152,9 @@
 
     def again() -> None:
         # why: it may still be waiting for its last clients, and only its own end frees its place
-        day.world.await_that(test=lambda: day.world.boots[name].dead, within_us=12_000_000, what=f"{name} has ended")
+        day.world.await_that(
+            test=lambda: day.world.processes[name].dead, within_us=12_000_000, what=f"{name} has ended"
+        )
         day.world.start(name=name)
 
     return again
@@ -174,7 +176,7 @@
 
 def channels_reset(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     backends = set(day.world.backend_names())
-    connections = [connection for connection in day.world.wires.connections if connection.server.name in backends]
+    connections = [connection for connection in day.world.network.connections if connection.server.name in backends]
     for connection in rng.sample(connections, len(connections) // 4):
         connection.reset()
     return nothing
@@ -322,7 +324,7 @@
         for name in rng.sample(world.register_replica_names, 2):
             world.kill(name=name)
     else:
-        names = [name for name in world.addresses if name != "platform" and not world.boots[name].dead]
+        names = [name for name in world.addresses if name != "platform" and not world.processes[name].dead]
         for name in names:
             world.kill(name=name)
         for name in names:
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -15,7 +15,7 @@
 def work(*, world: World) -> Counter[str]:
     """What has been done so far, everywhere."""
     counts: Counter[str] = Counter()
-    for name, count in world.wires.work.items():
+    for name, count in world.network.work.items():
         kind = name.removeprefix("record ")
         counts[f"record {MessageType(int(kind)).name}" if kind.isdecimal() else name] += count
     counts["syncs"] = sum(world.disks[name].syncs for name in world.register_replica_names)
--- a/src/cinderstair/simulation/platformsim/backend_door.py
+++ b/src/cinderstair/simulation/platformsim/backend_door.py
@@ -157,7 +157,7 @@
             return
         ends = [door.transport.peer for door in backend.doors if door.handshake_done and door.transport is not None]
         held = sum(
-            end.host.startswith("booth-") and not end.closing and (end.boot is None or not end.boot.dead)
+            end.host.startswith("booth-") and not end.closing and (end.process is None or not end.process.dead)
             for end in ends
         )
         max_links = backend.service.max_links
--- a/src/cinderstair/simulation/platformsim/listener.py
+++ b/src/cinderstair/simulation/platformsim/listener.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..virtual_loop import Boot
+from ..virtual_loop import SimProcess
 
 
 @dataclass(frozen=True, kw_only=True)
 class Listener:
     host: str
-    boot: Boot | None
+    process: SimProcess | None
     context: contextvars.Context
     protocol: Callable[[], Any]
--- a/src/cinderstair/simulation/platformsim/mixed_trials.py
+++ b/src/cinderstair/simulation/platformsim/mixed_trials.py
@@ -21,18 +21,18 @@
 
 
 def _kill(world: PlatformWorld) -> None:
-    alive = [name for name, boot in world.boots.items() if not boot.dead]
+    alive = [name for name, process in world.processes.items() if not process.dead]
     if alive:
         world.kill(name=world.rng.choice(alive), again_us=world.rng.randrange(300_000, 2_500_000))
 
 
 def _freeze(world: PlatformWorld) -> Callable[[], None]:
-    name = world.rng.choice(sorted(world.boots))
-    boot = world.boots[name]
+    name = world.rng.choice(sorted(world.processes))
+    process = world.processes[name]
     world.freeze(name=name)
 
     def over() -> None:
-        if world.boots[name] is boot and not boot.dead:
+        if world.processes[name] is process and not process.dead:
             world.thaw(name=name)
         else:
             world.past(name=name)
@@ -59,7 +59,7 @@
 
 
 def _reset(world: PlatformWorld) -> None:
-    world.reset(name=world.rng.choice([*world.boots, *world.backends]))
+    world.reset(name=world.rng.choice([*world.processes, *world.backends]))
 
 
 def _lose(world: PlatformWorld) -> Callable[[], None]:
--- a/src/cinderstair/simulation/platformsim/platform_wires.py
+++ b/src/cinderstair/simulation/platformsim/platform_wires.py
@@ -2,13 +2,13 @@
 
 import random
 
-from ..sim_net import Wires
+from ..sim_net import SimNetwork
 from ..virtual_loop import VirtualLoop
 
 FAST_US, SLOW_US = 300, 5_000
 
 
-class PlatformWires(Wires):
+class PlatformWires(SimNetwork):
     """A dark machine neither says nor hears anything, and nobody is told so."""
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -12,7 +12,7 @@
 from ...runtime.no_disk import NoDisk
 from ..sim_disk import SimDisk
 from ..sim_net import SimNet
-from ..virtual_loop import Boot, VirtualLoop
+from ..virtual_loop import SimProcess, VirtualLoop
 from .disruption import Disruption
 from .heartbeat_sender import HeartbeatSender
 from .platform_client import PlatformClient
@@ -61,9 +61,9 @@
         self.seed = seed
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._wrong)
-        self.wires = PlatformWires(loop=self.loop, rng=self.rng_for(name="wires"))
-        self.fabric = StreamFabric(loop=self.loop, wires=self.wires, rng=self.rng_for(name="fabric"))
-        self.fabric.region_us = self.wires.slow_us = region_us
+        self.network = PlatformWires(loop=self.loop, rng=self.rng_for(name="wires"))
+        self.fabric = StreamFabric(loop=self.loop, network=self.network, rng=self.rng_for(name="fabric"))
+        self.fabric.region_us = self.network.slow_us = region_us
         self.rng = self.rng_for(name="world")
         self.log_level = log_level
         self.proxies = [f"booth-{n}" for n in range(proxies)]
@@ -71,7 +71,7 @@
         self.errors: list[str] = []
         self.halted: dict[str, str] = {}
         self.disruptions: list[Disruption] = []
-        self.boots: dict[str, Boot] = {}
+        self.processes: dict[str, SimProcess] = {}
         self.roles: dict[str, Any] = {}
         self.contexts: dict[str, Context] = {}
         self.disks: dict[str, SimDisk] = {}
@@ -160,8 +160,8 @@
     def address(self, *, name: str, door: str) -> str:
         return f"{self.addresses[name]}:{PORTS[door]}"
 
-    def streams(self, *, name: str, boot: Boot | None = None) -> SimStreams:
-        return SimStreams(fabric=self.fabric, host=name, boot=boot)
+    def streams(self, *, name: str, process: SimProcess | None = None) -> SimStreams:
+        return SimStreams(fabric=self.fabric, host=name, process=process)
 
     def _backend(
         self, *, service: StandInService, index: int, is_primary: bool, old: StandInBackend | None = None
@@ -191,7 +191,7 @@
 
     # -- machines of the system --
 
-    def _context(self, *, name: str, boot: Boot) -> Context:
+    def _context(self, *, name: str, process: SimProcess) -> Context:
         life = self.lives[name]
         # why: no two machines' steady clocks agree, nor do one machine's before and after a restart
         skew_us = self.rng_for(name=f"skew/{name}/{life}").randrange(10**12)
@@ -204,7 +204,7 @@
             rng=self.rng_for(name=f"luck/{name}/{life}"),
             clock=lambda: self.now_us + skew_us,
             wall=lambda: self.now_us,
-            net=SimNet(wires=self.wires, boot=boot),
+            net=SimNet(network=self.network, process=process),
             disk=disk if name in self.controllers else NoDisk(),
             log=log,
             counters=Counters(),
@@ -240,14 +240,14 @@
         from adapter.controller_role import ControllerRole
         from adapter.proxy_role import ProxyRole
 
-        self.wires.dark.discard(name)
-        boot = Boot(name=name)
+        self.network.dark.discard(name)
+        process = SimProcess(name=name)
         self.lives[name] = self.lives.get(name, 0) + 1
-        ctx = self._context(name=name, boot=boot)
-        self.boots[name], self.contexts[name] = boot, ctx
+        ctx = self._context(name=name, process=process)
+        self.processes[name], self.contexts[name] = process, ctx
         make = ProxyRole if name in self.proxies else ControllerRole
         machine = self.machine(name=name)
-        streams = self.streams(name=name, boot=boot)
+        streams = self.streams(name=name, process=process)
 
         async def run() -> None:
             role = make(ctx, machine, streams, lambda reason: self._halt(name=name, reason=reason))
@@ -258,16 +258,16 @@
             if result.is_error():
                 self._halt(name=name, reason=result.error.reason)
 
-        self.wires.run_at(boot=boot, work=run())
+        self.network.run_at(process=process, work=run())
 
     def _halt(self, *, name: str, reason: str) -> None:
         self.halted[name] = reason
         self.kill(name=name)
 
     def _end(self, *, name: str, dark: bool) -> None:
-        boot = self.boots[name]
-        self.loop.kill(boot=boot)
-        self.wires.close_all(boot=boot)
+        process = self.processes[name]
+        self.loop.kill(process=process)
+        self.network.close_all(process=process)
         self.fabric.end_of(host=name, silently=dark)
         self.roles.pop(name, None)
 
@@ -279,13 +279,13 @@
 
     async def _start_later(self, *, name: str, wait_us: int) -> None:
         await asyncio.sleep(wait_us / 1_000_000)
-        if self.boots[name].dead and (name in self.controllers or name in self.proxies):
+        if self.processes[name].dead and (name in self.controllers or name in self.proxies):
             self.start(name=name)
 
     def power_off(self, *, name: str, wipe: bool = False) -> None:
         """The machine goes dark, and may lose its disk."""
         self.note(name=name, for_us=None)
-        self.wires.dark.add(name)
+        self.network.dark.add(name)
         self._end(name=name, dark=True)
         if wipe:
             self.disks[name].wipe()
@@ -321,11 +321,11 @@
 
     def freeze(self, *, name: str) -> None:
         self.note(name=name, for_us=None)
-        self.loop.freeze(boot=self.boots[name])
+        self.loop.freeze(process=self.processes[name])
 
     def thaw(self, *, name: str) -> None:
         self.past(name=name)
-        self.loop.thaw(boot=self.boots[name])
+        self.loop.thaw(process=self.processes[name])
 
     def stop(self, *, name: str, again_us: int = 1_500_000) -> None:
         """A planned stop and start: SIGTERM, an orderly end or SIGKILL, and a new start."""
@@ -339,10 +339,10 @@
 
     async def _drained(self, *, name: str, dark: bool) -> bool:
         """SIGTERM, then an orderly end or SIGKILL; False where the process ended otherwise meanwhile."""
-        boot, role = self.boots[name], self.roles[name]
-        task = self.wires.run_at(boot=boot, work=role.drain())
+        process, role = self.processes[name], self.roles[name]
+        task = self.network.run_at(process=process, work=role.drain())
         await asyncio.wait([task], timeout=GRACE_US / 1_000_000)
-        if self.boots[name] is not boot or boot.dead:
+        if self.processes[name] is not process or process.dead:
             return False
         self._end(name=name, dark=dark)
         return True
@@ -353,15 +353,15 @@
 
     def cut(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
         for name in [*ones, *others]:
-            if name in self.boots:
+            if name in self.processes:
                 self.note(name=name, for_us=None)
         # why: far ahead, until the cut is healed
         self.referee.late.cut_us = 1 << 62
         for one in ones:
             for other in others:
-                self.wires.cuts.add((one, other))
+                self.network.cuts.add((one, other))
                 if both:
-                    self.wires.cuts.add((other, one))
+                    self.network.cuts.add((other, one))
 
     def cut_off_controller(self, *, name: str, both: bool = True) -> None:
         """Cuts one controller off from the others, which are a majority and settle without it."""
@@ -374,9 +374,9 @@
     def heal(self) -> None:
         # why: they are joined again, which unsettles all for a while
         self.minority.clear()
-        for name in self.boots:
+        for name in self.processes:
             self.past(name=name)
-        self.wires.cuts.clear()
+        self.network.cuts.clear()
         self.referee.late.cut_us = self.now_us
 
     # -- in touch --
@@ -624,8 +624,8 @@
                 self.errors.append(f"{ctx.name} crashed {ctx.counters.counts['internal.crashes']} times inside")
 
     def close(self) -> None:
-        for boot in self.boots.values():
-            boot.dead = True
+        for process in self.processes.values():
+            process.dead = True
         self.loop.ended = True
-        self.loop.graveyard.clear()
+        self.loop.retained_tasks.clear()
         self.loop.close()
--- a/src/cinderstair/simulation/platformsim/shard_trials.py
+++ b/src/cinderstair/simulation/platformsim/shard_trials.py
@@ -235,7 +235,7 @@
     """All that a proxy sends and hears is late by as much as a question may be."""
     world.advance(for_ms=500)
     world.note(name=world.proxies[0], for_us=None)
-    world.wires.lags_us[world.proxies[0]] = world.rng.randrange(100_000, 180_000)
+    world.network.lags_us[world.proxies[0]] = world.rng.randrange(100_000, 180_000)
     assert not propose(world=world)
     moved(world=world, within_ms=14_000)
     world.advance(for_ms=1_000)
--- a/src/cinderstair/simulation/platformsim/sim_streams.py
+++ b/src/cinderstair/simulation/platformsim/sim_streams.py
@@ -8,7 +8,7 @@
 from expression import Error, Ok, Result
 
 from ...runtime.errors import CinderstairError, ErrorCode
-from ..virtual_loop import BOOT, Boot
+from ..virtual_loop import CURRENT_PROCESS, SimProcess
 from .listener import Listener
 from .stream_fabric import StreamFabric
 
@@ -16,18 +16,18 @@
 class SimStreams:
     """Does what the adapter may ask of a network; every callback runs on the machine it belongs to."""
 
-    def __init__(self, *, fabric: StreamFabric, host: str, boot: Boot | None) -> None:
+    def __init__(self, *, fabric: StreamFabric, host: str, process: SimProcess | None) -> None:
         self.fabric = fabric
         self.host = host
-        self.boot = boot
+        self.process = process
         self.context = contextvars.Context()
-        if boot is not None:
-            self.context.run(BOOT.set, boot)
+        if process is not None:
+            self.context.run(CURRENT_PROCESS.set, process)
 
     async def connect(
         self, *, address: str, protocol: Callable[[], Any], wait_us: int
     ) -> Result[Any, CinderstairError]:
-        opened = self.fabric.dial(host=self.host, boot=self.boot, context=self.context, address=address)
+        opened = self.fabric.dial(host=self.host, process=self.process, context=self.context, address=address)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 end = await opened
@@ -43,8 +43,8 @@
         return Ok(made)
 
     async def serve(self, *, address: str, protocol: Callable[[], Any]) -> None:
-        listener = Listener(host=self.host, boot=self.boot, context=self.context, protocol=protocol)
+        listener = Listener(host=self.host, process=self.process, context=self.context, protocol=protocol)
         self.fabric.listen(address=address, listener=listener)
 
     async def stop_listening(self) -> None:
-        self.fabric.deafen(host=self.host, boot=self.boot)
+        self.fabric.deafen(host=self.host, process=self.process)
--- a/src/cinderstair/simulation/platformsim/sim_transport.py
+++ b/src/cinderstair/simulation/platformsim/sim_transport.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..virtual_loop import Boot
+from ..virtual_loop import SimProcess
 from .sim_socket import SimSocket
 
 if TYPE_CHECKING:
@@ -29,11 +29,13 @@
 class SimTransport(asyncio.Transport):
     """Bytes arrive in order, after the pair's delay. What a cut holds up is sent again, as TCP does."""
 
-    def __init__(self, *, fabric: "StreamFabric", host: str, boot: Boot | None, context: contextvars.Context) -> None:
+    def __init__(
+        self, *, fabric: "StreamFabric", host: str, process: SimProcess | None, context: contextvars.Context
+    ) -> None:
         super().__init__()
         self.fabric = fabric
         self.host = host
-        self.boot = boot
+        self.process = process
         self.context = context
         self.peer: SimTransport = self
         self.protocol: Any = None
@@ -87,7 +89,7 @@
             return
         self.closing = True
         # why: asyncio drops only what it holds itself; what the machine has taken over is dropped by a reset alone
-        if self.boot is None or self.resets_at_end:
+        if self.process is None or self.resets_at_end:
             self._drop()
         self._send(data=b"", resets=True)
         self.fabric.loop.call_soon(self._lost, None, context=self.context)
--- a/src/cinderstair/simulation/platformsim/stand_in_backend.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_backend.py
@@ -92,7 +92,7 @@
             self.lead_life += 1
         self.applied = len(self.log)
         listener = Listener(
-            host=self.name, boot=None, context=contextvars.Context(), protocol=lambda: BackendDoor(backend=self)
+            host=self.name, process=None, context=contextvars.Context(), protocol=lambda: BackendDoor(backend=self)
         )
         self.fabric.listen(address=self.address, listener=listener)
 
@@ -105,10 +105,10 @@
         self.fabric.end_of(host=self.name, silently=dark)
         self.doors.clear()
         if dark:
-            self.fabric.wires.dark.add(self.name)
+            self.fabric.network.dark.add(self.name)
 
     def light(self) -> None:
-        self.fabric.wires.dark.discard(self.name)
+        self.fabric.network.dark.discard(self.name)
 
     # -- the log --
 
--- a/src/cinderstair/simulation/platformsim/stand_in_platform.py
+++ b/src/cinderstair/simulation/platformsim/stand_in_platform.py
@@ -52,7 +52,7 @@
     def start(self) -> None:
         listener = Listener(
             host="platform",
-            boot=None,
+            process=None,
             context=contextvars.Context(),
             protocol=lambda: HttpListener(handle=self._handle),
         )
--- a/src/cinderstair/simulation/platformsim/stream_fabric.py
+++ b/src/cinderstair/simulation/platformsim/stream_fabric.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..virtual_loop import Boot, VirtualLoop
+from ..virtual_loop import SimProcess, VirtualLoop
 from .listener import Listener
 from .platform_wires import PlatformWires
 from .sim_transport import SimTransport
@@ -18,9 +18,9 @@
 class StreamFabric:
     """Hosts are known by name; addresses lead to hosts, also when nobody listens there."""
 
-    def __init__(self, *, loop: VirtualLoop, wires: PlatformWires, rng: random.Random) -> None:
+    def __init__(self, *, loop: VirtualLoop, network: PlatformWires, rng: random.Random) -> None:
         self.loop = loop
-        self.wires = wires
+        self.network = network
         self.rng = rng
         self.context = contextvars.Context()
         self.hosts: dict[str, str] = {}
@@ -44,7 +44,7 @@
         return self.hosts.get(address.rpartition(":")[0], "")
 
     def passes(self, *, source: str, target: str) -> bool:
-        return self.wires.passes(source=source, target=target)
+        return self.network.passes(source=source, target=target)
 
     def reaches(self, *, one: str, other: str) -> bool:
         """Both ways."""
@@ -56,7 +56,7 @@
             base_us = self.region_us
         elif self.zones.get(source) != self.zones.get(target):
             base_us = ZONE_US
-        lag_us = self.wires.lags_us.get(source, 0) + self.wires.lags_us.get(target, 0)
+        lag_us = self.network.lags_us.get(source, 0) + self.network.lags_us.get(target, 0)
         return (base_us + self.rng.randrange(base_us // 2) + lag_us) / 1_000_000
 
     def later(self, *, call: Callable[[], None], source: str, target: str) -> None:
@@ -78,7 +78,7 @@
         self.ends.get(end.host, {}).pop(end, None)
 
     def dial(
-        self, *, host: str, boot: Boot | None, context: contextvars.Context, address: str
+        self, *, host: str, process: SimProcess | None, context: contextvars.Context, address: str
     ) -> asyncio.Future[SimTransport]:
         """The end of a connection that was opened; for ever pending where nothing answers."""
         opened: asyncio.Future[SimTransport] = self.loop.create_future()
@@ -99,7 +99,7 @@
                 if listener is None or (host, target) in self.refusing:
                     self.later(call=refuse, source=target, target=host)
                     return
-                self._open(opened=opened, listener=listener, host=host, boot=boot, context=context)
+                self._open(opened=opened, listener=listener, host=host, process=process, context=context)
 
             delay_s = self.delay_s(source=host, target=target)
             self.loop.call_later(delay_s, arrive, context=self.context)
@@ -117,11 +117,11 @@
         opened: asyncio.Future[SimTransport],
         listener: Listener,
         host: str,
-        boot: Boot | None,
+        process: SimProcess | None,
         context: contextvars.Context,
     ) -> None:
-        near = SimTransport(fabric=self, host=host, boot=boot, context=context)
-        far = SimTransport(fabric=self, host=listener.host, boot=listener.boot, context=listener.context)
+        near = SimTransport(fabric=self, host=host, process=process, context=context)
+        far = SimTransport(fabric=self, host=listener.host, process=listener.process, context=listener.context)
         near.peer, far.peer = far, near
         self._enter(end=near)
         self._enter(end=far)
@@ -142,17 +142,17 @@
 
     # -- machines --
 
-    def deafen(self, *, host: str, boot: Boot | None) -> None:
+    def deafen(self, *, host: str, process: SimProcess | None) -> None:
         """Nobody listens any more at what this run of a machine listened at."""
         self.listeners = {
             address: each
             for address, each in self.listeners.items()
-            if not (each.host == host and (boot is None or each.boot is boot))
+            if not (each.host == host and (process is None or each.process is process))
         }
 
     def end_of(self, *, host: str, silently: bool = False) -> None:
         """Every process of a machine ends; silently where power goes too."""
-        self.deafen(host=host, boot=None)
+        self.deafen(host=host, process=None)
         for end in list(self.ends.get(host, {})):
             end.perish(silently=silently)
 
--- a/src/cinderstair/simulation/register_trials.py
+++ b/src/cinderstair/simulation/register_trials.py
@@ -62,7 +62,7 @@
     world.start(name=name)
 
     def entered() -> bool:
-        register_replica = world.things.get(name)
+        register_replica = world.roles.get(name)
         if register_replica is None:
             return False
         return (
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -15,7 +15,7 @@
 from ..runtime.http_response import HttpResponse
 from ..runtime.net import Connection, HttpHandler, RecordHandler
 from ..runtime.protocol_versions import split_version_header
-from .virtual_loop import BOOT, Boot, VirtualLoop
+from .virtual_loop import CURRENT_PROCESS, SimProcess, VirtualLoop
 
 PATHS = frozenset(["/run", "/position", "/pull", "/v1/beats", "/promote"])
 RESEND_US, RESEND_MOST_US = 200_000, 10_000_000
@@ -62,14 +62,14 @@
         return self.ended
 
 
-class Wires:
+class SimNetwork:
     """What lies between all machines."""
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
-        self.records: dict[str, tuple[Boot, RecordHandler]] = {}
-        self.https: dict[str, tuple[Boot, HttpHandler]] = {}
+        self.records: dict[str, tuple[SimProcess, RecordHandler]] = {}
+        self.https: dict[str, tuple[SimProcess, HttpHandler]] = {}
         self.hosts: dict[str, str] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.connections: list[SimConnection] = []
@@ -112,28 +112,28 @@
         """Something that the network does, whatever becomes of the machines."""
         self.loop.call_later(self.delay_s() if delay_s is None else delay_s, call, context=contextvars.Context())
 
-    def run_at(self, *, boot: Boot, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def run_at(self, *, process: SimProcess, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         context = contextvars.Context()
-        context.run(BOOT.set, boot)
+        context.run(CURRENT_PROCESS.set, process)
         return self.loop.create_task(work, context=context)
 
-    def close_all(self, *, boot: Boot) -> None:
+    def close_all(self, *, process: SimProcess) -> None:
         """A machine's end: its listeners are gone and its channels are reset."""
-        self.records = {a: entry for a, entry in self.records.items() if entry[0] is not boot}
-        self.https = {a: entry for a, entry in self.https.items() if entry[0] is not boot}
+        self.records = {a: entry for a, entry in self.records.items() if entry[0] is not process}
+        self.https = {a: entry for a, entry in self.https.items() if entry[0] is not process}
         for connection in list(self.connections):
-            if connection.client is boot:
+            if connection.client is process:
                 connection.hang_up()
-            elif connection.server is boot:
+            elif connection.server is process:
                 connection.later(call=connection.reset)
-        self.connections = [c for c in self.connections if c.client is not boot and not c.broken]
+        self.connections = [c for c in self.connections if c.client is not process and not c.broken]
 
 
 class SimConnection:
     """A client's end of a channel."""
 
-    def __init__(self, *, wires: Wires, client: Boot, server: Boot, answer: HttpHandler) -> None:
-        self.wires = wires
+    def __init__(self, *, network: SimNetwork, client: SimProcess, server: SimProcess, answer: HttpHandler) -> None:
+        self.network = network
         self.client = client
         self.server = server
         self.answer = answer
@@ -148,7 +148,7 @@
         return not self.broken
 
     def later(self, *, call: Callable[[], None]) -> None:
-        self.wires.later(call=call, delay_s=self.wires.delay_s(self.client.name, self.server.name))
+        self.network.later(call=call, delay_s=self.network.delay_s(self.client.name, self.server.name))
 
     def reset(self) -> None:
         self.broken = True
@@ -159,8 +159,8 @@
     def hang_up(self) -> None:
         # why: word of the end must cross the network too; through a cut it comes when the system gives up
         self.broken = True
-        cut = not self.wires.passes(source=self.client.name, target=self.server.name)
-        self.wires.later(call=self._end, delay_s=10.0 if cut else None)
+        cut = not self.network.passes(source=self.client.name, target=self.server.name)
+        self.network.later(call=self._end, delay_s=10.0 if cut else None)
 
     def _end(self) -> None:
         self.line.ended = True
@@ -169,8 +169,8 @@
         if self.broken:
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: channel closed"))
         self.waiting = asyncio.get_running_loop().create_future()
-        self.wires.sent += 1
-        self.wires.work[f"http {request.path if request.path in PATHS else 'other'}"] += 1
+        self.network.sent += 1
+        self.network.work[f"http {request.path if request.path in PATHS else 'other'}"] += 1
         self.later(call=lambda: self._arrive(request=request))
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
@@ -193,24 +193,24 @@
     def _again(self, *, call: Callable[[int], None], wait_us: int) -> None:
         """What a cut holds up is sent again, later each time, as TCP does; what comes late still comes."""
         if wait_us < RESEND_MOST_US:
-            self.wires.later(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
+            self.network.later(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
 
     def _arrive(self, *, request: HttpRequest, wait_us: int = RESEND_US) -> None:
         # why: who gives up a channel takes back what the system still holds to be sent again
         if wait_us > RESEND_US and self.broken:
             return
-        if not self.wires.passes(source=self.client.name, target=self.server.name):
+        if not self.network.passes(source=self.client.name, target=self.server.name):
             self._again(call=lambda next_us: self._arrive(request=request, wait_us=next_us), wait_us=wait_us)
             return
         if self.server.dead or self.line.ended:
             self.reset()
             return
         self.path = request.path
-        self.wires.arrived(source=self.client.name, target=self.server.name, request=request)
+        self.network.arrived(source=self.client.name, target=self.server.name, request=request)
         served = HttpRequest(
             method=request.method, path=request.path, body=request.body, query=request.query, line=self.line
         )
-        task = self.wires.run_at(boot=self.server, work=self.answer(served))  # type: ignore[arg-type]
+        task = self.network.run_at(process=self.server, work=self.answer(served))  # type: ignore[arg-type]
         task.add_done_callback(self._answered, context=contextvars.Context())
 
     def _answered(self, task: asyncio.Task[HttpResponse]) -> None:
@@ -218,17 +218,17 @@
             return
         response = task.result()
         # why: the brief's own failure, in which a backend runs a job and its answer never arrives
-        if self.wires.rng.random() < self.wires.lose_answers.get(self.server.name, 0):
+        if self.network.rng.random() < self.network.lose_answers.get(self.server.name, 0):
             self.later(call=self.reset)
             return
         # why: what backends say to one another is their own affair
-        share = self.wires.garble_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
-        if share and self.wires.rng.random() < share:
-            response = garbled(response=response, rng=self.wires.rng)
+        share = self.network.garble_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
+        if share and self.network.rng.random() < share:
+            response = garbled(response=response, rng=self.network.rng)
         self.later(call=lambda: self._deliver(response=response))
 
     def _deliver(self, *, response: HttpResponse, wait_us: int = RESEND_US) -> None:
-        if not self.wires.passes(source=self.server.name, target=self.client.name):
+        if not self.network.passes(source=self.server.name, target=self.client.name):
             self._again(call=lambda next_us: self._deliver(response=response, wait_us=next_us), wait_us=wait_us)
             return
         if self.waiting is not None and not self.waiting.done():
@@ -239,51 +239,51 @@
     def close(self) -> None:
         if not self.broken:
             self.hang_up()
-        if self in self.wires.connections:
-            self.wires.connections.remove(self)
+        if self in self.network.connections:
+            self.network.connections.remove(self)
 
 
 class SimNet:
     """One machine's network."""
 
-    def __init__(self, *, wires: Wires, boot: Boot) -> None:
-        self.wires = wires
-        self.boot = boot
+    def __init__(self, *, network: SimNetwork, process: SimProcess) -> None:
+        self.network = network
+        self.process = process
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         waiting: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        wires, me = self.wires, self.boot
-        wires.sent += 1
-        wires.work[f"record {split_version_header(data=body).body[0]}"] += 1
+        network, me = self.network, self.process
+        network.sent += 1
+        network.work[f"record {split_version_header(data=body).body[0]}"] += 1
 
         def fail() -> None:
             if not waiting.done():
                 waiting.set_exception(ConnectionRefusedError())
 
         def arrive() -> None:
-            host = wires.hosts.get(address, "")
-            if not wires.passes(source=me.name, target=host):
+            host = network.hosts.get(address, "")
+            if not network.passes(source=me.name, target=host):
                 return
-            entry = wires.records.get(address)
+            entry = network.records.get(address)
             if entry is None:
-                wires.later(call=fail)
+                network.later(call=fail)
                 return
-            boot, answer = entry
-            task = wires.run_at(boot=boot, work=answer(body))  # type: ignore[arg-type]
-            task.add_done_callback(lambda done: answered(done, boot), context=contextvars.Context())
+            process, answer = entry
+            task = network.run_at(process=process, work=answer(body))  # type: ignore[arg-type]
+            task.add_done_callback(lambda done: answered(done, process), context=contextvars.Context())
 
-        def answered(task: asyncio.Task[bytes], boot: Boot) -> None:
+        def answered(task: asyncio.Task[bytes], process: SimProcess) -> None:
             # why: a record that can't be read is dropped by its reader, and the asker's wait runs out
-            if task.cancelled() or boot.dead or isinstance(task.exception(), ValueError):
+            if task.cancelled() or process.dead or isinstance(task.exception(), ValueError):
                 return
             response = task.result()
-            wires.later(call=lambda: deliver(response, boot), delay_s=wires.delay_s(boot.name))
+            network.later(call=lambda: deliver(response, process), delay_s=network.delay_s(process.name))
 
-        def deliver(response: bytes, boot: Boot) -> None:
-            if wires.passes(source=boot.name, target=me.name) and not waiting.done():
+        def deliver(response: bytes, process: SimProcess) -> None:
+            if network.passes(source=process.name, target=me.name) and not waiting.done():
                 waiting.set_result(response)
 
-        wires.later(call=arrive, delay_s=wires.delay_s(me.name))
+        network.later(call=arrive, delay_s=network.delay_s(me.name))
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await waiting)
@@ -291,12 +291,12 @@
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
-        self.wires.records[address] = (self.boot, handler)
-        self.wires.hosts[address] = self.boot.name
+        self.network.records[address] = (self.process, handler)
+        self.network.hosts[address] = self.process.name
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
-        wires, me = self.wires, self.boot
-        wires.dials.append((wires.now_us, me.name, wires.hosts.get(address, "")))
+        network, me = self.network, self.process
+        network.dials.append((network.now_us, me.name, network.hosts.get(address, "")))
         waiting: asyncio.Future[SimConnection | None] = asyncio.get_running_loop().create_future()
 
         def settle(connection: SimConnection | None) -> None:
@@ -304,18 +304,18 @@
                 waiting.set_result(connection)
 
         def arrive() -> None:
-            host = wires.hosts.get(address, "")
-            if not wires.passes(source=me.name, target=host):
+            host = network.hosts.get(address, "")
+            if not network.passes(source=me.name, target=host):
                 return
-            entry = wires.https.get(address)
+            entry = network.https.get(address)
             connection = None
             if entry is not None:
-                connection = SimConnection(wires=wires, client=me, server=entry[0], answer=entry[1])
-                wires.connections.append(connection)
-            if wires.passes(source=host, target=me.name):
-                wires.later(call=lambda: settle(connection))
+                connection = SimConnection(network=network, client=me, server=entry[0], answer=entry[1])
+                network.connections.append(connection)
+            if network.passes(source=host, target=me.name):
+                network.later(call=lambda: settle(connection))
 
-        wires.later(call=arrive)
+        network.later(call=arrive)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 connection = await waiting
@@ -326,11 +326,11 @@
         return Ok(connection)
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
-        self.wires.https[address] = (self.boot, handler)
-        self.wires.hosts[address] = self.boot.name
+        self.network.https[address] = (self.process, handler)
+        self.network.hosts[address] = self.process.name
 
     async def refuse(self) -> None:
-        self.wires.https = {a: entry for a, entry in self.wires.https.items() if entry[0] is not self.boot}
+        self.network.https = {a: entry for a, entry in self.network.https.items() if entry[0] is not self.process}
 
     async def close(self) -> None:
-        self.wires.close_all(boot=self.boot)
+        self.network.close_all(process=self.process)
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -82,10 +82,10 @@
         self.lines: set[Line] = set()
         self.number = 0
         self.deaf = False
-        self.beating = True
+        self.heartbeats_enabled = True
         self.grown = asyncio.Event()
         self.ran: Counter[Sent] = Counter()
-        self.most_lines = 0
+        self.peak_connections = 0
         self.mixed = 0
         self.heartbeat_channel: Connection | None = None
 
@@ -161,7 +161,7 @@
                 if len(self.lines) >= self.cap:
                     return self._no(reason="full", message="no connection left")
                 self.lines.add(request.line)
-                self.most_lines = max(self.most_lines, len(self.lines))
+                self.peak_connections = max(self.peak_connections, len(self.lines))
         if request.path == "/run":
             return await self._run(body=body, line=request.line)
         if request.path == "/position":
@@ -400,7 +400,7 @@
 
     async def _heartbeats(self) -> None:
         while True:
-            if self.beating:
+            if self.heartbeats_enabled:
                 await self._heartbeat_once()
             await self.ctx.sleep(duration_us=HEARTBEAT_US - self.ctx.rng.randrange(100_000))
 
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -126,9 +126,9 @@
                 verdict.wrong.append(f"{name} fell back from configuration {self.served[name]} to {version}")
             self.served[name] = version
         for name in world.backend_names():
-            backend = world.things.get(name)
-            if backend is not None and backend.most_lines > world.cap:
-                verdict.wrong.append(f"{name} was given {backend.most_lines} channels")
+            backend = world.roles.get(name)
+            if backend is not None and backend.peak_connections > world.cap:
+                verdict.wrong.append(f"{name} was given {backend.peak_connections} channels")
 
     def _unready(self, *, name: str) -> None:
         since_us = self.ready_since_us.pop(name, None)
@@ -197,14 +197,14 @@
 
     def _moves(self) -> list[tuple[int, str]]:
         """When which database was given another primary, on the world's clock; the first leads do not count."""
-        platform = self.world.things["platform"]
+        platform = self.world.roles["platform"]
         skew_us = self.world.contexts["platform"].now_us() - self.world.now_us
         firsts: dict[str, str] = {}
         moves = []
         for at_us, database, backend, _ in platform.promotions:
             if database in firsts:
                 moves.append((at_us - skew_us, database))
-                old = self.world.wires.arrivals[firsts[database]] if firsts[database] != backend else []
+                old = self.world.network.arrivals[firsts[database]] if firsts[database] != backend else []
                 self.verdict.chances["old primaries asked after a promotion"] += sum(
                     0 < arrival.at_us - at_us + skew_us < 5_000_000 and arrival.path == "/run" for arrival in old
                 )
@@ -234,7 +234,7 @@
 
     def _statements(self) -> None:
         world, verdict = self.world, self.verdict
-        everyone: list[StandIn] = [world.things[n] for n in world.backend_names() if n in world.things]
+        everyone: list[StandIn] = [world.roles[n] for n in world.backend_names() if n in world.roles]
         everyone += world.retired
         ran: Counter[Sent] = Counter()
         # why: one that was killed stands among the retired, and until it is started again among the things too
@@ -283,10 +283,10 @@
     def _quiet(self) -> None:
         """For every backend, how long after its own last word, or its word of emptying, it was still asked."""
         for name in self.world.backend_names():
-            words = self.world.wires.words[name]
+            words = self.world.network.words[name]
             at = -1
             emptying_us = 0
-            for arrival in self.world.wires.arrivals[name]:
+            for arrival in self.world.network.arrivals[name]:
                 while at + 1 < len(words) and words[at + 1].at_us <= arrival.at_us:
                     at += 1
                     emptying = words[at].state == "emptying"
@@ -303,7 +303,7 @@
     def _silences(self) -> None:
         """Counts the backends that could be asked and should not be: silent or emptying, and not dead."""
         for name in self.world.backend_names():
-            words = self.world.wires.words[name]
+            words = self.world.network.words[name]
             kills_us = [
                 from_us for who, from_us, until_us in self.world.strikes if who == name and from_us == until_us
             ]
--- a/src/cinderstair/simulation/virtual_loop.py
+++ b/src/cinderstair/simulation/virtual_loop.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Boot:
+class SimProcess:
     """One run of one simulated machine, from its start to its end."""
 
     def __init__(self, *, name: str) -> None:
@@ -17,7 +17,7 @@
         self.held: list[tuple[Callable[[], None], contextvars.Context]] = []
 
 
-BOOT: contextvars.ContextVar[Boot | None] = contextvars.ContextVar("boot", default=None)
+CURRENT_PROCESS: contextvars.ContextVar[SimProcess | None] = contextvars.ContextVar("boot", default=None)
 
 
 class VirtualSelector(selectors.SelectSelector):
@@ -45,7 +45,7 @@
         selector.loop = self
         self.virtual = 1000.0
         self.ended = False
-        self.graveyard: list[asyncio.Task[Any]] = []
+        self.retained_tasks: list[asyncio.Task[Any]] = []
         super().__init__(selector)
         self.set_task_factory(self._make_task)
 
@@ -56,27 +56,27 @@
         # why: an empty context is false in itself, and still not to be replaced by the current one;
         # a dead machine's coroutines must not be collected, since that would run their clean-up code
         task = asyncio.Task(work, loop=loop, context=context)
-        boot = (contextvars.copy_context() if context is None else context).get(BOOT)
-        if boot is not None:
-            self.graveyard.append(task)
-            if len(self.graveyard) > 20_000:
-                self.graveyard = [each for each in self.graveyard if not each.done()]
+        process = (contextvars.copy_context() if context is None else context).get(CURRENT_PROCESS)
+        if process is not None:
+            self.retained_tasks.append(task)
+            if len(self.retained_tasks) > 20_000:
+                self.retained_tasks = [each for each in self.retained_tasks if not each.done()]
         return task
 
     def _gated(
         self, callback: Callable[..., Any], args: tuple[Any, ...], context: contextvars.Context
     ) -> tuple[Callable[..., Any], tuple[Any, ...], list[asyncio.Handle]]:
-        boot = context.get(BOOT)
+        process = context.get(CURRENT_PROCESS)
         made: list[asyncio.Handle] = []
-        if boot is None:
+        if process is None:
             return callback, args, made
 
         def gate() -> None:
             # why: what fell due in a frozen machine may be cancelled by what runs before it after the thaw
-            if boot.dead or (made and made[0].cancelled()):
+            if process.dead or (made and made[0].cancelled()):
                 return
-            if boot.frozen:
-                boot.held.append((gate, context))
+            if process.frozen:
+                process.held.append((gate, context))
                 return
             callback(*args)
 
@@ -105,16 +105,16 @@
         made.append(handle)
         return handle
 
-    def freeze(self, *, boot: Boot) -> None:
-        boot.frozen = True
+    def freeze(self, *, process: SimProcess) -> None:
+        process.frozen = True
 
-    def thaw(self, *, boot: Boot) -> None:
-        boot.frozen = False
-        held, boot.held = boot.held, []
+    def thaw(self, *, process: SimProcess) -> None:
+        process.frozen = False
+        held, process.held = process.held, []
         for gate, context in held:
             # why: each is its own gate already, so it is put back as it is
             super().call_soon(gate, context=context)
 
-    def kill(self, *, boot: Boot) -> None:
-        boot.dead = True
-        boot.held.clear()
+    def kill(self, *, process: SimProcess) -> None:
+        process.dead = True
+        process.held.clear()
--- a/src/cinderstair/simulation/window_trials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -19,7 +19,7 @@
 
 
 def requested_since(*, trial: Trial, name: str, since_us: int) -> bool:
-    return any(arrival.at_us > since_us for arrival in trial.world.wires.arrivals[name])
+    return any(arrival.at_us > since_us for arrival in trial.world.network.arrivals[name])
 
 
 def emptied(*, trial: Trial, old: tuple[str, ...]) -> list[str]:
@@ -70,7 +70,7 @@
     """How many channels were opened at once to what a window has emptied, when it is used again."""
     world = trial.world
     dials: Counter[int] = Counter()
-    for at_us, source, target in world.wires.dials:
+    for at_us, source, target in world.network.dials:
         if target in names and source in world.http_proxy_names and at_us > since_us:
             dials[at_us // STORM_SPAN_US] += 1
     trial.verdict.chances["channels opened again after a window"] += dials.total()
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -19,10 +19,10 @@
 from .caller import PATIENT_US, Caller
 from .event import Event
 from .sim_disk import SimDisk
-from .sim_net import SimNet, Wires
+from .sim_net import SimNet, SimNetwork
 from .stand_in import StandIn
 from .stand_in_platform import StandInPlatform
-from .virtual_loop import Boot, VirtualLoop
+from .virtual_loop import SimProcess, VirtualLoop
 
 SITES = ("kingston", "mandeville", "montego")
 WATCH_US = 100_000
@@ -53,7 +53,7 @@
         self.rng = random.Random(f"world/{seed}")
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._wrong)
-        self.wires = Wires(loop=self.loop, rng=random.Random(f"wires/{seed}"))
+        self.network = SimNetwork(loop=self.loop, rng=random.Random(f"wires/{seed}"))
         self.http_proxy_names = (
             http_proxy_names if http_proxy_names is not None else [f"stall-{n}" for n in range(http_proxies)]
         )
@@ -78,8 +78,8 @@
         self.changes = changes or {}
         self.cap = cap
         self.disks: dict[str, SimDisk] = {}
-        self.boots: dict[str, Boot] = {}
-        self.things: dict[str, Any] = {}
+        self.processes: dict[str, SimProcess] = {}
+        self.roles: dict[str, Any] = {}
         self.contexts: dict[str, Context] = {}
         self.skews_us: dict[str, int] = {}
         self.wall_skews_us: dict[str, int] = {}
@@ -133,7 +133,7 @@
 
     # ---- machines
 
-    def _context(self, *, name: str, boot: Boot) -> Context:
+    def _context(self, *, name: str, process: SimProcess) -> Context:
         count = sum(1 for key in self.skews_us if key.startswith(f"{name}#"))
         run = f"{name}#{count}"
         # why: no two machines' monotonic clocks agree, nor do one machine's before and after a restart
@@ -149,7 +149,7 @@
             rng=random.Random(f"luck/{self.seed}/{run}"),
             clock=lambda: self.now_us + skew_us,
             wall=lambda: WALL_START_US + self.now_us + wall_skew_us,
-            net=SimNet(wires=self.wires, boot=boot),
+            net=SimNet(network=self.network, process=process),
             disk=disk if name not in self.http_proxy_names else NoDisk(),
             log=log,
             counters=Counters(),
@@ -157,32 +157,32 @@
         )
 
     def start(self, *, name: str) -> None:
-        boot = Boot(name=name)
-        ctx = self._context(name=name, boot=boot)
-        self.things.pop(name, None)
-        self.boots[name], self.contexts[name] = boot, ctx
-        self.wires.run_at(boot=boot, work=self._run(name=name, ctx=ctx))
+        process = SimProcess(name=name)
+        ctx = self._context(name=name, process=process)
+        self.roles.pop(name, None)
+        self.processes[name], self.contexts[name] = process, ctx
+        self.network.run_at(process=process, work=self._run(name=name, ctx=ctx))
 
     async def _run(self, *, name: str, ctx: Context) -> None:
         if name in self.register_replica_names:
-            thing: Any = RegisterReplica(ctx=ctx, settings=self.settings(name=name), halt=self._halter(name=name))
+            role: Any = RegisterReplica(ctx=ctx, settings=self.settings(name=name), halt=self._halter(name=name))
         elif name in self.http_proxy_names:
-            thing = HttpProxy(ctx=ctx, settings=self.settings(name=name))
+            role = HttpProxy(ctx=ctx, settings=self.settings(name=name))
         elif name == "platform":
             backends = {
                 database: {each: self.http(name=each) for each in names} for database, names in self.databases.items()
             }
-            thing = StandInPlatform(ctx=ctx, address=self.http(name=name), backends=backends)
+            role = StandInPlatform(ctx=ctx, address=self.http(name=name), backends=backends)
         else:
-            thing = StandIn(
+            role = StandIn(
                 ctx=ctx,
                 address=self.http(name=name),
                 database=self.database_of(name=name),
                 cap=self.cap,
                 http_proxies=tuple(self.http(name=http_proxy) for http_proxy in self.http_proxy_names),
             )
-        self.things[name] = thing
-        result = await thing.start()
+        self.roles[name] = role
+        result = await role.start()
         if result is not None and result.is_error():
             self.halted[name] = result.error.reason
             self.kill(name=name)
@@ -200,35 +200,35 @@
                 self.start(name=name)
 
     def kill(self, *, name: str) -> None:
-        boot = self.boots[name]
-        thing = self.things.get(name)
+        process = self.processes[name]
+        role = self.roles.get(name)
         # why: a planned stop ends in a kill as well, after which nobody may miss anything
-        if isinstance(thing, HttpProxy):
-            self.alone |= {ident for ident, session in thing.sessions.open.items() if not session.replica_holder}
-        if not boot.dead and name not in self.stopping:
+        if isinstance(role, HttpProxy):
+            self.alone |= {ident for ident, session in role.sessions.open.items() if not session.replica_holder}
+        if not process.dead and name not in self.stopping:
             self.strikes.append((name, self.now_us, self.now_us))
         self.stopping.discard(name)
-        if isinstance(thing, StandIn):
-            self.retired.append(thing)
-        self.loop.kill(boot=boot)
-        self.wires.close_all(boot=boot)
+        if isinstance(role, StandIn):
+            self.retired.append(role)
+        self.loop.kill(process=process)
+        self.network.close_all(process=process)
 
     def stop(self, *, name: str) -> None:
         """A planned stop, as on SIGTERM: the daemon drains, and then its process ends."""
 
         async def drained() -> None:
-            await self.things[name].drain()
+            await self.roles[name].drain()
             self.stopping.add(name)
-            self.wires.later(call=lambda: self.kill(name=name))
+            self.network.later(call=lambda: self.kill(name=name))
 
-        self.wires.run_at(boot=self.boots[name], work=drained())
+        self.network.run_at(process=self.processes[name], work=drained())
 
     def freeze(self, *, name: str) -> None:
-        self.loop.freeze(boot=self.boots[name])
+        self.loop.freeze(process=self.processes[name])
         self.frozen_since_us[name] = self.now_us
 
     def thaw(self, *, name: str) -> None:
-        self.loop.thaw(boot=self.boots[name])
+        self.loop.thaw(process=self.processes[name])
         since_us = self.frozen_since_us.pop(name, self.now_us)
         self.frozen_spans.append((self.http(name=name), since_us, self.now_us))
         self.strikes.append((name, since_us, self.now_us))
@@ -236,38 +236,38 @@
     def cut(self, *, ones: list[str], others: list[str], both: bool = True) -> None:
         for one in ones:
             for other in others:
-                self.wires.cuts.add((one, other))
+                self.network.cuts.add((one, other))
                 if both:
-                    self.wires.cuts.add((other, one))
+                    self.network.cuts.add((other, one))
 
     def isolate(self, *, name: str) -> None:
         self.cut(ones=[name], others=[other for other in self.addresses if other != name])
 
     def mend(self, *, name: str) -> None:
         """Ends the cuts of one machine, and no other's."""
-        self.wires.cuts = {pair for pair in self.wires.cuts if name not in pair}
+        self.network.cuts = {pair for pair in self.network.cuts if name not in pair}
 
     def heal(self) -> None:
-        self.wires.cuts.clear()
+        self.network.cuts.clear()
 
     def http_proxy(self, *, name: str) -> HttpProxy:
-        thing = self.things[name]
-        assert isinstance(thing, HttpProxy)
-        return thing
+        role = self.roles[name]
+        assert isinstance(role, HttpProxy)
+        return role
 
     def backend(self, *, name: str) -> StandIn:
-        thing = self.things[name]
-        assert isinstance(thing, StandIn)
-        return thing
+        role = self.roles[name]
+        assert isinstance(role, StandIn)
+        return role
 
     def register_replica(self, *, name: str) -> RegisterReplica:
-        thing = self.things[name]
-        assert isinstance(thing, RegisterReplica)
-        return thing
+        role = self.roles[name]
+        assert isinstance(role, RegisterReplica)
+        return role
 
     def up(self, *, name: str) -> bool:
-        boot = self.boots.get(name)
-        return boot is not None and not boot.dead and not boot.frozen and name in self.things
+        process = self.processes.get(name)
+        return process is not None and not process.dead and not process.frozen and name in self.roles
 
     # ---- running
 
@@ -295,7 +295,7 @@
         return self.now_us - start_us
 
     async def _ask(self, *, name: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        net = SimNet(wires=self.wires, boot=Boot(name="operator"))
+        net = SimNet(network=self.network, process=SimProcess(name="operator"))
         dialled = await net.dial(address=self.http(name=name), wait_us=500_000)
         if dialled.is_error():
             return 0, b""
@@ -391,8 +391,8 @@
                 self._caller(name=name, http_proxies=[http_proxy], database=database, think_us=think_us, **patient)
 
     def _caller(self, *, name: str, http_proxies: list[str], database: str, think_us: int, **options: Any) -> None:
-        boot = Boot(name=name)
-        ctx = self._context(name=name, boot=boot)
+        process = SimProcess(name=name)
+        ctx = self._context(name=name, process=process)
         ctx.clock = lambda: self.now_us
         caller = Caller(
             ctx=ctx,
@@ -403,7 +403,7 @@
             **options,
         )
         self.callers.append(caller)
-        self.wires.run_at(boot=boot, work=caller.run())
+        self.network.run_at(process=process, work=caller.run())
 
     def callers_end(self) -> None:
         for caller in self.callers:
@@ -411,8 +411,8 @@
         self.advance(for_us=5_000_000)
 
     def close(self) -> None:
-        for boot in self.boots.values():
-            boot.dead = True
+        for process in self.processes.values():
+            process.dead = True
         self.loop.ended = True
-        self.loop.graveyard.clear()
+        self.loop.retained_tasks.clear()
         self.loop.close()
