--- a/features/simulation/trials.feature
+++ b/features/simulation/trials.feature
@@ -12,49 +12,49 @@
       | primary_frozen         | 350  |
       | primary_cut            | 250  |
       | override_under_cut      | 350  |
-      | primary_muted          | 350  |
-      | holder_killed_too       | 500  |
-      | holder_blind           | 500  |
-      | candidate_killed_too    | 500  |
-      | deaf_replica           | 500  |
+      | primary_outbound_cut          | 350  |
+      | holder_killed_in_failover       | 500  |
+      | holder_cut_from_backends           | 500  |
+      | promoted_replica_killed    | 500  |
+      | replica_not_replicating           | 500  |
       | lagging_replica        | 500  |
       | slow_backend           | 500  |
       | primary_and_replica_lost | 500  |
       | http_proxy_killed           | 500  |
       | http_proxy_frozen           | 350  |
-      | http_proxy_blind            | 350  |
+      | http_proxy_cut_from_backends            | 350  |
       | clients_vanish         | 350  |
       | http_proxies_stopped         | 500  |
       | http_proxies_drained         | 400  |
-      | cap_held               | 4000 |
-      | kickoff               | 4000 |
-      | sites_changed          | 350  |
+      | connection_limit               | 4000 |
+      | overload               | 4000 |
+      | clients_change_site          | 350  |
       | data_centre_moved             | 750  |
       | data_centre_moved_amid_crashes  | 750  |
-      | whole_data_centre_held_back     | 500  |
+      | window_over_everything     | 500  |
       | move_cancelled         | 400  |
       | backends_replaced      | 200  |
       | everything_killed      | 200  |
-      | stuttering            | 400  |
+      | intermittent_freezes            | 400  |
       | late_heartbeats             | 300  |
-      | register_replicas_turned          | 500  |
-      | register_replicas_gone            | 500  |
-      | register_replica_disks            | 350  |
-      | register_replica_wiped            | 500  |
+      | register_replicas_restarted          | 500  |
+      | register_majority_lost            | 500  |
+      | register_disk_faults            | 350  |
+      | register_replica_disk_lost            | 500  |
       | answers_lost           | 350  |
-      | answers_garbled        | 500  |
+      | answers_corrupted        | 500  |
       | promotion_lost         | 500  |
-      | backend_empties        | 750  |
+      | backend_drains        | 750  |
       | heartbeats_lost             | 500  |
-      | restarts_in_turn        | 1000 |
+      | rolling_restart        | 1000 |
       | configurations        | 500  |
       | owners_killed          | 1000 |
       | owners_frozen          | 1000 |
       | owners_cut             | 1000 |
-      | owner_and_second        | 700  |
+      | owner_and_replica_holder        | 700  |
       | owners_stopped_and_killed | 700 |
       | replicas_forgotten       | 500  |
-      | upgraded_in_turn        | 1200 |
+      | rolling_upgrade        | 1200 |
       | unknown_version        | 400  |
       | chaos                 | 1000 |
 
@@ -64,7 +64,7 @@
 
     Examples:
       | found                                                 | trial              | seed |
-      | a lead settled with nobody in sync forgot its heirs   | candidate_killed_too | 6    |
+      | a lead settled with nobody in sync forgot its heirs   | promoted_replica_killed | 6    |
       | an HTTP proxy ended under a job that was just coming in     | http_proxies_stopped      | 7    |
       | heartbeats that had lain in a frozen HTTP proxy counted as new  | late_heartbeats          | 2    |
       | seekers in step split the grants of a lease           | everything_killed   | 3    |
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -194,7 +194,9 @@
         return await context.fleet.verdict()
 
     verdict = run(context=context, work=go())
-    verdict.need(names=("writes looked for", "primary reads after a commit", "values shown", "statements compared"))
+    verdict.need(
+        names=("writes checked", "primary reads after a commit", "session values read", "statements compared")
+    )
     assert not verdict.wrong, verdict.wrong[:5]
     assert commits(context=context, since_us=0) > 100
 
--- a/src/cinderstair/simulation/__init__.py
+++ b/src/cinderstair/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulators, stand-ins for outside systems, checkers, the explorer, the capacity tool and a fleet runner."""
+"""Simulators, stand-ins for external systems, checkers, the state explorer, the capacity tool and a fleet runner."""
--- a/src/cinderstair/simulation/__main__.py
+++ b/src/cinderstair/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""The simulation's own programs: stand-ins as processes, and a whole fleet on loopback from one command."""
+"""Runs a stand-in backend, a stand-in platform, or a whole fleet of processes on loopback."""
 
 import argparse
 import asyncio
@@ -16,18 +16,23 @@
 
 
 def context(*, name: str, site: str, folder: str) -> Context:
-    market = Container()
-    market.config.from_dict({"name": name, "site": site, "folder": folder, "disk_kind": "real" if folder else "none"})
-    return market.context()
+    """Returns the context of a real process; without a folder it has no disk."""
+    container = Container()
+    container.config.from_dict(
+        {"name": name, "site": site, "folder": folder, "disk_kind": "real" if folder else "none"}
+    )
+    return container.context()
 
 
-async def until_reported() -> None:
+async def wait_for_sigterm() -> None:
+    """Returns when the process receives SIGTERM."""
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     await stop.wait()
 
 
 async def backend(*, options: argparse.Namespace) -> None:
+    """Serves a stand-in backend until SIGTERM."""
     ctx = context(name=options.name, site=options.site, folder=options.folder)
     stand_in = StandIn(
         ctx=ctx,
@@ -37,17 +42,19 @@
         http_proxies=tuple(options.http_proxies.split(",")),
     )
     await stand_in.start()
-    await until_reported()
+    await wait_for_sigterm()
 
 
 async def platform(*, options: argparse.Namespace) -> None:
+    """Serves a stand-in platform until SIGTERM."""
     ctx = context(name="platform", site="", folder="")
     stand_in = StandInPlatform(ctx=ctx, address=options.http, backends=json.loads(options.backends))
     await stand_in.start()
-    await until_reported()
+    await wait_for_sigterm()
 
 
 async def fleet(*, options: argparse.Namespace) -> int:
+    """Starts a fleet, runs clients on it, prints the report as JSON; returns 1 if a checker found a violation."""
     world = Fleet(
         http_proxies=options.http_proxies, register_replicas=options.register_replicas, databases=options.databases
     )
@@ -58,7 +65,7 @@
         day = FleetDay(fleet=world, seed=options.seed)
         meanwhile = (lambda: day.run(for_us=for_us)) if options.failures else None
         report = await world.work(callers=options.callers, for_us=for_us, meanwhile=meanwhile)
-        report["failures"] = dict(day.fallen)
+        report["failures"] = dict(day.injected)
         print(json.dumps(report, indent=1))
         return 1 if report["wrong"] else 0
     finally:
@@ -75,14 +82,16 @@
     two = roles.add_parser("platform", help="a stand-in platform")
     two.add_argument("--http", required=True)
     two.add_argument("--backends", required=True)
-    three = roles.add_parser("fleet", help="the whole fleet of the brief's size, with callers, checked")
+    three = roles.add_parser("fleet", help="a fleet of processes with clients, whose history is checked")
     three.add_argument("--http-proxies", type=int, default=9)
     three.add_argument("--register-replicas", type=int, default=5)
     three.add_argument("--databases", type=int, default=3)
     three.add_argument("--callers", type=int, default=150)
     three.add_argument("--seconds", type=int, default=20)
-    three.add_argument("--failures", action="store_true", help="let machines fail all the while, one after another")
-    three.add_argument("--seed", type=int, default=1, help="draws the failures")
+    three.add_argument(
+        "--failures", action="store_true", help="inject failures one after another while the clients run"
+    )
+    three.add_argument("--seed", type=int, default=1, help="seed of the injected failures")
     options = parser.parse_args()
     logging.basicConfig(level="WARNING", stream=sys.stderr)
     if options.role == "fleet":
--- a/src/cinderstair/simulation/backend_trials.py
+++ b/src/cinderstair/simulation/backend_trials.py
@@ -1,62 +1,63 @@
-"""Backends: slow, lagging, emptying, silent, replaced, or with answers that are lost."""
+"""Trials of backends that are slow, lag, drain, fall silent, are replaced, or whose responses are lost."""
 
 from .trial import Trial
 from .world import World
 
 
 def answers_lost(*, trial: Trial) -> None:
-    """The primary runs jobs whose answers never arrive."""
+    """A tenth of the primary's responses are lost."""
     trial.world.network.lose_answers[trial.primary] = 0.1
     trial.go(for_us=8_000_000)
     trial.world.network.lose_answers.clear()
     trial.go(for_us=3_000_000)
 
 
-def answers_garbled(*, trial: Trial) -> None:
-    """Backends run jobs, and some of their answers, and of their words on their positions, can't be read."""
+def answers_corrupted(*, trial: Trial) -> None:
+    """Some responses of all backends to statements and position requests are malformed."""
     world = trial.world
     for name in world.backend_names():
-        world.network.garble_answers[name] = 0.04
+        world.network.corrupt_answers[name] = 0.04
     trial.go(for_us=8_000_000)
-    world.network.garble_answers.clear()
+    world.network.corrupt_answers.clear()
     trial.fault()
     trial.go(for_us=14_000_000)
 
 
-def backend_empties(*, trial: Trial) -> None:
-    """A primary says that it is emptying, and later is there again; then a replica does."""
+def backend_drains(*, trial: Trial) -> None:
+    """A primary drains and returns; then a replica does."""
     world = trial.world
     for name in (trial.primary, trial.in_sync[-1]):
         trial.fault()
-        world.run(work=said(world=world, name=name, path="/empty"))
+        world.run(work=post(world=world, name=name, path="/empty"))
         trial.go(for_us=11_000_000)
-        world.run(work=said(world=world, name=name, path="/refill"))
+        world.run(work=post(world=world, name=name, path="/refill"))
         trial.go(for_us=8_000_000)
 
 
-async def said(*, world: World, name: str, path: str) -> None:
+async def post(*, world: World, name: str, path: str) -> None:
+    """Sends a control request to a stand-in backend."""
     await world._ask(name=name, method="POST", path=path, body=b"{}")
 
 
 def heartbeats_lost(*, trial: Trial) -> None:
-    """The HTTP proxy that heard a backend's word of emptying dies before it has told anyone."""
+    """The HTTP proxy that received a backend's draining heartbeat is killed, possibly before it passed it on."""
     world, name = trial.world, trial.in_sync[0]
     trial.fault()
-    world.run(work=said(world=world, name=name, path="/empty"))
+    world.run(work=post(world=world, name=name, path="/empty"))
     trial.go(for_us=world.rng.randrange(100_000, 1_500_000))
-    heard = [n for n in world.http_proxy_names if not world.http_proxy(name=n).heartbeat_table.healthy(name=name)]
-    if heard:
-        world.kill(name=heard[0])
+    receivers = [n for n in world.http_proxy_names if not world.http_proxy(name=n).heartbeat_table.healthy(name=name)]
+    if receivers:
+        world.kill(name=receivers[0])
     trial.go(for_us=10_000_000)
-    if heard:
-        world.start(name=heard[0])
+    if receivers:
+        world.start(name=receivers[0])
     trial.go(for_us=6_000_000)
 
 
 def late_heartbeats(*, trial: Trial) -> None:
-    """An HTTP proxy freezes with a backend's last beats on their way to it; the backend goes quiet.
+    """HTTP proxies freeze with a backend's heartbeats in flight, the backend falls silent, and they thaw.
 
-    The HTTP proxy thaws.
+    The old heartbeats must not count as new.
     """
     world, name = trial.world, trial.in_sync[0]
     frozen = [n for n in world.http_proxy_names if n != trial.holder]
@@ -72,7 +73,7 @@
 
 
 def lagging_replica(*, trial: Trial) -> None:
-    """One replica receives at once and applies late; then the other does too."""
+    """One replica, then both, receive the log at once but apply it 3.5 s late."""
     world = trial.world
     replicas = list(trial.in_sync)
     for name in replicas:
@@ -84,7 +85,7 @@
 
 
 def slow_backend(*, trial: Trial) -> None:
-    """A replica, then the primary, turns a hundred times slower."""
+    """A replica, then the primary, becomes a hundred times slower."""
     world = trial.world
     for name in (trial.in_sync[0], trial.primary):
         world.backend(name=name).service_us = 200_000
@@ -95,22 +96,22 @@
 
 
 def backends_replaced(*, trial: Trial) -> None:
-    """All backends of a database are replaced one by one by blank ones, the primary included."""
+    """All backends of a database, the primary included, are replaced one by one by empty ones."""
     world = trial.world
     trial.fault()
     for version, (old, new) in enumerate(zip("abc", "def", strict=True), start=2):
-        gone, comes = f"db0-{old}", f"db0-{new}"
-        world.listed["db0"] = [comes if name == gone else name for name in world.listed["db0"]]
+        removed, added = f"db0-{old}", f"db0-{new}"
+        world.configured["db0"] = [added if name == removed else name for name in world.configured["db0"]]
         trial.submit(version=version)
         trial.go(for_us=world.rng.randrange(100_000, 2_000_000))
-        world.kill(name=gone)
+        world.kill(name=removed)
 
-        def in_place(comes: str = comes) -> bool:
-            assignments = [world.http_proxy(name=name).view.primaries["db0"] for name in world.ups()]
+        def in_sync(added: str = added) -> bool:
+            assignments = [world.http_proxy(name=name).view.primaries["db0"] for name in world.http_proxies_up()]
             return all(
-                comes in (assignment.primary, *assignment.in_sync) and assignment.state == "settled"
+                added in (assignment.primary, *assignment.in_sync) and assignment.state == "settled"
                 for assignment in assignments
             )
 
-        world.await_that(test=in_place, within_us=25_000_000, what=f"{comes} is in sync")
+        world.await_that(test=in_sync, within_us=25_000_000, what=f"{added} is in sync")
         trial.go(for_us=2_000_000)
--- a/src/cinderstair/simulation/dry_run.py
+++ b/src/cinderstair/simulation/dry_run.py
@@ -1,4 +1,4 @@
-"""Rehearses a scenario: the real daemons, with the operator's names, on virtual clock and network."""
+"""Rehearses an operator's scenario with the real daemons on a virtual clock and network."""
 
 import json
 from typing import Any
@@ -9,13 +9,13 @@
 from . import checks
 from .world import World
 
-WARM_US = 4_000_000
+WARM_UP_US = 4_000_000
 RUN_US = 20_000_000
-WORK = ("append", "transaction")
+WRITE_VERBS = ("append", "transaction")
 
 
 def run_dry(*, configuration: Configuration, scenario: Scenario) -> dict[str, Any]:
-    """Opens the scenario's windows, loses what it loses, and says what a client would have seen."""
+    """Opens the scenario's windows, kills the machines that it loses, and reports the effect on clients."""
     world = World(
         seed=scenario.seed,
         http_proxy_names=[*scenario.http_proxies, *scenario.joins],
@@ -24,14 +24,14 @@
     )
     try:
         for name in scenario.joins:
-            world.late.add(name)
+            world.deferred.add(name)
         world.begin(
-            raw=document(world=world, configuration=configuration, scenario=scenario, version=1, opened=False)
+            raw=rehearsed(world=world, configuration=configuration, scenario=scenario, version=1, windows_open=False)
         )
         world.callers_begin(count=3 * len(configuration.databases), think_us=150_000)
-        world.advance(for_us=WARM_US)
+        world.advance(for_us=WARM_UP_US)
         start_us = world.now_us
-        body = document(world=world, configuration=configuration, scenario=scenario, version=2, opened=True)
+        body = rehearsed(world=world, configuration=configuration, scenario=scenario, version=2, windows_open=True)
         world.ask(name=scenario.http_proxies[0], method="PUT", path="/v1/configuration", body=body)
         for name in scenario.joins:
             world.start(name=name)
@@ -40,17 +40,21 @@
         empty_us = 0
         while world.now_us - start_us < RUN_US:
             world.advance(for_us=100_000)
-            if not empty_us and world.now_us - start_us > 1_000_000 and emptied(world=world):
+            if not empty_us and world.now_us - start_us > 1_000_000 and drained(world=world):
                 empty_us = world.now_us - start_us
         end_us = world.now_us
-        held = sorted({text for n in world.ups() for text in world.http_proxy(name=n).status.held().values()})
+        held = sorted(
+            {text for n in world.http_proxies_up() for text in world.http_proxy(name=n).status.held().values()}
+        )
         lost = sum(caller.sessions_lost for caller in world.callers)
         world.callers_end()
         return {
             "seed": scenario.seed,
             "windowsOpen": bool(scenario.windows),
             "emptyAfterUs": empty_us if scenario.windows else None,
-            "withoutACommitUs": checks.gap_us(history=world.history, from_us=start_us, until_us=end_us, verbs=WORK),
+            "withoutACommitUs": checks.gap_us(
+                history=world.history, from_us=start_us, until_us=end_us, verbs=WRITE_VERBS
+            ),
             "jobs": len(world.history),
             "done": sum(event.outcome == "done" for event in world.history),
             "sessionsLost": lost,
@@ -60,23 +64,25 @@
         world.close()
 
 
-def document(*, world: World, configuration: Configuration, scenario: Scenario, version: int, opened: bool) -> bytes:
-    """The operator's own configuration, at the rehearsal's addresses and times."""
+def rehearsed(
+    *, world: World, configuration: Configuration, scenario: Scenario, version: int, windows_open: bool
+) -> bytes:
+    """Returns the operator's configuration with the addresses and window times of the simulation."""
     value = json.loads(configuration.raw)
     value["version"] = version
     for database in value["databases"].values():
         for backend in database["backends"]:
             backend["address"] = world.http(name=backend["name"])
-    windows = [w for w in value.get("windows", []) if opened and w["name"] in scenario.windows]
+    windows = [w for w in value.get("windows", []) if windows_open and w["name"] in scenario.windows]
     for each in windows:
         each["starts"], each["ends"] = world.calendar(in_us=500_000), world.calendar(in_us=3_600_000_000)
     value["windows"] = windows
     return json.dumps(value).encode()
 
 
-def emptied(*, world: World) -> bool:
-    """Whether nothing that an open window selects is led from, waited for, or holds a session."""
-    for name in world.ups():
+def drained(*, world: World) -> bool:
+    """Whether no machine that an open window selects is a primary, confirms commits or has sessions."""
+    for name in world.http_proxies_up():
         http_proxy = world.http_proxy(name=name)
         stages = [state.stage for state in http_proxy.view.window_states.states]
         if Stage.open not in stages:
--- a/src/cinderstair/simulation/event.py
+++ b/src/cinderstair/simulation/event.py
@@ -1,4 +1,4 @@
-"""One thing a caller asked for, and what it was told."""
+"""One client operation and its outcome, as recorded in the history."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,10 +6,13 @@
 
 @dataclass(kw_only=True)
 class Event:
-    """Times are the world's own, which no machine of the system can see."""
+    """Times are those of the simulation's own clock, which differs from all machines' clocks.
+
+    `outcome` is the response's, or unanswered, unreached (no connection) or cutOff (uncommitted, response lost).
+    """
 
     caller: str
-    # why: a session's own name among the checkers, since its handle may change while it lives
+    # The client's own name of the session; the session token may change during its life
     session: str
     database: str
     verb: str
@@ -22,13 +25,13 @@
     rows: list[Any] = field(default_factory=list)
     http_proxy: str = ""
     time_left_us: int = 0
-    # why: when to come back, as the body and the header say it; None where it was not said
+    # Retry time of the response body and header; None and empty where missing
     retry_after_us: int | None = None
     retry_after_s: str = ""
-    # why: a transaction is several jobs; what it was told, it was told by its last one
+    # Start of the last request; a transaction has several, and its outcome is that of the last one
     last_us: int = 0
 
     @property
     def waited_us(self) -> int:
-        """How long the last answer took."""
+        """Returns how long the last request took."""
         return self.end_us - (self.last_us or self.start_us)
--- a/src/cinderstair/simulation/failover_trials.py
+++ b/src/cinderstair/simulation/failover_trials.py
@@ -1,4 +1,4 @@
-"""Leads: primaries that die, stop, are cut off or muted, and what follows them."""
+"""Trials of failover: the primary is killed, frozen or partitioned, alone or with the controller or a replica."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 def primary_killed(*, trial: Trial) -> None:
-    """A primary crashes, and comes back later with what only it had."""
+    """The primary is killed and returns later with commits that only it has."""
     name = trial.primary
     trial.fault()
     trial.world.kill(name=name)
@@ -17,7 +17,7 @@
 
 
 def primary_frozen(*, trial: Trial) -> None:
-    """A primary stops for longer than every lease and goes on as if nothing had been."""
+    """The primary is frozen for longer than every lease, and resumes."""
     name = trial.primary
     trial.fault()
     trial.world.freeze(name=name)
@@ -27,7 +27,7 @@
 
 
 def primary_cut(*, trial: Trial) -> None:
-    """A primary is cut off from all but one HTTP proxy, which reaches it but not the register replicas."""
+    """The primary and one HTTP proxy are partitioned together from all others, the register replicas included."""
     world, name = trial.world, trial.primary
     near = next(n for n in world.http_proxy_names if n != trial.holder)
     others = [n for n in world.addresses if n not in (name, near)]
@@ -39,14 +39,14 @@
 
 
 def override_under_cut(*, trial: Trial) -> None:
-    """An operator moves a lead by hand just as the old primary and one HTTP proxy are cut off together."""
+    """An operator overrides the primary just after it was partitioned together with one HTTP proxy."""
     world, name = trial.world, trial.primary
     near = next(n for n in world.http_proxy_names if n != trial.holder)
     others = [n for n in world.addresses if n not in (name, near)]
     holder, replica = trial.holder, trial.in_sync[0]
     world.roles["platform"].promotion_us = 100_000
     for each in world.http_proxy_names:
-        # why: the longer all views last, the longer the cut HTTP proxy goes on reading by its old one
+        # Long view leases let the partitioned HTTP proxy serve longer by its old view
         world.http_proxy(name=each).view.lease_us = 2_500_000
     for caller in world.callers:
         caller.think_us = 60_000
@@ -62,8 +62,8 @@
     trial.go(for_us=8_000_000)
 
 
-def primary_muted(*, trial: Trial) -> None:
-    """A primary hears everything and is heard by nobody."""
+def primary_outbound_cut(*, trial: Trial) -> None:
+    """All outbound traffic of the primary is lost; it still receives."""
     world, name = trial.world, trial.primary
     trial.fault()
     world.cut(ones=[name], others=[n for n in world.addresses if n != name], both=False)
@@ -72,8 +72,8 @@
     trial.go(for_us=8_000_000)
 
 
-def holder_killed_too(*, trial: Trial) -> None:
-    """A primary crashes, and so does the HTTP proxy that moves the lead, at some moment of the move."""
+def holder_killed_in_failover(*, trial: Trial) -> None:
+    """The primary is killed, and during the failover the HTTP proxy that runs it."""
     world, name, holder = trial.world, trial.primary, trial.holder
     trial.fault()
     world.kill(name=name)
@@ -85,8 +85,8 @@
     trial.go(for_us=6_000_000)
 
 
-def holder_blind(*, trial: Trial) -> None:
-    """The HTTP proxy that moves leads is cut off from all backends alone, for good, and then the primary dies."""
+def holder_cut_from_backends(*, trial: Trial) -> None:
+    """The failover lease holder is partitioned from all backends, for the whole trial; then the primary is killed."""
     world, holder = trial.world, trial.holder
     world.cut(ones=[holder], others=world.backend_names())
     trial.go(for_us=world.rng.randrange(0, 3_000_000))
@@ -97,8 +97,8 @@
     trial.go(for_us=4_000_000)
 
 
-def candidate_killed_too(*, trial: Trial) -> None:
-    """A primary crashes, and then the one that was placed to follow it."""
+def promoted_replica_killed(*, trial: Trial) -> None:
+    """The primary is killed, and then the replica that was promoted."""
     world, name = trial.world, trial.primary
     world.kill(name=name)
     trial.go(for_us=world.rng.randrange(3_000_000, 6_500_000))
@@ -114,27 +114,27 @@
     trial.go(for_us=6_000_000)
 
 
-def deaf_replica(*, trial: Trial) -> None:
-    """One replica stops receiving; a while later the primary dies."""
+def replica_not_replicating(*, trial: Trial) -> None:
+    """One replica stops replicating; later the primary is killed."""
     world, name = trial.world, trial.primary
-    deaf = trial.in_sync[0]
-    world.backend(name=deaf).deaf = True
+    stalled = trial.in_sync[0]
+    world.backend(name=stalled).replication_paused = True
     trial.go(for_us=world.rng.randrange(200_000, 4_000_000))
     killed_us = world.now_us
     world.kill(name=name)
     trial.go(for_us=9_000_000)
-    # why: with one of three left and one deaf nobody is in sync, so writes are denied; reads must be back
+    # The one healthy backend has no in-sync replica, so writes are rejected, but reads must be served
     gap_us = checks.gap_us(history=world.history, from_us=killed_us, until_us=world.now_us, verbs=("primary",))
     trial.verdict.note(name="without a primary read", value_us=gap_us, bound_us=SERVICE_BOUND_US)
     trial.fault()
-    world.backend(name=deaf).deaf = False
+    world.backend(name=stalled).replication_paused = False
     trial.go(for_us=SETTLE_US)
     world.start(name=name)
     trial.go(for_us=6_000_000)
 
 
 def promotion_lost(*, trial: Trial) -> None:
-    """The platform promotes, and its answer is lost, again and again."""
+    """The platform promotes, but most of its responses are lost."""
     world, name = trial.world, trial.primary
     world.network.lose_answers["platform"] = 0.8
     trial.fault()
@@ -146,7 +146,7 @@
 
 
 def primary_and_replica_lost(*, trial: Trial) -> None:
-    """The primary and one in-sync replica vanish at once; the other holds everything, and one comes back."""
+    """The primary and one in-sync replica are killed at once; the other has all commits, and both return later."""
     world, name = trial.world, trial.primary
     replica = world.rng.choice(trial.in_sync)
     killed_us = world.now_us
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet runner: the whole system as separate processes on loopback. Only it starts processes."""
+"""Runs the whole system as separate processes on loopback."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 from . import checks
 from .caller import Caller
 from .event import Event
-from .sent import Sent
+from .sent_statement import SentStatement
 from .trial import Verdict
 
 SITES = ("kingston", "mandeville", "montego")
@@ -31,7 +31,7 @@
 
 
 def free_ports(*, count: int) -> list[int]:
-    """Ports that nobody listens on now; all are held open until all are found, so none comes twice."""
+    """Returns distinct free ports; all are bound until all are found, so that none is returned twice."""
     held = [socket.socket() for _ in range(count)]
     try:
         for each in held:
@@ -43,6 +43,11 @@
 
 
 class Fleet:
+    """Owns the processes, their folder and ports, the clients and the recorded history.
+
+    `disrupted` is set once a process was killed or frozen, which excuses requests without a response.
+    """
+
     def __init__(self, *, http_proxies: int = 9, register_replicas: int = 5, databases: int = 3) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="cinderstair-fleet-"))
         self.http_proxy_names = [f"stall-{n}" for n in range(http_proxies)]
@@ -55,7 +60,7 @@
         self.history: list[Event] = []
         self.callers: list[Caller] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.struck = False
+        self.disrupted = False
 
     def backend_names(self) -> list[str]:
         return [name for names in self.databases.values() for name in names]
@@ -89,13 +94,13 @@
         self.settings_path(name=name).write_text(text)
 
     def command(self, *, name: str) -> list[str]:
-        fair = [sys.executable, "-m", "cinderstair.simulation"]
+        simulation = [sys.executable, "-m", "cinderstair.simulation"]
         if name == "platform":
             backends = {d: {n: self.http(name=n) for n in names} for d, names in self.databases.items()}
-            return [*fair, "platform", "--http", self.http(name=name), "--backends", json.dumps(backends)]
+            return [*simulation, "platform", "--http", self.http(name=name), "--backends", json.dumps(backends)]
         if name in self.backend_names():
             return [
-                *fair,
+                *simulation,
                 "backend",
                 "--name",
                 name,
@@ -116,6 +121,7 @@
         return [sys.executable, "-m", "cinderstair", role, "-s", str(self.settings_path(name=name))]
 
     def start(self, *, name: str) -> None:
+        """Starts a process, which logs to a file in the folder."""
         if (
             name in (*self.http_proxy_names, *self.register_replica_names)
             and not self.settings_path(name=name).exists()
@@ -130,16 +136,20 @@
         return (self.folder / f"{name}.log").read_text()
 
     def kill(self, *, name: str) -> None:
-        self.struck = True
+        """Kills a process and waits for its end."""
+        self.disrupted = True
         self.processes[name].kill()
         self.processes[name].wait()
 
     def signal(self, *, name: str, number: signal.Signals) -> None:
-        self.struck = self.struck or number in (signal.SIGSTOP, signal.SIGKILL)
+        self.disrupted = self.disrupted or number in (signal.SIGSTOP, signal.SIGKILL)
         os.kill(self.processes[name].pid, number)
 
     async def await_that(self, *, test: Callable[[], Any], within_us: int, what: str) -> int:
-        """Asks again until the test holds; how long that took. The limit is generous, never a measure."""
+        """Polls until the test holds and returns the time taken in us; raises AssertionError after `within_us`.
+
+        The limit only ends a hanging run; it isn't a measure of speed.
+        """
         start_us = time.monotonic_ns() // 1000
         while True:
             result = test()
@@ -165,6 +175,7 @@
         return process is not None and process.poll() is None
 
     async def all_serve(self) -> bool:
+        """Whether every running HTTP proxy is ready and has a settled, usable primary for each database."""
         for name in self.http_proxy_names:
             if not self.running(name=name):
                 continue
@@ -181,6 +192,8 @@
         return True
 
     def configuration(self, *, version: int, old: tuple[str, ...] = (), **extra: Any) -> bytes:
+        """Returns a configuration document; machines in `old` get the label hall=old, all others hall=new."""
+
         def labels_of(name: str) -> dict[str, str]:
             return {"hall": "old" if name in old else "new"}
 
@@ -207,7 +220,7 @@
         return json.dumps(document).encode()
 
     def verb(self, *words: str, at: str = "stall-0") -> subprocess.CompletedProcess[str]:
-        """An operator's command line."""
+        """Runs an operator's command at an HTTP proxy; raises subprocess.TimeoutExpired after 60 s."""
         command = [sys.executable, "-m", "cinderstair", *words, "--at", self.http(name=at)]
         return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
@@ -217,6 +230,7 @@
         return await asyncio.to_thread(self.verb, "submit", str(path))
 
     async def begin(self) -> None:
+        """Starts all processes, submits the first configuration and waits until the system serves."""
         for name in self.ports:
             self.start(name=name)
 
@@ -224,20 +238,21 @@
             results = [await self.status(name=name) for name in self.http_proxy_names]
             return all(result.get("viewCurrent") for result in results)
 
-        await self.await_that(test=current, within_us=90_000_000, what="views current")
+        await self.await_that(test=current, within_us=90_000_000, what="the views of all HTTP proxies are current")
         submitted = await self.submit(version=1)
         if submitted.returncode != 0:
-            raise AssertionError(f"submit: {submitted.stderr}")
+            raise AssertionError(f"submit failed: {submitted.stderr}")
         await self.await_that(test=self.all_serve, within_us=90_000_000, what="every HTTP proxy serves")
 
     def _context(self, *, name: str) -> Context:
-        market = Container()
-        market.config.from_dict({"name": name, "site": "", "folder": "", "disk_kind": "none"})
-        ctx = market.context()
+        container = Container()
+        container.config.from_dict({"name": name, "site": "", "folder": "", "disk_kind": "none"})
+        ctx = container.context()
         ctx.rng = random.Random(f"{name}")
         return ctx
 
     def callers_begin(self, *, count: int, think_us: int = 670_000) -> None:
+        """Starts clients, each at the HTTP proxies of one site."""
         for number in range(count):
             ctx = self._context(name=f"caller-{number}")
             database = list(self.databases)[number % len(self.databases)]
@@ -254,12 +269,13 @@
             self.tasks.append(asyncio.create_task(caller.run()))
 
     async def callers_end(self) -> None:
+        """Stops all clients and waits until their last operations are over."""
         for caller in self.callers:
             caller.stopped = True
         await asyncio.gather(*self.tasks)
 
     async def dumps(self) -> dict[str, dict[str, Any]]:
-        """What each running backend holds and has run."""
+        """Returns the state and the executed statements of each running backend."""
         dumps: dict[str, dict[str, Any]] = {}
         for name in self.backend_names():
             if self.running(name=name):
@@ -268,39 +284,44 @@
         return dumps
 
     async def verdict(self) -> Verdict:
-        """Every checker that real time allows, over the whole history."""
+        """Applies the checkers that don't depend on exact times to the whole history."""
         verdict = Verdict(requests=len(self.history))
         status = await self.status(name=next(n for n in self.http_proxy_names if self.running(name=n)))
         dumps = await self.dumps()
         for database in self.databases:
             final = dumps[status["leads"][database]["primary"]]["state"]
             events = [event for event in self.history if event.database == database]
-            verdict.take(found=checks.kept(history=events, final=final))
-            stale, ages, chances = checks.fresh(history=events)
+            verdict.take(found=checks.check_writes(history=events, final=final))
+            stale, ages, chances = checks.check_reads(history=events)
             verdict.take(found=(stale, chances))
-            verdict.take(found=checks.values(history=events))
+            verdict.take(found=checks.check_session_values(history=events))
             for kind, age_us in ages.items():
-                verdict.note(name=f"missed by {kind}", value_us=age_us)
-        ran = Counter({Sent(*each): count for dump in dumps.values() for *each, count in dump["ran"]})
-        sent: Counter[Sent] = Counter()
+                verdict.note(name=f"age of commits missed by {kind} reads", value_us=age_us)
+        ran = Counter({SentStatement(*each): count for dump in dumps.values() for *each, count in dump["ran"]})
+        sent: Counter[SentStatement] = Counter()
         for caller in self.callers:
             sent += caller.sent
-        verdict.take(found=checks.statements(ran=ran, sent=sent))
-        # why: how long a denial took on a shared machine is no measure; that it says when to come back is
-        verdict.take(found=checks.denials(history=self.history, slack_us=1 << 62))
-        # why: a process that is told to stop, or moves, drops nothing; only a kill or a freeze excuses it
-        if not self.struck:
-            wrong = [f"{e.verb} of {e.caller} was dropped" for e in self.history if e.outcome in DROPPED and e.end_us]
-            verdict.take(found=(wrong, Counter({"answers that had to come": len(self.history)})))
+        verdict.take(found=checks.check_statements(ran=ran, sent=sent))
+        # On a shared machine the time of a rejection proves nothing; its retry time is still checked
+        verdict.take(found=checks.check_rejections(history=self.history, slack_us=1 << 62))
+        # Only a kill or a freeze excuses a request without a response; a planned stop doesn't
+        if not self.disrupted:
+            wrong = [
+                f"{e.verb} of {e.caller} at {e.start_us} us was dropped by {e.http_proxy}"
+                for e in self.history
+                if e.outcome in DROPPED and e.end_us
+            ]
+            verdict.take(found=(wrong, Counter({"responses that had to arrive": len(self.history)})))
         return verdict
 
-    async def say(self, *, name: str, path: str) -> None:
-        """Tells a stand-in backend something that is not a job."""
+    async def post(self, *, name: str, path: str) -> None:
+        """Sends a control request to a stand-in backend."""
         await ask(address=self.http(name=name), method="POST", path=path, body=b"{}")
 
     async def work(
         self, *, callers: int, for_us: int, meanwhile: Callable[[], Awaitable[None]] | None = None
     ) -> dict[str, Any]:
+        """Runs clients for a time, or during `meanwhile`, and returns the report with the violations found."""
         start_us = time.monotonic_ns() // 1000
         self.callers_begin(count=callers)
         await (asyncio.sleep(for_us / 1_000_000) if meanwhile is None else meanwhile())
@@ -321,9 +342,10 @@
         }
 
     async def end(self) -> None:
+        """Kills all processes and removes the folder."""
         for process in self.processes.values():
             if process.poll() is None:
-                # why: a frozen process can't hear that it should stop
+                # A frozen process is resumed first
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         for process in self.processes.values():
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -1,4 +1,4 @@
-"""HTTP proxies and their clients: kills, freezes, planned stops, crowds, and clients that move or vanish."""
+"""Trials of HTTP proxies and clients: kills, freezes, planned stops, overload, and clients that move or vanish."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def http_proxy_killed(*, trial: Trial) -> None:
-    """An HTTP proxy is killed under work and started again."""
+    """An HTTP proxy is killed under load and started again."""
     name = trial.world.rng.choice(trial.world.http_proxy_names)
     trial.fault()
     trial.world.kill(name=name)
@@ -18,7 +18,7 @@
 
 
 def http_proxy_frozen(*, trial: Trial) -> None:
-    """An HTTP proxy stops for longer than its view's lease, while the primary is replaced, and goes on."""
+    """An HTTP proxy is frozen for longer than its view's lease while a failover happens, and resumes."""
     world, name = trial.world, trial.primary
     frozen = next(n for n in world.http_proxy_names if n != trial.holder)
     trial.fault()
@@ -31,18 +31,21 @@
 
 
 def await_end(*, world: World, name: str) -> None:
+    """Waits until a process that was told to stop has ended."""
     world.await_that(test=lambda: world.processes[name].dead, within_us=20_000_000, what=f"{name} has stopped")
 
 
 def await_ready(*, world: World, name: str) -> None:
+    """Waits until an HTTP proxy is ready."""
+
     def ready() -> bool:
         return name in world.roles and world.http_proxy(name=name).ready.unready() is None
 
     world.await_that(test=ready, within_us=20_000_000, what=f"{name} is ready")
 
 
-def http_proxy_blind(*, trial: Trial) -> None:
-    """An HTTP proxy is cut off from all backends, and from them alone: the others' news call them fit."""
+def http_proxy_cut_from_backends(*, trial: Trial) -> None:
+    """An HTTP proxy is partitioned from all backends only; by the other proxies' reports they are healthy."""
     world = trial.world
     name = world.rng.choice(world.http_proxy_names)
     trial.fault()
@@ -53,7 +56,7 @@
 
 
 def http_proxies_stopped(*, trial: Trial) -> None:
-    """Every HTTP proxy in turn is stopped in order and started again; no client loses its session."""
+    """Each HTTP proxy in turn is stopped gracefully and started again; no session may be lost."""
     world = trial.world
     trial.fault()
     lost_before = sum(caller.sessions_lost for caller in world.callers)
@@ -70,15 +73,15 @@
 
 
 def http_proxies_drained(*, trial: Trial) -> None:
-    """The platform drains each HTTP proxy in turn by its own word, waits until it is empty, and only then ends it."""
+    """The platform drains each HTTP proxy in turn by request, waits until it has no sessions, and then stops it."""
     world = trial.world
     trial.fault()
     for name in world.http_proxy_names:
         status, _ = world.ask(name=name, method="POST", path="/drain")
         if status != 200:
-            trial.verdict.wrong.append(f"drain: {status}")
+            trial.verdict.wrong.append(f"POST /drain at {name} returned status {status}")
         empty = world.http_proxy(name=name).sessions.open
-        empty_us = world.await_that(test=lambda: not empty, within_us=8_000_000, what=f"{name} is empty")  # noqa: B023
+        empty_us = world.await_that(test=lambda: not empty, within_us=8_000_000, what=f"{name} has no sessions left")  # noqa: B023
         trial.verdict.note(name="drained", value_us=empty_us)
         trial.go(for_us=500_000)
         world.stop(name=name)
@@ -89,19 +92,19 @@
 
 
 def clients_vanish(*, trial: Trial) -> None:
-    """Clients die inside their transactions; what they locked must come free, and nothing of theirs is kept."""
+    """Clients die inside transactions; their locks must be released and their writes rolled back."""
     world = trial.world
     for caller in world.callers[:4]:
-        caller.abandons = True
+        caller.vanishes = True
     trial.fault()
     trial.go(for_us=10_000_000)
     for caller in world.callers[:4]:
-        caller.abandons = False
+        caller.vanishes = False
     trial.go(for_us=4_000_000)
 
 
-def kickoff(*, trial: Trial) -> None:
-    """A membership of several times what one database can take; another database has its few usual clients."""
+def overload(*, trial: Trial) -> None:
+    """One database gets several times the load that it can serve; another keeps its few clients."""
     world = trial.world
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 600_000
@@ -110,41 +113,45 @@
         caller.stopped = True
     start_us = world.now_us
     trial.go(for_us=12_000_000)
-    membership = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db0"]
+    overloaded = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db0"]
     calm = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db1"]
-    rejected = sorted(e.waited_us for e in membership if e.kind == "crowded")
-    served = sum(e.outcome == "done" and e.verb in checks.SERVICES[1:] for e in membership)
+    rejected = sorted(e.waited_us for e in overloaded if e.kind == "crowded")
+    served = sum(e.outcome == "done" and e.verb in checks.SERVICES[1:] for e in overloaded)
     if len(rejected) < 300 or served < 100:
-        trial.verdict.wrong.append(f"no membership: {served} served, {len(rejected)} denied")
-    trial.verdict.note(name="denied after, p90", value_us=rejected[len(rejected) * 90 // 100] if rejected else 0)
-    # why: a job given up on is told at once; only one that might still have been served may have waited
+        trial.verdict.wrong.append(f"no overload: {served} served, {len(rejected)} rejected")
+    trial.verdict.note(name="rejected after, p90", value_us=rejected[len(rejected) * 90 // 100] if rejected else 0)
+    # A request that can't be served in time is rejected at once; only one that might have been served may wait
     if rejected and rejected[len(rejected) * 90 // 100] > 100_000:
-        trial.verdict.wrong.append(f"denials were held back: p90 {rejected[len(rejected) * 90 // 100]} us")
-    shares = Counter(e.caller for e in membership if e.outcome == "done" and e.verb in checks.SERVICES[1:])
-    # why: nobody in the membership may live at the others' cost
+        trial.verdict.wrong.append(
+            f"rejections were late: p90 {rejected[len(rejected) * 90 // 100]} us, bound 100000 us"
+        )
+    shares = Counter(e.caller for e in overloaded if e.outcome == "done" and e.verb in checks.SERVICES[1:])
+    # No client may be served at the expense of the others
     if shares and max(shares.values()) > 4 * shares.total() // len(shares) + 4:
-        trial.verdict.wrong.append(f"one of the membership was served {max(shares.values())} times of {served}")
+        trial.verdict.wrong.append(
+            f"unfair: one of {len(shares)} clients got {max(shares.values())} of {served} operations"
+        )
     calm_spans = sorted(e.end_us - e.start_us for e in calm if e.outcome == "done")
-    trial.verdict.note(name="the calm database, p99", value_us=calm_spans[len(calm_spans) * 99 // 100])
+    trial.verdict.note(name="database with normal load, p99", value_us=calm_spans[len(calm_spans) * 99 // 100])
     if any(e.kind == "crowded" for e in calm) or calm_spans[len(calm_spans) * 99 // 100] > 200_000:
-        trial.verdict.wrong.append("the calm database suffers from the other's membership")
+        trial.verdict.wrong.append("db1 suffers from the overload of db0: rejections, or p99 above 200000 us")
     waiting = max(
         len(p.waiting)
         for n in world.http_proxy_names
         for p in world.http_proxy(name=n).connection_pools.pools.values()
     )
     if waiting > world.http_proxy(name="stall-0").connection_pools.queue_limit:
-        trial.verdict.wrong.append(f"{waiting} jobs wait in one queue")
+        trial.verdict.wrong.append(f"{waiting} requests wait in one queue, above its limit")
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 2_000
     trial.fault()
     trial.go(for_us=4_000_000)
 
 
-def cap_held(*, trial: Trial) -> None:
-    """An HTTP proxy goes, its slot is freed, it comes back.
+def connection_limit(*, trial: Trial) -> None:
+    """An HTTP proxy is killed, its proxy id is reclaimed, and it returns.
 
-    Backends that would take any number count their channels.
+    The proxies alone must keep to the connection limits: the backends accept any number and count.
     """
     world = trial.world
     for name in world.backend_names():
@@ -167,26 +174,28 @@
             for n, limit in limits.items()
         )
 
-    world.await_that(test=grown, within_us=30_000_000, what="the others have the lost one's part")
+    world.await_that(
+        test=grown, within_us=30_000_000, what="the other HTTP proxies have taken over the connection share"
+    )
     trial.go(for_us=3_000_000)
     world.start(name=name)
     trial.go(for_us=8_000_000)
     for each in world.backend_names():
         found = world.backend(name=each).peak_connections
-        trial.verdict.count(name="channels at once", value=found)
+        trial.verdict.count(name="connections at once", value=found)
         if found > world.cap:
-            trial.verdict.wrong.append(f"{each} had {found} channels at once, cap {world.cap}")
+            trial.verdict.wrong.append(f"{each} had {found} connections at once, limit {world.cap}")
     if world.http_proxy(name=name).connection_pools.pools[trial.primary].limit == 0:
-        trial.verdict.wrong.append(f"{name} got no part of the cap back")
+        trial.verdict.wrong.append(f"{name} got no share of the connection limit after its return")
 
 
-def sites_changed(*, trial: Trial) -> None:
-    """Clients go over to another site's HTTP proxies with their sessions, again and again."""
+def clients_change_site(*, trial: Trial) -> None:
+    """Clients switch repeatedly to another site's HTTP proxies and keep their sessions."""
     world = trial.world
     lost = sum(caller.sessions_lost for caller in world.callers)
     for _ in range(6):
         for caller in world.callers:
-            caller.move_on()
+            caller.switch_http_proxy()
         trial.go(for_us=2_000_000)
     if sum(caller.sessions_lost for caller in world.callers) != lost:
-        trial.verdict.wrong.append("sessions were lost by going to another site")
+        trial.verdict.wrong.append("sessions were lost when clients changed their site")
--- a/src/cinderstair/simulation/injected_fault.py
+++ b/src/cinderstair/simulation/injected_fault.py
@@ -1,11 +1,11 @@
-"""One failure of a day: what, when, and for how long."""
+"""One fault of a day: its kind, time and duration."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class InjectedFault:
-    """Whom it strikes is drawn when it falls, by its own number, so that leaving others out changes little."""
+    """A fault to inject; its number seeds the choice of the machine, so that removing other faults changes little."""
 
     number: int
     kind: str
--- a/src/cinderstair/simulation/injected_faults.py
+++ b/src/cinderstair/simulation/injected_faults.py
@@ -1,4 +1,8 @@
-"""The failures that a day is made of: all that the users say fails, each against whom it hurts most."""
+"""The kinds of faults that are injected into a day.
+
+Each function picks a machine, injects the fault and returns its undo, or None if it must be skipped because too many
+machines are already faulty.
+"""
 
 import asyncio
 import random
@@ -9,13 +13,13 @@
 from .window_trials import window
 
 Undo = Callable[[], None]
-Strike = Callable[..., Undo | None]
+FaultInjector = Callable[..., Undo | None]
 RESYNC_US = 9_000_000
-CONTROLLER_US = 14_000_000
+WINDOW_MARGIN_US = 14_000_000
 
 
-def nothing() -> None:
-    """Nothing has to be undone."""
+def no_undo() -> None:
+    """The undo of a fault that ends by itself."""
 
 
 # ---- backends
@@ -54,12 +58,12 @@
     return lambda: setattr(day.world.backend(name=name), "service_us", 2_000)
 
 
-def replica_deaf(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def replica_not_replicating(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US, primary=False)
     if not name:
         return None
-    day.world.backend(name=name).deaf = True
-    return lambda: setattr(day.world.backend(name=name), "deaf", False)
+    day.world.backend(name=name).replication_paused = True
+    return lambda: setattr(day.world.backend(name=name), "replication_paused", False)
 
 
 def replica_lags(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
@@ -70,7 +74,7 @@
     return lambda: setattr(day.world.backend(name=name), "apply_us", 5_000)
 
 
-def backend_empties(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def backend_drains(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -83,7 +87,7 @@
 
 
 def backend_replaced(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """In order, or because it is gone for good; either way a blank one takes its place."""
+    """Replaces a backend by an empty spare; half of the time it is killed first."""
     name = day.backend(rng=rng, for_us=length_us + 3 * RESYNC_US)
     if not name:
         return None
@@ -94,7 +98,7 @@
     day.used.add(spare)
     if rng.random() < 0.5:
         day.world.kill(name=name)
-    day.world.listed[database] = [spare if each == name else each for each in day.world.listed[database]]
+    day.world.configured[database] = [spare if each == name else each for each in day.world.configured[database]]
     day.submit(rng=rng)
     return lambda: day.world.kill(name=name)
 
@@ -130,7 +134,7 @@
 
 
 def http_proxy_cut(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """Cut off from all register replicas, from all backends, or from everyone; its clients still reach it."""
+    """Partitions an HTTP proxy from all register replicas, all backends, or everyone; its clients still reach it."""
     name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
@@ -142,7 +146,7 @@
 
 
 def http_proxy_stopped(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """A planned stop, by signal or by the platform's word; the machine comes back later."""
+    """Stops an HTTP proxy gracefully, half of the time after a drain request, and starts it later."""
     name = day.http_proxy(rng=rng, for_us=length_us + 12_000_000)
     if not name:
         return None
@@ -150,49 +154,49 @@
         day.world.ask(name=name, method="POST", path="/drain")
     day.world.stop(name=name)
 
-    def again() -> None:
-        # why: it may still be waiting for its last clients, and only its own end frees its place
+    def restart() -> None:
+        # It may still wait for its last clients; it must have ended before its name is used again
         day.world.await_that(
             test=lambda: day.world.processes[name].dead, within_us=12_000_000, what=f"{name} has ended"
         )
         day.world.start(name=name)
 
-    return again
+    return restart
 
 
 def settings_changed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    for name in day.world.ups():
+    for name in day.world.http_proxies_up():
         http_proxy = day.world.http_proxy(name=name)
         http_proxy.resettle(settings=replace(http_proxy.settings, queue_limit=rng.randrange(100, 300)))
-    return nothing
+    return no_undo
 
 
-def clients_move(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def clients_switch_http_proxy(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     for caller in rng.sample(day.world.callers, len(day.world.callers) // 5):
         if not caller.once:
-            caller.move_on()
-    return nothing
+            caller.switch_http_proxy()
+    return no_undo
 
 
-def channels_reset(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def connections_reset(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     backends = set(day.world.backend_names())
     connections = [connection for connection in day.world.network.connections if connection.server.name in backends]
     for connection in rng.sample(connections, len(connections) // 4):
         connection.reset()
-    return nothing
+    return no_undo
 
 
-def membership(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def load_spike(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     database = rng.choice(list(day.world.databases))
     mine = [caller for caller in day.world.callers if caller.database == database and not caller.once]
     for caller in mine:
         caller.think_us //= 6
 
-    def calm() -> None:
+    def slow_down() -> None:
         for caller in mine:
             caller.think_us *= 6
 
-    return calm
+    return slow_down
 
 
 # ---- register replicas and operators
@@ -214,24 +218,24 @@
     return lambda: day.world.thaw(name=name)
 
 
-def register_replica_torn(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+def register_replica_torn_write(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
     name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
     day.world.disks[name].tear_next = True
     day.submit(rng=rng)
 
-    def again() -> None:
+    def restart() -> None:
         day.world.disks[name].tear_next = False
         if name in day.world.halted:
             del day.world.halted[name]
             day.world.start(name=name)
 
-    return again
+    return restart
 
 
-def register_replica_blank(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """The disk of a machine is lost; it comes back blank."""
+def register_replica_disk_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Kills a register replica and erases its disk; it returns empty."""
     name = day.register_replica(rng=rng, for_us=length_us + 15_000_000)
     if not name:
         return None
@@ -240,59 +244,61 @@
     return lambda: day.world.start(name=name)
 
 
-def operators(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """Two at once with the same version, an old one again, and a broken one."""
+def concurrent_operators(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Two operators submit the same version at once; then an older and a malformed configuration are submitted."""
     world, version = day.world, day.next()
     bodies = [world.configuration(version=version, stalls={"stall-0": {"hall": each}}) for each in ("old", "new")]
 
-    async def both() -> list[tuple[int, bytes]]:
-        names = rng.sample(world.ups(), 2)
+    async def submit_both() -> list[tuple[int, bytes]]:
+        names = rng.sample(world.http_proxies_up(), 2)
         asks = [
             world._ask(name=name, method="PUT", path="/v1/configuration", body=body)
             for name, body in zip(names, bodies, strict=True)
         ]
         return list(await asyncio.gather(*asks))
 
-    answers = world.run(work=both())
+    answers = world.run(work=submit_both())
     for body, (status, answer) in zip(bodies, answers, strict=True):
-        day.trial.reported(version=version, body=body, status=status, answer=answer)
+        day.trial.record_submission(version=version, body=body, status=status, answer=answer)
     if [status for status, _ in answers].count(200) == 2:
-        day.trial.verdict.wrong.append(f"two operators were both told that version {version} stands")
+        day.trial.verdict.wrong.append(f"two concurrent operators both got version {version} accepted")
     if day.trial.accepted:
         older = max(day.trial.accepted) - 1
         for body in (world.configuration(version=max(1, older), stalls={"x": {"y": "z"}}), b'{"version": 99999, "da'):
-            status, _ = world.ask(name=rng.choice(world.ups()), method="PUT", path="/v1/configuration", body=body)
+            status, _ = world.ask(
+                name=rng.choice(world.http_proxies_up()), method="PUT", path="/v1/configuration", body=body
+            )
             if status == 200:
-                day.trial.verdict.wrong.append(f"accepted: {body[:40]!r}")
-    return nothing
+                day.trial.verdict.wrong.append(f"accepted an older or malformed configuration: {body[:40]!r}")
+    return no_undo
 
 
 def data_centre_moved(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
-    """A booked window over one backend of each database, leads among them, and two HTTP proxies."""
+    """Submits a window over one backend of each database and two HTTP proxies."""
     world = day.world
-    # why: one window a day, since its hall keeps its labels
+    # One window per day: the labels of its machines stay
     if day.windows:
         return None
-    data_centre = [rng.choice(world.listed[database]) for database in world.databases]
+    data_centre = [rng.choice(world.configured[database]) for database in world.databases]
     day.old = (*data_centre, *rng.sample(world.http_proxy_names, 2))
-    booked = [window(world=world, in_us=1_500_000, for_us=CONTROLLER_US + length_us)]
-    day.windows = booked
+    windows = [window(world=world, in_us=1_500_000, for_us=WINDOW_MARGIN_US + length_us)]
+    day.windows = windows
     day.submit(rng=rng)
 
-    # why: the window ends by itself, in the middle of whatever else falls then
-    return nothing
+    # The window ends by itself, also amid other faults
+    return no_undo
 
 
-INJECTED_FAULTS: dict[str, Strike] = {
+INJECTED_FAULTS: dict[str, FaultInjector] = {
     each.__name__: each
     for each in (
         backend_killed,
         backend_frozen,
         backend_cut,
         backend_slow,
-        replica_deaf,
+        replica_not_replicating,
         replica_lags,
-        backend_empties,
+        backend_drains,
         backend_replaced,
         answers_lost,
         promotions_lost,
@@ -301,26 +307,26 @@
         http_proxy_cut,
         http_proxy_stopped,
         settings_changed,
-        clients_move,
-        channels_reset,
-        membership,
+        clients_switch_http_proxy,
+        connections_reset,
+        load_spike,
         register_replica_killed,
         register_replica_frozen,
-        register_replica_torn,
-        register_replica_blank,
-        operators,
+        register_replica_torn_write,
+        register_replica_disk_lost,
+        concurrent_operators,
         data_centre_moved,
     )
 }
 
 
 def last_injected_fault(*, day: Day, rng: random.Random) -> None:
-    """The day's last fault: a primary and the holder of its duty, two register replicas, or every machine at once."""
-    world, kind = day.world, rng.choice(["leads", "vaults", "power"])
-    if kind == "leads":
+    """Kills a primary with the failover lease holder, two register replicas, or all machines at once (power loss)."""
+    world, kind = day.world, rng.choice(["primary", "register", "power"])
+    if kind == "primary":
         world.kill(name=day.trial.primary_of(database=rng.choice(list(world.databases))))
         world.kill(name=day.trial.holder)
-    elif kind == "vaults":
+    elif kind == "register":
         for name in rng.sample(world.register_replica_names, 2):
             world.kill(name=name)
     else:
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -1,4 +1,4 @@
-"""Counts work by the number of HTTP proxies: records, HTTP questions and syncs a second, idle and for each job."""
+"""Measures load by the number of HTTP proxies: records, HTTP requests and syncs, idle per second and per operation."""
 
 import argparse
 import json
@@ -12,8 +12,8 @@
 SPAN_US = 10_000_000
 
 
-def work(*, world: World) -> Counter[str]:
-    """What has been done so far, everywhere."""
+def totals(*, world: World) -> Counter[str]:
+    """Returns the total counts of all machines so far."""
     counts: Counter[str] = Counter()
     for name, count in world.network.work.items():
         kind = name.removeprefix("record ")
@@ -24,15 +24,16 @@
 
 
 def span(*, world: World) -> Counter[str]:
-    """What is done within one span."""
-    before = work(world=world)
+    """Returns the counts of the next SPAN_US."""
+    before = totals(world=world)
     world.advance(for_us=SPAN_US)
-    after = work(world=world)
+    after = totals(world=world)
     after.subtract(before)
     return after
 
 
 def measured(*, http_proxies: int, callers: int, seed: int = 1) -> dict[str, Any]:
+    """Runs one system idle and then under load, and returns its rates."""
     world = World(seed=seed, http_proxies=http_proxies, databases=3, cap=max(64, 4 * http_proxies))
     try:
         world.begin()
@@ -60,7 +61,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.loads", description=__doc__)
-    parser.add_argument("--http-proxies", default="3,9,30", help="numbers of HTTP proxies, with commas between")
+    parser.add_argument("--http-proxies", default="3,9,30", help="comma-separated numbers of HTTP proxies")
     parser.add_argument("--callers", type=int, default=120)
     options = parser.parse_args()
     for each in options.http_proxies.split(","):
--- a/src/cinderstair/simulation/mixed_trials.py
+++ b/src/cinderstair/simulation/mixed_trials.py
@@ -1,10 +1,10 @@
-"""Many things at once, or everything."""
+"""Trials of several failures at once or in sequence."""
 
 from .trial import SETTLE_US, Trial
 
 
-def restarts_in_turn(*, trial: Trial) -> None:
-    """Every machine is stopped and started, one after another."""
+def rolling_restart(*, trial: Trial) -> None:
+    """Every machine but the platform is killed and started, one after another in random order."""
     world = trial.world
     names = [n for n in world.addresses if n != "platform"]
     world.rng.shuffle(names)
@@ -18,7 +18,7 @@
 
 
 def everything_killed(*, trial: Trial) -> None:
-    """Every machine is killed at once, and all are started again."""
+    """Every machine but the platform is killed at once and started again."""
     world = trial.world
     for version in (2, 3):
         trial.submit(version=version)
@@ -32,8 +32,8 @@
     trial.go(for_us=SETTLE_US)
 
 
-def stuttering(*, trial: Trial) -> None:
-    """An HTTP proxy, the primary and a register replica each run only half of the time, in fits of 300 ms."""
+def intermittent_freezes(*, trial: Trial) -> None:
+    """An HTTP proxy, the primary and a register replica are frozen in turn, for 300 ms each."""
     world = trial.world
     names = (world.rng.choice(world.http_proxy_names), trial.primary, world.rng.choice(world.register_replica_names))
     for step in range(24):
@@ -47,7 +47,7 @@
 
 
 def chaos(*, trial: Trial) -> None:
-    """One thing after another, drawn by the seed; never more than the system must survive at once."""
+    """Four random failures in sequence, one at a time: kill, freeze, full or one-way partition."""
     world, rng = trial.world, trial.world.rng
     for _ in range(4):
         name = rng.choice([*world.backend_names(), *world.http_proxy_names, *world.register_replica_names])
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -40,7 +40,7 @@
 Patches = list[Any]
 
 
-def ack_at_once() -> Patches:
+def ack_before_replication() -> Patches:
     """A commit is acknowledged as soon as the primary has it."""
 
     async def durable(self: Any, **_: Any) -> bool:
@@ -49,17 +49,17 @@
     return [patch.object(CommitWatermarks, "durable", durable)]
 
 
-def view_forever() -> Patches:
+def view_never_expires() -> Patches:
     """A view counts as current for ever."""
     return [patch.object(View, "current", property(lambda self: True))]
 
 
-def promote_at_once() -> Patches:
+def promote_without_waiting() -> Patches:
     """A new lead is settled without outwaiting older views."""
     return [patch.object(database_assignments, "VIEW_MARGIN_US", -60_000_000)]
 
 
-def send_again() -> Patches:
+def resend_unknown_write() -> Patches:
     """A write whose answer was lost is sent again."""
 
     def unknown(self: Any, *, reason: str) -> Any:
@@ -68,7 +68,7 @@
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
-def say_nothing_kept() -> Patches:
+def unknown_reported_as_lost() -> Patches:
     """An unknown outcome is told as if nothing had been kept."""
 
     def unknown(self: Any, *, reason: str) -> Any:
@@ -77,17 +77,17 @@
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
-def any_age() -> Patches:
+def unbounded_staleness() -> Patches:
     """A replica's answer is taken however old it is."""
     return [patch.object(Samples, "floor", lambda self, **_: 0)]
 
 
-def deaf_to_emptying() -> Patches:
+def ignore_draining_backend() -> Patches:
     """A backend's word that it is emptying is not heeded."""
     return [patch.object(HeartbeatTable, "healthy", lambda self, *, name: not self.silent(name=name))]
 
 
-def no_versions() -> Patches:
+def no_version_check() -> Patches:
     """A configuration is written whatever stands."""
 
     class Anything(ConfigurationStore):
@@ -101,12 +101,12 @@
     return [patch.object(ConfigurationStore, "submit", Anything.submit)]
 
 
-def forgetful_register_replica() -> Patches:
+def register_replica_not_persistent() -> Patches:
     """A register replica answers without having saved anything."""
     return [patch.object(Store, "save", lambda self, *, entries: None)]
 
 
-def leave_transactions() -> Patches:
+def pool_open_transaction() -> Patches:
     """An abandoned transaction's channel goes back to the pool as it is."""
 
     def abandon(self: Any, *, session: Any) -> None:
@@ -117,7 +117,7 @@
     return [patch.object(Sessions, "abandon", abandon)]
 
 
-def other_text() -> Patches:
+def alter_statement_text() -> Patches:
     """The text of a statement is changed on its way."""
     original = ForwardMixin.pass_to
 
@@ -129,7 +129,7 @@
     return [patch.object(ForwardMixin, "pass_to", pass_to)]
 
 
-def mixed_values() -> Patches:
+def shared_session_values() -> Patches:
     """Sessions share one set of values."""
     shared: dict[str, Any] = {}
     original = SessionStateFilter._change
@@ -141,28 +141,28 @@
     return [patch.object(SessionStateFilter, "_change", change)]
 
 
-def deaf_to_windows() -> Patches:
+def ignore_windows() -> Patches:
     """Open windows select nothing."""
     return [patch.object(view, "drain_targets", lambda **_: DrainTargets())]
 
 
-def lose_sessions() -> Patches:
+def drop_sessions_on_drain() -> Patches:
     """An HTTP proxy that must stand empty forgets its sessions instead of handing them on."""
 
     async def hand_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
-    # why: their copies would bring them back
-    return [*no_replicas(), patch.object(Handover, "hand_all", hand_all)]
+    # Their copies would bring them back
+    return [*no_session_replicas(), patch.object(Handover, "hand_all", hand_all)]
 
 
-def newest_always() -> Patches:
+def ignore_peer_version() -> Patches:
     """The newest version of the records is spoken with everyone, whatever they understand."""
     return [patch.object(PeerClient, "version", lambda self, *, address: self.ctx.protocol_versions.highest)]
 
 
-def never_move() -> Patches:
+def never_fail_over() -> Patches:
     """No reason is good enough to move a lead."""
 
     async def move_reason(self: Any, **_: Any) -> None:
@@ -171,12 +171,12 @@
     return [patch.object(DatabasePrimaryMonitor, "move_reason", move_reason)]
 
 
-def forget_floor() -> Patches:
+def no_read_your_writes() -> Patches:
     """A session's own commits are not remembered for its reads."""
     return [patch.object(Session, "floor", property(lambda self: 0, lambda self, value: None))]
 
 
-def take_anything() -> Patches:
+def no_configuration_check() -> Patches:
     """A configuration is accepted whatever it says."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
@@ -187,7 +187,7 @@
     return [patch.object(ConfigurationStore, "submit", submit)]
 
 
-def older_again() -> Patches:
+def configuration_rollback() -> Patches:
     """An older configuration is written over a newer one, and comes into force."""
     original = View._apply_configuration
 
@@ -195,10 +195,10 @@
         self.configuration = None
         return original(self, raw=raw)
 
-    return [*no_versions(), patch.object(View, "_apply_configuration", apply)]
+    return [*no_version_check(), patch.object(View, "_apply_configuration", apply)]
 
 
-def altered_read_back() -> Patches:
+def reformat_configuration() -> Patches:
     """A configuration is given back as this code would write it, and not as it came."""
     original = ConfigurationStore.fetch
 
@@ -209,7 +209,7 @@
     return [patch.object(ConfigurationStore, "fetch", fetch)]
 
 
-def deaf_to_quiet() -> Patches:
+def ignore_silent_backend() -> Patches:
     """Nobody is ever held to have fallen silent."""
     return [
         patch.object(HeartbeatTable, "silent", lambda self, *, name: False),
@@ -217,7 +217,7 @@
     ]
 
 
-def held_denials() -> Patches:
+def delayed_rejections() -> Patches:
     """A denial is held back until the job's time is nearly up."""
     original = HttpProxy.answer
 
@@ -241,7 +241,7 @@
     return [patch.object(RejectMixin, "reject", reject)]
 
 
-def drop_at_stop() -> Patches:
+def stop_without_drain() -> Patches:
     """An HTTP proxy that is told to stop just ends."""
 
     async def drain(self: Any) -> None:
@@ -250,7 +250,7 @@
     return [patch.object(HttpProxy, "drain", drain)]
 
 
-def other_params() -> Patches:
+def alter_params() -> Patches:
     """The parameters of a statement are changed on their way."""
     original = ForwardMixin.pass_to
 
@@ -262,7 +262,7 @@
     return [patch.object(ForwardMixin, "pass_to", pass_to)]
 
 
-def lose_prepared() -> Patches:
+def drop_prepared_on_handover() -> Patches:
     """A session is handed on without what it has prepared."""
     original = Handover._hand
 
@@ -273,17 +273,17 @@
     return [patch.object(Handover, "_hand", hand)]
 
 
-def never_give_up() -> Patches:
+def wait_for_dead_backend() -> Patches:
     """What waits for a backend waits until its time is up, whatever has become of that backend."""
     return [patch.object(Pool, "give_up", lambda self: None)]
 
 
-def whole_cap() -> Patches:
+def ignore_connection_share() -> Patches:
     """Every HTTP proxy takes the whole of a backend's cap for itself."""
     return [patch.object(connection_pools, "allotment", lambda *, cap, user_ids, http_proxy_id: cap)]
 
 
-def no_replicas() -> Patches:
+def no_session_replicas() -> Patches:
     """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
 
     async def keep(self: Any, *, session: Any, until_us: int) -> bool:
@@ -305,7 +305,7 @@
     __hash__ = Tag.__hash__
 
 
-def any_handle() -> Patches:
+def ignore_session_token_tag() -> Patches:
     """A session or a copy is served to whoever knows its name, however old it is."""
 
     def read(*, text: str) -> SessionToken:
@@ -314,7 +314,7 @@
     return [patch.object(session_filter, "parse_session_token", read)]
 
 
-def keep_replicas() -> Patches:
+def keep_stale_replicas() -> Patches:
     """Nobody is told that a copy can be forgotten."""
 
     async def ask(self: Any, **_: Any) -> None:
@@ -326,7 +326,7 @@
     ]
 
 
-def open_all() -> Patches:
+def open_all_connections() -> Patches:
     """A pool that may grow opens all its channels at once."""
     original = Pool.resize
 
@@ -346,38 +346,38 @@
 FAULTS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
-        ack_at_once,
-        view_forever,
-        promote_at_once,
-        send_again,
-        say_nothing_kept,
-        any_age,
-        deaf_to_emptying,
-        no_versions,
-        forgetful_register_replica,
-        leave_transactions,
-        other_text,
-        mixed_values,
-        deaf_to_windows,
-        lose_sessions,
-        newest_always,
-        never_move,
-        forget_floor,
-        take_anything,
-        older_again,
-        altered_read_back,
-        deaf_to_quiet,
-        held_denials,
+        ack_before_replication,
+        view_never_expires,
+        promote_without_waiting,
+        resend_unknown_write,
+        unknown_reported_as_lost,
+        unbounded_staleness,
+        ignore_draining_backend,
+        no_version_check,
+        register_replica_not_persistent,
+        pool_open_transaction,
+        alter_statement_text,
+        shared_session_values,
+        ignore_windows,
+        drop_sessions_on_drain,
+        ignore_peer_version,
+        never_fail_over,
+        no_read_your_writes,
+        no_configuration_check,
+        configuration_rollback,
+        reformat_configuration,
+        ignore_silent_backend,
+        delayed_rejections,
         no_retry_after,
-        drop_at_stop,
-        other_params,
-        lose_prepared,
-        never_give_up,
-        whole_cap,
-        no_replicas,
-        any_handle,
-        keep_replicas,
-        open_all,
+        stop_without_drain,
+        alter_params,
+        drop_prepared_on_handover,
+        wait_for_dead_backend,
+        ignore_connection_share,
+        no_session_replicas,
+        ignore_session_token_tag,
+        keep_stale_replicas,
+        open_all_connections,
     )
 }
 
--- a/src/cinderstair/simulation/sim_disk.py
+++ b/src/cinderstair/simulation/sim_disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: outlives its machine's runs, and can fail, tear or be lost."""
+"""A simulated disk, which outlives the processes of its machine and can fail, tear a write or lose its data."""
 
 import asyncio
 import random
@@ -6,7 +6,10 @@
 
 
 class SimDisk:
-    """Whatever a call returned from is synced; a fault makes the call raise OSError instead."""
+    """Data is durable when a write or append returns; an injected fault makes the call raise OSError instead.
+
+    `hangs` is the delay of each background call in seconds.
+    """
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
@@ -17,36 +20,37 @@
         self.hangs = 0.0
 
     def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
-        return self._beside(work)
+        return self._run_after_delay(work)
 
-    async def _beside(self, work: Callable[[], None]) -> None:
-        # why: a disk that hangs holds up only those who wait for it, as a real one does beside the loop
+    async def _run_after_delay(self, work: Callable[[], None]) -> None:
+        # Only the awaiting task is delayed, as with a real disk that is accessed off the event loop
         if self.hangs:
             await asyncio.sleep(self.hangs)
         work()
 
-    def _strike(self, *, name: str, old: bytes, new: bytes) -> None:
+    def _apply_fault(self, *, name: str, old: bytes, new: bytes) -> None:
         self.syncs += 1
         if self.tear_next:
             self.tear_next = False
-            # why: power may go at any byte of what was being written
+            # A power failure may leave any prefix of the write
             self.files[name] = old + new[: self.rng.randrange(len(new))]
-            raise OSError("torn")
+            raise OSError(f"{name}: write torn")
         if self.fail_next:
             self.fail_next = False
-            raise OSError("sync failed")
+            raise OSError(f"{name}: sync failed")
 
     def read(self, *, name: str) -> bytes | None:
         return self.files.get(name)
 
     def write(self, *, name: str, data: bytes) -> None:
-        self._strike(name=name, old=b"", new=data)
+        self._apply_fault(name=name, old=b"", new=data)
         self.files[name] = data
 
     def append(self, *, name: str, data: bytes) -> None:
         old = self.files.get(name, b"")
-        self._strike(name=name, old=old, new=data)
+        self._apply_fault(name=name, old=old, new=data)
         self.files[name] = old + data
 
     def wipe(self) -> None:
+        """Loses all data."""
         self.files.clear()
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -1,4 +1,4 @@
-"""A simulated network: records and HTTP channels with delays, cuts, resets and lost answers."""
+"""A simulated network: records and HTTP connections with delays, partitions, resets and lost responses."""
 
 import asyncio
 import contextvars
@@ -22,22 +22,22 @@
 
 
 class Arrival(NamedTuple):
-    """Something that reached a backend."""
+    """A statement or position request that reached a backend."""
 
     at_us: int
     path: str
     source: str
 
 
-class Word(NamedTuple):
-    """A backend's beat that reached somebody."""
+class HeartbeatArrival(NamedTuple):
+    """A backend's heartbeat that reached an HTTP proxy, with the state that it reported."""
 
     at_us: int
     state: str
 
 
-def garbled(*, response: HttpResponse, rng: random.Random) -> HttpResponse:
-    """An answer that is none: cut short, of another shape, without what it has to say, or of odd types."""
+def corrupted(*, response: HttpResponse, rng: random.Random) -> HttpResponse:
+    """Returns an invalid response: truncated, of another JSON type, or with missing or mistyped fields."""
     body = response.body
     ways = [
         body[: rng.randrange(len(body))],
@@ -52,7 +52,7 @@
 
 
 class SimLine(Line):
-    """A server's end of a channel."""
+    """The server's end of a connection."""
 
     def __init__(self) -> None:
         self.ended = False
@@ -63,7 +63,11 @@
 
 
 class SimNetwork:
-    """What lies between all machines."""
+    """The network between all simulated processes: listeners, connections, delays and faults.
+
+    `cuts` holds the (source, target) pairs whose traffic is dropped; `lose_answers` and `corrupt_answers` the
+    probability by server that a response is lost or corrupted; `lags_us` the extra delay of a slow machine.
+    """
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
@@ -74,42 +78,42 @@
         self.cuts: set[tuple[str, str]] = set()
         self.connections: list[SimConnection] = []
         self.lose_answers: dict[str, float] = {}
-        self.garble_answers: dict[str, float] = {}
+        self.corrupt_answers: dict[str, float] = {}
         self.fast_us, self.slow_us = 200, 1_500
         self.lags_us: dict[str, int] = {}
         self.sent = 0
-        # why: what is asked of whom, by kind, is the measure of what a larger fleet costs
+        # Requests by kind: the traffic that a larger fleet adds
         self.work: Counter[str] = Counter()
         self.dials: list[tuple[int, str, str]] = []
-        # why: kept where they arrive and not where they are read, since a frozen machine reads nothing
+        # Recorded on arrival and not when read, since a frozen process reads nothing
         self.arrivals: dict[str, list[Arrival]] = defaultdict(list)
-        self.words: dict[str, list[Word]] = defaultdict(list)
+        self.heartbeats: dict[str, list[HeartbeatArrival]] = defaultdict(list)
 
     @property
     def now_us(self) -> int:
         return round(self.loop.virtual * 1_000_000)
 
     def arrived(self, *, source: str, target: str, request: HttpRequest) -> None:
-        """Notes what reaches a backend, and what backends have said that reached anyone."""
+        """Records requests that reach a backend, and heartbeats that reach anyone."""
         if request.path in ("/run", "/position"):
             self.arrivals[target].append(Arrival(self.now_us, request.path, source))
         elif request.path == "/v1/beats":
             try:
-                self.words[source].append(Word(self.now_us, str(json.loads(request.body)["state"])))
+                self.heartbeats[source].append(HeartbeatArrival(self.now_us, str(json.loads(request.body)["state"])))
             except (ValueError, KeyError, TypeError):
-                # why: what can't be read is no word of a backend's; what becomes of it is the HTTP proxy's affair
+                # A malformed heartbeat isn't recorded; how the HTTP proxy rejects it is not checked here
                 return
 
     def delay_s(self, *names: str) -> float:
-        """How long something takes on its way between these; a slow machine makes it longer."""
+        """Draws the delay between these machines, including the lag of slow ones."""
         lag_us = sum(self.lags_us.get(name, 0) for name in names)
         return (self.rng.randrange(self.fast_us, self.slow_us) + lag_us) / 1_000_000
 
     def passes(self, *, source: str, target: str) -> bool:
         return (source, target) not in self.cuts
 
-    def later(self, *, call: Callable[[], None], delay_s: float | None = None) -> None:
-        """Something that the network does, whatever becomes of the machines."""
+    def schedule(self, *, call: Callable[[], None], delay_s: float | None = None) -> None:
+        """Schedules an event of the network itself, which no freeze or kill of a process holds up."""
         self.loop.call_later(self.delay_s() if delay_s is None else delay_s, call, context=contextvars.Context())
 
     def run_at(self, *, process: SimProcess, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -118,14 +122,14 @@
         return self.loop.create_task(work, context=context)
 
     def close_all(self, *, process: SimProcess) -> None:
-        """A machine's end: its listeners are gone and its channels are reset."""
+        """Removes the listeners of an ended process and resets its connections."""
         self.records = {a: entry for a, entry in self.records.items() if entry[0] is not process}
         self.https = {a: entry for a, entry in self.https.items() if entry[0] is not process}
         for connection in list(self.connections):
             if connection.client is process:
                 connection.hang_up()
             elif connection.server is process:
-                connection.later(call=connection.reset)
+                connection.schedule(call=connection.reset)
         self.connections = [c for c in self.connections if c.client is not process and not c.broken]
 
 
@@ -147,8 +151,8 @@
     def open(self) -> bool:
         return not self.broken
 
-    def later(self, *, call: Callable[[], None]) -> None:
-        self.network.later(call=call, delay_s=self.network.delay_s(self.client.name, self.server.name))
+    def schedule(self, *, call: Callable[[], None]) -> None:
+        self.network.schedule(call=call, delay_s=self.network.delay_s(self.client.name, self.server.name))
 
     def reset(self) -> None:
         self.broken = True
@@ -157,21 +161,23 @@
             self.waiting.set_exception(ConnectionResetError())
 
     def hang_up(self) -> None:
-        # why: word of the end must cross the network too; through a cut it comes when the system gives up
+        # The close must cross the network too; through a partition it takes effect when TCP gives up
         self.broken = True
         cut = not self.network.passes(source=self.client.name, target=self.server.name)
-        self.network.later(call=self._end, delay_s=10.0 if cut else None)
+        self.network.schedule(call=self._end, delay_s=10.0 if cut else None)
 
     def _end(self) -> None:
         self.line.ended = True
 
     async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
         if self.broken:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: channel closed"))
+            return Error(
+                CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: connection closed")
+            )
         self.waiting = asyncio.get_running_loop().create_future()
         self.network.sent += 1
         self.network.work[f"http {request.path if request.path in PATHS else 'other'}"] += 1
-        self.later(call=lambda: self._arrive(request=request))
+        self.schedule(call=lambda: self._arrive(request=request))
         try:
             async with asyncio.timeout(wait_us / 1_000_000) as self.limit:
                 return Ok(await self.waiting)
@@ -190,17 +196,17 @@
         if self.limit is not None and not self.limit.expired():
             self.limit.reschedule(asyncio.get_running_loop().time())
 
-    def _again(self, *, call: Callable[[int], None], wait_us: int) -> None:
-        """What a cut holds up is sent again, later each time, as TCP does; what comes late still comes."""
+    def _resend_later(self, *, call: Callable[[int], None], wait_us: int) -> None:
+        """Retransmits with doubling delay, as TCP does, what a partition dropped; it may still arrive late."""
         if wait_us < RESEND_MOST_US:
-            self.network.later(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
+            self.network.schedule(call=lambda: call(wait_us * 2), delay_s=wait_us / 1_000_000)
 
     def _arrive(self, *, request: HttpRequest, wait_us: int = RESEND_US) -> None:
-        # why: who gives up a channel takes back what the system still holds to be sent again
+        # Closing a connection discards what is still queued for retransmission
         if wait_us > RESEND_US and self.broken:
             return
         if not self.network.passes(source=self.client.name, target=self.server.name):
-            self._again(call=lambda next_us: self._arrive(request=request, wait_us=next_us), wait_us=wait_us)
+            self._resend_later(call=lambda next_us: self._arrive(request=request, wait_us=next_us), wait_us=wait_us)
             return
         if self.server.dead or self.line.ended:
             self.reset()
@@ -217,19 +223,21 @@
         if task.cancelled() or self.server.dead:
             return
         response = task.result()
-        # why: the brief's own failure, in which a backend runs a job and its answer never arrives
+        # The backend has run the statement, and its response is lost
         if self.network.rng.random() < self.network.lose_answers.get(self.server.name, 0):
-            self.later(call=self.reset)
+            self.schedule(call=self.reset)
             return
-        # why: what backends say to one another is their own affair
-        share = self.network.garble_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
+        # Traffic between backends isn't corrupted: it isn't part of the system under test
+        share = self.network.corrupt_answers.get(self.server.name, 0) if self.path in ("/run", "/position") else 0
         if share and self.network.rng.random() < share:
-            response = garbled(response=response, rng=self.network.rng)
-        self.later(call=lambda: self._deliver(response=response))
+            response = corrupted(response=response, rng=self.network.rng)
+        self.schedule(call=lambda: self._deliver(response=response))
 
     def _deliver(self, *, response: HttpResponse, wait_us: int = RESEND_US) -> None:
         if not self.network.passes(source=self.server.name, target=self.client.name):
-            self._again(call=lambda next_us: self._deliver(response=response, wait_us=next_us), wait_us=wait_us)
+            self._resend_later(
+                call=lambda next_us: self._deliver(response=response, wait_us=next_us), wait_us=wait_us
+            )
             return
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_result(response)
@@ -244,7 +252,7 @@
 
 
 class SimNet:
-    """One machine's network."""
+    """The network of one simulated process: implements the runtime's Net on the SimNetwork."""
 
     def __init__(self, *, network: SimNetwork, process: SimProcess) -> None:
         self.network = network
@@ -266,24 +274,24 @@
                 return
             entry = network.records.get(address)
             if entry is None:
-                network.later(call=fail)
+                network.schedule(call=fail)
                 return
             process, answer = entry
             task = network.run_at(process=process, work=answer(body))  # type: ignore[arg-type]
             task.add_done_callback(lambda done: answered(done, process), context=contextvars.Context())
 
         def answered(task: asyncio.Task[bytes], process: SimProcess) -> None:
-            # why: a record that can't be read is dropped by its reader, and the asker's wait runs out
+            # The receiver drops a malformed record, and the sender's request times out
             if task.cancelled() or process.dead or isinstance(task.exception(), ValueError):
                 return
             response = task.result()
-            network.later(call=lambda: deliver(response, process), delay_s=network.delay_s(process.name))
+            network.schedule(call=lambda: deliver(response, process), delay_s=network.delay_s(process.name))
 
         def deliver(response: bytes, process: SimProcess) -> None:
             if network.passes(source=process.name, target=me.name) and not waiting.done():
                 waiting.set_result(response)
 
-        network.later(call=arrive, delay_s=network.delay_s(me.name))
+        network.schedule(call=arrive, delay_s=network.delay_s(me.name))
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 return Ok(await waiting)
@@ -313,16 +321,20 @@
                 connection = SimConnection(network=network, client=me, server=entry[0], answer=entry[1])
                 network.connections.append(connection)
             if network.passes(source=host, target=me.name):
-                network.later(call=lambda: settle(connection))
+                network.schedule(call=lambda: settle(connection))
 
-        network.later(call=arrive)
+        network.schedule(call=arrive)
         try:
             async with asyncio.timeout(wait_us / 1_000_000):
                 connection = await waiting
         except TimeoutError:
             connection = None
         if connection is None:
-            return Error(CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{address}: not reached"))
+            return Error(
+                CinderstairError(
+                    code=ErrorCode.WIRE_UNSENT, reason=f"{address}: connection failed or timed out after {wait_us} us"
+                )
+            )
         return Ok(connection)
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in for a database server: a durable log, replicas that pull it, promotion by term, and heartbeats."""
+"""A simulated database server: a durable log, replicas that pull it, promotion by term, and heartbeats."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from ..runtime.http_request import HttpRequest, Line
 from ..runtime.http_response import HttpResponse, json_response
 from ..runtime.net import Connection
-from .sent import Sent, sent_as
+from .sent_statement import SentStatement, sent_statement
 
 WAL = "wal"
 PULL_HOLD_US = 300_000
@@ -18,24 +18,27 @@
 
 
 @dataclass(kw_only=True)
-class Open:
-    """A transaction as the backend holds it for one line."""
+class OpenTransaction:
+    """The uncommitted writes of one connection."""
 
     writes: list[tuple[str, str, Any]] = field(default_factory=list)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
+    """A log entry: the writes of one commit, or none at the start of a term."""
+
     position: int
     term: int
     writes: tuple[tuple[str, str, Any], ...]
 
 
 class StatementError(Exception):
-    """The statement can't be run; nothing of it is kept."""
+    """The statement is invalid or conflicts with a transaction; it has no effect."""
 
 
 def apply_write(*, state: dict[str, Any], write: tuple[str, str, Any]) -> None:
+    """Applies one write to the key-value state."""
     verb, key, value = write
     if verb == "put":
         state[key] = value
@@ -46,7 +49,12 @@
 
 
 class StandIn:
-    """Knows a few words: put, add, append, get, list, show. Everything it was asked is kept for the checkers."""
+    """Runs the statements put, add, append, get, list and show, and records them for the checkers.
+
+    It owns the log (durable), the applied state and the open transactions. The highest `term` that it has seen fences
+    requests of older terms. `ran` counts executed statements, `peak_connections` the most connections at once, and
+    `interleaved` the statements that met another client's transaction on their connection.
+    """
 
     def __init__(
         self,
@@ -67,9 +75,9 @@
         self.service_us = service_us
         self.apply_us = apply_us
         self.term = 0
-        # why: told of a term, a replica may still hold what another term overwrote; it vouches for its
-        # positions in the new term only once its log has been matched with the leader's
-        self.matched_term = 0
+        # A replica that learned of a term may still hold entries that this term overwrote; it reports its position
+        # in the new term only once its log matches the primary's
+        self.log_matched_term = 0
         self.is_primary = False
         self.incarnation = 0
         self.state = "ready"
@@ -78,23 +86,23 @@
         self.entries: list[Entry] = []
         self.applied = 0
         self.current: dict[str, Any] = {}
-        self.open: dict[Line, Open] = {}
-        self.lines: set[Line] = set()
+        self.open: dict[Line, OpenTransaction] = {}
+        self.connections: set[Line] = set()
         self.number = 0
-        self.deaf = False
+        self.replication_paused = False
         self.heartbeats_enabled = True
-        self.grown = asyncio.Event()
-        self.ran: Counter[Sent] = Counter()
+        self.log_grown = asyncio.Event()
+        self.ran: Counter[SentStatement] = Counter()
         self.peak_connections = 0
-        self.mixed = 0
-        self.heartbeat_channel: Connection | None = None
+        self.interleaved = 0
+        self.heartbeat_connection: Connection | None = None
 
     @property
     def received(self) -> int:
         return len(self.entries)
 
-    def _append(self, *, lines: list[dict[str, Any]]) -> None:
-        data = "".join(json.dumps(line, separators=(",", ":")) + "\n" for line in lines)
+    def _append(self, *, records: list[dict[str, Any]]) -> None:
+        data = "".join(json.dumps(record, separators=(",", ":")) + "\n" for record in records)
         self.ctx.disk.append(name=WAL, data=data.encode())
 
     def _recover(self) -> None:
@@ -112,9 +120,10 @@
                 self.entries.append(Entry(position=value["p"], term=value["t"], writes=writes))
 
     def _save_meta(self) -> None:
-        self._append(lines=[{"term": self.term, "incarnation": self.incarnation}])
+        self._append(records=[{"term": self.term, "incarnation": self.incarnation}])
 
     async def start(self) -> None:
+        """Recovers the log, raises the incarnation, and serves."""
         self._recover()
         self.incarnation += 1
         self._save_meta()
@@ -131,37 +140,38 @@
                 apply_write(state=self.current, write=write)
         self.applied = max(self.applied, target)
 
-    def _cut(self, *, length: int) -> None:
-        """Forgets what another term has overwritten."""
+    def _truncate(self, *, length: int) -> None:
+        """Removes entries that another term has overwritten."""
         del self.entries[length:]
-        self._append(lines=[{"cut": length}])
+        self._append(records=[{"cut": length}])
         if self.applied > length:
             self.current, self.applied = {}, 0
             self._apply_all()
 
     def _add(self, *, entries: list[Entry]) -> None:
-        self._append(lines=[{"p": e.position, "t": e.term, "w": e.writes} for e in entries])
+        self._append(records=[{"p": e.position, "t": e.term, "w": e.writes} for e in entries])
         self.entries.extend(entries)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.log_grown.set()
+        self.log_grown = asyncio.Event()
 
     def _sweep(self) -> None:
-        self.lines = {line for line in self.lines if not line.closed}
+        self.connections = {line for line in self.connections if not line.closed}
         for line in [line for line in self.open if line.closed]:
             del self.open[line]
 
-    # ---- what others ask
+    # ---- requests
 
     async def answer(self, request: HttpRequest) -> HttpResponse:
+        """Serves a request of an HTTP proxy, the platform, another backend or a test."""
         body = json.loads(request.body) if request.body else {}
         if request.path in ("/run", "/position"):
             self._sweep()
-            if request.line not in self.lines:
-                # why: a server takes so many connections and no more
-                if len(self.lines) >= self.cap:
-                    return self._no(reason="full", message="no connection left")
-                self.lines.add(request.line)
-                self.peak_connections = max(self.peak_connections, len(self.lines))
+            if request.line not in self.connections:
+                # A database server rejects connections above its limit
+                if len(self.connections) >= self.cap:
+                    return self._reject(reason="full", message=f"connection limit of {self.cap} reached")
+                self.connections.add(request.line)
+                self.peak_connections = max(self.peak_connections, len(self.connections))
         if request.path == "/run":
             return await self._run(body=body, line=request.line)
         if request.path == "/position":
@@ -171,7 +181,7 @@
         if request.path == "/promote":
             return self._promote(term=body["term"])
         if request.path == "/follow":
-            return self._reported(term=body["term"], leader=body["leader"])
+            return self._set_leader(term=body["term"], leader=body["leader"])
         if request.path == "/empty":
             self.state, self.emptied_us = "emptying", self.ctx.now_us()
             return json_response(status=200, value={"ok": True})
@@ -184,12 +194,12 @@
             return json_response(status=200, value=value)
         return json_response(status=404, value={"ok": False})
 
-    def _no(self, *, reason: str, message: str) -> HttpResponse:
+    def _reject(self, *, reason: str, message: str) -> HttpResponse:
         value = {"ok": False, "reason": reason, "why": message, "term": self.term, "position": self.applied}
         return json_response(status=409, value=value)
 
-    def _yes(self, *, rows: list[Any], position: int, wrote: bool) -> HttpResponse:
-        value = {"ok": True, "rows": rows, "term": self.matched_term, "position": position, "wrote": wrote}
+    def _accept(self, *, rows: list[Any], position: int, wrote: bool) -> HttpResponse:
+        value = {"ok": True, "rows": rows, "term": self.log_matched_term, "position": position, "wrote": wrote}
         return json_response(status=200, value=value)
 
     async def _position(self, *, body: dict[str, Any]) -> HttpResponse:
@@ -197,11 +207,11 @@
         while self.received < body.get("atLeast", 0) and self.ctx.now_us() < until_us:
             try:
                 async with asyncio.timeout((until_us - self.ctx.now_us()) / 1_000_000):
-                    await self.grown.wait()
+                    await self.log_grown.wait()
             except TimeoutError:
                 break
         value = {
-            "term": self.matched_term,
+            "term": self.log_matched_term,
             "received": self.received,
             "applied": self.applied,
             "leads": self.is_primary,
@@ -214,49 +224,57 @@
         primary = kind in ("write", "primary") or step != "alone"
         if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", message="does not lead in this term")
-        if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", message="follows another term")
+            return self._reject(reason="notLeading", message=f"is not the primary of term {body['term']}")
+        if not primary and body["term"] != self.log_matched_term:
+            return self._reject(
+                reason="term", message=f"log matched with term {self.log_matched_term}, not {body['term']}"
+            )
         await self.ctx.sleep(duration_us=self.ctx.rng.randrange(self.service_us // 2, self.service_us * 2))
-        if not primary and body["term"] != self.matched_term:
-            return self._no(reason="term", message="follows another term")
-        # why: much may have changed while the statement waited for its turn on the processor
+        if not primary and body["term"] != self.log_matched_term:
+            return self._reject(
+                reason="term", message=f"log matched with term {self.log_matched_term}, not {body['term']}"
+            )
+        # The role may have changed during the service time
         if primary and (not self.is_primary or body["term"] != self.term):
             self.open.pop(line, None)
-            return self._no(reason="notLeading", message="does not lead in this term")
+            return self._reject(reason="notLeading", message=f"is not the primary of term {body['term']}")
         if step == "begin":
-            self.open[line] = Open()
-            return self._yes(rows=[], position=self.applied, wrote=False)
+            self.open[line] = OpenTransaction()
+            return self._accept(rows=[], position=self.applied, wrote=False)
         if step == "rollback":
             self.open.pop(line, None)
-            return self._yes(rows=[], position=self.applied, wrote=False)
+            return self._accept(rows=[], position=self.applied, wrote=False)
         if step == "commit":
             transaction = self.open.pop(line, None)
             if transaction is None:
-                return self._no(reason="noTransaction", message="no transaction on this line")
+                return self._reject(reason="noTransaction", message="no transaction is open on this connection")
             return self._commit(writes=transaction.writes, rows=[])
         return self._statement(body=body, line=line, step=step)
 
     def _statement(self, *, body: dict[str, Any], line: Line, step: str) -> HttpResponse:
         transaction = self.open.get(line)
         if step == "in" and transaction is None:
-            return self._no(reason="noTransaction", message="no transaction on this line")
+            return self._reject(reason="noTransaction", message="no transaction is open on this connection")
         if step == "alone" and transaction is not None:
-            self.mixed += 1
-            return self._no(reason="statement", message="a transaction of another is open on this line")
-        self.ran[sent_as(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])] += 1
+            self.interleaved += 1
+            return self._reject(reason="statement", message="a transaction is open on this connection")
+        self.ran[
+            sent_statement(kind=body["kind"], text=body["text"], params=body["params"], values=body["values"])
+        ] += 1
         try:
             rows, writes = self._evaluate(body=body, own=transaction)
         except StatementError as error:
-            return self._no(reason="statement", message=str(error))
+            return self._reject(reason="statement", message=str(error))
         if writes and body["kind"] != "write" and step == "alone":
-            return self._no(reason="statement", message="this kind only reads")
+            return self._reject(reason="statement", message=f"a statement of kind {body['kind']} must not write")
         if transaction is not None:
             transaction.writes += writes
-            return self._yes(rows=rows, position=self.applied, wrote=False)
+            return self._accept(rows=rows, position=self.applied, wrote=False)
         return self._commit(writes=writes, rows=rows)
 
-    def _evaluate(self, *, body: dict[str, Any], own: Open | None) -> tuple[list[Any], list[tuple[str, str, Any]]]:
+    def _evaluate(
+        self, *, body: dict[str, Any], own: OpenTransaction | None
+    ) -> tuple[list[Any], list[tuple[str, str, Any]]]:
         words = [str(word) for word in body["text"].split()]
         words += [str(param) for param in body.get("params", [])]
         seen = dict(self.current)
@@ -272,38 +290,38 @@
         if verb in ("put", "add", "append") and len(words) == 3:
             self._lock(key=words[1], own=own)
             return [], [(verb, words[1], words[2])]
-        raise StatementError(f"no such statement: {body['text'][:40]}")
+        raise StatementError(f"unknown statement: {body['text'][:40]}")
 
-    def _lock(self, *, key: str, own: Open | None) -> None:
+    def _lock(self, *, key: str, own: OpenTransaction | None) -> None:
         for other in self.open.values():
-            # why: two transactions at once on one key would each build on what the other may take back
+            # Without a lock each transaction would depend on writes that the other may roll back
             if other is not own and any(write[1] == key for write in other.writes):
-                raise StatementError(f"{key} is locked by a transaction")
+                raise StatementError(f"key {key} is locked by another transaction")
 
     def _commit(self, *, writes: list[tuple[str, str, Any]], rows: list[Any]) -> HttpResponse:
         if not writes:
-            return self._yes(rows=rows, position=self.applied, wrote=False)
+            return self._accept(rows=rows, position=self.applied, wrote=False)
         position = self.received + 1
         self._add(entries=[Entry(position=position, term=self.term, writes=tuple(writes))])
         self._apply_all()
-        return self._yes(rows=rows, position=position, wrote=True)
+        return self._accept(rows=rows, position=position, wrote=True)
 
-    # ---- leading and following
+    # ---- replication
 
     def _promote(self, *, term: int) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", message="has seen a later term")
+            return self._reject(reason="term", message=f"term {term} is older than {self.term}")
         if not (self.is_primary and term == self.term):
-            self.term, self.matched_term, self.is_primary, self.leader = term, term, True, ""
+            self.term, self.log_matched_term, self.is_primary, self.leader = term, term, True, ""
             self._save_meta()
             self.open.clear()
             self._add(entries=[Entry(position=self.received + 1, term=term, writes=())])
             self._apply_all()
         return json_response(status=200, value={"ok": True, "term": self.term})
 
-    def _reported(self, *, term: int, leader: str) -> HttpResponse:
+    def _set_leader(self, *, term: int, leader: str) -> HttpResponse:
         if term < self.term:
-            return self._no(reason="term", message="has seen a later term")
+            return self._reject(reason="term", message=f"term {term} is older than {self.term}")
         if term > self.term:
             self.term, self.is_primary = term, False
             self._save_meta()
@@ -314,14 +332,14 @@
 
     async def _pull(self, *, body: dict[str, Any]) -> HttpResponse:
         if not self.is_primary or body["term"] != self.term:
-            return self._no(reason="notLeading", message="does not lead in this term")
+            return self._reject(reason="notLeading", message=f"is not the primary of term {body['term']}")
         after = body["after"]
         if after > self.received or (after and self.entries[after - 1].term != body["afterTerm"]):
             return json_response(status=200, value={"ok": True, "mismatch": True, "term": self.term})
         if after == self.received:
             try:
                 async with asyncio.timeout(PULL_HOLD_US / 1_000_000):
-                    await self.grown.wait()
+                    await self.log_grown.wait()
             except TimeoutError:
                 pass
         entries = [[e.position, e.term, e.writes] for e in self.entries[after : after + 500]]
@@ -334,7 +352,7 @@
         at = ""
         while True:
             leader, term = self.leader, self.term
-            if self.is_primary or not leader or self.deaf:
+            if self.is_primary or not leader or self.replication_paused:
                 await self.ctx.sleep(duration_us=50_000)
                 continue
             if connection is None or not connection.open or at != leader:
@@ -356,20 +374,26 @@
                 connection = None
                 await self.ctx.sleep(duration_us=50_000)
                 continue
-            self._take(value=result.ok.json(), term=term, after=body["after"])
-
-    def _take(self, *, value: dict[str, Any], term: int, after: int) -> None:
-        # why: the answer may belong to a term that ended while it was on its way
-        if self.is_primary or self.term != term or value["term"] != term or self.received != after or self.deaf:
+            self._append_pulled(value=result.ok.json(), term=term, after=body["after"])
+
+    def _append_pulled(self, *, value: dict[str, Any], term: int, after: int) -> None:
+        # The response may belong to a term that ended meanwhile
+        if (
+            self.is_primary
+            or self.term != term
+            or value["term"] != term
+            or self.received != after
+            or self.replication_paused
+        ):
             return
         if value.get("mismatch"):
             last = self.entries[-1].term if self.entries else 0
             keep = len(self.entries)
             while keep and self.entries[keep - 1].term == last:
                 keep -= 1
-            self._cut(length=keep)
+            self._truncate(length=keep)
             return
-        self.matched_term = term
+        self.log_matched_term = term
         entries = [
             Entry(position=p, term=t, writes=tuple((w[0], w[1], w[2]) for w in writes))
             for p, t, writes in value["entries"]
@@ -383,9 +407,10 @@
         if self.term == term:
             self._apply_all(up_to=position)
 
-    # ---- beats
+    # ---- heartbeats
 
     def heartbeat(self) -> dict[str, Any]:
+        """Returns the next heartbeat's body."""
         self.number += 1
         return {
             "name": self.ctx.name,
@@ -405,17 +430,17 @@
             await self.ctx.sleep(duration_us=HEARTBEAT_US - self.ctx.rng.randrange(100_000))
 
     async def _heartbeat_once(self) -> None:
-        """One beat to any one daemon; if that one can't be reached, to another."""
+        """Sends a heartbeat to a random HTTP proxy, with up to three attempts at different ones."""
         body = json.dumps(self.heartbeat()).encode()
         for _ in range(3):
-            if self.heartbeat_channel is None or not self.heartbeat_channel.open:
+            if self.heartbeat_connection is None or not self.heartbeat_connection.open:
                 dialled = await self.ctx.net.dial(address=self.ctx.rng.choice(self.http_proxies), wait_us=250_000)
                 if dialled.is_error():
                     continue
-                self.heartbeat_channel = dialled.ok
-            result = await self.heartbeat_channel.send_request(
+                self.heartbeat_connection = dialled.ok
+            result = await self.heartbeat_connection.send_request(
                 request=HttpRequest(method="POST", path="/v1/beats", body=body), wait_us=400_000
             )
             if result.is_ok():
                 return
-            self.heartbeat_channel.close()
+            self.heartbeat_connection.close()
--- a/src/cinderstair/simulation/stand_in_platform.py
+++ b/src/cinderstair/simulation/stand_in_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: promotes the backend it is asked to, and makes the others follow."""
+"""A simulated platform: promotes the requested backend and makes the others follow it."""
 
 import json
 from typing import Any
@@ -11,7 +11,10 @@
 
 
 class StandInPlatform:
-    """Of two requests the later term counts; the same term again is done again."""
+    """Owns the wanted primary of each database; a request of a higher term replaces it, the same one is repeated.
+
+    A request of an older term, or of the same term for another backend, gets 409; an unreachable backend 503.
+    """
 
     def __init__(
         self, *, ctx: Context, address: str, backends: dict[str, dict[str, str]], promotion_us: int = 1_000_000
@@ -24,10 +27,11 @@
         self.promotions: list[tuple[int, str, str, int]] = []
 
     async def start(self) -> None:
+        """Serves, and starts to reconcile the backends with the wanted primaries."""
         await self.ctx.net.serve(address=self.address, handler=self.answer)
         self.ctx.spawn(work=self._reconcile(), name="reconcile")
 
-    async def _say(self, *, address: str, path: str, body: dict[str, Any]) -> bool:
+    async def _post(self, *, address: str, path: str, body: dict[str, Any]) -> bool:
         dialled = await self.ctx.net.dial(address=address, wait_us=300_000)
         if dialled.is_error():
             return False
@@ -37,21 +41,22 @@
         return result.is_ok() and result.ok.status == 200
 
     async def answer(self, request: HttpRequest) -> HttpResponse:
+        """Serves POST /promote."""
         if request.path != "/promote":
             return json_response(status=404, value={"ok": False})
         body = json.loads(request.body)
         database, backend, term = body["database"], body["backend"], body["term"]
         known = self.wanted.get(database, (0, ""))
         if term < known[0] or (term == known[0] and backend != known[1]):
-            return json_response(status=409, value={"ok": False, "why": "a later request stands"})
+            return json_response(status=409, value={"ok": False, "why": "superseded by a request of a later term"})
         if term > known[0]:
             self.wanted[database] = (term, backend)
             await self.ctx.sleep(duration_us=self.promotion_us)
         if self.wanted[database] != (term, backend):
-            return json_response(status=409, value={"ok": False, "why": "a later request stands"})
+            return json_response(status=409, value={"ok": False, "why": "superseded by a request of a later term"})
         address = self.backends[database][backend]
-        if not await self._say(address=address, path="/promote", body={"term": term}):
-            return json_response(status=503, value={"ok": False, "why": "the backend does not answer"})
+        if not await self._post(address=address, path="/promote", body={"term": term}):
+            return json_response(status=503, value={"ok": False, "why": "the backend does not respond"})
         self.promotions.append((self.ctx.now_us(), database, backend, term))
         return json_response(status=200, value={"ok": True})
 
@@ -61,6 +66,6 @@
                 address = self.backends[database][leader]
                 for name, each in self.backends[database].items():
                     if name != leader:
-                        work = self._say(address=each, path="/follow", body={"term": term, "leader": address})
+                        work = self._post(address=each, path="/follow", body={"term": term, "leader": address})
                         self.ctx.spawn(work=work, name="follow")
             await self.ctx.sleep(duration_us=RECONCILE_US)
--- a/src/cinderstair/simulation/sweep.py
+++ b/src/cinderstair/simulation/sweep.py
@@ -1,4 +1,4 @@
-"""Runs trials over many seeds, in several processes, and prints failures and worst figures."""
+"""Runs trials over many seeds in several processes, and prints violations and the greatest times and counts."""
 
 import argparse
 import json
@@ -10,13 +10,14 @@
 from .trials import TRIALS, Verdict, run_trial
 
 
-def one(task: tuple[str, int]) -> tuple[str, int, Verdict]:
+def run_one(task: tuple[str, int]) -> tuple[str, int, Verdict]:
+    """Runs one trial; an exception becomes a violation."""
     name, seed = task
     try:
         return name, seed, run_trial(name=name, seed=seed)
     except Exception as error:  # noqa: BLE001
-        # why: a trial that breaks off is a failure to report with its seed, not the end of the sweep
-        return name, seed, Verdict(wrong=[f"broke off: {error!r}"])
+        # An exception is reported with its seed and doesn't end the other runs
+        return name, seed, Verdict(wrong=[f"unhandled exception: {error!r}"])
 
 
 def main() -> int:
@@ -37,7 +38,7 @@
     runs: Counter[str] = Counter()
     totals: dict[str, Any] = defaultdict(lambda: [0, 0, 0, 0])
     with multiprocessing.Pool(options.processes, maxtasksperchild=4) as pool:
-        for name, seed, verdict in pool.imap_unordered(one, tasks):
+        for name, seed, verdict in pool.imap_unordered(run_one, tasks):
             for key, value_us in verdict.worst_us.items():
                 worst[name][key] = max(worst[name].get(key, 0), value_us)
             for key, count in verdict.most.items():
@@ -50,15 +51,15 @@
             runs[name] += 1
             if verdict.wrong:
                 total[3] += 1
-                print(f"{name} seed {seed}: {len(verdict.wrong)} wrong: {verdict.wrong[:3]}", flush=True)
+                print(f"{name} seed {seed}: {len(verdict.wrong)} violations: {verdict.wrong[:3]}", flush=True)
     for name, (requests, done, unknown, failed) in totals.items():
         figures = {key: round(us / 1_000_000, 2) for key, us in sorted(worst[name].items())}
-        print(f"{name}: {failed} of {runs[name]} seeds failed; {requests} jobs, {done} done, {unknown} unknown; "
+        print(f"{name}: {failed} of {runs[name]} seeds failed; {requests} operations, {done} done, {unknown} unknown; "
               f"worst seconds {json.dumps(figures)}; most {json.dumps(most[name])}")  # fmt: skip
     everything: Counter[str] = Counter()
     for each in chances.values():
         everything += each
-    print("chances to see a breach: " + ", ".join(f"{name} {count}" for name, count in sorted(everything.items())))
+    print("cases checked: " + ", ".join(f"{name} {count}" for name, count in sorted(everything.items())))
     return 1 if any(total[3] for total in totals.values()) else 0
 
 
--- a/src/cinderstair/simulation/trials.py
+++ b/src/cinderstair/simulation/trials.py
@@ -1,12 +1,12 @@
-"""All trials by name: each brings one failure about under work, and all checkers look on."""
+"""The table of trials: each injects a failure under load, and all checkers are applied."""
 
 from collections.abc import Callable
 from typing import Any
 
 from .backend_trials import (
-    answers_garbled,
+    answers_corrupted,
     answers_lost,
-    backend_empties,
+    backend_drains,
     backends_replaced,
     heartbeats_lost,
     lagging_replica,
@@ -14,52 +14,52 @@
     slow_backend,
 )
 from .failover_trials import (
-    candidate_killed_too,
-    deaf_replica,
-    holder_blind,
-    holder_killed_too,
+    holder_cut_from_backends,
+    holder_killed_in_failover,
     override_under_cut,
     primary_and_replica_lost,
     primary_cut,
     primary_frozen,
     primary_killed,
-    primary_muted,
+    primary_outbound_cut,
+    promoted_replica_killed,
     promotion_lost,
+    replica_not_replicating,
 )
 from .http_proxy_trials import (
-    cap_held,
+    clients_change_site,
     clients_vanish,
+    connection_limit,
     http_proxies_drained,
     http_proxies_stopped,
-    http_proxy_blind,
+    http_proxy_cut_from_backends,
     http_proxy_frozen,
     http_proxy_killed,
-    kickoff,
-    sites_changed,
+    overload,
 )
-from .mixed_trials import chaos, everything_killed, restarts_in_turn, stuttering
+from .mixed_trials import chaos, everything_killed, intermittent_freezes, rolling_restart
 from .register_trials import (
     configurations,
-    register_replica_disks,
-    register_replica_wiped,
-    register_replicas_gone,
-    register_replicas_turned,
+    register_disk_faults,
+    register_majority_lost,
+    register_replica_disk_lost,
+    register_replicas_restarted,
 )
 from .session_replica_trials import (
-    owner_and_second,
+    owner_and_replica_holder,
     owners_cut,
     owners_frozen,
     owners_killed,
     owners_stopped_and_killed,
     replicas_forgotten,
 )
-from .trial import Verdict, begun
-from .upgrade_trials import BEFORE, unknown_version, upgraded_in_turn
+from .trial import Verdict, start_trial
+from .upgrade_trials import PREVIOUS_VERSIONS, rolling_upgrade, unknown_version
 from .window_trials import (
     data_centre_moved,
     data_centre_moved_amid_crashes,
     move_cancelled,
-    whole_data_centre_held_back,
+    window_over_everything,
 )
 
 TRIALS: dict[str, Callable[..., None]] = {
@@ -69,48 +69,48 @@
         primary_frozen,
         primary_cut,
         override_under_cut,
-        primary_muted,
-        holder_killed_too,
-        holder_blind,
-        candidate_killed_too,
-        deaf_replica,
-        cap_held,
-        kickoff,
-        sites_changed,
+        primary_outbound_cut,
+        holder_killed_in_failover,
+        holder_cut_from_backends,
+        promoted_replica_killed,
+        replica_not_replicating,
+        connection_limit,
+        overload,
+        clients_change_site,
         data_centre_moved,
         data_centre_moved_amid_crashes,
-        whole_data_centre_held_back,
+        window_over_everything,
         move_cancelled,
         backends_replaced,
         everything_killed,
-        stuttering,
+        intermittent_freezes,
         lagging_replica,
         slow_backend,
         primary_and_replica_lost,
         http_proxy_killed,
         http_proxy_frozen,
-        http_proxy_blind,
+        http_proxy_cut_from_backends,
         clients_vanish,
         http_proxies_stopped,
         http_proxies_drained,
-        register_replicas_turned,
-        register_replicas_gone,
-        register_replica_disks,
-        register_replica_wiped,
+        register_replicas_restarted,
+        register_majority_lost,
+        register_disk_faults,
+        register_replica_disk_lost,
         answers_lost,
-        answers_garbled,
+        answers_corrupted,
         promotion_lost,
-        backend_empties,
+        backend_drains,
         heartbeats_lost,
         late_heartbeats,
-        restarts_in_turn,
+        rolling_restart,
         configurations,
-        upgraded_in_turn,
+        rolling_upgrade,
         unknown_version,
         owners_killed,
         owners_frozen,
         owners_cut,
-        owner_and_second,
+        owner_and_replica_holder,
         owners_stopped_and_killed,
         replicas_forgotten,
         chaos,
@@ -118,54 +118,60 @@
 }
 
 
-# why: these look at what sessions keep, so much of that has to change
-CHANGING = {"append": 0.15, "transaction": 0.1, "primary": 0.1, "live": 0.1, "fresh": 0.15}
-# why: what this trial looks for shows in a short span at one HTTP proxy, so that HTTP proxy needs enough clients
+# More changes of session state, for the trials that check it
+STATE_CHANGES_MIX = {"append": 0.15, "transaction": 0.1, "primary": 0.1, "live": 0.1, "fresh": 0.15}
+# override_under_cut: the violation shows only within a short time at one HTTP proxy, which needs enough clients
 OPTIONS: dict[str, dict[str, Any]] = {
     "override_under_cut": {"callers": 24},
-    "cap_held": {"callers": 24, "think_us": 40_000, "cap": 12, "http_proxies": 4},
+    "connection_limit": {"callers": 24, "think_us": 40_000, "cap": 12, "http_proxies": 4},
     "backends_replaced": {"spares": 3},
-    "upgraded_in_turn": {
-        "versions_by_address": {f"{role}-{n}": BEFORE for role in ("stall", "vault") for n in range(5)}
+    "rolling_upgrade": {
+        "versions_by_address": {f"{role}-{n}": PREVIOUS_VERSIONS for role in ("stall", "vault") for n in range(5)}
     },
     **dict.fromkeys(
-        ("owners_killed", "owners_frozen", "owners_cut", "owner_and_second", "owners_stopped_and_killed"),
-        {"callers": 16, "mix": CHANGING},
+        (
+            "owners_killed",
+            "owners_frozen",
+            "owners_cut",
+            "owner_and_replica_holder",
+            "owners_stopped_and_killed",
+        ),
+        {"callers": 16, "mix": STATE_CHANGES_MIX},
     ),
-    "replicas_forgotten": {"callers": 16, "mix": CHANGING, "changes": {"idle_session_us": 6_000_000}},
-    "kickoff": {"callers": 150, "think_us": 100_000, "cap": 12, "databases": 2},
+    "replicas_forgotten": {"callers": 16, "mix": STATE_CHANGES_MIX, "changes": {"idle_session_us": 6_000_000}},
+    "overload": {"callers": 150, "think_us": 100_000, "cap": 12, "databases": 2},
 }
 
 
-# why: what every trial's checkers must have had before their eyes, and what each trial is there for
+# Cases that the checkers must have seen in every trial (ALWAYS) and in the trial that is there for them (NEEDS)
 ALWAYS = (
-    "writes looked for",
+    "writes checked",
     "primary reads after a commit",
     "live reads after a commit",
-    "fresh reads after an own commit",
-    "values shown",
+    "fresh reads after a commit of the session",
+    "session values read",
     "statements compared",
-    "answers timed",
-    "answers that had to come",
-    "sessions that had to last",
+    "responses timed",
+    "responses that had to arrive",
+    "sessions that had to survive",
     "configuration in force",
     "configuration read back",
 )
-MOVED = ("commits before a promotion", "services that had to come back", "denials timed")
-IN_FLIGHT = (*MOVED, "writes while a lead moved")
-SILENT = ("backends silent or emptying for long",)
+MOVED = ("commits before a promotion", "services that had to recover", "rejections timed")
+IN_FLIGHT = (*MOVED, "writes while a lead switch_clients")
+SILENT = ("backends silent or draining beyond the bound",)
 NEWER = ("newer configuration in force",)
-SERVED = ("services that had to come back", "HTTP proxies called ready that had to serve")
+SERVED = ("services that had to recover", "ready HTTP proxies that had to serve")
 NEEDS: dict[str, tuple[str, ...]] = {
     "primary_killed": MOVED,
     "primary_frozen": (*IN_FLIGHT, *SILENT),
     "primary_cut": IN_FLIGHT,
-    "override_under_cut": (*IN_FLIGHT, "old primaries asked after a promotion"),
-    "primary_muted": (*IN_FLIGHT, *SILENT),
-    "holder_killed_too": MOVED,
-    "holder_blind": MOVED,
-    "candidate_killed_too": MOVED,
-    "deaf_replica": MOVED,
+    "override_under_cut": (*IN_FLIGHT, "old primaries requested after a promotion"),
+    "primary_outbound_cut": (*IN_FLIGHT, *SILENT),
+    "holder_killed_in_failover": MOVED,
+    "holder_cut_from_backends": MOVED,
+    "promoted_replica_killed": MOVED,
+    "replica_not_replicating": MOVED,
     "primary_and_replica_lost": MOVED,
     "promotion_lost": MOVED,
     "http_proxy_frozen": MOVED,
@@ -174,36 +180,37 @@
     "owners_frozen": (*SERVED, "sessions taken over"),
     "owners_cut": (*SERVED, "sessions taken over"),
     "owners_stopped_and_killed": (*SERVED, "sessions taken over"),
-    "replicas_forgotten": ("copies held before the end",),
-    "http_proxy_blind": (*SERVED, "denials timed"),
-    "http_proxies_stopped": ("denials with when to come back",),
-    "http_proxies_drained": ("denials with when to come back",),
-    "clients_vanish": ("denied writes",),
-    "register_replicas_turned": NEWER,
-    "register_replicas_gone": (*SERVED, "denials with when to come back"),
-    "register_replica_disks": NEWER,
-    "register_replica_wiped": NEWER,
+    "replicas_forgotten": ("session replicas held before the end",),
+    "http_proxy_cut_from_backends": (*SERVED, "rejections timed"),
+    "http_proxies_stopped": ("rejections with a retry time",),
+    "http_proxies_drained": ("rejections with a retry time",),
+    "clients_vanish": ("rejected writes",),
+    "register_replicas_restarted": NEWER,
+    "register_majority_lost": (*SERVED, "rejections with a retry time"),
+    "register_disk_faults": NEWER,
+    "register_replica_disk_lost": NEWER,
     "configurations": (*NEWER, *SERVED),
     "everything_killed": (*SERVED, *NEWER),
-    "answers_lost": ("unsure writes",),
-    "answers_garbled": ("unsure writes", *SERVED),
-    "backend_empties": (*MOVED, *SILENT),
+    "answers_lost": ("writes of unknown outcome",),
+    "answers_corrupted": ("writes of unknown outcome", *SERVED),
+    "backend_drains": (*MOVED, *SILENT),
     "heartbeats_lost": SILENT,
     "late_heartbeats": SILENT,
-    "data_centre_moved": (*MOVED, *NEWER, "channels opened again after a window"),
+    "data_centre_moved": (*MOVED, *NEWER, "connections reopened after a window"),
     "move_cancelled": (*SERVED, *NEWER),
-    "whole_data_centre_held_back": (*SERVED, *NEWER),
+    "window_over_everything": (*SERVED, *NEWER),
     "backends_replaced": (*MOVED, *NEWER),
-    "upgraded_in_turn": (*MOVED, *NEWER),
-    "kickoff": ("denials with when to come back",),
+    "rolling_upgrade": (*MOVED, *NEWER),
+    "overload": ("rejections with a retry time",),
 }
 
 
 def run_trial(*, name: str, seed: int, **options: Any) -> Verdict:
-    trial = begun(seed=seed, **{**OPTIONS.get(name, {}), **options})
+    """Runs a trial by name; a wait that timed out is reported as a violation."""
+    trial = start_trial(seed=seed, **{**OPTIONS.get(name, {}), **options})
     try:
         TRIALS[name](trial=trial)
-        verdict = trial.judge()
+        verdict = trial.run_checkers()
         verdict.need(names=(*ALWAYS, *NEEDS.get(name, ())))
         return verdict
     except AssertionError as error:
--- a/src/cinderstair/simulation/virtual_loop.py
+++ b/src/cinderstair/simulation/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An asyncio loop on virtual time, on which whole machines can be frozen and killed."""
+"""An asyncio loop on virtual time, on which simulated processes can be frozen and killed."""
 
 import asyncio
 import contextvars
@@ -8,36 +8,40 @@
 
 
 class SimProcess:
-    """One run of one simulated machine, from its start to its end."""
+    """One process of a simulated machine, from its start to its end.
+
+    `deferred` holds the callbacks that fell due while it was frozen.
+    """
 
     def __init__(self, *, name: str) -> None:
         self.name = name
         self.dead = False
         self.frozen = False
-        self.held: list[tuple[Callable[[], None], contextvars.Context]] = []
+        self.deferred: list[tuple[Callable[[], None], contextvars.Context]] = []
 
 
 CURRENT_PROCESS: contextvars.ContextVar[SimProcess | None] = contextvars.ContextVar("boot", default=None)
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Instead of waiting it moves the clock to the next thing that is due."""
+    """Advances the virtual clock to the next timer instead of waiting; raises RuntimeError if there is none."""
 
     loop: "VirtualLoop"
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        # why: with nothing due and nothing ready the world would stand still for ever
+        # No timer and no ready callback: real time would block forever
         if timeout is None:
-            raise RuntimeError("the simulated world has nothing left to do")
+            raise RuntimeError("deadlock in the simulation: no timer and no callback is pending")
         if timeout > 0:
             self.loop.virtual += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Every callback belongs to the machine in whose context it was made.
+    """Runs each callback as part of the process in whose context it was made.
 
-    Those of a frozen machine are held until it thaws; those of a dead one never run.
+    Callbacks of a frozen process are deferred until it thaws; those of a dead one never run. `virtual` is the time in
+    seconds.
     """
 
     def __init__(self) -> None:
@@ -53,8 +57,8 @@
         return self.virtual
 
     def _make_task(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
-        # why: an empty context is false in itself, and still not to be replaced by the current one;
-        # a dead machine's coroutines must not be collected, since that would run their clean-up code
+        # An empty context is falsy, so compare with None. Tasks are retained because collecting the coroutine of a
+        # dead process would run its clean-up code
         task = asyncio.Task(work, loop=loop, context=context)
         process = (contextvars.copy_context() if context is None else context).get(CURRENT_PROCESS)
         if process is not None:
@@ -63,35 +67,35 @@
                 self.retained_tasks = [each for each in self.retained_tasks if not each.done()]
         return task
 
-    def _gated(
+    def _guard(
         self, callback: Callable[..., Any], args: tuple[Any, ...], context: contextvars.Context
     ) -> tuple[Callable[..., Any], tuple[Any, ...], list[asyncio.Handle]]:
         process = context.get(CURRENT_PROCESS)
-        made: list[asyncio.Handle] = []
+        handles: list[asyncio.Handle] = []
         if process is None:
-            return callback, args, made
+            return callback, args, handles
 
         def gate() -> None:
-            # why: what fell due in a frozen machine may be cancelled by what runs before it after the thaw
-            if process.dead or (made and made[0].cancelled()):
+            # A deferred callback may be cancelled by one that runs before it after the thaw
+            if process.dead or (handles and handles[0].cancelled()):
                 return
             if process.frozen:
-                process.held.append((gate, context))
+                process.deferred.append((gate, context))
                 return
             callback(*args)
 
-        return gate, (), made
+        return gate, (), handles
 
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.Handle:
         context = contextvars.copy_context() if context is None else context
-        # why: when a world is cleared away, its coroutines' clean-up code still runs and finds nothing to call
+        # Clean-up code that runs when a finished simulation is collected must not schedule anything
         if self.ended:
             return asyncio.Handle(callback, args, self, context)
-        callback, args, made = self._gated(callback, args, context)
+        callback, args, handles = self._guard(callback, args, context)
         handle = super().call_soon(callback, *args, context=context)
-        made.append(handle)
+        handles.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
@@ -100,9 +104,9 @@
         context = contextvars.copy_context() if context is None else context
         if self.ended:
             return asyncio.TimerHandle(when, callback, args, self, context)
-        callback, args, made = self._gated(callback, args, context)
+        callback, args, handles = self._guard(callback, args, context)
         handle = super().call_at(when, callback, *args, context=context)
-        made.append(handle)
+        handles.append(handle)
         return handle
 
     def freeze(self, *, process: SimProcess) -> None:
@@ -110,11 +114,11 @@
 
     def thaw(self, *, process: SimProcess) -> None:
         process.frozen = False
-        held, process.held = process.held, []
-        for gate, context in held:
-            # why: each is its own gate already, so it is put back as it is
+        deferred, process.deferred = process.deferred, []
+        for gate, context in deferred:
+            # Each callback is already wrapped in its gate, so it bypasses _guard
             super().call_soon(gate, context=context)
 
     def kill(self, *, process: SimProcess) -> None:
         process.dead = True
-        process.held.clear()
+        process.deferred.clear()
