--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps for real processes."""
+"""Steps for a fleet of real processes."""
 
 import signal
 import subprocess
@@ -12,7 +12,7 @@
 
 from cinderstair.simulation.trial import Verdict
 
-LONG_US = 60_000_000
+WAIT_LIMIT_US = 60_000_000
 
 
 def now_us() -> int:
@@ -20,6 +20,7 @@
 
 
 def commits(*, context: Any, since_us: int) -> int:
+    """Counts the writes that started since then and were acknowledged."""
     return sum(
         e.outcome == "done" and e.verb in ("append", "transaction") and e.start_us >= since_us
         for e in context.fleet.history
@@ -27,15 +28,18 @@
 
 
 async def await_commits(*, context: Any, count: int) -> None:
+    """Waits until so many writes that started from now on were acknowledged."""
     since_us = now_us()
     await context.fleet.await_that(
-        test=lambda: commits(context=context, since_us=since_us) >= count, within_us=LONG_US, what="commits"
+        test=lambda: commits(context=context, since_us=since_us) >= count,
+        within_us=WAIT_LIMIT_US,
+        what=f"{count} commits",
     )
 
 
 @given(
     "a fleet of {http_proxies:d} HTTP proxies, {register_replicas:d} register replicas and 1 database, "
-    "at work with {clients:d} clients"
+    "under load from {clients:d} clients"
 )
 def given_fleet(context: Any, http_proxies: int, register_replicas: int, clients: int) -> None:
     fleet = new_fleet(context=context, http_proxies=http_proxies, register_replicas=register_replicas, databases=1)
@@ -49,7 +53,7 @@
 
 
 @when("the primary's process is killed")
-def when_primary(context: Any) -> None:
+def when_primary_killed(context: Any) -> None:
     async def go() -> None:
         assignment = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
         context.term, context.primary = assignment["term"], assignment["primary"]
@@ -58,8 +62,8 @@
     run(context=context, work=go())
 
 
-@then("another leads, and commits are acknowledged again")
-def then_another(context: Any) -> None:
+@then("another backend becomes the primary, and commits are acknowledged again")
+def then_primary_replaced(context: Any) -> None:
     async def moved() -> bool:
         assignment = (await context.fleet.status(name="stall-0"))["leads"]["db0"]
         return (
@@ -69,15 +73,17 @@
         )
 
     async def go() -> None:
-        await context.fleet.await_that(test=moved, within_us=LONG_US, what="another leads")
+        await context.fleet.await_that(test=moved, within_us=WAIT_LIMIT_US, what="another backend is the primary")
         await await_commits(context=context, count=20)
         context.fleet.start(name=context.primary)
-        await context.fleet.await_that(test=context.fleet.all_serve, within_us=LONG_US, what="all serve")
+        await context.fleet.await_that(
+            test=context.fleet.all_serve, within_us=WAIT_LIMIT_US, what="all HTTP proxies serve"
+        )
 
     run(context=context, work=go())
 
 
-@when("an HTTP proxy's process is frozen until the others hold it to be gone, and goes on")
+@when("an HTTP proxy's process is frozen until the others consider it dead, and is resumed")
 def when_frozen(context: Any) -> None:
     async def gone() -> bool:
         members = (await context.fleet.status(name="stall-0"))["members"]
@@ -85,17 +91,21 @@
 
     async def go() -> None:
         context.fleet.signal(name="stall-1", number=signal.SIGSTOP)
-        await context.fleet.await_that(test=gone, within_us=LONG_US, what="stall-1 is held to be gone")
+        await context.fleet.await_that(
+            test=gone, within_us=WAIT_LIMIT_US, what="stall-1 is dead in the membership of stall-0"
+        )
         context.fleet.signal(name="stall-1", number=signal.SIGCONT)
 
     run(context=context, work=go())
 
 
-@then("it serves again")
+@then("all HTTP proxies serve again")
 def then_serves(context: Any) -> None:
     run(
         context=context,
-        work=context.fleet.await_that(test=context.fleet.all_serve, within_us=LONG_US, what="all serve"),
+        work=context.fleet.await_that(
+            test=context.fleet.all_serve, within_us=WAIT_LIMIT_US, what="all HTTP proxies serve"
+        ),
     )
 
 
@@ -111,23 +121,26 @@
     assert result.returncode == 0, result.stderr
 
 
-@then("version 2 is in force at every HTTP proxy, and is read back to the byte")
+@then("version 2 is in force at every HTTP proxy and is read back byte for byte")
 def then_in_force(context: Any) -> None:
     async def in_force() -> bool:
         statuses = [await context.fleet.status(name=name) for name in context.fleet.http_proxy_names]
         return all(status.get("configuration") == 2 for status in statuses)
 
-    run(context=context, work=context.fleet.await_that(test=in_force, within_us=LONG_US, what="in force"))
+    run(
+        context=context,
+        work=context.fleet.await_that(test=in_force, within_us=WAIT_LIMIT_US, what="configuration 2 is in force"),
+    )
     wanted = (context.fleet.folder / "configuration-2.json").read_text()
-    result = context.fleet.verb("fetch", at="stall-2")
+    result = context.fleet.operator_command("fetch", at="stall-2")
     assert result.returncode == 0 and result.stdout == wanted, (result.stdout[:80], result.stderr)
-    again = context.fleet.verb("submit", str(context.fleet.folder / "configuration-1.json"))
+    again = context.fleet.operator_command("submit", str(context.fleet.folder / "configuration-1.json"))
     assert again.returncode == 1 and "versionOld" in again.stderr, again.stderr
 
 
-@then("the status verb shows the members, the leads and the slots")
+@then("the status command shows the members, the primaries and the proxy ids")
 def then_status(context: Any) -> None:
-    text = context.fleet.verb("status").stdout
+    text = context.fleet.operator_command("status").stdout
     for words in (
         "members: ",
         "vault-4=alive",
@@ -140,12 +153,16 @@
         assert words in text, text
 
 
-@when("a settings file changes, with a signal and without one, to good values and to bad ones")
+@when("a settings file is changed to valid and to invalid values, with and without SIGHUP")
 def when_settings(context: Any) -> None:
     fleet = context.fleet
 
-    async def logged(words: str) -> None:
-        await fleet.await_that(test=lambda: words in fleet.log_text(name="stall-0"), within_us=LONG_US, what=words)
+    async def logged(text: str) -> None:
+        await fleet.await_that(
+            test=lambda: text in fleet.log_text(name="stall-0"),
+            within_us=WAIT_LIMIT_US,
+            what=f"stall-0 logs {text!r}",
+        )
 
     async def go() -> None:
         fleet.write_settings(name="stall-0", queueMost=150)
@@ -161,25 +178,25 @@
     run(context=context, work=go())
 
 
-@then("the good ones are taken, and the bad ones are named in the log and change nothing")
+@then("the valid values are applied, and the invalid ones are logged and have no effect")
 def then_settings(context: Any) -> None:
     status = run(context=context, work=context.fleet.status(name="stall-0"))
     assert status["site"] != "elsewhere" and status["viewCurrent"], status
     assert status["queueMost"] == 160, status["queueMost"]
 
 
-@when("an HTTP proxy is told to stop")
+@when("an HTTP proxy receives SIGTERM")
 def when_stop(context: Any) -> None:
     context.stop_us = now_us()
     context.fleet.signal(name="stall-1", number=signal.SIGTERM)
 
 
-@then("it ends with exit code 0, and its clients go elsewhere")
+@then("it exits with code 0, and its clients continue at other HTTP proxies")
 def then_ends(context: Any) -> None:
     async def go() -> None:
         process = context.fleet.processes["stall-1"]
         await context.fleet.await_that(
-            test=lambda: process.poll() is not None, within_us=LONG_US, what="stall-1 has ended"
+            test=lambda: process.poll() is not None, within_us=WAIT_LIMIT_US, what="stall-1 has ended"
         )
         assert process.returncode == 0, context.fleet.log_text(name="stall-1")[-2000:]
         await await_commits(context=context, count=20)
@@ -187,7 +204,7 @@
     run(context=context, work=go())
 
 
-@then("every checker finds nothing in the whole history")
+@then("the checkers find no violation in the whole history")
 def then_history(context: Any) -> None:
     async def go() -> Verdict:
         await context.fleet.callers_end()
@@ -201,8 +218,8 @@
     assert commits(context=context, since_us=0) > 100
 
 
-@when("an operator books a window over the primary and stall-2")
-def when_books(context: Any) -> None:
+@when("an operator submits a window over the primary and stall-2")
+def when_window(context: Any) -> None:
     fleet = context.fleet
 
     async def go() -> None:
@@ -220,22 +237,22 @@
     run(context=context, work=go())
 
 
-@then("the primary has moved, stall-2 stands empty, and the status verb says so")
-def then_moved(context: Any) -> None:
+@then("the primary has moved, stall-2 has no sessions, and the status command reports the open window")
+def then_drained(context: Any) -> None:
     fleet = context.fleet
 
     async def moved() -> bool:
         assignment = (await fleet.status(name="stall-0"))["leads"]["db0"]
         held = (assignment["primary"], *assignment["inSync"], *assignment["joining"])
-        emptied = await fleet.status(name="stall-2")
-        return assignment["state"] == "settled" and context.primary not in held and emptied["sessions"] == 0
+        drained = await fleet.status(name="stall-2")
+        return assignment["state"] == "settled" and context.primary not in held and drained["sessions"] == 0
 
     async def go() -> None:
-        await fleet.await_that(test=moved, within_us=LONG_US, what="the old hall stands empty")
+        await fleet.await_that(test=moved, within_us=WAIT_LIMIT_US, what="the old data centre is drained")
         assert not await fleet.is_ready(name="stall-2")
 
     run(context=context, work=go())
-    text = fleet.verb("status").stdout
+    text = fleet.operator_command("status").stdout
     assert "window move: open" in text and "still there: nothing left" in text, text
 
 
@@ -244,10 +261,13 @@
     async def ended() -> bool:
         return (await context.fleet.status(name="stall-0"))["windows"]["move"]["stage"] == "ended"
 
-    run(context=context, work=context.fleet.await_that(test=ended, within_us=LONG_US, what="the window has ended"))
+    run(
+        context=context,
+        work=context.fleet.await_that(test=ended, within_us=WAIT_LIMIT_US, what="the window has ended"),
+    )
 
 
-@then("stall-2 is ready, the old hall's backend is used again, and no session was lost")
+@then("stall-2 is ready, the drained backend is used again, and no session was lost")
 def then_refilled(context: Any) -> None:
     fleet = context.fleet
 
@@ -255,18 +275,25 @@
         status = await fleet.status(name="stall-0")
         return status["backends"][context.primary]["channels"]["open"] > 0 and await fleet.is_ready(name="stall-2")
 
-    run(context=context, work=fleet.await_that(test=used, within_us=LONG_US, what="the old hall is used again"))
+    run(
+        context=context,
+        work=fleet.await_that(test=used, within_us=WAIT_LIMIT_US, what="the old data centre is used again"),
+    )
     assert sum(caller.sessions_lost for caller in fleet.callers) == context.lost
 
 
-@when("the program is run with {words}")
-def when_program(context: Any, words: str) -> None:
+@when("the program is run with {arguments}")
+def when_program(context: Any, arguments: str) -> None:
     context.result = subprocess.run(
-        [sys.executable, "-m", "cinderstair", *words.split()], capture_output=True, text=True, timeout=60, check=False
+        [sys.executable, "-m", "cinderstair", *arguments.split()],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
     )
 
 
-@then('it exits with {code:d} and one line that holds "{line}"')
+@then('it exits with code {code:d} and one line that contains "{line}"')
 def then_exits(context: Any, code: int, line: str) -> None:
     assert context.result.returncode == code, context.result
     lines = context.result.stderr.strip().splitlines()
--- a/src/cinderstair/simulation/days.py
+++ b/src/cinderstair/simulation/days.py
@@ -162,8 +162,10 @@
             worst = {key: round(us / 1_000_000, 2) for key, us in sorted(verdict.worst_us.items())}
             injected = sum(count for name, count in verdict.chances.items() if name.startswith("injected "))
             print(
-                f"{workload} seed {seed}: {verdict.requests} operations, {verdict.done} done, {verdict.unknown} unknown, "
-                f"{injected} faults; worst seconds {worst}; {len(verdict.wrong)} violations {verdict.wrong[:4]}",
+                f"{workload} seed {seed}: {verdict.requests} operations, "
+                f"{verdict.done} done, {verdict.unknown} unknown, "
+                f"{injected} faults; worst seconds {worst}; "
+                f"{len(verdict.wrong)} violations {verdict.wrong[:4]}",
                 flush=True,
             )
     print(f"{failed} of {len(tasks)} days failed")
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -219,7 +219,7 @@
         }
         return json.dumps(document).encode()
 
-    def verb(self, *words: str, at: str = "stall-0") -> subprocess.CompletedProcess[str]:
+    def operator_command(self, *words: str, at: str = "stall-0") -> subprocess.CompletedProcess[str]:
         """Runs an operator's command at an HTTP proxy; raises subprocess.TimeoutExpired after 60 s."""
         command = [sys.executable, "-m", "cinderstair", *words, "--at", self.http(name=at)]
         return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
@@ -227,7 +227,7 @@
     async def submit(self, *, version: int, **extra: Any) -> subprocess.CompletedProcess[str]:
         path = self.folder / f"configuration-{version}.json"
         path.write_bytes(self.configuration(version=version, **extra))
-        return await asyncio.to_thread(self.verb, "submit", str(path))
+        return await asyncio.to_thread(self.operator_command, "submit", str(path))
 
     async def begin(self) -> None:
         """Starts all processes, submits the first configuration and waits until the system serves."""
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -1,4 +1,4 @@
-"""Measures load by the number of HTTP proxies: records, HTTP requests and syncs, idle per second and per operation."""
+"""Measures records, HTTP requests and syncs by number of HTTP proxies: idle per second, and per operation."""
 
 import argparse
 import json
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the code under test, each against one promise, to see that its checker sees."""
+"""Bugs that are patched into the code under test, each against one guarantee, to prove that its checker works."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -41,7 +41,7 @@
 
 
 def ack_before_replication() -> Patches:
-    """A commit is acknowledged as soon as the primary has it."""
+    """Acknowledges a commit as soon as the primary has it, before replication."""
 
     async def durable(self: Any, **_: Any) -> bool:
         return True
@@ -50,17 +50,17 @@
 
 
 def view_never_expires() -> Patches:
-    """A view counts as current for ever."""
+    """Treats a view as current forever, after its lease too."""
     return [patch.object(View, "current", property(lambda self: True))]
 
 
 def promote_without_waiting() -> Patches:
-    """A new lead is settled without outwaiting older views."""
+    """Settles a new primary without waiting until older views have expired."""
     return [patch.object(database_assignments, "VIEW_MARGIN_US", -60_000_000)]
 
 
 def resend_unknown_write() -> Patches:
-    """A write whose answer was lost is sent again."""
+    """Resends a write whose response was lost."""
 
     def unknown(self: Any, *, reason: str) -> Any:
         return CinderstairError(code=ErrorCode.NO_BACKEND, reason=reason)
@@ -69,7 +69,7 @@
 
 
 def unknown_reported_as_lost() -> Patches:
-    """An unknown outcome is told as if nothing had been kept."""
+    """Reports a write of unknown outcome as rolled back."""
 
     def unknown(self: Any, *, reason: str) -> Any:
         return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
@@ -78,19 +78,19 @@
 
 
 def unbounded_staleness() -> Patches:
-    """A replica's answer is taken however old it is."""
+    """Accepts reads from replicas of any staleness."""
     return [patch.object(Samples, "floor", lambda self, **_: 0)]
 
 
 def ignore_draining_backend() -> Patches:
-    """A backend's word that it is emptying is not heeded."""
+    """Ignores that a backend reports that it drains."""
     return [patch.object(HeartbeatTable, "healthy", lambda self, *, name: not self.silent(name=name))]
 
 
 def no_version_check() -> Patches:
-    """A configuration is written whatever stands."""
+    """Writes a configuration without comparing versions."""
 
-    class Anything(ConfigurationStore):
+    class UncheckedStore(ConfigurationStore):
         async def submit(self, *, raw: bytes) -> Any:
             checked = check_configuration(raw=raw)
             found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
@@ -98,16 +98,16 @@
                 return checked
             return Ok(AcceptedConfiguration(configuration=checked.ok, found=found.ok))
 
-    return [patch.object(ConfigurationStore, "submit", Anything.submit)]
+    return [patch.object(ConfigurationStore, "submit", UncheckedStore.submit)]
 
 
 def register_replica_not_persistent() -> Patches:
-    """A register replica answers without having saved anything."""
+    """Lets a register replica respond without saving its state."""
     return [patch.object(Store, "save", lambda self, *, entries: None)]
 
 
 def pool_open_transaction() -> Patches:
-    """An abandoned transaction's channel goes back to the pool as it is."""
+    """Returns the connection of an abandoned transaction to the pool without a rollback."""
 
     def abandon(self: Any, *, session: Any) -> None:
         transaction, session.transaction = session.transaction, None
@@ -118,7 +118,7 @@
 
 
 def alter_statement_text() -> Patches:
-    """The text of a statement is changed on its way."""
+    """Changes the text of forwarded statements."""
     original = ForwardMixin.pass_to
 
     async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
@@ -130,7 +130,7 @@
 
 
 def shared_session_values() -> Patches:
-    """Sessions share one set of values."""
+    """Shares one set of session values among all sessions."""
     shared: dict[str, Any] = {}
     original = SessionStateFilter._change
 
@@ -142,28 +142,28 @@
 
 
 def ignore_windows() -> Patches:
-    """Open windows select nothing."""
+    """Makes open windows select nothing."""
     return [patch.object(view, "drain_targets", lambda **_: DrainTargets())]
 
 
 def drop_sessions_on_drain() -> Patches:
-    """An HTTP proxy that must stand empty forgets its sessions instead of handing them on."""
+    """Drops the sessions of a draining HTTP proxy instead of handing them over."""
 
     async def hand_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
-    # Their copies would bring them back
+    # Session replicas would restore them
     return [*no_session_replicas(), patch.object(Handover, "hand_all", hand_all)]
 
 
 def ignore_peer_version() -> Patches:
-    """The newest version of the records is spoken with everyone, whatever they understand."""
+    """Sends records in the newest protocol version, whatever the peer supports."""
     return [patch.object(PeerClient, "version", lambda self, *, address: self.ctx.protocol_versions.highest)]
 
 
 def never_fail_over() -> Patches:
-    """No reason is good enough to move a lead."""
+    """Never finds a reason for a failover."""
 
     async def move_reason(self: Any, **_: Any) -> None:
         return None
@@ -172,12 +172,12 @@
 
 
 def no_read_your_writes() -> Patches:
-    """A session's own commits are not remembered for its reads."""
+    """Forgets a session's own commits, so that its reads may miss them."""
     return [patch.object(Session, "floor", property(lambda self: 0, lambda self, value: None))]
 
 
 def no_configuration_check() -> Patches:
-    """A configuration is accepted whatever it says."""
+    """Accepts configurations without checking them."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
         found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
@@ -188,7 +188,7 @@
 
 
 def configuration_rollback() -> Patches:
-    """An older configuration is written over a newer one, and comes into force."""
+    """Accepts and applies an older configuration over a newer one."""
     original = View._apply_configuration
 
     def apply(self: Any, *, raw: bytes) -> bool:
@@ -199,7 +199,7 @@
 
 
 def reformat_configuration() -> Patches:
-    """A configuration is given back as this code would write it, and not as it came."""
+    """Returns a configuration reformatted instead of byte for byte."""
     original = ConfigurationStore.fetch
 
     async def fetch(self: Any) -> Any:
@@ -210,7 +210,7 @@
 
 
 def ignore_silent_backend() -> Patches:
-    """Nobody is ever held to have fallen silent."""
+    """Never considers a backend silent."""
     return [
         patch.object(HeartbeatTable, "silent", lambda self, *, name: False),
         patch.object(HeartbeatTable, "age_us", lambda self, *, name: 0),
@@ -218,7 +218,7 @@
 
 
 def delayed_rejections() -> Patches:
-    """A denial is held back until the job's time is nearly up."""
+    """Delays rejections until 90 % of the deadline has passed."""
     original = HttpProxy.answer
 
     async def answer(self: Any, http: Any) -> Any:
@@ -231,7 +231,7 @@
 
 
 def no_retry_after() -> Patches:
-    """A denial does not say when to come back."""
+    """Omits the Retry-After header of rejections."""
     original = RejectMixin.reject
 
     def reject(self: Any, **rest: Any) -> Any:
@@ -242,7 +242,7 @@
 
 
 def stop_without_drain() -> Patches:
-    """An HTTP proxy that is told to stop just ends."""
+    """Stops an HTTP proxy without draining it."""
 
     async def drain(self: Any) -> None:
         self.ready.draining = True
@@ -251,7 +251,7 @@
 
 
 def alter_params() -> Patches:
-    """The parameters of a statement are changed on their way."""
+    """Changes the parameters of forwarded statements."""
     original = ForwardMixin.pass_to
 
     async def pass_to(self: Any, *, request: Any, **rest: Any) -> Any:
@@ -263,7 +263,7 @@
 
 
 def drop_prepared_on_handover() -> Patches:
-    """A session is handed on without what it has prepared."""
+    """Hands sessions over without their prepared statements."""
     original = Handover._hand
 
     async def hand(self: Any, *, session: Any) -> None:
@@ -274,17 +274,17 @@
 
 
 def wait_for_dead_backend() -> Patches:
-    """What waits for a backend waits until its time is up, whatever has become of that backend."""
+    """Lets requests wait for a dead backend until their deadline."""
     return [patch.object(Pool, "give_up", lambda self: None)]
 
 
 def ignore_connection_share() -> Patches:
-    """Every HTTP proxy takes the whole of a backend's cap for itself."""
+    """Lets every HTTP proxy use a backend's whole connection limit instead of its share."""
     return [patch.object(connection_pools, "allotment", lambda *, cap, user_ids, http_proxy_id: cap)]
 
 
 def no_session_replicas() -> Patches:
-    """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
+    """Acknowledges session changes without replicating them."""
 
     async def keep(self: Any, *, session: Any, until_us: int) -> bool:
         session.replica_holder = "nobody"
@@ -294,7 +294,7 @@
 
 
 class AnyTag(Tag):
-    """Takes itself for every other tag."""
+    """A session tag that equals every other one."""
 
     def __eq__(self, other: object) -> bool:
         return True
@@ -306,7 +306,7 @@
 
 
 def ignore_session_token_tag() -> Patches:
-    """A session or a copy is served to whoever knows its name, however old it is."""
+    """Serves a session or its replica for any token of its id, outdated ones included."""
 
     def read(*, text: str) -> SessionToken:
         return SessionToken(parse_session_token(text=text).ident, AnyTag(0, ""))
@@ -315,7 +315,7 @@
 
 
 def keep_stale_replicas() -> Patches:
-    """Nobody is told that a copy can be forgotten."""
+    """Never tells an HTTP proxy to delete a session replica."""
 
     async def ask(self: Any, **_: Any) -> None:
         return None
@@ -327,7 +327,7 @@
 
 
 def open_all_connections() -> Patches:
-    """A pool that may grow opens all its channels at once."""
+    """Opens all connections at once when the limit of a pool grows."""
     original = Pool.resize
 
     async def fill(*, pool: Pool) -> None:
@@ -343,7 +343,7 @@
     return [patch.object(Pool, "resize", resize)]
 
 
-FAULTS: dict[str, Callable[[], Patches]] = {
+SEEDED_BUGS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
         ack_before_replication,
@@ -383,9 +383,9 @@
 
 
 @contextmanager
-def switched_in(*, name: str) -> Iterator[None]:
-    """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
+def apply_seeded_bug(*, name: str) -> Iterator[None]:
+    """Applies one seeded bug within the context; an empty name changes nothing."""
     with ExitStack() as stack:
-        for each in FAULTS[name]() if name else []:
+        for each in SEEDED_BUGS[name]() if name else []:
             stack.enter_context(each)
         yield
--- a/src/cinderstair/simulation/sweep.py
+++ b/src/cinderstair/simulation/sweep.py
@@ -54,7 +54,8 @@
                 print(f"{name} seed {seed}: {len(verdict.wrong)} violations: {verdict.wrong[:3]}", flush=True)
     for name, (requests, done, unknown, failed) in totals.items():
         figures = {key: round(us / 1_000_000, 2) for key, us in sorted(worst[name].items())}
-        print(f"{name}: {failed} of {runs[name]} seeds failed; {requests} operations, {done} done, {unknown} unknown; "
+        print(f"{name}: {failed} of {runs[name]} seeds failed; "
+              f"{requests} operations, {done} done, {unknown} unknown; "
               f"worst seconds {json.dumps(figures)}; most {json.dumps(most[name])}")  # fmt: skip
     everything: Counter[str] = Counter()
     for each in chances.values():
--- a/src/cinderstair/simulation/trials.py
+++ b/src/cinderstair/simulation/trials.py
@@ -158,7 +158,7 @@
     "configuration read back",
 )
 MOVED = ("commits before a promotion", "services that had to recover", "rejections timed")
-IN_FLIGHT = (*MOVED, "writes while a lead switch_clients")
+IN_FLIGHT = (*MOVED, "writes during a failover")
 SILENT = ("backends silent or draining beyond the bound",)
 NEWER = ("newer configuration in force",)
 SERVED = ("services that had to recover", "ready HTTP proxies that had to serve")
