--- a/src/cinderstair/simulation/__main__.py
+++ b/src/cinderstair/simulation/__main__.py
@@ -73,6 +73,7 @@
 
 
 def main() -> int:
+    """Parses the command line and runs one role; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation", description=__doc__)
     roles = parser.add_subparsers(dest="role", required=True)
     one = roles.add_parser("backend", help="a stand-in backend")
--- a/src/cinderstair/simulation/day.py
+++ b/src/cinderstair/simulation/day.py
@@ -53,6 +53,7 @@
 
     @property
     def world(self) -> Any:
+        """The simulated system."""
         return self.trial.world
 
     def next(self) -> int:
@@ -97,10 +98,10 @@
 
     def http_proxy(self, *, rng: random.Random, for_us: int) -> str:
         """Picks an HTTP proxy for a fault, the failover lease holder by preference; empty if too many are faulty."""
-        fit = [name for name in self.world.http_proxies_up() if not self._recovering(names=[name])]
-        if len(self._recovering(names=self.world.http_proxy_names)) >= MAX_FAULTY_HTTP_PROXIES or not fit:
+        available = [name for name in self.world.http_proxies_up() if not self._recovering(names=[name])]
+        if len(self._recovering(names=self.world.http_proxy_names)) >= MAX_FAULTY_HTTP_PROXIES or not available:
             return ""
-        name = self.trial.holder if rng.random() < 0.4 and self.trial.holder in fit else rng.choice(fit)
+        name = self.trial.holder if rng.random() < 0.4 and self.trial.holder in available else rng.choice(available)
         self.recovering_until_us[name] = self.world.now_us + for_us
         return name
 
--- a/src/cinderstair/simulation/days.py
+++ b/src/cinderstair/simulation/days.py
@@ -104,6 +104,7 @@
 
 
 def run_one(task: tuple[str, int, bool]) -> tuple[str, int, Verdict]:
+    """Runs one day; an exception becomes a violation."""
     workload, seed, whole = task
     try:
         return (
@@ -139,6 +140,7 @@
 
 
 def main() -> int:
+    """Runs or shrinks days as the command line says; returns 1 if any failed."""
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.days", description=__doc__)
     parser.add_argument("--places", default=",".join(WORKLOADS))
     parser.add_argument("--seeds", type=int, default=4)
--- a/src/cinderstair/simulation/fleet.py
+++ b/src/cinderstair/simulation/fleet.py
@@ -63,21 +63,27 @@
         self.disrupted = False
 
     def backend_names(self) -> list[str]:
+        """Returns the backends of all databases."""
         return [name for names in self.databases.values() for name in names]
 
     def http(self, *, name: str) -> str:
+        """Returns the HTTP address of a process."""
         return f"127.0.0.1:{self.ports[name][0]}"
 
     def records(self, *, name: str) -> str:
+        """Returns the record address of a daemon."""
         return f"127.0.0.1:{self.ports[name][1]}"
 
     def site(self, *, name: str) -> str:
+        """Returns the site of a machine, by the last letter of its name."""
         return SITES[ord(name[-1]) % len(SITES)]
 
     def settings_path(self, *, name: str) -> Path:
+        """Returns the path of a daemon's settings file."""
         return self.folder / f"{name}.toml"
 
     def write_settings(self, *, name: str, **changes: Any) -> None:
+        """Writes a daemon's settings file, with some values changed."""
         values: dict[str, Any] = {
             "name": name,
             "site": self.site(name=name),
@@ -94,6 +100,7 @@
         self.settings_path(name=name).write_text(text)
 
     def command(self, *, name: str) -> list[str]:
+        """Returns the command line that starts a process."""
         simulation = [sys.executable, "-m", "cinderstair.simulation"]
         if name == "platform":
             backends = {d: {n: self.http(name=n) for n in names} for d, names in self.databases.items()}
@@ -133,6 +140,7 @@
             )
 
     def log_text(self, *, name: str) -> str:
+        """Returns a process's output so far."""
         return (self.folder / f"{name}.log").read_text()
 
     def kill(self, *, name: str) -> None:
@@ -142,6 +150,7 @@
         self.processes[name].wait()
 
     def signal(self, *, name: str, number: signal.Signals) -> None:
+        """Sends a signal to a process."""
         self.disrupted = self.disrupted or number in (signal.SIGSTOP, signal.SIGKILL)
         os.kill(self.processes[name].pid, number)
 
@@ -163,14 +172,17 @@
             await asyncio.sleep(0.1)
 
     async def status(self, *, name: str) -> dict[str, Any]:
+        """Returns the status document of an HTTP proxy, empty if it does not respond."""
         result = await ask(address=self.http(name=name), method="GET", path="/status")
         return result.ok.json() if result.is_ok() else {}
 
     async def is_ready(self, *, name: str) -> bool:
+        """Whether an HTTP proxy reports itself ready."""
         result = await ask(address=self.http(name=name), method="GET", path="/ready")
         return result.is_ok() and result.ok.status == 200
 
     def running(self, *, name: str) -> bool:
+        """Whether a process was started and has not ended."""
         process = self.processes.get(name)
         return process is not None and process.poll() is None
 
@@ -225,6 +237,7 @@
         return subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
 
     async def submit(self, *, version: int, **extra: Any) -> subprocess.CompletedProcess[str]:
+        """Writes a configuration file and submits it with the operator's command."""
         path = self.folder / f"configuration-{version}.json"
         path.write_bytes(self.configuration(version=version, **extra))
         return await asyncio.to_thread(self.operator_command, "submit", str(path))
--- a/src/cinderstair/simulation/http_proxy_trials.py
+++ b/src/cinderstair/simulation/http_proxy_trials.py
@@ -108,13 +108,13 @@
     world = trial.world
     for name in world.databases["db0"]:
         world.backend(name=name).service_us = 600_000
-    quiet = [caller for caller in world.callers if caller.database == "db1"]
-    for caller in quiet[4:]:
+    db1_callers = [caller for caller in world.callers if caller.database == "db1"]
+    for caller in db1_callers[4:]:
         caller.stopped = True
     start_us = world.now_us
     trial.go(for_us=12_000_000)
     overloaded = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db0"]
-    calm = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db1"]
+    normal = [e for e in world.history if e.start_us > start_us and e.end_us and e.database == "db1"]
     rejected = sorted(e.waited_us for e in overloaded if e.kind == "crowded")
     served = sum(e.outcome == "done" and e.verb in checks.SERVICES[1:] for e in overloaded)
     if len(rejected) < 300 or served < 100:
@@ -131,9 +131,9 @@
         trial.verdict.wrong.append(
             f"unfair: one of {len(shares)} clients got {max(shares.values())} of {served} operations"
         )
-    calm_spans = sorted(e.end_us - e.start_us for e in calm if e.outcome == "done")
-    trial.verdict.note(name="database with normal load, p99", value_us=calm_spans[len(calm_spans) * 99 // 100])
-    if any(e.kind == "crowded" for e in calm) or calm_spans[len(calm_spans) * 99 // 100] > 200_000:
+    normal_spans = sorted(e.end_us - e.start_us for e in normal if e.outcome == "done")
+    trial.verdict.note(name="database with normal load, p99", value_us=normal_spans[len(normal_spans) * 99 // 100])
+    if any(e.kind == "crowded" for e in normal) or normal_spans[len(normal_spans) * 99 // 100] > 200_000:
         trial.verdict.wrong.append("db1 suffers from the overload of db0: rejections, or p99 above 200000 us")
     waiting = max(
         len(p.waiting)
--- a/src/cinderstair/simulation/injected_faults.py
+++ b/src/cinderstair/simulation/injected_faults.py
@@ -26,6 +26,7 @@
 
 
 def backend_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Kills a backend and restarts it."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -34,6 +35,7 @@
 
 
 def backend_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Freezes a backend."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -42,6 +44,7 @@
 
 
 def backend_cut(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Partitions a backend from all others, half of the time only outbound."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -51,6 +54,7 @@
 
 
 def backend_slow(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Raises the service time of a backend from 2 ms to 100 ms."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -59,6 +63,7 @@
 
 
 def replica_not_replicating(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Stops the replication of a replica."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US, primary=False)
     if not name:
         return None
@@ -67,6 +72,7 @@
 
 
 def replica_lags(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Delays the apply of a replica by 3 s."""
     name = day.backend(rng=rng, for_us=length_us, primary=False)
     if not name:
         return None
@@ -75,6 +81,7 @@
 
 
 def backend_drains(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Lets a backend report that it drains."""
     name = day.backend(rng=rng, for_us=length_us + RESYNC_US)
     if not name:
         return None
@@ -104,12 +111,14 @@
 
 
 def answers_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Loses a tenth of a primary's responses."""
     name = day.trial.primary_of(database=rng.choice(list(day.world.databases)))
     day.world.network.lose_answers[name] = 0.1
     return lambda: day.world.network.lose_answers.__setitem__(name, 0.0)
 
 
 def promotions_lost(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Loses 70 % of the platform's responses."""
     day.world.network.lose_answers["platform"] = 0.7
     return lambda: day.world.network.lose_answers.__setitem__("platform", 0.0)
 
@@ -118,6 +127,7 @@
 
 
 def http_proxy_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Kills an HTTP proxy and restarts it."""
     name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
@@ -126,6 +136,7 @@
 
 
 def http_proxy_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Freezes an HTTP proxy."""
     name = day.http_proxy(rng=rng, for_us=length_us + 3_000_000)
     if not name:
         return None
@@ -165,6 +176,7 @@
 
 
 def settings_changed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Changes the queue limit of all running HTTP proxies."""
     for name in day.world.http_proxies_up():
         http_proxy = day.world.http_proxy(name=name)
         http_proxy.resettle(settings=replace(http_proxy.settings, queue_limit=rng.randrange(100, 300)))
@@ -172,6 +184,7 @@
 
 
 def clients_switch_http_proxy(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Moves a fifth of the clients to another HTTP proxy."""
     for caller in rng.sample(day.world.callers, len(day.world.callers) // 5):
         if not caller.once:
             caller.switch_http_proxy()
@@ -179,6 +192,7 @@
 
 
 def connections_reset(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Resets a quarter of the connections to backends."""
     backends = set(day.world.backend_names())
     connections = [connection for connection in day.world.network.connections if connection.server.name in backends]
     for connection in rng.sample(connections, len(connections) // 4):
@@ -187,6 +201,7 @@
 
 
 def load_spike(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Raises the request rate of one database's clients sixfold."""
     database = rng.choice(list(day.world.databases))
     mine = [caller for caller in day.world.callers if caller.database == database and not caller.once]
     for caller in mine:
@@ -203,6 +218,7 @@
 
 
 def register_replica_killed(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Kills a register replica and restarts it."""
     name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
@@ -211,6 +227,7 @@
 
 
 def register_replica_frozen(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Freezes a register replica."""
     name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
@@ -219,6 +236,7 @@
 
 
 def register_replica_torn_write(*, day: Day, rng: random.Random, length_us: int) -> Undo | None:
+    """Tears a register replica's next write, which halts it, and restarts it."""
     name = day.register_replica(rng=rng, for_us=length_us + 5_000_000)
     if not name:
         return None
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -19,7 +19,7 @@
         kind = name.removeprefix("record ")
         counts[f"record {MessageType(int(kind)).name}" if kind.isdecimal() else name] += count
     counts["syncs"] = sum(world.disks[name].syncs for name in world.register_replica_names)
-    counts["jobs done"] = sum(event.outcome == "done" for event in world.history)
+    counts["operations done"] = sum(event.outcome == "done" for event in world.history)
     return counts
 
 
@@ -43,7 +43,7 @@
         world.advance(for_us=3_000_000)
         busy = span(world=world)
         seconds = SPAN_US / 1_000_000
-        done = busy.pop("jobs done")
+        done = busy.pop("operations done")
         return {
             "stalls": http_proxies,
             "idleASecond": {name: round(count / seconds, 1) for name, count in sorted(idle.items()) if count},
@@ -60,6 +60,7 @@
 
 
 def main() -> int:
+    """Prints the rates for each number of HTTP proxies as JSON lines."""
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.loads", description=__doc__)
     parser.add_argument("--http-proxies", default="3,9,30", help="comma-separated numbers of HTTP proxies")
     parser.add_argument("--callers", type=int, default=120)
--- a/src/cinderstair/simulation/sim_disk.py
+++ b/src/cinderstair/simulation/sim_disk.py
@@ -20,6 +20,7 @@
         self.hangs = 0.0
 
     def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
+        """Runs blocking disk work, after the delay of a hanging disk."""
         return self._run_after_delay(work)
 
     async def _run_after_delay(self, work: Callable[[], None]) -> None:
@@ -40,13 +41,16 @@
             raise OSError(f"{name}: sync failed")
 
     def read(self, *, name: str) -> bytes | None:
+        """Returns the content of a file, None if it does not exist."""
         return self.files.get(name)
 
     def write(self, *, name: str, data: bytes) -> None:
+        """Replaces a file; raises OSError on an injected fault."""
         self._apply_fault(name=name, old=b"", new=data)
         self.files[name] = data
 
     def append(self, *, name: str, data: bytes) -> None:
+        """Appends to a file; raises OSError on an injected fault."""
         old = self.files.get(name, b"")
         self._apply_fault(name=name, old=old, new=data)
         self.files[name] = old + data
--- a/src/cinderstair/simulation/sim_net.py
+++ b/src/cinderstair/simulation/sim_net.py
@@ -59,6 +59,7 @@
 
     @property
     def closed(self) -> bool:
+        """Whether the connection has ended."""
         return self.ended
 
 
@@ -91,6 +92,7 @@
 
     @property
     def now_us(self) -> int:
+        """The virtual time in us."""
         return round(self.loop.virtual * 1_000_000)
 
     def arrived(self, *, source: str, target: str, request: HttpRequest) -> None:
@@ -110,6 +112,7 @@
         return (self.rng.randrange(self.fast_us, self.slow_us) + lag_us) / 1_000_000
 
     def passes(self, *, source: str, target: str) -> bool:
+        """Whether no partition drops this traffic."""
         return (source, target) not in self.cuts
 
     def schedule(self, *, call: Callable[[], None], delay_s: float | None = None) -> None:
@@ -117,12 +120,13 @@
         self.loop.call_later(self.delay_s() if delay_s is None else delay_s, call, context=contextvars.Context())
 
     def run_at(self, *, process: SimProcess, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Runs a coroutine as part of a process."""
         context = contextvars.Context()
         context.run(CURRENT_PROCESS.set, process)
         return self.loop.create_task(work, context=context)
 
     def close_all(self, *, process: SimProcess) -> None:
-        """Removes the listeners of an ended process and resets its connections."""
+        """Removes the listeners of an ended process and closes its connections."""
         self.records = {a: entry for a, entry in self.records.items() if entry[0] is not process}
         self.https = {a: entry for a, entry in self.https.items() if entry[0] is not process}
         for connection in list(self.connections):
@@ -134,7 +138,7 @@
 
 
 class SimConnection:
-    """A client's end of a channel."""
+    """The client's end of a connection."""
 
     def __init__(self, *, network: SimNetwork, client: SimProcess, server: SimProcess, answer: HttpHandler) -> None:
         self.network = network
@@ -149,18 +153,22 @@
 
     @property
     def open(self) -> bool:
+        """Whether requests can still be sent."""
         return not self.broken
 
     def schedule(self, *, call: Callable[[], None]) -> None:
+        """Schedules an event after the network delay between both ends."""
         self.network.schedule(call=call, delay_s=self.network.delay_s(self.client.name, self.server.name))
 
     def reset(self) -> None:
+        """Ends the connection at once at both ends; a waiting request fails."""
         self.broken = True
         self.line.ended = True
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_exception(ConnectionResetError())
 
     def hang_up(self) -> None:
+        """Closes the connection; the other end learns of it after the network delay."""
         # The close must cross the network too; through a partition it takes effect when TCP gives up
         self.broken = True
         cut = not self.network.passes(source=self.client.name, target=self.server.name)
@@ -170,6 +178,7 @@
         self.line.ended = True
 
     async def send_request(self, *, request: HttpRequest, wait_us: int) -> Result[HttpResponse, CinderstairError]:
+        """Sends a request and awaits its response; a failure is WIRE_UNSENT or WIRE_UNSURE (may have been served)."""
         if self.broken:
             return Error(
                 CinderstairError(code=ErrorCode.WIRE_UNSENT, reason=f"{self.server.name}: connection closed")
@@ -193,6 +202,7 @@
             self.limit = None
 
     def give_up(self) -> None:
+        """Makes the pending request time out now."""
         if self.limit is not None and not self.limit.expired():
             self.limit.reschedule(asyncio.get_running_loop().time())
 
@@ -245,6 +255,7 @@
             self.close()
 
     def close(self) -> None:
+        """Closes the connection and forgets it."""
         if not self.broken:
             self.hang_up()
         if self in self.network.connections:
@@ -259,6 +270,7 @@
         self.process = process
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
+        """Sends a record and awaits the reply; WIRE_UNSURE on a timeout or refusal."""
         waiting: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         network, me = self.network, self.process
         network.sent += 1
@@ -299,10 +311,12 @@
             return Error(CinderstairError(code=ErrorCode.WIRE_UNSURE, reason=f"{address}: {type(error).__name__}"))
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
+        """Serves records at an address."""
         self.network.records[address] = (self.process, handler)
         self.network.hosts[address] = self.process.name
 
     async def dial(self, *, address: str, wait_us: int) -> Result[Connection, CinderstairError]:
+        """Opens an HTTP connection; WIRE_UNSENT if that fails."""
         network, me = self.network, self.process
         network.dials.append((network.now_us, me.name, network.hosts.get(address, "")))
         waiting: asyncio.Future[SimConnection | None] = asyncio.get_running_loop().create_future()
@@ -338,11 +352,14 @@
         return Ok(connection)
 
     async def serve(self, *, address: str, handler: HttpHandler) -> None:
+        """Serves HTTP at an address."""
         self.network.https[address] = (self.process, handler)
         self.network.hosts[address] = self.process.name
 
     async def refuse(self) -> None:
+        """Stops accepting HTTP connections; open ones stay."""
         self.network.https = {a: entry for a, entry in self.network.https.items() if entry[0] is not self.process}
 
     async def close(self) -> None:
+        """Removes the process's listeners and closes its connections."""
         self.network.close_all(process=self.process)
--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -99,6 +99,7 @@
 
     @property
     def received(self) -> int:
+        """The position of the last log entry."""
         return len(self.entries)
 
     def _append(self, *, records: list[dict[str, Any]]) -> None:
--- a/src/cinderstair/simulation/sweep.py
+++ b/src/cinderstair/simulation/sweep.py
@@ -21,6 +21,7 @@
 
 
 def main() -> int:
+    """Runs the trials of the command line; returns 1 if any seed failed."""
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.sweep", description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
--- a/src/cinderstair/simulation/trial.py
+++ b/src/cinderstair/simulation/trial.py
@@ -61,7 +61,7 @@
 
 @dataclass(kw_only=True)
 class Trial:
-    """Owns a simulated system, what operators were told of their configurations, and the verdict.
+    """Owns a simulated system, the outcomes of submitted configurations, and the verdict.
 
     `fault_us` is the time from which the service has to recover; 0 if recovery isn't checked.
     """
@@ -85,6 +85,7 @@
         return self.primary_of(database="db0")
 
     def primary_of(self, *, database: str) -> str:
+        """Returns the primary of a database by the highest term that an HTTP proxy knows."""
         assignments = [
             assignment
             for name in self.world.http_proxies_up()
@@ -94,6 +95,7 @@
 
     @property
     def in_sync(self) -> tuple[str, ...]:
+        """The in-sync replicas of db0 as the first running HTTP proxy knows them."""
         for name in self.world.http_proxies_up():
             assignment = self.world.http_proxy(name=name).view.assignment(database="db0")
             return () if assignment is None else assignment.in_sync
@@ -112,6 +114,7 @@
         self.fault_us = self.world.now_us
 
     def go(self, *, for_us: int) -> None:
+        """Advances the simulation."""
         self.world.advance(for_us=for_us)
 
     # ---- invariants
@@ -307,8 +310,8 @@
             for arrival in self.world.network.arrivals[name]:
                 while at + 1 < len(heartbeats) and heartbeats[at + 1].at_us <= arrival.at_us:
                     at += 1
-                    emptying = heartbeats[at].state == "emptying"
-                    draining_us = (draining_us or heartbeats[at].at_us) if emptying else 0
+                    draining = heartbeats[at].state == "emptying"
+                    draining_us = (draining_us or heartbeats[at].at_us) if draining else 0
                 if at < 0:
                     continue
                 after_us = arrival.at_us - (draining_us or heartbeats[at].at_us)
@@ -330,10 +333,10 @@
             ]
             ends = [*heartbeats[1:], HeartbeatArrival(self.world.now_us, "")]
             draining_us = 0
-            for word, following in zip(heartbeats, ends, strict=False):
-                draining_us = draining_us + following.at_us - word.at_us if word.state == "emptying" else 0
-                dead = any(word.at_us <= kill_us <= following.at_us for kill_us in kills_us)
-                long_us = max(draining_us, 0 if dead else following.at_us - word.at_us)
+            for heartbeat, following in zip(heartbeats, ends, strict=False):
+                draining_us = draining_us + following.at_us - heartbeat.at_us if heartbeat.state == "emptying" else 0
+                dead = any(heartbeat.at_us <= kill_us <= following.at_us for kill_us in kills_us)
+                long_us = max(draining_us, 0 if dead else following.at_us - heartbeat.at_us)
                 self.verdict.chances["backends silent or draining beyond the bound"] += long_us > SILENCE_BOUND_US
 
     def _final_state(self, *, database: str) -> dict[str, Any]:
--- a/src/cinderstair/simulation/virtual_loop.py
+++ b/src/cinderstair/simulation/virtual_loop.py
@@ -29,6 +29,7 @@
     loop: "VirtualLoop"
 
     def select(self, timeout: float | None = None) -> list[Any]:
+        """Advances the clock by the timeout; reports no events."""
         # No timer and no ready callback: real time would block forever
         if timeout is None:
             raise RuntimeError("deadlock in the simulation: no timer and no callback is pending")
@@ -54,6 +55,7 @@
         self.set_task_factory(self._make_task)
 
     def time(self) -> float:
+        """Returns the virtual time in seconds."""
         return self.virtual
 
     def _make_task(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
@@ -89,6 +91,7 @@
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.Handle:
+        """Schedules a callback as part of its context's process."""
         context = contextvars.copy_context() if context is None else context
         # Clean-up code that runs when a finished simulation is collected must not schedule anything
         if self.ended:
@@ -101,6 +104,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
+        """Schedules a timer as part of its context's process."""
         context = contextvars.copy_context() if context is None else context
         if self.ended:
             return asyncio.TimerHandle(when, callback, args, self, context)
@@ -110,9 +114,11 @@
         return handle
 
     def freeze(self, *, process: SimProcess) -> None:
+        """Defers the process's callbacks from now on."""
         process.frozen = True
 
     def thaw(self, *, process: SimProcess) -> None:
+        """Runs the deferred callbacks in order."""
         process.frozen = False
         deferred, process.deferred = process.deferred, []
         for gate, context in deferred:
@@ -120,5 +126,6 @@
             super().call_soon(gate, context=context)
 
     def kill(self, *, process: SimProcess) -> None:
+        """Drops the process's callbacks, deferred and future ones."""
         process.dead = True
         process.deferred.clear()
--- a/src/cinderstair/simulation/window_trials.py
+++ b/src/cinderstair/simulation/window_trials.py
@@ -20,6 +20,7 @@
 
 
 def requested_since(*, trial: Trial, name: str, since_us: int) -> bool:
+    """Whether a backend got a request after this time."""
     return any(arrival.at_us > since_us for arrival in trial.world.network.arrivals[name])
 
 
@@ -38,6 +39,7 @@
 
 
 def wall_clock(*, world: World, skew_us: int) -> Callable[[], int]:
+    """Returns a wall clock with this skew."""
     return lambda: WALL_START_US + world.now_us + skew_us
 
 
--- a/src/cinderstair/simulation/world.py
+++ b/src/cinderstair/simulation/world.py
@@ -105,25 +105,32 @@
         return {name: f"10.0.{n // 250}.{n % 250 + 1}" for n, name in enumerate(names)}
 
     def backend_names(self) -> list[str]:
+        """Returns the backends of all databases, spares included."""
         return [name for names in self.databases.values() for name in names]
 
     def database_of(self, *, name: str) -> str:
+        """Returns the database of a backend."""
         return next(database for database, names in self.databases.items() if name in names)
 
     def http(self, *, name: str) -> str:
+        """Returns the HTTP address of a machine."""
         return f"{self.addresses[name]}:7200"
 
     def records(self, *, name: str) -> str:
+        """Returns the record address of a machine."""
         return f"{self.addresses[name]}:7100"
 
     def site_of(self, *, name: str) -> str:
+        """Returns the site of a machine, by default by the last letter of its name."""
         return self.sites.get(name) or SITES[ord(name[-1]) % len(SITES)]
 
     @property
     def now_us(self) -> int:
+        """The virtual time in us."""
         return round(self.loop.virtual * 1_000_000)
 
     def settings(self, *, name: str) -> Settings:
+        """Returns the settings of a daemon."""
         return Settings(
             name=name,
             site=self.site_of(name=name),
@@ -200,12 +207,13 @@
         return halt
 
     def start_all(self) -> None:
+        """Starts all machines except the deferred ones."""
         for name in self.addresses:
             if name not in self.deferred:
                 self.start(name=name)
 
     def kill(self, *, name: str) -> None:
-        """Ends a process at once: no clean-up runs, its listeners go and its connections are reset."""
+        """Ends a process at once: no clean-up runs, its listeners go and its connections close."""
         process = self.processes[name]
         role = self.roles.get(name)
         # A planned stop also ends in a kill, but it isn't an outage: it may lose nothing
