--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -130,7 +130,7 @@
     assignment = world.http_proxy(name="stall-0").view.primaries["db0"]
     context.name = assignment.in_sync[0]
     backend = world.backend(name=context.name)
-    backend.beating = False
+    backend.heartbeats_enabled = False
     heartbeats = [backend.heartbeat() for _ in range(count)]
     heartbeats[-1]["state"] = "emptying"
     # of an earlier incarnation: older than all the others in spite of its higher number
--- a/features/steps/http_proxy_steps.py
+++ b/features/steps/http_proxy_steps.py
@@ -240,7 +240,7 @@
 @then("no backend has had more than {cap:d} channels")
 def then_capped(context: Any, cap: int) -> None:
     for name in context.world.backend_names():
-        assert context.world.backend(name=name).most_lines <= cap
+        assert context.world.backend(name=name).peak_connections <= cap
 
 
 @when('a configuration with the language "{language}" is in force')
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -28,9 +28,9 @@
         test=lambda: all(
             world.register_replica(name=n).roster is not None
             for n in world.register_replica_names
-            if n in world.things
+            if n in world.roles
         )
-        and len(world.things) == 5,
+        and len(world.roles) == 5,
         within_us=20_000_000,
         what="a roster",
     )
--- a/src/cinderstair/simulation/loads.py
+++ b/src/cinderstair/simulation/loads.py
@@ -1,4 +1,4 @@
-"""Counts work by the number of HTTP proxies: records, HTTP questions and syncs a second, idle and for each job."""
+"""Measures records, HTTP requests and syncs by number of HTTP proxies: idle per second, and per operation."""
 
 import argparse
 import json
@@ -12,27 +12,28 @@
 SPAN_US = 10_000_000
 
 
-def work(*, world: World) -> Counter[str]:
-    """What has been done so far, everywhere."""
+def totals(*, world: World) -> Counter[str]:
+    """Returns the total counts of all machines so far."""
     counts: Counter[str] = Counter()
     for name, count in world.network.work.items():
         kind = name.removeprefix("record ")
         counts[f"record {MessageType(int(kind)).name}" if kind.isdecimal() else name] += count
     counts["syncs"] = sum(world.disks[name].syncs for name in world.register_replica_names)
-    counts["jobs done"] = sum(event.outcome == "done" for event in world.history)
+    counts["operations done"] = sum(event.outcome == "done" for event in world.history)
     return counts
 
 
 def span(*, world: World) -> Counter[str]:
-    """What is done within one span."""
-    before = work(world=world)
+    """Returns the counts of the next SPAN_US."""
+    before = totals(world=world)
     world.advance(for_us=SPAN_US)
-    after = work(world=world)
+    after = totals(world=world)
     after.subtract(before)
     return after
 
 
 def measured(*, http_proxies: int, callers: int, seed: int = 1) -> dict[str, Any]:
+    """Runs one system idle and then under load, and returns its rates."""
     world = World(seed=seed, http_proxies=http_proxies, databases=3, cap=max(64, 4 * http_proxies))
     try:
         world.begin()
@@ -42,7 +43,7 @@
         world.advance(for_us=3_000_000)
         busy = span(world=world)
         seconds = SPAN_US / 1_000_000
-        done = busy.pop("jobs done")
+        done = busy.pop("operations done")
         return {
             "stalls": http_proxies,
             "idleASecond": {name: round(count / seconds, 1) for name, count in sorted(idle.items()) if count},
@@ -59,8 +60,9 @@
 
 
 def main() -> int:
+    """Prints the rates for each number of HTTP proxies as JSON lines."""
     parser = argparse.ArgumentParser(prog="python -m cinderstair.simulation.loads", description=__doc__)
-    parser.add_argument("--http-proxies", default="3,9,30", help="numbers of HTTP proxies, with commas between")
+    parser.add_argument("--http-proxies", default="3,9,30", help="comma-separated numbers of HTTP proxies")
     parser.add_argument("--callers", type=int, default=120)
     options = parser.parse_args()
     for each in options.http_proxies.split(","):
--- a/src/cinderstair/simulation/platformsim/platform_network.py
+++ b/src/cinderstair/simulation/platformsim/platform_network.py
@@ -2,13 +2,13 @@
 
 import random
 
-from ..sim_net import SimulatedNetwork
+from ..sim_net import SimNetwork
 from ..virtual_loop import VirtualLoop
 
 FAST_US, SLOW_US = 300, 5_000
 
 
-class PlatformNetwork(SimulatedNetwork):
+class PlatformNetwork(SimNetwork):
     """Drops everything from and to an unreachable machine silently, without resets."""
 
     def __init__(self, *, loop: VirtualLoop, rng: random.Random) -> None:
--- a/src/cinderstair/simulation/platformsim/platform_world.py
+++ b/src/cinderstair/simulation/platformsim/platform_world.py
@@ -652,5 +652,5 @@
         for process in self.processes.values():
             process.dead = True
         self.loop.ended = True
-        self.loop.graveyard.clear()
+        self.loop.retained_tasks.clear()
         self.loop.close()
--- a/src/cinderstair/simulation/seeded_bugs.py
+++ b/src/cinderstair/simulation/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the code under test, each against one promise, to see that its checker sees."""
+"""Bugs that are patched into the code under test, each against one guarantee, to prove that its checker works."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -40,8 +40,8 @@
 Patches = list[Any]
 
 
-def ack_at_once() -> Patches:
-    """A commit is acknowledged as soon as the primary has it."""
+def ack_before_replication() -> Patches:
+    """Acknowledges a commit as soon as the primary has it, before replication."""
 
     async def durable(self: Any, **_: Any) -> bool:
         return True
@@ -49,18 +49,18 @@
     return [patch.object(CommitWatermarks, "durable", durable)]
 
 
-def view_forever() -> Patches:
-    """A view counts as current for ever."""
+def view_never_expires() -> Patches:
+    """Treats a view as current forever, after its lease too."""
     return [patch.object(View, "current", property(lambda self: True))]
 
 
-def promote_at_once() -> Patches:
-    """A new lead is settled without outwaiting older views."""
+def promote_without_waiting() -> Patches:
+    """Settles a new primary without waiting until older views have expired."""
     return [patch.object(database_assignments, "VIEW_MARGIN_US", -60_000_000)]
 
 
-def send_again() -> Patches:
-    """A write whose answer was lost is sent again."""
+def resend_unknown_write() -> Patches:
+    """Resends a write whose response was lost."""
 
     def unknown(self: Any, *, reason: str) -> Any:
         return CinderstairError(code=ErrorCode.NO_BACKEND, reason=reason)
@@ -68,8 +68,8 @@
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
-def say_nothing_kept() -> Patches:
-    """An unknown outcome is told as if nothing had been kept."""
+def unknown_reported_as_lost() -> Patches:
+    """Reports a write of unknown outcome as rolled back."""
 
     def unknown(self: Any, *, reason: str) -> Any:
         return self.reject(kind=ErrorCode.TRANSACTION_LOST, reason=reason)
@@ -77,20 +77,20 @@
     return [patch.object(ForwardFilter, "_unknown", unknown)]
 
 
-def any_age() -> Patches:
-    """A replica's answer is taken however old it is."""
+def unbounded_staleness() -> Patches:
+    """Accepts reads from replicas of any staleness."""
     return [patch.object(Samples, "floor", lambda self, **_: 0)]
 
 
-def deaf_to_emptying() -> Patches:
-    """A backend's word that it is emptying is not heeded."""
+def ignore_draining_backend() -> Patches:
+    """Ignores that a backend reports that it drains."""
     return [patch.object(HeartbeatTable, "healthy", lambda self, *, name: not self.silent(name=name))]
 
 
-def no_versions() -> Patches:
-    """A configuration is written whatever stands."""
+def no_version_check() -> Patches:
+    """Writes a configuration without comparing versions."""
 
-    class Anything(ConfigurationStore):
+    class UncheckedStore(ConfigurationStore):
         async def submit(self, *, raw: bytes) -> Any:
             checked = check_configuration(raw=raw)
             found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
@@ -98,16 +98,16 @@
                 return checked
             return Ok(AcceptedConfiguration(configuration=checked.ok, found=found.ok))
 
-    return [patch.object(ConfigurationStore, "submit", Anything.submit)]
+    return [patch.object(ConfigurationStore, "submit", UncheckedStore.submit)]
 
 
-def forgetful_register_replica() -> Patches:
-    """A register replica answers without having saved anything."""
+def register_replica_not_persistent() -> Patches:
+    """Lets a register replica respond without saving its state."""
     return [patch.object(Store, "save", lambda self, *, entries: None)]
 
 
-def leave_transactions() -> Patches:
-    """An abandoned transaction's channel goes back to the pool as it is."""
+def pool_open_transaction() -> Patches:
+    """Returns the connection of an abandoned transaction to the pool without a rollback."""
 
     def abandon(self: Any, *, session: Any) -> None:
         transaction, session.transaction = session.transaction, None
@@ -117,8 +117,8 @@
     return [patch.object(Sessions, "abandon", abandon)]
 
 
-def other_text() -> Patches:
-    """The text of a statement is changed on its way."""
+def alter_statement_text() -> Patches:
+    """Changes the text of forwarded statements."""
     original = ForwardMixin.send_step
 
     async def send_step(self: Any, *, request: Any, **rest: Any) -> Any:
@@ -129,8 +129,8 @@
     return [patch.object(ForwardMixin, "send_step", send_step)]
 
 
-def mixed_values() -> Patches:
-    """Sessions share one set of values."""
+def shared_session_values() -> Patches:
+    """Shares one set of session values among all sessions."""
     shared: dict[str, Any] = {}
     original = SessionStateFilter._change
 
@@ -141,29 +141,29 @@
     return [patch.object(SessionStateFilter, "_change", change)]
 
 
-def deaf_to_windows() -> Patches:
-    """Open windows select nothing."""
+def ignore_windows() -> Patches:
+    """Makes open windows select nothing."""
     return [patch.object(view, "drain_targets", lambda **_: DrainTargets())]
 
 
-def lose_sessions() -> Patches:
-    """An HTTP proxy that must stand empty forgets its sessions instead of handing them on."""
+def drop_sessions_on_drain() -> Patches:
+    """Drops the sessions of a draining HTTP proxy instead of handing them over."""
 
     async def hand_over_all(self: Any) -> int:
         self.sessions.open.clear()
         return 0
 
-    # why: their copies would bring them back
-    return [*no_replicas(), patch.object(Handover, "hand_over_all", hand_over_all)]
+    # Session replicas would restore them
+    return [*no_session_replicas(), patch.object(Handover, "hand_over_all", hand_over_all)]
 
 
-def newest_always() -> Patches:
-    """The newest version of the records is spoken with everyone, whatever they understand."""
+def ignore_peer_version() -> Patches:
+    """Sends records in the newest protocol version, whatever the peer supports."""
     return [patch.object(PeerClient, "version", lambda self, *, address: self.ctx.protocol_versions.highest)]
 
 
-def never_move() -> Patches:
-    """No reason is good enough to move a lead."""
+def never_fail_over() -> Patches:
+    """Never finds a reason for a failover."""
 
     async def move_reason(self: Any, **_: Any) -> None:
         return None
@@ -171,13 +171,13 @@
     return [patch.object(DatabasePrimaryMonitor, "move_reason", move_reason)]
 
 
-def forget_floor() -> Patches:
-    """A session's own commits are not remembered for its reads."""
+def no_read_your_writes() -> Patches:
+    """Forgets a session's own commits, so that its reads may miss them."""
     return [patch.object(Session, "floor", property(lambda self: 0, lambda self, value: None))]
 
 
-def take_anything() -> Patches:
-    """A configuration is accepted whatever it says."""
+def no_configuration_check() -> Patches:
+    """Accepts configurations without checking them."""
 
     async def submit(self: Any, *, raw: bytes) -> Any:
         found = await self.register.change(key=CONFIGURATION_KEY, decide=lambda _: Ok(raw))
@@ -187,19 +187,19 @@
     return [patch.object(ConfigurationStore, "submit", submit)]
 
 
-def older_again() -> Patches:
-    """An older configuration is written over a newer one, and comes into force."""
+def configuration_rollback() -> Patches:
+    """Accepts and applies an older configuration over a newer one."""
     original = View._apply_configuration
 
     def apply(self: Any, *, raw: bytes) -> bool:
         self.configuration = None
         return original(self, raw=raw)
 
-    return [*no_versions(), patch.object(View, "_apply_configuration", apply)]
+    return [*no_version_check(), patch.object(View, "_apply_configuration", apply)]
 
 
-def altered_read_back() -> Patches:
-    """A configuration is given back as this code would write it, and not as it came."""
+def reformat_configuration() -> Patches:
+    """Returns a configuration reformatted instead of byte for byte."""
     original = ConfigurationStore.fetch
 
     async def fetch(self: Any) -> Any:
@@ -209,16 +209,16 @@
     return [patch.object(ConfigurationStore, "fetch", fetch)]
 
 
-def deaf_to_quiet() -> Patches:
-    """Nobody is ever held to have fallen silent."""
+def ignore_silent_backend() -> Patches:
+    """Never considers a backend silent."""
     return [
         patch.object(HeartbeatTable, "silent", lambda self, *, name: False),
         patch.object(HeartbeatTable, "age_us", lambda self, *, name: 0),
     ]
 
 
-def held_denials() -> Patches:
-    """A denial is held back until the job's time is nearly up."""
+def delayed_rejections() -> Patches:
+    """Delays rejections until 90 % of the deadline has passed."""
     original = HttpProxy.answer
 
     async def answer(self: Any, http: Any) -> Any:
@@ -231,7 +231,7 @@
 
 
 def no_retry_after() -> Patches:
-    """A denial does not say when to come back."""
+    """Omits the Retry-After header of rejections."""
     original = RejectMixin.reject
 
     def reject(self: Any, **rest: Any) -> Any:
@@ -241,8 +241,8 @@
     return [patch.object(RejectMixin, "reject", reject)]
 
 
-def drop_at_stop() -> Patches:
-    """An HTTP proxy that is told to stop just ends."""
+def stop_without_drain() -> Patches:
+    """Stops an HTTP proxy without draining it."""
 
     async def drain(self: Any) -> None:
         self.ready.draining = True
@@ -250,8 +250,8 @@
     return [patch.object(HttpProxy, "drain", drain)]
 
 
-def other_params() -> Patches:
-    """The parameters of a statement are changed on their way."""
+def alter_params() -> Patches:
+    """Changes the parameters of forwarded statements."""
     original = ForwardMixin.send_step
 
     async def send_step(self: Any, *, request: Any, **rest: Any) -> Any:
@@ -262,8 +262,8 @@
     return [patch.object(ForwardMixin, "send_step", send_step)]
 
 
-def lose_prepared() -> Patches:
-    """A session is handed on without what it has prepared."""
+def drop_prepared_on_handover() -> Patches:
+    """Hands sessions over without their prepared statements."""
     original = Handover._hand_over
 
     async def hand(self: Any, *, session: Any) -> None:
@@ -273,18 +273,18 @@
     return [patch.object(Handover, "_hand_over", hand)]
 
 
-def never_give_up() -> Patches:
-    """What waits for a backend waits until its time is up, whatever has become of that backend."""
+def wait_for_dead_backend() -> Patches:
+    """Lets requests wait for a dead backend until their deadline."""
     return [patch.object(Pool, "abort_requests", lambda self: None)]
 
 
-def whole_cap() -> Patches:
-    """Every HTTP proxy takes the whole of a backend's cap for itself."""
+def ignore_connection_share() -> Patches:
+    """Lets every HTTP proxy use a backend's whole connection limit instead of its share."""
     return [patch.object(connection_pools, "allotment", lambda *, cap, user_ids, http_proxy_id: cap)]
 
 
-def no_replicas() -> Patches:
-    """A change is answered as if it stood at a second HTTP proxy, and stands at none."""
+def no_session_replicas() -> Patches:
+    """Acknowledges session changes without replicating them."""
 
     async def replicate(self: Any, *, session: Any, until_us: int) -> bool:
         session.replica_holder = "nobody"
@@ -294,7 +294,7 @@
 
 
 class AnyTag(Tag):
-    """Takes itself for every other tag."""
+    """A session tag that equals every other one."""
 
     def __eq__(self, other: object) -> bool:
         return True
@@ -305,8 +305,8 @@
     __hash__ = Tag.__hash__
 
 
-def any_handle() -> Patches:
-    """A session or a copy is served to whoever knows its name, however old it is."""
+def ignore_session_token_tag() -> Patches:
+    """Serves a session or its replica for any token of its id, outdated ones included."""
 
     def read(*, text: str) -> SessionToken:
         return SessionToken(parse_session_token(text=text).ident, AnyTag(0, ""))
@@ -314,8 +314,8 @@
     return [patch.object(session_filter, "parse_session_token", read)]
 
 
-def keep_replicas() -> Patches:
-    """Nobody is told that a copy can be forgotten."""
+def keep_stale_replicas() -> Patches:
+    """Never tells an HTTP proxy to delete a session replica."""
 
     async def touch_member(self: Any, **_: Any) -> None:
         return None
@@ -326,8 +326,8 @@
     ]
 
 
-def open_all() -> Patches:
-    """A pool that may grow opens all its channels at once."""
+def open_all_connections() -> Patches:
+    """Opens all connections at once when the limit of a pool grows."""
     original = Pool.resize
 
     async def fill(*, pool: Pool) -> None:
@@ -343,49 +343,49 @@
     return [patch.object(Pool, "resize", resize)]
 
 
-FAULTS: dict[str, Callable[[], Patches]] = {
+SEEDED_BUGS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
-        ack_at_once,
-        view_forever,
-        promote_at_once,
-        send_again,
-        say_nothing_kept,
-        any_age,
-        deaf_to_emptying,
-        no_versions,
-        forgetful_register_replica,
-        leave_transactions,
-        other_text,
-        mixed_values,
-        deaf_to_windows,
-        lose_sessions,
-        newest_always,
-        never_move,
-        forget_floor,
-        take_anything,
-        older_again,
-        altered_read_back,
-        deaf_to_quiet,
-        held_denials,
+        ack_before_replication,
+        view_never_expires,
+        promote_without_waiting,
+        resend_unknown_write,
+        unknown_reported_as_lost,
+        unbounded_staleness,
+        ignore_draining_backend,
+        no_version_check,
+        register_replica_not_persistent,
+        pool_open_transaction,
+        alter_statement_text,
+        shared_session_values,
+        ignore_windows,
+        drop_sessions_on_drain,
+        ignore_peer_version,
+        never_fail_over,
+        no_read_your_writes,
+        no_configuration_check,
+        configuration_rollback,
+        reformat_configuration,
+        ignore_silent_backend,
+        delayed_rejections,
         no_retry_after,
-        drop_at_stop,
-        other_params,
-        lose_prepared,
-        never_give_up,
-        whole_cap,
-        no_replicas,
-        any_handle,
-        keep_replicas,
-        open_all,
+        stop_without_drain,
+        alter_params,
+        drop_prepared_on_handover,
+        wait_for_dead_backend,
+        ignore_connection_share,
+        no_session_replicas,
+        ignore_session_token_tag,
+        keep_stale_replicas,
+        open_all_connections,
     )
 }
 
 
 @contextmanager
-def switched_in(*, name: str) -> Iterator[None]:
-    """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
+def apply_seeded_bug(*, name: str) -> Iterator[None]:
+    """Applies one seeded bug within the context; an empty name changes nothing."""
     with ExitStack() as stack:
-        for each in FAULTS[name]() if name else []:
+        for each in SEEDED_BUGS[name]() if name else []:
             stack.enter_context(each)
         yield
