--- a/features/simulation/explorer/models.feature
+++ b/features/simulation/explorer/models.feature
@@ -28,12 +28,12 @@
       | fault                 | model          | turns | budget             | words                            |
       | answers_before_sync   | register       | 1     | its own budget     | a majority of epoch 1 lacks it   |
       | accepts_any_ballot    | register       | 2     | its own budget     | version 2 is                     |
-      | blank_votes           | after_ack_wipe | 1     | its own budget     | a majority of epoch 1 lacks it   |
-      | no_margin             | lease          | 2     | 3 passes           | hold the duty at once            |
-      | grants_at_once        | lease          | 1     | its own budget     | hold the duty at once            |
-      | same_number           | lease          | 2     | nothing            | hold the duty at once            |
-      | second_leaves_at_once | lease_roster   | 2     | nothing            | hold the duty at once            |
-      | overtaken_goes_on     | roster_leaving | 2     | its own budget     | a majority of epoch 3 lacks it   |
-      | two_at_once           | roster_change  | 1     | its own budget     | a majority of epoch 2 lacks it   |
-      | old_cells_kept        | returning      | 1     | its own budget     | version 2 is                     |
-      | enters_untold         | returning      | 1     | its own budget     | version 2 is                     |
+      | blank_replica_votes           | after_ack_wipe | 1     | its own budget     | a majority of epoch 1 lacks it   |
+      | no_lease_margin             | lease          | 2     | 3 passes           | hold the duty at once            |
+      | grants_after_restart        | lease          | 1     | its own budget     | hold the duty at once            |
+      | reuses_lease_number           | lease          | 2     | nothing            | hold the duty at once            |
+      | skips_lease_wait | lease_roster   | 2     | nothing            | hold the duty at once            |
+      | ignores_concurrent_change     | roster_leaving | 2     | its own budget     | a majority of epoch 3 lacks it   |
+      | replaces_two_voters           | roster_change  | 1     | its own budget     | a majority of epoch 2 lacks it   |
+      | keeps_removed_voter_cells        | returning      | 1     | its own budget     | version 2 is                     |
+      | readds_voter_with_stale_roster         | returning      | 1     | its own budget     | version 2 is                     |
--- a/features/steps/explorer_steps.py
+++ b/features/steps/explorer_steps.py
@@ -29,8 +29,8 @@
     def choices(self, *, state: tuple[int, int]) -> list[int]:
         return [at for at in (0, 1) if state[at] < MOST]
 
-    def step(self, *, state: tuple[int, int], choice: int) -> tuple[int, int]:
-        return (state[0] + 1, state[1]) if choice == 0 else (state[0], state[1] + 1)
+    def step(self, *, state: tuple[int, int], action: int) -> tuple[int, int]:
+        return (state[0] + 1, state[1]) if action == 0 else (state[0], state[1] + 1)
 
     def digest(self, *, state: tuple[int, int]) -> bytes:
         return bytes(state)
@@ -38,8 +38,8 @@
     def wrong(self, *, state: tuple[int, int]) -> str:
         return "forbidden" if state == self.forbidden else ""
 
-    def reported(self, *, state: tuple[int, int], choice: int) -> str:
-        return f"{NAMES[choice]} goes up"
+    def reported(self, *, state: tuple[int, int], action: int) -> str:
+        return f"{NAMES[action]} goes up"
 
 
 @given("a counter that must not reach 2 while the other is at 1")
@@ -112,9 +112,9 @@
         known = set()
         wrong = model.wrong
 
-        def noted(*, locals_: Any, watch: Any, known: Any = known, wrong: Any = wrong) -> str:
-            known.add((watch, tuple(local.facts for local in locals_)))
-            return wrong(locals_=locals_, watch=watch)
+        def noted(*, local_states: Any, monitor: Any, known: Any = known, wrong: Any = wrong) -> str:
+            known.add((monitor, tuple(local.observation for local in local_states)))
+            return wrong(local_states=local_states, monitor=monitor)
 
         model.wrong = noted  # type: ignore[method-assign]
         report = Search(space=world, depth=200, turns=turns).run()
--- a/src/cinderstair/simulation/explorer/__main__.py
+++ b/src/cinderstair/simulation/explorer/__main__.py
@@ -13,7 +13,7 @@
 from .exploration import Exploration
 from .models import MODELS
 from .search_report import SearchReport
-from .seeded_bugs import FAULTS
+from .seeded_bugs import SEEDED_BUGS
 
 BUDGET_WORDS = {
     "losses": "messages may be lost",
@@ -48,7 +48,7 @@
     found.add_argument("--states", type=count, default=1_000_000, help="the most states (default: a million)")
     for name, words in BUDGET_WORDS.items():
         found.add_argument(f"--{name}", type=count, help=f"how many {words} (default: the model's)")
-    found.add_argument("--fault", default="", choices=["", *FAULTS], help="a fault to switch in")
+    found.add_argument("--fault", default="", choices=["", *SEEDED_BUGS], help="a fault to switch in")
     found.add_argument("--replay", type=choice_list, metavar="N,N,...", help="only these, other arguments as before")
     return found
 
@@ -65,7 +65,7 @@
         breadth=options.breadth,
         budget={name: number for name, number in given.items() if number is not None},
         fault=options.fault,
-        most_states=options.states,
+        max_states=options.states,
     )
     if options.replay is not None:
         try:
@@ -76,12 +76,12 @@
         return 1 if wrong else 0
     began = time.monotonic()
 
-    def tell(report: SearchReport) -> None:
+    def on_progress(report: SearchReport) -> None:
         seconds = time.monotonic() - began
         line = f"{seconds:.0f} s: {report.states} states, {report.transitions} transitions, depth {report.depth}"
         print(line, file=sys.stderr, flush=True)
 
-    report = exploration.run(tell=tell)
+    report = exploration.run(on_progress=on_progress)
     result = {"model": options.model, "fault": options.fault, "exhausted": report.exhausted, **asdict(report)}
     print(json.dumps({**result, "seconds": round(time.monotonic() - began, 1)}, indent=1))
     return 1 if report.wrong else 0
--- a/src/cinderstair/simulation/explorer/choice.py
+++ b/src/cinderstair/simulation/explorer/action.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple
 
-from .flight import Flight
+from .message import Message
 
 
-class Choice(NamedTuple):
+class Action(NamedTuple):
     """`kind` names it; `process` is who takes the step, or -1; `flight` is the message that it is about."""
 
     kind: str
     process: int = -1
-    flight: Flight | None = None
+    message: Message | None = None
     name: str = ""
--- a/src/cinderstair/simulation/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -6,10 +6,10 @@
 
 from ...runtime.context import Context
 from ...runtime.protocol_versions import ProtocolVersions
-from .choice_disk import ChoiceDisk
-from .choice_net import ChoiceNet
+from .controlled_disk import ControlledDisk
+from .controlled_net import ControlledNet
 from .event import Event, Output
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 from .stepped_loop import SteppedLoop
 
 # why: records of the first version are sent without a handshake, whose messages would only multiply the states
@@ -21,17 +21,17 @@
 class Actor:
     """Does nothing but what an event brings about, and always the same after the same events."""
 
-    def __init__(self, *, recipe: Recipe, name: str, rate: float = 1.0) -> None:
-        self.recipe = recipe
+    def __init__(self, *, spec: ProcessSpec, name: str, rate: float = 1.0) -> None:
+        self.spec = spec
         self.rate = rate
         self.loop = SteppedLoop()
         self.outputs: list[Output] = []
-        self.net = ChoiceNet(outputs=self.outputs)
-        self.disk = ChoiceDisk(files=dict(recipe.files))
+        self.net = ControlledNet(outputs=self.outputs)
+        self.disk = ControlledDisk(files=dict(spec.files))
         self.ctx = Context(
             name=name,
             site="hall",
-            rng=random.Random(f"{name}/{recipe.run}"),
+            rng=random.Random(f"{name}/{spec.run}"),
             clock=self.loop.now_us,
             wall=self.loop.now_us,
             net=self.net,
@@ -41,25 +41,25 @@
         self.ctx.protocol_versions = FIRST
 
     def start(self) -> tuple[Output, ...]:
-        self.loop.call_soon(self.begin)
-        return self._settled()
+        self.loop.call_soon(self.on_start)
+        return self._run_until_quiescent()
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         """What the process does first, on its running loop."""
         raise NotImplementedError
 
-    def go(self, *, name: str) -> None:
+    def begin_operation(self, *, name: str) -> None:
         """Begins one of the operations that `operations` names."""
         raise NotImplementedError
 
-    def take(self, *, event: Event) -> tuple[Output, ...]:
+    def handle_event(self, *, event: Event) -> tuple[Output, ...]:
         if event.kind == "ask":
-            assert event.token is not None
-            self.net.serve_record(loop=self.loop, token=event.token, body=event.body)
+            assert event.request_id is not None
+            self.net.serve_record(loop=self.loop, request_id=event.request_id, body=event.body)
         elif event.kind == "answer":
-            self.net.bring(number=event.number, body=event.body)
+            self.net.deliver_response(number=event.number, body=event.body)
         elif event.kind == "lost":
-            self.net.lose(number=event.number)
+            self.net.time_out(number=event.number)
         elif event.kind == "synced":
             self.disk.synced()
         elif event.kind == "timer":
@@ -68,10 +68,10 @@
             self.loop.let_pass(for_us=round(event.number * self.rate))
         else:
             assert event.kind == "go", event
-            self.loop.call_soon(lambda: self.go(name=event.name))
-        return self._settled()
+            self.loop.call_soon(lambda: self.begin_operation(name=event.name))
+        return self._run_until_quiescent()
 
-    def _settled(self) -> tuple[Output, ...]:
+    def _run_until_quiescent(self) -> tuple[Output, ...]:
         self.loop.settle()
         # why: a task of the product that broke off is a fault in itself, whatever the invariants say of it
         if self.ctx.counters.counts["internal.crashes"]:
@@ -91,7 +91,7 @@
         return False
 
     @property
-    def due(self) -> bool:
+    def has_timer(self) -> bool:
         """Whether it has a timer that may be let fire."""
         return self.loop.next_due() is not None
 
@@ -99,7 +99,7 @@
         """All that its further doings depend on; None where only its whole history says that."""
         return None
 
-    def facts(self) -> Hashable:
+    def observation(self) -> Hashable:
         """What the invariants look at."""
         return None
 
--- a/src/cinderstair/simulation/explorer/client_actor.py
+++ b/src/cinderstair/simulation/explorer/client_actor.py
@@ -5,8 +5,8 @@
 from ...consensus.register import Register
 from ...consensus.roster import Roster
 from .actor import Actor
-from .event import BackendHeartbeat
-from .recipe import Recipe
+from .event import OperationEvent
+from .process_spec import ProcessSpec
 
 Outcome = tuple[str | int, ...]
 Operation = Callable[["ClientActor"], Awaitable[Outcome]]
@@ -18,47 +18,47 @@
     def __init__(
         self,
         *,
-        recipe: Recipe,
+        spec: ProcessSpec,
         name: str,
         seeds: tuple[str, ...],
         roster: Roster | None,
-        todo: Sequence[tuple[str, Operation]],
+        script: Sequence[tuple[str, Operation]],
         rate: float = 1.0,
     ) -> None:
-        super().__init__(recipe=recipe, name=name, rate=rate)
+        super().__init__(spec=spec, name=name, rate=rate)
         self.register = Register(ctx=self.ctx, seeds=seeds)
         if roster is not None:
             self.register.learn_roster(roster=roster)
-        self.todo = tuple(todo)
-        self.done = 0
+        self.script = tuple(script)
+        self.completed = 0
         self.busy = False
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         return
 
-    def go(self, *, name: str) -> None:
+    def begin_operation(self, *, name: str) -> None:
         self.busy = True
-        self.outputs.append(BackendHeartbeat("begin", name))
-        self.ctx.spawn(work=self._run(name=name, operation=dict(self.todo)[name]), name=name)
+        self.outputs.append(OperationEvent("begin", name))
+        self.ctx.spawn(work=self._run(name=name, operation=dict(self.script)[name]), name=name)
 
     async def _run(self, *, name: str, operation: Operation) -> None:
         outcome = await operation(self)
         self.busy = False
-        self.done += 1
-        self.outputs.append(BackendHeartbeat("end", name, outcome))
+        self.completed += 1
+        self.outputs.append(OperationEvent("end", name, outcome))
 
     @property
     def operations(self) -> tuple[str, ...]:
-        return () if self.busy else tuple(name for name, _ in self.todo[self.done : self.done + 1])
+        return () if self.busy else tuple(name for name, _ in self.script[self.completed : self.completed + 1])
 
     @property
     def idle(self) -> bool:
         return not self.busy
 
     @property
-    def due(self) -> bool:
+    def has_timer(self) -> bool:
         # why: what an idle client's timers would do changes nothing that anyone sees
-        return self.busy and super().due
+        return self.busy and super().has_timer
 
     def digest(self) -> Hashable | None:
         if self.busy:
@@ -66,8 +66,15 @@
         register = self.register
         roster = b"" if register.roster is None else register.roster.bytes()
         rng = hash(self.ctx.rng.getstate())
-        return self.done, register.highest_round, roster, tuple(sorted(register.failed)), rng, self.more()
+        return (
+            self.completed,
+            register.highest_round,
+            roster,
+            tuple(sorted(register.failed)),
+            rng,
+            self.extra_digest(),
+        )
 
-    def more(self) -> Hashable:
+    def extra_digest(self) -> Hashable:
         """What else an idle client's further doings depend on."""
         return None
--- a/src/cinderstair/simulation/explorer/choice_disk.py
+++ b/src/cinderstair/simulation/explorer/controlled_disk.py
@@ -7,7 +7,7 @@
 from ..sim_disk import SimDisk
 
 
-class ChoiceDisk(SimDisk):
+class ControlledDisk(SimDisk):
     """What was not synced when its process ends is lost; nothing is torn here (store.feature tears every byte)."""
 
     def __init__(self, *, files: dict[str, bytes]) -> None:
--- a/src/cinderstair/simulation/explorer/choice_net.py
+++ b/src/cinderstair/simulation/explorer/controlled_net.py
@@ -7,46 +7,46 @@
 
 from ...runtime.errors import CinderstairError, ErrorCode
 from ...runtime.net import Connection, HttpHandler, RecordHandler
-from .event import Answered, Asked, Output, Token
+from .event import Output, RequestId, RequestSent, ResponseSent
 
 
-class ChoiceNet:
+class ControlledNet:
     """Questions go out as outputs; answers and losses come in as events. There are no channels here."""
 
     def __init__(self, *, outputs: list[Output]) -> None:
         self.outputs = outputs
         self.number = 0
-        self.waiting: dict[int, asyncio.Future[Result[bytes, CinderstairError]]] = {}
+        self.pending: dict[int, asyncio.Future[Result[bytes, CinderstairError]]] = {}
         self.handler: RecordHandler | None = None
         self.serving: set[asyncio.Task[Any]] = set()
 
     async def request(self, *, address: str, body: bytes, wait_us: int) -> Result[bytes, CinderstairError]:
         self.number += 1
         number = self.number
-        self.waiting[number] = asyncio.get_running_loop().create_future()
-        self.outputs.append(Asked(number, address, body))
-        return await self.waiting[number]
+        self.pending[number] = asyncio.get_running_loop().create_future()
+        self.outputs.append(RequestSent(number, address, body))
+        return await self.pending[number]
 
-    def bring(self, *, number: int, body: bytes) -> None:
-        self.waiting.pop(number).set_result(Ok(body))
+    def deliver_response(self, *, number: int, body: bytes) -> None:
+        self.pending.pop(number).set_result(Ok(body))
 
-    def lose(self, *, number: int) -> None:
+    def time_out(self, *, number: int) -> None:
         """The asker's wait runs out, whatever became of its question."""
         fault = CinderstairError(code=ErrorCode.NO_RESPONSE, reason="not answered")
-        self.waiting.pop(number).set_result(Error(fault))
+        self.pending.pop(number).set_result(Error(fault))
 
-    def serve_record(self, *, loop: asyncio.AbstractEventLoop, token: Token, body: bytes) -> None:
+    def serve_record(self, *, loop: asyncio.AbstractEventLoop, request_id: RequestId, body: bytes) -> None:
         assert self.handler is not None
         task: asyncio.Task[bytes] = loop.create_task(self.handler(body))  # type: ignore[arg-type]
         self.serving.add(task)
-        task.add_done_callback(lambda done: self._served(task=done, token=token))
+        task.add_done_callback(lambda done: self._served(task=done, request_id=request_id))
 
-    def _served(self, *, task: asyncio.Task[bytes], token: Token) -> None:
+    def _served(self, *, task: asyncio.Task[bytes], request_id: RequestId) -> None:
         self.serving.discard(task)
         # why: a record that can't be read is dropped by its reader, and the asker's wait runs out
         if isinstance(task.exception(), ValueError):
             return
-        self.outputs.append(Answered(token, task.result()))
+        self.outputs.append(ResponseSent(request_id, task.result()))
 
     async def listen(self, *, address: str, handler: RecordHandler) -> None:
         self.handler = handler
--- a/src/cinderstair/simulation/explorer/event.py
+++ b/src/cinderstair/simulation/explorer/event.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Token(NamedTuple):
+class RequestId(NamedTuple):
     """Whose question it is: a process by its place in the model, which of its runs, and its number there."""
 
     process: int
@@ -17,22 +17,22 @@
     kind: str
     number: int = 0
     body: bytes = b""
-    token: Token | None = None
+    request_id: RequestId | None = None
     name: str = ""
 
 
-class Asked(NamedTuple):
+class RequestSent(NamedTuple):
     number: int
     address: str
     body: bytes
 
 
-class Answered(NamedTuple):
-    token: Token
+class ResponseSent(NamedTuple):
+    request_id: RequestId
     body: bytes
 
 
-class BackendHeartbeat(NamedTuple):
+class OperationEvent(NamedTuple):
     """What a client began or learned: the invariants are judged by it."""
 
     word: str
@@ -40,4 +40,4 @@
     outcome: tuple[str | int, ...] = ()
 
 
-Output = Asked | Answered | BackendHeartbeat
+Output = RequestSent | ResponseSent | OperationEvent
--- a/src/cinderstair/simulation/explorer/explored_world.py
+++ b/src/cinderstair/simulation/explorer/explored_world.py
@@ -4,29 +4,34 @@
 from hashlib import blake2b
 from typing import Any
 
-from .choice import Choice
-from .event import Answered, Asked, BackendHeartbeat, Event, Output, Token
-from .flight import ANSWER, INSIDE, ORPHAN, QUESTION, UNANSWERED, Flight
+from .action import Action
+from .event import Event, OperationEvent, Output, RequestId, RequestSent, ResponseSent
 from .local_states import LocalState, LocalStates
+from .message import ABANDONED, PROCESSING, REQUEST, RESPONSE, UNANSWERED, Message
 from .model import Model
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 from .world_state import Budget, WorldState
 
-WAYS = {
-    ANSWER: "the answer to {asker}'s question {number} ({kind}) arrives from {host}",
-    QUESTION: "{asker}'s question {number} ({kind}) arrives at {host}",
-    ORPHAN: "{asker}'s question {number} ({kind}), which it has given up, arrives at {host}",
+DELIVERY_TEXTS = {
+    RESPONSE: "the answer to {asker}'s question {number} ({kind}) arrives from {host}",
+    REQUEST: "{asker}'s question {number} ({kind}) arrives at {host}",
+    ABANDONED: "{asker}'s question {number} ({kind}), which it has given up, arrives at {host}",
 }
 # what went on last where time passed
-TIME = -2
+TIME_PASSED = -2
 # what is done for somebody's operation, which is then gone on with
-STAYING = ("deliver", "go", "run out", "lose", "give up", "timer")
-KINDS = {1: "prepare", 2: "accept", 3: "read", 4: "vector", 5: "lease", 6: "hello", 7: "adopt"}
+CONTINUING_ACTIONS = ("deliver", "go", "run out", "lose", "give up", "timer")
+RECORD_KINDS = {1: "prepare", 2: "accept", 3: "read", 4: "vector", 5: "lease", 6: "hello", 7: "adopt"}
 
 
-def calm_order(*, pair: tuple[Flight, int], last: int) -> tuple[bool, int, int, int]:
-    flight = pair[0]
-    return flight.token.process != last, flight.token.process, flight.phase, -flight.token.number
+def delivery_order(*, pair: tuple[Message, int], last_process: int) -> tuple[bool, int, int, int]:
+    message = pair[0]
+    return (
+        message.request_id.process != last_process,
+        message.request_id.process,
+        message.phase,
+        -message.request_id.number,
+    )
 
 
 class ExploredWorld:
@@ -38,168 +43,170 @@
     """
 
     def __init__(
-        self, *, model: Model, budget: Budget | None = None, merging: bool = True, staying: bool = True
+        self, *, model: Model, budget: Budget | None = None, merging: bool = True, prefer_last_process: bool = True
     ) -> None:
         self.model = model
-        self.staying = staying
+        self.prefer_last_process = prefer_last_process
         self.budget = model.budget if budget is None else budget
-        self.locals = LocalStates(make=model.make, merging=merging)
-        self.flight_numbers: dict[Flight, int] = {}
+        self.local_registry = LocalStates(make=model.make, merging=merging)
+        self.message_numbers: dict[Message, int] = {}
 
     def initial(self) -> WorldState:
-        work = Working(world=self)
-        work.budget = self.budget
-        work.watch = self.model.first_watch()
-        recipes = self.model.recipes()
-        work.places, work.runs = [-1] * len(recipes), [0] * len(recipes)
-        for recipe in recipes:
-            work.start(recipe=recipe)
-        return work.state()
+        builder = StateBuilder(world=self)
+        builder.budget = self.budget
+        builder.monitor = self.model.initial_monitor()
+        process_specs = self.model.process_specs()
+        builder.local_numbers, builder.runs = [-1] * len(process_specs), [0] * len(process_specs)
+        for spec in process_specs:
+            builder.start(spec=spec)
+        return builder.state()
 
     def digest(self, *, state: WorldState) -> bytes:
-        flights = [self.flight_numbers.setdefault(flight, len(self.flight_numbers)) for flight in state.flights]
-        whole = (state.places, state.runs, flights, tuple(state.budget), state.watch, state.last)
+        messages = [self.message_numbers.setdefault(message, len(self.message_numbers)) for message in state.messages]
+        whole = (state.local_numbers, state.runs, messages, tuple(state.budget), state.monitor, state.last_process)
         return blake2b(repr(whole).encode(), digest_size=16).digest()
 
     def local(self, *, state: WorldState, process: int) -> LocalState:
-        return self.locals.states[state.places[process]]
+        return self.local_registry.states[state.local_numbers[process]]
 
     def host(self, *, state: WorldState, address: str) -> int:
         """Which process listens there now; -1 where none does."""
         for process in range(self.model.register_replicas):
-            if self.local(state=state, process=process).recipe.address == address:
+            if self.local(state=state, process=process).spec.address == address:
                 return process
         return -1
 
-    def choices(self, *, state: WorldState) -> list[Choice]:
+    def choices(self, *, state: WorldState) -> list[Action]:
         budget = state.budget
-        flights = [(flight, self.host(state=state, address=flight.address)) for flight in state.flights]
-        pairs = sorted(flights, key=lambda pair: calm_order(pair=pair, last=state.last))
-        found: list[Choice] = []
-        for flight, host in pairs:
-            if flight.phase == ANSWER:
-                found.append(Choice("deliver", flight.token.process, flight))
-            elif flight.phase == QUESTION and host >= 0:
-                found.append(Choice("deliver", host, flight))
-        states = [self.local(state=state, process=process) for process in range(len(state.places))]
-        syncs = [Choice("sync", process) for process, local in enumerate(states) if local.syncing]
+        messages = [(message, self.host(state=state, address=message.address)) for message in state.messages]
+        pairs = sorted(messages, key=lambda pair: delivery_order(pair=pair, last_process=state.last_process))
+        found: list[Action] = []
+        for message, host in pairs:
+            if message.phase == RESPONSE:
+                found.append(Action("deliver", message.request_id.process, message))
+            elif message.phase == REQUEST and host >= 0:
+                found.append(Action("deliver", host, message))
+        states = [self.local(state=state, process=process) for process in range(len(state.local_numbers))]
+        syncs = [Action("sync", process) for process, local in enumerate(states) if local.syncing]
         found = syncs + found
         # why: what nobody can answer any more runs out by itself, and costs nothing that may go wrong
-        for flight, host in pairs:
-            if flight.phase == UNANSWERED or (flight.phase == QUESTION and host < 0):
-                found.append(Choice("run out", flight.token.process, flight))
+        for message, host in pairs:
+            if message.phase == UNANSWERED or (message.phase == REQUEST and host < 0):
+                found.append(Action("run out", message.request_id.process, message))
         for process, local in enumerate(states):
-            found += [Choice("go", process, name=name) for name in local.operations]
-        found += [Choice("deliver", host, f) for f, host in pairs if f.phase == ORPHAN and host >= 0]
+            found += [Action("go", process, name=name) for name in local.operations]
+        found += [Action("deliver", host, f) for f, host in pairs if f.phase == ABANDONED and host >= 0]
         if budget.timers:
-            found += [Choice("timer", process) for process, local in enumerate(states) if local.due]
+            found += [Action("timer", process) for process, local in enumerate(states) if local.has_timer]
         if budget.passes:
             # why: time that has begun to pass goes on passing, or a lease's whole length would be many turns
-            found.insert(0 if state.last == TIME else len(found), Choice("pass"))
-        lossy = [(flight, host) for flight, host in pairs if flight.phase in (ANSWER, QUESTION, INSIDE)]
+            found.insert(0 if state.last_process == TIME_PASSED else len(found), Action("pass"))
+        lossy = [(message, host) for message, host in pairs if message.phase in (RESPONSE, REQUEST, PROCESSING)]
         if budget.losses:
-            found += [Choice("lose", f.token.process, f) for f, _ in lossy if f.phase in (ANSWER, QUESTION)]
+            found += [Action("lose", f.request_id.process, f) for f, _ in lossy if f.phase in (RESPONSE, REQUEST)]
         if budget.late:
-            found += [Choice("give up", f.token.process, f) for f, _ in lossy if f.phase == QUESTION]
+            found += [Action("give up", f.request_id.process, f) for f, _ in lossy if f.phase == REQUEST]
         if budget.doubles:
-            found += [Choice("double", host, f) for f, host in lossy if f.phase == QUESTION and host >= 0]
+            found += [Action("double", host, f) for f, host in lossy if f.phase == REQUEST and host >= 0]
         if budget.restarts:
-            found += [Choice("restart", process) for process in range(self.model.register_replicas)]
-        if budget.wipes and self.model.may_fail(watch=state.watch):
-            found += [Choice("wipe", process) for process in range(self.model.register_replicas)]
+            found += [Action("restart", process) for process in range(self.model.register_replicas)]
+        if budget.wipes and self.model.may_lose_disk(monitor=state.monitor):
+            found += [Action("wipe", process) for process in range(self.model.register_replicas)]
         return found
 
-    def step(self, *, state: WorldState, choice: Choice) -> WorldState:
-        work = Working(world=self, state=state)
-        flight, process = choice.flight, choice.process
-        if choice.kind == "deliver":
-            assert flight is not None
-            work.deliver(flight=flight, process=process)
-        elif choice.kind == "sync":
-            work.take(process=process, event=Event("synced"))
-        elif choice.kind in ("run out", "lose", "give up"):
-            assert flight is not None
-            work.flights.remove(flight)
-            if choice.kind == "give up":
-                work.flights.append(flight._replace(phase=ORPHAN))
-            work.take(process=process, event=Event("lost", number=flight.token.number))
-        elif choice.kind == "double":
-            assert flight is not None
-            work.flights.append(flight._replace(phase=ORPHAN))
-        elif choice.kind == "go":
-            work.take(process=process, event=Event("go", name=choice.name))
-        elif choice.kind == "timer":
-            work.take(process=process, event=Event("timer"))
-        elif choice.kind == "pass":
-            for each in range(len(work.places)):
-                work.take(process=each, event=Event("pass", number=self.model.pass_us))
+    def step(self, *, state: WorldState, action: Action) -> WorldState:
+        builder = StateBuilder(world=self, state=state)
+        message, process = action.message, action.process
+        if action.kind == "deliver":
+            assert message is not None
+            builder.deliver(message=message, process=process)
+        elif action.kind == "sync":
+            builder.handle_event(process=process, event=Event("synced"))
+        elif action.kind in ("run out", "lose", "give up"):
+            assert message is not None
+            builder.messages.remove(message)
+            if action.kind == "give up":
+                builder.messages.append(message._replace(phase=ABANDONED))
+            builder.handle_event(process=process, event=Event("lost", number=message.request_id.number))
+        elif action.kind == "double":
+            assert message is not None
+            builder.messages.append(message._replace(phase=ABANDONED))
+        elif action.kind == "go":
+            builder.handle_event(process=process, event=Event("go", name=action.name))
+        elif action.kind == "timer":
+            builder.handle_event(process=process, event=Event("timer"))
+        elif action.kind == "pass":
+            for each in range(len(builder.local_numbers)):
+                builder.handle_event(process=each, event=Event("pass", number=self.model.pass_us))
         else:
-            work.restart(process=process, wiped=choice.kind == "wipe")
-        work.pay(kind=choice.kind)
-        if self.staying and choice.kind in STAYING:
-            work.last = process if flight is None else flight.token.process
-        elif self.staying and choice.kind == "pass":
-            work.last = TIME
-        return work.state()
+            builder.restart(process=process, wiped=action.kind == "wipe")
+        builder.charge_budget(kind=action.kind)
+        if self.prefer_last_process and action.kind in CONTINUING_ACTIONS:
+            builder.last_process = process if message is None else message.request_id.process
+        elif self.prefer_last_process and action.kind == "pass":
+            builder.last_process = TIME_PASSED
+        return builder.state()
 
     def wrong(self, *, state: WorldState) -> str:
-        if isinstance(state.watch, str):
-            return state.watch
-        states = [self.local(state=state, process=process) for process in range(len(state.places))]
-        return self.model.wrong(locals_=states, watch=state.watch)
+        if isinstance(state.monitor, str):
+            return state.monitor
+        states = [self.local(state=state, process=process) for process in range(len(state.local_numbers))]
+        return self.model.wrong(local_states=states, monitor=state.monitor)
 
-    def reported(self, *, state: WorldState, choice: Choice) -> str:
+    def reported(self, *, state: WorldState, action: Action) -> str:
         names = self.model.names
-        if choice.flight is not None:
-            flight = choice.flight
-            host = self.host(state=state, address=flight.address)
+        if action.message is not None:
+            message = action.message
+            host = self.host(state=state, address=message.address)
             words = {
-                "asker": names[flight.token.process],
-                "number": flight.token.number,
-                "kind": KINDS.get(flight.body[0], "?") if flight.phase != ANSWER else "answered",
-                "host": names[host] if host >= 0 else flight.address,
+                "asker": names[message.request_id.process],
+                "number": message.request_id.number,
+                "kind": RECORD_KINDS.get(message.body[0], "?") if message.phase != RESPONSE else "answered",
+                "host": names[host] if host >= 0 else message.address,
             }
-            if choice.kind == "deliver":
-                return WAYS[flight.phase].format(**words)
-            what = "the answer to " if flight.phase == ANSWER else ""
+            if action.kind == "deliver":
+                return DELIVERY_TEXTS[message.phase].format(**words)
+            what = "the answer to " if message.phase == RESPONSE else ""
             ends = {
                 "run out": "is never answered, and it gives up",
                 "lose": "is lost, and it gives up",
                 "give up": "is given up while it is on its way",
                 "double": "is sent twice by the network",
             }
-            return f"{what}{{asker}}'s question {{number}} ({{kind}}) to {{host}} {ends[choice.kind]}".format(**words)
-        who = names[choice.process] if choice.process >= 0 else ""
+            return f"{what}{{asker}}'s question {{number}} ({{kind}}) to {{host}} {ends[action.kind]}".format(**words)
+        who = names[action.process] if action.process >= 0 else ""
         return {
             "sync": f"{who}'s disk syncs",
-            "go": f"{who} begins: {choice.name}",
+            "go": f"{who} begins: {action.name}",
             "timer": f"{who}'s next timer fires",
             "pass": f"{self.model.pass_us / 1_000_000:g} s pass",
             "restart": f"{who} loses its power and starts again",
             "wipe": f"{who} loses its disk and starts again, blank",
-        }[choice.kind]
+        }[action.kind]
 
     def close(self) -> None:
-        self.locals.close()
+        self.local_registry.close()
 
 
-class Working:
+class StateBuilder:
     """A state while a choice changes it."""
 
     def __init__(self, *, world: ExploredWorld, state: WorldState | None = None) -> None:
         self.world = world
-        self.places: list[int] = [] if state is None else list(state.places)
+        self.local_numbers: list[int] = [] if state is None else list(state.local_numbers)
         self.runs: list[int] = [] if state is None else list(state.runs)
-        self.flights: list[Flight] = [] if state is None else list(state.flights)
+        self.messages: list[Message] = [] if state is None else list(state.messages)
         self.budget = Budget() if state is None else state.budget
-        self.watch: Any = None if state is None else state.watch
-        self.last = -1 if state is None else state.last
+        self.monitor: Any = None if state is None else state.monitor
+        self.last_process = -1 if state is None else state.last_process
 
     def state(self) -> WorldState:
-        places, runs = tuple(self.places), tuple(self.runs)
-        return WorldState(places, runs, tuple(sorted(self.flights)), self.budget, self.watch, self.last)
+        local_numbers, runs = tuple(self.local_numbers), tuple(self.runs)
+        return WorldState(
+            local_numbers, runs, tuple(sorted(self.messages)), self.budget, self.monitor, self.last_process
+        )
 
-    def pay(self, *, kind: str) -> None:
+    def charge_budget(self, *, kind: str) -> None:
         names = {
             "lose": "losses",
             "give up": "late",
@@ -212,74 +219,78 @@
         if kind in names:
             self.budget = self.budget._replace(**{names[kind]: getattr(self.budget, names[kind]) - 1})
 
-    def start(self, *, recipe: Recipe) -> None:
-        self.places[recipe.process], outputs = self.world.locals.root(recipe=recipe)
-        self.runs[recipe.process] = recipe.run
-        self._out(process=recipe.process, outputs=outputs)
+    def start(self, *, spec: ProcessSpec) -> None:
+        self.local_numbers[spec.process], outputs = self.world.local_registry.initial_state(spec=spec)
+        self.runs[spec.process] = spec.run
+        self._apply_outputs(process=spec.process, outputs=outputs)
 
     def restart(self, *, process: int, wiped: bool) -> None:
-        local = self.world.locals.states[self.places[process]]
-        host, run = local.recipe.address, self.runs[process] + 1
-        kept: list[Flight] = []
-        for flight in self.flights:
-            mine = flight.token.process == process
+        local = self.world.local_registry.states[self.local_numbers[process]]
+        host, run = local.spec.address, self.runs[process] + 1
+        kept: list[Message] = []
+        for message in self.messages:
+            mine = message.request_id.process == process
             # why: what it asked still travels, and what it was answering is never answered
-            if mine and flight.phase in (QUESTION, ORPHAN):
-                kept.append(flight._replace(phase=ORPHAN))
-            elif not mine and flight.phase == INSIDE and flight.address == host:
-                kept.append(flight._replace(phase=UNANSWERED))
+            if mine and message.phase in (REQUEST, ABANDONED):
+                kept.append(message._replace(phase=ABANDONED))
+            elif not mine and message.phase == PROCESSING and message.address == host:
+                kept.append(message._replace(phase=UNANSWERED))
             elif not mine:
-                kept.append(flight)
-        self.flights = kept
+                kept.append(message)
+        self.messages = kept
         address = self.world.model.wipe_address(process=process, address=host) if wiped else host
         files = () if wiped else local.files
-        blank = wiped or local.recipe.blank
-        self.start(recipe=Recipe(process=process, run=run, address=address, files=files, blank=blank))
+        blank = wiped or local.spec.blank
+        self.start(spec=ProcessSpec(process=process, run=run, address=address, files=files, blank=blank))
 
-    def deliver(self, *, flight: Flight, process: int) -> None:
-        self.flights.remove(flight)
-        if flight.phase == ANSWER:
-            self.take(process=process, event=Event("answer", number=flight.token.number, body=flight.body))
+    def deliver(self, *, message: Message, process: int) -> None:
+        self.messages.remove(message)
+        if message.phase == RESPONSE:
+            self.handle_event(
+                process=process, event=Event("answer", number=message.request_id.number, body=message.body)
+            )
             return
-        if flight.phase == QUESTION:
-            self.flights.append(flight._replace(phase=INSIDE))
+        if message.phase == REQUEST:
+            self.messages.append(message._replace(phase=PROCESSING))
         # why: nobody waits for an orphan's answer, so that all orphans are alike to who works on them
-        token = flight.token if flight.phase == QUESTION else Token(-1, 0, 0)
-        self.take(process=process, event=Event("ask", body=flight.body, token=token))
+        request_id = message.request_id if message.phase == REQUEST else RequestId(-1, 0, 0)
+        self.handle_event(process=process, event=Event("ask", body=message.body, request_id=request_id))
 
-    def take(self, *, process: int, event: Event) -> None:
-        locals_ = self.world.locals
-        self.places[process], outputs = locals_.step(number=self.places[process], event=event)
-        self._out(process=process, outputs=outputs)
-        local = locals_.states[self.places[process]]
+    def handle_event(self, *, process: int, event: Event) -> None:
+        local_states = self.world.local_registry
+        self.local_numbers[process], outputs = local_states.step(number=self.local_numbers[process], event=event)
+        self._apply_outputs(process=process, outputs=outputs)
+        local = local_states.states[self.local_numbers[process]]
         # why: with no restart left nothing can come between a change and its sync that could not come before both
         if local.syncing and not (self.budget.restarts or self.budget.wipes):
-            self.take(process=process, event=Event("synced"))
+            self.handle_event(process=process, event=Event("synced"))
         if local.idle:
-            self._forget(process=process)
+            self._drop_stale_messages(process=process)
 
-    def _forget(self, *, process: int) -> None:
+    def _drop_stale_messages(self, *, process: int) -> None:
         """What an idle process asked before may still arrive somewhere; that it is answered changes nothing."""
         kept = []
-        for flight in self.flights:
-            if flight.token.process != process:
-                kept.append(flight)
-            elif flight.phase in (QUESTION, ORPHAN):
-                kept.append(flight._replace(phase=ORPHAN, token=flight.token._replace(run=0, number=0)))
-        self.flights = kept
+        for message in self.messages:
+            if message.request_id.process != process:
+                kept.append(message)
+            elif message.phase in (REQUEST, ABANDONED):
+                kept.append(
+                    message._replace(phase=ABANDONED, request_id=message.request_id._replace(run=0, number=0))
+                )
+        self.messages = kept
 
-    def _out(self, *, process: int, outputs: Iterable[Output]) -> None:
+    def _apply_outputs(self, *, process: int, outputs: Iterable[Output]) -> None:
         for output in outputs:
-            if isinstance(output, Asked):
-                token = Token(process, self.runs[process], output.number)
-                self.flights.append(Flight(QUESTION, token, output.address, output.body))
-            elif isinstance(output, Answered):
-                self._answer(answered=output)
-            elif isinstance(output, BackendHeartbeat) and not isinstance(self.watch, str):
-                self.watch = self.world.model.watch(watch=self.watch, process=process, said=output)
+            if isinstance(output, RequestSent):
+                request_id = RequestId(process, self.runs[process], output.number)
+                self.messages.append(Message(REQUEST, request_id, output.address, output.body))
+            elif isinstance(output, ResponseSent):
+                self._record_response(answered=output)
+            elif isinstance(output, OperationEvent) and not isinstance(self.monitor, str):
+                self.monitor = self.world.model.monitor(monitor=self.monitor, process=process, operation_event=output)
 
-    def _answer(self, *, answered: Answered) -> None:
-        for at, flight in enumerate(self.flights):
-            if flight.token == answered.token and flight.phase == INSIDE:
-                self.flights[at] = flight._replace(phase=ANSWER, body=answered.body)
+    def _record_response(self, *, answered: ResponseSent) -> None:
+        for at, message in enumerate(self.messages):
+            if message.request_id == answered.request_id and message.phase == PROCESSING:
+                self.messages[at] = message._replace(phase=RESPONSE, body=answered.body)
                 return
--- a/src/cinderstair/simulation/explorer/seeker_actor.py
+++ b/src/cinderstair/simulation/explorer/lease_client_actor.py
@@ -5,40 +5,40 @@
 from ...consensus.lease import Lease
 from ...consensus.roster import Roster
 from .client_actor import ClientActor, Operation, Outcome
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 
 
-class SeekerActor(ClientActor):
+class LeaseClientActor(ClientActor):
     """Its facts say whether it believes, by its own clock, that the duty is its own."""
 
     def __init__(
         self,
         *,
-        recipe: Recipe,
+        spec: ProcessSpec,
         name: str,
         seeds: tuple[str, ...],
         roster: Roster,
-        todo: Sequence[tuple[str, Operation]],
+        script: Sequence[tuple[str, Operation]],
         rate: float,
     ) -> None:
-        super().__init__(recipe=recipe, name=name, seeds=seeds, roster=roster, todo=todo, rate=rate)
+        super().__init__(spec=spec, name=name, seeds=seeds, roster=roster, script=script, rate=rate)
         self.lease = Lease(ctx=self.ctx, register=self.register, name="duty")
 
-    def more(self) -> Hashable:
+    def extra_digest(self) -> Hashable:
         return max(0, self.lease.until_us - self.ctx.now_us()), tuple(
             value for name, value in sorted(vars(self.lease).items()) if isinstance(value, int) and name[-2:] != "Us"
         )
 
-    def facts(self) -> bool:
+    def observation(self) -> bool:
         return self.lease.held
 
 
 async def try_acquire(actor: ClientActor) -> Outcome:
-    assert isinstance(actor, SeekerActor)
+    assert isinstance(actor, LeaseClientActor)
     return ("held" if await actor.lease.try_acquire() else "not held",)
 
 
 async def drop(actor: ClientActor) -> Outcome:
-    assert isinstance(actor, SeekerActor)
+    assert isinstance(actor, LeaseClientActor)
     await actor.lease.drop()
     return ("dropped",)
--- a/src/cinderstair/simulation/explorer/lease_roster_model.py
+++ b/src/cinderstair/simulation/explorer/lease_roster_model.py
@@ -4,12 +4,12 @@
 
 from .actor import Actor
 from .client_actor import ClientActor, Operation
-from .lease_model import FAST, SLOW, LeaseModel
-from .recipe import Recipe
-from .register_model import founded, voter_of
-from .replica_actor import ReplicaActor, files_of
-from .roster_model import leave, replace
-from .seeker_actor import SeekerActor, try_acquire
+from .lease_client_actor import LeaseClientActor, try_acquire
+from .lease_model import FAST_CLOCK_RATE, SLOW_CLOCK_RATE, LeaseModel
+from .process_spec import ProcessSpec
+from .register_model import founding_roster, voter_of
+from .replica_actor import ReplicaActor, disk_files
+from .roster_model import remove_voter, replace_voter
 from .world_state import Budget
 
 
@@ -24,33 +24,37 @@
     budget = Budget(passes=7)
     depth = 400
     turns = 2
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("seek", try_acquire),),
-        (("strike off b", leave(name="b")),),
-        (("replace c by d", replace(leaves="c", enters=voter_of(name="d"))),),
+        (("strike off b", remove_voter(name="b")),),
+        (("replace c by d", replace_voter(leaves="c", enters=voter_of(name="d"))),),
         (("seek", try_acquire), ("seek again", try_acquire), ("seek once more", try_acquire)),
     )
 
-    def recipes(self) -> Sequence[Recipe]:
+    def process_specs(self) -> Sequence[ProcessSpec]:
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
             if process < self.register_replicas:
-                roster = founded(names="abc") if name in "abc" else None
-                files = files_of(ident=voter_of(name=name).ident, roster=roster)
-            found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
+                roster = founding_roster(names="abc") if name in "abc" else None
+                files = disk_files(ident=voter_of(name=name).ident, roster=roster)
+            found.append(ProcessSpec(process=process, run=0, address=f"{name}:1", files=files))
         return found
 
-    def make(self, recipe: Recipe) -> Actor:
-        name = self.names[recipe.process]
-        if recipe.process < self.register_replicas:
-            actor = ReplicaActor(recipe=recipe, name=name, seeds=self.seeds, rate=FAST)
-            actor.up_for_long = recipe.run == 0
+    def make(self, spec: ProcessSpec) -> Actor:
+        name = self.names[spec.process]
+        if spec.process < self.register_replicas:
+            actor = ReplicaActor(spec=spec, name=name, seeds=self.seeds, rate=FAST_CLOCK_RATE)
+            actor.may_grant_leases = spec.run == 0
             return actor
-        todo, roster = self.ops[recipe.process - self.register_replicas], founded(names="abc")
+        script, roster = self.scripts[spec.process - self.register_replicas], founding_roster(names="abc")
         if "seeker" in name:
-            return SeekerActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=SLOW)
-        changer = ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=roster, todo=todo, rate=FAST)
+            return LeaseClientActor(
+                spec=spec, name=name, seeds=self.seeds, roster=roster, script=script, rate=SLOW_CLOCK_RATE
+            )
+        changer = ClientActor(
+            spec=spec, name=name, seeds=self.seeds, roster=roster, script=script, rate=FAST_CLOCK_RATE
+        )
         # why: ballots that begin above those of who went before are not beaten, so that nobody rests meanwhile
-        changer.register.highest_round = recipe.process
+        changer.register.highest_round = spec.process
         return changer
--- a/src/cinderstair/simulation/explorer/local_states.py
+++ b/src/cinderstair/simulation/explorer/local_states.py
@@ -6,26 +6,26 @@
 
 from .actor import Actor
 from .event import Event, Output
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 
-LIVE_MOST = 400
-COMMUTING = ("answer", "lost")
+MAX_LIVE_ACTORS = 400
+COMMUTING_EVENTS = ("answer", "lost")
 
 
 @dataclass(frozen=True, kw_only=True)
 class LocalState:
     """`sealed` and `open_events` stand for its history, where nothing shorter says what it will do."""
 
-    recipe: Recipe
+    spec: ProcessSpec
     history: tuple[Event, ...]
-    sealed: Hashable
-    open_events: tuple[Event, ...]
+    history_id: Hashable
+    unordered_events: tuple[Event, ...]
     files: tuple[tuple[str, bytes], ...]
     syncing: bool
-    due: bool
+    has_timer: bool
     idle: bool
     operations: tuple[str, ...]
-    facts: Hashable
+    observation: Hashable
 
 
 class LocalStates:
@@ -35,98 +35,104 @@
     then on.
     """
 
-    def __init__(self, *, make: Callable[[Recipe], Actor], merging: bool = True) -> None:
+    def __init__(self, *, make: Callable[[ProcessSpec], Actor], merging: bool = True) -> None:
         self.make = make
         self.merging = merging
         self.states: list[LocalState] = []
         self.numbers: dict[Hashable, int] = {}
-        self.sealed: dict[Hashable, int] = {}
-        self.roots: dict[Recipe, tuple[int, tuple[Output, ...]]] = {}
-        self.steps: dict[tuple[int, Event], tuple[int, tuple[Output, ...]]] = {}
-        self.live: OrderedDict[int, Actor] = OrderedDict()
-        self.played = 0
+        self.history_id: dict[Hashable, int] = {}
+        self.initial_states: dict[ProcessSpec, tuple[int, tuple[Output, ...]]] = {}
+        self.transitions: dict[tuple[int, Event], tuple[int, tuple[Output, ...]]] = {}
+        self.live_actors: OrderedDict[int, Actor] = OrderedDict()
+        self.executed_steps = 0
 
-    def root(self, *, recipe: Recipe) -> tuple[int, tuple[Output, ...]]:
+    def initial_state(self, *, spec: ProcessSpec) -> tuple[int, tuple[Output, ...]]:
         """The state in which a process starts, and what it does at once."""
-        known = self.roots.get(recipe)
+        known = self.initial_states.get(spec)
         if known is None:
-            actor = self.make(recipe)
+            actor = self.make(spec)
             outputs = actor.start()
-            known = self._number(actor=actor, history=(), sealed=self._seal(recipe), open_events=()), outputs
-            self.roots[recipe] = known
+            known = (
+                self._number(actor=actor, history=(), history_id=self._history_id(spec), unordered_events=()),
+                outputs,
+            )
+            self.initial_states[spec] = known
         return known
 
     def step(self, *, number: int, event: Event) -> tuple[int, tuple[Output, ...]]:
-        known = self.steps.get((number, event))
+        known = self.transitions.get((number, event))
         if known is not None:
             return known
         state = self.states[number]
-        actor = self._at(number=number)
-        outputs = actor.take(event=event)
-        self.played += 1
-        sealed, open_events = state.sealed, state.open_events
-        if event.kind in COMMUTING and self.merging:
+        actor = self._actor_in(number=number)
+        outputs = actor.handle_event(event=event)
+        self.executed_steps += 1
+        history_id, unordered_events = state.history_id, state.unordered_events
+        if event.kind in COMMUTING_EVENTS and self.merging:
             # why: answers that come to one asker between two of its own steps are counted and compared, never
             # ordered, so that every order of them leaves it the same
-            open_events = tuple(sorted((*open_events, event)))
+            unordered_events = tuple(sorted((*unordered_events, event)))
             if outputs:
-                sealed, open_events = self._seal((sealed, open_events, outputs)), ()
+                history_id, unordered_events = self._history_id((history_id, unordered_events, outputs)), ()
         else:
-            sealed, open_events = self._seal((sealed, open_events, event, outputs)), ()
+            history_id, unordered_events = self._history_id((history_id, unordered_events, event, outputs)), ()
         history = (*state.history, event)
-        known = self._number(actor=actor, history=history, sealed=sealed, open_events=open_events), outputs
-        self.steps[number, event] = known
+        known = (
+            self._number(actor=actor, history=history, history_id=history_id, unordered_events=unordered_events),
+            outputs,
+        )
+        self.transitions[number, event] = known
         return known
 
-    def _seal(self, past: Hashable) -> int:
-        return self.sealed.setdefault(past, len(self.sealed))
+    def _history_id(self, past: Hashable) -> int:
+        return self.history_id.setdefault(past, len(self.history_id))
 
     def _number(
-        self, *, actor: Actor, history: tuple[Event, ...], sealed: Hashable, open_events: tuple[Event, ...]
+        self, *, actor: Actor, history: tuple[Event, ...], history_id: Hashable, unordered_events: tuple[Event, ...]
     ) -> int:
         digest = actor.digest() if self.merging else None
         if digest is not None:
-            sealed, open_events = ("digest", actor.recipe.process, actor.recipe.address, digest), ()
-        number = self.numbers.get((sealed, open_events))
+            history_id, unordered_events = ("digest", actor.spec.process, actor.spec.address, digest), ()
+        number = self.numbers.get((history_id, unordered_events))
         if number is not None:
             actor.discard()
             return number
         number = len(self.states)
-        self.numbers[sealed, open_events] = number
+        self.numbers[history_id, unordered_events] = number
         self.states.append(
             LocalState(
-                recipe=actor.recipe,
+                spec=actor.spec,
                 history=history,
-                sealed=sealed,
-                open_events=open_events,
+                history_id=history_id,
+                unordered_events=unordered_events,
                 files=tuple(sorted(actor.disk.files.items())),
                 syncing=actor.disk.syncing is not None,
-                due=actor.due,
+                has_timer=actor.has_timer,
                 idle=actor.idle,
                 operations=actor.operations,
-                facts=actor.facts(),
+                observation=actor.observation(),
             )
         )
         self._keep(number=number, actor=actor)
         return number
 
     def _keep(self, *, number: int, actor: Actor) -> None:
-        self.live[number] = actor
-        while len(self.live) > LIVE_MOST:
-            self.live.popitem(last=False)[1].discard()
+        self.live_actors[number] = actor
+        while len(self.live_actors) > MAX_LIVE_ACTORS:
+            self.live_actors.popitem(last=False)[1].discard()
 
-    def _at(self, *, number: int) -> Actor:
+    def _actor_in(self, *, number: int) -> Actor:
         """The process itself in that state: still there from before, or played again from its start."""
-        actor = self.live.pop(number, None)
+        actor = self.live_actors.pop(number, None)
         if actor is None:
             state = self.states[number]
-            actor = self.make(state.recipe)
+            actor = self.make(state.spec)
             actor.start()
             for event in state.history:
-                actor.take(event=event)
+                actor.handle_event(event=event)
         return actor
 
     def close(self) -> None:
-        for actor in self.live.values():
+        for actor in self.live_actors.values():
             actor.discard()
-        self.live.clear()
+        self.live_actors.clear()
--- a/src/cinderstair/simulation/explorer/flight.py
+++ b/src/cinderstair/simulation/explorer/message.py
@@ -2,16 +2,16 @@
 
 from typing import NamedTuple
 
-from .event import Token
+from .event import RequestId
 
 # in the order in which a calm world lets them go on
-ANSWER, QUESTION, INSIDE, UNANSWERED, ORPHAN = range(5)
+RESPONSE, REQUEST, PROCESSING, UNANSWERED, ABANDONED = range(5)
 
 
-class Flight(NamedTuple):
+class Message(NamedTuple):
     """`phase` UNANSWERED: nobody will ever answer it. ORPHAN: it still arrives, but nobody waits for its answer."""
 
     phase: int
-    token: Token
+    request_id: RequestId
     address: str
     body: bytes
--- a/src/cinderstair/simulation/explorer/model.py
+++ b/src/cinderstair/simulation/explorer/model.py
@@ -3,9 +3,9 @@
 from collections.abc import Hashable, Sequence
 
 from .actor import Actor
-from .event import BackendHeartbeat
+from .event import OperationEvent
 from .local_states import LocalState
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 from .world_state import Budget
 
 
@@ -21,28 +21,28 @@
     depth = 12
     turns: int | None = None
 
-    def recipes(self) -> Sequence[Recipe]:
+    def process_specs(self) -> Sequence[ProcessSpec]:
         """How each process starts."""
         raise NotImplementedError
 
-    def make(self, recipe: Recipe) -> Actor:
+    def make(self, spec: ProcessSpec) -> Actor:
         raise NotImplementedError
 
-    def first_watch(self) -> Hashable:
+    def initial_monitor(self) -> Hashable:
         return None
 
-    def watch(self, *, watch: Hashable, process: int, said: BackendHeartbeat) -> Hashable:
+    def monitor(self, *, monitor: Hashable, process: int, operation_event: OperationEvent) -> Hashable:
         """What is kept in mind once a client has said something."""
-        return watch
+        return monitor
 
     def wipe_address(self, *, process: int, address: str) -> str:
         """Where a register replica comes back that has lost its disk."""
         return address
 
-    def may_fail(self, *, watch: Hashable) -> bool:
+    def may_lose_disk(self, *, monitor: Hashable) -> bool:
         """Whether disks may be lost yet."""
         return True
 
-    def wrong(self, *, locals_: Sequence[LocalState], watch: Hashable) -> str:
+    def wrong(self, *, local_states: Sequence[LocalState], monitor: Hashable) -> str:
         """Which invariant is broken; empty where none."""
         raise NotImplementedError
--- a/src/cinderstair/simulation/explorer/models.py
+++ b/src/cinderstair/simulation/explorer/models.py
@@ -4,8 +4,8 @@
 from .lease_roster_model import LeaseRosterModel
 from .model import Model
 from .register_model import RegisterModel
-from .returning_model import ReturningModel
-from .roster_model import LeavingModel, RosterModel
+from .returning_model import ReturningVoterModel
+from .roster_model import RosterChangeModel, VoterRemovalModel
 from .wipe_model import MovedWipeModel, WipeModel
 
 MODELS: dict[str, type[Model]] = {
@@ -14,7 +14,7 @@
     "after_ack_wipe_moved": MovedWipeModel,
     "lease": LeaseModel,
     "lease_roster": LeaseRosterModel,
-    "returning": ReturningModel,
-    "roster_change": RosterModel,
-    "roster_leaving": LeavingModel,
+    "returning": ReturningVoterModel,
+    "roster_change": RosterChangeModel,
+    "roster_leaving": VoterRemovalModel,
 }
--- a/src/cinderstair/simulation/explorer/recipe.py
+++ b/src/cinderstair/simulation/explorer/process_spec.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Recipe(NamedTuple):
+class ProcessSpec(NamedTuple):
     """`process`: its place in the model; `run`: how often it was started before; `files`: what its disk holds."""
 
     process: int
--- a/src/cinderstair/simulation/explorer/register_model.py
+++ b/src/cinderstair/simulation/explorer/register_model.py
@@ -11,12 +11,12 @@
 from ...runtime.errors import CinderstairError, ErrorCode
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
-from .event import BackendHeartbeat
-from .guard import apart, missing
+from .event import OperationEvent
+from .invariants import find_disjoint_majorities, find_lost_version
 from .local_states import LocalState
 from .model import Model
-from .recipe import Recipe
-from .replica_actor import ReplicaActor, files_of
+from .process_spec import ProcessSpec
+from .replica_actor import ReplicaActor, disk_files
 from .world_state import Budget
 
 KEY = "key"
@@ -31,17 +31,17 @@
     return Voter(ident=ord(name[0]), name=name, address=f"{name}:1")
 
 
-def founded(*, names: str, epoch: int = 1) -> Roster:
+def founding_roster(*, names: str, epoch: int = 1) -> Roster:
     return Roster(epoch=epoch, voters=tuple(voter_of(name=name) for name in names))
 
 
-class Watch(NamedTuple):
+class RegisterMonitor(NamedTuple):
     """`floors`: by client, the highest version that was known when its operation began; 0 where none runs."""
 
-    top: int
-    floors: tuple[int, ...]
+    highest_version: int
+    known_before: tuple[int, ...]
     values: tuple[tuple[int, str], ...]
-    refused: tuple[str, ...]
+    not_written: tuple[str, ...]
 
 
 def write(version: int) -> Operation:
@@ -74,28 +74,36 @@
     return "read", version_of(result.ok.value), result.ok.value.decode()
 
 
-def heed(*, watch: Watch, client: int, said: BackendHeartbeat) -> Watch | str:
+def check_outcome(*, monitor: RegisterMonitor, client: int, operation_event: OperationEvent) -> RegisterMonitor | str:
     """What a client said, checked against all that was said before; a text says what it breaks."""
-    floors = list(watch.floors)
-    if said.word == "begin":
-        floors[client] = watch.top
-        return watch._replace(floors=tuple(floors))
-    word, version, value = said.outcome[0], int(said.outcome[1]), str(said.outcome[2])
-    floor, floors[client] = floors[client], 0
-    values, refused = dict(watch.values), set(watch.refused)
+    known_before = list(monitor.known_before)
+    if operation_event.word == "begin":
+        known_before[client] = monitor.highest_version
+        return monitor._replace(known_before=tuple(known_before))
+    word, version, value = (
+        operation_event.outcome[0],
+        int(operation_event.outcome[1]),
+        str(operation_event.outcome[2]),
+    )
+    floor, known_before[client] = known_before[client], 0
+    values, not_written = dict(monitor.values), set(monitor.not_written)
     if word in ("done", "read", "taken") and version < floor:
-        return f"version {floor} was known before {said.operation} began, which ended with {version}"
+        return f"version {floor} was known before {operation_event.operation} began, which ended with {version}"
     if word in ("done", "read") and value:
         if values.setdefault(version, value) != value:
             return f"version {version} is {values[version]} and {value}"
         if word == "done" and version <= floor:
             return f"version {version} was written though {floor} was known"
     if word in ("taken", "nothing written"):
-        refused.add(value)
-    for each in refused & set(values.values()):
+        not_written.add(value)
+    for each in not_written & set(values.values()):
         return f"{each} was said not to be written, and is there"
-    top = max(watch.top, version) if word in ("done", "read", "taken") else watch.top
-    return Watch(top, tuple(floors), tuple(sorted(values.items())), tuple(sorted(refused)))
+    highest_version = (
+        max(monitor.highest_version, version) if word in ("done", "read", "taken") else monitor.highest_version
+    )
+    return RegisterMonitor(
+        highest_version, tuple(known_before), tuple(sorted(values.items())), tuple(sorted(not_written))
+    )
 
 
 class RegisterModel(Model):
@@ -106,7 +114,7 @@
     depth = 400
     turns = 2
     seeds = ("a:1", "b:1", "c:1")
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("write 2", write(2)),),
         (("write 2", write(2)),),
         (("read", read), ("read again", read)),
@@ -115,30 +123,34 @@
     def cells(self, *, name: str) -> dict[str, Cell]:
         return {KEY: Cell(promised=FIRST_BALLOT, accepted=FIRST_BALLOT, value=b"1:first")}
 
-    def recipes(self) -> Sequence[Recipe]:
+    def process_specs(self) -> Sequence[ProcessSpec]:
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
             if process < self.register_replicas:
                 ident = voter_of(name=name).ident
-                files = files_of(ident=ident, roster=founded(names="abc"), cells=self.cells(name=name))
-            found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
+                files = disk_files(ident=ident, roster=founding_roster(names="abc"), cells=self.cells(name=name))
+            found.append(ProcessSpec(process=process, run=0, address=f"{name}:1", files=files))
         return found
 
-    def make(self, recipe: Recipe) -> Actor:
-        name = self.names[recipe.process]
-        if recipe.process < self.register_replicas:
-            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds)
-        todo = self.ops[recipe.process - self.register_replicas]
-        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
-
-    def first_watch(self) -> Hashable:
-        return Watch(1, (0,) * len(self.ops), ((1, "1:first"),), ())
-
-    def watch(self, *, watch: Any, process: int, said: BackendHeartbeat) -> Hashable:
-        return heed(watch=watch, client=process - self.register_replicas, said=said)
-
-    def wrong(self, *, locals_: Sequence[LocalState], watch: Any) -> str:
-        register_replicas: Any = tuple(local.facts for local in locals_[: self.register_replicas])
-        lacking = missing(register_replicas=register_replicas, key=KEY, version=watch.top, version_of=version_of)
-        return lacking or apart(register_replicas=register_replicas)
+    def make(self, spec: ProcessSpec) -> Actor:
+        name = self.names[spec.process]
+        if spec.process < self.register_replicas:
+            return ReplicaActor(spec=spec, name=name, seeds=self.seeds)
+        script = self.scripts[spec.process - self.register_replicas]
+        return ClientActor(spec=spec, name=name, seeds=self.seeds, roster=founding_roster(names="abc"), script=script)
+
+    def initial_monitor(self) -> Hashable:
+        return RegisterMonitor(1, (0,) * len(self.scripts), ((1, "1:first"),), ())
+
+    def monitor(self, *, monitor: Any, process: int, operation_event: OperationEvent) -> Hashable:
+        return check_outcome(
+            monitor=monitor, client=process - self.register_replicas, operation_event=operation_event
+        )
+
+    def wrong(self, *, local_states: Sequence[LocalState], monitor: Any) -> str:
+        register_replicas: Any = tuple(local.observation for local in local_states[: self.register_replicas])
+        lacking = find_lost_version(
+            register_replicas=register_replicas, key=KEY, version=monitor.highest_version, version_of=version_of
+        )
+        return lacking or find_disjoint_majorities(register_replicas=register_replicas)
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -14,12 +14,12 @@
 from ...runtime.settings import Settings
 from ..sim_disk import SimDisk
 from .actor import Actor
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 
 Files = tuple[tuple[str, bytes], ...]
 
 
-class ReplicaFacts(NamedTuple):
+class ReplicaObservation(NamedTuple):
     """What a register replica would still know if it lost its power now."""
 
     ident: int
@@ -40,7 +40,7 @@
         return
 
 
-def files_of(*, ident: int, roster: Roster | None = None, cells: dict[str, Cell] | None = None) -> Files:
+def disk_files(*, ident: int, roster: Roster | None = None, cells: dict[str, Cell] | None = None) -> Files:
     """The disk of a register replica that holds this."""
     disk = SimDisk(rng=random.Random(0))
     store = Store(disk=disk).open().ok
@@ -56,31 +56,31 @@
     """Answers as the daemon does; a blank one also meets the others and takes its place again, if it `enters`."""
 
     def __init__(
-        self, *, recipe: Recipe, name: str, seeds: tuple[str, ...], enters: bool = False, rate: float = 1.0
+        self, *, spec: ProcessSpec, name: str, seeds: tuple[str, ...], rejoins: bool = False, rate: float = 1.0
     ) -> None:
-        super().__init__(recipe=recipe, name=name, rate=rate)
+        super().__init__(spec=spec, name=name, rate=rate)
         settings = Settings(
-            name=name, site="hall", records=recipe.address, seeds=seeds, founding_replicas=3, may_found=False
+            name=name, site="hall", records=spec.address, seeds=seeds, founding_replicas=3, may_found=False
         )
-        self.enters = enters
-        self.up_for_long = False
+        self.rejoins = rejoins
+        self.may_grant_leases = False
         self.halts: list[str] = []
         self.register_replica = RegisterReplica(ctx=self.ctx, settings=settings, halt=self.halts.append)
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         opened = self.register_replica.open()
         assert opened.is_ok(), opened
-        if self.up_for_long:
+        if self.may_grant_leases:
             self.register_replica.acceptor.grants.from_us = 0
         self.register_replica.membership = EmptyMembership()  # type: ignore[assignment]
         self.net.handler = self.register_replica.dispatcher.dispatch
-        if self.enters:
+        if self.rejoins:
             self.ctx.spawn(work=self.register_replica.run_joining(), name="register_replica.join")
 
     def digest(self) -> Hashable | None:
         acceptor = self.register_replica.acceptor
         # why: while it asks or syncs, how far its tasks have come is known by its history alone
-        if self.enters or self.disk.syncing is not None or self.net.serving or self.net.waiting:
+        if self.rejoins or self.disk.syncing is not None or self.net.serving or self.net.pending:
             return None
         now_us = self.ctx.now_us()
         leases = [
@@ -99,9 +99,9 @@
             tuple(sorted((voter.name, voter.ident) for voter in self.register_replica.candidates.by_name.values())),
         )
 
-    def facts(self) -> ReplicaFacts:
+    def observation(self) -> ReplicaObservation:
         disk = SimDisk(rng=random.Random(0))
         disk.files = dict(self.disk.files)
         state = Store(disk=disk).open().ok.state
         cells = tuple((key, cell.accepted, cell.value) for key, cell in sorted(state.cells.items()))
-        return ReplicaFacts(state.ident, state.roster, cells)
+        return ReplicaObservation(state.ident, state.roster, cells)
--- a/src/cinderstair/simulation/explorer/returning_model.py
+++ b/src/cinderstair/simulation/explorer/returning_model.py
@@ -6,15 +6,15 @@
 from ...consensus.cell import Cell
 from ...consensus.roster import Roster
 from .client_actor import Operation
-from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, Watch, founded, read, voter_of, write
-from .roster_model import RosterModel, replace
+from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterMonitor, founding_roster, read, voter_of, write
+from .roster_model import RosterChangeModel, replace_voter
 from .world_state import Budget
 
 # of a write that reached c alone, and that no majority ever accepted; higher than what was chosen since
 LOST_BALLOT = Ballot(5, 9)
 
 
-class ReturningModel(RosterModel):
+class ReturningVoterModel(RosterChangeModel):
     """a, b and d vote under epoch 3, and chose version 2; c knows epoch 1 alone, where it accepted another version 2.
 
     An operator has c take d's place again, by its old identity, while others read and write.
@@ -23,8 +23,8 @@
     names: tuple[str, ...] = ("a", "b", "c", "d", "changer-0", "reader", "writer")
     register_replicas = 4
     budget = Budget(restarts=1, timers=6)
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("replace d by c", replace(leaves="d", enters=voter_of(name="c"))),),
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
+        (("replace d by c", replace_voter(leaves="d", enters=voter_of(name="c"))),),
         (("read", read), ("read again", read)),
         (("write 3", write(3)),),
     )
@@ -35,8 +35,8 @@
         chosen = Cell(promised=NEW_BALLOT, accepted=NEW_BALLOT, value=b"2:writer")
         return {KEY: lost if name == "c" else chosen, "other": old}
 
-    def first_watch(self) -> Hashable:
-        return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
+    def initial_monitor(self) -> Hashable:
+        return RegisterMonitor(2, (0,) * len(self.scripts), ((1, "1:first"), (2, "2:writer")), ())
 
-    def roster_of(self, *, name: str) -> Roster | None:
-        return founded(names="abc") if name == "c" else founded(names="abd", epoch=3)
+    def initial_roster(self, *, name: str) -> Roster | None:
+        return founding_roster(names="abc") if name == "c" else founding_roster(names="abd", epoch=3)
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -7,14 +7,24 @@
 from ...consensus.voter_replacement import VoterReplacement, without
 from .actor import Actor
 from .client_actor import ClientActor, Operation, Outcome
-from .event import BackendHeartbeat
-from .recipe import Recipe
-from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterModel, Watch, founded, read, voter_of, write
-from .replica_actor import ReplicaActor, files_of
+from .event import OperationEvent
+from .process_spec import ProcessSpec
+from .register_model import (
+    FIRST_BALLOT,
+    KEY,
+    NEW_BALLOT,
+    RegisterModel,
+    RegisterMonitor,
+    founding_roster,
+    read,
+    voter_of,
+    write,
+)
+from .replica_actor import ReplicaActor, disk_files
 from .world_state import Budget
 
 
-def replace(*, leaves: str, enters: Voter) -> Operation:
+def replace_voter(*, leaves: str, enters: Voter) -> Operation:
     async def operation(actor: ClientActor) -> Outcome:
         voter_replacement = VoterReplacement(ctx=actor.ctx, register=actor.register)
         result = await voter_replacement.replace_voter(leaves=leaves, enters=enters, max_voters=3)
@@ -23,7 +33,7 @@
     return operation
 
 
-def leave(*, name: str) -> Operation:
+def remove_voter(*, name: str) -> Operation:
     """The first half of a replacement, whose second half never comes."""
 
     async def operation(actor: ClientActor) -> Outcome:
@@ -34,7 +44,7 @@
     return operation
 
 
-class RosterModel(RegisterModel):
+class RosterChangeModel(RegisterModel):
     """Three voters; d and e are empty register replicas at other addresses, and each is to take a place. b and c know
     version 2 of the key, and a missed it.
 
@@ -47,9 +57,9 @@
     budget = Budget(timers=6)
     depth = 400
     turns = 2
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("replace b by d", replace(leaves="b", enters=voter_of(name="d"))),),
-        (("replace c by e", replace(leaves="c", enters=voter_of(name="e"))),),
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
+        (("replace b by d", replace_voter(leaves="b", enters=voter_of(name="d"))),),
+        (("replace c by e", replace_voter(leaves="c", enters=voter_of(name="e"))),),
         (("write 3", write(3)), ("read", read)),
     )
 
@@ -58,48 +68,50 @@
         new = Cell(promised=NEW_BALLOT, accepted=NEW_BALLOT, value=b"2:writer")
         return {KEY: old if name == "a" else new, "other": old}
 
-    def first_watch(self) -> Hashable:
-        return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
+    def initial_monitor(self) -> Hashable:
+        return RegisterMonitor(2, (0,) * len(self.scripts), ((1, "1:first"), (2, "2:writer")), ())
 
-    def roster_of(self, *, name: str) -> Roster | None:
+    def initial_roster(self, *, name: str) -> Roster | None:
         """The roster on a register replica's disk; None for an empty one.
 
         Of any other process: the one that it knows.
         """
-        return None if name in "de" else founded(names="abc")
+        return None if name in "de" else founding_roster(names="abc")
 
-    def recipes(self) -> Sequence[Recipe]:
+    def process_specs(self) -> Sequence[ProcessSpec]:
         found = []
         for process, name in enumerate(self.names):
             files: tuple[tuple[str, bytes], ...] = ()
             if process < self.register_replicas:
-                roster = self.roster_of(name=name)
+                roster = self.initial_roster(name=name)
                 cells = None if roster is None else self.cells(name=name)
-                files = files_of(ident=voter_of(name=name).ident, roster=roster, cells=cells)
-            found.append(Recipe(process=process, run=0, address=f"{name}:1", files=files))
+                files = disk_files(ident=voter_of(name=name).ident, roster=roster, cells=cells)
+            found.append(ProcessSpec(process=process, run=0, address=f"{name}:1", files=files))
         return found
 
-    def make(self, recipe: Recipe) -> Actor:
-        name = self.names[recipe.process]
-        if recipe.process < self.register_replicas:
-            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds)
-        todo = self.ops[recipe.process - self.register_replicas]
-        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=self.roster_of(name=name), todo=todo)
+    def make(self, spec: ProcessSpec) -> Actor:
+        name = self.names[spec.process]
+        if spec.process < self.register_replicas:
+            return ReplicaActor(spec=spec, name=name, seeds=self.seeds)
+        script = self.scripts[spec.process - self.register_replicas]
+        return ClientActor(
+            spec=spec, name=name, seeds=self.seeds, roster=self.initial_roster(name=name), script=script
+        )
 
-    def watch(self, *, watch: object, process: int, said: BackendHeartbeat) -> object:  # type: ignore[override]
+    def monitor(self, *, monitor: object, process: int, operation_event: OperationEvent) -> object:  # type: ignore[override]
         # why: what a changer says of its own work binds nobody; what the register replicas hold is judged
         if "changer" in self.names[process]:
-            return watch
-        return super().watch(watch=watch, process=process, said=said)
+            return monitor
+        return super().monitor(monitor=monitor, process=process, operation_event=operation_event)
 
 
-class LeavingModel(RosterModel):
+class VoterRemovalModel(RosterChangeModel):
     """Only the first halves: two voters are struck off at once, and nobody takes their places."""
 
     names: tuple[str, ...] = ("a", "b", "c", "changer-0", "changer-1", "reader")
     register_replicas = 3
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("strike off b", leave(name="b")),),
-        (("strike off c", leave(name="c")),),
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
+        (("strike off b", remove_voter(name="b")),),
+        (("strike off c", remove_voter(name="c")),),
         (("read", read),),
     )
--- a/src/cinderstair/simulation/explorer/search.py
+++ b/src/cinderstair/simulation/explorer/search.py
@@ -7,7 +7,7 @@
 from .search_report import SearchReport
 from .space import Space
 
-TELL_EVERY = 20_000
+PROGRESS_INTERVAL_STATES = 20_000
 
 
 class Search:
@@ -23,17 +23,17 @@
         space: Space,
         depth: int,
         turns: int | None = None,
-        most_states: int = 10_000_000,
-        tell: Callable[[SearchReport], None] = lambda report: None,
+        max_states: int = 10_000_000,
+        on_progress: Callable[[SearchReport], None] = lambda report: None,
     ) -> None:
         self.space = space
         self.depth = depth
         self.turns = turns
-        self.most_states = most_states
-        self.tell = tell
+        self.max_states = max_states
+        self.on_progress = on_progress
         self.report = SearchReport()
         # by state: from which one it was reached, and by which of its choices
-        self.origins: list[tuple[int, int]] = []
+        self.predecessors: list[tuple[int, int]] = []
         self.seen: dict[bytes, int] = {}
         # by state: with how few turns it was reached
         self.turned: list[int] = []
@@ -41,11 +41,11 @@
     def run(self) -> SearchReport:
         report, space = self.report, self.space
         first = space.initial()
-        self._note(digest=space.digest(state=first), origin=(-1, -1), turned=0)
+        self._add_state(digest=space.digest(state=first), predecessor=(-1, -1), turned=0)
         wrong = space.wrong(state=first)
-        waiting: deque[tuple[Any, int, int, int]] = deque([(first, 0, 0, 0)])
-        while waiting and not wrong:
-            state, number, depth, turned = waiting.popleft()
+        frontier: deque[tuple[Any, int, int, int]] = deque([(first, 0, 0, 0)])
+        while frontier and not wrong:
+            state, number, depth, turned = frontier.popleft()
             # why: it was put in line again with fewer turns, and has been gone through with those
             if turned > self.turned[number]:
                 continue
@@ -57,52 +57,52 @@
             if depth >= self.depth:
                 report.pruned += 1
                 continue
-            for index, choice in enumerate(choices):
+            for index, action in enumerate(choices):
                 cost = 1 if index and self.turns is not None else 0
                 if self.turns is not None and turned + cost > self.turns:
                     report.held_back += len(choices) - index
                     break
                 report.transitions += 1
-                following = space.step(state=state, choice=choice)
+                following = space.step(state=state, action=action)
                 digest = space.digest(state=following)
                 known = self.seen.get(digest)
                 if known is not None:
                     if turned + cost >= self.turned[known]:
                         continue
                     self.turned[known] = turned + cost
-                    self.origins[known] = (number, index)
-                elif report.states >= self.most_states:
+                    self.predecessors[known] = (number, index)
+                elif report.states >= self.max_states:
                     report.left += 1
                     continue
                 else:
-                    known = self._note(digest=digest, origin=(number, index), turned=turned + cost)
+                    known = self._add_state(digest=digest, predecessor=(number, index), turned=turned + cost)
                     wrong = space.wrong(state=following)
                     if wrong:
-                        self._explain(number=known, wrong=wrong)
+                        self._record_counterexample(number=known, wrong=wrong)
                         break
-                    if report.states % TELL_EVERY == 0:
-                        self.tell(report)
+                    if report.states % PROGRESS_INTERVAL_STATES == 0:
+                        self.on_progress(report)
                 entry = (following, known, depth + 1, turned + cost)
                 if cost or self.turns is None:
-                    waiting.append(entry)
+                    frontier.append(entry)
                 else:
-                    waiting.appendleft(entry)
+                    frontier.appendleft(entry)
         if wrong and not report.wrong:
-            self._explain(number=0, wrong=wrong)
+            self._record_counterexample(number=0, wrong=wrong)
         return report
 
-    def _note(self, *, digest: bytes, origin: tuple[int, int], turned: int) -> int:
-        number = len(self.origins)
+    def _add_state(self, *, digest: bytes, predecessor: tuple[int, int], turned: int) -> int:
+        number = len(self.predecessors)
         self.seen[digest] = number
-        self.origins.append(origin)
+        self.predecessors.append(predecessor)
         self.turned.append(turned)
         self.report.states += 1
         return number
 
-    def _explain(self, *, number: int, wrong: str) -> None:
+    def _record_counterexample(self, *, number: int, wrong: str) -> None:
         choices: list[int] = []
-        while self.origins[number][0] >= 0:
-            number, index = self.origins[number]
+        while self.predecessors[number][0] >= 0:
+            number, index = self.predecessors[number]
             choices.append(index)
         self.report.wrong = wrong
         self.report.choices = choices[::-1]
@@ -117,7 +117,7 @@
     state: Any = space.initial()
     reported = []
     for index in choices:
-        choice = space.choices(state=state)[index]
-        reported.append(space.reported(state=state, choice=choice))
-        state = space.step(state=state, choice=choice)
+        action = space.choices(state=state)[index]
+        reported.append(space.reported(state=state, action=action))
+        state = space.step(state=state, action=action)
     return reported, space.wrong(state=state)
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -52,23 +52,23 @@
     return [patch.object(Acceptor, "_accept", accept)]
 
 
-def blank_votes() -> Patches:
+def blank_replica_votes() -> Patches:
     """A blank register replica votes in the place of the one that lost its disk."""
     refusal = Acceptor._refusal
 
-    def other_epochs_alone(self: Any, *, epoch: int, key: str) -> Applied | None:
+    def refuse_other_epochs_only(self: Any, *, epoch: int, key: str) -> Applied | None:
         # why: only who is no voter is let vote; of another epoch it is told as ever
         return refusal(self, epoch=epoch, key=key) if epoch != self.epoch else None
 
-    return [patch.object(Acceptor, "_refusal", other_epochs_alone)]
+    return [patch.object(Acceptor, "_refusal", refuse_other_epochs_only)]
 
 
-def no_margin() -> Patches:
+def no_lease_margin() -> Patches:
     """A holder believes until the very end of its lease."""
     return [patch.object(lease, "MARGIN_US", 0)]
 
 
-def grants_at_once() -> Patches:
+def grants_after_restart() -> Patches:
     """A register replica that starts again grants what it may have granted before."""
     init = Acceptor.__init__
 
@@ -78,7 +78,7 @@
     return [patch.object(Acceptor, "__init__", fresh)]
 
 
-def same_number() -> Patches:
+def reuses_lease_number() -> Patches:
     """A daemon seeks under the number that it gave back."""
 
     async def give_back(self: Any) -> None:
@@ -87,16 +87,18 @@
     return [patch.object(Lease, "_give_back", give_back)]
 
 
-def second_leaves_at_once() -> Patches:
+def skips_lease_wait() -> Patches:
     """A second voter is taken off without waiting for leases."""
 
-    async def outwait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
+    async def skip_wait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
 
-    return [patch.object(VoterReplacement, "_await_lease_ends", outwait)]
+    return [patch.object(VoterReplacement, "_await_lease_ends", skip_wait)]
 
 
-async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
+async def change_roster_unchecked(
+    self: Any, *, alter: Callable[[Roster], Roster]
+) -> Result[Roster, CinderstairError]:
     """As Register.change_roster, without a look at how much changes and whether another change came first."""
     highest = await self.vector()
     for key in highest.ok if highest.is_ok() else ():
@@ -119,17 +121,17 @@
     return Ok(wanted)
 
 
-def overtaken_goes_on() -> Patches:
+def ignores_concurrent_change() -> Patches:
     """A change of the roster goes on from one that came while it wrote the keys again."""
-    return [patch.object(Register, "change_roster", change_blindly)]
+    return [patch.object(Register, "change_roster", change_roster_unchecked)]
 
 
-def old_cells_kept() -> Patches:
+def keeps_removed_voter_cells() -> Patches:
     """A register replica that is no voter any more keeps what it accepted as one."""
     return [patch.object(Acceptor, "_clear_cells", lambda self: ())]
 
 
-def enters_untold() -> Patches:
+def readds_voter_with_stale_roster() -> Patches:
     """A register replica is made a voter again without having adopted a roster that lacks it."""
 
     reported = Register.send_roster
@@ -141,7 +143,7 @@
     return [patch.object(Register, "send_roster", send_roster)]
 
 
-def two_at_once() -> Patches:
+def replaces_two_voters() -> Patches:
     """A replacement is one change of two voters."""
 
     async def replace_voter(
@@ -151,33 +153,33 @@
             stay = tuple(voter for voter in current.voters if voter.name != leaves)
             return Roster(epoch=current.epoch + 1, voters=(*stay, enters))
 
-        return await change_blindly(self.register, alter=alter)
+        return await change_roster_unchecked(self.register, alter=alter)
 
     return [patch.object(VoterReplacement, "replace_voter", replace_voter)]
 
 
-FAULTS: dict[str, Callable[[], Patches]] = {
+SEEDED_BUGS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
         answers_before_sync,
         accepts_any_ballot,
-        blank_votes,
-        no_margin,
-        grants_at_once,
-        same_number,
-        second_leaves_at_once,
-        overtaken_goes_on,
-        old_cells_kept,
-        enters_untold,
-        two_at_once,
+        blank_replica_votes,
+        no_lease_margin,
+        grants_after_restart,
+        reuses_lease_number,
+        skips_lease_wait,
+        ignores_concurrent_change,
+        keeps_removed_voter_cells,
+        readds_voter_with_stale_roster,
+        replaces_two_voters,
     )
 }
 
 
 @contextmanager
-def switched_in(*, name: str) -> Iterator[None]:
+def with_seeded_bug(*, name: str) -> Iterator[None]:
     """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
     with ExitStack() as stack:
-        for each in FAULTS[name]() if name else []:
+        for each in SEEDED_BUGS[name]() if name else []:
             stack.enter_context(each)
         yield
--- a/src/cinderstair/simulation/explorer/space.py
+++ b/src/cinderstair/simulation/explorer/space.py
@@ -13,7 +13,7 @@
         """What may happen next, in a fixed order; the first is what happens in a calm world."""
         ...
 
-    def step(self, *, state: Any, choice: Any) -> Hashable: ...
+    def step(self, *, state: Any, action: Any) -> Hashable: ...
 
     def digest(self, *, state: Any) -> bytes:
         """The same for states that are the same."""
@@ -23,6 +23,6 @@
         """Which invariant the state breaks; empty where none."""
         ...
 
-    def reported(self, *, state: Any, choice: Any) -> str:
+    def reported(self, *, state: Any, action: Any) -> str:
         """The choice in words."""
         ...
--- a/src/cinderstair/simulation/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -5,8 +5,17 @@
 from ...consensus.cell import Cell
 from .actor import Actor
 from .client_actor import ClientActor, Operation
-from .recipe import Recipe
-from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterModel, Watch, founded, read, write
+from .process_spec import ProcessSpec
+from .register_model import (
+    FIRST_BALLOT,
+    KEY,
+    NEW_BALLOT,
+    RegisterModel,
+    RegisterMonitor,
+    founding_roster,
+    read,
+    write,
+)
 from .replica_actor import ReplicaActor
 from .world_state import Budget
 
@@ -22,7 +31,7 @@
     budget = Budget(wipes=1, timers=12)
     depth = 400
     turns = 2
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("read", read), ("read again", read)),
         (("write 3", write(3)),),
     )
@@ -32,15 +41,15 @@
             return {KEY: Cell(promised=NEW_BALLOT, accepted=NEW_BALLOT, value=b"2:writer")}
         return {KEY: Cell(promised=FIRST_BALLOT, accepted=FIRST_BALLOT, value=b"1:first")}
 
-    def make(self, recipe: Recipe) -> Actor:
-        name = self.names[recipe.process]
-        if recipe.process < self.register_replicas:
-            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds, enters=recipe.blank)
-        todo = self.ops[recipe.process - self.register_replicas]
-        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
+    def make(self, spec: ProcessSpec) -> Actor:
+        name = self.names[spec.process]
+        if spec.process < self.register_replicas:
+            return ReplicaActor(spec=spec, name=name, seeds=self.seeds, rejoins=spec.blank)
+        script = self.scripts[spec.process - self.register_replicas]
+        return ClientActor(spec=spec, name=name, seeds=self.seeds, roster=founding_roster(names="abc"), script=script)
 
-    def first_watch(self) -> Hashable:
-        return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
+    def initial_monitor(self) -> Hashable:
+        return RegisterMonitor(2, (0,) * len(self.scripts), ((1, "1:first"), (2, "2:writer")), ())
 
 
 class MovedWipeModel(WipeModel):
--- a/src/cinderstair/simulation/explorer/world_state.py
+++ b/src/cinderstair/simulation/explorer/world_state.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable
 from typing import NamedTuple
 
-from .flight import Flight
+from .message import Message
 
 
 class Budget(NamedTuple):
@@ -24,9 +24,9 @@
     `last`: whose operation went on last; -2 where it was time, -1 where that is not kept.
     """
 
-    places: tuple[int, ...]
+    local_numbers: tuple[int, ...]
     runs: tuple[int, ...]
-    flights: tuple[Flight, ...]
+    messages: tuple[Message, ...]
     budget: Budget
-    watch: Hashable
-    last: int = -1
+    monitor: Hashable
+    last_process: int = -1
