--- a/features/simulation/explorer/search.feature
+++ b/features/simulation/explorer/search.feature
@@ -1,37 +1,37 @@
-Feature: The search through all states
-  A space of its own here: two counters, each of which may go up by one, up to three.
+Feature: The search explores all states within its bounds
+  The state space here: two counters, each of which can be incremented up to 3.
 
-  Scenario: All states are seen, each once, and the bounds say what they cut off
+  Scenario: Every state is explored once, and the report counts what the bounds cut off
     When the counters are searched to depth 9
-    Then 16 states were seen with 24 transitions, and nothing was cut off
+    Then 16 states and 24 transitions were explored, and nothing was cut off
     When the counters are searched to depth 2
-    Then 6 states were seen with 6 transitions, and 3 were cut off by the depth
+    Then 6 states and 6 transitions were explored, and the depth bound cut off 3 states
     When the counters are searched to depth 9 with 0 turns
-    Then 7 states were seen with 6 transitions, and 3 choices were held back
+    Then 7 states and 6 transitions were explored, and 3 actions exceeded the turns
 
-  Scenario: A wrong state is told with a shortest way to it, which can be replayed
-    Given a counter that must not reach 2 while the other is at 1
+  Scenario: A violation is reported with a shortest counterexample, which can be replayed
+    Given an invariant that forbids the first counter at 1 with the second at 2
     When the counters are searched to depth 9
-    Then the wrong state was found after "second goes up, second goes up, first goes up"
-    And the same choices lead to it again
+    Then the counterexample consists of "increment second, increment second, increment first"
+    And replaying its schedule leads to the same violation
 
-  Scenario: Two searches of one model say the same
+  Scenario: Two searches of one model return equal reports
     When the model "register" is explored twice to depth 3
-    Then both reports are the same
+    Then both search reports are equal
 
-  Scenario: Merged histories lose no outcome
+  Scenario: Merging equivalent histories loses no outcome
     When the model "register" is explored within 1 turns with and without merging
-    Then what clients and disks were seen to know is the same, with fewer states
+    Then both explorations reach the same observations, and merging needs fewer states
 
-  Scenario Outline: Arguments that can't be read are named: <arguments>
-    When the explorer is called with "<arguments>"
-    Then it ends with 2 and names "<words>"
+  Scenario Outline: Invalid arguments are rejected: <arguments>
+    When the explorer command line runs with "<arguments>"
+    Then the explorer exits with 2 and reports "<words>"
 
     Examples:
-      | arguments                         | words                |
-      | --depth 3                         | --model              |
-      | --model nothing                   | invalid choice       |
-      | --model lease --depth -1          | not a count          |
-      | --model lease --losses x          | --losses             |
-      | --model lease --breadth --turns 1 | knows no turns       |
-      | --model lease --replay 0,99       | no such choice       |
+      | arguments                         | words                          |
+      | --depth 3                         | --model                        |
+      | --model nothing                   | invalid choice                 |
+      | --model lease --depth -1          | not a non-negative integer     |
+      | --model lease --losses x          | --losses                       |
+      | --model lease --breadth --turns 1 | can't be combined with --turns |
+      | --model lease --replay 0,99       | beyond the enabled actions     |
--- a/features/steps/explorer_steps.py
+++ b/features/steps/explorer_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the explorer and its models."""
+"""Steps for the explorer's search and its models."""
 
 import contextlib
 import io
@@ -13,12 +13,12 @@
 from cinderstair.simulation.explorer.search import Search, replay
 from cinderstair.simulation.explorer.world_state import Budget
 
-NAMES = ("first", "second")
-MOST = 3
+COUNTER_NAMES = ("first", "second")
+COUNTER_MAX = 3
 
 
 class Counters:
-    """Two numbers, each of which may go up."""
+    """A space of two counters, each of which can be incremented up to COUNTER_MAX."""
 
     def __init__(self, *, forbidden: tuple[int, int] | None = None) -> None:
         self.forbidden = forbidden
@@ -26,8 +26,8 @@
     def initial(self) -> tuple[int, int]:
         return 0, 0
 
-    def choices(self, *, state: tuple[int, int]) -> list[int]:
-        return [at for at in (0, 1) if state[at] < MOST]
+    def enabled_actions(self, *, state: tuple[int, int]) -> list[int]:
+        return [counter for counter in (0, 1) if state[counter] < COUNTER_MAX]
 
     def step(self, *, state: tuple[int, int], action: int) -> tuple[int, int]:
         return (state[0] + 1, state[1]) if action == 0 else (state[0], state[1] + 1)
@@ -35,15 +35,15 @@
     def digest(self, *, state: tuple[int, int]) -> bytes:
         return bytes(state)
 
-    def wrong(self, *, state: tuple[int, int]) -> str:
+    def violation(self, *, state: tuple[int, int]) -> str:
         return "forbidden" if state == self.forbidden else ""
 
-    def reported(self, *, state: tuple[int, int], action: int) -> str:
-        return f"{NAMES[action]} goes up"
+    def describe(self, *, state: tuple[int, int], action: int) -> str:
+        return f"increment {COUNTER_NAMES[action]}"
 
 
-@given("a counter that must not reach 2 while the other is at 1")
-def given_forbidden(context: Any) -> None:
+@given("an invariant that forbids the first counter at 1 with the second at 2")
+def given_forbidden_state(context: Any) -> None:
     context.space = Counters(forbidden=(1, 2))
 
 
@@ -62,34 +62,36 @@
     search(context=context, depth=depth, turns=turns)
 
 
-@then("{states:d} states were seen with {transitions:d} transitions, and nothing was cut off")
-def then_all(context: Any, states: int, transitions: int) -> None:
+@then("{states:d} states and {transitions:d} transitions were explored, and nothing was cut off")
+def then_exhausted(context: Any, states: int, transitions: int) -> None:
     assert (context.report.states, context.report.transitions) == (states, transitions), context.report
     assert context.report.exhausted and context.report.ends == 1, context.report
 
 
-@then("{states:d} states were seen with {transitions:d} transitions, and {pruned:d} were cut off by the depth")
+@then(
+    "{states:d} states and {transitions:d} transitions were explored, and the depth bound cut off {pruned:d} states"
+)
 def then_pruned(context: Any, states: int, transitions: int, pruned: int) -> None:
     report = context.report
     assert (report.states, report.transitions, report.pruned) == (states, transitions, pruned), report
     assert not report.exhausted
 
 
-@then("{states:d} states were seen with {transitions:d} transitions, and {held:d} choices were held back")
-def then_held(context: Any, states: int, transitions: int, held: int) -> None:
+@then("{states:d} states and {transitions:d} transitions were explored, and {held_back:d} actions exceeded the turns")
+def then_held_back(context: Any, states: int, transitions: int, held_back: int) -> None:
     report = context.report
-    assert (report.states, report.transitions, report.held_back) == (states, transitions, held), report
+    assert (report.states, report.transitions, report.held_back) == (states, transitions, held_back), report
     assert not report.exhausted
 
 
-@then('the wrong state was found after "{reported}"')
-def then_found(context: Any, reported: str) -> None:
+@then('the counterexample consists of "{actions}"')
+def then_counterexample(context: Any, actions: str) -> None:
     assert context.report.wrong == "forbidden"
-    assert sorted(context.report.reported) == sorted(reported.split(", ")), context.report
+    assert sorted(context.report.reported) == sorted(actions.split(", ")), context.report
 
 
-@then("the same choices lead to it again")
-def then_again(context: Any) -> None:
+@then("replaying its schedule leads to the same violation")
+def then_replayed(context: Any) -> None:
     assert replay(space=context.space, choices=context.report.choices) == (context.report.reported, "forbidden")
 
 
@@ -98,53 +100,55 @@
     context.reports = [Exploration(model=model, breadth=True, depth=depth).run() for _ in range(2)]
 
 
-@then("both reports are the same")
-def then_same(context: Any) -> None:
+@then("both search reports are equal")
+def then_equal(context: Any) -> None:
     assert context.reports[0] == context.reports[1]
 
 
 @when('the model "{name}" is explored within {turns:d} turns with and without merging')
 def when_merging(context: Any, name: str, turns: int) -> None:
-    context.known, context.counts = [], []
+    context.observations, context.state_counts = [], []
     for merging in (True, False):
         model = MODELS[name]()
         world = ExploredWorld(model=model, budget=Budget(losses=1), merging=merging)
-        known = set()
-        wrong = model.wrong
+        observations = set()
+        violation = model.violation
 
-        def noted(*, local_states: Any, monitor: Any, known: Any = known, wrong: Any = wrong) -> str:
-            known.add((monitor, tuple(local.observation for local in local_states)))
-            return wrong(local_states=local_states, monitor=monitor)
+        def record_observation(
+            *, local_states: Any, monitor: Any, observations: Any = observations, violation: Any = violation
+        ) -> str:
+            observations.add((monitor, tuple(local.observation for local in local_states)))
+            return violation(local_states=local_states, monitor=monitor)
 
-        model.wrong = noted  # type: ignore[method-assign]
+        model.violation = record_observation  # type: ignore[method-assign]
         report = Search(space=world, depth=200, turns=turns).run()
         world.close()
         assert not report.wrong, report
-        context.known.append(known)
-        context.counts.append(report.states)
+        context.observations.append(observations)
+        context.state_counts.append(report.states)
 
 
-@then("what clients and disks were seen to know is the same, with fewer states")
-def then_merged(context: Any) -> None:
-    merged, unmerged = context.known
+@then("both explorations reach the same observations, and merging needs fewer states")
+def then_merging_equivalent(context: Any) -> None:
+    merged, unmerged = context.observations
     assert merged == unmerged, (len(merged), len(unmerged))
-    assert context.counts[0] < context.counts[1], context.counts
+    assert context.state_counts[0] < context.state_counts[1], context.state_counts
 
 
-@when('the explorer is called with "{arguments}"')
-def when_called(context: Any, arguments: str) -> None:
-    context.said = io.StringIO()
-    context.code = 0
-    with contextlib.redirect_stderr(context.said):
+@when('the explorer command line runs with "{arguments}"')
+def when_command_line(context: Any, arguments: str) -> None:
+    context.stderr = io.StringIO()
+    context.exit_code = 0
+    with contextlib.redirect_stderr(context.stderr):
         try:
-            context.code = main(arguments.split())
-        except SystemExit as ended:
-            context.code = ended.code
+            context.exit_code = main(arguments.split())
+        except SystemExit as exit_error:
+            context.exit_code = exit_error.code
 
 
-@then('it ends with {code:d} and names "{words}"')
-def then_named(context: Any, code: int, words: str) -> None:
-    assert context.code == code and words in context.said.getvalue(), context.said.getvalue()
+@then('the explorer exits with {code:d} and reports "{words}"')
+def then_rejected(context: Any, code: int, words: str) -> None:
+    assert context.exit_code == code and words in context.stderr.getvalue(), context.stderr.getvalue()
 
 
 @when('the model "{model}" is explored within {turns:d} turns')
@@ -157,25 +161,25 @@
     context.report = Exploration(model=model, breadth=True, depth=depth).run()
 
 
-@when('the model "{model}" is explored within {turns:d} turns with the fault {fault} and {budget}')
-def when_fault(context: Any, model: str, turns: int, fault: str, budget: str) -> None:
+@when('the model "{model}" is explored within {turns:d} turns with the seeded bug {fault} and the budget "{budget}"')
+def when_explored_with_bug(context: Any, model: str, turns: int, fault: str, budget: str) -> None:
     given_budget: dict[str, int] = {}
-    if budget != "its own budget":
+    if budget != "default":
         given_budget = dict.fromkeys(Budget._fields, 0)
-    if budget not in ("its own budget", "nothing"):
+    if budget not in ("default", "empty"):
         number, name = budget.split()
         given_budget[name] = int(number)
     context.report = Exploration(model=model, turns=turns, fault=fault, budget=given_budget).run()
 
 
-@then("no state is wrong, and all of at least {states:d} within the bounds were seen")
-def then_none(context: Any, states: int) -> None:
+@then("no state violates an invariant, and all states within the bounds, at least {states:d}, were explored")
+def then_no_violation(context: Any, states: int) -> None:
     report = context.report
     assert not report.wrong, (report.wrong, report.reported)
     assert report.states >= states and not report.left, report
 
 
-@then('a state is wrong: "{words}"')
-def then_wrong(context: Any, words: str) -> None:
+@then('a violation with "{words}" is reported with its counterexample')
+def then_violation(context: Any, words: str) -> None:
     assert words in context.report.wrong, context.report
     assert context.report.reported
--- a/src/cinderstair/simulation/explorer/__init__.py
+++ b/src/cinderstair/simulation/explorer/__init__.py
@@ -1,1 +1,1 @@
-"""Small cases of the register, the lease and the roster's change, explored exhaustively on the real classes."""
+"""Explicit-state model checker: runs the product's classes through all schedules of small models."""
--- a/src/cinderstair/simulation/explorer/__main__.py
+++ b/src/cinderstair/simulation/explorer/__main__.py
@@ -1,7 +1,7 @@
-"""Explores a small case of the register, the lease or the roster's change, all of it within bounds.
+"""Explores all states of a small model of the register, the lease or the roster change within bounds.
 
-The result goes to standard output as JSON, the progress to standard error. Ends with 1 where a state is wrong, with 2
-where the arguments can't be read.
+The result goes to standard output as JSON, progress to standard error. Exits with 1 if a state violates an invariant,
+with 2 if the arguments are invalid.
 """
 
 import argparse
@@ -15,49 +15,64 @@
 from .search_report import SearchReport
 from .seeded_bugs import SEEDED_BUGS
 
-BUDGET_WORDS = {
+BUDGET_HELP = {
     "losses": "messages may be lost",
-    "late": "questions may arrive after they were given up",
-    "doubles": "questions may arrive twice",
-    "restarts": "register replicas may lose their power",
-    "wipes": "register replicas may lose their disks",
-    "passes": "times a second may pass",
+    "late": "requests may arrive after their sender timed out",
+    "doubles": "requests may be delivered twice",
+    "restarts": "times a register replica may crash and restart",
+    "wipes": "times a register replica may lose its disk",
+    "passes": "times the clocks may advance by a second",
     "timers": "timers may fire",
 }
 
 
 def count(text: str) -> int:
+    """Parses a non-negative integer."""
     number = int(text)
     if number < 0:
-        raise argparse.ArgumentTypeError(f"{text}: not a count")
+        raise argparse.ArgumentTypeError(f"{text}: not a non-negative integer")
     return number
 
 
-def choice_list(text: str) -> list[int]:
+def schedule(text: str) -> list[int]:
+    """Parses a comma-separated list of action indices."""
     return [count(part) for part in text.split(",")]
 
 
 def parser() -> argparse.ArgumentParser:
-    found = argparse.ArgumentParser(prog="python -m cinderstair.simulation.explorer", description=__doc__)
-    found.add_argument("--model", required=True, choices=list(MODELS))
-    found.add_argument("--depth", type=count, help="the most choices on a way (default: the model's)")
-    found.add_argument("--turns", type=count, help="the most choices other than the first (default: the model's)")
-    found.add_argument(
-        "--breadth", action="store_true", help="every choice costs the same: shortest ways, small depths"
+    """The parser of the command line."""
+    arguments = argparse.ArgumentParser(prog="python -m cinderstair.simulation.explorer", description=__doc__)
+    arguments.add_argument("--model", required=True, choices=list(MODELS))
+    arguments.add_argument("--depth", type=count, help="maximum number of actions on a path (default: the model's)")
+    arguments.add_argument(
+        "--turns", type=count, help="maximum number of deviations from the default schedule (default: the model's)"
     )
-    found.add_argument("--states", type=count, default=1_000_000, help="the most states (default: a million)")
-    for name, words in BUDGET_WORDS.items():
-        found.add_argument(f"--{name}", type=count, help=f"how many {words} (default: the model's)")
-    found.add_argument("--fault", default="", choices=["", *SEEDED_BUGS], help="a fault to switch in")
-    found.add_argument("--replay", type=choice_list, metavar="N,N,...", help="only these, other arguments as before")
-    return found
+    arguments.add_argument(
+        "--breadth",
+        action="store_true",
+        help="search breadth first without a bound on turns: shortest counterexample",
+    )
+    arguments.add_argument(
+        "--states", type=count, default=1_000_000, help="maximum number of states (default: 1000000)"
+    )
+    for name, words in BUDGET_HELP.items():
+        arguments.add_argument(f"--{name}", type=count, help=f"how many {words} (default: the model's)")
+    arguments.add_argument("--fault", default="", choices=["", *SEEDED_BUGS], help="seeded bug to enable")
+    arguments.add_argument(
+        "--replay",
+        type=schedule,
+        metavar="N,N,...",
+        help="replay this schedule only; give the other arguments as in the search",
+    )
+    return arguments
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs the command line and returns the exit code."""
     options = parser().parse_args(argv)
     if options.breadth and options.turns is not None:
-        parser().error("--breadth knows no turns")
-    given = {name: getattr(options, name) for name in BUDGET_WORDS}
+        parser().error("--breadth can't be combined with --turns")
+    given = {name: getattr(options, name) for name in BUDGET_HELP}
     exploration = Exploration(
         model=options.model,
         depth=options.depth,
@@ -69,11 +84,11 @@
     )
     if options.replay is not None:
         try:
-            reported, wrong = exploration.replay(choices=options.replay)
+            descriptions, violation = exploration.replay(choices=options.replay)
         except IndexError:
-            parser().error("--replay: there is no such choice")
-        print(json.dumps({"model": options.model, "wrong": wrong, "told": reported}, indent=1))
-        return 1 if wrong else 0
+            parser().error("--replay: index beyond the enabled actions")
+        print(json.dumps({"model": options.model, "wrong": violation, "told": descriptions}, indent=1))
+        return 1 if violation else 0
     began = time.monotonic()
 
     def on_progress(report: SearchReport) -> None:
--- a/src/cinderstair/simulation/explorer/action.py
+++ b/src/cinderstair/simulation/explorer/action.py
@@ -1,4 +1,4 @@
-"""One thing that may happen next."""
+"""A transition that is enabled in a state of the explored world."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Action(NamedTuple):
-    """`kind` names it; `process` is who takes the step, or -1; `flight` is the message that it is about."""
+    """`process` takes the step (-1: all of them); `message` is the one that is delivered, lost or duplicated."""
 
     kind: str
     process: int = -1
--- a/src/cinderstair/simulation/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -1,4 +1,4 @@
-"""One process of the product: the real classes on a loop, a net and a disk to which everything comes as an event."""
+"""Base class of modelled processes: the product's classes on a controlled loop, network and disk."""
 
 import logging
 import random
@@ -12,14 +12,17 @@
 from .process_spec import ProcessSpec
 from .stepped_loop import SteppedLoop
 
-# why: records of the first version are sent without a handshake, whose messages would only multiply the states
-FIRST = ProtocolVersions(lowest=1, highest=1)
+# Version 1 needs no handshake, whose messages would only multiply the states.
+FIRST_VERSION = ProtocolVersions(lowest=1, highest=1)
 LOG = logging.getLogger("explorer")
 LOG.setLevel(logging.ERROR)
 
 
 class Actor:
-    """Does nothing but what an event brings about, and always the same after the same events."""
+    """Runs one process deterministically: the same sequence of events leads to the same state and outputs.
+
+    `rate` is the speed of its clock relative to the modelled time.
+    """
 
     def __init__(self, *, spec: ProcessSpec, name: str, rate: float = 1.0) -> None:
         self.spec = spec
@@ -38,21 +41,23 @@
             disk=self.disk,
             log=LOG,
         )
-        self.ctx.protocol_versions = FIRST
+        self.ctx.protocol_versions = FIRST_VERSION
 
     def start(self) -> tuple[Output, ...]:
+        """Starts the process and returns its first outputs."""
         self.loop.call_soon(self.on_start)
         return self._run_until_quiescent()
 
     def on_start(self) -> None:
-        """What the process does first, on its running loop."""
+        """Initializes the process; called on its running loop."""
         raise NotImplementedError
 
     def begin_operation(self, *, name: str) -> None:
-        """Begins one of the operations that `operations` names."""
+        """Begins an operation that `operations` offers."""
         raise NotImplementedError
 
     def handle_event(self, *, event: Event) -> tuple[Output, ...]:
+        """Applies an event, runs until no callback is ready and returns the outputs."""
         if event.kind == "ask":
             assert event.request_id is not None
             self.net.serve_record(loop=self.loop, request_id=event.request_id, body=event.body)
@@ -65,7 +70,7 @@
         elif event.kind == "timer":
             self.loop.fire()
         elif event.kind == "pass":
-            self.loop.let_pass(for_us=round(event.number * self.rate))
+            self.loop.advance(for_us=round(event.number * self.rate))
         else:
             assert event.kind == "go", event
             self.loop.call_soon(lambda: self.begin_operation(name=event.name))
@@ -73,35 +78,36 @@
 
     def _run_until_quiescent(self) -> tuple[Output, ...]:
         self.loop.settle()
-        # why: a task of the product that broke off is a fault in itself, whatever the invariants say of it
+        # A crashed task is a fault even where no invariant is violated.
         if self.ctx.counters.counts["internal.crashes"]:
-            raise RuntimeError(f"{self.ctx.name}: a task broke off, see the log")
+            raise RuntimeError(f"{self.ctx.name}: a task crashed, see the log")
         outputs = tuple(self.outputs)
         self.outputs.clear()
         return outputs
 
     @property
     def operations(self) -> tuple[str, ...]:
-        """What it may begin now."""
+        """The operations that are enabled in the current state."""
         return ()
 
     @property
     def idle(self) -> bool:
-        """Whether it waits for no answer any more, so that one that still comes changes nothing."""
+        """Whether no request is pending, so that a late response has no effect."""
         return False
 
     @property
     def has_timer(self) -> bool:
-        """Whether it has a timer that may be let fire."""
+        """Whether a timer is pending."""
         return self.loop.next_due() is not None
 
     def digest(self) -> Hashable | None:
-        """All that its further doings depend on; None where only its whole history says that."""
+        """Everything that later behaviour depends on; None if only the history of events determines it."""
         return None
 
     def observation(self) -> Hashable:
-        """What the invariants look at."""
+        """The part of the state that invariants check."""
         return None
 
     def discard(self) -> None:
+        """Closes the loop and drops unfinished tasks."""
         self.loop.discard()
--- a/src/cinderstair/simulation/explorer/client_actor.py
+++ b/src/cinderstair/simulation/explorer/client_actor.py
@@ -1,4 +1,4 @@
-"""A client of the register, on its own loop."""
+"""A modelled client of the register."""
 
 from collections.abc import Awaitable, Callable, Hashable, Sequence
 
@@ -13,7 +13,7 @@
 
 
 class ClientActor(Actor):
-    """Works through its operations, one at a time; each begins when the world says so."""
+    """Runs the operations of its script one at a time; beginning each is an action of the world."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
 
     @property
     def has_timer(self) -> bool:
-        # why: what an idle client's timers would do changes nothing that anyone sees
+        # An idle client's timers have no observable effect.
         return self.busy and super().has_timer
 
     def digest(self) -> Hashable | None:
@@ -76,5 +76,5 @@
         )
 
     def extra_digest(self) -> Hashable:
-        """What else an idle client's further doings depend on."""
+        """State of subclasses that later behaviour of an idle client depends on."""
         return None
--- a/src/cinderstair/simulation/explorer/controlled_disk.py
+++ b/src/cinderstair/simulation/explorer/controlled_disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk whose syncs beside the loop end when somebody says so."""
+"""A simulated disk whose background syncs complete by an explicit event."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 
 
 class ControlledDisk(SimDisk):
-    """What was not synced when its process ends is lost; nothing is torn here (store.feature tears every byte)."""
+    """Loses unsynced data when its process ends. Torn writes are not modelled: store.feature covers them."""
 
     def __init__(self, *, files: dict[str, bytes]) -> None:
         super().__init__(rng=random.Random(0))
@@ -16,14 +16,15 @@
         self.syncing: asyncio.Future[None] | None = None
 
     def run_in_background(self, *, work: Callable[[], None]) -> Awaitable[None]:
-        return self._when_reported(work)
+        return self._apply_when_synced(work)
 
-    async def _when_reported(self, work: Callable[[], None]) -> None:
+    async def _apply_when_synced(self, work: Callable[[], None]) -> None:
         self.syncing = asyncio.get_running_loop().create_future()
         await self.syncing
         work()
 
     def synced(self) -> None:
+        """Completes the sync that is in progress."""
         assert self.syncing is not None
         syncing, self.syncing = self.syncing, None
         syncing.set_result(None)
--- a/src/cinderstair/simulation/explorer/controlled_net.py
+++ b/src/cinderstair/simulation/explorer/controlled_net.py
@@ -1,4 +1,4 @@
-"""One process's network, on which every delivery is somebody's choice."""
+"""The network of one modelled process, on which every delivery and timeout is an explicit event."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class ControlledNet:
-    """Questions go out as outputs; answers and losses come in as events. There are no channels here."""
+    """Emits requests as outputs; responses and timeouts arrive as events. Stream connections are not supported."""
 
     def __init__(self, *, outputs: list[Output]) -> None:
         self.outputs = outputs
@@ -28,14 +28,16 @@
         return await self.pending[number]
 
     def deliver_response(self, *, number: int, body: bytes) -> None:
+        """Completes a pending request."""
         self.pending.pop(number).set_result(Ok(body))
 
     def time_out(self, *, number: int) -> None:
-        """The asker's wait runs out, whatever became of its question."""
-        fault = CinderstairError(code=ErrorCode.NO_RESPONSE, reason="not answered")
+        """Fails a pending request; its receiver may still process it."""
+        fault = CinderstairError(code=ErrorCode.NO_RESPONSE, reason="request timed out")
         self.pending.pop(number).set_result(Error(fault))
 
     def serve_record(self, *, loop: asyncio.AbstractEventLoop, request_id: RequestId, body: bytes) -> None:
+        """Processes a received request in a task; the response becomes an output."""
         assert self.handler is not None
         task: asyncio.Task[bytes] = loop.create_task(self.handler(body))  # type: ignore[arg-type]
         self.serving.add(task)
@@ -43,7 +45,7 @@
 
     def _served(self, *, task: asyncio.Task[bytes], request_id: RequestId) -> None:
         self.serving.discard(task)
-        # why: a record that can't be read is dropped by its reader, and the asker's wait runs out
+        # A malformed record is dropped, and its sender times out.
         if isinstance(task.exception(), ValueError):
             return
         self.outputs.append(ResponseSent(request_id, task.result()))
--- a/src/cinderstair/simulation/explorer/event.py
+++ b/src/cinderstair/simulation/explorer/event.py
@@ -1,10 +1,10 @@
-"""What may reach one process, and what it may bring about: all that passes between it and the explored world."""
+"""Input events and outputs of a modelled process."""
 
 from typing import NamedTuple
 
 
 class RequestId(NamedTuple):
-    """Whose question it is: a process by its place in the model, which of its runs, and its number there."""
+    """Identifies a request: index of the sending process, its run (restart count) and the number in that run."""
 
     process: int
     run: int
@@ -12,7 +12,11 @@
 
 
 class Event(NamedTuple):
-    """`kind` is ask, answer, lost, synced, timer, pass or go; the rest only where the kind has it."""
+    """An input of a process; `kind` decides which of the other fields are set:
+
+    ask (request_id, body), answer (number, body), lost (number), synced, timer, pass (number: microseconds) and
+    go (name).
+    """
 
     kind: str
     number: int = 0
@@ -22,20 +26,24 @@
 
 
 class RequestSent(NamedTuple):
+    """A process sent a request to an address."""
+
     number: int
     address: str
     body: bytes
 
 
 class ResponseSent(NamedTuple):
+    """A process answered a request that it had received."""
+
     request_id: RequestId
     body: bytes
 
 
 class OperationEvent(NamedTuple):
-    """What a client began or learned: the invariants are judged by it."""
+    """A client began an operation (`phase` begin) or finished it with an outcome (end); monitors evaluate it."""
 
-    word: str
+    phase: str
     operation: str
     outcome: tuple[str | int, ...] = ()
 
--- a/src/cinderstair/simulation/explorer/exploration.py
+++ b/src/cinderstair/simulation/explorer/exploration.py
@@ -1,4 +1,4 @@
-"""One exploration of a model, from checked bounds to its report."""
+"""Runs one exploration of a model within bounds, or replays a schedule."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Exploration:
-    """`depth`, `turns` and `budget` (by its fields' names) are the model's own where they are not given.
+    """Parameters of an exploration; `depth`, `turns` and fields of `budget` default to those of the model.
 
-    `breadth`: without turns, so that the first wrong state found has a shortest way to it.
+    `breadth`: breadth first without a bound on turns, so that a counterexample has the fewest actions.
+    `fault`: the seeded bug to enable; `merging`: whether equivalent local histories are merged.
     """
 
     model: str
@@ -27,11 +28,13 @@
     max_states: int = 1_000_000
 
     def world(self) -> ExploredWorld:
+        """The initial world of the model."""
         model = MODELS[self.model]()
         budget = model.budget._replace(**self.budget)
         return ExploredWorld(model=model, budget=budget, merging=self.merging, prefer_last_process=not self.breadth)
 
     def run(self, *, on_progress: Callable[[SearchReport], None] = lambda report: None) -> SearchReport:
+        """Searches the model's states; `on_progress` receives interim reports."""
         with with_seeded_bug(name=self.fault):
             world = self.world()
             try:
@@ -44,7 +47,7 @@
                 world.close()
 
     def replay(self, *, choices: list[int]) -> tuple[list[str], str]:
-        """What the choices were, and what is wrong in the end; IndexError where there is no such choice."""
+        """Descriptions of a schedule's actions, and the violation at its end; IndexError for an invalid index."""
         with with_seeded_bug(name=self.fault):
             world = self.world()
             try:
--- a/src/cinderstair/simulation/explorer/explored_world.py
+++ b/src/cinderstair/simulation/explorer/explored_world.py
@@ -1,4 +1,4 @@
-"""A small world of real processes in which all that happens is a choice."""
+"""The transition system of a model: processes, messages in flight, and the actions enabled in each state."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -13,18 +13,19 @@
 from .world_state import Budget, WorldState
 
 DELIVERY_TEXTS = {
-    RESPONSE: "the answer to {asker}'s question {number} ({kind}) arrives from {host}",
-    REQUEST: "{asker}'s question {number} ({kind}) arrives at {host}",
-    ABANDONED: "{asker}'s question {number} ({kind}), which it has given up, arrives at {host}",
+    RESPONSE: "the response to {sender}'s request {number} ({kind}) arrives from {host}",
+    REQUEST: "{sender}'s request {number} ({kind}) arrives at {host}",
+    ABANDONED: "{sender}'s request {number} ({kind}), which timed out, arrives at {host}",
 }
-# what went on last where time passed
+# Value of `last_process` after time passed.
 TIME_PASSED = -2
-# what is done for somebody's operation, which is then gone on with
-CONTINUING_ACTIONS = ("deliver", "go", "run out", "lose", "give up", "timer")
+# Actions that advance an operation; the default schedule then continues with the process of that operation.
+CONTINUING_ACTIONS = ("deliver", "go", "expire", "lose", "abandon", "timer")
 RECORD_KINDS = {1: "prepare", 2: "accept", 3: "read", 4: "vector", 5: "lease", 6: "hello", 7: "adopt"}
 
 
 def delivery_order(*, pair: tuple[Message, int], last_process: int) -> tuple[bool, int, int, int]:
+    """Sort key of deliveries in the default schedule: messages of the process that advanced last come first."""
     message = pair[0]
     return (
         message.request_id.process != last_process,
@@ -35,11 +36,11 @@
 
 
 class ExploredWorld:
-    """The space of a model's states.
+    """The state space of a model.
 
-    `staying`: the first choice goes on with whom it went on last, and leaves behind what is no longer waited for. So
-    each operation runs to its end with the smallest majorities, and the search counts every turn away from that.
-    Without it the order of the choices is as good as any other, and fewer states are told apart.
+    `prefer_last_process`: the default schedule continues with the process that advanced last and postpones messages
+    that nobody waits for. Each operation then runs to its end with the smallest majorities, and the search counts
+    each deviation from that as a turn. Without it the order of actions is arbitrary, and fewer states are distinct.
     """
 
     def __init__(
@@ -52,6 +53,7 @@
         self.message_numbers: dict[Message, int] = {}
 
     def initial(self) -> WorldState:
+        """The state after all processes have started."""
         builder = StateBuilder(world=self)
         builder.budget = self.budget
         builder.monitor = self.model.initial_monitor()
@@ -62,21 +64,24 @@
         return builder.state()
 
     def digest(self, *, state: WorldState) -> bytes:
+        """A fingerprint of the state."""
         messages = [self.message_numbers.setdefault(message, len(self.message_numbers)) for message in state.messages]
         whole = (state.local_numbers, state.runs, messages, tuple(state.budget), state.monitor, state.last_process)
         return blake2b(repr(whole).encode(), digest_size=16).digest()
 
     def local(self, *, state: WorldState, process: int) -> LocalState:
+        """The local state of a process."""
         return self.local_registry.states[state.local_numbers[process]]
 
     def host(self, *, state: WorldState, address: str) -> int:
-        """Which process listens there now; -1 where none does."""
+        """The register replica that listens at an address; -1 if none does."""
         for process in range(self.model.register_replicas):
             if self.local(state=state, process=process).spec.address == address:
                 return process
         return -1
 
-    def choices(self, *, state: WorldState) -> list[Action]:
+    def enabled_actions(self, *, state: WorldState) -> list[Action]:
+        """The enabled actions; the first is that of the default schedule."""
         budget = state.budget
         messages = [(message, self.host(state=state, address=message.address)) for message in state.messages]
         pairs = sorted(messages, key=lambda pair: delivery_order(pair=pair, last_process=state.last_process))
@@ -89,25 +94,25 @@
         states = [self.local(state=state, process=process) for process in range(len(state.local_numbers))]
         syncs = [Action("sync", process) for process, local in enumerate(states) if local.syncing]
         found = syncs + found
-        # why: what nobody can answer any more runs out by itself, and costs nothing that may go wrong
+        # A request that can't be answered times out without a fault, so it costs no budget.
         for message, host in pairs:
             if message.phase == UNANSWERED or (message.phase == REQUEST and host < 0):
-                found.append(Action("run out", message.request_id.process, message))
+                found.append(Action("expire", message.request_id.process, message))
         for process, local in enumerate(states):
             found += [Action("go", process, name=name) for name in local.operations]
         found += [Action("deliver", host, f) for f, host in pairs if f.phase == ABANDONED and host >= 0]
         if budget.timers:
             found += [Action("timer", process) for process, local in enumerate(states) if local.has_timer]
         if budget.passes:
-            # why: time that has begun to pass goes on passing, or a lease's whole length would be many turns
+            # After time has passed, more time is the default, since a whole lease would otherwise take many turns.
             found.insert(0 if state.last_process == TIME_PASSED else len(found), Action("pass"))
         lossy = [(message, host) for message, host in pairs if message.phase in (RESPONSE, REQUEST, PROCESSING)]
         if budget.losses:
             found += [Action("lose", f.request_id.process, f) for f, _ in lossy if f.phase in (RESPONSE, REQUEST)]
         if budget.late:
-            found += [Action("give up", f.request_id.process, f) for f, _ in lossy if f.phase == REQUEST]
+            found += [Action("abandon", f.request_id.process, f) for f, _ in lossy if f.phase == REQUEST]
         if budget.doubles:
-            found += [Action("double", host, f) for f, host in lossy if f.phase == REQUEST and host >= 0]
+            found += [Action("duplicate", host, f) for f, host in lossy if f.phase == REQUEST and host >= 0]
         if budget.restarts:
             found += [Action("restart", process) for process in range(self.model.register_replicas)]
         if budget.wipes and self.model.may_lose_disk(monitor=state.monitor):
@@ -115,6 +120,7 @@
         return found
 
     def step(self, *, state: WorldState, action: Action) -> WorldState:
+        """The state after an action."""
         builder = StateBuilder(world=self, state=state)
         message, process = action.message, action.process
         if action.kind == "deliver":
@@ -122,13 +128,13 @@
             builder.deliver(message=message, process=process)
         elif action.kind == "sync":
             builder.handle_event(process=process, event=Event("synced"))
-        elif action.kind in ("run out", "lose", "give up"):
+        elif action.kind in ("expire", "lose", "abandon"):
             assert message is not None
             builder.messages.remove(message)
-            if action.kind == "give up":
+            if action.kind == "abandon":
                 builder.messages.append(message._replace(phase=ABANDONED))
             builder.handle_event(process=process, event=Event("lost", number=message.request_id.number))
-        elif action.kind == "double":
+        elif action.kind == "duplicate":
             assert message is not None
             builder.messages.append(message._replace(phase=ABANDONED))
         elif action.kind == "go":
@@ -147,49 +153,52 @@
             builder.last_process = TIME_PASSED
         return builder.state()
 
-    def wrong(self, *, state: WorldState) -> str:
+    def violation(self, *, state: WorldState) -> str:
+        """The invariant that the state violates; empty if none."""
         if isinstance(state.monitor, str):
             return state.monitor
         states = [self.local(state=state, process=process) for process in range(len(state.local_numbers))]
-        return self.model.wrong(local_states=states, monitor=state.monitor)
+        return self.model.violation(local_states=states, monitor=state.monitor)
 
-    def reported(self, *, state: WorldState, action: Action) -> str:
+    def describe(self, *, state: WorldState, action: Action) -> str:
+        """Describes an action for a counterexample."""
         names = self.model.names
         if action.message is not None:
             message = action.message
             host = self.host(state=state, address=message.address)
             words = {
-                "asker": names[message.request_id.process],
+                "sender": names[message.request_id.process],
                 "number": message.request_id.number,
                 "kind": RECORD_KINDS.get(message.body[0], "?") if message.phase != RESPONSE else "answered",
                 "host": names[host] if host >= 0 else message.address,
             }
             if action.kind == "deliver":
                 return DELIVERY_TEXTS[message.phase].format(**words)
-            what = "the answer to " if message.phase == RESPONSE else ""
+            what = "the response to " if message.phase == RESPONSE else ""
             ends = {
-                "run out": "is never answered, and it gives up",
-                "lose": "is lost, and it gives up",
-                "give up": "is given up while it is on its way",
-                "double": "is sent twice by the network",
+                "expire": "can't be answered and times out",
+                "lose": "is lost and times out",
+                "abandon": "times out in flight",
+                "duplicate": "is duplicated by the network",
             }
-            return f"{what}{{asker}}'s question {{number}} ({{kind}}) to {{host}} {ends[action.kind]}".format(**words)
+            return f"{what}{{sender}}'s request {{number}} ({{kind}}) to {{host}} {ends[action.kind]}".format(**words)
         who = names[action.process] if action.process >= 0 else ""
         return {
             "sync": f"{who}'s disk syncs",
             "go": f"{who} begins: {action.name}",
             "timer": f"{who}'s next timer fires",
             "pass": f"{self.model.pass_us / 1_000_000:g} s pass",
-            "restart": f"{who} loses its power and starts again",
-            "wipe": f"{who} loses its disk and starts again, blank",
+            "restart": f"{who} crashes and restarts",
+            "wipe": f"{who} loses its disk and restarts blank",
         }[action.kind]
 
     def close(self) -> None:
+        """Discards the live processes."""
         self.local_registry.close()
 
 
 class StateBuilder:
-    """A state while a choice changes it."""
+    """Mutable copy of a state to which an action is applied."""
 
     def __init__(self, *, world: ExploredWorld, state: WorldState | None = None) -> None:
         self.world = world
@@ -201,16 +210,18 @@
         self.last_process = -1 if state is None else state.last_process
 
     def state(self) -> WorldState:
+        """The resulting state."""
         local_numbers, runs = tuple(self.local_numbers), tuple(self.runs)
         return WorldState(
             local_numbers, runs, tuple(sorted(self.messages)), self.budget, self.monitor, self.last_process
         )
 
     def charge_budget(self, *, kind: str) -> None:
+        """Takes the cost of an action off the budget."""
         names = {
             "lose": "losses",
-            "give up": "late",
-            "double": "doubles",
+            "abandon": "late",
+            "duplicate": "doubles",
             "restart": "restarts",
             "wipe": "wipes",
             "pass": "passes",
@@ -220,17 +231,19 @@
             self.budget = self.budget._replace(**{names[kind]: getattr(self.budget, names[kind]) - 1})
 
     def start(self, *, spec: ProcessSpec) -> None:
+        """Starts a process."""
         self.local_numbers[spec.process], outputs = self.world.local_registry.initial_state(spec=spec)
         self.runs[spec.process] = spec.run
         self._apply_outputs(process=spec.process, outputs=outputs)
 
     def restart(self, *, process: int, wiped: bool) -> None:
+        """Crashes and restarts a register replica, with an empty disk if `wiped`."""
         local = self.world.local_registry.states[self.local_numbers[process]]
         host, run = local.spec.address, self.runs[process] + 1
         kept: list[Message] = []
         for message in self.messages:
             mine = message.request_id.process == process
-            # why: what it asked still travels, and what it was answering is never answered
+            # Its requests stay in flight; requests that it was processing are never answered.
             if mine and message.phase in (REQUEST, ABANDONED):
                 kept.append(message._replace(phase=ABANDONED))
             elif not mine and message.phase == PROCESSING and message.address == host:
@@ -244,6 +257,7 @@
         self.start(spec=ProcessSpec(process=process, run=run, address=address, files=files, blank=blank))
 
     def deliver(self, *, message: Message, process: int) -> None:
+        """Delivers a request or a response to a process."""
         self.messages.remove(message)
         if message.phase == RESPONSE:
             self.handle_event(
@@ -252,23 +266,25 @@
             return
         if message.phase == REQUEST:
             self.messages.append(message._replace(phase=PROCESSING))
-        # why: nobody waits for an orphan's answer, so that all orphans are alike to who works on them
+        # Responses to abandoned requests are dropped, so all of these share one id, which merges their states.
         request_id = message.request_id if message.phase == REQUEST else RequestId(-1, 0, 0)
         self.handle_event(process=process, event=Event("ask", body=message.body, request_id=request_id))
 
     def handle_event(self, *, process: int, event: Event) -> None:
-        local_states = self.world.local_registry
-        self.local_numbers[process], outputs = local_states.step(number=self.local_numbers[process], event=event)
+        """Applies an event to a process, and the sync that must follow if no crash can come before it."""
+        registry = self.world.local_registry
+        self.local_numbers[process], outputs = registry.step(number=self.local_numbers[process], event=event)
         self._apply_outputs(process=process, outputs=outputs)
-        local = local_states.states[self.local_numbers[process]]
-        # why: with no restart left nothing can come between a change and its sync that could not come before both
+        local = registry.states[self.local_numbers[process]]
+        # Partial-order reduction: without a crash left in the budget, any action that could come between a change and
+        # its sync could as well come before both.
         if local.syncing and not (self.budget.restarts or self.budget.wipes):
             self.handle_event(process=process, event=Event("synced"))
         if local.idle:
             self._drop_stale_messages(process=process)
 
     def _drop_stale_messages(self, *, process: int) -> None:
-        """What an idle process asked before may still arrive somewhere; that it is answered changes nothing."""
+        """Abandons requests of an idle process, which may still arrive, and drops responses, which have no effect."""
         kept = []
         for message in self.messages:
             if message.request_id.process != process:
@@ -287,7 +303,9 @@
             elif isinstance(output, ResponseSent):
                 self._record_response(answered=output)
             elif isinstance(output, OperationEvent) and not isinstance(self.monitor, str):
-                self.monitor = self.world.model.monitor(monitor=self.monitor, process=process, operation_event=output)
+                self.monitor = self.world.model.update_monitor(
+                    monitor=self.monitor, process=process, operation_event=output
+                )
 
     def _record_response(self, *, answered: ResponseSent) -> None:
         for at, message in enumerate(self.messages):
--- a/src/cinderstair/simulation/explorer/invariants.py
+++ b/src/cinderstair/simulation/explorer/invariants.py
@@ -1,28 +1,28 @@
-"""What must hold of the register replicas' disks at any moment, whoever asks next."""
+"""Safety invariants of the register replicas' durable state, checked in every state."""
 
 from collections.abc import Callable, Sequence
 from functools import lru_cache
 from itertools import combinations
 
 from ...consensus.ballot import BLANK
-from ...consensus.roster import Roster
-from ...consensus.roster import read_roster as read_roster
+from ...consensus.roster import Roster, read_roster
 from .replica_actor import ReplicaObservation
 
 
 @lru_cache(maxsize=1_000)
 def parse_roster(data: bytes) -> Roster:
+    """Decodes a roster, with a cache."""
     return read_roster(data=data)
 
 
 def adopted_rosters(*, register_replicas: Sequence[ReplicaObservation]) -> list[Roster]:
-    """Every roster that some register replica has adopted, each once, by epoch."""
+    """The distinct rosters that register replicas have adopted, in order of their epochs."""
     found = {observation.roster for observation in register_replicas if observation.roster}
     return sorted((parse_roster(data) for data in found), key=lambda roster: roster.epoch)
 
 
 def eligible_voters(*, roster: Roster, register_replicas: Sequence[ReplicaObservation]) -> list[ReplicaObservation]:
-    """The voters that may still vote under the roster: there, and not gone on to a later one."""
+    """The voters of a roster that can still vote under it: present, and without a roster of a later epoch."""
     found = []
     for observation in register_replicas:
         epoch = parse_roster(observation.roster).epoch if observation.roster else 0
@@ -33,7 +33,7 @@
 
 @lru_cache(maxsize=100_000)
 def find_disjoint_majorities(*, register_replicas: tuple[ReplicaObservation, ...]) -> str:
-    """Two majorities that could both vote and do not meet; empty where there are none."""
+    """Describes two disjoint majorities of different rosters that could both vote now; empty if there are none."""
     rosters = adopted_rosters(register_replicas=register_replicas)
     for one, other in combinations(rosters, 2):
         if one.epoch == other.epoch:
@@ -46,7 +46,7 @@
         }
         enough = len(first) >= one.majority and len(second) >= other.majority
         if enough and len(first | second) >= one.majority + other.majority:
-            return f"majorities of epochs {one.epoch} and {other.epoch} that don't meet could vote now"
+            return f"majorities of epochs {one.epoch} and {other.epoch} are disjoint and could both vote now"
     return ""
 
 
@@ -54,7 +54,7 @@
 def find_lost_version(
     *, register_replicas: tuple[ReplicaObservation, ...], key: str, version: int, version_of: Callable[[bytes], int]
 ) -> str:
-    """A majority that could vote now and whose newest value is older than an acknowledged one; empty where none."""
+    """Describes a majority that could vote now and lacks the acknowledged version; empty if there is none."""
     for roster in adopted_rosters(register_replicas=register_replicas):
         voters = eligible_voters(roster=roster, register_replicas=register_replicas)
         for majority in combinations(voters, roster.majority):
--- a/src/cinderstair/simulation/explorer/lease_client_actor.py
+++ b/src/cinderstair/simulation/explorer/lease_client_actor.py
@@ -1,4 +1,4 @@
-"""A daemon that seeks a duty, on its own loop."""
+"""A modelled daemon that competes for a lease."""
 
 from collections.abc import Hashable, Sequence
 
@@ -9,7 +9,7 @@
 
 
 class LeaseClientActor(ClientActor):
-    """Its facts say whether it believes, by its own clock, that the duty is its own."""
+    """A register client with a lease; its observation is whether it holds the lease by its own clock."""
 
     def __init__(
         self,
@@ -34,11 +34,13 @@
 
 
 async def try_acquire(actor: ClientActor) -> Outcome:
+    """Operation: acquires or renews the lease."""
     assert isinstance(actor, LeaseClientActor)
     return ("held" if await actor.lease.try_acquire() else "not held",)
 
 
 async def drop(actor: ClientActor) -> Outcome:
+    """Operation: gives the lease back."""
     assert isinstance(actor, LeaseClientActor)
     await actor.lease.drop()
     return ("dropped",)
--- a/src/cinderstair/simulation/explorer/lease_model.py
+++ b/src/cinderstair/simulation/explorer/lease_model.py
@@ -1,4 +1,4 @@
-"""Two that seek one duty, with clocks that run apart."""
+"""Two clients compete for one lease while their clocks drift."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -13,12 +13,15 @@
 from .replica_actor import ReplicaActor, disk_files
 from .world_state import Budget
 
-# why: together they run apart by a tenth, just less than the margin of 0.3 s in 3 s allows
+# The clocks differ by a tenth, just less than the margin of 0.3 s of a 3 s lease allows.
 SLOW_CLOCK_RATE, FAST_CLOCK_RATE = 0.955, 1.05
 
 
 class LeaseModel(Model):
-    """Three register replicas with fast clocks, two seekers with slow ones; the first may also give the duty back."""
+    """Three register replicas with fast clocks and two lease clients with slow ones; the first also drops the lease.
+
+    Invariant: at most one client holds the lease.
+    """
 
     names: tuple[str, ...] = ("a", "b", "c", "seeker-0", "seeker-1")
     budget = Budget(losses=1, late=1, doubles=1, restarts=1, passes=4)
@@ -26,8 +29,8 @@
     turns = 2
     seeds = ("a:1", "b:1", "c:1")
     scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("seek", try_acquire), ("drop", drop), ("seek again", try_acquire), ("renew", try_acquire)),
-        (("seek", try_acquire), ("seek again", try_acquire)),
+        (("acquire", try_acquire), ("drop", drop), ("acquire again", try_acquire), ("renew", try_acquire)),
+        (("acquire", try_acquire), ("acquire again", try_acquire)),
     )
 
     def process_specs(self) -> Sequence[ProcessSpec]:
@@ -43,7 +46,7 @@
         name = self.names[spec.process]
         if spec.process < self.register_replicas:
             actor = ReplicaActor(spec=spec, name=name, seeds=self.seeds, rate=FAST_CLOCK_RATE)
-            # why: the register replicas have been up for long, so that they may grant; one that starts again may not
+            # The replicas have been up for long enough to grant leases; a restarted one has to wait first.
             actor.may_grant_leases = spec.run == 0
             return actor
         script = self.scripts[spec.process - self.register_replicas]
@@ -52,6 +55,6 @@
             spec=spec, name=name, seeds=self.seeds, roster=roster, script=script, rate=SLOW_CLOCK_RATE
         )
 
-    def wrong(self, *, local_states: Sequence[LocalState], monitor: Any) -> str:
+    def violation(self, *, local_states: Sequence[LocalState], monitor: Any) -> str:
         holders = [name for name, local in zip(self.names, local_states, strict=True) if local.observation is True]
-        return f"{' and '.join(holders)} hold the duty at once" if len(holders) > 1 else ""
+        return f"{' and '.join(holders)} hold the lease at once" if len(holders) > 1 else ""
--- a/src/cinderstair/simulation/explorer/lease_roster_model.py
+++ b/src/cinderstair/simulation/explorer/lease_roster_model.py
@@ -1,4 +1,4 @@
-"""A duty is sought while two voters leave one after the other."""
+"""Two clients compete for a lease while two voters are removed one after the other."""
 
 from collections.abc import Sequence
 
@@ -14,9 +14,9 @@
 
 
 class LeaseRosterModel(LeaseModel):
-    """Three voters, a replacement of b that is cut short after its first half, one of c by d, and two seekers.
+    """Three voters, a replacement of b that stops after removing it, one of c by d, and two lease clients.
 
-    Time passes, and nothing else goes wrong.
+    Time passes, and there are no faults.
     """
 
     names = ("a", "b", "c", "d", "seeker-0", "changer-0", "changer-1", "seeker-1")
@@ -25,10 +25,10 @@
     depth = 400
     turns = 2
     scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("seek", try_acquire),),
-        (("strike off b", remove_voter(name="b")),),
+        (("acquire", try_acquire),),
+        (("remove b", remove_voter(name="b")),),
         (("replace c by d", replace_voter(leaves="c", enters=voter_of(name="d"))),),
-        (("seek", try_acquire), ("seek again", try_acquire), ("seek once more", try_acquire)),
+        (("acquire", try_acquire), ("acquire again", try_acquire), ("acquire a third time", try_acquire)),
     )
 
     def process_specs(self) -> Sequence[ProcessSpec]:
@@ -55,6 +55,6 @@
         changer = ClientActor(
             spec=spec, name=name, seeds=self.seeds, roster=roster, script=script, rate=FAST_CLOCK_RATE
         )
-        # why: ballots that begin above those of who went before are not beaten, so that nobody rests meanwhile
+        # Starting above the ballots of earlier processes avoids rejections, and thus backoff.
         changer.register.highest_round = spec.process
         return changer
--- a/src/cinderstair/simulation/explorer/local_states.py
+++ b/src/cinderstair/simulation/explorer/local_states.py
@@ -1,4 +1,4 @@
-"""The states of single processes: each reached by the real classes once, and remembered by number."""
+"""Interned local states of the modelled processes and cached transitions between them."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Hashable
@@ -14,7 +14,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LocalState:
-    """`sealed` and `open_events` stand for its history, where nothing shorter says what it will do."""
+    """A state of one process.
+
+    `history_id` and `unordered_events` identify it: the interned digest or history, and the commuting events since.
+    """
 
     spec: ProcessSpec
     history: tuple[Event, ...]
@@ -29,10 +32,11 @@
 
 
 class LocalStates:
-    """A process can't be copied, but it can be played again: its history alone makes it what it is.
+    """Numbers local states and caches their transitions.
 
-    So each step of a process is taken once by the real classes, whatever the others do meanwhile, and looked up from
-    then on.
+    A running process can't be copied, but its history of events determines its state, so it can be replayed. Each
+    local transition is executed by the product's classes once and looked up from then on, whatever the other
+    processes do. `merging` identifies histories that lead to the same local state (partial-order reduction).
     """
 
     def __init__(self, *, make: Callable[[ProcessSpec], Actor], merging: bool = True) -> None:
@@ -40,14 +44,14 @@
         self.merging = merging
         self.states: list[LocalState] = []
         self.numbers: dict[Hashable, int] = {}
-        self.history_id: dict[Hashable, int] = {}
+        self.history_ids: dict[Hashable, int] = {}
         self.initial_states: dict[ProcessSpec, tuple[int, tuple[Output, ...]]] = {}
         self.transitions: dict[tuple[int, Event], tuple[int, tuple[Output, ...]]] = {}
         self.live_actors: OrderedDict[int, Actor] = OrderedDict()
         self.executed_steps = 0
 
     def initial_state(self, *, spec: ProcessSpec) -> tuple[int, tuple[Output, ...]]:
-        """The state in which a process starts, and what it does at once."""
+        """The number of a process's initial state, and its first outputs."""
         known = self.initial_states.get(spec)
         if known is None:
             actor = self.make(spec)
@@ -60,6 +64,7 @@
         return known
 
     def step(self, *, number: int, event: Event) -> tuple[int, tuple[Output, ...]]:
+        """The number of the state after an event, and the outputs of that transition."""
         known = self.transitions.get((number, event))
         if known is not None:
             return known
@@ -69,8 +74,8 @@
         self.executed_steps += 1
         history_id, unordered_events = state.history_id, state.unordered_events
         if event.kind in COMMUTING_EVENTS and self.merging:
-            # why: answers that come to one asker between two of its own steps are counted and compared, never
-            # ordered, so that every order of them leaves it the same
+            # Responses that arrive between two steps of the requester commute: it counts and compares them but does
+            # not depend on their order.
             unordered_events = tuple(sorted((*unordered_events, event)))
             if outputs:
                 history_id, unordered_events = self._history_id((history_id, unordered_events, outputs)), ()
@@ -85,7 +90,7 @@
         return known
 
     def _history_id(self, past: Hashable) -> int:
-        return self.history_id.setdefault(past, len(self.history_id))
+        return self.history_ids.setdefault(past, len(self.history_ids))
 
     def _number(
         self, *, actor: Actor, history: tuple[Event, ...], history_id: Hashable, unordered_events: tuple[Event, ...]
@@ -122,7 +127,7 @@
             self.live_actors.popitem(last=False)[1].discard()
 
     def _actor_in(self, *, number: int) -> Actor:
-        """The process itself in that state: still there from before, or played again from its start."""
+        """A live actor in that state: a cached one, or one replayed from its start."""
         actor = self.live_actors.pop(number, None)
         if actor is None:
             state = self.states[number]
@@ -133,6 +138,7 @@
         return actor
 
     def close(self) -> None:
+        """Discards all live actors."""
         for actor in self.live_actors.values():
             actor.discard()
         self.live_actors.clear()
--- a/src/cinderstair/simulation/explorer/model.py
+++ b/src/cinderstair/simulation/explorer/model.py
@@ -1,4 +1,4 @@
-"""What is explored: which processes there are, what may go wrong, and what must never be."""
+"""Base class of models: processes, fault budget, monitor and invariants."""
 
 from collections.abc import Hashable, Sequence
 
@@ -10,39 +10,43 @@
 
 
 class Model:
-    """`names` are the processes, `register replicas` of which come first; the others are clients and never fail."""
+    """`names` lists the processes: `register_replicas` replicas, then clients, which never fail.
+
+    `depth` and `turns` are the default bounds of a search.
+    """
 
     names: tuple[str, ...] = ()
     register_replicas = 3
     budget = Budget()
-    # how much time passes at once where the model has passes
+    # Duration of one step of time.
     pass_us = 1_000_000
-    # the bounds of a run by hand where it names none
     depth = 12
     turns: int | None = None
 
     def process_specs(self) -> Sequence[ProcessSpec]:
-        """How each process starts."""
+        """The start parameters of each process."""
         raise NotImplementedError
 
     def make(self, spec: ProcessSpec) -> Actor:
+        """Creates a process."""
         raise NotImplementedError
 
     def initial_monitor(self) -> Hashable:
+        """The monitor's state before any operation."""
         return None
 
-    def monitor(self, *, monitor: Hashable, process: int, operation_event: OperationEvent) -> Hashable:
-        """What is kept in mind once a client has said something."""
+    def update_monitor(self, *, monitor: Hashable, process: int, operation_event: OperationEvent) -> Hashable:
+        """The monitor's state after an operation event; a string names the violated invariant."""
         return monitor
 
     def wipe_address(self, *, process: int, address: str) -> str:
-        """Where a register replica comes back that has lost its disk."""
+        """The address at which a register replica restarts after losing its disk."""
         return address
 
     def may_lose_disk(self, *, monitor: Hashable) -> bool:
-        """Whether disks may be lost yet."""
+        """Whether disks may be lost in the current state."""
         return True
 
-    def wrong(self, *, local_states: Sequence[LocalState], monitor: Hashable) -> str:
-        """Which invariant is broken; empty where none."""
+    def violation(self, *, local_states: Sequence[LocalState], monitor: Hashable) -> str:
+        """The invariant that the state violates; empty if none."""
         raise NotImplementedError
--- a/src/cinderstair/simulation/explorer/models.py
+++ b/src/cinderstair/simulation/explorer/models.py
@@ -1,4 +1,4 @@
-"""The models by name."""
+"""Registry of the models by their command-line names."""
 
 from .lease_model import LeaseModel
 from .lease_roster_model import LeaseRosterModel
--- a/src/cinderstair/simulation/explorer/process_spec.py
+++ b/src/cinderstair/simulation/explorer/process_spec.py
@@ -1,10 +1,10 @@
-"""How a process of a model starts."""
+"""Start parameters of a modelled process."""
 
 from typing import NamedTuple
 
 
 class ProcessSpec(NamedTuple):
-    """`process`: its place in the model; `run`: how often it was started before; `files`: what its disk holds."""
+    """`process`: index in the model; `run`: earlier starts; `files`: disk contents; `blank`: its disk was lost."""
 
     process: int
     run: int
--- a/src/cinderstair/simulation/explorer/register_model.py
+++ b/src/cinderstair/simulation/explorer/register_model.py
@@ -1,4 +1,4 @@
-"""Writers that race for one version of a key, and a reader."""
+"""Two writers race for the next version of a key while a client reads it."""
 
 from collections.abc import Hashable, Sequence
 from typing import Any, NamedTuple
@@ -24,19 +24,27 @@
 
 
 def version_of(value: bytes) -> int:
+    """The version in a value `version:writer`; 0 if empty."""
     return int(value.split(b":")[0]) if value else 0
 
 
 def voter_of(*, name: str) -> Voter:
+    """The voter with that name, at port 1."""
     return Voter(ident=ord(name[0]), name=name, address=f"{name}:1")
 
 
 def founding_roster(*, names: str, epoch: int = 1) -> Roster:
+    """A roster of the voters whose names are the letters of `names`."""
     return Roster(epoch=epoch, voters=tuple(voter_of(name=name) for name in names))
 
 
 class RegisterMonitor(NamedTuple):
-    """`floors`: by client, the highest version that was known when its operation began; 0 where none runs."""
+    """What the clients' operations have established so far.
+
+    `highest_version`: the highest version that a client knows; `known_before`: by client, that version when its
+    operation began (0 if none runs); `values`: the value of each version; `not_written`: values whose write is known
+    to have failed.
+    """
 
     highest_version: int
     known_before: tuple[int, ...]
@@ -45,7 +53,7 @@
 
 
 def write(version: int) -> Operation:
-    """Sets the next version, if that is still the next."""
+    """Operation: writes a version unless that version or a later one exists."""
 
     async def operation(actor: ClientActor) -> Outcome:
         seen = [0]
@@ -68,6 +76,7 @@
 
 
 async def read(actor: ClientActor) -> Outcome:
+    """Operation: reads the key."""
     result = await actor.register.read(key=KEY)
     if result.is_error():
         return "no answer", 0, ""
@@ -75,31 +84,31 @@
 
 
 def check_outcome(*, monitor: RegisterMonitor, client: int, operation_event: OperationEvent) -> RegisterMonitor | str:
-    """What a client said, checked against all that was said before; a text says what it breaks."""
+    """Checks an operation event against the earlier ones; returns the new monitor, or the violation as text."""
     known_before = list(monitor.known_before)
-    if operation_event.word == "begin":
+    if operation_event.phase == "begin":
         known_before[client] = monitor.highest_version
         return monitor._replace(known_before=tuple(known_before))
-    word, version, value = (
+    result, version, value = (
         operation_event.outcome[0],
         int(operation_event.outcome[1]),
         str(operation_event.outcome[2]),
     )
     floor, known_before[client] = known_before[client], 0
     values, not_written = dict(monitor.values), set(monitor.not_written)
-    if word in ("done", "read", "taken") and version < floor:
+    if result in ("done", "read", "taken") and version < floor:
         return f"version {floor} was known before {operation_event.operation} began, which ended with {version}"
-    if word in ("done", "read") and value:
+    if result in ("done", "read") and value:
         if values.setdefault(version, value) != value:
             return f"version {version} is {values[version]} and {value}"
-        if word == "done" and version <= floor:
-            return f"version {version} was written though {floor} was known"
-    if word in ("taken", "nothing written"):
+        if result == "done" and version <= floor:
+            return f"version {version} was written although version {floor} was known"
+    if result in ("taken", "nothing written"):
         not_written.add(value)
     for each in not_written & set(values.values()):
-        return f"{each} was said not to be written, and is there"
+        return f"{each} was reported as not written but exists"
     highest_version = (
-        max(monitor.highest_version, version) if word in ("done", "read", "taken") else monitor.highest_version
+        max(monitor.highest_version, version) if result in ("done", "read", "taken") else monitor.highest_version
     )
     return RegisterMonitor(
         highest_version, tuple(known_before), tuple(sorted(values.items())), tuple(sorted(not_written))
@@ -107,7 +116,11 @@
 
 
 class RegisterModel(Model):
-    """Three register replicas, two writers of version 2, a reader that reads twice."""
+    """Three register replicas, two writers of version 2, and a client that reads twice.
+
+    Invariants: outcomes agree with earlier ones and with the version known when the operation began, every majority
+    that could vote has the highest known version, and no two disjoint majorities could vote.
+    """
 
     names: tuple[str, ...] = ("a", "b", "c", "writer-0", "writer-1", "reader")
     budget = Budget(losses=1, late=1, doubles=1, restarts=1, timers=2)
@@ -121,6 +134,7 @@
     )
 
     def cells(self, *, name: str) -> dict[str, Cell]:
+        """The cells on a register replica's disk at the start."""
         return {KEY: Cell(promised=FIRST_BALLOT, accepted=FIRST_BALLOT, value=b"1:first")}
 
     def process_specs(self) -> Sequence[ProcessSpec]:
@@ -143,12 +157,12 @@
     def initial_monitor(self) -> Hashable:
         return RegisterMonitor(1, (0,) * len(self.scripts), ((1, "1:first"),), ())
 
-    def monitor(self, *, monitor: Any, process: int, operation_event: OperationEvent) -> Hashable:
+    def update_monitor(self, *, monitor: Any, process: int, operation_event: OperationEvent) -> Hashable:
         return check_outcome(
             monitor=monitor, client=process - self.register_replicas, operation_event=operation_event
         )
 
-    def wrong(self, *, local_states: Sequence[LocalState], monitor: Any) -> str:
+    def violation(self, *, local_states: Sequence[LocalState], monitor: Any) -> str:
         register_replicas: Any = tuple(local.observation for local in local_states[: self.register_replicas])
         lacking = find_lost_version(
             register_replicas=register_replicas, key=KEY, version=monitor.highest_version, version_of=version_of
--- a/src/cinderstair/simulation/explorer/replica_actor.py
+++ b/src/cinderstair/simulation/explorer/replica_actor.py
@@ -1,4 +1,4 @@
-"""A register replica, on its own loop."""
+"""A modelled register replica."""
 
 import random
 from collections.abc import Hashable
@@ -20,7 +20,7 @@
 
 
 class ReplicaObservation(NamedTuple):
-    """What a register replica would still know if it lost its power now."""
+    """The durable state of a register replica: what it would recover after a crash."""
 
     ident: int
     roster: bytes
@@ -28,7 +28,7 @@
 
 
 class EmptyMembership:
-    """Nobody is known to be lost: whose place a register replica takes is said by its name or by the model."""
+    """A membership that never reports a failure: a replica's name or the model decides whom it replaces."""
 
     def alive(self, *, role: str) -> list[Any]:
         return []
@@ -41,7 +41,7 @@
 
 
 def disk_files(*, ident: int, roster: Roster | None = None, cells: dict[str, Cell] | None = None) -> Files:
-    """The disk of a register replica that holds this."""
+    """The disk contents of a register replica with that identity, roster and cells."""
     disk = SimDisk(rng=random.Random(0))
     store = Store(disk=disk).open().ok
     entries = [ident_entry(ident=ident)]
@@ -53,7 +53,10 @@
 
 
 class ReplicaActor(Actor):
-    """Answers as the daemon does; a blank one also meets the others and takes its place again, if it `enters`."""
+    """Serves requests as the daemon does; with `rejoins` it also runs the joining of a blank replica.
+
+    `may_grant_leases`: it has been up for long enough to grant leases at once.
+    """
 
     def __init__(
         self, *, spec: ProcessSpec, name: str, seeds: tuple[str, ...], rejoins: bool = False, rate: float = 1.0
@@ -79,7 +82,7 @@
 
     def digest(self) -> Hashable | None:
         acceptor = self.register_replica.acceptor
-        # why: while it asks or syncs, how far its tasks have come is known by its history alone
+        # The progress of tasks that request or sync is only determined by the history.
         if self.rejoins or self.disk.syncing is not None or self.net.serving or self.net.pending:
             return None
         now_us = self.ctx.now_us()
--- a/src/cinderstair/simulation/explorer/returning_model.py
+++ b/src/cinderstair/simulation/explorer/returning_model.py
@@ -1,4 +1,4 @@
-"""A voter whose place was taken while it was cut off comes back and is to vote again."""
+"""A voter that was replaced while it was unreachable returns and is made a voter again."""
 
 from collections.abc import Hashable
 
@@ -10,14 +10,14 @@
 from .roster_model import RosterChangeModel, replace_voter
 from .world_state import Budget
 
-# of a write that reached c alone, and that no majority ever accepted; higher than what was chosen since
+# Ballot of a write that only c accepted; higher than that of the value chosen since.
 LOST_BALLOT = Ballot(5, 9)
 
 
 class ReturningVoterModel(RosterChangeModel):
-    """a, b and d vote under epoch 3, and chose version 2; c knows epoch 1 alone, where it accepted another version 2.
+    """a, b and d vote under epoch 3 and chose version 2; c only knows epoch 1 and accepted another version 2 there.
 
-    An operator has c take d's place again, by its old identity, while others read and write.
+    An operator replaces d by c under c's old identity while other clients read and write.
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "d", "changer-0", "reader", "writer")
--- a/src/cinderstair/simulation/explorer/roster_model.py
+++ b/src/cinderstair/simulation/explorer/roster_model.py
@@ -1,4 +1,4 @@
-"""Two changes of the roster that race, while a key is written."""
+"""Two roster changes race while a key is written."""
 
 from collections.abc import Hashable, Sequence
 
@@ -25,6 +25,8 @@
 
 
 def replace_voter(*, leaves: str, enters: Voter) -> Operation:
+    """Operation: replaces a voter."""
+
     async def operation(actor: ClientActor) -> Outcome:
         voter_replacement = VoterReplacement(ctx=actor.ctx, register=actor.register)
         result = await voter_replacement.replace_voter(leaves=leaves, enters=enters, max_voters=3)
@@ -34,7 +36,7 @@
 
 
 def remove_voter(*, name: str) -> Operation:
-    """The first half of a replacement, whose second half never comes."""
+    """Operation: the first half of a replacement, which removes a voter; the second half never follows."""
 
     async def operation(actor: ClientActor) -> Outcome:
         ident = voter_of(name=name).ident
@@ -45,11 +47,10 @@
 
 
 class RosterChangeModel(RegisterModel):
-    """Three voters; d and e are empty register replicas at other addresses, and each is to take a place. b and c know
-    version 2 of the key, and a missed it.
+    """Three voters, of which b and c have version 2 of the key and a missed it; blank d and e replace b and c.
 
-    Operators name who leaves, so that the empty ones come without a snapshot, which is more than the daemon asks of
-    the roster's rule. One client writes and reads meanwhile.
+    The operators' replacements name the voter to remove, so the blank replicas enter without a snapshot. That is a
+    stronger test of the roster change than the daemon's own joining. One client writes and reads meanwhile.
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "d", "e", "changer-0", "changer-1", "writer")
@@ -72,10 +73,7 @@
         return RegisterMonitor(2, (0,) * len(self.scripts), ((1, "1:first"), (2, "2:writer")), ())
 
     def initial_roster(self, *, name: str) -> Roster | None:
-        """The roster on a register replica's disk; None for an empty one.
-
-        Of any other process: the one that it knows.
-        """
+        """The roster on a register replica's disk (None if blank), or the one that a client starts with."""
         return None if name in "de" else founding_roster(names="abc")
 
     def process_specs(self) -> Sequence[ProcessSpec]:
@@ -98,20 +96,20 @@
             spec=spec, name=name, seeds=self.seeds, roster=self.initial_roster(name=name), script=script
         )
 
-    def monitor(self, *, monitor: object, process: int, operation_event: OperationEvent) -> object:  # type: ignore[override]
-        # why: what a changer says of its own work binds nobody; what the register replicas hold is judged
+    def update_monitor(self, *, monitor: object, process: int, operation_event: OperationEvent) -> object:  # type: ignore[override]
+        # Outcomes of roster changes promise nothing; the replicas' durable state is checked instead.
         if "changer" in self.names[process]:
             return monitor
-        return super().monitor(monitor=monitor, process=process, operation_event=operation_event)
+        return super().update_monitor(monitor=monitor, process=process, operation_event=operation_event)
 
 
 class VoterRemovalModel(RosterChangeModel):
-    """Only the first halves: two voters are struck off at once, and nobody takes their places."""
+    """Two voters are removed concurrently and not replaced."""
 
     names: tuple[str, ...] = ("a", "b", "c", "changer-0", "changer-1", "reader")
     register_replicas = 3
     scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
-        (("strike off b", remove_voter(name="b")),),
-        (("strike off c", remove_voter(name="c")),),
+        (("remove b", remove_voter(name="b")),),
+        (("remove c", remove_voter(name="c")),),
         (("read", read),),
     )
--- a/src/cinderstair/simulation/explorer/search_report.py
+++ b/src/cinderstair/simulation/explorer/search_report.py
@@ -1,12 +1,15 @@
-"""What a search found."""
+"""Result of a search."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(kw_only=True)
 class SearchReport:
-    """`pruned`: states not gone on from, for the bound of the depth; `held_back`: choices not taken, for that of the
-    turns; `left`: states not gone on from, for the bound of their number.
+    """Counts of a search, and the counterexample if one was found.
+
+    `ends`: states without enabled actions; `pruned`: states not expanded because of the depth bound; `held_back`:
+    actions not taken because of the bound on turns; `left`: successors dropped because of the bound on states.
+    `wrong`: the violated invariant; `choices`: its schedule; `reported`: the descriptions of its actions.
     """
 
     states: int = 0
@@ -22,5 +25,5 @@
 
     @property
     def exhausted(self) -> bool:
-        """Whether every state that can be reached at all was seen, and none is wrong."""
+        """Whether all reachable states were explored without a violation."""
         return not (self.pruned or self.held_back or self.left or self.wrong)
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the register replicas' code, each against one model, to see that the explorer sees."""
+"""Bugs patched into the consensus code, each of which the explorer must find in one of the models."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -24,7 +24,7 @@
 
 
 def answers_before_sync() -> Patches:
-    """A register replica answers first and syncs then."""
+    """A register replica answers before it syncs."""
 
     async def work(self: Any) -> None:
         while True:
@@ -38,7 +38,7 @@
 
 
 def accepts_any_ballot() -> Patches:
-    """A register replica accepts a value whatever it has promised."""
+    """A register replica accepts any ballot, also one below its promise."""
 
     def accept(self: Any, *, request: AcceptRequest) -> Applied:
         refusal: Applied | None = self._refusal(epoch=request.epoch, key=request.key)
@@ -53,23 +53,23 @@
 
 
 def blank_replica_votes() -> Patches:
-    """A blank register replica votes in the place of the one that lost its disk."""
-    refusal = Acceptor._refusal
+    """A register replica that lost its disk keeps voting under its old place."""
+    original = Acceptor._refusal
 
     def refuse_other_epochs_only(self: Any, *, epoch: int, key: str) -> Applied | None:
-        # why: only who is no voter is let vote; of another epoch it is told as ever
-        return refusal(self, epoch=epoch, key=key) if epoch != self.epoch else None
+        # Lets non-voters vote; requests of another epoch are still refused.
+        return original(self, epoch=epoch, key=key) if epoch != self.epoch else None
 
     return [patch.object(Acceptor, "_refusal", refuse_other_epochs_only)]
 
 
 def no_lease_margin() -> Patches:
-    """A holder believes until the very end of its lease."""
+    """A lease holder uses its lease up to its end, without the safety margin."""
     return [patch.object(lease, "MARGIN_US", 0)]
 
 
 def grants_after_restart() -> Patches:
-    """A register replica that starts again grants what it may have granted before."""
+    """A restarted register replica grants leases at once, although earlier grants may still run."""
     init = Acceptor.__init__
 
     def fresh(self: Any, **given: Any) -> None:
@@ -79,7 +79,7 @@
 
 
 def reuses_lease_number() -> Patches:
-    """A daemon seeks under the number that it gave back."""
+    """A daemon reuses the lease number that it gave back."""
 
     async def give_back(self: Any) -> None:
         await self._request(holder=self.holder, length_us=0)
@@ -88,7 +88,7 @@
 
 
 def skips_lease_wait() -> Patches:
-    """A second voter is taken off without waiting for leases."""
+    """A second voter is removed without waiting until leases of earlier rosters have expired."""
 
     async def skip_wait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
@@ -99,7 +99,7 @@
 async def change_roster_unchecked(
     self: Any, *, alter: Callable[[Roster], Roster]
 ) -> Result[Roster, CinderstairError]:
-    """As Register.change_roster, without a look at how much changes and whether another change came first."""
+    """Like Register.change_roster, without its checks of the size of the change and of concurrent changes."""
     highest = await self.vector()
     for key in highest.ok if highest.is_ok() else ():
         kept = await self.change(key=key, decide=Ok)
@@ -122,29 +122,29 @@
 
 
 def ignores_concurrent_change() -> Patches:
-    """A change of the roster goes on from one that came while it wrote the keys again."""
+    """A roster change ignores one that was chosen while it rewrote the keys."""
     return [patch.object(Register, "change_roster", change_roster_unchecked)]
 
 
 def keeps_removed_voter_cells() -> Patches:
-    """A register replica that is no voter any more keeps what it accepted as one."""
+    """A register replica that was removed as a voter keeps its accepted values."""
     return [patch.object(Acceptor, "_clear_cells", lambda self: ())]
 
 
 def readds_voter_with_stale_roster() -> Patches:
-    """A register replica is made a voter again without having adopted a roster that lacks it."""
+    """A register replica is made a voter again without having adopted the roster that removed it."""
 
-    reported = Register.send_roster
+    original = Register.send_roster
 
     async def send_roster(self: Any, *, address: str, roster: Roster) -> bool:
         voting = any(voter.address == address for voter in roster.voters)
-        return await reported(self, address=address, roster=roster) if voting else True
+        return await original(self, address=address, roster=roster) if voting else True
 
     return [patch.object(Register, "send_roster", send_roster)]
 
 
 def replaces_two_voters() -> Patches:
-    """A replacement is one change of two voters."""
+    """A replacement changes two voters in one roster change."""
 
     async def replace_voter(
         self: Any, *, leaves: str, enters: Voter, max_voters: int
@@ -178,7 +178,7 @@
 
 @contextmanager
 def with_seeded_bug(*, name: str) -> Iterator[None]:
-    """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
+    """Runs the enclosed code with a seeded bug; an empty name enables none."""
     with ExitStack() as stack:
         for each in SEEDED_BUGS[name]() if name else []:
             stack.enter_context(each)
--- a/src/cinderstair/simulation/explorer/space.py
+++ b/src/cinderstair/simulation/explorer/space.py
@@ -1,28 +1,32 @@
-"""What a search explores."""
+"""Interface of a transition system that can be searched."""
 
 from collections.abc import Hashable, Sequence
 from typing import Any, Protocol
 
 
 class Space(Protocol):
-    """States are hashable and steps are always the same, so a list of choices says everything."""
+    """A deterministic transition system: a schedule (indices of enabled actions) identifies a path."""
 
-    def initial(self) -> Hashable: ...
+    def initial(self) -> Hashable:
+        """The initial state."""
+        ...
 
-    def choices(self, *, state: Any) -> Sequence[Any]:
-        """What may happen next, in a fixed order; the first is what happens in a calm world."""
+    def enabled_actions(self, *, state: Any) -> Sequence[Any]:
+        """The enabled actions in a fixed order; the first is that of the default schedule."""
         ...
 
-    def step(self, *, state: Any, action: Any) -> Hashable: ...
+    def step(self, *, state: Any, action: Any) -> Hashable:
+        """The successor state."""
+        ...
 
     def digest(self, *, state: Any) -> bytes:
-        """The same for states that are the same."""
+        """A fingerprint that is equal for equal states."""
         ...
 
-    def wrong(self, *, state: Any) -> str:
-        """Which invariant the state breaks; empty where none."""
+    def violation(self, *, state: Any) -> str:
+        """The invariant that the state violates; empty if none."""
         ...
 
-    def reported(self, *, state: Any, action: Any) -> str:
-        """The choice in words."""
+    def describe(self, *, state: Any, action: Any) -> str:
+        """Describes an action for a counterexample."""
         ...
--- a/src/cinderstair/simulation/explorer/stepped_loop.py
+++ b/src/cinderstair/simulation/explorer/stepped_loop.py
@@ -1,4 +1,4 @@
-"""A virtual loop that runs what is ready and stops, so that somebody else says what happens next."""
+"""A virtual event loop that is run step by step from outside."""
 
 import asyncio
 import contextvars
@@ -8,23 +8,24 @@
 
 
 class SteppedLoop(VirtualLoop):
-    """Its clock moves only when it is told to."""
+    """Runs ready callbacks on request; its clock advances only by `fire` and `advance`."""
 
     _ready: Any
     _scheduled: Any
 
     def _make_self_pipe(self) -> None:
-        # why: nothing outside ever wakes it, and thousands of loops live at once, each with two sockets otherwise
+        # No other thread wakes the loop, and the two sockets of each of thousands of loops would be wasted.
         return
 
     def _close_self_pipe(self) -> None:
         return
 
     def now_us(self) -> int:
+        """The virtual time in microseconds."""
         return round(self.virtual * 1_000_000)
 
     def settle(self) -> None:
-        """Runs all that is ready, and all that comes of it, at the moment that it is."""
+        """Runs callbacks until none is ready, without advancing the clock."""
         self.stop()
         self.run_forever()
         while self._ready:
@@ -32,18 +33,18 @@
             self.run_forever()
 
     def next_due(self) -> float | None:
-        """When the first timer is due, in the loop's seconds; None where there is none."""
+        """The time of the first timer, in seconds of the loop; None if there is none."""
         return min((handle.when() for handle in self._scheduled if not handle.cancelled()), default=None)
 
     def fire(self) -> None:
-        """Moves the clock to the first timer and runs it."""
+        """Advances the clock to the first timer and runs it."""
         due = self.next_due()
         if due is not None:
             self.virtual = max(self.virtual, due)
         self.settle()
 
-    def let_pass(self, *, for_us: int) -> None:
-        """Moves the clock on, running on the way what falls due."""
+    def advance(self, *, for_us: int) -> None:
+        """Advances the clock, running the timers that expire on the way."""
         until = self.virtual + for_us / 1_000_000
         while (due := self.next_due()) is not None and due <= until:
             self.fire()
@@ -51,7 +52,7 @@
         self.settle()
 
     def discard(self) -> None:
-        """Ends it without running anything more."""
+        """Closes the loop without running pending callbacks."""
         self.ended = True
         self.set_exception_handler(lambda loop, context: None)
         self._ready.clear()
@@ -60,6 +61,6 @@
 
     def _make_task(self, loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:
         task = asyncio.Task(work, loop=loop, context=contextvars.copy_context() if context is None else context)
-        # why: a process that is not needed any more is left where it stands, and that is no news
+        # Discarded processes leave unfinished tasks behind; asyncio should not warn about them.
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         return task
--- a/src/cinderstair/simulation/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -1,4 +1,4 @@
-"""A register replica loses its disk right after an acknowledgement and comes back blank."""
+"""A register replica loses its disk after a write was acknowledged and restarts blank."""
 
 from collections.abc import Hashable
 
@@ -21,10 +21,10 @@
 
 
 class WipeModel(RegisterModel):
-    """Version 2 was acknowledged by a and b, and c missed it: every way to go on from there.
+    """a and b acknowledged version 2, and c missed it; then any one disk is lost at any moment.
 
-    Any one disk is lost at any moment. Its register replica comes back at its old address, blank, and takes its place
-    again as the daemon does: it meets the others, takes a snapshot, and enters by two changes of the roster.
+    The replica restarts blank at its old address and rejoins as the daemon does: it contacts the others, takes a
+    snapshot, and is made a voter by two roster changes.
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "reader", "writer")
@@ -53,7 +53,7 @@
 
 
 class MovedWipeModel(WipeModel):
-    """The same, and the register replica comes back at another address under its name."""
+    """As WipeModel, but the replica restarts under its name at another address."""
 
     def wipe_address(self, *, process: int, address: str) -> str:
         return f"{self.names[process]}:2"
--- a/src/cinderstair/simulation/explorer/world_state.py
+++ b/src/cinderstair/simulation/explorer/world_state.py
@@ -1,4 +1,4 @@
-"""One state of an explored world."""
+"""Global state of an explored world."""
 
 from collections.abc import Hashable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Budget(NamedTuple):
-    """How often each thing may still go wrong, and how often time may still pass."""
+    """How many more faults of each kind, steps of time and timers may occur."""
 
     losses: int = 0
     late: int = 0
@@ -19,9 +19,9 @@
 
 
 class WorldState(NamedTuple):
-    """`places` are numbers of local states by process; `watch` is what the model's invariants keep in mind.
+    """`local_numbers`: the local state of each process; `runs`: how often each restarted; `monitor`: the model's.
 
-    `last`: whose operation went on last; -2 where it was time, -1 where that is not kept.
+    `last_process`: the process whose operation advanced last; -2 if time passed, -1 if that is not tracked.
     """
 
     local_numbers: tuple[int, ...]
