--- a/features/simulation/explorer/models.feature
+++ b/features/simulation/explorer/models.feature
@@ -25,15 +25,15 @@
     Then a violation with "<words>" is reported with its counterexample
 
     Examples:
-      | fault                          | model          | turns | budget   | words                          |
-      | answers_before_sync            | register       | 1     | default  | a majority of epoch 1 lacks it |
-      | accepts_any_ballot             | register       | 2     | default  | version 2 is                   |
-      | blank_replica_votes            | after_ack_wipe | 1     | default  | a majority of epoch 1 lacks it |
-      | no_lease_margin                | lease          | 2     | 3 passes | hold the lease at once         |
-      | grants_after_restart           | lease          | 1     | default  | hold the lease at once         |
-      | reuses_lease_number            | lease          | 2     | empty    | hold the lease at once         |
-      | skips_lease_wait               | lease_roster   | 2     | empty    | hold the lease at once         |
-      | ignores_concurrent_change      | roster_leaving | 2     | default  | a majority of epoch 3 lacks it |
-      | replaces_two_voters            | roster_change  | 1     | default  | a majority of epoch 2 lacks it |
-      | keeps_removed_voter_cells      | returning      | 1     | default  | version 2 is                   |
-      | readds_voter_with_stale_roster | returning      | 1     | default  | version 2 is                   |
+      | fault                             | model          | turns | budget   | words                          |
+      | answers_before_sync               | register       | 1     | default  | a majority of epoch 1 lacks it |
+      | accepts_any_ballot                | register       | 2     | default  | version 2 is                   |
+      | blank_replica_votes               | after_ack_wipe | 1     | default  | a majority of epoch 1 lacks it |
+      | no_lease_margin                   | lease          | 2     | 3 passes | hold the lease at once         |
+      | grants_after_restart              | lease          | 1     | default  | hold the lease at once         |
+      | reuses_lease_number               | lease          | 2     | empty    | hold the lease at once         |
+      | skips_lease_wait                  | lease_roster   | 2     | empty    | hold the lease at once         |
+      | continues_after_concurrent_change | roster_leaving | 2     | default  | a majority of epoch 3 lacks it |
+      | replaces_two_voters               | roster_change  | 1     | default  | a majority of epoch 2 lacks it |
+      | keeps_removed_voter_cells         | returning      | 1     | default  | version 2 is                   |
+      | readds_voter_with_stale_roster    | returning      | 1     | default  | version 2 is                   |
--- a/src/cinderstair/simulation/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -58,10 +58,10 @@
 
     def handle_event(self, *, event: Event) -> tuple[Output, ...]:
         """Applies an event, runs until no callback is ready and returns the outputs."""
-        if event.kind == "ask":
+        if event.kind == "request":
             assert event.request_id is not None
             self.net.serve_record(loop=self.loop, request_id=event.request_id, body=event.body)
-        elif event.kind == "answer":
+        elif event.kind == "response":
             self.net.deliver_response(number=event.number, body=event.body)
         elif event.kind == "lost":
             self.net.time_out(number=event.number)
@@ -72,7 +72,7 @@
         elif event.kind == "pass":
             self.loop.advance(for_us=round(event.number * self.rate))
         else:
-            assert event.kind == "go", event
+            assert event.kind == "begin", event
             self.loop.call_soon(lambda: self.begin_operation(name=event.name))
         return self._run_until_quiescent()
 
--- a/src/cinderstair/simulation/explorer/event.py
+++ b/src/cinderstair/simulation/explorer/event.py
@@ -14,8 +14,8 @@
 class Event(NamedTuple):
     """An input of a process; `kind` decides which of the other fields are set:
 
-    ask (request_id, body), answer (number, body), lost (number), synced, timer, pass (number: microseconds) and
-    go (name).
+    request (request_id, body), response (number, body), lost (number of the request that times out), synced, timer,
+    pass (number: microseconds) and begin (name of the operation).
     """
 
     kind: str
--- a/src/cinderstair/simulation/explorer/explored_world.py
+++ b/src/cinderstair/simulation/explorer/explored_world.py
@@ -13,14 +13,14 @@
 from .world_state import Budget, WorldState
 
 DELIVERY_TEXTS = {
-    RESPONSE: "the response to {sender}'s request {number} ({kind}) arrives from {host}",
+    RESPONSE: "the response to {sender}'s request {number} arrives from {host}",
     REQUEST: "{sender}'s request {number} ({kind}) arrives at {host}",
     ABANDONED: "{sender}'s request {number} ({kind}), which timed out, arrives at {host}",
 }
 # Value of `last_process` after time passed.
 TIME_PASSED = -2
 # Actions that advance an operation; the default schedule then continues with the process of that operation.
-CONTINUING_ACTIONS = ("deliver", "go", "expire", "lose", "abandon", "timer")
+CONTINUING_ACTIONS = ("deliver", "begin", "expire", "lose", "abandon", "timer")
 RECORD_KINDS = {1: "prepare", 2: "accept", 3: "read", 4: "vector", 5: "lease", 6: "hello", 7: "adopt"}
 
 
@@ -99,8 +99,8 @@
             if message.phase == UNANSWERED or (message.phase == REQUEST and host < 0):
                 found.append(Action("expire", message.request_id.process, message))
         for process, local in enumerate(states):
-            found += [Action("go", process, name=name) for name in local.operations]
-        found += [Action("deliver", host, f) for f, host in pairs if f.phase == ABANDONED and host >= 0]
+            found += [Action("begin", process, name=name) for name in local.operations]
+        found += [Action("deliver", host, m) for m, host in pairs if m.phase == ABANDONED and host >= 0]
         if budget.timers:
             found += [Action("timer", process) for process, local in enumerate(states) if local.has_timer]
         if budget.passes:
@@ -108,11 +108,11 @@
             found.insert(0 if state.last_process == TIME_PASSED else len(found), Action("pass"))
         lossy = [(message, host) for message, host in pairs if message.phase in (RESPONSE, REQUEST, PROCESSING)]
         if budget.losses:
-            found += [Action("lose", f.request_id.process, f) for f, _ in lossy if f.phase in (RESPONSE, REQUEST)]
+            found += [Action("lose", m.request_id.process, m) for m, _ in lossy if m.phase in (RESPONSE, REQUEST)]
         if budget.late:
-            found += [Action("abandon", f.request_id.process, f) for f, _ in lossy if f.phase == REQUEST]
+            found += [Action("abandon", m.request_id.process, m) for m, _ in lossy if m.phase == REQUEST]
         if budget.doubles:
-            found += [Action("duplicate", host, f) for f, host in lossy if f.phase == REQUEST and host >= 0]
+            found += [Action("duplicate", host, m) for m, host in lossy if m.phase == REQUEST and host >= 0]
         if budget.restarts:
             found += [Action("restart", process) for process in range(self.model.register_replicas)]
         if budget.wipes and self.model.may_lose_disk(monitor=state.monitor):
@@ -137,8 +137,8 @@
         elif action.kind == "duplicate":
             assert message is not None
             builder.messages.append(message._replace(phase=ABANDONED))
-        elif action.kind == "go":
-            builder.handle_event(process=process, event=Event("go", name=action.name))
+        elif action.kind == "begin":
+            builder.handle_event(process=process, event=Event("begin", name=action.name))
         elif action.kind == "timer":
             builder.handle_event(process=process, event=Event("timer"))
         elif action.kind == "pass":
@@ -169,7 +169,7 @@
             words = {
                 "sender": names[message.request_id.process],
                 "number": message.request_id.number,
-                "kind": RECORD_KINDS.get(message.body[0], "?") if message.phase != RESPONSE else "answered",
+                "kind": RECORD_KINDS.get(message.body[0], "?") if message.phase != RESPONSE else "response",
                 "host": names[host] if host >= 0 else message.address,
             }
             if action.kind == "deliver":
@@ -185,7 +185,7 @@
         who = names[action.process] if action.process >= 0 else ""
         return {
             "sync": f"{who}'s disk syncs",
-            "go": f"{who} begins: {action.name}",
+            "begin": f"{who} begins: {action.name}",
             "timer": f"{who}'s next timer fires",
             "pass": f"{self.model.pass_us / 1_000_000:g} s pass",
             "restart": f"{who} crashes and restarts",
@@ -261,14 +261,14 @@
         self.messages.remove(message)
         if message.phase == RESPONSE:
             self.handle_event(
-                process=process, event=Event("answer", number=message.request_id.number, body=message.body)
+                process=process, event=Event("response", number=message.request_id.number, body=message.body)
             )
             return
         if message.phase == REQUEST:
             self.messages.append(message._replace(phase=PROCESSING))
         # Responses to abandoned requests are dropped, so all of these share one id, which merges their states.
         request_id = message.request_id if message.phase == REQUEST else RequestId(-1, 0, 0)
-        self.handle_event(process=process, event=Event("ask", body=message.body, request_id=request_id))
+        self.handle_event(process=process, event=Event("request", body=message.body, request_id=request_id))
 
     def handle_event(self, *, process: int, event: Event) -> None:
         """Applies an event to a process, and the sync that must follow if no crash can come before it."""
--- a/src/cinderstair/simulation/explorer/invariants.py
+++ b/src/cinderstair/simulation/explorer/invariants.py
@@ -17,17 +17,17 @@
 
 def adopted_rosters(*, register_replicas: Sequence[ReplicaObservation]) -> list[Roster]:
     """The distinct rosters that register replicas have adopted, in order of their epochs."""
-    found = {observation.roster for observation in register_replicas if observation.roster}
+    found = {replica.roster for replica in register_replicas if replica.roster}
     return sorted((parse_roster(data) for data in found), key=lambda roster: roster.epoch)
 
 
 def eligible_voters(*, roster: Roster, register_replicas: Sequence[ReplicaObservation]) -> list[ReplicaObservation]:
     """The voters of a roster that can still vote under it: present, and without a roster of a later epoch."""
     found = []
-    for observation in register_replicas:
-        epoch = parse_roster(observation.roster).epoch if observation.roster else 0
-        if roster.has(ident=observation.ident) and epoch <= roster.epoch:
-            found.append(observation)
+    for replica in register_replicas:
+        epoch = parse_roster(replica.roster).epoch if replica.roster else 0
+        if roster.has(ident=replica.ident) and epoch <= roster.epoch:
+            found.append(replica)
     return found
 
 
@@ -38,12 +38,8 @@
     for one, other in combinations(rosters, 2):
         if one.epoch == other.epoch:
             return f"two rosters of epoch {one.epoch}"
-        first = {
-            observation.ident for observation in eligible_voters(roster=one, register_replicas=register_replicas)
-        }
-        second = {
-            observation.ident for observation in eligible_voters(roster=other, register_replicas=register_replicas)
-        }
+        first = {replica.ident for replica in eligible_voters(roster=one, register_replicas=register_replicas)}
+        second = {replica.ident for replica in eligible_voters(roster=other, register_replicas=register_replicas)}
         enough = len(first) >= one.majority and len(second) >= other.majority
         if enough and len(first | second) >= one.majority + other.majority:
             return f"majorities of epochs {one.epoch} and {other.epoch} are disjoint and could both vote now"
@@ -59,8 +55,8 @@
         voters = eligible_voters(roster=roster, register_replicas=register_replicas)
         for majority in combinations(voters, roster.majority):
             newest, value = BLANK, b""
-            for observation in majority:
-                for name, accepted, held in observation.cells:
+            for replica in majority:
+                for name, accepted, held in replica.cells:
                     if name == key and accepted > newest:
                         newest, value = accepted, held
             if version_of(value) < version:
--- a/src/cinderstair/simulation/explorer/local_states.py
+++ b/src/cinderstair/simulation/explorer/local_states.py
@@ -9,7 +9,7 @@
 from .process_spec import ProcessSpec
 
 MAX_LIVE_ACTORS = 400
-COMMUTING_EVENTS = ("answer", "lost")
+COMMUTING_EVENTS = ("response", "lost")
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -53,7 +53,7 @@
 
 
 def blank_replica_votes() -> Patches:
-    """A register replica that lost its disk keeps voting under its old place."""
+    """A blank register replica votes in place of the one that lost its disk."""
     original = Acceptor._refusal
 
     def refuse_other_epochs_only(self: Any, *, epoch: int, key: str) -> Applied | None:
@@ -79,7 +79,7 @@
 
 
 def reuses_lease_number() -> Patches:
-    """A daemon reuses the lease number that it gave back."""
+    """A daemon acquires a lease again under the number that it gave back."""
 
     async def give_back(self: Any) -> None:
         await self._request(holder=self.holder, length_us=0)
@@ -121,8 +121,8 @@
     return Ok(wanted)
 
 
-def ignores_concurrent_change() -> Patches:
-    """A roster change ignores one that was chosen while it rewrote the keys."""
+def continues_after_concurrent_change() -> Patches:
+    """A roster change builds on another one that was chosen while it rewrote the keys, instead of failing."""
     return [patch.object(Register, "change_roster", change_roster_unchecked)]
 
 
@@ -168,7 +168,7 @@
         grants_after_restart,
         reuses_lease_number,
         skips_lease_wait,
-        ignores_concurrent_change,
+        continues_after_concurrent_change,
         keeps_removed_voter_cells,
         readds_voter_with_stale_roster,
         replaces_two_voters,
