--- a/src/cinderstair/simulation/explorer/actor.py
+++ b/src/cinderstair/simulation/explorer/actor.py
@@ -1,4 +1,4 @@
-"""One process of the product: the real classes on a loop, a net and a disk to which everything comes as an event."""
+"""Base class of modelled processes: the product's classes on a controlled loop, network and disk."""
 
 import logging
 import random
@@ -6,102 +6,108 @@
 
 from ...runtime.context import Context
 from ...runtime.protocol_versions import ProtocolVersions
-from .choice_disk import ChoiceDisk
-from .choice_net import ChoiceNet
+from .controlled_disk import ControlledDisk
+from .controlled_net import ControlledNet
 from .event import Event, Output
-from .recipe import Recipe
+from .process_spec import ProcessSpec
 from .stepped_loop import SteppedLoop
 
-# why: records of the first version are sent without a handshake, whose messages would only multiply the states
-FIRST = ProtocolVersions(lowest=1, highest=1)
+# Version 1 needs no handshake, whose messages would only multiply the states.
+FIRST_VERSION = ProtocolVersions(lowest=1, highest=1)
 LOG = logging.getLogger("explorer")
 LOG.setLevel(logging.ERROR)
 
 
 class Actor:
-    """Does nothing but what an event brings about, and always the same after the same events."""
+    """Runs one process deterministically: the same sequence of events leads to the same state and outputs.
 
-    def __init__(self, *, recipe: Recipe, name: str, rate: float = 1.0) -> None:
-        self.recipe = recipe
+    `rate` is the speed of its clock relative to the modelled time.
+    """
+
+    def __init__(self, *, spec: ProcessSpec, name: str, rate: float = 1.0) -> None:
+        self.spec = spec
         self.rate = rate
         self.loop = SteppedLoop()
         self.outputs: list[Output] = []
-        self.net = ChoiceNet(outputs=self.outputs)
-        self.disk = ChoiceDisk(files=dict(recipe.files))
+        self.net = ControlledNet(outputs=self.outputs)
+        self.disk = ControlledDisk(files=dict(spec.files))
         self.ctx = Context(
             name=name,
             site="hall",
-            rng=random.Random(f"{name}/{recipe.run}"),
+            rng=random.Random(f"{name}/{spec.run}"),
             clock=self.loop.now_us,
             wall=self.loop.now_us,
             net=self.net,
             disk=self.disk,
             log=LOG,
         )
-        self.ctx.protocol_versions = FIRST
+        self.ctx.protocol_versions = FIRST_VERSION
 
     def start(self) -> tuple[Output, ...]:
-        self.loop.call_soon(self.begin)
-        return self._settled()
+        """Starts the process and returns its first outputs."""
+        self.loop.call_soon(self.on_start)
+        return self._run_until_quiescent()
 
-    def begin(self) -> None:
-        """What the process does first, on its running loop."""
+    def on_start(self) -> None:
+        """Initializes the process; called on its running loop."""
         raise NotImplementedError
 
-    def go(self, *, name: str) -> None:
-        """Begins one of the operations that `operations` names."""
+    def begin_operation(self, *, name: str) -> None:
+        """Begins an operation that `operations` offers."""
         raise NotImplementedError
 
-    def take(self, *, event: Event) -> tuple[Output, ...]:
-        if event.kind == "ask":
-            assert event.token is not None
-            self.net.serve_record(loop=self.loop, token=event.token, body=event.body)
-        elif event.kind == "answer":
-            self.net.bring(number=event.number, body=event.body)
+    def handle_event(self, *, event: Event) -> tuple[Output, ...]:
+        """Applies an event, runs until no callback is ready and returns the outputs."""
+        if event.kind == "request":
+            assert event.request_id is not None
+            self.net.serve_record(loop=self.loop, request_id=event.request_id, body=event.body)
+        elif event.kind == "response":
+            self.net.deliver_response(number=event.number, body=event.body)
         elif event.kind == "lost":
-            self.net.lose(number=event.number)
+            self.net.time_out(number=event.number)
         elif event.kind == "synced":
             self.disk.synced()
         elif event.kind == "timer":
             self.loop.fire()
         elif event.kind == "pass":
-            self.loop.let_pass(for_us=round(event.number * self.rate))
+            self.loop.advance(for_us=round(event.number * self.rate))
         else:
-            assert event.kind == "go", event
-            self.loop.call_soon(lambda: self.go(name=event.name))
-        return self._settled()
+            assert event.kind == "begin", event
+            self.loop.call_soon(lambda: self.begin_operation(name=event.name))
+        return self._run_until_quiescent()
 
-    def _settled(self) -> tuple[Output, ...]:
+    def _run_until_quiescent(self) -> tuple[Output, ...]:
         self.loop.settle()
-        # why: a task of the product that broke off is a fault in itself, whatever the invariants say of it
+        # A crashed task is a fault even where no invariant is violated.
         if self.ctx.counters.counts["internal.crashes"]:
-            raise RuntimeError(f"{self.ctx.name}: a task broke off, see the log")
+            raise RuntimeError(f"{self.ctx.name}: a task crashed, see the log")
         outputs = tuple(self.outputs)
         self.outputs.clear()
         return outputs
 
     @property
     def operations(self) -> tuple[str, ...]:
-        """What it may begin now."""
+        """The operations that are enabled in the current state."""
         return ()
 
     @property
     def idle(self) -> bool:
-        """Whether it waits for no answer any more, so that one that still comes changes nothing."""
+        """Whether no request is pending, so that a late response has no effect."""
         return False
 
     @property
-    def due(self) -> bool:
-        """Whether it has a timer that may be let fire."""
+    def has_timer(self) -> bool:
+        """Whether a timer is pending."""
         return self.loop.next_due() is not None
 
     def digest(self) -> Hashable | None:
-        """All that its further doings depend on; None where only its whole history says that."""
+        """Everything that later behaviour depends on; None if only the history of events determines it."""
         return None
 
-    def facts(self) -> Hashable:
-        """What the invariants look at."""
+    def observation(self) -> Hashable:
+        """The part of the state that invariants check."""
         return None
 
     def discard(self) -> None:
+        """Closes the loop and drops unfinished tasks."""
         self.loop.discard()
--- a/src/cinderstair/simulation/explorer/event.py
+++ b/src/cinderstair/simulation/explorer/event.py
@@ -1,10 +1,10 @@
-"""What may reach one process, and what it may bring about: all that passes between it and the explored world."""
+"""Input events and outputs of a modelled process."""
 
 from typing import NamedTuple
 
 
-class Token(NamedTuple):
-    """Whose question it is: a process by its place in the model, which of its runs, and its number there."""
+class RequestId(NamedTuple):
+    """Identifies a request: index of the sending process, its run (restart count) and the number in that run."""
 
     process: int
     run: int
@@ -12,32 +12,40 @@
 
 
 class Event(NamedTuple):
-    """`kind` is ask, answer, lost, synced, timer, pass or go; the rest only where the kind has it."""
+    """An input of a process; `kind` decides which of the other fields are set:
+
+    request (request_id, body), response (number, body), lost (number of the request that times out), synced, timer,
+    pass (number: microseconds) and begin (name of the operation).
+    """
 
     kind: str
     number: int = 0
     body: bytes = b""
-    token: Token | None = None
+    request_id: RequestId | None = None
     name: str = ""
 
 
-class Asked(NamedTuple):
+class RequestSent(NamedTuple):
+    """A process sent a request to an address."""
+
     number: int
     address: str
     body: bytes
 
 
-class Answered(NamedTuple):
-    token: Token
+class ResponseSent(NamedTuple):
+    """A process answered a request that it had received."""
+
+    request_id: RequestId
     body: bytes
 
 
-class BackendHeartbeat(NamedTuple):
-    """What a client began or learned: the invariants are judged by it."""
+class OperationEvent(NamedTuple):
+    """A client began an operation (`phase` begin) or finished it with an outcome (end); monitors evaluate it."""
 
-    word: str
+    phase: str
     operation: str
     outcome: tuple[str | int, ...] = ()
 
 
-Output = Asked | Answered | BackendHeartbeat
+Output = RequestSent | ResponseSent | OperationEvent
--- a/src/cinderstair/simulation/explorer/search.py
+++ b/src/cinderstair/simulation/explorer/search.py
@@ -1,4 +1,4 @@
-"""Goes through all states of a space, the nearest first."""
+"""Explicit-state search with bounds on depth, turns and states."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,14 +7,15 @@
 from .search_report import SearchReport
 from .space import Space
 
-TELL_EVERY = 20_000
+PROGRESS_INTERVAL_STATES = 20_000
 
 
 class Search:
-    """Breadth first, so that the first wrong state has a shortest way to it.
+    """Searches all states of a space within bounds.
 
-    With a bound on `turns` only so many choices other than the first may be taken on any way; states with fewer turns
-    come first, and ways may be long. Without it every choice costs the same.
+    Without `turns` it searches breadth first, so that a counterexample has the fewest actions. With `turns` a path
+    may deviate from the default schedule (take another than the first enabled action) at most that often; states with
+    fewer deviations are expanded first, and paths may be long (delay-bounded search).
     """
 
     def __init__(
@@ -23,101 +24,102 @@
         space: Space,
         depth: int,
         turns: int | None = None,
-        most_states: int = 10_000_000,
-        tell: Callable[[SearchReport], None] = lambda report: None,
+        max_states: int = 10_000_000,
+        on_progress: Callable[[SearchReport], None] = lambda report: None,
     ) -> None:
         self.space = space
         self.depth = depth
         self.turns = turns
-        self.most_states = most_states
-        self.tell = tell
+        self.max_states = max_states
+        self.on_progress = on_progress
         self.report = SearchReport()
-        # by state: from which one it was reached, and by which of its choices
-        self.origins: list[tuple[int, int]] = []
+        # By state number: the predecessor, and the index of the action that led from it.
+        self.predecessors: list[tuple[int, int]] = []
         self.seen: dict[bytes, int] = {}
-        # by state: with how few turns it was reached
-        self.turned: list[int] = []
+        # By state number: the fewest turns with which it was reached.
+        self.fewest_turns: list[int] = []
 
     def run(self) -> SearchReport:
+        """Searches until a violation is found or the bounds are exhausted."""
         report, space = self.report, self.space
         first = space.initial()
-        self._note(digest=space.digest(state=first), origin=(-1, -1), turned=0)
-        wrong = space.wrong(state=first)
-        waiting: deque[tuple[Any, int, int, int]] = deque([(first, 0, 0, 0)])
-        while waiting and not wrong:
-            state, number, depth, turned = waiting.popleft()
-            # why: it was put in line again with fewer turns, and has been gone through with those
-            if turned > self.turned[number]:
+        self._add_state(digest=space.digest(state=first), predecessor=(-1, -1), turns=0)
+        violation = space.violation(state=first)
+        frontier: deque[tuple[Any, int, int, int]] = deque([(first, 0, 0, 0)])
+        while frontier and not violation:
+            state, number, depth, turns = frontier.popleft()
+            # It was queued again with fewer turns and has been expanded with those.
+            if turns > self.fewest_turns[number]:
                 continue
             report.depth = max(report.depth, depth)
-            choices = space.choices(state=state)
-            if not choices:
+            actions = space.enabled_actions(state=state)
+            if not actions:
                 report.ends += 1
                 continue
             if depth >= self.depth:
                 report.pruned += 1
                 continue
-            for index, choice in enumerate(choices):
+            for index, action in enumerate(actions):
                 cost = 1 if index and self.turns is not None else 0
-                if self.turns is not None and turned + cost > self.turns:
-                    report.held_back += len(choices) - index
+                if self.turns is not None and turns + cost > self.turns:
+                    report.held_back += len(actions) - index
                     break
                 report.transitions += 1
-                following = space.step(state=state, choice=choice)
+                following = space.step(state=state, action=action)
                 digest = space.digest(state=following)
                 known = self.seen.get(digest)
                 if known is not None:
-                    if turned + cost >= self.turned[known]:
+                    if turns + cost >= self.fewest_turns[known]:
                         continue
-                    self.turned[known] = turned + cost
-                    self.origins[known] = (number, index)
-                elif report.states >= self.most_states:
+                    self.fewest_turns[known] = turns + cost
+                    self.predecessors[known] = (number, index)
+                elif report.states >= self.max_states:
                     report.left += 1
                     continue
                 else:
-                    known = self._note(digest=digest, origin=(number, index), turned=turned + cost)
-                    wrong = space.wrong(state=following)
-                    if wrong:
-                        self._explain(number=known, wrong=wrong)
+                    known = self._add_state(digest=digest, predecessor=(number, index), turns=turns + cost)
+                    violation = space.violation(state=following)
+                    if violation:
+                        self._record_counterexample(number=known, violation=violation)
                         break
-                    if report.states % TELL_EVERY == 0:
-                        self.tell(report)
-                entry = (following, known, depth + 1, turned + cost)
+                    if report.states % PROGRESS_INTERVAL_STATES == 0:
+                        self.on_progress(report)
+                entry = (following, known, depth + 1, turns + cost)
                 if cost or self.turns is None:
-                    waiting.append(entry)
+                    frontier.append(entry)
                 else:
-                    waiting.appendleft(entry)
-        if wrong and not report.wrong:
-            self._explain(number=0, wrong=wrong)
+                    frontier.appendleft(entry)
+        if violation and not report.wrong:
+            self._record_counterexample(number=0, violation=violation)
         return report
 
-    def _note(self, *, digest: bytes, origin: tuple[int, int], turned: int) -> int:
-        number = len(self.origins)
+    def _add_state(self, *, digest: bytes, predecessor: tuple[int, int], turns: int) -> int:
+        number = len(self.predecessors)
         self.seen[digest] = number
-        self.origins.append(origin)
-        self.turned.append(turned)
+        self.predecessors.append(predecessor)
+        self.fewest_turns.append(turns)
         self.report.states += 1
         return number
 
-    def _explain(self, *, number: int, wrong: str) -> None:
+    def _record_counterexample(self, *, number: int, violation: str) -> None:
         choices: list[int] = []
-        while self.origins[number][0] >= 0:
-            number, index = self.origins[number]
+        while self.predecessors[number][0] >= 0:
+            number, index = self.predecessors[number]
             choices.append(index)
-        self.report.wrong = wrong
+        self.report.wrong = violation
         self.report.choices = choices[::-1]
         self.report.reported, _ = replay(space=self.space, choices=self.report.choices)
 
 
 def replay(*, space: Space, choices: list[int]) -> tuple[list[str], str]:
-    """Takes the choices one after the other; what they were in words, and what the state in the end breaks.
+    """Executes a schedule; returns the descriptions of its actions, and the violation in the last state.
 
-    IndexError where there is no such choice.
+    Raises IndexError if an index is beyond the enabled actions.
     """
     state: Any = space.initial()
-    reported = []
+    descriptions = []
     for index in choices:
-        choice = space.choices(state=state)[index]
-        reported.append(space.reported(state=state, choice=choice))
-        state = space.step(state=state, choice=choice)
-    return reported, space.wrong(state=state)
+        action = space.enabled_actions(state=state)[index]
+        descriptions.append(space.describe(state=state, action=action))
+        state = space.step(state=state, action=action)
+    return descriptions, space.violation(state=state)
--- a/src/cinderstair/simulation/explorer/seeded_bugs.py
+++ b/src/cinderstair/simulation/explorer/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Faults switched into the register replicas' code, each against one model, to see that the explorer sees."""
+"""Bugs patched into the consensus code, each of which the explorer must find in one of the models."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -24,7 +24,7 @@
 
 
 def answers_before_sync() -> Patches:
-    """A register replica answers first and syncs then."""
+    """A register replica answers before it syncs."""
 
     async def work(self: Any) -> None:
         while True:
@@ -38,7 +38,7 @@
 
 
 def accepts_any_ballot() -> Patches:
-    """A register replica accepts a value whatever it has promised."""
+    """A register replica accepts any ballot, also one below its promise."""
 
     def accept(self: Any, *, request: AcceptRequest) -> Applied:
         refusal: Applied | None = self._refusal(epoch=request.epoch, key=request.key)
@@ -52,24 +52,24 @@
     return [patch.object(Acceptor, "_accept", accept)]
 
 
-def blank_votes() -> Patches:
-    """A blank register replica votes in the place of the one that lost its disk."""
-    refusal = Acceptor._refusal
+def blank_replica_votes() -> Patches:
+    """A blank register replica votes in place of the one that lost its disk."""
+    original = Acceptor._refusal
 
-    def other_epochs_alone(self: Any, *, epoch: int, key: str) -> Applied | None:
-        # why: only who is no voter is let vote; of another epoch it is told as ever
-        return refusal(self, epoch=epoch, key=key) if epoch != self.epoch else None
+    def refuse_other_epochs_only(self: Any, *, epoch: int, key: str) -> Applied | None:
+        # Lets non-voters vote; requests of another epoch are still refused.
+        return original(self, epoch=epoch, key=key) if epoch != self.epoch else None
 
-    return [patch.object(Acceptor, "_refusal", other_epochs_alone)]
+    return [patch.object(Acceptor, "_refusal", refuse_other_epochs_only)]
 
 
-def no_margin() -> Patches:
-    """A holder believes until the very end of its lease."""
+def no_lease_margin() -> Patches:
+    """A lease holder uses its lease up to its end, without the safety margin."""
     return [patch.object(lease, "MARGIN_US", 0)]
 
 
-def grants_at_once() -> Patches:
-    """A register replica that starts again grants what it may have granted before."""
+def grants_after_restart() -> Patches:
+    """A restarted register replica grants leases at once, although earlier grants may still run."""
     init = Acceptor.__init__
 
     def fresh(self: Any, **given: Any) -> None:
@@ -78,8 +78,8 @@
     return [patch.object(Acceptor, "__init__", fresh)]
 
 
-def same_number() -> Patches:
-    """A daemon seeks under the number that it gave back."""
+def reuses_lease_number() -> Patches:
+    """A daemon acquires a lease again under the number that it gave back."""
 
     async def give_back(self: Any) -> None:
         await self._request(holder=self.holder, length_us=0)
@@ -87,17 +87,19 @@
     return [patch.object(Lease, "_give_back", give_back)]
 
 
-def second_leaves_at_once() -> Patches:
-    """A second voter is taken off without waiting for leases."""
+def skips_lease_wait() -> Patches:
+    """A second voter is removed without waiting until leases of earlier rosters have expired."""
 
-    async def outwait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
+    async def skip_wait(self: Any, *, roster: Roster) -> Result[None, CinderstairError]:
         return Ok(None)
 
-    return [patch.object(VoterReplacement, "_await_lease_ends", outwait)]
+    return [patch.object(VoterReplacement, "_await_lease_ends", skip_wait)]
 
 
-async def change_blindly(self: Any, *, alter: Callable[[Roster], Roster]) -> Result[Roster, CinderstairError]:
-    """As Register.change_roster, without a look at how much changes and whether another change came first."""
+async def change_roster_unchecked(
+    self: Any, *, alter: Callable[[Roster], Roster]
+) -> Result[Roster, CinderstairError]:
+    """Like Register.change_roster, without its checks of the size of the change and of concurrent changes."""
     highest = await self.vector()
     for key in highest.ok if highest.is_ok() else ():
         kept = await self.change(key=key, decide=Ok)
@@ -119,30 +121,30 @@
     return Ok(wanted)
 
 
-def overtaken_goes_on() -> Patches:
-    """A change of the roster goes on from one that came while it wrote the keys again."""
-    return [patch.object(Register, "change_roster", change_blindly)]
+def continues_after_concurrent_change() -> Patches:
+    """A roster change builds on another one that was chosen while it rewrote the keys, instead of failing."""
+    return [patch.object(Register, "change_roster", change_roster_unchecked)]
 
 
-def old_cells_kept() -> Patches:
-    """A register replica that is no voter any more keeps what it accepted as one."""
+def keeps_removed_voter_cells() -> Patches:
+    """A register replica that was removed as a voter keeps its accepted values."""
     return [patch.object(Acceptor, "_clear_cells", lambda self: ())]
 
 
-def enters_untold() -> Patches:
-    """A register replica is made a voter again without having adopted a roster that lacks it."""
+def readds_voter_with_stale_roster() -> Patches:
+    """A register replica is made a voter again without having adopted the roster that removed it."""
 
-    reported = Register.send_roster
+    original = Register.send_roster
 
     async def send_roster(self: Any, *, address: str, roster: Roster) -> bool:
         voting = any(voter.address == address for voter in roster.voters)
-        return await reported(self, address=address, roster=roster) if voting else True
+        return await original(self, address=address, roster=roster) if voting else True
 
     return [patch.object(Register, "send_roster", send_roster)]
 
 
-def two_at_once() -> Patches:
-    """A replacement is one change of two voters."""
+def replaces_two_voters() -> Patches:
+    """A replacement changes two voters in one roster change."""
 
     async def replace_voter(
         self: Any, *, leaves: str, enters: Voter, max_voters: int
@@ -151,33 +153,33 @@
             stay = tuple(voter for voter in current.voters if voter.name != leaves)
             return Roster(epoch=current.epoch + 1, voters=(*stay, enters))
 
-        return await change_blindly(self.register, alter=alter)
+        return await change_roster_unchecked(self.register, alter=alter)
 
     return [patch.object(VoterReplacement, "replace_voter", replace_voter)]
 
 
-FAULTS: dict[str, Callable[[], Patches]] = {
+SEEDED_BUGS: dict[str, Callable[[], Patches]] = {
     each.__name__: each
     for each in (
         answers_before_sync,
         accepts_any_ballot,
-        blank_votes,
-        no_margin,
-        grants_at_once,
-        same_number,
-        second_leaves_at_once,
-        overtaken_goes_on,
-        old_cells_kept,
-        enters_untold,
-        two_at_once,
+        blank_replica_votes,
+        no_lease_margin,
+        grants_after_restart,
+        reuses_lease_number,
+        skips_lease_wait,
+        continues_after_concurrent_change,
+        keeps_removed_voter_cells,
+        readds_voter_with_stale_roster,
+        replaces_two_voters,
     )
 }
 
 
 @contextmanager
-def switched_in(*, name: str) -> Iterator[None]:
-    """Runs what it encloses with one fault in the code; an empty name is the code as it is."""
+def with_seeded_bug(*, name: str) -> Iterator[None]:
+    """Runs the enclosed code with a seeded bug; an empty name enables none."""
     with ExitStack() as stack:
-        for each in FAULTS[name]() if name else []:
+        for each in SEEDED_BUGS[name]() if name else []:
             stack.enter_context(each)
         yield
--- a/src/cinderstair/simulation/explorer/wipe_model.py
+++ b/src/cinderstair/simulation/explorer/wipe_model.py
@@ -1,28 +1,37 @@
-"""A register replica loses its disk right after an acknowledgement and comes back blank."""
+"""A register replica loses its disk after a write was acknowledged and restarts blank."""
 
 from collections.abc import Hashable
 
 from ...consensus.cell import Cell
 from .actor import Actor
 from .client_actor import ClientActor, Operation
-from .recipe import Recipe
-from .register_model import FIRST_BALLOT, KEY, NEW_BALLOT, RegisterModel, Watch, founded, read, write
+from .process_spec import ProcessSpec
+from .register_model import (
+    FIRST_BALLOT,
+    KEY,
+    NEW_BALLOT,
+    RegisterModel,
+    RegisterMonitor,
+    founding_roster,
+    read,
+    write,
+)
 from .replica_actor import ReplicaActor
 from .world_state import Budget
 
 
 class WipeModel(RegisterModel):
-    """Version 2 was acknowledged by a and b, and c missed it: every way to go on from there.
+    """a and b acknowledged version 2, and c missed it; then any one disk is lost at any moment.
 
-    Any one disk is lost at any moment. Its register replica comes back at its old address, blank, and takes its place
-    again as the daemon does: it meets the others, takes a snapshot, and enters by two changes of the roster.
+    The replica restarts blank at its old address and rejoins as the daemon does: it contacts the others, takes a
+    snapshot, and is made a voter by two roster changes.
     """
 
     names: tuple[str, ...] = ("a", "b", "c", "reader", "writer")
     budget = Budget(wipes=1, timers=12)
     depth = 400
     turns = 2
-    ops: tuple[tuple[tuple[str, Operation], ...], ...] = (
+    scripts: tuple[tuple[tuple[str, Operation], ...], ...] = (
         (("read", read), ("read again", read)),
         (("write 3", write(3)),),
     )
@@ -32,19 +41,19 @@
             return {KEY: Cell(promised=NEW_BALLOT, accepted=NEW_BALLOT, value=b"2:writer")}
         return {KEY: Cell(promised=FIRST_BALLOT, accepted=FIRST_BALLOT, value=b"1:first")}
 
-    def make(self, recipe: Recipe) -> Actor:
-        name = self.names[recipe.process]
-        if recipe.process < self.register_replicas:
-            return ReplicaActor(recipe=recipe, name=name, seeds=self.seeds, enters=recipe.blank)
-        todo = self.ops[recipe.process - self.register_replicas]
-        return ClientActor(recipe=recipe, name=name, seeds=self.seeds, roster=founded(names="abc"), todo=todo)
+    def make(self, spec: ProcessSpec) -> Actor:
+        name = self.names[spec.process]
+        if spec.process < self.register_replicas:
+            return ReplicaActor(spec=spec, name=name, seeds=self.seeds, rejoins=spec.blank)
+        script = self.scripts[spec.process - self.register_replicas]
+        return ClientActor(spec=spec, name=name, seeds=self.seeds, roster=founding_roster(names="abc"), script=script)
 
-    def first_watch(self) -> Hashable:
-        return Watch(2, (0,) * len(self.ops), ((1, "1:first"), (2, "2:writer")), ())
+    def initial_monitor(self) -> Hashable:
+        return RegisterMonitor(2, (0,) * len(self.scripts), ((1, "1:first"), (2, "2:writer")), ())
 
 
 class MovedWipeModel(WipeModel):
-    """The same, and the register replica comes back at another address under its name."""
+    """As WipeModel, but the replica restarts under its name at another address."""
 
     def wipe_address(self, *, process: int, address: str) -> str:
         return f"{self.names[process]}:2"
