--- a/src/cinderstair/failover/database_failover.py
+++ b/src/cinderstair/failover/database_failover.py
@@ -214,7 +214,9 @@
                 CinderstairError(code=ErrorCode.UNKNOWN_DATABASE, reason=f"no backend '{backend}' of '{database}'")
             )
         if old is None:
-            return Error(CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: nobody leads yet"))
+            return Error(
+                CinderstairError(code=ErrorCode.NO_PRIMARY, reason=f"{database}: no primary has been assigned yet")
+            )
         new = DatabasePrimary(term=old.term + 1, primary=backend, incarnation=0, state=MOVING)
         self.ctx.log.warning(
             "OVERRIDE by an operator: %s is made primary of database %s in term %d; acknowledged commits may be lost",
--- a/src/cinderstair/http_frontend/session_drain.py
+++ b/src/cinderstair/http_frontend/session_drain.py
@@ -44,7 +44,7 @@
             f"{reason} holds back: no other HTTP proxy remains to serve clients" if reason and not staying else ""
         )
         if wanted != self.ready.drained_by:
-            self.ctx.log.info("draining for %s" if wanted else "no open window drains this proxy any more%s", wanted)
+            self.ctx.log.info("draining for %s" if wanted else "no open window drains this proxy%s", wanted)
             self.ready.drained_by = wanted
         # also after the platform's drain request, since it may stop this process once no sessions are left
         if self.ready.leaving and self.sessions.open and not self.handing_over:
--- a/src/cinderstair/pooler/primary_selection.py
+++ b/src/cinderstair/pooler/primary_selection.py
@@ -31,7 +31,9 @@
         assignment = self.view.primaries.get(service)
         if assignment is None:
             return _refuse(
-                code=ErrorCode.NO_PRIMARY, reason=f"{service}: no primary assigned yet", left_us=VIEW_LAPSE_US
+                code=ErrorCode.NO_PRIMARY,
+                reason=f"{service}: no primary has been assigned yet",
+                left_us=VIEW_LAPSE_US,
             )
         if not self.view.current:
             return _refuse(
--- a/src/cinderstair/pooler/relayed_state.py
+++ b/src/cinderstair/pooler/relayed_state.py
@@ -122,7 +122,7 @@
         # The register never returns to an earlier configuration version, so neither does this copy.
         if self.plan is None or plan.version > self.plan.version:
             self.plan = plan
-            self.ctx.log.info("configuration version %d in force", plan.version)
+            self.ctx.log.info("configuration version %d is in force", plan.version)
 
     # -- waiting for answers --
 
