--- a/features/cli/controller_commands.feature
+++ b/features/cli/controller_commands.feature
@@ -9,14 +9,14 @@
       | command         | answer                    | code | words                    |
       | controller       | text "all is well"        | 0    | all is well              |
       | shards          | text "map 3: a at s"      | 0    | map 3: a at s            |
-      | shards MAP      | text "put to the proxies"  | 0    | put to the proxies        |
+      | shards MAP      | text "proposed to the proxies" | 0 | proposed to the proxies |
       | shards MAP      | kind versionOld           | 1    | versionOld:              |
       | shards MAP      | bytes of another shape    | 1    | records address          |
       | shards MISSING  | text "never asked"        | 2    | No such file             |
       | shards plan MAP    | text "a: from s to t"      | 0 | a: from s to t           |
       | shards plan MAP    | kind brokenConfiguration   | 1 | brokenConfiguration:     |
       | shards plan MISSING | text "never asked"        | 2 | No such file             |
-      | shards begin MAP   | text "put to the proxies"   | 0 | put to the proxies        |
+      | shards begin MAP   | text "proposed to the proxies" | 0 | proposed to the proxies |
       | shards begin MAP   | kind versionTaken          | 1 | versionTaken:            |
       | shards abandon 3   | text "map 3 is given up"   | 0 | map 3 is given up        |
       | shards abandon 3   | kind versionOld            | 1 | versionOld:              |
--- a/features/simulation/platformsim/platformsim.feature
+++ b/features/simulation/platformsim/platformsim.feature
@@ -105,16 +105,16 @@
 
   Scenario: Controllers report missing votes and the tolerated losses after a controller is lost and replaced
     When a controller of a serving simulated platform is lost for good
-    Then each controller reports its votes as "2 of 3, epoch 1, bears the loss of 0 more, VOTES MISSING for \d+ s"
+    Then each controller reports its votes as "2 of 3, epoch 1, tolerates the loss of 0 more, VOTES MISSING for \d+ s"
     And each controller has counted samples with missing votes
     When an empty controller replaces it
-    Then each controller reports its votes as "3 of 3, epoch 3, bears the loss of 1 more; standing by: nobody"
+    Then each controller reports its votes as "3 of 3, epoch 3, tolerates the loss of 1 more; standbys: nobody"
 
   Scenario: A platform starts with two of three seeds, and the third joins later
     When a simulated platform starts while one of its three seeds is unreachable
-    Then each controller reports its votes as "2 of 3, epoch 1, bears the loss of 0 more"
+    Then each controller reports its votes as "2 of 3, epoch 1, tolerates the loss of 0 more"
     When the missing seed starts
-    Then each controller reports its votes as "3 of 3, epoch 2, bears the loss of 1 more; standing by: nobody"
+    Then each controller reports its votes as "3 of 3, epoch 2, tolerates the loss of 1 more; standbys: nobody"
 
   Scenario: A controller that missed 600 configurations catches up in time, and disks stay bounded
     When a controller of a serving simulated platform has no power while 600 configurations are confirmed
--- a/features/steps/platform_trial_steps.py
+++ b/features/steps/platform_trial_steps.py
@@ -105,10 +105,10 @@
         assert f"map {version}: ledger0-primary at ledger1" in text and "NOT CURRENT" not in text, text
         for name in [*world.controllers, *world.backends, *world.services]:
             assert f" {name}" in f"\n{text}".replace("\n", "\n "), (name, text)
-        assert "votes: 3 of 3, epoch 1, bears the loss of 1 more; standing by: nobody" in text, text
+        assert "votes: 3 of 3, epoch 1, tolerates the loss of 1 more; standbys: nobody" in text, text
     together = "\n".join(texts)
     assert all(f"proxy {name}: asked" in together for name in world.proxies), together
-    assert "holds the duty of promotions" in together and "holds the duty of slots" in together, together
+    assert "holds the lease promotions" in together and "holds the lease slots" in together, together
 
 
 def requested(*, context: Any, at: int, handler: str, body: bytes) -> tuple[str, str]:
@@ -147,7 +147,7 @@
     context.world.advance(for_ms=1_000)
     assert requested(context=context, at=1, handler="_on_shard_map", body=Packer().blob(value=b"").bytes())[
         1
-    ].startswith("map 0: all as planned")
+    ].startswith("map 0: no database is placed by a shard map")
 
 
 @then("a map with an unknown service or database is refused with its line, by dry run and proposal alike")
@@ -165,7 +165,7 @@
 def when_proposes(context: Any) -> None:
     assert requested(context=context, at=2, handler="_on_shard_map", body=context.shard_map_document) == (
         "",
-        "put to the proxies",
+        "proposed to the proxies",
     )
     context.seen = []
 
--- a/src/cinderstair/control_plane/shard_map_handler.py
+++ b/src/cinderstair/control_plane/shard_map_handler.py
@@ -25,7 +25,7 @@
 
     :param plan: returns the configuration in force, None before the first.
     :param planned_service: returns the service to which the plan routes a database.
-    :param can_move_data: whether this deployment can move a database's data to another service.
+    :param can_move_data: whether a handover is set up to copy a database's data to another service.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             return operator_answer(text=shard_map_text(state=read_shard_state(data=found.ok.value))).bytes()
         checked = self._checked(raw=raw)
         result = Error(checked.error) if checked.is_error() else await self.shards.propose(wanted=checked.ok)
-        return operator_result(result=result, text="put to the proxies")
+        return operator_result(result=result, text="proposed to the proxies")
 
     def _checked(self, *, raw: bytes) -> Result[ShardMap, CinderstairError]:
         """Parses a map and checks it against the configuration and the map in force; the error lists each problem."""
@@ -92,7 +92,9 @@
         forecast = await self.shards.forecast()
         lines.append(forecast.summary() if lines else "no database moves")
         if not self.can_move_data():
-            lines.append("begin would be refused: this deployment can't move a database's data to another service")
+            lines.append(
+                "begin would be refused: no handover is set up here to copy a database's data to another service"
+            )
         return operator_answer(text="\n".join(lines)).bytes()
 
     def _moves(self, *, wanted: ShardMap) -> list[str]:
--- a/src/cinderstair/control_plane/shard_map_text.py
+++ b/src/cinderstair/control_plane/shard_map_text.py
@@ -8,5 +8,5 @@
     placements = ", ".join(
         f"{database} at {service}" for database, service in sorted(state.current.placements.items())
     )
-    text = f"map {state.current.version}: {placements or 'all as planned'}"
+    text = f"map {state.current.version}: {placements or 'no database is placed by a shard map'}"
     return text if state.phase == ShardPhase.steady else f"{text}; {state.phase.name}: {state.following.version}"
--- a/src/cinderstair/control_plane/status_text.py
+++ b/src/cinderstair/control_plane/status_text.py
@@ -19,7 +19,7 @@
             *(_service_line(service=service) for service in status.services),
             *(_backend_line(backend=backend) for backend in status.backends),
             *(_proxy_line(proxy=proxy) for proxy in status.proxies),
-            *(f"holds the duty of {name}" for name in status.leases_held),
+            *(f"holds the lease {name}" for name in status.leases_held),
             *(f"counter {name} {count}" for name, count in status.counters.items()),
         ]
     )
@@ -48,10 +48,12 @@
     missing = (
         "" if quorum.votes_missing_us is None else f", VOTES MISSING for {quorum.votes_missing_us // US_PER_S} s"
     )
-    tolerance = f"bears the loss of {quorum.tolerable_losses} more" if quorum.tolerable_losses >= 0 else "NO MAJORITY"
+    tolerance = (
+        f"tolerates the loss of {quorum.tolerable_losses} more" if quorum.tolerable_losses >= 0 else "NO MAJORITY"
+    )
     lines.append(
         f"votes: {quorum.alive_count} of {quorum.target_count}, epoch {quorum.epoch}, {tolerance}{missing}; "
-        f"standing by: {', '.join(quorum.standbys) or 'nobody'}"
+        f"standbys: {', '.join(quorum.standbys) or 'nobody'}"
     )
     return lines
 
