--- a/features/steps/platform_messages_steps.py
+++ b/features/steps/platform_messages_steps.py
@@ -34,7 +34,7 @@
 from cinderstair.runtime.errors import CinderstairError, ErrorCode
 from cinderstair.runtime.position import Position
 
-STATE_LETTERS = {"I": State.idle, "T": State.open, "E": State.failed}
+STATE_CODES = {"I": State.idle, "T": State.open, "E": State.failed}
 VERB_NAMES = {
     Verb.begin: "begin",
     Verb.begin_read: "begin for reading",
@@ -80,7 +80,7 @@
 
 def reply_bytes(*, outcome: dict[str, Any]) -> str:
     """Encodes a reply to a client, given its outcome in the recorded form."""
-    state = STATE_LETTERS[outcome["state"]]
+    state = STATE_CODES[outcome["state"]]
     position = Position(*outcome["position"]) if outcome["position"] else None
     if "kind" in outcome:
         reply = refusal(kind=ErrorCode(outcome["kind"]), state=state, retry_after_us=outcome["come_back_us"])
@@ -235,7 +235,7 @@
         "native": as_text(data=reply.native),
         "was not run": reply.not_run,
         "may be tried elsewhere": reply.retriable,
-        "state": next(letter for letter, state in STATE_LETTERS.items() if state == reply.state),
+        "state": next(state_code for state_code, state in STATE_CODES.items() if state == reply.state),
         "position": None if reply.position is None else list(reply.position),
     }
 
