--- a/src/cinderstair/failover/shard_map_coordinator.py
+++ b/src/cinderstair/failover/shard_map_coordinator.py
@@ -22,10 +22,10 @@
 from .shard_forecast import ShardForecast, forecast
 from .shard_progress import ShardProgress
 from .shard_state import (
-    GIVE_UP_US,
+    CLOSING_REPLY_TIMEOUT_US,
     IN_FLIGHT_US,
+    MIN_PROPOSED_US,
     SHARDS_KEY,
-    UNNOTIFIED_GRACE_US,
     ShardPhase,
     ShardState,
     Vote,
@@ -230,7 +230,7 @@
     def _expiry_us(self, *, in_flight_us: int) -> int:
         # The view's lease, a tenth of it for clock drift, the proxy's reply timeout, and writes in flight to a
         # backend.
-        return self.lease_us + self.lease_us // 10 + GIVE_UP_US + in_flight_us
+        return self.lease_us + self.lease_us // 10 + CLOSING_REPLY_TIMEOUT_US + in_flight_us
 
     def _votes(self, *, proxies: dict[str, ProxyVote]) -> ShardVotes:
         return ShardVotes(proxies=proxies, proposal=self.state.proposal, now_us=self.ctx.now_us())
@@ -248,8 +248,8 @@
         agreeing = self._votes(proxies=proxies).with_vote(vote=Vote.agrees) & participants
         waited_us = self.ctx.now_us() - self.since_us
         if participants and 100 * len(agreeing) >= state.following.agree_percent * len(participants):
-            # After this grace a proxy that missed the proposal can't commit transactions that it began before.
-            if waited_us >= UNNOTIFIED_GRACE_US:
+            # After this time a proxy that missed the proposal can't commit transactions that it began before.
+            if waited_us >= MIN_PROPOSED_US:
                 closing = replace(state, phase=ShardPhase.closing, ready_in_us=EXPECTED_CLOSING_US)
                 await self._compare_and_set(old=state, new=closing)
         elif waited_us > PROPOSED_TIMEOUT_US:
--- a/src/cinderstair/failover/shard_state.py
+++ b/src/cinderstair/failover/shard_state.py
@@ -10,10 +10,10 @@
 SHARDS_KEY = "shards"
 # Minimum duration of the proposed phase, in microseconds: a proxy that has not seen the proposal may still commit
 # open transactions for this long.
-UNNOTIFIED_GRACE_US = 2_000_000
+MIN_PROPOSED_US = 2_000_000
 # Timeout of a proxy's unanswered statements once it must stop writing, in microseconds; added to every wait for
 # proxies.
-GIVE_UP_US = 500_000
+CLOSING_REPLY_TIMEOUT_US = 500_000
 # Default of `ShardState.in_flight_us`, in microseconds.
 IN_FLIGHT_US = 3_000_000
 
--- a/src/cinderstair/pooler/shards.py
+++ b/src/cinderstair/pooler/shards.py
@@ -4,7 +4,7 @@
 
 from ..config.service_plan import DatabaseRoute
 from ..failover.service_primary import PrimaryState
-from ..failover.shard_state import GIVE_UP_US, SHARDS_KEY, UNNOTIFIED_GRACE_US, ShardPhase, ShardState, Vote
+from ..failover.shard_state import CLOSING_REPLY_TIMEOUT_US, MIN_PROPOSED_US, SHARDS_KEY, ShardPhase, ShardState, Vote
 from ..runtime.context import Context
 from ..runtime.errors import CinderstairError, ErrorCode
 from .in_flight_writes import InFlightWrites
@@ -53,11 +53,14 @@
                 self.ctx.spawn(work=self._abandon_late(proposal=self.view.shards.proposal), name="shards.give_up")
 
     async def _abandon_late(self, *, proposal: int) -> None:
-        """Abandons writes still unanswered GIVE_UP_US after the map began to close; a partition may delay them."""
-        await self.ctx.sleep(duration_us=GIVE_UP_US)
+        """Abandons writes still unanswered CLOSING_REPLY_TIMEOUT_US after the map began to close.
+
+        A partition may delay them.
+        """
+        await self.ctx.sleep(duration_us=CLOSING_REPLY_TIMEOUT_US)
         state = self.view.shards
         if state.proposal == proposal and state.phase == ShardPhase.closing:
-            self.in_flight.abandon(databases=self._moving(), older_than_us=GIVE_UP_US)
+            self.in_flight.abandon(databases=self._moving(), older_than_us=CLOSING_REPLY_TIMEOUT_US)
 
     def update(self) -> None:
         """Applies the register's map if possible; abandons unanswered writes while the view is not current."""
@@ -147,9 +150,9 @@
         if self._behind(database=database) or self.moved_us.get(database, since_us) > since_us:
             return False
         if state.phase == ShardPhase.steady:
-            # A proxy without updates may have missed a proposal, but a map begins to close UNNOTIFIED_GRACE_US later
+            # A proxy without updates may have missed a proposal, but a map begins to close MIN_PROPOSED_US later
             # at the earliest.
-            return self.ctx.now_us() < self.view.as_of_us + LEASE_US + UNNOTIFIED_GRACE_US
+            return self.ctx.now_us() < self.view.as_of_us + LEASE_US + MIN_PROPOSED_US
         # During a change, a proxy whose view is not current may have missed that the map closes.
         closing = state.phase == ShardPhase.closing and state.moving(database=database)
         return self.view.current and not (closing and self.ctx.now_us() - self.changed_us >= DRAIN_US)
