--- a/src/cinderstair/simulation/stand_in.py
+++ b/src/cinderstair/simulation/stand_in.py
@@ -291,7 +291,7 @@
         if verb in ("put", "add", "append") and len(words) == 3:
             self._lock(key=words[1], own=own)
             return [], [(verb, words[1], words[2])]
-        raise StatementError(f"unknown statement: {body['text'][:40]}")
+        raise StatementError(f"no such statement: {body['text'][:40]}")
 
     def _lock(self, *, key: str, own: OpenTransaction | None) -> None:
         for other in self.open.values():
